--- a/benchmarks/attack.py
+++ b/benchmarks/attack.py
@@ -34,15 +34,39 @@
 from linnetstile.standins.register import RegisterSpec, RegisterStand
 
 SERIAL = itertools.count()
-LIMITS = {"slots": 64, "hold": 2000, "connections": 1000, "body_bytes": 208 << 20, "hold_bytes": 256 << 20,
-          "head_ms": 3000, "stall_ms": 2000, "remember": 20_000, "remember_bytes": 16 << 20, "self_check_ms": 250}
+LIMITS = {
+    "slots": 64,
+    "hold": 2000,
+    "connections": 1000,
+    "body_bytes": 208 << 20,
+    "hold_bytes": 256 << 20,
+    "head_ms": 3000,
+    "stall_ms": 2000,
+    "remember": 20_000,
+    "remember_bytes": 16 << 20,
+    "self_check_ms": 250,
+}
 
 
 async def serve_partners() -> Stand:
-    stand = Stand(PartnersSpec.model_validate({"partners": [
-        {"name": name, "endpoints": [{"id": n}], "work_ms": 20, "spread": 0.1, "servers": 256, "queue": 1000}
-        for n, name in ((1, "quick"), (2, "hangs"))], "faults": [
-            {"kind": "hang", "at_s": 0, "for_s": 600, "partners": ["hangs"]}]}))
+    stand = Stand(
+        PartnersSpec.model_validate(
+            {
+                "partners": [
+                    {
+                        "name": name,
+                        "endpoints": [{"id": n}],
+                        "work_ms": 20,
+                        "spread": 0.1,
+                        "servers": 256,
+                        "queue": 1000,
+                    }
+                    for n, name in ((1, "quick"), (2, "hangs"))
+                ],
+                "faults": [{"kind": "hang", "at_s": 0, "for_s": 600, "partners": ["hangs"]}],
+            }
+        )
+    )
     print(json.dumps({"port": 0, "ports": await stand.start()}), flush=True)
     return stand
 
@@ -71,12 +95,14 @@
                 await one(n)
                 return
             self.counts["ended by the relay"] += 1
+
         await asyncio.gather(*(safe(n) for n in range(count)))
 
     async def half_open(self) -> None:
         async def one(n: int) -> None:
             await self.dial()
             await asyncio.sleep(0)
+
         await self.many(3000, one)
         await asyncio.sleep(600)
 
@@ -87,9 +113,10 @@
             cut = text.find(b"\r\n\r\n") + 4 if b"\r\n\r\n" in text else 0
             writer.write(text[:cut])
             for at in range(cut, len(text)):
-                writer.write(text[at: at + 1])
+                writer.write(text[at : at + 1])
                 await writer.drain()
                 await asyncio.sleep(1.0)
+
         while True:
             await self.many(count, one)
             await asyncio.sleep(0.2)
@@ -111,6 +138,7 @@
                     await writer.drain()
                 self.counts[(await reader.readline())[9:12].decode()] += 1
                 writer.close()
+
         while True:
             await self.many(64, one)
             await asyncio.sleep(0.2)
@@ -126,6 +154,7 @@
                     await writer.drain()
                 status = (await reader.readuntil(b"\r\n\r\n"))[9:12].decode()
                 self.counts[f"{'200 MB' if n == 0 else 'small'} {status}"] += 1
+
         await self.many(9, one)
         await asyncio.sleep(600)
 
@@ -135,6 +164,7 @@
             while True:
                 writer.write(b"GET /health HTTP/1.1\r\nHost: x\r\n\r\n" * 500)
                 await writer.drain()
+
         await self.many(50, one)
         await asyncio.sleep(600)
 
@@ -142,25 +172,45 @@
         async def one(n: int) -> None:
             while True:
                 reader, writer = await asyncio.open_connection("127.0.0.1", self.port)
-                writer.write(self.head("quick", 4, f"bad{n}").replace(b"\r\nHost", b"\r\nConnection: close\r\nHost")
-                             + b"body")
+                writer.write(
+                    self.head("quick", 4, f"bad{n}").replace(b"\r\nHost", b"\r\nConnection: close\r\nHost") + b"body"
+                )
                 self.counts[(await reader.read())[9:12].decode()] += 1
                 writer.close()
+
         await self.many(8, one)
 
 
 async def measure(seconds: float) -> dict[str, Any]:
     stand, told = spawn("attack", "--serve-partners")
     ports = told["ports"]
-    register = RegisterStand(RegisterSpec.model_validate({"entries": [
-        {"id": int(n), "partner": "quick" if n == "1" else "hangs", "url": f"http://127.0.0.1:{port}/as2",
-         "status": "ready", "rate": 2000.0} for n, port in ports.items()]}))
+    register = RegisterStand(
+        RegisterSpec.model_validate(
+            {
+                "entries": [
+                    {
+                        "id": int(n),
+                        "partner": "quick" if n == "1" else "hangs",
+                        "url": f"http://127.0.0.1:{port}/as2",
+                        "status": "ready",
+                        "rate": 2000.0,
+                    }
+                    for n, port in ports.items()
+                ]
+            }
+        )
+    )
     settings = {
-        "name": "r", "register": f"http://127.0.0.1:{await register.start()}", "rules": [{"class": "a"}],
-        "classes": {"a": {"effect": "safe", "aim_ms": 1000, "deadline_ms": 8000}}, "limits": LIMITS}
+        "name": "r",
+        "register": f"http://127.0.0.1:{await register.start()}",
+        "rules": [{"class": "a"}],
+        "classes": {"a": {"effect": "safe", "aim_ms": 1000, "deadline_ms": 8000}},
+        "limits": LIMITS,
+    }
     log = tempfile.TemporaryFile()  # noqa: SIM115 (read after the relay has ended)
     relay, port = await asyncio.get_running_loop().run_in_executor(
-        None, lambda: child("throughput", "--serve-relay", json.dumps(settings), "", log=log))
+        None, lambda: child("throughput", "--serve-relay", json.dumps(settings), "", log=log)
+    )
     loop = asyncio.get_running_loop()
     start, samples, phases = loop.time(), [], []
     good = {"phase": "before"}
@@ -186,8 +236,13 @@
                     row["delivered"] += 1
                     row["took"].record_value(int((loop.time() - when) * 1e6))
 
-            pool.call(("127.0.0.1", port), "POST", http1.request("POST", "/as2", [("Host", "x"), *made.headers],
-                                                                 made.body), done, when + 10)
+            pool.call(
+                ("127.0.0.1", port),
+                "POST",
+                http1.request("POST", "/as2", [("Host", "x"), *made.headers], made.body),
+                done,
+                when + 10,
+            )
 
     tasks = [asyncio.create_task(sample()), asyncio.create_task(well_behaved())]
     await asyncio.sleep(seconds)
@@ -215,17 +270,32 @@
     cpu = end(relay)
     end(stand)
     register.close()
-    rows = {name: {"sent": row["sent"], "delivered": row["delivered"],
-                   "p99_ms": round(row["took"].get_value_at_percentile(99) / 1000, 1),
-                   "bad_peers": row.get("bad", {})} for name, row in found.items()}
+    rows = {
+        name: {
+            "sent": row["sent"],
+            "delivered": row["delivered"],
+            "p99_ms": round(row["took"].get_value_at_percentile(99) / 1000, 1),
+            "bad_peers": row.get("bad", {}),
+        }
+        for name, row in found.items()
+    }
     log.seek(0)
     lines = log.read().decode()
-    return {"limits": LIMITS, "self_check_findings": lines.count("AssertionError"),
-            "tracebacks": lines.count("Traceback"),
-            "memory_bound_mb": round(bound), "peak_mb": max(s[1] for s in samples),
-            "first_mb": samples[0][1], "last_mb": samples[-1][1], "files_bound": files,
-            "peak_files": max(s[2] for s in samples), "cpu_s": round(cpu, 1), "good_client": rows, "phases": phases,
-            "samples": samples}
+    return {
+        "limits": LIMITS,
+        "self_check_findings": lines.count("AssertionError"),
+        "tracebacks": lines.count("Traceback"),
+        "memory_bound_mb": round(bound),
+        "peak_mb": max(s[1] for s in samples),
+        "first_mb": samples[0][1],
+        "last_mb": samples[-1][1],
+        "files_bound": files,
+        "peak_files": max(s[2] for s in samples),
+        "cpu_s": round(cpu, 1),
+        "good_client": rows,
+        "phases": phases,
+        "samples": samples,
+    }
 
 
 def plot(found: dict[str, Any], file: str) -> None:
@@ -236,8 +306,10 @@
 
     figure, axes = plt.subplots(2, 1, figsize=(11, 6.5), sharex=True)
     at = [s[0] for s in found["samples"]]
-    for axis, column, bound, name in ((axes[0], 1, found["memory_bound_mb"], "resident memory, MB"),
-                                      (axes[1], 2, found["files_bound"], "open files")):
+    for axis, column, bound, name in (
+        (axes[0], 1, found["memory_bound_mb"], "resident memory, MB"),
+        (axes[1], 2, found["files_bound"], "open files"),
+    ):
         axis.plot(at, [s[column] for s in found["samples"]], lw=1.4, color="tab:blue")
         axis.axhline(bound, color="tab:red", lw=1, ls="--", label=f"stated bound {bound}")
         axis.set_ylabel(name)
--- a/benchmarks/cold_start.py
+++ b/benchmarks/cold_start.py
@@ -55,9 +55,15 @@
         worst = max((sum(at - span < other <= at for other in calls) / allowed(at) for at in cold), default=0)
         fell = bool(rig.rows("fallen"))
         taken = sum(service.knowledge.counts["taken"] for service in rig.services)
-    return {"learning": learning, "calls_in_first_s": sum(at < 1000 for at in calls), "calls_while_cold": len(cold),
-            "worst_share_of_budget": round(worst, 2), "pushed_over": fell,
-            "lessons_taken": taken, "answers": dict(got)}
+    return {
+        "learning": learning,
+        "calls_in_first_s": sum(at < 1000 for at in calls),
+        "calls_while_cold": len(cold),
+        "worst_share_of_budget": round(worst, 2),
+        "pushed_over": fell,
+        "lessons_taken": taken,
+        "answers": dict(got),
+    }
 
 
 def main() -> None:
--- a/benchmarks/common.py
+++ b/benchmarks/common.py
@@ -14,8 +14,9 @@
 
 def spawn(module: str, *args: str, log: IO[bytes] | None = None) -> tuple[subprocess.Popen[str], dict[str, Any]]:
     """Starts `python -m benchmarks.MODULE ARGS` and reads the JSON line that tells how it is reached."""
-    process = subprocess.Popen([sys.executable, "-m", f"benchmarks.{module}", *args], stdout=subprocess.PIPE,
-                               stderr=log, text=True)
+    process = subprocess.Popen(
+        [sys.executable, "-m", f"benchmarks.{module}", *args], stdout=subprocess.PIPE, stderr=log, text=True
+    )
     assert process.stdout is not None
     return process, json.loads(process.stdout.readline())
 
--- a/benchmarks/crawl.py
+++ b/benchmarks/crawl.py
@@ -40,10 +40,25 @@
 
 def partners(slow: int, seed: int, from_ms: float) -> dict[str, Any]:
     """The last `slow` partners crawl, so that the first ones are quick in all runs."""
-    return {"seed": seed, "t0_ms": from_ms, "partners": [
-        {"name": f"p{n}", "endpoints": [{"id": n + 1}], "work_ms": WORK_MS, "spread": 0.2, "servers": 64, "queue": 256}
-        for n in range(PARTNERS)], "faults": [
-        {**KINDS[n % len(KINDS)], "at_s": 0, "for_s": 600, "partners": [f"p{PARTNERS - 1 - n}"]} for n in range(slow)]}
+    return {
+        "seed": seed,
+        "t0_ms": from_ms,
+        "partners": [
+            {
+                "name": f"p{n}",
+                "endpoints": [{"id": n + 1}],
+                "work_ms": WORK_MS,
+                "spread": 0.2,
+                "servers": 64,
+                "queue": 256,
+            }
+            for n in range(PARTNERS)
+        ],
+        "faults": [
+            {**KINDS[n % len(KINDS)], "at_s": 0, "for_s": 600, "partners": [f"p{PARTNERS - 1 - n}"]}
+            for n in range(slow)
+        ],
+    }
 
 
 async def serve_partners(spec: str) -> Stand:
@@ -57,15 +72,33 @@
     from_ms = now_ms() + 1000 * (WARM_S + 2)  # two seconds to start
     stand, told = spawn("crawl", "--serve-partners", json.dumps(partners(slow, seed, from_ms)))
     ports = told["ports"]
-    register = RegisterStand(RegisterSpec.model_validate({"entries": [
-        {"id": int(n), "partner": f"p{int(n) - 1}", "url": f"http://127.0.0.1:{port}/as2", "status": "ready",
-         "rate": 100.0} for n, port in ports.items()]}))
+    register = RegisterStand(
+        RegisterSpec.model_validate(
+            {
+                "entries": [
+                    {
+                        "id": int(n),
+                        "partner": f"p{int(n) - 1}",
+                        "url": f"http://127.0.0.1:{port}/as2",
+                        "status": "ready",
+                        "rate": 100.0,
+                    }
+                    for n, port in ports.items()
+                ]
+            }
+        )
+    )
     settings = {
-        "name": "r", "register": f"http://127.0.0.1:{await register.start()}", "seed": seed,
-        "classes": {"a": {"effect": "safe", "aim_ms": AIM_MS, "deadline_ms": DEADLINE_MS}}, "rules": [{"class": "a"}],
-        "limits": {"slots": SLOTS, "hold": 2000}}
+        "name": "r",
+        "register": f"http://127.0.0.1:{await register.start()}",
+        "seed": seed,
+        "classes": {"a": {"effect": "safe", "aim_ms": AIM_MS, "deadline_ms": DEADLINE_MS}},
+        "rules": [{"class": "a"}],
+        "limits": {"slots": SLOTS, "hold": 2000},
+    }
     relay, port = await asyncio.get_running_loop().run_in_executor(
-        None, child, "throughput", "--serve-relay", json.dumps(settings), "")
+        None, child, "throughput", "--serve-relay", json.dumps(settings), ""
+    )
     pool, rng, loop = client.Pool(), random.Random(seed), asyncio.get_running_loop()
     histogram, before, serial = HdrHistogram(1, 60_000_000, 3), HdrHistogram(1, 60_000_000, 3), itertools.count()
     worth = {"sent": 0.0, "got": 0.0}
@@ -109,10 +142,16 @@
     end(relay)
     end(stand)
     register.close()
-    return {"slow": slow, "seed": seed, "sent": int(worth["sent"]), "worth": round(worth["got"] / worth["sent"], 4),
-            "p99_before_ms": round(before.get_value_at_percentile(99) / 1000, 1),
-            "p50_ms": round(histogram.get_value_at_percentile(50) / 1000, 1),
-            "p99_ms": round(histogram.get_value_at_percentile(99) / 1000, 1), "answers": dict(kinds)}
+    return {
+        "slow": slow,
+        "seed": seed,
+        "sent": int(worth["sent"]),
+        "worth": round(worth["got"] / worth["sent"], 4),
+        "p99_before_ms": round(before.get_value_at_percentile(99) / 1000, 1),
+        "p50_ms": round(histogram.get_value_at_percentile(50) / 1000, 1),
+        "p99_ms": round(histogram.get_value_at_percentile(99) / 1000, 1),
+        "answers": dict(kinds),
+    }
 
 
 def one(case: tuple[int, int, float, int]) -> dict[str, Any]:
@@ -137,11 +176,16 @@
     for slow in args.slow:
         mine = [run for run in found if run["slow"] == slow]
         shares = [run["worth"] / base[run["seed"]] for run in mine if base.get(run["seed"])]
-        summary.append({"slow": slow, "worth_against_none": round(statistics.mean(shares), 4) if shares else None,
-                        "least": round(min(shares), 4) if shares else None,
-                        "most": round(max(shares), 4) if shares else None,
-                        "p99_before_ms": [run["p99_before_ms"] for run in mine],
-                        "p99_ms": [run["p99_ms"] for run in mine]})
+        summary.append(
+            {
+                "slow": slow,
+                "worth_against_none": round(statistics.mean(shares), 4) if shares else None,
+                "least": round(min(shares), 4) if shares else None,
+                "most": round(max(shares), 4) if shares else None,
+                "p99_before_ms": [run["p99_before_ms"] for run in mine],
+                "p99_ms": [run["p99_ms"] for run in mine],
+            }
+        )
     tell({"partners": PARTNERS, "slots": SLOTS, "quick_partners": quick, "summary": summary, "runs": found}, args.json)
 
 
--- a/benchmarks/held.py
+++ b/benchmarks/held.py
@@ -23,11 +23,15 @@
     entry = {"id": 1, "partner": "p", "url": "http://127.0.0.1:9/as2", "status": "draining", "rate": 10.0}
     register = RegisterStand(RegisterSpec(entries=[entry]))
     settings = {
-        "name": "r", "register": f"http://127.0.0.1:{await register.start()}", "rules": [{"class": "a"}],
+        "name": "r",
+        "register": f"http://127.0.0.1:{await register.start()}",
+        "rules": [{"class": "a"}],
         "classes": {"a": {"effect": "safe", "aim_ms": 500_000, "deadline_ms": 600_000}},
-        "limits": {"slots": 64, "hold": 4 * count}}
+        "limits": {"slots": 64, "hold": 4 * count},
+    }
     relay, port = await asyncio.get_running_loop().run_in_executor(
-        None, child, "throughput", "--serve-relay", json.dumps(settings), "")
+        None, child, "throughput", "--serve-relay", json.dumps(settings), ""
+    )
     pool, loop = client.Pool(), asyncio.get_running_loop()
     numbers, taken = iter(range(count)), 0
 
@@ -54,8 +58,14 @@
     end(relay)
     register.close()
     grown = marks[-1]["resident_mb"] - before
-    return {"messages": taken, "body_bytes": size, "before_mb": round(before, 1), "marks": marks,
-            "kb_a_message": round(1024 * grown / max(1, taken), 2), "taken_per_s": round(taken / took)}
+    return {
+        "messages": taken,
+        "body_bytes": size,
+        "before_mb": round(before, 1),
+        "marks": marks,
+        "kb_a_message": round(1024 * grown / max(1, taken), 2),
+        "taken_per_s": round(taken / took),
+    }
 
 
 def main() -> None:
--- a/benchmarks/lists.py
+++ b/benchmarks/lists.py
@@ -31,9 +31,25 @@
 
 
 def told(first: int, size: int) -> str:
-    return json.dumps({"version": 1, "full": True, "servers": [
-        {"id": f"s-{number:08x}", "addr": f"10.1.{number >> 8}.{number & 255}:3000", "zone": "a", "kind": "k",
-         "cell": number // 2, "state": "SERVING", "weight": 20.0, "started_ms": 0} for number in range(first, size)]})
+    return json.dumps(
+        {
+            "version": 1,
+            "full": True,
+            "servers": [
+                {
+                    "id": f"s-{number:08x}",
+                    "addr": f"10.1.{number >> 8}.{number & 255}:3000",
+                    "zone": "a",
+                    "kind": "k",
+                    "cell": number // 2,
+                    "state": "SERVING",
+                    "weight": 20.0,
+                    "started_ms": 0,
+                }
+                for number in range(first, size)
+            ],
+        }
+    )
 
 
 def once(size: int) -> dict[str, float]:
@@ -77,9 +93,13 @@
     for size in SIZES:
         rounds = [once(size) for _ in range(args.rounds)]
         found[size] = {step: min(each[step] for each in rounds) for step in rounds[0]}
-    result = {"microseconds": {size: {step: round(us, 1) for step, us in each.items()} for size, each in found.items()},
-              "ratios": {size: {step: round(us / found[SIZES[0]][step], 2) for step, us in each.items()}
-                         for size, each in found.items()}}
+    result = {
+        "microseconds": {size: {step: round(us, 1) for step, us in each.items()} for size, each in found.items()},
+        "ratios": {
+            size: {step: round(us / found[SIZES[0]][step], 2) for step, us in each.items()}
+            for size, each in found.items()
+        },
+    }
     tell(result, args.json)
     return 0
 
--- a/benchmarks/slopes/changes.py
+++ b/benchmarks/slopes/changes.py
@@ -76,8 +76,9 @@
                     told["in_force_wall_ms"] = force if force is not None else f"not within {TOLD_S:g} s"
                     continue
                 time.sleep(SETTLE_S)
-                samples.setdefault(name, []).append([
-                    node.cpu() - was - rest for node, was, rest in zip(nodes, before, idle, strict=True)])
+                samples.setdefault(name, []).append(
+                    [node.cpu() - was - rest for node, was, rest in zip(nodes, before, idle, strict=True)]
+                )
             first += count
         for name, rounds in samples.items():
             told[f"{name}_us"] = max(0.0, median(map(min, zip(*rounds, strict=True))))
@@ -101,9 +102,14 @@
         time.sleep(0.2)
         wall = time.monotonic() - began
         used = median(node.cpu() - was for node, was in zip(nodes, before, strict=True)) - idle * wall
-        return {"us": used, "us_a_change": used / count, "change_bytes": float(size),
-                "bytes_a_change": size / count, "last_in_force_wall_ms": force if force is not None else "never",
-                "watches_opened_anew": float(child.do("counts")["wholes"] - RELAYS)}
+        return {
+            "us": used,
+            "us_a_change": used / count,
+            "change_bytes": float(size),
+            "bytes_a_change": size / count,
+            "last_in_force_wall_ms": force if force is not None else "never",
+            "watches_opened_anew": float(child.do("counts")["wholes"] - RELAYS),
+        }
 
 
 POINTS, CHECKS = (1, 10, 25, 50), (100,)
--- a/benchmarks/slopes/destinations.py
+++ b/benchmarks/slopes/destinations.py
@@ -50,9 +50,13 @@
     with_module, _ = inside.traced(lambda: relay.handle(1.0, list(events)))
     after, _ = inside.traced(events.clear)
     del directory
-    return {"directory_bytes": size + after, "module_bytes": with_module,
-            "directory_bytes_an_endpoint": (size + after) / ends, "module_bytes_an_endpoint": with_module / ends,
-            "all_mb": (size + with_module + after) / 2**20}
+    return {
+        "directory_bytes": size + after,
+        "module_bytes": with_module,
+        "directory_bytes_an_endpoint": (size + after) / ends,
+        "module_bytes_an_endpoint": with_module / ends,
+        "all_mb": (size + with_module + after) / 2**20,
+    }
 
 
 def reading(count: int, endpoints: int = 1) -> Found:
@@ -75,8 +79,11 @@
     """From the text to events for the module. The bytes that complete a text, or a part of it, bring that to the
     directory in one go."""
     data, bound = program.told(inside.servers(count, endpoints), 1, True), program.bound_bytes()
-    sizes: Found = {"list_bytes": float(len(data)), "list_bytes_an_endpoint": len(data) / count / endpoints,
-                    "within_bound": "yes" if bound is None or len(data) <= bound else f"refused: over {bound} bytes"}
+    sizes: Found = {
+        "list_bytes": float(len(data)),
+        "list_bytes_an_endpoint": len(data) / count / endpoints,
+        "within_bound": "yes" if bound is None or len(data) <= bound else f"refused: over {bound} bytes",
+    }
     found: dict[str, Any] = {}
 
     def text() -> None:
@@ -102,8 +109,11 @@
     try:
         found["directory"] = program.new_directory()
         text_us, directory_us = timed(text), timed(directory)
-        sizes |= {"text_us": text_us, "directory_us": directory_us,
-                  "longest_step_us": found["text"][1] + found["longest"]}
+        sizes |= {
+            "text_us": text_us,
+            "directory_us": directory_us,
+            "longest_step_us": found["text"][1] + found["longest"],
+        }
         events: list[api.Event] = found["events"]
     except Exception as error:  # whatever a changed inner surface raises
         sizes["text_us"] = f"not measured: {error!r}"
@@ -122,9 +132,12 @@
         cell = (number + 1) * count // 8
         entry = api.Endpoint(cell * endpoints + 1, cell, api.Listing.READY, 0, 0, inside.RATE)
         fresh = api.Endpoint(10**7 + number, cell, api.Listing.READY, 0, 0, inside.RATE)
-        for name, change in (("drains", api.Endpoint(entry.id, cell, api.Listing.DRAINING)),
-                             ("comes", entry), ("goes", api.Endpoint(entry.id, cell, api.Listing.GONE)),
-                             ("comes", fresh)):
+        for name, change in (
+            ("drains", api.Endpoint(entry.id, cell, api.Listing.DRAINING)),
+            ("comes", entry),
+            ("goes", api.Endpoint(entry.id, cell, api.Listing.GONE)),
+            ("comes", fresh),
+        ):
             now += 20_000.0
             event = api.EndpointList(api.ListKind.CHANGES, (change,))
             samples[name].append(timed(lambda now=now, event=event: relay.handle(now, [event])))  # type: ignore[misc]
@@ -137,8 +150,13 @@
         for cell in cells:
             ident += 1
             now += 0.5
-            times.append(timed(lambda now=now, ident=ident, cell=cell: (  # type: ignore[misc]
-                inside.delivered(relay, ident, cell, now))))
+            times.append(
+                timed(
+                    lambda now=now, ident=ident, cell=cell: (  # type: ignore[misc]
+                        inside.delivered(relay, ident, cell, now)
+                    )
+                )
+            )
         told[name] = median(times)
     told["turn_us"] = timed(lambda: [relay.handle(now + 100.0, []) for _ in range(50)], 5) / 50
     return told
@@ -156,12 +174,18 @@
         size = child.list(count)
         with Node(child, known) as made:
             ready = made.ready()
-            told: Found = {"list_bytes": float(size), "ready_wall_ms": ready * 1000,
-                           "ready_over_20_wall_ms": max(0.0, ready - base_ready) * 1000}
+            told: Found = {
+                "list_bytes": float(size),
+                "ready_wall_ms": ready * 1000,
+                "ready_over_20_wall_ms": max(0.0, ready - base_ready) * 1000,
+            }
             with Client(made.port) as client:
                 taken, longest = until_listed(client, count - 1, 8.0)
-                told["listed_wall_ms"] = (time.monotonic() - made.began) * 1000 - 500 if taken is not None else (
-                    "refused: not in force within 8 s")
+                told["listed_wall_ms"] = (
+                    (time.monotonic() - made.began) * 1000 - 500
+                    if taken is not None
+                    else ("refused: not in force within 8 s")
+                )
                 told["start_longest_wait_wall_ms"] = longest
                 told["over_20_mb"] = made.resident() - base_mb
                 if taken is None:
@@ -217,8 +241,11 @@
     before, bytes_before = made.cpu(), child.do("counts")["whole_bytes"]
     child.do("cut", servers=[inside.server(10**6 + count, count, child.sink)])
     taken, longest = until_listed(client, count, 8.0)
-    told: Found = {"again_longest_wait_wall_ms": longest, "again_us": made.cpu() - before,
-                   "again_list_bytes": float(child.do("counts")["whole_bytes"] - bytes_before)}
+    told: Found = {
+        "again_longest_wait_wall_ms": longest,
+        "again_us": made.cpu() - before,
+        "again_list_bytes": float(child.do("counts")["whole_bytes"] - bytes_before),
+    }
     told["again_listed_wall_ms"] = taken * 1000 if taken is not None else "not in force within 8 s"
     return told
 
--- a/benchmarks/slopes/events.py
+++ b/benchmarks/slopes/events.py
@@ -28,9 +28,11 @@
 
 def hand_ins(destinations: int) -> Iterator[bytes]:
     for number in SERIAL:
-        yield (f"POST /api HTTP/1.1\r\nHost: api.internal\r\nX-Correlation-Id: {number:016x}\r\n"
-               f"X-Service-Class: state\r\nX-Time-Left: 5000m\r\nEnvelope: dest={number % destinations}\r\n"
-               f"Content-Length: {len(BODY)}\r\n\r\n").encode() + BODY
+        yield (
+            f"POST /api HTTP/1.1\r\nHost: api.internal\r\nX-Correlation-Id: {number:016x}\r\n"
+            f"X-Service-Class: state\r\nX-Time-Left: 5000m\r\nEnvelope: dest={number % destinations}\r\n"
+            f"Content-Length: {len(BODY)}\r\n\r\n"
+        ).encode() + BODY
 
 
 class One(asyncio.Protocol):
@@ -121,9 +123,15 @@
     spent, used, load = asyncio.run(go())
     done = len(load.took)
     ordered = sorted(load.took) or [0.0]
-    return {"us_a_s": used / spent, "us": used / max(1, done), "per_s": done / spent,
-            "p50_wall_ms": median(ordered) * 1000, "p99_wall_ms": ordered[int(len(ordered) * 0.99)] * 1000,
-            "refused": float(load.other), "waited_for_client": float(load.late)}
+    return {
+        "us_a_s": used / spent,
+        "us": used / max(1, done),
+        "per_s": done / spent,
+        "p50_wall_ms": median(ordered) * 1000,
+        "p99_wall_ms": ordered[int(len(ordered) * 0.99)] * 1000,
+        "refused": float(load.other),
+        "waited_for_client": float(load.late),
+    }
 
 
 def measure(destinations: int, rate: float, clients: int) -> Found:
--- a/benchmarks/slopes/fit.py
+++ b/benchmarks/slopes/fit.py
@@ -38,7 +38,8 @@
     height = math.fsum(w * y for w, y in zip(parts, ys, strict=True)) / total
     rows = list(zip(parts, xs, ys, strict=True))
     b = math.fsum(w * (x - middle) * (y - height) for w, x, y in rows) / math.fsum(
-        w * (x - middle) ** 2 for w, x, _ in rows)
+        w * (x - middle) ** 2 for w, x, _ in rows
+    )
     return height - b * middle, b
 
 
--- a/benchmarks/slopes/harness.py
+++ b/benchmarks/slopes/harness.py
@@ -123,8 +123,12 @@
         if name == LOOP or len(measured) < 3:
             continue
         made = fit.best([float(size) for size in measured], list(measured.values()))
-        quantities[name] = told(made) | {"points": len(measured), "checks": [
-            checked(size, points.get(size, {}).get(name, "not measured"), made.at(size)) for size in series.checks]}
+        quantities[name] = told(made) | {
+            "points": len(measured),
+            "checks": [
+                checked(size, points.get(size, {}).get(name, "not measured"), made.at(size)) for size in series.checks
+            ],
+        }
     return quantities
 
 
@@ -146,8 +150,10 @@
     for name, made in quantities.items():
         words = name.split("_")
         if "us" in words and "wall" not in words:
-            made["in_loops"] = {"a": sig(made["a"] / loop),
-                                "b": made["b"] if made["form"] == "power" else sig(made["b"] / loop)}
+            made["in_loops"] = {
+                "a": sig(made["a"] / loop),
+                "b": made["b"] if made["form"] == "power" else sig(made["b"] / loop),
+            }
 
 
 def sig(value: float) -> float:
@@ -172,14 +178,22 @@
             told = ", ".join(f"{q} {v if isinstance(v, str) else sig(v)}" for q, v in points[size].items())
             print(f"[{time.monotonic() - began:6.1f} s] {name} {size}: {told}", file=sys.stderr, flush=True)
         loops += numbers(points, tuple(points), LOOP).values()
-        result[name] = {"unit": series.unit, "note": series.note, "rounds": rounds or series.rounds,
-                        "points": {size: rounded(found) for size, found in points.items()},
-                        "fits": judged(series, points)}
+        result[name] = {
+            "unit": series.unit,
+            "note": series.note,
+            "rounds": rounds or series.rounds,
+            "points": {size: rounded(found) for size, found in points.items()},
+            "fits": judged(series, points),
+        }
     for each in result.values():
         in_loops(each["fits"], min(loops))
-    return {"axis": axis, LOOP: {"least": sig(min(loops)), "median": sig(median(loops)), "most": sig(max(loops))},
-            "conditions": {"cores": os.cpu_count(), "python": platform.python_version(), "load_at_start": load},
-            "series": result, "took_s": round(time.monotonic() - began, 1)}
+    return {
+        "axis": axis,
+        LOOP: {"least": sig(min(loops)), "median": sig(median(loops)), "most": sig(max(loops))},
+        "conditions": {"cores": os.cpu_count(), "python": platform.python_version(), "load_at_start": load},
+        "series": result,
+        "took_s": round(time.monotonic() - began, 1),
+    }
 
 
 def plot(result: dict[str, Any], file: str) -> None:
@@ -190,25 +204,36 @@
     matplotlib.use("Agg")
     from matplotlib import pyplot
 
-    shown = [(name, series, quantity, made) for name, series in result["series"].items()
-             for quantity, made in series["fits"].items() if not {*UNDRAWN} & {*quantity.split("_")}]
+    shown = [
+        (name, series, quantity, made)
+        for name, series in result["series"].items()
+        for quantity, made in series["fits"].items()
+        if not {*UNDRAWN} & {*quantity.split("_")}
+    ]
     if not shown:
         return
     columns = min(4, len(shown))
     rows = -(-len(shown) // columns)
     figure, axes = pyplot.subplots(rows, columns, figsize=(3.4 * columns, 2.5 * rows), squeeze=False)
-    for each in axes.flat[len(shown):]:
+    for each in axes.flat[len(shown) :]:
         each.axis("off")
     for each, (name, series, quantity, made) in zip(axes.flat, shown, strict=False):
         curve = fit.Fit(made["form"], made["a"], made["b"], made["residual"])
-        values = {int(n): found[quantity] for n, found in series["points"].items()
-                  if isinstance(found.get(quantity), (int, float))}
+        values = {
+            int(n): found[quantity]
+            for n, found in series["points"].items()
+            if isinstance(found.get(quantity), (int, float))
+        }
         checks = {row["n"] for row in made["checks"]}
         sizes = sorted(int(n) for n in series["points"])
         steps = [sizes[0] + (sizes[-1] - sizes[0]) * k / 50 for k in range(51)]
         each.plot(steps, [curve.at(n) for n in steps], "-", color="tab:gray", linewidth=1)
-        each.plot(*zip(*[(n, v) for n, v in values.items() if n not in checks], strict=True), "o", color="tab:blue",
-                  markersize=4)
+        each.plot(
+            *zip(*[(n, v) for n, v in values.items() if n not in checks], strict=True),
+            "o",
+            color="tab:blue",
+            markersize=4,
+        )
         seen = [(n, v) for n, v in values.items() if n in checks]
         if seen:
             each.plot(*zip(*seen, strict=True), "x", color="tab:red", markersize=7)
--- a/benchmarks/slopes/held.py
+++ b/benchmarks/slopes/held.py
@@ -53,20 +53,31 @@
 
 def resumed(count: int) -> Found:
     relay = drained()
-    back: list[api.Event] = [api.Resumed(api.Message(ident, ident % QUEUES, 0, HOUR_MS), 1000.0)
-                             for ident in range(count)]
+    back: list[api.Event] = [
+        api.Resumed(api.Message(ident, ident % QUEUES, 0, HOUR_MS), 1000.0) for ident in range(count)
+    ]
     all_us = timed(lambda: relay.handle(2.0, back))
     inside.still()
-    return {"resume_us": all_us, "resume_us_a_message": all_us / count,
-            "turn_us": min(timed(lambda: relay.handle(3.0, [])) for _ in range(9))}
+    return {
+        "resume_us": all_us,
+        "resume_us_a_message": all_us / count,
+        "turn_us": min(timed(lambda: relay.handle(3.0, [])) for _ in range(9)),
+    }
 
 
 def written(count: int) -> Iterator[tuple[int, dict[str, Any], bytes]]:
     unix = time.time() * 1000
     for ident in range(1, count + 1):
-        fields = {"ident": f"{ident:016x}", "class": "state", "tenant": "acme", "dest": ident % QUEUES,
-                  "key": f"{ident:032x}", "order": 0, "taken": round(unix - 1000.0, 1),
-                  "due": round(unix + HOUR_MS, 1)}
+        fields = {
+            "ident": f"{ident:016x}",
+            "class": "state",
+            "tenant": "acme",
+            "dest": ident % QUEUES,
+            "key": f"{ident:032x}",
+            "order": 0,
+            "taken": round(unix - 1000.0, 1),
+            "due": round(unix + HOUR_MS, 1),
+        }
         yield ident, fields, BODY
 
 
@@ -102,9 +113,12 @@
             beside = (made.cpu() - before) / 3
             resumed = [line for line in made.log.read_text().splitlines() if '"ready"' in line]
             told: Found = {
-                "ready_wall_ms": ready * 1000, "ready_over_none_wall_ms": (ready - base_ready) * 1000,
-                "start_over_none_us": before - base_us, "over_none_mb": made.resident() - base_mb,
-                "at_rest_us_a_s": beside}
+                "ready_wall_ms": ready * 1000,
+                "ready_over_none_wall_ms": (ready - base_ready) * 1000,
+                "start_over_none_us": before - base_us,
+                "over_none_mb": made.resident() - base_mb,
+                "at_rest_us_a_s": beside,
+            }
     if f'"resumed": {count}' not in "".join(resumed):
         told["resumed"] = (resumed or ["no line says that it is ready"])[-1]
     return told
--- a/benchmarks/slopes/hollow.py
+++ b/benchmarks/slopes/hollow.py
@@ -81,8 +81,11 @@
             outcome, took = api.Outcome.TIMEOUT, max(0.0, send.give_up_at_ms - self.now)
         number = self.tries[send.id]
         self.tries[send.id] += 1
-        self.at(self.now + took, relay, api.AttemptEnded(
-            send.id, number, send.endpoint, outcome, took, outcome is api.Outcome.OK))
+        self.at(
+            self.now + took,
+            relay,
+            api.AttemptEnded(send.id, number, send.endpoint, outcome, took, outcome is api.Outcome.OK),
+        )
 
     def cpu_us(self, *kinds: str) -> float:
         """Processor time of turns of these kinds, of all if none is named."""
--- a/benchmarks/slopes/inside.py
+++ b/benchmarks/slopes/inside.py
@@ -20,8 +20,18 @@
 def settings(relays: int = RELAYS, slots: int = 256, deadline_ms: float = CLASS.deadline_ms) -> api.Settings:
     """One relay of so many, with room for a million messages."""
     cls = api.MessageClass(CLASS.name, CLASS.effect, CLASS.aim_ms, deadline_ms)
-    return api.Settings((cls,), (api.DestinationKind("k"),), slots, 1_000_000, 40, relays=relays,
-                        rates=api.Rates.NOMINAL, idle_ms=10_000.0, connect_timeout_ms=500.0, safety=SAFETY)
+    return api.Settings(
+        (cls,),
+        (api.DestinationKind("k"),),
+        slots,
+        1_000_000,
+        40,
+        relays=relays,
+        rates=api.Rates.NOMINAL,
+        idle_ms=10_000.0,
+        connect_timeout_ms=500.0,
+        safety=SAFETY,
+    )
 
 
 def servers(count: int, endpoints: int = 1, addr: str = "", rate: float = RATE) -> Iterator[dict[str, Any]]:
@@ -33,15 +43,25 @@
 def server(number: int, cell: int, addr: str = "", state: str = "SERVING", rate: float = RATE) -> dict[str, Any]:
     """One entry as discovery tells it."""
     where = addr or f"10.{number >> 16}.{number >> 8 & 255}.{number & 255}:3000"
-    return {"id": f"s-{number:08x}", "addr": where, "zone": "z", "kind": "k", "cell": cell, "state": state,
-            "weight": rate, "started_ms": 0}
-
-
-def entries(count: int, endpoints: int = 1, listing: api.Listing = api.Listing.READY,
-            rate: float = RATE) -> tuple[api.Endpoint, ...]:
+    return {
+        "id": f"s-{number:08x}",
+        "addr": where,
+        "zone": "z",
+        "kind": "k",
+        "cell": cell,
+        "state": state,
+        "weight": rate,
+        "started_ms": 0,
+    }
+
+
+def entries(
+    count: int, endpoints: int = 1, listing: api.Listing = api.Listing.READY, rate: float = RATE
+) -> tuple[api.Endpoint, ...]:
     """The same as the module is told them; numbers of endpoints begin at 1."""
-    return tuple(api.Endpoint(number + 1, number // endpoints, listing, 0, 0, rate)
-                 for number in range(count * endpoints))
+    return tuple(
+        api.Endpoint(number + 1, number // endpoints, listing, 0, 0, rate) for number in range(count * endpoints)
+    )
 
 
 def relay(count: int, endpoints: int = 1, rate: float = RATE, seed: int = 1, **more: Any) -> Relay:
--- a/benchmarks/slopes/outside.py
+++ b/benchmarks/slopes/outside.py
@@ -20,8 +20,12 @@
 
 CLASSES = [{"name": "state", "effect": "repeatable", "aim-ms": 10_000.0, "deadline-ms": 3_600_000.0}]
 SETTINGS = world.RAW | {
-    "classes": CLASSES, "extra": {"call-slots": 64}, "balancers": 460, "orgs": [],
-    "limits": world.RAW["limits"] | {"open-cap": 1_000_000, "try-limit": 40}}
+    "classes": CLASSES,
+    "extra": {"call-slots": 64},
+    "balancers": 460,
+    "orgs": [],
+    "limits": world.RAW["limits"] | {"open-cap": 1_000_000, "try-limit": 40},
+}
 BOUNDS = {"sockets": 4096, "memory_mb": 4096, "disk_mb": 4096}
 START_S = 60.0
 
@@ -30,8 +34,12 @@
     """The stand-in platform."""
 
     def __init__(self) -> None:
-        self.process = subprocess.Popen([sys.executable, "-m", "benchmarks.slopes.standin"], text=True,
-                                        stdin=subprocess.PIPE, stdout=subprocess.PIPE)
+        self.process = subprocess.Popen(
+            [sys.executable, "-m", "benchmarks.slopes.standin"],
+            text=True,
+            stdin=subprocess.PIPE,
+            stdout=subprocess.PIPE,
+        )
         told = self._read()
         self.port, self.sink = int(told["port"]), f"127.0.0.1:{told['sink']}"
 
@@ -73,15 +81,24 @@
 class Node:
     """`python -m linnetstile.node` with a folder of its own; `known` is the list that its configuration holds."""
 
-    def __init__(self, child: Child, known: list[dict[str, Any]], state: Path | None = None,
-                 **more: Any) -> None:
+    def __init__(self, child: Child, known: list[dict[str, Any]], state: Path | None = None, **more: Any) -> None:
         """`more` are settings other than the usual ones."""
         self.folder = Path(tempfile.mkdtemp(prefix="linnetstile-slopes-"))
         self.port = free_port()
         config = self.folder / "config.json"
-        config.write_text(json.dumps({
-            "name": "n0", "listen": f"127.0.0.1:{self.port}", "discovery": f"127.0.0.1:{child.port}", "seed": "1",
-            "limits": BOUNDS, "known": {"version": 1, "full": True, "servers": known}, "settings": SETTINGS | more}))
+        config.write_text(
+            json.dumps(
+                {
+                    "name": "n0",
+                    "listen": f"127.0.0.1:{self.port}",
+                    "discovery": f"127.0.0.1:{child.port}",
+                    "seed": "1",
+                    "limits": BOUNDS,
+                    "known": {"version": 1, "full": True, "servers": known},
+                    "settings": SETTINGS | more,
+                }
+            )
+        )
         self.log = self.folder / "log"
         environ = os.environ | {"GW_CONFIG": str(config), "GW_STATE": str(state or self.folder / "state")}
         self.began = time.monotonic()
@@ -152,9 +169,14 @@
     def hand_in(self, destination: int, body: bytes = b"hello", ident: str = "") -> int:
         self.sent += 1
         name = ident or f"c{id(self):x}-{self.sent}"
-        return self.ask((f"POST /api HTTP/1.1\r\nHost: api.internal\r\nX-Correlation-Id: {name}\r\n"
-                         f"X-Service-Class: state\r\nX-Time-Left: 5000m\r\nEnvelope: dest={destination}\r\n"
-                         f"Content-Length: {len(body)}\r\n\r\n").encode() + body)
+        return self.ask(
+            (
+                f"POST /api HTTP/1.1\r\nHost: api.internal\r\nX-Correlation-Id: {name}\r\n"
+                f"X-Service-Class: state\r\nX-Time-Left: 5000m\r\nEnvelope: dest={destination}\r\n"
+                f"Content-Length: {len(body)}\r\n\r\n"
+            ).encode()
+            + body
+        )
 
     def __enter__(self) -> Client:
         return self
--- a/benchmarks/slopes/program.py
+++ b/benchmarks/slopes/program.py
@@ -61,8 +61,12 @@
 def records(messages: Iterable[tuple[int, dict[str, Any], bytes]]) -> bytes:
     """The journal of messages that were taken on (number, fields, body) and of one attempt each, which proved to have
     had no effect. Internal: node/journal.py."""
-    return b"".join(journal.taken(number, fields, body) + journal.attempt(number, fields["taken"], 0, "s-00000001")
-                    + journal.outcome(number, False) for number, fields, body in messages)
+    return b"".join(
+        journal.taken(number, fields, body)
+        + journal.attempt(number, fields["taken"], 0, "s-00000001")
+        + journal.outcome(number, False)
+        for number, fields, body in messages
+    )
 
 
 def replayed(data: bytes) -> dict[int, Any]:
--- a/benchmarks/slopes/queues.py
+++ b/benchmarks/slopes/queues.py
@@ -46,7 +46,8 @@
         "timers_us_a_s": fleet.cpu_us("TimerFired") * 1000 / RUN_MS,
         "all_us_a_message": fleet.cpu_us() / count,
         "turns_a_message": sum(each.turns for each in fleet.spent.values()) / count,
-        "delivered_share": fleet.ends.get("delivered", 0) / count}
+        "delivered_share": fleet.ends.get("delivered", 0) / count,
+    }
     now = fleet.now
     told["idle_turn_us"] = min(timed(lambda: relay.handle(now, [])) for _ in range(50))
     return told
--- a/benchmarks/slopes/relays.py
+++ b/benchmarks/slopes/relays.py
@@ -62,8 +62,10 @@
                 return api.Outcome.CONNECT_FAILED, 5.0
         return api.Outcome.OK, 20.0
 
-    fleet = Fleet([inside.relay(DESTINATIONS, seed=seed, relays=relays, deadline_ms=DEADLINE_MS)
-                   for seed in range(relays)], answer)
+    fleet = Fleet(
+        [inside.relay(DESTINATIONS, seed=seed, relays=relays, deadline_ms=DEADLINE_MS) for seed in range(relays)],
+        answer,
+    )
     when, count = 0.0, 0
     while (when := when + rng.expovariate(EACH_PER_S * DESTINATIONS / 1000)) < LAST_MS:
         count += 1
@@ -73,22 +75,27 @@
     learned: dict[tuple[int, int], float] = {}
     for at, relay, destination in during:
         learned.setdefault((relay, destination), at - BEGIN_MS)
-    spans = [sorted(at - END_MS for at, _, dest in calls if dest == out and END_MS <= at < END_MS + 5000.0)
-             for out in range(OUT)]
+    spans = [
+        sorted(at - END_MS for at, _, dest in calls if dest == out and END_MS <= at < END_MS + 5000.0)
+        for out in range(OUT)
+    ]
     parts = [over_budget(span) for span in spans if span]
     late = [at for at, _, _ in during if at >= END_MS - 50_000.0]
     never = relays * OUT - len(learned)
     times = sorted([*learned.values(), *[math.inf] * never])
     middle = times[len(times) // 2]
-    return {"learned_median_s": middle / 1000 if middle < math.inf else "not within 100 s",
-            "never_learned_share": never / (relays * OUT),
-            "calls_while_out": len(during) / OUT, "calls_while_out_a_s_late": len(late) / OUT / 50.0,
-            "cold_calls": sum(map(len, spans)) / OUT,
-            "cold_budget_worst": max(part[0] for part in parts),
-            "cold_budget_mean": sum(part[0] for part in parts) / len(parts),
-            "cold_with_chance_worst": max(part[1] for part in parts),
-            "us_a_message": fleet.cpu_us() / count,
-            "delivered_share": fleet.ends.get("delivered", 0) / count}
+    return {
+        "learned_median_s": middle / 1000 if middle < math.inf else "not within 100 s",
+        "never_learned_share": never / (relays * OUT),
+        "calls_while_out": len(during) / OUT,
+        "calls_while_out_a_s_late": len(late) / OUT / 50.0,
+        "cold_calls": sum(map(len, spans)) / OUT,
+        "cold_budget_worst": max(part[0] for part in parts),
+        "cold_budget_mean": sum(part[0] for part in parts) / len(parts),
+        "cold_with_chance_worst": max(part[1] for part in parts),
+        "us_a_message": fleet.cpu_us() / count,
+        "delivered_share": fleet.ends.get("delivered", 0) / count,
+    }
 
 
 def asks(relays: int) -> Found:
--- a/benchmarks/slopes/standin.py
+++ b/benchmarks/slopes/standin.py
@@ -59,7 +59,8 @@
 
     async def start(self) -> dict[str, int]:
         self.sink = await asyncio.get_running_loop().create_server(
-            lambda: Sink(self.called), "127.0.0.1", 0, backlog=1024)
+            lambda: Sink(self.called), "127.0.0.1", 0, backlog=1024
+        )
         return {"port": await self.discovery.start(), "sink": self.sink.sockets[0].getsockname()[1]}
 
     def called(self, ident: str) -> None:
@@ -96,8 +97,10 @@
     def command(self, asked: dict[str, Any]) -> dict[str, Any]:
         match asked["do"]:
             case "list":  # a new whole list, for whoever watches from now on
-                self.entries = {each["id"]: each for each in servers(
-                    asked["count"], asked["endpoints"], asked["addr"], asked["rate"])}
+                self.entries = {
+                    each["id"]: each
+                    for each in servers(asked["count"], asked["endpoints"], asked["addr"], asked["rate"])
+                }
                 for each in asked.get("changes", []):
                     self.entries[each["id"]] = each
                 self.version += 1
--- a/benchmarks/throughput.py
+++ b/benchmarks/throughput.py
@@ -142,9 +142,13 @@
     await asyncio.gather(*(one() for _ in range(connections)))
     pool.close()
     took = loop.time() - start
-    return {"per_s": round(counts["delivered"] / took, 1), "not_delivered": counts["other"],
-            "p50_ms": round(histogram.get_value_at_percentile(50) / 1000, 2),
-            "p99_ms": round(histogram.get_value_at_percentile(99) / 1000, 2), "messages": counts["delivered"]}
+    return {
+        "per_s": round(counts["delivered"] / took, 1),
+        "not_delivered": counts["other"],
+        "p50_ms": round(histogram.get_value_at_percentile(50) / 1000, 2),
+        "p99_ms": round(histogram.get_value_at_percentile(99) / 1000, 2),
+        "messages": counts["delivered"],
+    }
 
 
 async def measure(seconds: float, connections: int, profile: str) -> dict[str, Any]:
@@ -153,22 +157,29 @@
     results: dict[str, Any] = {}
     for case, receipt, signed in (("no receipt", False, False), ("signed receipt", True, True)):
         sink, sink_port = child("throughput", "--serve-sink", str(int(signed)), str(folder / "p.pem"))
-        entries = [{"id": 1, "partner": "p", "url": f"http://127.0.0.1:{sink_port}/as2", "status": "ready",
-                    "rate": 1e6}]
+        entries = [
+            {"id": 1, "partner": "p", "url": f"http://127.0.0.1:{sink_port}/as2", "status": "ready", "rate": 1e6}
+        ]
         register = RegisterStand(RegisterSpec(entries=entries))
         settings = {
-            "name": "r", "register": f"http://127.0.0.1:{await register.start()}",
-            "classes": {"a": {"effect": "safe", "aim_ms": 5000, "deadline_ms": 20000}}, "rules": [{"class": "a"}],
+            "name": "r",
+            "register": f"http://127.0.0.1:{await register.start()}",
+            "classes": {"a": {"effect": "safe", "aim_ms": 5000, "deadline_ms": 20000}},
+            "rules": [{"class": "a"}],
             "limits": {"slots": 4 * connections, "hold": 10_000},
-            "partners": {"p": {"certificate": str(folder / "p.pem")}}}
+            "partners": {"p": {"certificate": str(folder / "p.pem")}},
+        }
         through, through_port = child("throughput", "--serve-pass", str(sink_port))
         relay, relay_port = await asyncio.get_running_loop().run_in_executor(
-            None, child, "throughput", "--serve-relay", json.dumps(settings), profile if not signed else "")
+            None, child, "throughput", "--serve-relay", json.dumps(settings), profile if not signed else ""
+        )
         found: dict[str, Any] = {}
         for name, port in (("direct", sink_port), ("pass-through", through_port), ("relay", relay_port)):
             found[name] = await load(port, seconds, connections, receipt)
-        alone = {name: await load(port, seconds / 2, 1, receipt)
-                 for name, port in (("pass-through", through_port), ("relay", relay_port))}
+        alone = {
+            name: await load(port, seconds / 2, 1, receipt)
+            for name, port in (("pass-through", through_port), ("relay", relay_port))
+        }
         used = end(relay)
         done = found["relay"]["messages"] + alone["relay"]["messages"]
         found["relay"]["cpu_us_a_message"] = round(1e6 * used / done)
@@ -177,7 +188,8 @@
         register.close()
         found["share of pass-through"] = round(found["relay"]["per_s"] / found["pass-through"]["per_s"], 3)
         found["added, one message at a time"] = {
-            p: round(alone["relay"][p] - alone["pass-through"][p], 2) for p in ("p50_ms", "p99_ms")}
+            p: round(alone["relay"][p] - alone["pass-through"][p], 2) for p in ("p50_ms", "p99_ms")
+        }
         results[case] = found
     return results
 
--- a/benchmarks/timers.py
+++ b/benchmarks/timers.py
@@ -82,7 +82,7 @@
         for level in range(self.LEVELS):
             span = self.SIZE ** (level + 1)
             if ahead < span or level == self.LEVELS - 1:
-                at = (self.tick + min(ahead, span - 1)) // self.SIZE ** level % self.SIZE
+                at = (self.tick + min(ahead, span - 1)) // self.SIZE**level % self.SIZE
                 self.slots[level][at].append(n)
                 return
 
@@ -92,8 +92,8 @@
         while self.tick < goal:
             self.tick += 1
             for level in range(1, self.LEVELS):
-                if self.tick % self.SIZE ** level == 0:
-                    at = self.tick // self.SIZE ** level % self.SIZE
+                if self.tick % self.SIZE**level == 0:
+                    at = self.tick // self.SIZE**level % self.SIZE
                     moved, self.slots[level][at] = self.slots[level][at], []
                     for n in moved:
                         self._put(n, self.due[n])
@@ -159,8 +159,14 @@
             gone += len(made.look(now))
             worst = max(worst, time.process_time() - before)
         took = time.process_time() - start
-        found.append({"structure": kind.__name__.lower(), "cpu_s": round(took, 3), "let_go": gone,
-                      "longest_look_ms": round(1000 * worst, 2)})
+        found.append(
+            {
+                "structure": kind.__name__.lower(),
+                "cpu_s": round(took, 3),
+                "let_go": gone,
+                "longest_look_ms": round(1000 * worst, 2),
+            }
+        )
         found[-1]["against_plain"] = round(took / found[0]["cpu_s"], 2)
     return found
 
@@ -213,8 +219,14 @@
     made.add_argument("--connections", type=int, default=50_000)
     made.add_argument("--seconds", type=float, default=60.0)
     args = made.parse_args()
-    tell({"connections": args.connections, "deadlines": deadlines(args.connections, args.seconds),
-          "rates": rates(args.connections // 10)}, args.json)
+    tell(
+        {
+            "connections": args.connections,
+            "deadlines": deadlines(args.connections, args.seconds),
+            "rates": rates(args.connections // 10),
+        },
+        args.json,
+    )
 
 
 if __name__ == "__main__":
--- a/linnetstile/cli/check.py
+++ b/linnetstile/cli/check.py
@@ -22,10 +22,13 @@
         lines += [f"{'':<9} - {text}" for text in v.findings[:5]]
     answers = ", ".join(f"{count} {kind}" for kind, count in figures["by_answer"].items())
     worth = ", ".join(f"{name} {part:.3f}" for name, part in figures["worth"].items())
-    lines += ["", f"{figures['messages']} messages: {answers}; {figures['attempts']} attempts, "
-              f"{figures['refused_attempts']} of them refused",
-              f"worth delivered of worth asked for: {figures['worth_all']:.3f} ({worth})",
-              f"unsafe messages that took effect twice: {figures['unsafe_effects_twice']}"]
+    lines += [
+        "",
+        f"{figures['messages']} messages: {answers}; {figures['attempts']} attempts, "
+        f"{figures['refused_attempts']} of them refused",
+        f"worth delivered of worth asked for: {figures['worth_all']:.3f} ({worth})",
+        f"unsafe messages that took effect twice: {figures['unsafe_effects_twice']}",
+    ]
     broken = sum(bool(v.broken) for v in verdicts)
     lines += ["", "Every rule was kept." if not broken else f"{broken} rule(s) broken."]
     return "\n".join(lines)
@@ -38,9 +41,24 @@
     except RecordError as error:
         die(2, str(error))
     if as_json:
-        click.echo(json.dumps({"rules": [{"rule": v.rule, "kept": not v.broken, "looked_at": v.looked_at,
-                                          "broken": v.broken, "findings": v.findings} for v in verdicts],
-                               **figures}, indent=1))
+        click.echo(
+            json.dumps(
+                {
+                    "rules": [
+                        {
+                            "rule": v.rule,
+                            "kept": not v.broken,
+                            "looked_at": v.looked_at,
+                            "broken": v.broken,
+                            "findings": v.findings,
+                        }
+                        for v in verdicts
+                    ],
+                    **figures,
+                },
+                indent=1,
+            )
+        )
     else:
         click.echo(table(verdicts, figures))
     return int(any(v.broken for v in verdicts))
--- a/linnetstile/cli/knowledge.py
+++ b/linnetstile/cli/knowledge.py
@@ -60,10 +60,13 @@
 def row(claim: Any) -> str:
     def age(ms: float | None) -> str:
         return "-" if ms is None else f"{ms / 1000:.1f} s"
+
     route = "" if claim.route < 0 else f"/{claim.route}"
     wait = f"{claim.wait_ms / 1000:.1f} s" if claim.wait_ms else "-"
-    return (f"{claim.partner + route:<24} {state(claim):<16} {age(claim.answered_age):>9} {age(claim.failed_age):>9} "
-            f"{wait:>7} {claim.mean_ms:>7.0f} {claim.dev_ms:>6.0f} {claim.knowers:>7.1f}")
+    return (
+        f"{claim.partner + route:<24} {state(claim):<16} {age(claim.answered_age):>9} {age(claim.failed_age):>9} "
+        f"{wait:>7} {claim.mean_ms:>7.0f} {claim.dev_ms:>6.0f} {claim.knowers:>7.1f}"
+    )
 
 
 TOKEN = click.option("--token-file", type=FILE, help="The relays' knowledge.token_file.")
@@ -79,10 +82,13 @@
     if as_json:
         click.echo(found.model_dump_json(indent=1))
         return
-    click.echo(f"{found.relay} (run {found.run}), version {found.version}, one of {found.relays} relays, "
-               f"peers heard: {', '.join(found.peers) or 'none'}")
-    click.echo(f"{'partner':<24} {'is':<16} {'answered':>9} {'failed':>9} {'wait':>7} {'mean ms':>7} {'dev':>6} "
-               f"{'knowers':>7}")
+    click.echo(
+        f"{found.relay} (run {found.run}), version {found.version}, one of {found.relays} relays, "
+        f"peers heard: {', '.join(found.peers) or 'none'}"
+    )
+    click.echo(
+        f"{'partner':<24} {'is':<16} {'answered':>9} {'failed':>9} {'wait':>7} {'mean ms':>7} {'dev':>6} {'knowers':>7}"
+    )
     for claim in sorted(found.claims, key=lambda c: (c.out_age is None, c.cold_age is None, c.partner, c.route)):
         click.echo(row(claim))
 
--- a/linnetstile/cli/play.py
+++ b/linnetstile/cli/play.py
@@ -13,8 +13,11 @@
 
 @click.command()
 @click.argument("day", type=FILE)
-@click.option("--record", type=click.Path(file_okay=False, path_type=Path),
-              help="Folder for the records, new or empty; else one in the temporary directory.")
+@click.option(
+    "--record",
+    type=click.Path(file_okay=False, path_type=Path),
+    help="Folder for the records, new or empty; else one in the temporary directory.",
+)
 @click.option("--seed", type=int, help="Another draw of the same day.")
 @click.option("--json", "as_json", is_flag=True, help="The verdict for scripts.")
 def command(day: Path, record: Path | None, seed: int | None, as_json: bool) -> None:
--- a/linnetstile/cli/relay.py
+++ b/linnetstile/cli/relay.py
@@ -13,11 +13,15 @@
 
 @click.command()
 @click.argument("file", type=FILE)
-@click.option("--log-level", type=click.Choice(["debug", "info", "warning", "error"]), default="info",
-              show_default=True)
+@click.option(
+    "--log-level", type=click.Choice(["debug", "info", "warning", "error"]), default="info", show_default=True
+)
 @click.option("--check", is_flag=True, help="Validate the file and end.")
-@click.option("--ready-file", type=click.Path(dir_okay=False, path_type=Path),
-              help="Write the line with the address here too, once it listens.")
+@click.option(
+    "--ready-file",
+    type=click.Path(dir_okay=False, path_type=Path),
+    help="Write the line with the address here too, once it listens.",
+)
 def command(file: Path, log_level: str, check: bool, ready_file: Path | None) -> None:
     """Run one relay with the settings in FILE (YAML).
 
--- a/linnetstile/cli/scale.py
+++ b/linnetstile/cli/scale.py
@@ -18,30 +18,47 @@
     name = param.name or ""
     if not value.removeprefix("-").isdecimal():
         least, most = RANGES[name]
-        die(2, "linnetstile scale: " + str(OptionError(
-            name.replace("_", "-"), f"a whole number from {least} to {most}", value)))
+        die(
+            2,
+            "linnetstile scale: "
+            + str(OptionError(name.replace("_", "-"), f"a whole number from {least} to {most}", value)),
+        )
     return int(value)
 
 
 DEFAULT = Sizes()
 HELP = {
-    "seed": "Draw of world and chance.", "relays": "Relays of the fleet.", "destinations": "Destinations listed.",
-    "real": "Real processes beside the hollow relays.", "played": "Hollow relays that are played; 0 = all.",
-    "in_use": "Destinations that get their traffic, each of them all of it.", "workers": "Processes that play.",
-    "minutes": "The run ends within so many.", "changes": "Changes in the scene day.",
-    "failing": "Relays that fail in it.", "restarts": "Relays restarted or replaced in it.",
-    "rack": "Relays of a rack.", "day_s": "Simulated seconds of the scene day.",
+    "seed": "Draw of world and chance.",
+    "relays": "Relays of the fleet.",
+    "destinations": "Destinations listed.",
+    "real": "Real processes beside the hollow relays.",
+    "played": "Hollow relays that are played; 0 = all.",
+    "in_use": "Destinations that get their traffic, each of them all of it.",
+    "workers": "Processes that play.",
+    "minutes": "The run ends within so many.",
+    "changes": "Changes in the scene day.",
+    "failing": "Relays that fail in it.",
+    "restarts": "Relays restarted or replaced in it.",
+    "rack": "Relays of a rack.",
+    "day_s": "Simulated seconds of the scene day.",
     "zone_s": "A zone is away for so long.",
-    "parted_s": "The regions are parted for so long.", "held": "Messages for each destination in use in a full folder.",
+    "parted_s": "The regions are parted for so long.",
+    "held": "Messages for each destination in use in a full folder.",
     "cost_most": "Destinations of the longest list whose cost is measured.",
 }
 
 
 def _options(function: Any) -> Any:
     for name, text in reversed(HELP.items()):
-        function = click.option(f"--{name.replace('_', '-')}", name, metavar="N", default=str(getattr(DEFAULT, name)),
-                                show_default=True, help=text,
-                                callback=whole)(function)
+        function = click.option(
+            f"--{name.replace('_', '-')}",
+            name,
+            metavar="N",
+            default=str(getattr(DEFAULT, name)),
+            show_default=True,
+            help=text,
+            callback=whole,
+        )(function)
     return function
 
 
--- a/linnetstile/cli/send.py
+++ b/linnetstile/cli/send.py
@@ -28,9 +28,22 @@
 @click.option("--receipt-from", type=FILE, help="PEM with the certificate that should have signed the receipt.")
 @click.option("--patience", default=60.0, show_default=True, help="Seconds to wait.")
 @click.option("--json", "as_json", is_flag=True)
-def command(file: Path, address: str, path: str, sender: str, partner: str, subject: str, ident: str | None,
-            sign_with: Path | None, encrypt_to: Path | None, compress: bool, no_receipt: bool,
-            receipt_from: Path | None, patience: float, as_json: bool) -> None:
+def command(
+    file: Path,
+    address: str,
+    path: str,
+    sender: str,
+    partner: str,
+    subject: str,
+    ident: str | None,
+    sign_with: Path | None,
+    encrypt_to: Path | None,
+    compress: bool,
+    no_receipt: bool,
+    receipt_from: Path | None,
+    patience: float,
+    as_json: bool,
+) -> None:
     """Hand the content of FILE in as one AS2 message and show the final answer.
 
     Exit code 0: delivered; 1: refused, failed, or a receipt that does not hold; 2: bad arguments; 3: no answer.
@@ -44,10 +57,16 @@
     try:
         loopback(address)
         made = messages.make(
-            sender, partner, ident, subject, file.read_bytes(),
+            sender,
+            partner,
+            ident,
+            subject,
+            file.read_bytes(),
             sign_by=cms.load(sign_with.read_bytes()) if sign_with else None,
             encrypt_to=cms.load_certificate(encrypt_to.read_bytes()) if encrypt_to else None,
-            compress=compress, receipt=not no_receipt)
+            compress=compress,
+            receipt=not no_receipt,
+        )
         data = http1.request("POST", path, [("Host", address), *made.headers], made.body)
         signer = cms.load_certificate(receipt_from.read_bytes()) if receipt_from else None
     except (as2.As2Error, ValueError) as error:
@@ -68,8 +87,11 @@
             checked = "not verified (no --receipt-from)"
         elif receipt.value not in ("positive", "duplicate"):
             good = False
-        shown |= {"receipt": checked, "disposition": f"{found.kind}/{found.modifier}" if found else "unread",
-                  "text": found.text if found else ""}
+        shown |= {
+            "receipt": checked,
+            "disposition": f"{found.kind}/{found.modifier}" if found else "unread",
+            "text": found.text if found else "",
+        }
     elif not good:
         shown["text"] = answer.body.decode("utf-8", "replace").strip()[:500]
     click.echo(json.dumps(shown) if as_json else "\n".join(f"{name}: {value}" for name, value in shown.items()))
--- a/linnetstile/cli/show.py
+++ b/linnetstile/cli/show.py
@@ -45,8 +45,9 @@
     if not rows:
         click.echo("none")
         return
-    cells = [list(columns)] + [[clean("-" if row[key] is None else row[key]) for key in columns.values()]
-                               for row in rows[:most]]
+    cells = [list(columns)] + [
+        [clean("-" if row[key] is None else row[key]) for key in columns.values()] for row in rows[:most]
+    ]
     widths = [min(44, max(len(line[n]) for line in cells)) for n in range(len(columns))]
     for line in cells:
         click.echo("  ".join(cell[:44].ljust(width) for cell, width in zip(line, widths, strict=True)).rstrip())
@@ -73,9 +74,22 @@
         return
     counts = ", ".join(f"{name} {count}" for name, count in found["phases"].items()) or "none"
     click.echo(f"{found['relay']}: {found['total']} connections (clients at most {found['bound']}): {counts}")
-    table([row for row in found["rows"] if phase in (None, row["phase"])],
-          {"side": "side", "peer": "peer", "phase": "phase", "for s": "phase_s", "read": "read", "unsent": "unsent",
-           "patience": "patience", "sender": "sender", "partner": "partner", "message": "message"}, rows)
+    table(
+        [row for row in found["rows"] if phase in (None, row["phase"])],
+        {
+            "side": "side",
+            "peer": "peer",
+            "phase": "phase",
+            "for s": "phase_s",
+            "read": "read",
+            "unsent": "unsent",
+            "patience": "patience",
+            "sender": "sender",
+            "partner": "partner",
+            "message": "message",
+        },
+        rows,
+    )
 
 
 @command.command()
@@ -88,12 +102,25 @@
     if found is None:
         return
     room = found["room"]
-    click.echo(f"{found['relay']}: {room['held_bytes']} of {room['bytes']} bytes, {room['held_messages']} of "
-               f"{room['messages']} messages, {room['slots_out']} of {room['slots']} slots; "
-               f"{room['waiting']} requests wait for room")
-    table(found["parties"], {"tree": "tree", "party": "party", "bytes": "bytes", "fair": "fair_bytes",
-                             "messages": "messages", "of": "fair_messages", "waiting": "waiting",
-                             "weight": "weight"}, rows)
+    click.echo(
+        f"{found['relay']}: {room['held_bytes']} of {room['bytes']} bytes, {room['held_messages']} of "
+        f"{room['messages']} messages, {room['slots_out']} of {room['slots']} slots; "
+        f"{room['waiting']} requests wait for room"
+    )
+    table(
+        found["parties"],
+        {
+            "tree": "tree",
+            "party": "party",
+            "bytes": "bytes",
+            "fair": "fair_bytes",
+            "messages": "messages",
+            "of": "fair_messages",
+            "waiting": "waiting",
+            "weight": "weight",
+        },
+        rows,
+    )
     click.echo()
     table(found["partners"], {"partner": "partner", "queued": "queued", "out": "out"}, rows)
 
@@ -108,10 +135,21 @@
     if found is None:
         return
     count = sum(row["slow_s"] is not None for row in found["rows"])
-    click.echo(f"{found['relay']}: {count} of {found['total']} partners slow; {found['usual_ms']} ms of slot time "
-               "are usual")
-    table(found["rows"], {"partner": "partner", "slow for s": "slow_s", "slot ms": "slot_ms", "out": "out",
-                          "times": "entered", "why": "why"}, rows)
+    click.echo(
+        f"{found['relay']}: {count} of {found['total']} partners slow; {found['usual_ms']} ms of slot time are usual"
+    )
+    table(
+        found["rows"],
+        {
+            "partner": "partner",
+            "slow for s": "slow_s",
+            "slot ms": "slot_ms",
+            "out": "out",
+            "times": "entered",
+            "why": "why",
+        },
+        rows,
+    )
 
 
 @command.command()
--- a/linnetstile/codec/as2.py
+++ b/linnetstile/codec/as2.py
@@ -93,7 +93,13 @@
         reply = headers.get("receipt-delivery-option")
         if reply and not re.match(r"https?://[\x21-\x7e]{1,2000}\Z", reply):
             raise As2Error("Receipt-Delivery-Option: expected an http or https URL")
-        return cls(name(headers.get("as2-from"), "AS2-From"), name(headers.get("as2-to"), "AS2-To"),
-                   message_id(headers.get("message-id")), version, headers.get("subject"),
-                   headers.get("disposition-notification-to"),
-                   receipt_wish(headers.get("disposition-notification-options")), reply)
+        return cls(
+            name(headers.get("as2-from"), "AS2-From"),
+            name(headers.get("as2-to"), "AS2-To"),
+            message_id(headers.get("message-id")),
+            version,
+            headers.get("subject"),
+            headers.get("disposition-notification-to"),
+            receipt_wish(headers.get("disposition-notification-options")),
+            reply,
+        )
--- a/linnetstile/codec/cms.py
+++ b/linnetstile/codec/cms.py
@@ -18,8 +18,16 @@
     from cryptography.x509 import Certificate
 
 INFLATED_MAX = 256 * 1024 * 1024
-DIGESTS = {"sha1": "sha1", "sha-1": "sha1", "sha256": "sha256", "sha-256": "sha256", "sha384": "sha384",
-           "sha-384": "sha384", "sha512": "sha512", "sha-512": "sha512"}
+DIGESTS = {
+    "sha1": "sha1",
+    "sha-1": "sha1",
+    "sha256": "sha256",
+    "sha-256": "sha256",
+    "sha384": "sha384",
+    "sha-384": "sha384",
+    "sha512": "sha512",
+    "sha-512": "sha512",
+}
 
 
 class CmsError(ValueError):
@@ -86,12 +94,17 @@
 
     algorithms: Any = {"sha256": hashes.SHA256(), "sha384": hashes.SHA384(), "sha512": hashes.SHA512()}
     algorithm = algorithms[DIGESTS[micalg]]
-    der = pkcs7.PKCS7SignatureBuilder().set_data(content).add_signer(by.certificate, by.key, algorithm).sign(
-        serialization.Encoding.DER, [pkcs7.PKCS7Options.DetachedSignature, pkcs7.PKCS7Options.Binary])
-    part = (b'Content-Type: application/pkcs7-signature; name="smime.p7s"\r\n'
-            b"Content-Transfer-Encoding: base64\r\n\r\n" + base64.encodebytes(der).replace(b"\n", b"\r\n").rstrip())
-    return mime.multipart("signed", [content, part],
-                          {"protocol": "application/pkcs7-signature", "micalg": micalg})
+    der = (
+        pkcs7.PKCS7SignatureBuilder()
+        .set_data(content)
+        .add_signer(by.certificate, by.key, algorithm)
+        .sign(serialization.Encoding.DER, [pkcs7.PKCS7Options.DetachedSignature, pkcs7.PKCS7Options.Binary])
+    )
+    part = (
+        b'Content-Type: application/pkcs7-signature; name="smime.p7s"\r\n'
+        b"Content-Transfer-Encoding: base64\r\n\r\n" + base64.encodebytes(der).replace(b"\n", b"\r\n").rstrip()
+    )
+    return mime.multipart("signed", [content, part], {"protocol": "application/pkcs7-signature", "micalg": micalg})
 
 
 def signed_content(content_type: str, body: bytes) -> tuple[bytes, bytes]:
@@ -176,9 +189,16 @@
     """RFC 3274 with the media type of RFC 5402."""
     from asn1crypto import cms
 
-    der = cms.ContentInfo({"content_type": "compressed_data", "content": {
-        "version": "v0", "compression_algorithm": {"algorithm": "zlib"},
-        "encap_content_info": {"content_type": "data", "content": zlib.compress(content)}}}).dump()
+    der = cms.ContentInfo(
+        {
+            "content_type": "compressed_data",
+            "content": {
+                "version": "v0",
+                "compression_algorithm": {"algorithm": "zlib"},
+                "encap_content_info": {"content_type": "data", "content": zlib.compress(content)},
+            },
+        }
+    ).dump()
     return 'application/pkcs7-mime; smime-type=compressed-data; name="smime.p7z"', bytes(der)
 
 
--- a/linnetstile/codec/http1.py
+++ b/linnetstile/codec/http1.py
@@ -17,11 +17,27 @@
 BARE_LF = re.compile(rb"(?<!\r)\n")
 CLAIM = re.compile(rb"HTTP/1\.[01] ([2-5]\d\d)(?:[ \r]|\Z)")
 CHUNK = re.compile(rb"([0-9A-Fa-f]{1,15})[ \t]*(;[\t\x20-\x7e\x80-\xff]*)?\Z")  # RFC 9112, 7.1
-REASONS = {100: "Continue", 200: "OK", 202: "Accepted", 204: "No Content", 400: "Bad Request", 403: "Forbidden",
-           404: "Not Found", 405: "Method Not Allowed", 408: "Request Timeout", 409: "Conflict", 410: "Gone",
-           413: "Content Too Large", 417: "Expectation Failed", 429: "Too Many Requests",
-           431: "Request Header Fields Too Large", 500: "Internal Server Error", 501: "Not Implemented",
-           503: "Service Unavailable", 505: "HTTP Version Not Supported"}
+REASONS = {
+    100: "Continue",
+    200: "OK",
+    202: "Accepted",
+    204: "No Content",
+    400: "Bad Request",
+    403: "Forbidden",
+    404: "Not Found",
+    405: "Method Not Allowed",
+    408: "Request Timeout",
+    409: "Conflict",
+    410: "Gone",
+    413: "Content Too Large",
+    417: "Expectation Failed",
+    429: "Too Many Requests",
+    431: "Request Header Fields Too Large",
+    500: "Internal Server Error",
+    501: "Not Implemented",
+    503: "Service Unavailable",
+    505: "HTTP Version Not Supported",
+}
 
 
 # Names that are proper tokens, with their lower case: most messages have the same few. Bounded: peers choose names.
@@ -243,8 +259,11 @@
         buf = self._buf
         end = buf.find(b"\r\n\r\n", max(0, self._scanned - 3))
         stop = min(limit, end + 4 if end >= 0 else len(buf))
-        bare = buf.count(b"\n", 0, stop) != buf.count(b"\r\n", 0, stop) if end >= 0 else (
-            BARE_LF.search(buf, max(0, self._scanned - 1), stop) and BARE_LF.search(buf, 0, stop))
+        bare = (
+            buf.count(b"\n", 0, stop) != buf.count(b"\r\n", 0, stop)
+            if end >= 0
+            else (BARE_LF.search(buf, max(0, self._scanned - 1), stop) and BARE_LF.search(buf, 0, stop))
+        )
         if bare:
             raise ProtocolError(400, "a line feed without a carriage return")
         self._scanned = len(buf)
@@ -290,8 +309,11 @@
         if expects and expects != ["100-continue"]:
             raise ProtocolError(417, "an expectation other than 100-continue")
         framing = self._framing(version, headers)
-        events.append(Request(parts[0], parts[1], version, headers, _persists(version, headers),
-                              bool(expects) and version == (1, 1)))
+        events.append(
+            Request(
+                parts[0], parts[1], version, headers, _persists(version, headers), bool(expects) and version == (1, 1)
+            )
+        )
         return self._body(framing if framing is not None else 0)
 
     def _response(self, first: str, lines: list[bytes], events: list[Event]) -> bool:
@@ -423,8 +445,9 @@
     return ("\r\n".join(lines) + "\r\n\r\n").encode("latin-1")
 
 
-def request_parts(method: str, target: str, headers: Iterable[tuple[str, str]],
-                  body: bytes = b"") -> tuple[bytes, bytes]:
+def request_parts(
+    method: str, target: str, headers: Iterable[tuple[str, str]], body: bytes = b""
+) -> tuple[bytes, bytes]:
     """Head and body of a request with its length, the body as it is; `headers` must not tell a length."""
     if not TOKEN.match(method) or not TARGET.match(target):
         raise ValueError(f"{method!r} {target!r} can't be sent")
@@ -436,8 +459,9 @@
     return b"".join(request_parts(method, target, headers, body))
 
 
-def response_parts(status: int, headers: Iterable[tuple[str, str]], body: bytes = b"",
-                   head_only: bool = False) -> tuple[bytes, bytes]:
+def response_parts(
+    status: int, headers: Iterable[tuple[str, str]], body: bytes = b"", head_only: bool = False
+) -> tuple[bytes, bytes]:
     """Head and body of a response with its length; for HEAD the body is counted and left out (RFC 9110, 9.3.2)."""
     fields = [*headers] if status == 204 else [*headers, ("Content-Length", str(len(body)))]
     return _head(f"HTTP/1.1 {status} {REASONS.get(status, 'Status')}", fields), b"" if head_only else body
--- a/linnetstile/codec/mdn.py
+++ b/linnetstile/codec/mdn.py
@@ -42,9 +42,13 @@
         disposition = f"automatic-action/MDN-sent-automatically; {self.kind}"
         if self.modifier:
             disposition += f"/{self.modifier}" + (f": {self.detail}" if self.detail else "")
-        lines = ["Reporting-UA: linnetstile", f"Original-Recipient: rfc822; {as2.quoted(self.recipient)}",
-                 f"Final-Recipient: rfc822; {as2.quoted(self.recipient)}",
-                 f"Original-Message-ID: {self.original_id}", f"Disposition: {disposition}"]
+        lines = [
+            "Reporting-UA: linnetstile",
+            f"Original-Recipient: rfc822; {as2.quoted(self.recipient)}",
+            f"Final-Recipient: rfc822; {as2.quoted(self.recipient)}",
+            f"Original-Message-ID: {self.original_id}",
+            f"Disposition: {disposition}",
+        ]
         if self.mic:
             lines.append(f"Received-Content-MIC: {base64.b64encode(self.mic).decode()}, {self.micalg}")
         text = (self.text or "The message was processed.").replace("\n", "\r\n")
@@ -70,8 +74,15 @@
             raise MdnError("no readable Disposition")
         mic = MIC.match(fields.get("received-content-mic"))
         recipient = fields.get("final-recipient").rpartition(";")[2].strip()
-        return Mdn(as2.message_id(fields.get("original-message-id"), "Original-Message-ID"), recipient,
-                   disposition[3].lower(), (disposition[4] or "").lower(), (disposition[5] or "").strip(),
-                   base64.b64decode(mic[1]) if mic else b"", mic[2].lower() if mic else "", text)
+        return Mdn(
+            as2.message_id(fields.get("original-message-id"), "Original-Message-ID"),
+            recipient,
+            disposition[3].lower(),
+            (disposition[4] or "").lower(),
+            (disposition[5] or "").strip(),
+            base64.b64decode(mic[1]) if mic else b"",
+            mic[2].lower() if mic else "",
+            text,
+        )
     except (mime.MimeError, as2.As2Error, ValueError) as error:
         raise error if isinstance(error, MdnError) else MdnError(str(error)) from error
--- a/linnetstile/codec/mime.py
+++ b/linnetstile/codec/mime.py
@@ -33,7 +33,7 @@
 @functools.lru_cache(maxsize=512)  # most messages of a client have the same one
 def content_type(text: str) -> ContentType:
     name = text.split(";", 1)[0].strip().lower()
-    rest, at, params = text[len(text.split(";", 1)[0]):], 0, dict[str, str]()
+    rest, at, params = text[len(text.split(";", 1)[0]) :], 0, dict[str, str]()
     while found := PARAMETER.match(rest, at):
         value = found[2]
         params.setdefault(found[1].lower(), re.sub(r"\\(.)", r"\1", value[1:-1]) if value[:1] == '"' else value)
@@ -75,7 +75,7 @@
 def entity(raw: bytes) -> Entity:
     """Reads an entity: header lines (folding undone), an empty line, the body. Takes CRLF and LF ends."""
     if raw[:2] == b"\r\n" or raw[:1] == b"\n":
-        return Entity(Headers(), raw[2 if raw[:1] == b"\r" else 1:], raw)
+        return Entity(Headers(), raw[2 if raw[:1] == b"\r" else 1 :], raw)
     ends = [(raw.find(mark, 0, HEAD_MAX), len(mark)) for mark in (b"\r\n\r\n", b"\n\n")]
     found = min((pair for pair in ends if pair[0] >= 0), default=None)
     if found is None:
@@ -87,7 +87,7 @@
         if not colon or not name.strip():
             raise MimeError("a header line without a name")
         fields.append((name.strip(), value.strip()))
-    return Entity(Headers(fields), raw[found[0] + found[1]:], raw)
+    return Entity(Headers(fields), raw[found[0] + found[1] :], raw)
 
 
 def parts(body: bytes, boundary: str) -> list[bytes]:
@@ -100,14 +100,14 @@
         at = hit + len(mark)
         if hit and body[hit - 1] != 10:
             continue  # not at the start of a line
-        last = body[at: at + 2] == b"--"
+        last = body[at : at + 2] == b"--"
         end = body.find(b"\n", at)
-        rest = body[at + 2 * last: end if end >= 0 else len(body)]
+        rest = body[at + 2 * last : end if end >= 0 else len(body)]
         if rest.strip(b" \t\r") or (end < 0 and not last):
             continue  # a longer boundary that begins like this one
         if start >= 0:
-            stop = hit - (2 if body[hit - 2: hit] == b"\r\n" else 1)
-            found.append(body[start: max(start, stop)])
+            stop = hit - (2 if body[hit - 2 : hit] == b"\r\n" else 1)
+            found.append(body[start : max(start, stop)])
         if last:
             return found
         if len(found) >= PARTS_MAX:
--- a/linnetstile/codec/objects.py
+++ b/linnetstile/codec/objects.py
@@ -234,7 +234,8 @@
         come."""
         self._depth = self._depth or 2
         while found := (INSIDE if self._quoted else BETWEEN if self._depth == 2 else OUTSIDE).search(
-                self._buf, self._at):
+            self._buf, self._at
+        ):
             sign = found[0]
             if not self._pass(sign, found.end()):
                 return None
--- a/linnetstile/config/relay.py
+++ b/linnetstile/config/relay.py
@@ -141,7 +141,6 @@
     longest_advice_ms: NotNegative = 30_000.0
     stop_ms: NotNegative | None = None  # None: until the last held message has had its time
 
-
     @model_validator(mode="after")
     def _room(self) -> LimitSettings:
         if self.hold_bytes * (1 - LAST) < self.body_bytes + 16_384:
@@ -231,9 +230,15 @@
     def memory_bound(self) -> int:
         """Bytes that the process stays under whatever peers do (docs/design/slow-peers.md gives each term)."""
         limits = self.limits
-        return (96 << 20) + limits.connections * (112 << 10 if self.tls else 48 << 10) + limits.hold_bytes \
-            + 2 * limits.body_bytes + limits.slots * (limits.receipt_bytes + (256 << 10)) \
-            + limits.remember_bytes + limits.remember * 1024
+        return (
+            (96 << 20)
+            + limits.connections * (112 << 10 if self.tls else 48 << 10)
+            + limits.hold_bytes
+            + 2 * limits.body_bytes
+            + limits.slots * (limits.receipt_bytes + (256 << 10))
+            + limits.remember_bytes
+            + limits.remember * 1024
+        )
 
     def files_bound(self) -> int:
         """Open files that the process stays under: clients and those just taken, calls out and kept, hand-backs, the
@@ -244,23 +249,52 @@
     def router_rules(self) -> tuple[Rule, ...]:
         classes, tenants = list(self.classes), list(self.tenants)
         # Without a tenant a message has the number behind the last one, which no quota names.
-        return tuple(Rule(classes.index(r.class_), len(tenants) if r.tenant is None else tenants.index(r.tenant),
-                          r.sender, r.receiver, r.subject, r.content_type) for r in self.rules)
+        return tuple(
+            Rule(
+                classes.index(r.class_),
+                len(tenants) if r.tenant is None else tenants.index(r.tenant),
+                r.sender,
+                r.receiver,
+                r.subject,
+                r.content_type,
+            )
+            for r in self.rules
+        )
 
     def module(self) -> api.Settings:
         """What the decision module is told."""
         return api.Settings(
-            classes=tuple(api.MessageClass(
-                name, api.Effect(c.effect), c.aim_ms, c.deadline_ms, c.worth, c.late_share, c.key_window_ms,
-                api.Scope(c.key_scope), c.in_order) for name, c in self.classes.items()),
+            classes=tuple(
+                api.MessageClass(
+                    name,
+                    api.Effect(c.effect),
+                    c.aim_ms,
+                    c.deadline_ms,
+                    c.worth,
+                    c.late_share,
+                    c.key_window_ms,
+                    api.Scope(c.key_scope),
+                    c.in_order,
+                )
+                for name, c in self.classes.items()
+            ),
             kinds=tuple(api.DestinationKind(name, k.batch, k.routes_apart) for name, k in self.kinds.items())
             or (api.DestinationKind("any"),),
-            slots=self.limits.slots, hold=self.limits.hold, attempts=self.limits.attempts, relays=self.relays,
+            slots=self.limits.slots,
+            hold=self.limits.hold,
+            attempts=self.limits.attempts,
+            relays=self.relays,
             zone=list(self.zones).index(self.zone) if self.zone is not None else 0,
             tenants=tuple(api.Tenant(name, t.quota_per_s) for name, t in self.tenants.items()),
-            over_share_worth=self.over_share_worth, decay=api.Decay(self.decay), rates=api.Rates(self.rates),
-            ask_for_list=True, idle_ms=self.limits.idle_ms, connect_timeout_ms=self.limits.connect_timeout_ms,
-            longest_advice_ms=self.limits.longest_advice_ms, cross_zone_price=self.cross_zone_price,
+            over_share_worth=self.over_share_worth,
+            decay=api.Decay(self.decay),
+            rates=api.Rates(self.rates),
+            ask_for_list=True,
+            idle_ms=self.limits.idle_ms,
+            connect_timeout_ms=self.limits.connect_timeout_ms,
+            longest_advice_ms=self.limits.longest_advice_ms,
+            cross_zone_price=self.cross_zone_price,
             route_fees=tuple(z.fee for z in self.zones.values()),
-            safety=api.Safety(**self.safety.model_dump()), goal=api.Goal(**self.goal.model_dump()),
+            safety=api.Safety(**self.safety.model_dump()),
+            goal=api.Goal(**self.goal.model_dump()),
         )
--- a/linnetstile/decisions/control.py
+++ b/linnetstile/decisions/control.py
@@ -13,9 +13,31 @@
 from .connections import Places
 from .destinations import Destinations
 from .interface import (
-    Action, AttemptEnded, CloseIdle, Effect, Endpoint, EndpointList, Event, Fail, Learned, Leaving, ListKind,
-    Message, Outcome, Rates, Recall, Refuse, Resumed, Scope, Send, SetTimer, Settings, Shared,
-    TimerFired, WatchList, Withdrawn,
+    Action,
+    AttemptEnded,
+    CloseIdle,
+    Effect,
+    Endpoint,
+    EndpointList,
+    Event,
+    Fail,
+    Learned,
+    Leaving,
+    ListKind,
+    Message,
+    Outcome,
+    Rates,
+    Recall,
+    Refuse,
+    Resumed,
+    Scope,
+    Send,
+    SetTimer,
+    Settings,
+    Shared,
+    TimerFired,
+    WatchList,
+    Withdrawn,
 )
 from .room import turns, urgency
 from .state import NEVER, Board, Call, Door, Flow, Held, Lane
@@ -154,8 +176,18 @@
             # Of one that comes into use nothing is known: where others answer quickly, it may be a slow one.
             quiet = now if listed or self.listed_at is None else self.listed_at
             mean, dev = self.usual if listed else USUAL_MS
-            lanes[key] = Lane(mean, dev, total, total / self.s.relays, BURST, quiet, room, entry.kind,
-                              self.rng.random(), told=rate > 0)
+            lanes[key] = Lane(
+                mean,
+                dev,
+                total,
+                total / self.s.relays,
+                BURST,
+                quiet,
+                room,
+                entry.kind,
+                self.rng.random(),
+                told=rate > 0,
+            )
         lane, door = lanes[key], self.doors.get(entry.id)
         if listed and rate and rate != lane.total:
             lane.pace, lane.total = lane.pace * rate / lane.total, rate  # keeps what was learned
@@ -187,9 +219,18 @@
     def _resume(self, now: float, event: Resumed) -> None:
         """What was taken on before a restart goes on as if there had been none: a call that was out has an
         unclear outcome, and the gate of every send decides by effect, window, attempts and time left."""
-        held = Held(event.message, self.s.classes[event.message.class_], now - event.age_ms,
-                    now + event.message.left_ms, 0.0, now, now - event.age_ms, tries=event.tries,
-                    risk=event.risk, found=not event.tries)
+        held = Held(
+            event.message,
+            self.s.classes[event.message.class_],
+            now - event.age_ms,
+            now + event.message.left_ms,
+            0.0,
+            now,
+            now - event.age_ms,
+            tries=event.tries,
+            risk=event.risk,
+            found=not event.tries,
+        )
         held.worth = held.cls.worth
         if event.risk_ms is not None:
             held.first_risk = now - event.risk_ms
@@ -283,8 +324,14 @@
 
     def _recall(self, acts: list[Action], doors: list[Door]) -> None:
         """The gate is shut: what was sent to these in its eyes may wait for its connection still."""
-        acts += [Recall(held.msg.id) for door in doors for call in door.lane.out if call.door is door
-                 for held in call.riders if held.out is call]
+        acts += [
+            Recall(held.msg.id)
+            for door in doors
+            for call in door.lane.out
+            if call.door is door
+            for held in call.riders
+            if held.out is call
+        ]
 
     def _withdraw(self, ident: int) -> None:
         if held := self.board.held.get(ident):
@@ -306,11 +353,18 @@
             at = {}
             for dest, queue in queues.items():
                 at.update(turns(queue.values(), now, 1000 / self._speed(now, dest), self.s.decay))
-            able = [each for queue in queues.values() for each in queue.values()
-                    if self._may_refuse(each) and (each.tries or not each.found)]
+            able = [
+                each
+                for queue in queues.values()
+                for each in queue.values()
+                if self._may_refuse(each) and (each.tries or not each.found)
+            ]
             if able:
-                self._end(now, min(able, key=lambda held: [
-                    self._missed(held, now, then) for then in (at[held.msg.id], now)]), acts)
+                self._end(
+                    now,
+                    min(able, key=lambda held: [self._missed(held, now, then) for then in (at[held.msg.id], now)]),
+                    acts,
+                )
 
     def _missed(self, held: Held, now: float, at: float) -> float:
         """What is lost if it is refused now and would else be delivered `at`. What comes in while there is no
@@ -358,8 +412,11 @@
             self.stale += SEEN * (stale - self.stale)
         places = self.places[door.lane.kind]
         # Nor does one that was refused for want of a connection, where others are answered: no limit was met.
-        crowded = (event.outcome is Outcome.FULL and now - door.lane.last_ok < SHUT_MS
-                   and places.explains(event.reused, event.wait_ms > 0))
+        crowded = (
+            event.outcome is Outcome.FULL
+            and now - door.lane.last_ok < SHUT_MS
+            and places.explains(event.reused, event.wait_ms > 0)
+        )
         if counts and event.outcome is Outcome.OK:
             self._answered(now, door, held, event.latency_ms)
         elif counts and event.outcome not in (Outcome.NOT_SENT, Outcome.CANCELLED) and not (stale or crowded):
@@ -636,8 +693,13 @@
         elif lane.room > 1:  # one call, slot and place in the limit for a clump or backlog
             trusted = lane.blame <= TRUSTED or lane.no_effect
             queue = self.board.queues[held.msg.destination].values()
-            riders += [other for other in queue if other is not held and self._may_send(now, other, door)
-                       and (trusted or other.cls.effect is not Effect.UNSAFE)][: lane.room - 1]
+            riders += [
+                other
+                for other in queue
+                if other is not held
+                and self._may_send(now, other, door)
+                and (trusted or other.cls.effect is not Effect.UNSAFE)
+            ][: lane.room - 1]
         call = Call(door, now, riders, len(riders))
         lane.out.append(call)
         door.out += 1
--- a/linnetstile/decisions/destinations.py
+++ b/linnetstile/decisions/destinations.py
@@ -41,8 +41,13 @@
             known = [entry for entry in map(self.index.get, {entry.id for entry in event.entries}) if entry is not None]
         else:
             known = list(self.index)
-        gone = self._drop(now, sorted((old for old in known if old.id not in ready
-                                       or self.key(ready[old.id]) != self.key(old)), key=lambda old: old.id))
+        gone = self._drop(
+            now,
+            sorted(
+                (old for old in known if old.id not in ready or self.key(ready[old.id]) != self.key(old)),
+                key=lambda old: old.id,
+            ),
+        )
         for entry in ready.values():
             self._add(now, entry)
         return gone
@@ -132,5 +137,7 @@
         if lanes is not None:
             return {route: (lane, tuple(sorted(lane.doors))) for route, lane in lanes.items()}
         entries = self.index.at(dest)
-        return {route: (lane, tuple(entry.id for entry in entries if self.key(entry) == (dest, route)))
-                for route, lane in resting.wake(self.rests.get(dest, b""))[0].items()}
+        return {
+            route: (lane, tuple(entry.id for entry in entries if self.key(entry) == (dest, route)))
+            for route, lane in resting.wake(self.rests.get(dest, b""))[0].items()
+        }
--- a/linnetstile/decisions/identifiers.py
+++ b/linnetstile/decisions/identifiers.py
@@ -37,8 +37,14 @@
 
     `keep_ms` is to cover the longest key window and a client's patience: what is forgotten is new."""
 
-    def __init__(self, keep_ms: float, most: int, most_bytes: float = float("inf"),
-                 size: Callable[[A], int] = lambda answer: 0, short: Callable[[A], A] = lambda answer: answer) -> None:
+    def __init__(
+        self,
+        keep_ms: float,
+        most: int,
+        most_bytes: float = float("inf"),
+        size: Callable[[A], int] = lambda answer: 0,
+        short: Callable[[A], A] = lambda answer: answer,
+    ) -> None:
         self.keep_ms = keep_ms
         self.most = most
         self.most_bytes = most_bytes
--- a/linnetstile/decisions/interface.py
+++ b/linnetstile/decisions/interface.py
@@ -101,8 +101,11 @@
     quota_per_s: float  # over all relays
 
     def __post_init__(self) -> None:
-        _need(isinstance(self.quota_per_s, (int, float)) and self.quota_per_s >= 0, "tenants.quota_per_s",
-              "must be a number, not negative")
+        _need(
+            isinstance(self.quota_per_s, (int, float)) and self.quota_per_s >= 0,
+            "tenants.quota_per_s",
+            "must be a number, not negative",
+        )
 
 
 @dataclass(frozen=True, slots=True)
--- a/linnetstile/decisions/knowledge.py
+++ b/linnetstile/decisions/knowledge.py
@@ -59,10 +59,18 @@
 
     def older(self, ms: float) -> Claim:
         """The same, so much later: ages travel and not times of day."""
+
         def add(age: float | None) -> float | None:
             return None if age is None else age + ms
-        return replace(self, answered_age=add(self.answered_age), failed_age=add(self.failed_age),
-                       out_age=add(self.out_age), cold_age=add(self.cold_age), wait_ms=max(0.0, self.wait_ms - ms))
+
+        return replace(
+            self,
+            answered_age=add(self.answered_age),
+            failed_age=add(self.failed_age),
+            out_age=add(self.out_age),
+            cold_age=add(self.cold_age),
+            wait_ms=max(0.0, self.wait_ms - ms),
+        )
 
 
 @dataclass(frozen=True, slots=True)
@@ -127,8 +135,10 @@
         alarms = [claim for claim in fresh if out(claim)]
         if not fresh or len(alarms) <= ALARM * len(fresh) or len(alarms) < 2:
             continue
-        denied = sum(any(contradicts(other, claim) for peer in sources if peer.name != source.name
-                         for other in peer.claims) for claim in alarms)
+        denied = sum(
+            any(contradicts(other, claim) for peer in sources if peer.name != source.name for other in peer.claims)
+            for claim in alarms
+        )
         if denied > len(alarms) / 2:
             found.add(source.name)
     return found
@@ -137,12 +147,17 @@
 def contradicts(other: Claim, claim: Claim) -> bool:
     """Saw an answer of the same lane after the outage is said to have begun, and lately."""
     same = (other.partner, other.route) == (claim.partner, claim.route)
-    return same and other.answered_age is not None and weight(other.answered_age) >= LEAST and (
-        claim.failed_age is None or other.answered_age < claim.failed_age)
+    return (
+        same
+        and other.answered_age is not None
+        and weight(other.answered_age) >= LEAST
+        and (claim.failed_age is None or other.answered_age < claim.failed_age)
+    )
 
 
-def lessons(sources: list[Source], endpoints: dict[tuple[str, int], set[int]], seen: set[tuple[str, int]],
-            relays: int) -> tuple[list[Lesson], list[Doubt]]:
+def lessons(
+    sources: list[Source], endpoints: dict[tuple[str, int], set[int]], seen: set[tuple[str, int]], relays: int
+) -> tuple[list[Lesson], list[Doubt]]:
     """What to take for each lane that exists (`endpoints`: its ids now) and was not `seen` by this relay itself."""
     doubts: list[Doubt] = []
     alarmists = doubted(sources)
@@ -169,8 +184,9 @@
     return found, doubts
 
 
-def merged(lane: tuple[str, int], claims: list[tuple[Source, Claim]], alarmists: set[str], relays: int,
-           doubts: list[Doubt]) -> Lesson:
+def merged(
+    lane: tuple[str, int], claims: list[tuple[Source, Claim]], alarmists: set[str], relays: int, doubts: list[Doubt]
+) -> Lesson:
     """One lane: cautions by the rules above, latency as the weighted median of those who know it."""
     outs, colds, waits = list[float](), list[float](), [0.0]
     for source, claim in claims:
@@ -195,9 +211,17 @@
     since = max(outs, default=None)
     if since is not None and back is not None and all(back < age for age in outs):
         since = None
-    return Lesson(*lane, since, back if since is None else None, max(waits), mean, dev, answers,
-                  float(relays) if outs or colds else 1.0,
-                  middle([claim.pace for _, claim in claims if claim.pace > 0 and weight(claim.seen_age) >= LEAST]))
+    return Lesson(
+        *lane,
+        since,
+        back if since is None else None,
+        max(waits),
+        mean,
+        dev,
+        answers,
+        float(relays) if outs or colds else 1.0,
+        middle([claim.pace for _, claim in claims if claim.pace > 0 and weight(claim.seen_age) >= LEAST]),
+    )
 
 
 def middle(values: list[float]) -> float:
@@ -213,9 +237,11 @@
 
 def latency(claims: list[tuple[Source, Claim]]) -> tuple[float, float, int]:
     """Mean and deviation of the peer in the middle by weight: one that is wrong, however far, moves it by one place."""
-    known = sorted((claim.mean_ms, claim.dev_ms, weight(claim.answered_age, PACE_HALF_MS))
-                   for _, claim in claims if claim.answers >= 3 and claim.mean_ms >= LATENCY_MS[0]
-                   and weight(claim.answered_age, PACE_HALF_MS) >= LEAST)
+    known = sorted(
+        (claim.mean_ms, claim.dev_ms, weight(claim.answered_age, PACE_HALF_MS))
+        for _, claim in claims
+        if claim.answers >= 3 and claim.mean_ms >= LATENCY_MS[0] and weight(claim.answered_age, PACE_HALF_MS) >= LEAST
+    )
     total, passed = sum(each[2] for each in known), 0.0
     for mean, dev, part in known:
         passed += part
--- a/linnetstile/decisions/leftover.py
+++ b/linnetstile/decisions/leftover.py
@@ -11,5 +11,10 @@
 
 def leftover(classes: tuple[MessageClass, ...]) -> MessageClass:
     """A class that no client can name. It takes no room from the others: its worth is the least of theirs."""
-    return MessageClass("", Effect.UNSAFE, max(cls.aim_ms for cls in classes), max(cls.deadline_ms for cls in classes),
-                        min(cls.worth for cls in classes))
+    return MessageClass(
+        "",
+        Effect.UNSAFE,
+        max(cls.aim_ms for cls in classes),
+        max(cls.deadline_ms for cls in classes),
+        min(cls.worth for cls in classes),
+    )
--- a/linnetstile/decisions/membership.py
+++ b/linnetstile/decisions/membership.py
@@ -68,8 +68,10 @@
         able = [peer for peer in self.peers.values() if peer.next_ask <= now]
         if not able:
             return None
-        peer = min(able, key=lambda peer: (peer.standing in (Standing.SUSPECTED, Standing.LEFT), peer.heard_at,
-                                           self.rng.random()))
+        peer = min(
+            able,
+            key=lambda peer: (peer.standing in (Standing.SUSPECTED, Standing.LEFT), peer.heard_at, self.rng.random()),
+        )
         self.asking = peer.address
         return peer.address
 
--- a/linnetstile/decisions/pace.py
+++ b/linnetstile/decisions/pace.py
@@ -135,5 +135,6 @@
     those that had, those that have just come last of these, the ones of the host with most connections, those that
     moved least, then the oldest. So half-open and dripping connections make room for each other, and neither a client's
     kept connections nor its upload do, nor a new one that a busy relay has not read yet."""
-    return heapq.nsmallest(
-        most, places, key=lambda p: (p.proven, p.young, -hosts.get(p.host, 0), p.rate, p.since))[::-1]
+    return heapq.nsmallest(most, places, key=lambda p: (p.proven, p.young, -hosts.get(p.host, 0), p.rate, p.since))[
+        ::-1
+    ]
--- a/linnetstile/decisions/recall.py
+++ b/linnetstile/decisions/recall.py
@@ -20,11 +20,20 @@
     back = _age(now, lane.cold_since)
     cold = back is not None and back < relay.s.safety.cold_ms
     return Claim(
-        partner, route, ends, _age(now, lane.last_ok), _age(now, lane.failed_at),
+        partner,
+        route,
+        ends,
+        _age(now, lane.last_ok),
+        _age(now, lane.failed_at),
         _age(now, lane.bad_since) if lane.sick and lane.bad_since is not None else None,
-        back if cold and not lane.sick else None, max(0.0, lane.wait_until - now) if lane.wait_until > now else 0.0,
-        lane.mean, lane.dev, lane.answers, relay._knowers(now, lane) if lane.sick else lane.knowers,
-        lane.pace if now < lane.free_at else 0.0)
+        back if cold and not lane.sick else None,
+        max(0.0, lane.wait_until - now) if lane.wait_until > now else 0.0,
+        lane.mean,
+        lane.dev,
+        lane.answers,
+        relay._knowers(now, lane) if lane.sick else lane.knowers,
+        lane.pace if now < lane.free_at else 0.0,
+    )
 
 
 def few(relay: Relay) -> dict[str, float]:
@@ -35,9 +44,12 @@
 
 def claims(relay: Relay, now: float, names: Mapping[int, str]) -> list[Claim]:
     """All claims of a relay, of destinations in use and at rest; `names` gives the partner's name by its number."""
-    found = (claim(relay, now, names[dest], route, lane, ends)
-             for dest in sorted(relay.destinations.lanes.keys() | relay.destinations.rests.keys()) if dest in names
-             for route, (lane, ends) in sorted(relay.destinations.known(dest).items()))
+    found = (
+        claim(relay, now, names[dest], route, lane, ends)
+        for dest in sorted(relay.destinations.lanes.keys() | relay.destinations.rests.keys())
+        if dest in names
+        for route, (lane, ends) in sorted(relay.destinations.known(dest).items())
+    )
     return [each for each in found if each is not None]
 
 
--- a/linnetstile/decisions/resting.py
+++ b/linnetstile/decisions/resting.py
@@ -18,8 +18,19 @@
 IN_USE = 2048
 LOOKS = 2  # lanes and records looked at in a turn, for each event of it: at most one lane is made by an event
 
-WHOLE = ("credit_at", "last_ok", "free_at", "wait_until", "failed_at", "cold_since", "left_at", "next_trickle",
-         "total", "pace", "credit")  # times to the ms and what settings may make as large as they like
+WHOLE = (
+    "credit_at",
+    "last_ok",
+    "free_at",
+    "wait_until",
+    "failed_at",
+    "cold_since",
+    "left_at",
+    "next_trickle",
+    "total",
+    "pace",
+    "credit",
+)  # times to the ms and what settings may make as large as they like
 SHORT = ("mean", "dev", "lot", "slot_ms", "stretch", "hold", "blame", "knowers", "told_on")  # six digits will do
 COUNTS = ("answers", "room", "kind")
 FLAGS = ("told", "sick", "no_effect", "missed", "hearsay")
@@ -50,8 +61,15 @@
         bare = not lane.doors
         until = binds_until(lane, bare, fade_ms, cold_ms)
         if now <= until:
-            kept += RECORD.pack(until, route, NEVER if lane.bad_since is None else lane.bad_since, lane.flow.events,
-                                lane.flow.at, bare, *(getattr(lane, name) for name in KEPT))
+            kept += RECORD.pack(
+                until,
+                route,
+                NEVER if lane.bad_since is None else lane.bad_since,
+                lane.flow.events,
+                lane.flow.at,
+                bare,
+                *(getattr(lane, name) for name in KEPT),
+            )
     return kept
 
 
--- a/linnetstile/decisions/shares.py
+++ b/linnetstile/decisions/shares.py
@@ -139,8 +139,9 @@
 
     # -- asking ------------------------------------------------------------------------------------------
 
-    def ask(self, now: float, paths: Sequence[Sequence[str]], size: float, wait_ms: float,
-            token: object, messages: int = 1) -> tuple[Say, Charge]:
+    def ask(
+        self, now: float, paths: Sequence[Sequence[str]], size: float, wait_ms: float, token: object, messages: int = 1
+    ) -> tuple[Say, Charge]:
         """Room for one message of `size` bytes; with WAIT, `turn` tells the token later."""
         leaves = tuple(self._leaf(tree, names) for tree, names in zip(self.trees, paths, strict=True))
         charge = Charge(leaves, [0.0, 0.0])
@@ -190,7 +191,8 @@
         outsize = charge.amount[BYTES] + more[BYTES] > OUTSIZE * self.room[BYTES] and self.outsize in (None, charge)
         lent = 1.0 if outsize else LENT
         return not self.owed and all(
-            self.held[what] + more[what] <= lent * self.room[what] for what in (BYTES, MESSAGES))
+            self.held[what] + more[what] <= lent * self.room[what] for what in (BYTES, MESSAGES)
+        )
 
     def _plenty(self, more: tuple[float, float]) -> bool:
         """Room that anyone may borrow, as nobody waits: the usual case, and the quick way."""
@@ -224,8 +226,11 @@
 
     def _count_owed(self) -> None:
         """Whether one of the first in the ring is below its fair part: then nothing is lent."""
-        self.owed = sum(not self._borrows(leaf.queue[0].charge, leaf.queue[0].more)
-                        for leaf in itertools.islice(self.ring, OWED) if leaf.queue)
+        self.owed = sum(
+            not self._borrows(leaf.queue[0].charge, leaf.queue[0].more)
+            for leaf in itertools.islice(self.ring, OWED)
+            if leaf.queue
+        )
 
     # -- giving back -------------------------------------------------------------------------------------
 
--- a/linnetstile/decisions/state.py
+++ b/linnetstile/decisions/state.py
@@ -155,8 +155,9 @@
         return [row for row in self.by_dest.find(spread(dest)) if self.dests[row] == dest]
 
     def _entry(self, row: int) -> Endpoint:
-        return Endpoint(self.ids[row], self.dests[row], Listing.READY, self.kinds[row], self.zones[row],
-                        self.rates[row])
+        return Endpoint(
+            self.ids[row], self.dests[row], Listing.READY, self.kinds[row], self.zones[row], self.rates[row]
+        )
 
     def get(self, ident: int) -> Endpoint | None:
         row = self._row(ident)
--- a/linnetstile/lab/check.py
+++ b/linnetstile/lab/check.py
@@ -21,8 +21,9 @@
 FINDINGS_MAX = 20
 
 
-def cold_calls(rate: float, since_ms: float, cold_share: float, cold_ms: float, fall_multiple: float,
-               fall_ms: float) -> float:
+def cold_calls(
+    rate: float, since_ms: float, cold_share: float, cold_ms: float, fall_multiple: float, fall_ms: float
+) -> float:
     """Calls that the rules allow a cold destination within `fall_ms`, so long after its return; `rate` is a second."""
     share = cold_share + (1 - cold_share) * since_ms / max(1.0, cold_ms)
     return fall_multiple * share * rate * fall_ms / 1000
@@ -84,8 +85,10 @@
 
     def lives(self, relay: str) -> list[tuple[float, float, str]]:
         """From when to when each process of a relay ran, and how it ended: killed, stopped or ''."""
-        return [(life[0], life[1] if life[1] is not None else float("inf"), life[2])
-                for life in self.facts["relays"].get(relay, [])]
+        return [
+            (life[0], life[1] if life[1] is not None else float("inf"), life[2])
+            for life in self.facts["relays"].get(relay, [])
+        ]
 
     def life(self, relay: str, t: float) -> str:
         """The name of a relay's process at a time: its memory ends with it."""
@@ -143,9 +146,18 @@
             relay = self._life(row)
             if row["ev"] == "began":
                 cut = n in cuts
-                found[row["mid"], relay].append(Try(row["t"], relay, row["partner"], row["endpoint"],
-                                                    row["t"] if cut else float("inf"), cut=cut, conn=row.get("conn"),
-                                                    crawls=bool(row.get("crawls"))))
+                found[row["mid"], relay].append(
+                    Try(
+                        row["t"],
+                        relay,
+                        row["partner"],
+                        row["endpoint"],
+                        row["t"] if cut else float("inf"),
+                        cut=cut,
+                        conn=row.get("conn"),
+                        crawls=bool(row.get("crawls")),
+                    )
+                )
                 continue
             for attempt in found[row["mid"], relay]:
                 same = attempt.endpoint == row["endpoint"] and row.get("conn") in (None, attempt.conn)
@@ -194,8 +206,11 @@
                 v.breach(f"{hand['mid']}: delivered, but no partner's ledger has it")
 
     def _effects(self, v: Verdict) -> None:
-        refused = {(self.hands[m]["mid"], self.run.life(self.hands[m]["relay"], self.hands[m]["t"])): rows[0]["t"]
-                   for m, rows in self.finals.items() if m in self.hands and rows[0].get("kind") == "refused"}
+        refused = {
+            (self.hands[m]["mid"], self.run.life(self.hands[m]["relay"], self.hands[m]["t"])): rows[0]["t"]
+            for m, rows in self.finals.items()
+            if m in self.hands and rows[0].get("kind") == "refused"
+        }
         for (mid, relay), tries in self.tries.items():
             v.looked_at += 1
             cls = self.classes.get(self.cls.get(mid, ""))
@@ -245,7 +260,7 @@
                 v.looked_at += 1
                 heard = told.get((relay, attempt.endpoint), [])
                 at = bisect.bisect_right([t for t, _ in heard], attempt.t - grace) - 1
-                if at >= 0 and not heard[at][1] and not any(ready for t, ready in heard[at + 1:] if t <= attempt.t):
+                if at >= 0 and not heard[at][1] and not any(ready for t, ready in heard[at + 1 :] if t <= attempt.t):
                     late = attempt.t - heard[at][0]
                     v.breach(f"{mid}: {relay} sent to {attempt.endpoint} {late:.0f} ms after it was told to stop")
 
@@ -263,8 +278,14 @@
                 began[partner] = row["t"]
                 continue
             v.looked_at += 1
-            self._return(v, partner, sorted(calls[partner], key=lambda a: a.t),
-                         began.get(partner, float(row["t"])), float(row["t"]), row["kind"])
+            self._return(
+                v,
+                partner,
+                sorted(calls[partner], key=lambda a: a.t),
+                began.get(partner, float(row["t"])),
+                float(row["t"]),
+                row["kind"],
+            )
 
     def _return(self, v: Verdict, partner: str, calls: list[Try], start: float, back: float, kind: str) -> None:
         rate, s = float(self.run.facts["partners"].get(partner, {}).get("rate", 0.0)), self.safety
@@ -277,10 +298,13 @@
         for n, last in enumerate(cold):
             window = [call for call in cold[: n + 1] if call.t > last.t - s["fall_ms"]]
             most = QUEUE + cold_calls(
-                rate, last.t - back, s["cold_share"], s["cold_ms"], s["fall_multiple"], s["fall_ms"])
+                rate, last.t - back, s["cold_share"], s["cold_ms"], s["fall_multiple"], s["fall_ms"]
+            )
             if len(window) > most and sum(call.relay in knew for call in window) >= len(window) * 2 / 3:
-                v.breach(f"{partner}: {len(window)} calls in {s['fall_ms']:.0f} ms, {last.t - back:.0f} ms after its "
-                         f"return; {most:.1f} were allowed")
+                v.breach(
+                    f"{partner}: {len(window)} calls in {s['fall_ms']:.0f} ms, {last.t - back:.0f} ms after its "
+                    f"return; {most:.1f} were allowed"
+                )
                 return
 
     def _order(self, v: Verdict) -> None:
@@ -313,8 +337,10 @@
                 v.looked_at += 1
                 for at, length in waits:
                     if at + FLIGHT_MS < attempt.t < at + length:
-                        v.breach(f"{mid}: {relay} called {attempt.partner} {at + length - attempt.t:.0f} ms before "
-                                 f"the end of a told wait of {length:.0f} ms")
+                        v.breach(
+                            f"{mid}: {relay} called {attempt.partner} {at + length - attempt.t:.0f} ms before "
+                            f"the end of a told wait of {length:.0f} ms"
+                        )
                         break
 
 
@@ -349,11 +375,15 @@
         if run.facts["classes"].get(judge.cls.get(mid, ""), {}).get("effect") == "unsafe":
             effects[mid] += len(rows)
     attempts = [attempt for tries in judge.tries.values() for attempt in tries]
-    return {"messages": len(first), "by_answer": dict(sorted(kinds.items())), "attempts": len(attempts),
-            "refused_attempts": sum(a.ran_not for a in attempts),
-            "unsafe_effects_twice": sum(count > 1 for count in effects.values()),
-            "worth": {name: round(won[name] / asked[name], 3) for name in sorted(asked)},
-            "worth_all": round(sum(won.values()) / (sum(asked.values()) or 1), 3)}
+    return {
+        "messages": len(first),
+        "by_answer": dict(sorted(kinds.items())),
+        "attempts": len(attempts),
+        "refused_attempts": sum(a.ran_not for a in attempts),
+        "unsafe_effects_twice": sum(count > 1 for count in effects.values()),
+        "worth": {name: round(won[name] / asked[name], 3) for name in sorted(asked)},
+        "worth_all": round(sum(won.values()) / (sum(asked.values()) or 1), 3),
+    }
 
 
 def check(folder: Path) -> tuple[list[Verdict], dict[str, Any]]:
--- a/linnetstile/lab/day.py
+++ b/linnetstile/lab/day.py
@@ -51,8 +51,17 @@
 class DayTrouble(Strict):
     """Troubles that are not a partner's own."""
 
-    kind: Literal["burst", "hot_key", "balancer_crash", "balancer_roll", "discovery_stale", "register_fail",
-                  "drain", "gone", "replace"]
+    kind: Literal[
+        "burst",
+        "hot_key",
+        "balancer_crash",
+        "balancer_roll",
+        "discovery_stale",
+        "register_fail",
+        "drain",
+        "gone",
+        "replace",
+    ]
     at_s: float = Field(ge=0)
     for_s: float = Field(1.0, gt=0)
     times: float = Field(2.0, gt=0)  # burst, hot_key
@@ -82,8 +91,10 @@
     @model_validator(mode="after")
     def _names(self) -> Day:
         names = [f"{group.name}-{n + 1}" for group in self.partners for n in range(group.count)]
-        for where, wanted in [*((f"faults.{n}.partners", f.partners) for n, f in enumerate(self.faults)),
-                              *((f"troubles.{n}.partners", t.partners) for n, t in enumerate(self.troubles))]:
+        for where, wanted in [
+            *((f"faults.{n}.partners", f.partners) for n, f in enumerate(self.faults)),
+            *((f"troubles.{n}.partners", t.partners) for n, t in enumerate(self.troubles)),
+        ]:
             for pattern in wanted:
                 if not any(fnmatch.fnmatchcase(name, pattern) for name in names):
                     raise ValueError(f"{where}: {pattern!r} fits no partner of this day")
--- a/linnetstile/lab/play.py
+++ b/linnetstile/lab/play.py
@@ -62,9 +62,14 @@
         for group in day.partners:
             for n in range(group.count):
                 name = f"{group.name}-{n + 1}"
-                self.partners.append({
-                    "group": group, "name": name, "weight": group.weight * (n + 1) ** -group.skew,
-                    "ids": list(range(ident, ident + group.endpoints))})
+                self.partners.append(
+                    {
+                        "group": group,
+                        "name": name,
+                        "weight": group.weight * (n + 1) ** -group.skew,
+                        "ids": list(range(ident, ident + group.endpoints)),
+                    }
+                )
                 ident += group.endpoints
         flows = self.flows()
         for partner in self.partners:
@@ -81,9 +86,10 @@
             weights = sum(p["weight"] for p in fit)
             for partner in fit:
                 for sender, part in day.traffic.senders.items():
-                    per_s = (day.traffic.per_s * cls.share / shares * partner["weight"] / weights * part / senders)
-                    found.append({"sender": sender, "receiver": partner["name"], "cls": name, "subject": name,
-                                  "per_s": per_s})
+                    per_s = day.traffic.per_s * cls.share / shares * partner["weight"] / weights * part / senders
+                    found.append(
+                        {"sender": sender, "receiver": partner["name"], "cls": name, "subject": name, "per_s": per_s}
+                    )
         return found
 
     def _partner_file(self) -> Path:
@@ -93,22 +99,54 @@
         specs = []
         for partner in self.partners:
             group = partner["group"]
-            specs.append({
-                "name": partner["name"], "kind": group.name, "endpoints": [{"id": n} for n in partner["ids"]],
-                "work_ms": group.work_ms, "spread": group.spread, "servers": group.servers, "rate": partner["rate"],
-                "window_ms": group.window_ms, "tell": group.tell, "tell_as": group.tell_as,
-                "refused_count": group.refused_count, "keyed": keyed, "key_window_ms": window,
-                "receipts": group.receipts, "pem": self._pem(partner["name"]),
-                "cold_share": day.safety.cold_share, "cold_ms": day.safety.cold_ms,
-                "fall_multiple": day.safety.fall_multiple, "fall_ms": day.safety.fall_ms})
-        return self._write("partners.yaml", {
-            "seed": day.seed, "record": str(self.folder / "partners.jsonl"), "t0_ms": self.t0,
-            "partners": specs, "faults": [fault.model_dump() for fault in day.faults]})
+            specs.append(
+                {
+                    "name": partner["name"],
+                    "kind": group.name,
+                    "endpoints": [{"id": n} for n in partner["ids"]],
+                    "work_ms": group.work_ms,
+                    "spread": group.spread,
+                    "servers": group.servers,
+                    "rate": partner["rate"],
+                    "window_ms": group.window_ms,
+                    "tell": group.tell,
+                    "tell_as": group.tell_as,
+                    "refused_count": group.refused_count,
+                    "keyed": keyed,
+                    "key_window_ms": window,
+                    "receipts": group.receipts,
+                    "pem": self._pem(partner["name"]),
+                    "cold_share": day.safety.cold_share,
+                    "cold_ms": day.safety.cold_ms,
+                    "fall_multiple": day.safety.fall_multiple,
+                    "fall_ms": day.safety.fall_ms,
+                }
+            )
+        return self._write(
+            "partners.yaml",
+            {
+                "seed": day.seed,
+                "record": str(self.folder / "partners.jsonl"),
+                "t0_ms": self.t0,
+                "partners": specs,
+                "faults": [fault.model_dump() for fault in day.faults],
+            },
+        )
 
     def _register_file(self, ports: dict[str, int]) -> Path:
-        entries = [{"id": n, "partner": p["name"], "url": f"http://127.0.0.1:{ports[str(n)]}/as2", "status": "ready",
-                    "kind": p["group"].name, "zone": "", "rate": round(p["rate"] or p["usual"] * 2, 3)}
-                   for p in self.partners for n in p["ids"]]
+        entries = [
+            {
+                "id": n,
+                "partner": p["name"],
+                "url": f"http://127.0.0.1:{ports[str(n)]}/as2",
+                "status": "ready",
+                "kind": p["group"].name,
+                "zone": "",
+                "rate": round(p["rate"] or p["usual"] * 2, 3),
+            }
+            for p in self.partners
+            for n in p["ids"]
+        ]
         changes, troubles = [], []
         for trouble in self.day.troubles:
             if trouble.kind in ("discovery_stale", "register_fail"):
@@ -118,35 +156,63 @@
                 for partner in self._named(trouble.partners):
                     last = partner["ids"][-1]
                     status = "draining" if trouble.kind == "drain" else "gone"
-                    changes += [{"at_s": trouble.at_s, "id": last, "status": status},
-                                {"at_s": trouble.at_s + trouble.for_s, "id": last, "status": "ready"}]
-        return self._write("register.yaml", {
-            "t0_ms": self.t0, "record": str(self.folder / "register.jsonl"), "lag_ms": self.day.register_lag_ms,
-            "entries": entries, "changes": changes, "troubles": troubles})
+                    changes += [
+                        {"at_s": trouble.at_s, "id": last, "status": status},
+                        {"at_s": trouble.at_s + trouble.for_s, "id": last, "status": "ready"},
+                    ]
+        return self._write(
+            "register.yaml",
+            {
+                "t0_ms": self.t0,
+                "record": str(self.folder / "register.jsonl"),
+                "lag_ms": self.day.register_lag_ms,
+                "entries": entries,
+                "changes": changes,
+                "troubles": troubles,
+            },
+        )
 
     def _named(self, patterns: list[str]) -> list[dict[str, Any]]:
         return [p for p in self.partners if named(p["name"], patterns)]
 
     def _relay_file(self, name: str, register: str) -> Path:
         day = self.day
-        return self._write(f"{name}.yaml", {
-            "name": name, "listen": "127.0.0.1:0", "register": register, "relays": day.relays, "seed": day.seed,
-            "identity": {"as2_name": "linnetstile", "pem": self._pem("relay")},
-            "classes": {n: c.model_dump(exclude={"share", "kinds"}) for n, c in day.classes.items()},
-            "kinds": {group.name: {} for group in day.partners},
-            "rules": [{"class": n, "subject": n} for n in day.classes],
-            "partners": {p["name"]: {"certificate": self._pem(p["name"]), "receipts": p["group"].receipts}
-                         for p in self.partners},
-            "limits": {"slots": day.slots, "hold": day.hold, "attempts": day.attempts},
-            "decay": day.decay, "safety": day.safety.model_dump(), **self._knowledge(name, [])})
+        return self._write(
+            f"{name}.yaml",
+            {
+                "name": name,
+                "listen": "127.0.0.1:0",
+                "register": register,
+                "relays": day.relays,
+                "seed": day.seed,
+                "identity": {"as2_name": "linnetstile", "pem": self._pem("relay")},
+                "classes": {n: c.model_dump(exclude={"share", "kinds"}) for n, c in day.classes.items()},
+                "kinds": {group.name: {} for group in day.partners},
+                "rules": [{"class": n, "subject": n} for n in day.classes],
+                "partners": {
+                    p["name"]: {"certificate": self._pem(p["name"]), "receipts": p["group"].receipts}
+                    for p in self.partners
+                },
+                "limits": {"slots": day.slots, "hold": day.hold, "attempts": day.attempts},
+                "decay": day.decay,
+                "safety": day.safety.model_dump(),
+                **self._knowledge(name, []),
+            },
+        )
 
     def _knowledge(self, name: str, peers: list[str]) -> dict[str, Any]:
         if not self.day.learning:
             return {}
         token = self.folder / "keys" / "token"
         token.write_text(f"{self.day.name}-{self.t0}", encoding="utf-8")
-        return {"knowledge": {"token_file": str(token), "snapshot": str(self.folder / f"{name}.know"),
-                              "snapshot_every_ms": 1000, "peers": peers}}
+        return {
+            "knowledge": {
+                "token_file": str(token),
+                "snapshot": str(self.folder / f"{name}.know"),
+                "snapshot_every_ms": 1000,
+                "peers": peers,
+            }
+        }
 
     def _introduce(self, relays: list[Process]) -> None:
         """Once all addresses are known, they are in each relay's file: one that is started again has peers to ask."""
@@ -158,27 +224,52 @@
 
     def _client_file(self, relays: list[Process]) -> Path:
         day, traffic = self.day, self.day.traffic
-        surges = [{"at_s": t.at_s, "for_s": t.for_s, "times": t.times,
-                   "receivers": [p["name"] for p in self._named(t.partners)]}
-                  for t in day.troubles if t.kind in ("burst", "hot_key")]
-        return self._write("clients.yaml", {
-            "seed": day.seed, "t0_ms": self.t0, "seconds": day.seconds, "record": str(self.folder / "clients.jsonl"),
-            "relays": [{"name": r.name, "address": r.ready["listening"]} for r in relays],
-            "classes": {n: {"effect": c.effect, "deadline_ms": c.deadline_ms} for n, c in day.classes.items()},
-            "flows": self.flows(), "surges": surges,
-            "senders_pem": {name: self._pem(name) for name in traffic.senders},
-            "partners_pem": {p["name"]: self._pem(p["name"]) for p in self.partners},
-            "relay_pem": self._pem("relay"), "signed": traffic.signed, "compressed": traffic.compressed,
-            "asynchronous": traffic.asynchronous, "repeats": traffic.repeats, "bytes": traffic.bytes,
-            "tries": traffic.tries})
+        surges = [
+            {
+                "at_s": t.at_s,
+                "for_s": t.for_s,
+                "times": t.times,
+                "receivers": [p["name"] for p in self._named(t.partners)],
+            }
+            for t in day.troubles
+            if t.kind in ("burst", "hot_key")
+        ]
+        return self._write(
+            "clients.yaml",
+            {
+                "seed": day.seed,
+                "t0_ms": self.t0,
+                "seconds": day.seconds,
+                "record": str(self.folder / "clients.jsonl"),
+                "relays": [{"name": r.name, "address": r.ready["listening"]} for r in relays],
+                "classes": {n: {"effect": c.effect, "deadline_ms": c.deadline_ms} for n, c in day.classes.items()},
+                "flows": self.flows(),
+                "surges": surges,
+                "senders_pem": {name: self._pem(name) for name in traffic.senders},
+                "partners_pem": {p["name"]: self._pem(p["name"]) for p in self.partners},
+                "relay_pem": self._pem("relay"),
+                "signed": traffic.signed,
+                "compressed": traffic.compressed,
+                "asynchronous": traffic.asynchronous,
+                "repeats": traffic.repeats,
+                "bytes": traffic.bytes,
+                "tries": traffic.tries,
+            },
+        )
 
     def _facts(self) -> None:
         day = self.day
         facts = {
-            "day": day.name, "seed": day.seed, "seconds": day.seconds, "t0_ms": self.t0, "attempts": day.attempts,
-            "classes": {n: c.model_dump() for n, c in day.classes.items()}, "safety": day.safety.model_dump(),
+            "day": day.name,
+            "seed": day.seed,
+            "seconds": day.seconds,
+            "t0_ms": self.t0,
+            "attempts": day.attempts,
+            "classes": {n: c.model_dump() for n, c in day.classes.items()},
+            "safety": day.safety.model_dump(),
             "partners": {p["name"]: {"rate": p["rate"], "usual": round(p["usual"], 3)} for p in self.partners},
-            "relays": self.lives}
+            "relays": self.lives,
+        }
         (self.folder / "run.json").write_text(json.dumps(facts, indent=1), encoding="utf-8")
 
     # -- processes -------------------------------------------------------------------------------------------
@@ -187,8 +278,14 @@
         """Starts `linnetstile ARGS` and reads the line in which it tells that it is ready."""
         with (self.folder / f"{name}.log").open("ab") as log:
             child = await asyncio.create_subprocess_exec(
-                sys.executable, "-m", "linnetstile.cli.main", *args, stdin=asyncio.subprocess.DEVNULL,
-                stdout=asyncio.subprocess.PIPE, stderr=log)
+                sys.executable,
+                "-m",
+                "linnetstile.cli.main",
+                *args,
+                stdin=asyncio.subprocess.DEVNULL,
+                stdout=asyncio.subprocess.PIPE,
+                stderr=log,
+            )
         process = Process(name, child)
         self.processes.append(process)
         assert child.stdout is not None
@@ -251,7 +348,8 @@
         try:
             partners = await self._start("partners", "standin", "partner", str(self._partner_file()))
             register = await self._start(
-                "register", "standin", "register", str(self._register_file(partners.ready["ports"])))
+                "register", "standin", "register", str(self._register_file(partners.ready["ports"]))
+            )
             url = f"http://127.0.0.1:{register.ready['port']}"
             made = await asyncio.gather(*(self._relay(n + 1, url) for n in range(self.day.relays)))
             relays = {n + 1: process for n, process in enumerate(made)}
@@ -259,8 +357,10 @@
             if now_ms() > self.t0:
                 raise PlayError("the processes took too long to start; fewer relays, or a less busy machine")
             clients = await self._start("clients", "standin", "client", str(self._client_file(list(made))))
-            self.say(f"   0.0 s  {clients.ready['messages']} messages over {self.day.seconds:.0f} s, "
-                     f"{self.day.relays} relays, {sum(len(p['ids']) for p in self.partners)} endpoints")
+            self.say(
+                f"   0.0 s  {clients.ready['messages']} messages over {self.day.seconds:.0f} s, "
+                f"{self.day.relays} relays, {sum(len(p['ids']) for p in self.partners)} endpoints"
+            )
             crashes = asyncio.create_task(self._crashes(relays, url))
             for process in made:
                 if process.child.returncode is not None:
--- a/linnetstile/lab/scale/fleet.py
+++ b/linnetstile/lab/scale/fleet.py
@@ -59,8 +59,12 @@
     line, rng = world.whole(1), random.Random(1)
     begun = time.thread_time()
     ears, relay = _read(world, line)
-    row: dict[str, float] = {"destinations": destinations, "list_bytes": len(line), "known": ears.known(),
-                             "list_ms": (time.thread_time() - begun) * 1000}
+    row: dict[str, float] = {
+        "destinations": destinations,
+        "list_bytes": len(line),
+        "known": ears.known(),
+        "list_ms": (time.thread_time() - begun) * 1000,
+    }
     for what in ("weight", "replace", "drain", "add") if ears.known() else ():
         changes = [world.change(what, rng.randrange(destinations), 1.0, rng) for _ in range(COST_CHANGES)]
         begun = time.thread_time()
@@ -103,8 +107,9 @@
     threading.Thread(target=watch, daemon=True).start()
 
 
-def _work(pipe: Connection, job: str, sizes: Sizes, relays: list[int], since_version: bool, left_s: float,
-          memory: int) -> None:
+def _work(
+    pipe: Connection, job: str, sizes: Sizes, relays: list[int], since_version: bool, left_s: float, memory: int
+) -> None:
     """The main of a process of the run."""
     _guard()
     resource.setrlimit(resource.RLIMIT_AS, (memory, memory))
@@ -143,8 +148,9 @@
         memory = (MEMORY - SPARED) // len(jobs)
         for job, numbers in jobs:
             ours, theirs = context.Pipe(duplex=False)
-            process = context.Process(target=_work, daemon=True, name=job, args=(
-                theirs, job, sizes, numbers, since_version, left_s, memory))
+            process = context.Process(
+                target=_work, daemon=True, name=job, args=(theirs, job, sizes, numbers, since_version, left_s, memory)
+            )
             self.pipes[ours] = job, process
             process.start()
             theirs.close()
@@ -166,8 +172,10 @@
                 raise Failed("the time is up: " + ", ".join(job for job, _ in open_.values()) + " did not end")
             if time.monotonic() - spoken > SPELL_S:
                 spoken = time.monotonic()
-                self.say(f"{spoken - self.begun:6.1f} s  {len(self.played.traces)} of {total} relays played; at work: "
-                         + ", ".join(sorted(job for job, _ in open_.values())))
+                self.say(
+                    f"{spoken - self.begun:6.1f} s  {len(self.played.traces)} of {total} relays played; at work: "
+                    + ", ".join(sorted(job for job, _ in open_.values()))
+                )
         self.played.traces.sort(key=lambda trace: trace.relay)
         return self.played
 
--- a/linnetstile/lab/scale/hollow.py
+++ b/linnetstile/lab/scale/hollow.py
@@ -52,7 +52,7 @@
         """Raises ValueError for what the relay would refuse."""
         found: list[api.EndpointList] = []
         for at in range(0, len(data), PIECE):
-            for value in self.objects.feed(data[at:at + PIECE]):
+            for value in self.objects.feed(data[at : at + PIECE]):
                 found += self._part(value) if isinstance(value, Part) else [self.directory.take(value)]
         if self.objects.failed:
             raise self.objects.failed
@@ -231,12 +231,20 @@
         for each in list(self.carried.values()):
             each.risk = each.risk or each.out
             each.out = None
-            risk = api.Endpoint(self.ears.number(each.risk[1]), each.message.destination, api.Listing.READY,
-                                zone=self.world.zone(each.message.destination)) if each.risk else None
-            left = api.Message(each.message.id, each.message.destination, each.message.class_,
-                               max(0.0, each.due - now))
-            events.append(api.Resumed(left, now - each.taken, each.tries,
-                                      now - each.risk[0] if each.risk else None, risk))
+            risk = (
+                api.Endpoint(
+                    self.ears.number(each.risk[1]),
+                    each.message.destination,
+                    api.Listing.READY,
+                    zone=self.world.zone(each.message.destination),
+                )
+                if each.risk
+                else None
+            )
+            left = api.Message(each.message.id, each.message.destination, each.message.class_, max(0.0, each.due - now))
+            events.append(
+                api.Resumed(left, now - each.taken, each.tries, now - each.risk[0] if each.risk else None, risk)
+            )
         self.trace.ready.append((life.begin, now, len(events)))
         if events:
             self._handle(now, events, "resume")
@@ -376,11 +384,15 @@
             if outage.number in self.trace.learned:
                 self._count("calls_down_known")
             refused, lost = api.Outcome.CONNECT_FAILED, self.relay.s.connect_timeout_ms
-            outcome, at = {"refused": (refused, now + way), "lost": (refused, now + lost),
-                           "hangs": (api.Outcome.TIMEOUT, send.give_up_at_ms),
-                           "errors": (api.Outcome.ERROR, now + took)}[outage.how]
+            outcome, at = {
+                "refused": (refused, now + way),
+                "lost": (refused, now + lost),
+                "hangs": (api.Outcome.TIMEOUT, send.give_up_at_ms),
+                "errors": (api.Outcome.ERROR, now + took),
+            }[outage.how]
         elif name != world.name(cell, turn) and not (
-                (cell, turn - 1) in world.drained and name == world.name(cell, turn - 1)):
+            (cell, turn - 1) in world.drained and name == world.name(cell, turn - 1)
+        ):
             self._count("calls_gone")
             outcome, at = api.Outcome.CONNECT_FAILED, now + way
         else:
--- a/linnetstile/lab/scale/members.py
+++ b/linnetstile/lab/scale/members.py
@@ -28,8 +28,21 @@
 
 def bare(alive: list[str]) -> int:
     """Bytes of a document without claims."""
-    return len(json.dumps({"format": FORMAT, "relay": "relay-000", "run": "0" * 16, "version": 1, "since": 0,
-                           "relays": 460, "peers": alive, "few_connections": {}, "claims": []}))
+    return len(
+        json.dumps(
+            {
+                "format": FORMAT,
+                "relay": "relay-000",
+                "run": "0" * 16,
+                "version": 1,
+                "since": 0,
+                "relays": 460,
+                "peers": alive,
+                "few_connections": {},
+                "claims": [],
+            }
+        )
+    )
 
 
 def play(world: World, overdue: Callable[[], bool]) -> dict[str, Any]:
@@ -93,17 +106,34 @@
             member.heard(now, listed[other], str(runs[other]), alive)
         else:
             member.missed(now, listed[other])
-            if scene >= 0 and relay in watched and other in world.scenes[scene].down \
-                    and now >= world.scenes[scene].failed_at:
+            if (
+                scene >= 0
+                and relay in watched
+                and other in world.scenes[scene].down
+                and now >= world.scenes[scene].failed_at
+            ):
                 noticed.setdefault((scene, relay, other), now - world.scenes[scene].failed_at)
         put(member.next_at, "due", relay, (run, end))
     rows = []
     for number, each in enumerate(world.scenes):
         stay = [relay for relay in watched if relay not in each.down]
         found = sorted(ms for (scene, _, _), ms in noticed.items() if scene == number)
-        rows.append({"scene": each.name, "pairs": len(stay) * len(each.down), "noticed": len(found),
-                     "after_ms": [round(ms, 1) for ms in found], "asks": asks[number], "bytes": sent[number]})
+        rows.append(
+            {
+                "scene": each.name,
+                "pairs": len(stay) * len(each.down),
+                "noticed": len(found),
+                "after_ms": [round(ms, 1) for ms in found],
+                "asks": asks[number],
+                "bytes": sent[number],
+            }
+        )
     standing = Counter(peer.standing.value for member in members.values() for peer in member.peers.values())
     assert set(standing) <= {each.value for each in Standing}
-    return {"scenes": rows, "asks": asks.total(), "largest_second": max(seconds.values(), default=0),
-            "bare_bytes": bare(listed[:32]), "cut_at_ms": cut_at}
+    return {
+        "scenes": rows,
+        "asks": asks.total(),
+        "largest_second": max(seconds.values(), default=0),
+        "bare_bytes": bare(listed[:32]),
+        "cut_at_ms": cut_at,
+    }
--- a/linnetstile/lab/scale/real.py
+++ b/linnetstile/lab/scale/real.py
@@ -168,15 +168,27 @@
         state.mkdir(parents=True)
         port = free_port()
         config = state.parent / f"{name}.json"
-        config.write_text(json.dumps({
-            "name": name, "listen": f"127.0.0.1:{port}", "discovery": f"127.0.0.1:{discovery}", "seed": f"{seed:x}",
-            "limits": {"memory_mb": 2048, "sockets": 1024, "disk_mb": 64},
-            "settings": {**world.raw, "az": world.zone(number)}}))
+        config.write_text(
+            json.dumps(
+                {
+                    "name": name,
+                    "listen": f"127.0.0.1:{port}",
+                    "discovery": f"127.0.0.1:{discovery}",
+                    "seed": f"{seed:x}",
+                    "limits": {"memory_mb": 2048, "sockets": 1024, "disk_mb": 64},
+                    "settings": {**world.raw, "az": world.zone(number)},
+                }
+            )
+        )
         log = state.parent / f"{name}.log"
         with log.open("wb") as file:
             process = subprocess.Popen(
-                [sys.executable, "-m", "linnetstile.node"], stdin=subprocess.DEVNULL, stdout=file, stderr=file,
-                env={**os.environ, "GW_CONFIG": str(config), "GW_STATE": str(state), "GW_NAME": name})
+                [sys.executable, "-m", "linnetstile.node"],
+                stdin=subprocess.DEVNULL,
+                stdout=file,
+                stderr=file,
+                env={**os.environ, "GW_CONFIG": str(config), "GW_STATE": str(state), "GW_NAME": name},
+            )
         real = Real(name, number, process, port, log)
         self.reals.append(real)
         resource.prlimit(process.pid, resource.RLIMIT_AS, (self.memory, self.memory))
@@ -204,10 +216,17 @@
             if not answered.done():
                 answered.set_result(answer.head.status if answer.head else 0)
 
-        headers = [("Host", "api.internal"), ("X-Correlation-Id", ident), ("X-Service-Class", "state"),
-                   ("X-Account", "all"), ("X-Time-Left", f"{LEFT_MS:.0f}m"), ("Envelope", f"dest={cell}")]
-        self.pool.call(("127.0.0.1", real.port), "POST", http1.request("POST", "/api", headers, b"hello"), done,
-                       loop.time() + 2.0)
+        headers = [
+            ("Host", "api.internal"),
+            ("X-Correlation-Id", ident),
+            ("X-Service-Class", "state"),
+            ("X-Account", "all"),
+            ("X-Time-Left", f"{LEFT_MS:.0f}m"),
+            ("Envelope", f"dest={cell}"),
+        ]
+        self.pool.call(
+            ("127.0.0.1", real.port), "POST", http1.request("POST", "/api", headers, b"hello"), done, loop.time() + 2.0
+        )
         if await answered not in (200, 202):
             self.waits.pop(ident, None)
             return NOWHERE
@@ -259,8 +278,10 @@
         twins = [Twin(world, n, seed) for n, seed in enumerate(seeds)]
         taken = [twin.hear(told.whole(), 0.0) for twin in twins]
         found = _start(reals, least, twins, taken, told)
-        say(f"ready with {[real.ready['endpoints'] for real in reals]} endpoints; hollow twins "
-            f"{[twin.ears.known() for twin in twins]}")
+        say(
+            f"ready with {[real.ready['endpoints'] for real in reals]} endpoints; hollow twins "
+            f"{[twin.ears.known() for twin in twins]}"
+        )
         shows = Shows(bench, stand, told, reals, twins, rng, found)
         if all(taken):
             await shows.changes()
@@ -277,18 +298,33 @@
 
 def _start(reals: list[Real], least: Real, twins: list[Twin], taken: list[bool], told: Told) -> dict[str, Any]:
     return {
-        "relays": len(reals), "list_bytes": len(told.whole()), "list_taken_by_hollow": all(taken),
-        "endpoints": [{"real": real.ready["endpoints"], "hollow": twin.ears.known()}
-                      for real, twin in zip(reals, twins, strict=True)],
+        "relays": len(reals),
+        "list_bytes": len(told.whole()),
+        "list_taken_by_hollow": all(taken),
+        "endpoints": [
+            {"real": real.ready["endpoints"], "hollow": twin.ears.known()}
+            for real, twin in zip(reals, twins, strict=True)
+        ],
         "start_cpu_s": [round(real.cpu_s() - least.cpu_s(), 3) for real in reals],
-        "memory": [real.memory() for real in reals], "memory_small": least.memory(), "changes": []}
+        "memory": [real.memory() for real in reals],
+        "memory_small": least.memory(),
+        "changes": [],
+    }
 
 
 class Shows:
     """Changes, and whether hollow and real relays show them."""
 
-    def __init__(self, bench: Bench, stand: DiscoveryStand, told: Told, reals: list[Real], twins: list[Twin],
-                 rng: random.Random, found: dict[str, Any]) -> None:
+    def __init__(
+        self,
+        bench: Bench,
+        stand: DiscoveryStand,
+        told: Told,
+        reals: list[Real],
+        twins: list[Twin],
+        rng: random.Random,
+        found: dict[str, Any],
+    ) -> None:
         self.bench, self.stand, self.told, self.reals, self.twins = bench, stand, told, reals, twins
         self.rng, self.found, self.now = rng, found, 1000.0
         self.names = {str(port): f"port-{n}" for n, port in enumerate(told.world.ports or ())} | {NOWHERE: NOWHERE}
@@ -306,11 +342,17 @@
         expected = NOWHERE if turn < 0 else str((world.ports or (0, 0))[turn % 2])
         sights = [twin.asks(change.cell, self.now) for twin in self.twins]
         shown = await asyncio.gather(*(self.bench.shows(real, change.cell, expected) for real in self.reals))
-        self.found["changes"].append({
-            "version": change.version, "what": change.what, "expected": self.names[expected],
-            "hollow": [self.names.get(where, where) for where, _ in sights],
-            "hollow_ms": [round(ms, 1) for _, ms in sights],
-            "real": [self.names.get(where, where) for where, _ in shown], "real_ms": [round(ms, 1) for _, ms in shown]})
+        self.found["changes"].append(
+            {
+                "version": change.version,
+                "what": change.what,
+                "expected": self.names[expected],
+                "hollow": [self.names.get(where, where) for where, _ in sights],
+                "hollow_ms": [round(ms, 1) for _, ms in sights],
+                "real": [self.names.get(where, where) for where, _ in shown],
+                "real_ms": [round(ms, 1) for _, ms in shown],
+            }
+        )
 
     async def tell(self, what: str, cell: int) -> None:
         change = self.make(what, cell)
@@ -334,8 +376,10 @@
         begun = time.monotonic()
         await self.tell("replace", self.cells[-1])
         self.found["burst"] = {
-            "changes": BURST, "until_next_shows_ms": round((time.monotonic() - begun) * 1000, 1),
-            "cpu_s": [round(real.cpu_s() - was, 3) for real, was in zip(self.reals, before, strict=True)]}
+            "changes": BURST,
+            "until_next_shows_ms": round((time.monotonic() - begun) * 1000, 1),
+            "cpu_s": [round(real.cpu_s() - was, 3) for real, was in zip(self.reals, before, strict=True)],
+        }
 
     async def broken(self, listed: bool) -> None:
         """All watches break, and a change is missed with them: what relays ask for then, and whether they have it."""
--- a/linnetstile/lab/scale/report.py
+++ b/linnetstile/lab/scale/report.py
@@ -20,8 +20,19 @@
 from .hollow import Trace
 from .scenes import WHAT
 from .truth import (
-    CHANGES_A_DAY, EACH_PER_S, EMPTY_BYTES, EMPTY_MS, MACHINES, RATE, REGIONS, TARGET_DESTINATIONS, TARGET_RELAYS,
-    ZONES, Outage, Scene, World,
+    CHANGES_A_DAY,
+    EACH_PER_S,
+    EMPTY_BYTES,
+    EMPTY_MS,
+    MACHINES,
+    RATE,
+    REGIONS,
+    TARGET_DESTINATIONS,
+    TARGET_RELAYS,
+    ZONES,
+    Outage,
+    Scene,
+    World,
 )
 
 BYTES_S, MEMORY, CORE, IN_FORCE_MS = 3_000.0, 32e6, 0.021, 4_000.0  # the users' bounds of control, for one relay
@@ -36,10 +47,17 @@
     found = sorted(values)
     if not found:
         return {"n": 0}
+
     def at(part: float) -> float:
         return round(found[min(len(found) - 1, math.ceil(part * len(found)) - 1)], 1)
-    return {"n": len(found), "median": at(0.5), "p99": at(0.99), "last": at(1.0),
-            "mean": round(math.fsum(found) / len(found), 1)}
+
+    return {
+        "n": len(found),
+        "median": at(0.5),
+        "p99": at(0.99),
+        "last": at(1.0),
+        "mean": round(math.fsum(found) / len(found), 1),
+    }
 
 
 def _up(world: World, relay: int, begin: float, end: float) -> bool:
@@ -67,9 +85,13 @@
                 told.append(trace.heard[change.version] - reached)
             else:
                 never += 1
-    found = {"changes": sum(scene.begin <= change.at < scene.end for change in world.changes),
-             "in_force_ms": spread(whole), "since_told_ms": spread(told), "never": never,
-             "later_than_bound": sum(ms > IN_FORCE_MS for ms in told)}
+    found = {
+        "changes": sum(scene.begin <= change.at < scene.end for change in world.changes),
+        "in_force_ms": spread(whole),
+        "since_told_ms": spread(told),
+        "never": never,
+        "later_than_bound": sum(ms > IN_FORCE_MS for ms in told),
+    }
     return found, told
 
 
@@ -85,8 +107,9 @@
     for outage in ours:
         down_s += (outage.end - outage.begin) / 1000
         for trace in traces:
-            if outage.region not in (None, world.region(trace.relay)) \
-                    or not _up(world, trace.relay, outage.begin, outage.end):
+            if outage.region not in (None, world.region(trace.relay)) or not _up(
+                world, trace.relay, outage.begin, outage.end
+            ):
                 continue
             pairs += 1
             if outage.number in trace.learned:
@@ -95,9 +118,15 @@
                 without += 1
             if outage.number in trace.cleared:
                 cleared.append(trace.cleared[outage.number] - outage.end)
-    found = {"outages": len(ours), "seconds_down": round(down_s, 1), "pairs": pairs, "learned": len(learned),
-             "without_a_message": without, "learned_ms": spread(learned),
-             "back_known_ms": spread(cleared)}
+    found = {
+        "outages": len(ours),
+        "seconds_down": round(down_s, 1),
+        "pairs": pairs,
+        "learned": len(learned),
+        "without_a_message": without,
+        "learned_ms": spread(learned),
+        "back_known_ms": spread(cleared),
+    }
     return found, learned
 
 
@@ -119,39 +148,68 @@
         for n, (at, _) in enumerate(times):
             while times[first][0] <= at - safety.fall_ms:
                 first += 1
-            budget = cold_calls(world.rate(outage.destination, at), at - outage.end, safety.cold_share,
-                                safety.cold_ms, safety.fall_multiple, safety.fall_ms)
-            got, met = n + 1 - first, sum(each for _, each in times[first:n + 1])
+            budget = cold_calls(
+                world.rate(outage.destination, at),
+                at - outage.end,
+                safety.cold_share,
+                safety.cold_ms,
+                safety.fall_multiple,
+                safety.fall_ms,
+            )
+            got, met = n + 1 - first, sum(each for _, each in times[first : n + 1])
             ratio = got / (budget + 2 * math.sqrt(budget) + 2)
             worst = max(worst, (ratio, got, budget, met))
             if broken is None and ratio > 1:
                 broken = met > got * 2 / 3
-        rows.append({"ratio": round(worst[0], 3), "calls": worst[1], "by_relays_that_met_it": worst[3],
-                     "budget": round(worst[2], 1), "all": len(times), "falls": broken is not None,
-                     "breaks": bool(broken), "lasted_ms": round(outage.end - outage.begin),
-                     "met_by": sum(outage.number in trace.met for trace in traces)})
+        rows.append(
+            {
+                "ratio": round(worst[0], 3),
+                "calls": worst[1],
+                "by_relays_that_met_it": worst[3],
+                "budget": round(worst[2], 1),
+                "all": len(times),
+                "falls": broken is not None,
+                "breaks": bool(broken),
+                "lasted_ms": round(outage.end - outage.begin),
+                "met_by": sum(outage.number in trace.met for trace in traces),
+            }
+        )
     if not whole:
         return {"returns": len(rows), "judged": False, "calls": sum(row["all"] for row in rows)}
-    return {"returns": len(rows), "judged": True, "falls": sum(row["falls"] for row in rows),
-            "breaks": sum(row["breaks"] for row in rows),
-            "worst_of_allowed": max((row["ratio"] for row in rows), default=0.0), "calls": sum(r["all"] for r in rows),
-            "ratios": spread(row["ratio"] for row in rows), "worst": max(rows, key=lambda r: r["ratio"], default=None),
-            "each": rows}
+    return {
+        "returns": len(rows),
+        "judged": True,
+        "falls": sum(row["falls"] for row in rows),
+        "breaks": sum(row["breaks"] for row in rows),
+        "worst_of_allowed": max((row["ratio"] for row in rows), default=0.0),
+        "calls": sum(r["all"] for r in rows),
+        "ratios": spread(row["ratio"] for row in rows),
+        "worst": max(rows, key=lambda r: r["ratio"], default=None),
+        "each": rows,
+    }
 
 
 def _hands(world: World, scene: Scene, traces: list[Trace], scaled: float) -> dict[str, Any]:
-    lives = [(at - begin, found) for trace in traces for begin, at, found in trace.ready
-             if begin > 0 and scene.begin <= begin < scene.end]
-    ended = [at - scene.failed_at for trace in traces for number, at in trace.drained
-             if world.scenes[number] is scene]
+    lives = [
+        (at - begin, found)
+        for trace in traces
+        for begin, at, found in trace.ready
+        if begin > 0 and scene.begin <= begin < scene.end
+    ]
+    ended = [at - scene.failed_at for trace in traces for number, at in trace.drained if world.scenes[number] is scene]
     at_once: Counter[tuple[int, int]] = Counter()
     for trace in traces:
         for (cell, second), calls in trace.backlog.items():
             if scene.begin <= second * 1000 < scene.end + 60_000:
                 at_once[cell, second] += calls
-    return {"starts": len(lives), "ready_ms": spread(ms for ms, _ in lives), "found": sum(n for _, n in lives),
-            "ended_ms": spread(ended),
-            "largest_second_at_one": round(scaled * max(at_once.values(), default=0), 1), "listed_rate": round(RATE, 1)}
+    return {
+        "starts": len(lives),
+        "ready_ms": spread(ms for ms, _ in lives),
+        "found": sum(n for _, n in lives),
+        "ended_ms": spread(ended),
+        "largest_second_at_one": round(scaled * max(at_once.values(), default=0), 1),
+        "listed_rate": round(RATE, 1),
+    }
 
 
 def _control(world: World, scene: Scene, traces: list[Trace], scaled: float) -> dict[str, Any]:
@@ -168,9 +226,11 @@
             each.append(got / up + EMPTY_S)
     largest, mean = max(seconds.values(), default=0), sum(seconds.values()) * 1000 / (scene.end - scene.begin)
     # The largest second of a part says nothing of the whole: one relay's start would count as many at once.
-    return {"bytes_a_second": spread(each),
-            "largest_second_a_machine": round(scaled * largest / MACHINES) if scaled * WHOLE <= 1 else None,
-            "mean_a_machine": round(scaled * mean / MACHINES)}
+    return {
+        "bytes_a_second": spread(each),
+        "largest_second_a_machine": round(scaled * largest / MACHINES) if scaled * WHOLE <= 1 else None,
+        "mean_a_machine": round(scaled * mean / MACHINES),
+    }
 
 
 def simulated(world: World, played: Played) -> tuple[dict[str, Any], dict[str, Any]]:
@@ -184,19 +244,31 @@
         outages, learned = _outages(world, scene, traces)
         mine = {what.partition(":")[2]: n for what, n in sorted(counts.items()) if what.startswith(f"{number}:")}
         seen = outages["seconds_down"]
-        rows.append({
-            "scene": scene.name, "seconds": (scene.end - scene.begin) / 1000, "relays_down": len(scene.down),
-            "changes": changes, "outages": outages,
-            "calls_down_a_second": round(scaled * mine.get("calls_down", 0) / seen, 3) if seen else 0.0,
-            "cold": _cold(world, scene, traces, len(traces) >= WHOLE * world.sizes.relays),
-            "starts": _hands(world, scene, traces, scaled),
-            "control": _control(world, scene, traces, scaled), "counts": mine,
-            "members": next((row for row in played.members.get("scenes", []) if row["scene"] == scene.name), None)})
+        rows.append(
+            {
+                "scene": scene.name,
+                "seconds": (scene.end - scene.begin) / 1000,
+                "relays_down": len(scene.down),
+                "changes": changes,
+                "outages": outages,
+                "calls_down_a_second": round(scaled * mine.get("calls_down", 0) / seen, 3) if seen else 0.0,
+                "cold": _cold(world, scene, traces, len(traces) >= WHOLE * world.sizes.relays),
+                "starts": _hands(world, scene, traces, scaled),
+                "control": _control(world, scene, traces, scaled),
+                "counts": mine,
+                "members": next((row for row in played.members.get("scenes", []) if row["scene"] == scene.name), None),
+            }
+        )
         samples[scene.name] = {"told": told, "learned": learned}
-    return {"relays_played": len(traces), "relays": world.sizes.relays, "in_use": len(world.in_use),
-            "lists_refused": sum(trace.refused for trace in traces),
-            "known_at_the_end": spread(trace.known for trace in traces), "scenes": rows,
-            "members": {k: v for k, v in played.members.items() if k != "scenes"}}, samples
+    return {
+        "relays_played": len(traces),
+        "relays": world.sizes.relays,
+        "in_use": len(world.in_use),
+        "lists_refused": sum(trace.refused for trace in traces),
+        "known_at_the_end": spread(trace.known for trace in traces),
+        "scenes": rows,
+        "members": {k: v for k, v in played.members.items() if k != "scenes"},
+    }, samples
 
 
 def measured(world: World, played: Played) -> dict[str, Any]:
@@ -207,13 +279,16 @@
     up_s = sum(_up_s(world, trace.relay, 0.0, world.end) for trace in traces)
     longest = {what: max((trace.longest[what] for trace in traces), default=0) / 1e6 for what in ("whole", "change")}
     found = sum(messages for trace in traces for _, _, messages in trace.ready)
-    return {"resume_us_a_message": round(spent["resume"] / 1e3 / found, 2) if found else None,
-            "ms_a_turn": {what: round(spent[what] / 1e6 / n, 4) for what, n in sorted(turns.items())},
-            "turns": dict(sorted(turns.items())),
-            "control_share_of_a_core": round((spent["whole"] + spent["change"]) / 1e9 / max(1e-9, up_s), 6),
-            "longest_turn_ms": {what: round(ms, 2) for what, ms in longest.items()},
-            "costs": sorted(played.costs, key=lambda row: row["destinations"]), "peak_bytes": played.peak,
-            "peak_bytes_of_all": sum(played.peak.values())}
+    return {
+        "resume_us_a_message": round(spent["resume"] / 1e3 / found, 2) if found else None,
+        "ms_a_turn": {what: round(spent[what] / 1e6 / n, 4) for what, n in sorted(turns.items())},
+        "turns": dict(sorted(turns.items())),
+        "control_share_of_a_core": round((spent["whole"] + spent["change"]) / 1e9 / max(1e-9, up_s), 6),
+        "longest_turn_ms": {what: round(ms, 2) for what, ms in longest.items()},
+        "costs": sorted(played.costs, key=lambda row: row["destinations"]),
+        "peak_bytes": played.peak,
+        "peak_bytes_of_all": sum(played.peak.values()),
+    }
 
 
 def line(points: list[tuple[float, float]], at: float) -> float:
@@ -233,8 +308,12 @@
         return {}
     each, round_s = sum(trace.claims[1] for trace in traces) / claims, 1.25 * ROUND_MS / 1000
     called = TARGET_DESTINATIONS * (1 - math.exp(-EACH_PER_S / TARGET_RELAYS * round_s))
-    return {"claim_bytes": round(each, 1), "claims_a_round": round(called), "claims_most": CLAIMS_MAX,
-            "bytes_a_second": round(called * each / round_s)}
+    return {
+        "claim_bytes": round(each, 1),
+        "claims_a_round": round(called),
+        "claims_most": CLAIMS_MAX,
+        "bytes_a_second": round(called * each / round_s),
+    }
 
 
 def forecast(costs: list[dict[str, float]], resume_us: float | None, since_version: bool) -> dict[str, float]:
@@ -243,21 +322,28 @@
     taken = [row for row in costs if row["known"]]
     if not taken:
         return {}
+
     def at(name: str) -> float:
         return line([(row["destinations"], row[name]) for row in taken], TARGET_DESTINATIONS)
+
     change_ms = sum(at(f"{what}_ms") for what in WHAT) / len(WHAT)
     starts, list_bytes, list_ms = RESTARTS_A_DAY / TARGET_RELAYS, at("list_bytes"), at("list_ms")
     change_bytes = sum(row["change_bytes"] for row in taken) / len(taken)
     day_bytes = CHANGES_A_DAY * change_bytes + starts * list_bytes
-    return {"memory_bytes": round(at("bytes")), "list_bytes": round(list_bytes), "list_ms": round(list_ms, 1),
-            "change_ms": round(change_ms, 4), "drain_ms": round(at("drain_ms"), 4),
-            "bytes_a_second": round(day_bytes / 86_400 + EMPTY_S, 2),
-            "core_share": round((CHANGES_A_DAY * change_ms + starts * list_ms) / 1000 / 86_400, 7),
-            "list_at_bound_s": round(list_bytes / BYTES_S, 1),
-            "machine_day_bytes_a_second": round(day_bytes / 86_400 * TARGET_RELAYS / MACHINES, 1),
-            "machine_zone_back_bytes": round(list_bytes * TARGET_RELAYS / ZONES / MACHINES),
-            "machine_joined_bytes": 0 if since_version else round(list_bytes * TARGET_RELAYS / REGIONS / MACHINES),
-            "backlog_resume_s": round(BACKLOG * (resume_us or 0.0) / 1e6, 1)}
+    return {
+        "memory_bytes": round(at("bytes")),
+        "list_bytes": round(list_bytes),
+        "list_ms": round(list_ms, 1),
+        "change_ms": round(change_ms, 4),
+        "drain_ms": round(at("drain_ms"), 4),
+        "bytes_a_second": round(day_bytes / 86_400 + EMPTY_S, 2),
+        "core_share": round((CHANGES_A_DAY * change_ms + starts * list_ms) / 1000 / 86_400, 7),
+        "list_at_bound_s": round(list_bytes / BYTES_S, 1),
+        "machine_day_bytes_a_second": round(day_bytes / 86_400 * TARGET_RELAYS / MACHINES, 1),
+        "machine_zone_back_bytes": round(list_bytes * TARGET_RELAYS / ZONES / MACHINES),
+        "machine_joined_bytes": 0 if since_version else round(list_bytes * TARGET_RELAYS / REGIONS / MACHINES),
+        "backlog_resume_s": round(BACKLOG * (resume_us or 0.0) / 1e6, 1),
+    }
 
 
 def bounds(found: dict[str, Any]) -> list[dict[str, Any]]:
@@ -266,27 +352,65 @@
 
     def row(what: str, value: float | None, bound: float, unit: str, how: str) -> None:
         if value is not None:
-            rows.append({"what": what, "value": value, "bound": bound, "unit": unit, "ratio": round(value / bound, 3),
-                         "how": how})
+            rows.append(
+                {
+                    "what": what,
+                    "value": value,
+                    "bound": bound,
+                    "unit": unit,
+                    "ratio": round(value / bound, 3),
+                    "how": how,
+                }
+            )
 
     for scene in found["simulated"]["scenes"]:
         name = scene["scene"]
-        row(f"{name}: change in force at the last relay, since it could be told",
-            scene["changes"]["since_told_ms"].get("last"), IN_FORCE_MS, "ms", "simulated")
+        row(
+            f"{name}: change in force at the last relay, since it could be told",
+            scene["changes"]["since_told_ms"].get("last"),
+            IN_FORCE_MS,
+            "ms",
+            "simulated",
+        )
         if name != "day":  # its changes come within minutes: see the forecast
-            row(f"{name}: control bytes of the relay that got most", scene["control"]["bytes_a_second"].get("last"),
-                BYTES_S, "bytes/s", "simulated, over the scene, at the size played")
+            row(
+                f"{name}: control bytes of the relay that got most",
+                scene["control"]["bytes_a_second"].get("last"),
+                BYTES_S,
+                "bytes/s",
+                "simulated, over the scene, at the size played",
+            )
         if scene["cold"]["calls"] and scene["cold"]["judged"]:
-            row(f"{name}: calls to a cold destination, the worst window of all returns",
-                scene["cold"]["worst_of_allowed"], 1.0, "of N + 2*sqrt(N) + 2", "simulated, the whole fleet")
-    row("control, share of a core over the run", found["measured"]["control_share_of_a_core"], CORE, "cores",
-        "measured, changes of a day in short")
+            row(
+                f"{name}: calls to a cold destination, the worst window of all returns",
+                scene["cold"]["worst_of_allowed"],
+                1.0,
+                "of N + 2*sqrt(N) + 2",
+                "simulated, the whole fleet",
+            )
+    row(
+        "control, share of a core over the run",
+        found["measured"]["control_share_of_a_core"],
+        CORE,
+        "cores",
+        "measured, changes of a day in short",
+    )
     if (told := found["compared"]) and told["list_taken_by_hollow"]:
-        row(f"memory of a real relay with {found['sizes']['destinations']} destinations, beyond one with few",
-            max(each["now"] for each in told["memory"]) - told["memory_small"]["now"], MEMORY, "bytes", "measured")
+        row(
+            f"memory of a real relay with {found['sizes']['destinations']} destinations, beyond one with few",
+            max(each["now"] for each in told["memory"]) - told["memory_small"]["now"],
+            MEMORY,
+            "bytes",
+            "measured",
+        )
     if ahead := found["telling"]:
-        row("telling others of destinations at the target", ahead["bytes_a_second"], BYTES_S, "bytes/s",
-            "forecast: not done on the platform")
+        row(
+            "telling others of destinations at the target",
+            ahead["bytes_a_second"],
+            BYTES_S,
+            "bytes/s",
+            "forecast: not done on the platform",
+        )
     if ahead := found["forecast"]:
         row("memory of directory and module at the target", ahead["memory_bytes"], MEMORY, "bytes", "forecast")
         row("control bytes at the target, an ordinary day", ahead["bytes_a_second"], BYTES_S, "bytes/s", "forecast")
@@ -298,11 +422,17 @@
     """The whole report, and samples for the plots."""
     first, samples = simulated(world, played)
     found: dict[str, Any] = {
-        "sizes": asdict(world.sizes), "target": {"relays": TARGET_RELAYS, "destinations": TARGET_DESTINATIONS},
-        "simulated": first, "measured": measured(world, played), "telling": telling(played.traces),
-        "compared": compared, "left_out": {"relays": len(world.sizes.hollow) - first["relays_played"]}}
-    found["forecast"] = forecast(played.costs, found["measured"]["resume_us_a_message"],
-                                 bool(compared and compared["since_version"]))
+        "sizes": asdict(world.sizes),
+        "target": {"relays": TARGET_RELAYS, "destinations": TARGET_DESTINATIONS},
+        "simulated": first,
+        "measured": measured(world, played),
+        "telling": telling(played.traces),
+        "compared": compared,
+        "left_out": {"relays": len(world.sizes.hollow) - first["relays_played"]},
+    }
+    found["forecast"] = forecast(
+        played.costs, found["measured"]["resume_us_a_message"], bool(compared and compared["since_version"])
+    )
     found["bounds"] = bounds(found)
     return found, samples
 
@@ -317,10 +447,12 @@
 def text(found: dict[str, Any]) -> str:
     """For people. Times are median / p99 / last."""
     sizes, first = found["sizes"], found["simulated"]
-    rows = [f"{first['relays']} relays ({first['relays_played']} played), {sizes['destinations']} destinations, "
-            f"{first['in_use']} of them with their traffic; seed {sizes['seed']}",
-            f"lists refused {first['lists_refused']}; endpoints known at the end: "
-            f"{first['known_at_the_end'].get('median', 0):.0f} (median)"]
+    rows = [
+        f"{first['relays']} relays ({first['relays_played']} played), {sizes['destinations']} destinations, "
+        f"{first['in_use']} of them with their traffic; seed {sizes['seed']}",
+        f"lists refused {first['lists_refused']}; endpoints known at the end: "
+        f"{first['known_at_the_end'].get('median', 0):.0f} (median)",
+    ]
     if found["left_out"]["relays"]:
         rows.append(f"LEFT OUT: {found['left_out']['relays']} relays, as the time was up; figures are of the others")
     if first["known_at_the_end"].get("median", 0) < sizes["destinations"]:
@@ -330,75 +462,111 @@
         starts, members = scene["starts"], scene["members"]
         rows += ["", f"{scene['scene']}: {scene['seconds']:.0f} s, {scene['relays_down']} relays fail or end together"]
         if changes["changes"]:
-            rows.append(f"  {changes['changes']} changes in force, since they could be told: "
-                        f"{_ms(changes['since_told_ms'])}; since they were made: {_ms(changes['in_force_ms'])}; "
-                        f"over the bound {changes['later_than_bound']}, never {changes['never']}")
+            rows.append(
+                f"  {changes['changes']} changes in force, since they could be told: "
+                f"{_ms(changes['since_told_ms'])}; since they were made: {_ms(changes['in_force_ms'])}; "
+                f"over the bound {changes['later_than_bound']}, never {changes['never']}"
+            )
         if outages["outages"]:
-            rows.append(f"  {outages['outages']} outages of destinations in use: {outages['learned']} of "
-                        f"{outages['pairs']} pairs of relay and outage learned it, after {_ms(outages['learned_ms'])}; "
-                        f"{outages['without_a_message']} had no message for it; back, seen by those that knew: "
-                        f"{_ms(outages['back_known_ms'])}")
-            rows.append(f"  calls to what was down: {counts.get('calls_down', 0)} of {counts.get('calls', 0)}, "
-                        f"{counts.get('calls_down_known', 0)} of them by relays that knew; "
-                        f"{scene['calls_down_a_second']} a second at each, of the whole fleet")
+            rows.append(
+                f"  {outages['outages']} outages of destinations in use: {outages['learned']} of "
+                f"{outages['pairs']} pairs of relay and outage learned it, after {_ms(outages['learned_ms'])}; "
+                f"{outages['without_a_message']} had no message for it; back, seen by those that knew: "
+                f"{_ms(outages['back_known_ms'])}"
+            )
+            rows.append(
+                f"  calls to what was down: {counts.get('calls_down', 0)} of {counts.get('calls', 0)}, "
+                f"{counts.get('calls_down_known', 0)} of them by relays that knew; "
+                f"{scene['calls_down_a_second']} a second at each, of the whole fleet"
+            )
         if cold["calls"] and not cold["judged"]:
             rows.append(f"  {cold['returns']} returns, not judged: that takes the whole fleet")
         elif cold["calls"]:
-            rows.append(f"  {cold['returns']} returns: {cold['falls']} get more calls than a cold one stands, "
-                        f"{cold['breaks']} of them by relays that had met the outage (the rule); worst window "
-                        f"{cold['worst_of_allowed']:.2f} of what is allowed: {cold['worst']}")
+            rows.append(
+                f"  {cold['returns']} returns: {cold['falls']} get more calls than a cold one stands, "
+                f"{cold['breaks']} of them by relays that had met the outage (the rule); worst window "
+                f"{cold['worst_of_allowed']:.2f} of what is allowed: {cold['worst']}"
+            )
         if starts["starts"]:
-            rows.append(f"  {starts['starts']} starts, {starts['found']} messages found; ready after "
-                        f"{_ms(starts['ready_ms'])}, as the clock of the play has it")
+            rows.append(
+                f"  {starts['starts']} starts, {starts['found']} messages found; ready after "
+                f"{_ms(starts['ready_ms'])}, as the clock of the play has it"
+            )
         if starts["ended_ms"]["n"]:
-            rows.append(f"  the backlogs among them ended after {_ms(starts['ended_ms'])}; most calls for them in one "
-                        f"second at one destination: {starts['largest_second_at_one']:.0f} (it lists "
-                        f"{starts['listed_rate']} a second)")
+            rows.append(
+                f"  the backlogs among them ended after {_ms(starts['ended_ms'])}; most calls for them in one "
+                f"second at one destination: {starts['largest_second_at_one']:.0f} (it lists "
+                f"{starts['listed_rate']} a second)"
+            )
         control = scene["control"]
         largest = control["largest_second_a_machine"]
-        rows.append(f"  control: {control['bytes_a_second'].get('median', 0):.0f} bytes/s a relay (median), "
-                    f"{control['bytes_a_second'].get('last', 0):.0f} (most); each of {MACHINES} machines "
-                    f"{control['mean_a_machine']} bytes/s"
-                    + (f", {largest} in the largest second" if largest is not None else ""))
+        rows.append(
+            f"  control: {control['bytes_a_second'].get('median', 0):.0f} bytes/s a relay (median), "
+            f"{control['bytes_a_second'].get('last', 0):.0f} (most); each of {MACHINES} machines "
+            f"{control['mean_a_machine']} bytes/s"
+            + (f", {largest} in the largest second" if largest is not None else "")
+        )
         if members and members["pairs"]:
-            rows.append(f"  membership, were it used: {members['noticed']} of {members['pairs']} pairs noticed within "
-                        f"the scene, after {_ms(spread(members['after_ms']))}; {members['asks']} asks of the fleet")
+            rows.append(
+                f"  membership, were it used: {members['noticed']} of {members['pairs']} pairs noticed within "
+                f"the scene, after {_ms(spread(members['after_ms']))}; {members['asks']} asks of the fleet"
+            )
     costs = found["measured"]["costs"]
     rows += ["", "costs of one hollow relay, measured: destinations, bytes, list ms, change ms (drain)"]
-    rows += [f"  {row['destinations']:.0f}  {row['bytes']:.0f}  {row['list_ms']:.1f}  {row.get('drain_ms', 0.0):.3f}"
-             for row in costs]
-    rows += [f"ms a turn: {found['measured']['ms_a_turn']}; longest with a list: "
-             f"{found['measured']['longest_turn_ms']}; us to resume a message: "
-             f"{found['measured']['resume_us_a_message']}"]
-    rows.append(f"memory of the processes that played, each at its largest, in all: "
-                f"{found['measured']['peak_bytes_of_all'] / 1e6:.0f} MB")
+    rows += [
+        f"  {row['destinations']:.0f}  {row['bytes']:.0f}  {row['list_ms']:.1f}  {row.get('drain_ms', 0.0):.3f}"
+        for row in costs
+    ]
+    rows += [
+        f"ms a turn: {found['measured']['ms_a_turn']}; longest with a list: "
+        f"{found['measured']['longest_turn_ms']}; us to resume a message: "
+        f"{found['measured']['resume_us_a_message']}"
+    ]
+    rows.append(
+        f"memory of the processes that played, each at its largest, in all: "
+        f"{found['measured']['peak_bytes_of_all'] / 1e6:.0f} MB"
+    )
     if found["forecast"]:
-        rows += ["", f"forecast at {TARGET_DESTINATIONS} destinations (not played; from lists of up to "
-                     f"{sizes['cost_most']}):", f"  {found['forecast']}"]
+        rows += [
+            "",
+            f"forecast at {TARGET_DESTINATIONS} destinations (not played; from lists of up to {sizes['cost_most']}):",
+            f"  {found['forecast']}",
+        ]
     if found["telling"]:
         rows.append(f"  telling others, as the relay service does: {found['telling']}")
     if found["compared"]:
         rows += ["", *_compared(found["compared"])]
     rows += ["", "bounds: ratio, what, value, bound"]
-    rows += [f"  {row['ratio']:>9}  {row['what']}: {row['value']:g} of {row['bound']:g} {row['unit']} ({row['how']})"
-             for row in found["bounds"]]
+    rows += [
+        f"  {row['ratio']:>9}  {row['what']}: {row['value']:g} of {row['bound']:g} {row['unit']} ({row['how']})"
+        for row in found["bounds"]
+    ]
     return "\n".join(rows) + "\n"
 
 
 def _compared(told: dict[str, Any]) -> list[str]:
     taken = "taken" if told["list_taken_by_hollow"] else "REFUSED"
-    rows = [f"a list of {told['list_bytes']} bytes, {taken} by the hollow twins; discovery sent {told['sent_bytes']} "
-            f"bytes to the real ones in {told['seconds']} s, over {told['watches']} watches",
-            f"hollow beside real ({told['relays']} processes): {'the same' if told['agrees'] else 'NOT THE SAME'}; "
-            f"endpoints {told['endpoints']}; a watch that broke asked for "
-            f"{'what changed' if told['since_version'] else 'the whole list'}"]
-    rows += [f"  version {row['version']} {row['what']}: expected {row['expected']}, hollow {row['hollow']} "
-             f"{row['hollow_ms']} ms, real {row['real']} {row['real_ms']} ms" for row in told["changes"]]
-    rows.append(f"  real, memory now: {[each['now'] for each in told['memory']]} bytes, with few destinations "
-                f"{told['memory_small']['now']}; processor time of the start beyond that one: {told['start_cpu_s']} s")
+    rows = [
+        f"a list of {told['list_bytes']} bytes, {taken} by the hollow twins; discovery sent {told['sent_bytes']} "
+        f"bytes to the real ones in {told['seconds']} s, over {told['watches']} watches",
+        f"hollow beside real ({told['relays']} processes): {'the same' if told['agrees'] else 'NOT THE SAME'}; "
+        f"endpoints {told['endpoints']}; a watch that broke asked for "
+        f"{'what changed' if told['since_version'] else 'the whole list'}",
+    ]
+    rows += [
+        f"  version {row['version']} {row['what']}: expected {row['expected']}, hollow {row['hollow']} "
+        f"{row['hollow_ms']} ms, real {row['real']} {row['real_ms']} ms"
+        for row in told["changes"]
+    ]
+    rows.append(
+        f"  real, memory now: {[each['now'] for each in told['memory']]} bytes, with few destinations "
+        f"{told['memory_small']['now']}; processor time of the start beyond that one: {told['start_cpu_s']} s"
+    )
     if burst := told.get("burst"):
-        rows.append(f"  real, {burst['changes']} changes at once: processor time {burst['cpu_s']} s; the next one "
-                    f"showed {burst['until_next_shows_ms']} ms after them")
+        rows.append(
+            f"  real, {burst['changes']} changes at once: processor time {burst['cpu_s']} s; the next one "
+            f"showed {burst['until_next_shows_ms']} ms after them"
+        )
     return rows
 
 
@@ -413,14 +581,20 @@
     import matplotlib.pyplot as plt
 
     names = []
-    for name, what, title in (("in-force.png", "told", "a change is in force, since it could be told"),
-                              ("learned.png", "learned", "a relay alone takes a destination as out")):
+    for name, what, title in (
+        ("in-force.png", "told", "a change is in force, since it could be told"),
+        ("learned.png", "learned", "a relay alone takes a destination as out"),
+    ):
         figure, axes = plt.subplots(figsize=(8, 4.5))
         for scene, found_ in samples.items():
             values = sorted(found_[what])
             if values:
-                axes.step([value / 1000 for value in values], [(n + 1) / len(values) for n in range(len(values))],
-                          where="post", label=f"{scene} ({len(values)})")
+                axes.step(
+                    [value / 1000 for value in values],
+                    [(n + 1) / len(values) for n in range(len(values))],
+                    where="post",
+                    label=f"{scene} ({len(values)})",
+                )
         axes.set(xlabel="seconds (simulated)", ylabel="part of the pairs", title=title)
         if axes.has_data():
             axes.legend()
@@ -429,8 +603,11 @@
         names.append(name)
     rows = found["bounds"]
     figure, axes = plt.subplots(figsize=(10, 0.5 * len(rows) + 1.5))
-    axes.barh([row["what"] for row in rows], [max(row["ratio"], 1e-4) for row in rows],
-              color=["firebrick" if row["ratio"] > 1 else "steelblue" for row in rows])
+    axes.barh(
+        [row["what"] for row in rows],
+        [max(row["ratio"], 1e-4) for row in rows],
+        color=["firebrick" if row["ratio"] > 1 else "steelblue" for row in rows],
+    )
     axes.axvline(1.0, color="black")
     axes.set(xscale="log", xlabel="need over bound")
     figure.tight_layout()
--- a/linnetstile/lab/scale/scenes.py
+++ b/linnetstile/lab/scale/scenes.py
@@ -22,9 +22,19 @@
     begin = SETTLE_MS
     spans = {relay: list[tuple[float, float, bool, int]]() for relay in range(sizes.relays)}  # away, and what is found
     fills: dict[str, Callable[[World, Scene, random.Random, dict[int, list[tuple[float, float, bool, int]]]], None]] = {
-        "day": _day, "rack": _rack, "zone": _zone, "parted": _parted, "hands": _hands}
-    lengths = {"day": sizes.day_s * 1e3, "rack": RACK_MS, "zone": sizes.zone_s * 1e3 + 40_000.0,
-               "parted": sizes.parted_s * 1e3 + 40_000.0, "hands": HANDS_MS}
+        "day": _day,
+        "rack": _rack,
+        "zone": _zone,
+        "parted": _parted,
+        "hands": _hands,
+    }
+    lengths = {
+        "day": sizes.day_s * 1e3,
+        "rack": RACK_MS,
+        "zone": sizes.zone_s * 1e3 + 40_000.0,
+        "parted": sizes.parted_s * 1e3 + 40_000.0,
+        "hands": HANDS_MS,
+    }
     _use(world, sizes, lengths["day"] if "day" in sizes.scenes else 0.0)
     for name in sizes.scenes:
         scene = Scene(name, begin, begin + lengths[name])
@@ -93,7 +103,7 @@
     scene.down, scene.failed_at = sorted(chosen[: sizes.failing]), scene.begin + 10_000.0
     for relay in scene.down:
         spans[relay].append((scene.failed_at, scene.end + REST_MS / 2, False, 0))
-    for n, relay in enumerate(chosen[sizes.failing:]):
+    for n, relay in enumerate(chosen[sizes.failing :]):
         at = rng.uniform(scene.begin, scene.end - 10_000.0)
         spans[relay].append((at, at + rng.uniform(*RESTART_MS), n % 2 == 0, 0))
 
@@ -128,8 +138,14 @@
     world.silent.setdefault(1, []).append((begin, end))
     for cell in world.in_use:
         world.fail(cell, begin, end, "lost", region=1 - world.region(cell), cold=False)
-    _changes(world, max(1, int(world.sizes.changes * world.sizes.parted_s / 86_400)) if world.sizes.changes else 0,
-             begin, end, rng, parted=True)
+    _changes(
+        world,
+        max(1, int(world.sizes.changes * world.sizes.parted_s / 86_400)) if world.sizes.changes else 0,
+        begin,
+        end,
+        rng,
+        parted=True,
+    )
 
 
 def _hands(world: World, scene: Scene, rng: random.Random, spans: Spans) -> None:
--- a/linnetstile/lab/scale/truth.py
+++ b/linnetstile/lab/scale/truth.py
@@ -32,12 +32,25 @@
         {"name": "order", "effect": "by_key", "aim-ms": 5_000.0, "deadline-ms": 120_000.0, "window-ms": 30_000.0},
         {"name": "pay", "effect": "once", "aim-ms": 5_000.0, "deadline-ms": 120_000.0},
     ],
-    "kinds": list(KINDS), "zones": [f"z{n}" for n in range(ZONES)], "orgs": [{"name": "all", "quota-per-s": 1e9}],
-    "extra": {"call-slots": 256}, "weight-kind": "nominal",
-    "limits": {"open-cap": 20_000, "try-limit": 16, "conn-idle-ms": 10_000.0, "connect-timeout-ms": 500.0,
-               "cancelling": True},
-    "safety": {"drain-grace-ms": 250.0, "cold-from": 0.2, "cold-ms": 10_000.0, "fall-multiple": 2.0,
-               "fall-ms": 1_500.0},
+    "kinds": list(KINDS),
+    "zones": [f"z{n}" for n in range(ZONES)],
+    "orgs": [{"name": "all", "quota-per-s": 1e9}],
+    "extra": {"call-slots": 256},
+    "weight-kind": "nominal",
+    "limits": {
+        "open-cap": 20_000,
+        "try-limit": 16,
+        "conn-idle-ms": 10_000.0,
+        "connect-timeout-ms": 500.0,
+        "cancelling": True,
+    },
+    "safety": {
+        "drain-grace-ms": 250.0,
+        "cold-from": 0.2,
+        "cold-ms": 10_000.0,
+        "fall-multiple": 2.0,
+        "fall-ms": 1_500.0,
+    },
 }
 
 
@@ -49,10 +62,24 @@
 
 
 RANGES: dict[str, tuple[int, int]] = {  # of the options that are whole numbers
-    "seed": (0, 2**31), "relays": (2, 2_000), "destinations": (12, 200_000), "real": (0, 8), "played": (0, 2_000),
-    "in_use": (2, 2_000), "workers": (1, 16), "minutes": (1, 10), "changes": (0, 20_000), "failing": (0, 2_000),
-    "restarts": (0, 2_000), "rack": (1, 2_000), "day_s": (20, 3_600), "zone_s": (20, 3_600), "parted_s": (20, 3_600),
-    "held": (0, 1_000), "cost_most": (100, 200_000)}
+    "seed": (0, 2**31),
+    "relays": (2, 2_000),
+    "destinations": (12, 200_000),
+    "real": (0, 8),
+    "played": (0, 2_000),
+    "in_use": (2, 2_000),
+    "workers": (1, 16),
+    "minutes": (1, 10),
+    "changes": (0, 20_000),
+    "failing": (0, 2_000),
+    "restarts": (0, 2_000),
+    "rack": (1, 2_000),
+    "day_s": (20, 3_600),
+    "zone_s": (20, 3_600),
+    "parted_s": (20, 3_600),
+    "held": (0, 1_000),
+    "cost_most": (100, 200_000),
+}
 SCENES = ("day", "rack", "zone", "parted", "hands")
 
 
@@ -85,9 +112,11 @@
             if not least <= getattr(self, name) <= most:
                 raise OptionError(name.replace("_", "-"), f"a whole number from {least} to {most}", getattr(self, name))
         for name, most, why in (
-                ("played", self.relays, "--relays"), ("in_use", self.destinations, "--destinations"),
-                ("rack", self.relays - 1, "--relays less one"),
-                ("restarts", self.relays - self.failing, "--relays less --failing")):
+            ("played", self.relays, "--relays"),
+            ("in_use", self.destinations, "--destinations"),
+            ("rack", self.relays - 1, "--relays less one"),
+            ("restarts", self.relays - self.failing, "--relays less --failing"),
+        ):
             if getattr(self, name) > most:
                 raise OptionError(name.replace("_", "-"), f"no more than {why} ({most})", getattr(self, name))
         if not self.scenes or len(set(self.scenes)) < len(self.scenes) or not set(self.scenes) <= set(SCENES):
@@ -192,12 +221,24 @@
 
     def entry(self, cell: int, turn: int, state: str = "SERVING") -> bytes:
         """One entry of discovery, as it travels."""
-        address = f"127.0.0.1:{self.ports[turn % 2]}" if self.ports else \
-            f"127.{1 + (cell >> 16) % 200}.{cell >> 8 & 255}.{cell & 255}:{3000 + turn % 100}"
-        return json.dumps({"id": self.name(cell, turn), "addr": address, "zone": f"z{self.zone(cell)}",
-                           "kind": KINDS[0], "cell": cell, "state": state,
-                           "weight": self.rate(cell, float("inf")), "started_ms": 0},
-                          separators=(",", ":")).encode()
+        address = (
+            f"127.0.0.1:{self.ports[turn % 2]}"
+            if self.ports
+            else f"127.{1 + (cell >> 16) % 200}.{cell >> 8 & 255}.{cell & 255}:{3000 + turn % 100}"
+        )
+        return json.dumps(
+            {
+                "id": self.name(cell, turn),
+                "addr": address,
+                "zone": f"z{self.zone(cell)}",
+                "kind": KINDS[0],
+                "cell": cell,
+                "state": state,
+                "weight": self.rate(cell, float("inf")),
+                "started_ms": 0,
+            },
+            separators=(",", ":"),
+        ).encode()
 
     def rate(self, cell: int, at: float) -> float:
         """Calls a second that a destination lists."""
@@ -229,8 +270,10 @@
             self.turns.setdefault(cell, []).append((since, -1))
         else:
             turn = self.turn(cell, at)
-            entries = [self.entry(cell, turn, "DELETED" if what == "replace" else "DRAINING"),
-                       self.entry(cell, turn + 1)]
+            entries = [
+                self.entry(cell, turn, "DELETED" if what == "replace" else "DRAINING"),
+                self.entry(cell, turn + 1),
+            ]
             self.turns.setdefault(cell, []).append((since, turn + 1))
             if what == "drain":
                 self.drained.add((cell, turn))
@@ -255,7 +298,7 @@
         return self._whole[1]
 
     def after(self, version: int, until: int) -> list[Change]:
-        return self.changes[max(0, version - 1): until - 1]
+        return self.changes[max(0, version - 1) : until - 1]
 
     def hears(self, relay: int, at: float) -> bool:
         """Whether discovery can be reached by a relay's agent."""
@@ -280,8 +323,10 @@
         return None
 
     def next_down(self, cell: int, region: int, at: float) -> float:
-        return min((o.begin for o in self.by_cell.get(cell, ()) if o.begin > at and o.region in (None, region)),
-                   default=float("inf"))
+        return min(
+            (o.begin for o in self.by_cell.get(cell, ()) if o.begin > at and o.region in (None, region)),
+            default=float("inf"),
+        )
 
     def reaches(self, one: int, other: int, at: float) -> bool:
         """Whether two relays are up and their regions joined."""
--- a/linnetstile/net/client.py
+++ b/linnetstile/net/client.py
@@ -243,9 +243,16 @@
     """Keeps idle connections for `idle_s` at most and `most_idle` of them, newest first; counters in `counts`. An
     `eager` one tells of a 200 as soon as its first line can be read (the platform's peers mean it)."""
 
-    def __init__(self, connect_s: float = 3.0, idle_s: float = 15.0, limits: http1.Limits | None = None,
-                 rates: Rates | None = None, on_slow: Callable[[ClientConnection, str], None] | None = None,
-                 eager: bool = False, most_idle: int = 1 << 30) -> None:
+    def __init__(
+        self,
+        connect_s: float = 3.0,
+        idle_s: float = 15.0,
+        limits: http1.Limits | None = None,
+        rates: Rates | None = None,
+        on_slow: Callable[[ClientConnection, str], None] | None = None,
+        eager: bool = False,
+        most_idle: int = 1 << 30,
+    ) -> None:
         self.eager, self.most_idle = eager, most_idle
         self.loop = asyncio.get_running_loop()
         self.connect_s = connect_s
@@ -260,9 +267,17 @@
         self._every = 0.25 if self.rates.request or self.rates.response else 1.0
         self._sweeper = self.loop.call_later(self._every, self._sweep)
 
-    def call(self, address: Address, method: str, data: Data, done: Callable[[Answer], None],
-             until: float | None = None, secure: Secure | None = None, hold_s: float = 0.0,
-             begin_by: float = math.inf) -> Call:
+    def call(
+        self,
+        address: Address,
+        method: str,
+        data: Data,
+        done: Callable[[Answer], None],
+        until: float | None = None,
+        secure: Secure | None = None,
+        hold_s: float = 0.0,
+        begin_by: float = math.inf,
+    ) -> Call:
         """Sends one request, in one piece or several; `until` is the loop time at which it times out. Its last byte is
         held back for `hold_s`: a connection that ends before then, as one does that had been closed, had no request.
         It leaves by the loop time `begin_by` or not at all, however long a connection takes to be made."""
@@ -331,8 +346,7 @@
             if not ready.done():
                 ready.set_result(why)
 
-        await self.loop.create_connection(lambda: Tls(conn, keys.context, False, name, told), address[0],
-                                          address[1])
+        await self.loop.create_connection(lambda: Tls(conn, keys.context, False, name, told), address[0], address[1])
         try:
             why = await ready
         except asyncio.CancelledError:
@@ -387,8 +401,7 @@
             conn.transport.abort()
 
 
-async def once(address: Address, method: str, data: Data, seconds: float,
-               limits: http1.Limits | None = None) -> Answer:
+async def once(address: Address, method: str, data: Data, seconds: float, limits: http1.Limits | None = None) -> Answer:
     """One call on a connection of its own, for tools."""
     answered: asyncio.Future[Answer] = asyncio.get_running_loop().create_future()
     pool = Pool(limits=limits)
--- a/linnetstile/net/server.py
+++ b/linnetstile/net/server.py
@@ -42,8 +42,20 @@
 class Exchange:
     """One request and its one reply."""
 
-    __slots__ = ("conn", "head", "body", "began", "answered", "on_gone", "length", "room", "charge", "who", "until",
-                 "sink")
+    __slots__ = (
+        "conn",
+        "head",
+        "body",
+        "began",
+        "answered",
+        "on_gone",
+        "length",
+        "room",
+        "charge",
+        "who",
+        "until",
+        "sink",
+    )
 
     def __init__(self, conn: Connection, head: http1.Request, began: float) -> None:
         self.conn = conn
@@ -64,8 +76,9 @@
         """There is room: the body is read on."""
         self.conn.go(self)
 
-    def reply(self, status: int, headers: Iterable[tuple[str, str]] = (), body: bytes = b"",
-              close: bool = False) -> bool:
+    def reply(
+        self, status: int, headers: Iterable[tuple[str, str]] = (), body: bytes = b"", close: bool = False
+    ) -> bool:
         """Writes the answer; False if the client has gone. A second call is a fault of ours."""
         assert not self.answered, "a second answer to one request"
         self.answered = True
@@ -241,8 +254,9 @@
         self.pieces.clear()
         self.server.handler(exchange)
 
-    def answer(self, exchange: Exchange, status: int, headers: Iterable[tuple[str, str]], body: bytes,
-               close: bool) -> bool:
+    def answer(
+        self, exchange: Exchange, status: int, headers: Iterable[tuple[str, str]], body: bytes, close: bool
+    ) -> bool:
         if self.dead:
             return False
         early, self.waiting = not self.read, False
@@ -395,10 +409,18 @@
     is room, False = it was answered, or it waits and `exchange.go()` follows; `release(exchange)` when an exchange ends
     by an answer, or before it was complete."""
 
-    def __init__(self, handler: Handler, head: Handler | None = None, limits: http1.Limits | None = None,
-                 bounds: Bounds | None = None, on_error: Callable[[str, http1.ProtocolError], None] | None = None,
-                 admit: Callable[[Exchange, int], bool] | None = None, release: Handler | None = None,
-                 on_slow: Callable[[Connection, str], None] | None = None, keys: Keys | None = None) -> None:
+    def __init__(
+        self,
+        handler: Handler,
+        head: Handler | None = None,
+        limits: http1.Limits | None = None,
+        bounds: Bounds | None = None,
+        on_error: Callable[[str, http1.ProtocolError], None] | None = None,
+        admit: Callable[[Exchange, int], bool] | None = None,
+        release: Handler | None = None,
+        on_slow: Callable[[Connection, str], None] | None = None,
+        keys: Keys | None = None,
+    ) -> None:
         self.handler = handler
         self.head: Handler = head or (lambda exchange: None)
         self.admit = admit or (lambda exchange, size: True)
@@ -451,8 +473,11 @@
     def _rank(self) -> None:
         """The order in which connections give way, for the next ones: one look at all serves many."""
         now = self.spare_at = self.loop.time()
-        able = [Place(c.where, c.proven, now - c.opened < YOUNG_S, c.came / (now - c.opened + 1), c.since, c)
-                for c in self.open if not c.carries and not c.dead]
+        able = [
+            Place(c.where, c.proven, now - c.opened < YOUNG_S, c.came / (now - c.opened + 1), c.since, c)
+            for c in self.open
+            if not c.carries and not c.dead
+        ]
         self.spare = [(place.host, place.token) for place in giving_way(self.hosts, able, ACCEPTS)]
 
     def add(self, conn: Connection) -> None:
