--- a/linnetstile/net/tls.py
+++ b/linnetstile/net/tls.py
@@ -25,8 +25,14 @@
     """The protocol that asyncio sees, and the transport that the wire sees. `ready` is called once with None after the
     handshake or with the reason why there is none."""
 
-    def __init__(self, wire: Wire, context: ssl.SSLContext, server: bool, name: str | None = None,
-                 ready: Callable[[str | None], None] | None = None) -> None:
+    def __init__(
+        self,
+        wire: Wire,
+        context: ssl.SSLContext,
+        server: bool,
+        name: str | None = None,
+        ready: Callable[[str | None], None] | None = None,
+    ) -> None:
         self.wire = wire
         self.bytes_in, self.bytes_out = ssl.MemoryBIO(), ssl.MemoryBIO()
         self.tls = context.wrap_bio(self.bytes_in, self.bytes_out, server_side=server, server_hostname=name)
@@ -122,7 +128,7 @@
         view = memoryview(data)
         try:
             while view:
-                view = view[self.tls.write(view):]
+                view = view[self.tls.write(view) :]
         except ssl.SSLError as error:
             self._failed(error.reason or str(error))
             return
@@ -177,8 +183,12 @@
         if not self.secured:
             return ""
         subject = (self.tls.getpeercert() or {}).get("subject", ())
-        names = [value for part in cast(tuple[tuple[tuple[str, str], ...], ...], subject) for key, value in part
-                 if key == "commonName"]
+        names = [
+            value
+            for part in cast(tuple[tuple[tuple[str, str], ...], ...], subject)
+            for key, value in part
+            if key == "commonName"
+        ]
         return f"CN={names[0]}" if names else ""
 
 
@@ -186,8 +196,14 @@
     """A context made of files, made anew when they change. `context` is the latest good one: connections that stand go
     on with theirs. `reload` raises TlsError and leaves the context as it is."""
 
-    def __init__(self, server: bool, certificate: Path | None = None, key: Path | None = None,
-                 authorities: Path | None = None, need_client: bool = False) -> None:
+    def __init__(
+        self,
+        server: bool,
+        certificate: Path | None = None,
+        key: Path | None = None,
+        authorities: Path | None = None,
+        need_client: bool = False,
+    ) -> None:
         self.server = server
         self.certificate, self.key, self.authorities = certificate, key, authorities
         self.need_client = need_client
--- a/linnetstile/node/calls.py
+++ b/linnetstile/node/calls.py
@@ -42,11 +42,25 @@
         module = settings.module
         self.names = settings.report
         idle_s = module.idle_ms * KEPT / 1000 if module.idle_ms else 5.0  # the module counts on no more
-        self.pool = client.Pool(module.connect_timeout_ms / 1000 or 1.5, idle_s,
-                                http1.Limits(body=BODY, head=HEAD), eager=True, most_idle=bounds.idle)
+        self.pool = client.Pool(
+            module.connect_timeout_ms / 1000 or 1.5,
+            idle_s,
+            http1.Limits(body=BODY, head=HEAD),
+            eager=True,
+            most_idle=bounds.idle,
+        )
 
-    def send(self, place: Place, fields: list[tuple[str, str]], body: bytes, left_ms: float, hold_ms: float,
-             begin_ms: float, due_ms: float, done: Done) -> client.Call:
+    def send(
+        self,
+        place: Place,
+        fields: list[tuple[str, str]],
+        body: bytes,
+        left_ms: float,
+        hold_ms: float,
+        begin_ms: float,
+        due_ms: float,
+        done: Done,
+    ) -> client.Call:
         """Begins one attempt that is given up after `left_ms`, its last byte held back for `hold_ms` and not
         written after `begin_ms` from now; `done` is called once, and not from within. The message's time is up in
         `due_ms`."""
@@ -56,15 +70,29 @@
 
         def ended(answer: client.Answer) -> None:
             head = answer.head
-            seen = Seen(answer.sight, head.status if head else 0, wait_ms(head.headers) if head else None,
-                        whole=answer.whole, late=self.pool.loop.time() >= due)
+            seen = Seen(
+                answer.sight,
+                head.status if head else 0,
+                wait_ms(head.headers) if head else None,
+                whole=answer.whole,
+                late=self.pool.loop.time() >= due,
+            )
             no_slot = head is not None and head.headers.get("slots-taken") == "1"
-            done(endpoint_proof(seen, answer.claimed, no_slot), report(head.headers, self.names) if head else (),
-                 answer.reused)
+            done(
+                endpoint_proof(seen, answer.claimed, no_slot),
+                report(head.headers, self.names) if head else (),
+                answer.reused,
+            )
 
-        return self.pool.call((place.host, place.port, place.number), "POST",
-                              http1.request_parts("POST", "/events", headers, body), ended, until,
-                              hold_s=hold_ms / 1000, begin_by=now + begin_ms / 1000)
+        return self.pool.call(
+            (place.host, place.port, place.number),
+            "POST",
+            http1.request_parts("POST", "/events", headers, body),
+            ended,
+            until,
+            hold_s=hold_ms / 1000,
+            begin_by=now + begin_ms / 1000,
+        )
 
     def close_idle(self, place: Place) -> None:
         self.pool.close_idle((place.host, place.port, place.number))
--- a/linnetstile/node/config.py
+++ b/linnetstile/node/config.py
@@ -108,8 +108,16 @@
     return NodeSettings(
         str(raw.get("name") or environ.get("GW_NAME", "relay")),
         address(raw.get("listen") or environ.get("GW_LISTEN"), "listen"),
-        address(raw.get("discovery") or environ.get("GW_DISCOVERY"), "discovery"), Path(state), seed,
-        Limits(int(_limit(limits, "sockets", 1024, 64)), _limit(limits, "memory_mb", 192, 1),
-               _limit(limits, "disk_mb", 3, 0.01)),
-        raw.get("known", {}), module, tuple(zones),
-        tuple(str(name) for name in fields))
+        address(raw.get("discovery") or environ.get("GW_DISCOVERY"), "discovery"),
+        Path(state),
+        seed,
+        Limits(
+            int(_limit(limits, "sockets", 1024, 64)),
+            _limit(limits, "memory_mb", 192, 1),
+            _limit(limits, "disk_mb", 3, 0.01),
+        ),
+        raw.get("known", {}),
+        module,
+        tuple(zones),
+        tuple(str(name) for name in fields),
+    )
--- a/linnetstile/node/directory.py
+++ b/linnetstile/node/directory.py
@@ -327,8 +327,9 @@
         else:
             self._change(row, listing, record, changed)
 
-    def _change(self, row: int, listing: api.Listing, record: bytes | None, changed: dict[int, api.Endpoint],
-                new: bool = False) -> None:
+    def _change(
+        self, row: int, listing: api.Listing, record: bytes | None, changed: dict[int, api.Endpoint], new: bool = False
+    ) -> None:
         """Puts `record` in this row, or the one that is there, with what is told of its state."""
         self._mark(row)
         records = self.directory.records
--- a/linnetstile/node/discovery.py
+++ b/linnetstile/node/discovery.py
@@ -165,8 +165,14 @@
     """Keeps one watch open at the address that is in force; `hear` gets each event, `log` a line for each list that was
     refused, was left in the middle, or had entries that could not be read."""
 
-    def __init__(self, directory: Directory, where: Address, hear: Callable[[api.EndpointList], None],
-                 rng: random.Random, log: Callable[..., None] = lambda event, **fields: None) -> None:
+    def __init__(
+        self,
+        directory: Directory,
+        where: Address,
+        hear: Callable[[api.EndpointList], None],
+        rng: random.Random,
+        log: Callable[..., None] = lambda event, **fields: None,
+    ) -> None:
         self.loop = asyncio.get_running_loop()
         self.directory, self.where, self.hear, self.rng, self.log = directory, where, hear, rng, log
         self.stream: _Stream | None = None
--- a/linnetstile/node/finals.py
+++ b/linnetstile/node/finals.py
@@ -54,8 +54,13 @@
             return
         body = b"".join(self.owed[number] for number in self.posting)
         headers = [("Host", f"{self.where[0]}:{self.where[1]}"), ("Content-Type", "application/x-ndjson")]
-        self.pool.call(self.where, "POST", http1.request("POST", "/v2/finals", headers, body), self._answered,
-                       self.loop.time() + NOTICE_S)
+        self.pool.call(
+            self.where,
+            "POST",
+            http1.request("POST", "/v2/finals", headers, body),
+            self._answered,
+            self.loop.time() + NOTICE_S,
+        )
 
     def _answered(self, answer: client.Answer) -> None:
         posted, self.posting = self.posting, []
--- a/linnetstile/node/front.py
+++ b/linnetstile/node/front.py
@@ -90,15 +90,23 @@
         if order and not cls.in_order:
             raise BadRequest(404, "messages of this class are handed in at /api")
         repeat = headers.get("X-Repeat")
-        return HandIn(ident, class_, tenant, int(dest[1]), keys[0] if keys else "", order, left_ms,
-                      repeat == "1", repeat.lower() == "again")
+        return HandIn(
+            ident,
+            class_,
+            tenant,
+            int(dest[1]),
+            keys[0] if keys else "",
+            order,
+            left_ms,
+            repeat == "1",
+            repeat.lower() == "again",
+        )
 
 
 Take = Callable[[server.Exchange, HandIn], None]
 
 
-def answer(exchange: server.Exchange, status: int, text: str = "", close: bool = False,
-           wait_ms: float = 0.0) -> bool:
+def answer(exchange: server.Exchange, status: int, text: str = "", close: bool = False, wait_ms: float = 0.0) -> bool:
     """False if the client has gone."""
     fields = [("Retry-After", f"{wait_ms / 1000:.3f}")] if wait_ms > 0 else []
     return exchange.reply(status, fields, f"{text}\n".encode() if text else b"", close)
@@ -112,8 +120,11 @@
         self.take, self.ready = take, ready
         self.closing = False
         self.server = server.Server(
-            self._request, self._head, http1.Limits(line=4096, head=HEAD, fields=64, body=BODY),
-            server.Bounds(bounds.clients, HEAD_S, IDLE_S, pipelined=8, write_bytes=BODY, sweep_s=0.25))
+            self._request,
+            self._head,
+            http1.Limits(line=4096, head=HEAD, fields=64, body=BODY),
+            server.Bounds(bounds.clients, HEAD_S, IDLE_S, pipelined=8, write_bytes=BODY, sweep_s=0.25),
+        )
         self.bad = 0  # requests that were answered with an error of the client's
 
     def _head(self, exchange: server.Exchange) -> None:
--- a/linnetstile/node/process.py
+++ b/linnetstile/node/process.py
@@ -41,14 +41,30 @@
         cpu, late = time.process_time(), node.loop.time() - self.due
         counts = dict(node.counts)
         lanes = [lane for lanes in node.relay.lanes.values() for lane in lanes.values()]
-        log("stats", cpu=round(cpu - self.cpu, 2), late_ms=round(late * 1000, 1), held=len(node.carried),
-            busy=node.relay.busy, notices=len(node.owed), clients=len(node.front.server.open), bad=node.front.bad,
-            calls=len(node.calls.pool.open), idle=node.calls.pool.resting, sick=sum(lane.sick for lane in lanes),
-            journal=node.journal.size, memory_mb=resource.getrusage(resource.RUSAGE_SELF).ru_maxrss >> 10,
+        log(
+            "stats",
+            cpu=round(cpu - self.cpu, 2),
+            late_ms=round(late * 1000, 1),
+            held=len(node.carried),
+            busy=node.relay.busy,
+            notices=len(node.owed),
+            clients=len(node.front.server.open),
+            bad=node.front.bad,
+            calls=len(node.calls.pool.open),
+            idle=node.calls.pool.resting,
+            sick=sum(lane.sick for lane in lanes),
+            journal=node.journal.size,
+            memory_mb=resource.getrusage(resource.RUSAGE_SELF).ru_maxrss >> 10,
             since={k: v - self.before.get(k, 0) for k, v in counts.items() if v != self.before.get(k, 0)},
-            watch={"opened": node.watch.opened, "garbled": node.watch.spoilt, "skipped": node.directory.skipped,
-                   "endpoints": len(node.directory)},
-            front=node.front.server.counts, pool=node.calls.pool.counts)
+            watch={
+                "opened": node.watch.opened,
+                "garbled": node.watch.spoilt,
+                "skipped": node.directory.skipped,
+                "endpoints": len(node.directory),
+            },
+            front=node.front.server.counts,
+            pool=node.calls.pool.counts,
+        )
         self.cpu, self.before = cpu, counts
         self.due = node.loop.time() + STATS_S
         node.loop.call_at(self.due, self._tell)
@@ -89,8 +105,9 @@
         print(f"linnetstile node: can't start: {error}", file=sys.stderr)
         return 3
     # What no caller sees: a fault in a callback. The message it was about is owed, and its deadline ends it.
-    loop.set_exception_handler(lambda _, told: log(
-        "fault", why=told.get("message", ""), error=repr(told.get("exception"))))
+    loop.set_exception_handler(
+        lambda _, told: log("fault", why=told.get("message", ""), error=repr(told.get("exception")))
+    )
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, node.leave)
     loop.add_signal_handler(signal.SIGHUP, reload, node)
--- a/linnetstile/node/relay.py
+++ b/linnetstile/node/relay.py
@@ -111,8 +111,14 @@
             self.log("discovery_silent", known=len(self.directory))
         self._resume(kept)
         self.ready = True
-        self.log("ready", listening=client.shown(self.s.listen), endpoints=len(self.directory),
-                 resumed=len(self.carried), notices=len(self.owed), damaged=self.journal.damaged)
+        self.log(
+            "ready",
+            listening=client.shown(self.s.listen),
+            endpoints=len(self.directory),
+            resumed=len(self.carried),
+            notices=len(self.owed),
+            damaged=self.journal.damaged,
+        )
 
     async def _settled(self) -> bool:
         """Whether discovery has told its list, as long as that may be waited for."""
@@ -152,10 +158,20 @@
             # A clock that was set back gives no message more time than it had.
             left = min(fields["due"] - unix, fields["due"] - fields["taken"])
             message = api.Message(ident, fields["dest"], class_, max(0.0, left), tenant, carried.order)
-            where = api.Endpoint(self.directory.number(risk[2]), fields["dest"], api.Listing.READY,
-                                 zone=risk[1]) if risk else None
-            self._tell(api.Resumed(message, max(0.0, unix - fields["taken"]), each.tries,
-                                   max(0.0, unix - risk[0]) if risk else None, where))
+            where = (
+                api.Endpoint(self.directory.number(risk[2]), fields["dest"], api.Listing.READY, zone=risk[1])
+                if risk
+                else None
+            )
+            self._tell(
+                api.Resumed(
+                    message,
+                    max(0.0, unix - fields["taken"]),
+                    each.tries,
+                    max(0.0, unix - risk[0]) if risk else None,
+                    where,
+                )
+            )
 
     @property
     def now(self) -> float:
@@ -212,8 +228,13 @@
         carried = self.carried[ident]
         self.count("refused" if refused else "failed")
         if carried.exchange is not None:
-            answer(carried.exchange, 503 if refused else 500, "refused" if refused else "failed",
-                   close=self.front.closing, wait_ms=stay_ms)
+            answer(
+                carried.exchange,
+                503 if refused else 500,
+                "refused" if refused else "failed",
+                close=self.front.closing,
+                wait_ms=stay_ms,
+            )
             carried.exchange = None
             self._forget(ident)
             return
@@ -275,17 +296,38 @@
         tenant = module.tenants[hand.tenant].name if module.tenants else ""
         cls = module.classes[hand.class_]
         order = order_number(hand.order, hand.key, cls)
-        kept = Kept(self.last, {"ident": hand.ident, "class": cls.name, "tenant": tenant, "dest": hand.destination,
-                                "key": hand.key, "order": order, "taken": round(unix, 1),
-                                "due": round(unix + left, 1)}, exchange.body)
+        kept = Kept(
+            self.last,
+            {
+                "ident": hand.ident,
+                "class": cls.name,
+                "tenant": tenant,
+                "dest": hand.destination,
+                "key": hand.key,
+                "order": order,
+                "taken": round(unix, 1),
+                "due": round(unix + left, 1),
+            },
+            exchange.body,
+        )
         carried = Carried(kept, exchange)
         exchange.body = b""
         self.carried[self.last] = carried
         self.journal.live += self.journal.weight(kept)
         self.idents.take(hand.ident)
         self.fresh.append(carried)
-        self._tell(api.Message(self.last, hand.destination, hand.class_, left, hand.tenant, order,
-                               again=hand.again, from_dead_relay=hand.from_dead))
+        self._tell(
+            api.Message(
+                self.last,
+                hand.destination,
+                hand.class_,
+                left,
+                hand.tenant,
+                order,
+                again=hand.again,
+                from_dead_relay=hand.from_dead,
+            )
+        )
 
     def _promise(self, fresh: list[Carried]) -> None:
         """Taken on: written down first, then told. What its client can't hear of is withdrawn."""
@@ -342,12 +384,19 @@
             if carried.key:
                 fields.append(("Idempotency-Key", carried.key))
             attempt.call = self.calls.send(
-                attempt.place, fields, carried.kept.body, send.give_up_at_ms - self.now, send.hold_ms,
-                send.begin_by_ms - self.now, carried.kept.fields["due"] - unix,
-                partial(self._ended, send, carried, attempt))
-
-    def _ended(self, send: api.Send, carried: Carried, attempt: Attempt, proof: Proof,
-               report: tuple[float, ...], reused: bool) -> None:
+                attempt.place,
+                fields,
+                carried.kept.body,
+                send.give_up_at_ms - self.now,
+                send.hold_ms,
+                send.begin_by_ms - self.now,
+                carried.kept.fields["due"] - unix,
+                partial(self._ended, send, carried, attempt),
+            )
+
+    def _ended(
+        self, send: api.Send, carried: Carried, attempt: Attempt, proof: Proof, report: tuple[float, ...], reused: bool
+    ) -> None:
         kept, outcome = carried.kept, proof.outcome
         attempt.call = None
         carried.attempt = None
@@ -357,8 +406,20 @@
             kept.risk = kept.out
         kept.out = None
         self.journal.add(journal.ended(kept.id) if proof.finished else journal.outcome(kept.id, risky))
-        self._tell(api.AttemptEnded(send.id, attempt.number, send.endpoint, outcome, self.now - attempt.began,
-                                    proof.finished, proof.wait_ms, proof.no_slot, report, reused))
+        self._tell(
+            api.AttemptEnded(
+                send.id,
+                attempt.number,
+                send.endpoint,
+                outcome,
+                self.now - attempt.began,
+                proof.finished,
+                proof.wait_ms,
+                proof.no_slot,
+                report,
+                reused,
+            )
+        )
         if proof.finished:
             self._forget(kept.id)
 
--- a/linnetstile/service/admin.py
+++ b/linnetstile/service/admin.py
@@ -85,56 +85,106 @@
         rows = []
         for conn in service.server.open:
             origin = origin_of(conn.current)
-            rows.append({
-                "side": "client", "peer": conn.peer(), "phase": conn.phase, "age_s": round(now - conn.opened, 1),
-                "phase_s": round(now - conn.since, 1), "read": conn.came, "unsent": conn.unsent,
-                "patience": round(conn.patience, 2),
-                "message": origin.message if origin else "", "sender": origin.sender if origin else "",
-                "partner": origin.partner if origin else ""})
+            rows.append(
+                {
+                    "side": "client",
+                    "peer": conn.peer(),
+                    "phase": conn.phase,
+                    "age_s": round(now - conn.opened, 1),
+                    "phase_s": round(now - conn.since, 1),
+                    "read": conn.came,
+                    "unsent": conn.unsent,
+                    "patience": round(conn.patience, 2),
+                    "message": origin.message if origin else "",
+                    "sender": origin.sender if origin else "",
+                    "partner": origin.partner if origin else "",
+                }
+            )
         places = service.register.places.values()
         partners: dict[client.Address, str] = {place.address: place.partner for place in places}
         for out in service.pool.open:
             busy = "request" if out.partial else "answer" if out.came else "work"
             phase = "idle" if out.call is None else busy
-            rows.append({
-                "side": "partner", "peer": client.shown(out.address), "phase": phase,
-                "age_s": round(now - out.began, 1), "phase_s": round(now - out.began, 1), "read": out.came,
-                "unsent": out.unsent if not out.dead else 0,
-                "patience": round(out.patience, 2),
-                "message": "", "sender": "", "partner": partners.get(out.address, "")})
+            rows.append(
+                {
+                    "side": "partner",
+                    "peer": client.shown(out.address),
+                    "phase": phase,
+                    "age_s": round(now - out.began, 1),
+                    "phase_s": round(now - out.began, 1),
+                    "read": out.came,
+                    "unsent": out.unsent if not out.dead else 0,
+                    "patience": round(out.patience, 2),
+                    "message": "",
+                    "sender": "",
+                    "partner": partners.get(out.address, ""),
+                }
+            )
         rows.sort(key=lambda row: (-float(str(row["phase_s"])), str(row["peer"])))
         phases = Counter(f"{row['side']} {row['phase']}" for row in rows)
-        return {"total": len(rows), "bound": service.server.bounds.connections, "phases": dict(sorted(phases.items())),
-                "rows": rows[:ROWS]}
+        return {
+            "total": len(rows),
+            "bound": service.server.bounds.connections,
+            "phases": dict(sorted(phases.items())),
+            "rows": rows[:ROWS],
+        }
 
     def queues(self) -> dict[str, Any]:
         """Who holds how much of the room, and what their fair part is; then what waits for each partner."""
         service = self.service
         shares = service.room.shares
-        parties = [{"tree": tree, "party": party.path(), "bytes": int(party.held[BYTES]),
-                    "messages": int(party.held[MESSAGES]), "waiting": party.waits, "weight": party.weight,
-                    "fair_bytes": int(shares.fair(party, BYTES)), "fair_messages": int(shares.fair(party, MESSAGES))}
-                   for tree, party in shares.parties()]
+        parties = [
+            {
+                "tree": tree,
+                "party": party.path(),
+                "bytes": int(party.held[BYTES]),
+                "messages": int(party.held[MESSAGES]),
+                "waiting": party.waits,
+                "weight": party.weight,
+                "fair_bytes": int(shares.fair(party, BYTES)),
+                "fair_messages": int(shares.fair(party, MESSAGES)),
+            }
+            for tree, party in shares.parties()
+        ]
         parties.sort(key=lambda row: -int(str(row["bytes"])))
         names = {number: name for name, number in service.register.partners.items()}
         out = Counter(carried.head.receiver for carried in service.carried.values() if carried.attempt is not None)
-        partners = [{"partner": names.get(dest, "?"), "queued": len(queue), "out": out.get(names.get(dest, "?"), 0)}
-                    for dest, queue in service.relay.board.queues.items()]
+        partners = [
+            {"partner": names.get(dest, "?"), "queued": len(queue), "out": out.get(names.get(dest, "?"), 0)}
+            for dest, queue in service.relay.board.queues.items()
+        ]
         listed = {row["partner"] for row in partners}
         partners += [{"partner": name, "queued": 0, "out": n} for name, n in out.items() if name not in listed]
         partners.sort(key=lambda row: -int(str(row["queued"])))
-        return {"room": {"bytes": shares.room[BYTES], "held_bytes": int(shares.held[BYTES]),
-                         "messages": shares.room[MESSAGES], "held_messages": int(shares.held[MESSAGES]),
-                         "waiting": len(service.room.waiting), "slots": service.s.limits.slots,
-                         "slots_out": service.relay.busy}, "total": len(parties), "parties": parties[:ROWS],
-                "partners": partners[:ROWS]}
+        return {
+            "room": {
+                "bytes": shares.room[BYTES],
+                "held_bytes": int(shares.held[BYTES]),
+                "messages": shares.room[MESSAGES],
+                "held_messages": int(shares.held[MESSAGES]),
+                "waiting": len(service.room.waiting),
+                "slots": service.s.limits.slots,
+                "slots_out": service.relay.busy,
+            },
+            "total": len(parties),
+            "parties": parties[:ROWS],
+            "partners": partners[:ROWS],
+        }
 
     def slow(self) -> dict[str, Any]:
         """Offices by slot time, the slow ones first, and why."""
         now, offices = self.service.room.now, self.service.room.offices
-        rows = [{"partner": o.name, "slow_s": round((now - o.slow_since) / 1000, 1) if o.slow_since else None,
-                 "slot_ms": round(offices.time(now, o)), "out": len(o.out), "entered": o.entered, "why": o.why}
-                for o in offices.known.values()]
+        rows = [
+            {
+                "partner": o.name,
+                "slow_s": round((now - o.slow_since) / 1000, 1) if o.slow_since else None,
+                "slot_ms": round(offices.time(now, o)),
+                "out": len(o.out),
+                "entered": o.entered,
+                "why": o.why,
+            }
+            for o in offices.known.values()
+        ]
         rows.sort(key=lambda row: (row["slow_s"] is None, -int(str(row["slot_ms"]))))
         return {"usual_ms": round(offices.usual()), "total": len(rows), "rows": rows[:ROWS]}
 
@@ -157,15 +207,22 @@
             yield Sample(f"room_{name}", "gauge", "The bound on what is held.", shares.room[n])
             for tree, root in shares.trees.items():
                 for party in root.children.values():
-                    yield Sample(f"party_held_{name}", "gauge", "Held by tenant (from) or partner (to).",
-                                 party.held[n], (("tree", tree), ("party", party.name)))
-        yield Sample("waiting_for_room", "gauge", "Requests that are not read on for want of room.",
-                     len(service.room.waiting))
+                    yield Sample(
+                        f"party_held_{name}",
+                        "gauge",
+                        "Held by tenant (from) or partner (to).",
+                        party.held[n],
+                        (("tree", tree), ("party", party.name)),
+                    )
+        yield Sample(
+            "waiting_for_room", "gauge", "Requests that are not read on for want of room.", len(service.room.waiting)
+        )
         yield Sample("slots_out", "gauge", "Calls out.", service.relay.busy)
         yield Sample("slots", "gauge", "Calls that may be out.", service.s.limits.slots)
         yield Sample("memory_bound_bytes", "gauge", "What the process is to stay under.", service.s.memory_bound())
         for row in self.slow()["rows"]:
             labels = (("partner", str(row["partner"])),)
-            yield Sample("partner_slow", "gauge", "1 while the partner counts as slow.",
-                         float(row["slow_s"] is not None), labels)
+            yield Sample(
+                "partner_slow", "gauge", "1 while the partner counts as slow.", float(row["slow_s"] is not None), labels
+            )
             yield Sample("partner_slot_ms", "gauge", "Slot time of an attempt.", row["slot_ms"], labels)
--- a/linnetstile/service/knowledge.py
+++ b/linnetstile/service/knowledge.py
@@ -86,8 +86,16 @@
 class Knowledge:
     """One relay's part in it."""
 
-    def __init__(self, settings: KnowledgeSettings, relay: Relay, name: str, run: str, names: dict[str, int],
-                 tell: Callable[[api.Event], None], log: Any) -> None:
+    def __init__(
+        self,
+        settings: KnowledgeSettings,
+        relay: Relay,
+        name: str,
+        run: str,
+        names: dict[str, int],
+        tell: Callable[[api.Event], None],
+        log: Any,
+    ) -> None:
         self.s = settings
         self.relay = relay
         self.name = name
@@ -108,8 +116,18 @@
         self.before: tuple[float, tuple[Claim, ...]] | None = None  # own snapshot: when read, claims then
         self.taken: dict[tuple[str, int], dict[str, Any]] = {}  # the latest of each lane
         self.doubts: dict[Doubt, int] = {}
-        self.counts = {"asked": 0, "answered": 0, "no_answer": 0, "unreadable": 0, "handed_out": 0, "denied": 0,
-                       "taken": 0, "doubted": 0, "snapshots": 0, "snapshots_failed": 0}
+        self.counts = {
+            "asked": 0,
+            "answered": 0,
+            "no_answer": 0,
+            "unreadable": 0,
+            "handed_out": 0,
+            "denied": 0,
+            "taken": 0,
+            "doubted": 0,
+            "snapshots": 0,
+            "snapshots_failed": 0,
+        }
         self.timers: list[asyncio.TimerHandle] = []
         self.writing = False
 
@@ -149,9 +167,17 @@
                 self.changed[lane] = mark, self.version
         sent = [each for each in found if self.changed[each.partner, each.route][1] > since]
         peers = (self.members.alive() if self.members else [])[:TOLD_MAX]
-        return {"format": FORMAT, "relay": self.name, "run": self.run, "version": self.version, "since": since,
-                "relays": self.relay.s.relays, "peers": peers, "few_connections": recall.few(self.relay),
-                "claims": [{name: getattr(each, name) for name in Claim.__slots__} for each in sent]}
+        return {
+            "format": FORMAT,
+            "relay": self.name,
+            "run": self.run,
+            "version": self.version,
+            "since": since,
+            "relays": self.relay.s.relays,
+            "peers": peers,
+            "few_connections": recall.few(self.relay),
+            "claims": [{name: getattr(each, name) for name in Claim.__slots__} for each in sent],
+        }
 
     def serve(self, exchange: server.Exchange) -> None:
         """GET /knowledge?since=V with the token as bearer; /knowledge/state is for operators."""
@@ -169,8 +195,11 @@
         found = self.document(since)
         self.counts["handed_out"] += 1
         if query.get("look") != "1":  # another relay now knows of these outages; an operator's look is no relay
-            told = tuple((self.numbers[each["partner"]], each["route"]) for each in found["claims"]
-                         if each["out_age"] is not None or each["cold_age"] is not None)
+            told = tuple(
+                (self.numbers[each["partner"]], each["route"])
+                for each in found["claims"]
+                if each["out_age"] is not None or each["cold_age"] is not None
+            )
             if told:
                 self.tell(api.Shared(told))
         exchange.reply(200, [("Content-Type", "application/json")], json.dumps(found).encode())
@@ -185,11 +214,13 @@
             since = self.peers_version.get(peer, 0)
             run = self.members.peers[peer].run
             target = "/knowledge" + (f"?since={run}.{since}" if since else "")
-            data = http1.request("GET", target, [("Host", peer), ("Authorization", f"Bearer {self.token}"),
-                                                 ("Via", f"1.1 {self.name}")])
+            data = http1.request(
+                "GET", target, [("Host", peer), ("Authorization", f"Bearer {self.token}"), ("Via", f"1.1 {self.name}")]
+            )
             asked = self.now
-            self.pool.call(split(peer), "GET", data, lambda answer: self._answered(peer, asked, answer),
-                           self.loop.time() + ASK_S)
+            self.pool.call(
+                split(peer), "GET", data, lambda answer: self._answered(peer, asked, answer), self.loop.time() + ASK_S
+            )
         self.timers = [timer for timer in self.timers if timer.when() > self.loop.time()]
         self.timers.append(self.loop.call_later(0.05 if self.members.fresh else 0.5, self._ask))
 
@@ -222,8 +253,13 @@
         self.fleet[peer] = float(found.relays)
         self.peers_version[peer] = found.version
         if found.relays != self.relay.s.relays:
-            self.log.warning(names.KNOWLEDGE_OTHER_FLEET, peer=peer, its=found.relays, own=self.relay.s.relays,
-                             taken="the own number for limits, the larger for learned outages")
+            self.log.warning(
+                names.KNOWLEDGE_OTHER_FLEET,
+                peer=peer,
+                its=found.relays,
+                own=self.relay.s.relays,
+                taken="the own number for limits, the larger for learned outages",
+            )
         self.learn()
 
     def _standing(self, peer: str) -> str:
@@ -233,8 +269,10 @@
     def learn(self) -> None:
         """Weighs all sources anew and tells the module what there is to take. Called with each answer and list."""
         now = self.now
-        sources = [Source(peer, False, tuple(claim.older(now - at) for claim in known.values()))
-                   for peer, (at, known) in self.heard.items()]
+        sources = [
+            Source(peer, False, tuple(claim.older(now - at) for claim in known.values()))
+            for peer, (at, known) in self.heard.items()
+        ]
         if self.before:
             at, claims = self.before
             sources.append(Source("snapshot", True, tuple(claim.older(now - at) for claim in claims)))
@@ -256,18 +294,39 @@
         known = tuple((kinds.index(kind), part) for kind, part in few.items() if kind in kinds)
         if not found and not known:
             return
-        facts = tuple(api.LaneFacts(self.numbers[each.partner], each.route, each.out_ms, each.cold_ms, each.wait_ms,
-                                    each.mean_ms, each.dev_ms, each.answers, each.knowers, each.pace)
-                      for each in found)
+        facts = tuple(
+            api.LaneFacts(
+                self.numbers[each.partner],
+                each.route,
+                each.out_ms,
+                each.cold_ms,
+                each.wait_ms,
+                each.mean_ms,
+                each.dev_ms,
+                each.answers,
+                each.knowers,
+                each.pace,
+            )
+            for each in found
+        )
         cautions = [each for each in found if each.out_ms is not None or each.cold_ms is not None or each.wait_ms]
         self.counts["taken"] += len(found)
         if cautions:
             shown = [
-                {"partner": c.partner, "route": c.route, "out_ms": c.out_ms, "cold_ms": c.cold_ms, "wait_ms": c.wait_ms,
-                 "sources": c.sources, "age_ms": round(c.age_ms) if c.age_ms < 1e12 else None}
-                for c in cautions[:20]]
-            self.log.info(names.KNOWLEDGE_TAKEN, sources=[source.name for source in sources], lanes=len(found),
-                          cautions=shown)
+                {
+                    "partner": c.partner,
+                    "route": c.route,
+                    "out_ms": c.out_ms,
+                    "cold_ms": c.cold_ms,
+                    "wait_ms": c.wait_ms,
+                    "sources": c.sources,
+                    "age_ms": round(c.age_ms) if c.age_ms < 1e12 else None,
+                }
+                for c in cautions[:20]
+            ]
+            self.log.info(
+                names.KNOWLEDGE_TAKEN, sources=[source.name for source in sources], lanes=len(found), cautions=shown
+            )
         for each in found:
             if len(self.taken) < LESSONS_KEPT or (each.partner, each.route) in self.taken:
                 row = {name: getattr(each, name) for name in each.__slots__}
@@ -320,11 +379,24 @@
         """For operators: members, what was taken and doubted."""
         now, members = self.now, self.members.peers.values() if self.members else []
         taken = [{**row, "taken_ms_ago": round(now - row["taken_at"])} for row in self.taken.values()]
-        return {"run": self.run, "counts": self.counts, "taken": taken,
-                "doubted": [{"source": d.source, "partner": d.partner, "why": d.reason, "times": n}
-                            for d, n in list(self.doubts.items())[:LESSONS_KEPT]],
-                "peers": [{"address": p.address, "standing": p.standing.value, "fails": p.fails,
-                           "heard_ms_ago": round(now - p.heard_at) if p.run else None} for p in members]}
+        return {
+            "run": self.run,
+            "counts": self.counts,
+            "taken": taken,
+            "doubted": [
+                {"source": d.source, "partner": d.partner, "why": d.reason, "times": n}
+                for d, n in list(self.doubts.items())[:LESSONS_KEPT]
+            ],
+            "peers": [
+                {
+                    "address": p.address,
+                    "standing": p.standing.value,
+                    "fails": p.fails,
+                    "heard_ms_ago": round(now - p.heard_at) if p.run else None,
+                }
+                for p in members
+            ],
+        }
 
 
 def load(path: Path) -> Document:
--- a/linnetstile/service/process.py
+++ b/linnetstile/service/process.py
@@ -26,9 +26,13 @@
         resource.setrlimit(resource.RLIMIT_NOFILE, (soft, hard))
     if soft != resource.RLIM_INFINITY and soft < need:
         fewer = max(16, settings.limits.connections - (need - soft))
-        log.warning(names.FILES, open_files_limit=soft, needed=need, connections=fewer,
-                    why=f"limits.connections is {settings.limits.connections}: raise the limit on open files, or "
-                        "lower it")
+        log.warning(
+            names.FILES,
+            open_files_limit=soft,
+            needed=need,
+            connections=fewer,
+            why=f"limits.connections is {settings.limits.connections}: raise the limit on open files, or lower it",
+        )
         return settings.model_copy(update={"limits": settings.limits.model_copy(update={"connections": fewer})})
     return settings
 
@@ -51,8 +55,9 @@
         return 3
     loop = asyncio.get_running_loop()
     # What no caller sees: a listener without descriptors (asyncio pauses it for a second), a fault in a callback.
-    loop.set_exception_handler(lambda _, told: log.error(
-        names.FAULT, why=told.get("message", ""), error=repr(told.get("exception"))))
+    loop.set_exception_handler(
+        lambda _, told: log.error(names.FAULT, why=told.get("message", ""), error=repr(told.get("exception")))
+    )
 
     def stop() -> None:
         if service.stopping:
@@ -61,8 +66,14 @@
 
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, stop)
-    log.info(names.STARTED, address=address, slots=settings.limits.slots, hold=settings.limits.hold,
-             memory_bound_mb=settings.memory_bound() >> 20, open_files_bound=settings.files_bound())
+    log.info(
+        names.STARTED,
+        address=address,
+        slots=settings.limits.slots,
+        hold=settings.limits.hold,
+        memory_bound_mb=settings.memory_bound() >> 20,
+        open_files_bound=settings.files_bound(),
+    )
     line = json.dumps({"listening": address, "name": settings.name})
     if ready is not None:
         ready.write_text(line + "\n")
--- a/linnetstile/service/receipts.py
+++ b/linnetstile/service/receipts.py
@@ -11,8 +11,18 @@
 from ..decisions.evidence import Receipt
 
 # Of the partner's answer, what its receipt needs to be read and proven by the client.
-HANDED_ON = {"content-type", "content-transfer-encoding", "message-id", "as2-from", "as2-to", "as2-version", "date",
-             "subject", "mime-version", "ediint-features"}
+HANDED_ON = {
+    "content-type",
+    "content-transfer-encoding",
+    "message-id",
+    "as2-from",
+    "as2-to",
+    "as2-version",
+    "date",
+    "subject",
+    "mime-version",
+    "ediint-features",
+}
 
 
 @dataclass(frozen=True, slots=True)
@@ -30,8 +40,11 @@
     def __init__(self, settings: RelaySettings) -> None:
         self.sha1 = settings.receipts_sha1
         self.name = settings.identity.as2_name
-        self.certificates = {name: cms.load_certificate(partner.certificate.read_bytes())
-                             for name, partner in settings.partners.items() if partner.certificate}
+        self.certificates = {
+            name: cms.load_certificate(partner.certificate.read_bytes())
+            for name, partner in settings.partners.items()
+            if partner.certificate
+        }
         pem = settings.identity.pem
         self.identity = cms.load(pem.read_bytes()) if pem else None
         self.count = 0
@@ -74,8 +87,9 @@
     @staticmethod
     def _mic(head: as2.Head, sent: Headers, body: bytes, found: mdn.Mdn) -> Receipt:
         try:
-            opened, plain = cms.opened(sent.get("content-type", "application/octet-stream"),
-                                       sent.get("content-transfer-encoding"), body, None)
+            opened, plain = cms.opened(
+                sent.get("content-type", "application/octet-stream"), sent.get("content-transfer-encoding"), body, None
+            )
             if opened is None:  # encrypted: its digest is the client's to compare, the bytes were not touched
                 return Receipt.POSITIVE
             if not found.mic:
@@ -88,14 +102,23 @@
 
     def own(self, head: as2.Head, text: str) -> Answer:
         """The relay's receipt that says failed, signed where it has a key."""
-        return self._made(head, mdn.Mdn(head.id, head.receiver, "failed", "failure", text.split("\n")[0][:200],
-                                        text=text))
+        return self._made(
+            head, mdn.Mdn(head.id, head.receiver, "failed", "failure", text.split("\n")[0][:200], text=text)
+        )
 
     def again(self, head: as2.Head, kind: str) -> Answer:
         """What is said of a message whose receipt was given and is not kept any more (limits.remember_bytes)."""
         if kind == "delivered":
-            return self._made(head, mdn.Mdn(head.id, head.receiver, modifier="warning", detail="duplicate-document",
-                                            text="delivered before; the partner's receipt was given then"))
+            return self._made(
+                head,
+                mdn.Mdn(
+                    head.id,
+                    head.receiver,
+                    modifier="warning",
+                    detail="duplicate-document",
+                    text="delivered before; the partner's receipt was given then",
+                ),
+            )
         return self.own(head, f"{kind} before; the answer was given then")
 
     def _made(self, head: as2.Head, found: mdn.Mdn) -> Answer:
@@ -105,8 +128,17 @@
             kind, body = cms.sign(entity, self.identity)
         self.count += 1
         ident = f"<{time.time_ns():x}.{self.count}@{self.name}>".replace(" ", "-")
-        return Answer(200, (("Content-Type", kind), ("AS2-Version", "1.2"), ("AS2-From", as2.quoted(self.name)),
-                            ("AS2-To", as2.quoted(head.sender)), ("Message-ID", ident)), body)
+        return Answer(
+            200,
+            (
+                ("Content-Type", kind),
+                ("AS2-Version", "1.2"),
+                ("AS2-From", as2.quoted(self.name)),
+                ("AS2-To", as2.quoted(head.sender)),
+                ("Message-ID", ident),
+            ),
+            body,
+        )
 
     @staticmethod
     def handed_on(status: int, got: Headers, body: bytes) -> Answer:
--- a/linnetstile/service/register.py
+++ b/linnetstile/service/register.py
@@ -56,8 +56,15 @@
 class Register:
     """Keeps `places` and the numbers of partners; hands each list on to `tell`."""
 
-    def __init__(self, url: str, name: str, kinds: list[str], zones: list[str],
-                 tell: Callable[[api.EndpointList], None], log: Any) -> None:
+    def __init__(
+        self,
+        url: str,
+        name: str,
+        kinds: list[str],
+        zones: list[str],
+        tell: Callable[[api.EndpointList], None],
+        log: Any,
+    ) -> None:
         parts = urllib.parse.urlsplit(url)
         self.address, self.host = split(loopback(parts.netloc)), parts.netloc
         self.base = parts.path.rstrip("/")
@@ -136,11 +143,23 @@
             number = self.partners.setdefault(entry.partner, len(self.partners))
             if entry.status != "gone":
                 self.places[entry.id] = Place(entry)
-            entries.append(api.Endpoint(
-                entry.id, number, STATES[entry.status], self.kinds.get(entry.kind, len(self.kinds)),
-                self.zones.get(entry.zone, len(self.zones)), entry.rate))
-        self.log.info(names.REGISTER, result=kind.value, version=self.version, entries=len(entries),
-                      not_ready=[e.id for e in document.entries if e.status != "ready"])
+            entries.append(
+                api.Endpoint(
+                    entry.id,
+                    number,
+                    STATES[entry.status],
+                    self.kinds.get(entry.kind, len(self.kinds)),
+                    self.zones.get(entry.zone, len(self.zones)),
+                    entry.rate,
+                )
+            )
+        self.log.info(
+            names.REGISTER,
+            result=kind.value,
+            version=self.version,
+            entries=len(entries),
+            not_ready=[e.id for e in document.entries if e.status != "ready"],
+        )
         self.tell(api.EndpointList(kind, tuple(entries)))
         self._watch()
 
--- a/linnetstile/service/relay.py
+++ b/linnetstile/service/relay.py
@@ -34,8 +34,20 @@
 from .room import Origin, Room, origin_of
 
 # Hop by hop (RFC 9110, 7.6.1) or ours to say; all else of the client's head goes on as it came.
-NOT_FORWARDED = {"host", "connection", "keep-alive", "proxy-connection", "te", "trailer", "transfer-encoding",
-                 "upgrade", "content-length", "expect", "receipt-delivery-option", "via"}
+NOT_FORWARDED = {
+    "host",
+    "connection",
+    "keep-alive",
+    "proxy-connection",
+    "te",
+    "trailer",
+    "transfer-encoding",
+    "upgrade",
+    "content-length",
+    "expect",
+    "receipt-delivery-option",
+    "via",
+}
 # What kind of final answer this is: delivered, rejected (by the partner), refused, failed; or conflict, which is an
 # answer to the identifier and not to the message.
 ANSWER = "Linnetstile-Answer"
@@ -99,9 +111,14 @@
 def load_keys(settings: RelaySettings) -> tuple[Keys | None, dict[str, Keys]]:
     """The listener's, and by partner. Raises TlsError."""
     tls = settings.tls
-    return (Keys(True, tls.certificate, tls.key, tls.client_authorities, tls.need_client) if tls else None,
-            {name: Keys(False, each.tls.certificate, each.tls.key, each.tls.authorities)
-             for name, each in settings.partners.items() if each.tls})
+    return (
+        Keys(True, tls.certificate, tls.key, tls.client_authorities, tls.need_client) if tls else None,
+        {
+            name: Keys(False, each.tls.certificate, each.tls.key, each.tls.authorities)
+            for name, each in settings.partners.items()
+            if each.tls
+        },
+    )
 
 
 class Service:
@@ -116,24 +133,47 @@
         self.relay = Relay(module, settings.seed if seed is None else seed)
         self.router = Router(settings.router_rules())
         self.identifiers: Identifiers[Carried, Answer] = Identifiers(
-            limits.remember_ms, limits.remember, limits.remember_bytes, lambda answer: len(answer.body),
-            lambda answer: Answer(answer.status, (), b"", answer.kind, False))
+            limits.remember_ms,
+            limits.remember,
+            limits.remember_bytes,
+            lambda answer: len(answer.body),
+            lambda answer: Answer(answer.status, (), b"", answer.kind, False),
+        )
         self.receipts = Receipts(settings)
-        self.register = Register(settings.register_url, settings.name, list(settings.kinds), list(settings.zones),
-                                 self._listed, log)
+        self.register = Register(
+            settings.register_url, settings.name, list(settings.kinds), list(settings.zones), self._listed, log
+        )
         bounds = http1.Limits(body=limits.body_bytes, head=limits.head_bytes)
         stall_s = limits.stall_ms / 1000
         self.pool = client.Pool(
-            limits.connect_timeout_ms / 1000, limits.idle_ms / 1000, http1.Limits(body=limits.receipt_bytes),
-            client.Rates(limits.request_rate, limits.response_rate, stall_s), self._slow_partner)
-        self.room = Room(limits, module.hold, {name: t.weight for name, t in settings.tenants.items()}, log,
-                         self._no_room)
+            limits.connect_timeout_ms / 1000,
+            limits.idle_ms / 1000,
+            http1.Limits(body=limits.receipt_bytes),
+            client.Rates(limits.request_rate, limits.response_rate, stall_s),
+            self._slow_partner,
+        )
+        self.room = Room(
+            limits, module.hold, {name: t.weight for name, t in settings.tenants.items()}, log, self._no_room
+        )
         self.keys, self.partner_keys = load_keys(settings)
         self.server = server.Server(
-            self._request, self._head, bounds,
-            server.Bounds(limits.connections, limits.head_ms / 1000, body_rate=limits.body_rate,
-                          answer_rate=limits.answer_rate, grace_s=stall_s, sweep_s=0.25),
-            self._bad_peer, self.room.admit, self.room.ended, self._slow_client, self.keys)
+            self._request,
+            self._head,
+            bounds,
+            server.Bounds(
+                limits.connections,
+                limits.head_ms / 1000,
+                body_rate=limits.body_rate,
+                answer_rate=limits.answer_rate,
+                grace_s=stall_s,
+                sweep_s=0.25,
+            ),
+            self._bad_peer,
+            self.room.admit,
+            self.room.ended,
+            self._slow_client,
+            self.keys,
+        )
         self.periodic: list[asyncio.TimerHandle] = []
         self.admin = Admin(self, settings.admin, settings.metrics) if settings.admin or settings.metrics else None
         self.carried: dict[int, Carried] = {}
@@ -148,8 +188,9 @@
         self.handbacks: set[asyncio.TimerHandle] = set()
         self.posting = 0
         self.to_post: deque[tuple[tuple[str, int], bytes, str, int]] = deque()
-        self.knowledge = Knowledge(settings.knowledge, self.relay, settings.name, secrets.token_hex(6),
-                                   self.register.partners, self._tell, log)
+        self.knowledge = Knowledge(
+            settings.knowledge, self.relay, settings.name, secrets.token_hex(6), self.register.partners, self._tell, log
+        )
 
     async def start(self) -> str:
         """Listens and asks for the list; returns the address."""
@@ -180,8 +221,13 @@
 
     def _overtime(self) -> None:
         for carried in self.carried.values():
-            self.log.error(names.UNFINISHED, message=carried.head.id, partner=carried.head.receiver,
-                           attempts=carried.tries, out=carried.attempt is not None)
+            self.log.error(
+                names.UNFINISHED,
+                message=carried.head.id,
+                partner=carried.head.receiver,
+                attempts=carried.tries,
+                out=carried.attempt is not None,
+            )
         self.stopped.set()
 
     def _maybe_stopped(self) -> None:
@@ -234,8 +280,15 @@
     def _slow_client(self, conn: server.Connection, why: str) -> None:
         self.count(f"let_go_{why}")
         origin = origin_of(conn.current)
-        self.log.warning(names.LET_GO, peer=conn.peer(), bound=why, phase=conn.phase, read=conn.came,
-                         message=origin.message if origin else "", sender=origin.sender if origin else "")
+        self.log.warning(
+            names.LET_GO,
+            peer=conn.peer(),
+            bound=why,
+            phase=conn.phase,
+            read=conn.came,
+            message=origin.message if origin else "",
+            sender=origin.sender if origin else "",
+        )
 
     def _slow_partner(self, conn: client.ClientConnection, why: str) -> None:
         self.count(f"partner_let_go_{why.partition(':')[0]}")
@@ -366,10 +419,18 @@
         tenants = list(self.s.tenants)
         tenant = tenants[rule.tenant] if rule.tenant < len(tenants) else ""
         shown = exchange.conn.tls.certificate() if exchange.conn.tls else ""
-        exchange.who = found = Sorted(tenant, shown or exchange.conn.where, head.sender, head.receiver, head.id,
-                              head=head, rule=rule, hash=hashlib.blake2b(
-                                  headers.get("content-type").encode() + b"\0" + head.receiver.encode() + b"\0",
-                                  digest_size=16))
+        exchange.who = found = Sorted(
+            tenant,
+            shown or exchange.conn.where,
+            head.sender,
+            head.receiver,
+            head.id,
+            head=head,
+            rule=rule,
+            hash=hashlib.blake2b(
+                headers.get("content-type").encode() + b"\0" + head.receiver.encode() + b"\0", digest_size=16
+            ),
+        )
         exchange.sink = found.hash.update  # as it comes: 200 MB in one go would hold up everybody
 
     def _status(self, head: http1.Request) -> Answer | None:
@@ -414,8 +475,9 @@
         else:
             self._take(exchange, head, rule.class_, rule.tenant, partner, digest)
 
-    def _take(self, exchange: server.Exchange, head: as2.Head, class_: int, tenant: int, partner: int,
-              digest: bytes) -> None:
+    def _take(
+        self, exchange: server.Exchange, head: as2.Head, class_: int, tenant: int, partner: int, digest: bytes
+    ) -> None:
         self.ids += 1
         cls = self.classes[class_]
         due = exchange.began * 1000 + cls.deadline_ms
@@ -454,8 +516,13 @@
         if place is None:
             self._outcome(carried, attempt, Seen(Sight.NOT_SENT), None)
             return
-        self.log.debug(names.ATTEMPT, message=carried.head.id, attempt=attempt.number, endpoint=endpoint,
-                       until_ms=round(until - self.now))
+        self.log.debug(
+            names.ATTEMPT,
+            message=carried.head.id,
+            attempt=attempt.number,
+            endpoint=endpoint,
+            until_ms=round(until - self.now),
+        )
         secure = None
         if place.secure:
             keys, own = self.partner_keys.get(carried.head.receiver), self.s.partners.get(carried.head.receiver)
@@ -465,9 +532,15 @@
                 return
             secure = keys, own.tls.name or place.address[0]
         data = http1.request_parts("POST", place.target, self._fields(carried, attempt, place), carried.body)
-        attempt.call = self.pool.call(place.address, "POST", data,
-                                      lambda answer: self._answered(carried, attempt, answer), until / 1000, secure,
-                                      begin_by=begin_by / 1000)
+        attempt.call = self.pool.call(
+            place.address,
+            "POST",
+            data,
+            lambda answer: self._answered(carried, attempt, answer),
+            until / 1000,
+            secure,
+            begin_by=begin_by / 1000,
+        )
         if attempt.token:
             attempt.timer = self.loop.call_at(until / 1000, self._no_receipt, carried, attempt)
 
@@ -496,8 +569,12 @@
         receipt = Receipt.NOT_ASKED
         if 200 <= status < 300:
             receipt = self.receipts.judge(carried.head, carried.headers, carried.body, headers, answer.body)
-        self._outcome(carried, attempt, Seen(Sight.ANSWERED, status, retry_after(headers), receipt, answer.whole),
-                      Receipts.handed_on(status, headers, answer.body))
+        self._outcome(
+            carried,
+            attempt,
+            Seen(Sight.ANSWERED, status, retry_after(headers), receipt, answer.whole),
+            Receipts.handed_on(status, headers, answer.body),
+        )
 
     def _no_receipt(self, carried: Carried, attempt: Attempt) -> None:
         if carried.attempt is attempt:
@@ -509,8 +586,11 @@
         carried, attempt = self.tokens.get(token, (None, None))
         if exchange.head.method != "POST" or carried is None or attempt is None:
             self.count("receipts_without_attempt")
-            self.log.warning(names.RECEIPT_ODD, why="late, repeated or unknown receipt address",
-                             sender=exchange.head.headers.get("as2-from")[:200])
+            self.log.warning(
+                names.RECEIPT_ODD,
+                why="late, repeated or unknown receipt address",
+                sender=exchange.head.headers.get("as2-from")[:200],
+            )
             # Still 200: it was read, and a partner that gets an error would only send it again.
             exchange.reply(200)
             return
@@ -522,8 +602,9 @@
             self.count("receipts_not_counted")
             self.log.warning(names.RECEIPT_ODD, message=carried.head.id, why=receipt.value)
             return
-        self._outcome(carried, attempt, Seen(Sight.ANSWERED, 200, None, receipt),
-                      Receipts.handed_on(200, got, exchange.body))
+        self._outcome(
+            carried, attempt, Seen(Sight.ANSWERED, 200, None, receipt), Receipts.handed_on(200, got, exchange.body)
+        )
 
     def _outcome(self, carried: Carried, attempt: Attempt, seen: Seen, answer: Answer | None) -> None:
         carried.attempt = None
@@ -537,10 +618,20 @@
         carried.last = found.reason
         took = self.now - attempt.began
         self.count(f"outcome_{found.outcome.value}")
-        self.log.info(names.ENDED, message=carried.head.id, attempt=attempt.number, endpoint=attempt.endpoint,
-                      outcome=found.outcome.value, why=found.reason, took_ms=round(took, 1))
-        self._tell(api.AttemptEnded(carried.id, attempt.number, attempt.endpoint, found.outcome, took,
-                                    found.finished, found.wait_ms))
+        self.log.info(
+            names.ENDED,
+            message=carried.head.id,
+            attempt=attempt.number,
+            endpoint=attempt.endpoint,
+            outcome=found.outcome.value,
+            why=found.reason,
+            took_ms=round(took, 1),
+        )
+        self._tell(
+            api.AttemptEnded(
+                carried.id, attempt.number, attempt.endpoint, found.outcome, took, found.finished, found.wait_ms
+            )
+        )
         if found.finished and answer is not None:
             rejected = seen.receipt is Receipt.NEGATIVE
             kind = "rejected" if rejected else "delivered"
@@ -558,8 +649,13 @@
         else:
             self.identifiers.close(self.now, head.sender, head.id, answer)
         self.count(answer.kind)
-        self.log.info(names.ANSWERED, message=head.id, answer=answer.kind, attempts=carried.tries,
-                      left_ms=round(carried.due - self.now))
+        self.log.info(
+            names.ANSWERED,
+            message=head.id,
+            answer=answer.kind,
+            attempts=carried.tries,
+            left_ms=round(carried.due - self.now),
+        )
         for exchange in carried.waiters:
             self._reply(exchange, answer)
         if head.reply_to:
@@ -589,8 +685,9 @@
             answer = Answer(200, (*own.headers, *advice), own.body, "refused")
         parts = urllib.parse.urlsplit(head.reply_to)
         target = (parts.path or "/") + (f"?{parts.query}" if parts.query else "")
-        data = http1.request("POST", target, [("Host", parts.netloc), *answer.headers, (ANSWER, answer.kind)],
-                             answer.body)
+        data = http1.request(
+            "POST", target, [("Host", parts.netloc), *answer.headers, (ANSWER, answer.kind)], answer.body
+        )
         self._post(split(parts.netloc), data, head.id, 0)
 
     def _post(self, address: tuple[str, int], data: bytes, ident: str, tries: int) -> None:
--- a/linnetstile/service/room.py
+++ b/linnetstile/service/room.py
@@ -39,8 +39,14 @@
 class Room:
     """`refuse(exchange, text, advice_ms)` answers a request that waited in vain."""
 
-    def __init__(self, limits: LimitSettings, hold: int, weights: dict[str, float], log: Any,
-                 refuse: Callable[[Exchange, str, float], None]) -> None:
+    def __init__(
+        self,
+        limits: LimitSettings,
+        hold: int,
+        weights: dict[str, float],
+        log: Any,
+        refuse: Callable[[Exchange, str, float], None],
+    ) -> None:
         self.limits = limits
         self.shares = Shares((limits.hold_bytes, hold))
         for tenant, weight in weights.items():
@@ -65,8 +71,9 @@
         if not isinstance(origin, Origin):
             return True  # answered at its head, or nobody's message
         if exchange.charge is None:
-            say, charge = self.shares.ask(self.now, origin.paths, size + OVERHEAD, self.limits.room_wait_ms, exchange,
-                                          1 if origin.sender else 0)
+            say, charge = self.shares.ask(
+                self.now, origin.paths, size + OVERHEAD, self.limits.room_wait_ms, exchange, 1 if origin.sender else 0
+            )
             if say is not Say.NEVER:
                 self.charges.add(charge)
                 exchange.charge = charge
@@ -75,8 +82,9 @@
             say = self.shares.more(self.now, exchange.charge, size, self.limits.room_wait_ms, exchange)
         if say is Say.WAIT:
             self.waiting[exchange] = size
-            self.log.debug(names.WAITS, peer=exchange.conn.peer(), message=origin.message, bytes=size,
-                           bound=self._bound())
+            self.log.debug(
+                names.WAITS, peer=exchange.conn.peer(), message=origin.message, bytes=size, bound=self._bound()
+            )
             self._plan_end()
         elif say is Say.NEVER:
             self._refused(exchange, size)
@@ -90,11 +98,23 @@
         origin = exchange.who
         assert isinstance(origin, Origin)
         advice = self.shares.advice_ms(self.now, size, self.limits.longest_advice_ms)
-        self.log.warning(names.NO_ROOM, peer=exchange.conn.peer(), message=origin.message, sender=origin.sender,
-                         partner=origin.partner, bytes=size, bound=self._bound(),
-                         why="no room within limits.room_wait_ms", advice_ms=round(advice))
-        self.refuse(exchange, f"refused: no room for {size} bytes from {origin.sender or origin.client} "
-                    f"to {origin.partner} now; nothing was taken", advice)
+        self.log.warning(
+            names.NO_ROOM,
+            peer=exchange.conn.peer(),
+            message=origin.message,
+            sender=origin.sender,
+            partner=origin.partner,
+            bytes=size,
+            bound=self._bound(),
+            why="no room within limits.room_wait_ms",
+            advice_ms=round(advice),
+        )
+        self.refuse(
+            exchange,
+            f"refused: no room for {size} bytes from {origin.sender or origin.client} "
+            f"to {origin.partner} now; nothing was taken",
+            advice,
+        )
 
     def take(self, exchange: Exchange) -> Charge | None:
         """The charge of a complete request goes over to its message."""
--- a/linnetstile/standins/client.py
+++ b/linnetstile/standins/client.py
@@ -95,16 +95,26 @@
             times = 1.0
             for surge in spec.surges:
                 if surge.at_s <= at < surge.at_s + surge.for_s and (
-                        not surge.receivers or flow.receiver in surge.receivers):
+                    not surge.receivers or flow.receiver in surge.receivers
+                ):
                     times *= surge.times
             at += rng.expovariate(flow.per_s * times)
             if at >= spec.seconds:
                 break
             receipt = rng.random() < spec.receipts
-            plans.append(Plan(
-                at, flow, 0, rng.random() < spec.signed, rng.random() < spec.compressed, receipt,
-                receipt and rng.random() < spec.asynchronous,
-                rng.uniform(0.01, 3.0) if rng.random() < spec.repeats else None, rng.randrange(len(spec.relays))))
+            plans.append(
+                Plan(
+                    at,
+                    flow,
+                    0,
+                    rng.random() < spec.signed,
+                    rng.random() < spec.compressed,
+                    receipt,
+                    receipt and rng.random() < spec.asynchronous,
+                    rng.uniform(0.01, 3.0) if rng.random() < spec.repeats else None,
+                    rng.randrange(len(spec.relays)),
+                )
+            )
     plans.sort(key=lambda plan: plan.at_s)
     for number, plan in enumerate(plans):
         plan.number = number
@@ -161,10 +171,16 @@
         ident = f"<{plan.number}.{self.tag}@{flow.sender}>"
         reply = f"http://127.0.0.1:{self.port}/r/{plan.number}" if plan.asynchronous else ""
         made = messages.make(
-            flow.sender, flow.receiver, ident, flow.subject,
+            flow.sender,
+            flow.receiver,
+            ident,
+            flow.subject,
             f"ISA*{plan.number:010d}*".encode() * (spec.bytes // 15 + 1),
-            sign_by=self.keys.get(flow.sender) if plan.signed else None, compress=plan.compressed,
-            receipt=plan.receipt, reply_to=reply)
+            sign_by=self.keys.get(flow.sender) if plan.signed else None,
+            compress=plan.compressed,
+            receipt=plan.receipt,
+            reply_to=reply,
+        )
         self.open[plan.number] = Open(plan, made, now_ms())
         self._hand_in(self.open[plan.number], plan.relay)
         # An answer that comes on its own can't be told apart from that to a repeat: those are not repeated.
@@ -184,8 +200,17 @@
         to = spec.relays[relay % len(spec.relays)]
         cls = spec.classes[plan.flow.cls]
         mark = f"{plan.number}.{item.tries}{'r' if again else ''}"
-        self.record("hand", hand=mark, mid=item.made.head.id, relay=to.name, cls=plan.flow.cls, again=again,
-                    sender=plan.flow.sender, receiver=plan.flow.receiver, wait="post" if plan.asynchronous else "")
+        self.record(
+            "hand",
+            hand=mark,
+            mid=item.made.head.id,
+            relay=to.name,
+            cls=plan.flow.cls,
+            again=again,
+            sender=plan.flow.sender,
+            receiver=plan.flow.receiver,
+            wait="post" if plan.asynchronous else "",
+        )
         address = split(to.address)
         data = http1.request("POST", "/as2", [("Host", to.address), *item.made.headers], item.made.body)
         # It waits a little longer than the relay may: an answer that comes late is to be seen as late.
@@ -215,15 +240,23 @@
             may = self.spec.classes[item.plan.flow.cls].effect != "unsafe"
             self._later(item, relay + 1, self.rng.uniform(0.36, 1.9), may)
 
-    def _final(self, item: Open, relay: int, mark: str, again: bool, status: int, headers: http1.Headers,
-               body: bytes) -> None:
+    def _final(
+        self, item: Open, relay: int, mark: str, again: bool, status: int, headers: http1.Headers, body: bytes
+    ) -> None:
         kind = headers.get("linnetstile-answer")
         signer = self.relay if kind in ("failed", "refused") else self.partners.get(item.plan.flow.receiver)
         receipt = "none"
         if status == 200 and item.plan.receipt:
             receipt = messages.check(item.made, headers, body, signer)[0].value
-        self.record("final", hand=mark, mid=item.made.head.id, kind=kind, status=status, receipt=receipt,
-                    digest=hashlib.blake2b(body, digest_size=8).hexdigest())
+        self.record(
+            "final",
+            hand=mark,
+            mid=item.made.head.id,
+            kind=kind,
+            status=status,
+            receipt=receipt,
+            digest=hashlib.blake2b(body, digest_size=8).hexdigest(),
+        )
         if again:
             return
         if kind != "refused":
@@ -257,5 +290,12 @@
             self.record("stray", target=exchange.head.target[:100])
         else:
             mark = f"{item.plan.number}.{item.tries}"
-            self._final(item, item.plan.relay, mark, item.over, 200 if exchange.head.headers.get(
-                "linnetstile-answer") != "refused" else 503, exchange.head.headers, exchange.body)
+            self._final(
+                item,
+                item.plan.relay,
+                mark,
+                item.over,
+                200 if exchange.head.headers.get("linnetstile-answer") != "refused" else 503,
+                exchange.head.headers,
+                exchange.body,
+            )
--- a/linnetstile/standins/discovery.py
+++ b/linnetstile/standins/discovery.py
@@ -88,8 +88,9 @@
             self.open.discard(writer)
             writer.close()
 
-    async def _answer(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, method: str, target: str,
-                      body: bytes) -> bool:
+    async def _answer(
+        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, method: str, target: str, body: bytes
+    ) -> bool:
         """False: the connection is of no more use."""
         parts = urllib.parse.urlsplit(target)
         if method == "POST" and parts.path == "/v2/finals":
--- a/linnetstile/standins/messages.py
+++ b/linnetstile/standins/messages.py
@@ -21,10 +21,22 @@
     opened: bytes  # what the receipt's digest is over
 
 
-def make(sender: str, receiver: str, ident: str, subject: str, content: bytes, *,
-         content_type: str = "application/edi-x12", sign_by: cms.Identity | None = None,
-         encrypt_to: object | None = None, compress: bool = False, receipt: bool = True,
-         signed_receipt: bool = True, reply_to: str = "", micalg: str = "sha-256") -> Made:
+def make(
+    sender: str,
+    receiver: str,
+    ident: str,
+    subject: str,
+    content: bytes,
+    *,
+    content_type: str = "application/edi-x12",
+    sign_by: cms.Identity | None = None,
+    encrypt_to: object | None = None,
+    compress: bool = False,
+    receipt: bool = True,
+    signed_receipt: bool = True,
+    reply_to: str = "",
+    micalg: str = "sha-256",
+) -> Made:
     """One message. Compression goes first, then the signature, then encryption (RFC 5402, 2; RFC 8551, 3.7)."""
     entity = f"Content-Type: {content_type}\r\nContent-Transfer-Encoding: binary\r\n\r\n".encode() + content
     kind, body, opened = content_type, content, content
@@ -41,14 +53,23 @@
             opened = entity
         kind, body = cms.encrypt(entity, encrypt_to)  # type: ignore[arg-type]
     headers: list[Field] = [
-        ("AS2-Version", "1.2"), ("AS2-From", as2.quoted(sender)), ("AS2-To", as2.quoted(receiver)),
-        ("Message-ID", ident), ("Subject", subject), ("MIME-Version", "1.0"), ("Content-Type", kind)]
+        ("AS2-Version", "1.2"),
+        ("AS2-From", as2.quoted(sender)),
+        ("AS2-To", as2.quoted(receiver)),
+        ("Message-ID", ident),
+        ("Subject", subject),
+        ("MIME-Version", "1.0"),
+        ("Content-Type", kind),
+    ]
     if receipt:
         headers.append(("Disposition-Notification-To", sender))
         if signed_receipt:
-            headers.append(("Disposition-Notification-Options",
-                            "signed-receipt-protocol=required, pkcs7-signature; "
-                            f"signed-receipt-micalg=required, {micalg}"))
+            headers.append(
+                (
+                    "Disposition-Notification-Options",
+                    f"signed-receipt-protocol=required, pkcs7-signature; signed-receipt-micalg=required, {micalg}",
+                )
+            )
     if reply_to:
         headers.append(("Receipt-Delivery-Option", reply_to))
     return Made(as2.Head.of(Headers(headers)), headers, body, opened)
--- a/linnetstile/standins/partner.py
+++ b/linnetstile/standins/partner.py
@@ -76,8 +76,13 @@
         self.waiting: deque[tuple[server.Exchange, dict[str, Any]]] = deque()
 
     async def open(self) -> None:
-        made = server.Server(self._request, self._head, http1.Limits(body=256 << 20),
-                             server.Bounds(head_s=120.0, idle_s=120.0), keys=self.partner.keys_tls)
+        made = server.Server(
+            self._request,
+            self._head,
+            http1.Limits(body=256 << 20),
+            server.Bounds(head_s=120.0, idle_s=120.0),
+            keys=self.partner.keys_tls,
+        )
         self.port = await made.start(port=self.port)
         self.server = made
 
@@ -92,12 +97,24 @@
         headers = exchange.head.headers
         crawls = self.partner.fault(self.spec.id, headers.get("subject")) == "crawl"
         self.partner.stand.record(
-            "began", t=round(exchange.began * 1000, 2), partner=self.partner.spec.name, endpoint=self.spec.id,
-            relay=headers.get("via").removeprefix("1.1 "), mid=headers.get("message-id"),
-            subject=headers.get("subject"), conn=id(exchange.conn) % 10**8, **({"crawls": True} if crawls else {}))
+            "began",
+            t=round(exchange.began * 1000, 2),
+            partner=self.partner.spec.name,
+            endpoint=self.spec.id,
+            relay=headers.get("via").removeprefix("1.1 "),
+            mid=headers.get("message-id"),
+            subject=headers.get("subject"),
+            conn=id(exchange.conn) % 10**8,
+            **({"crawls": True} if crawls else {}),
+        )
         exchange.on_gone = lambda: self.partner.stand.record(
-            "cut", partner=self.partner.spec.name, endpoint=self.spec.id, mid=headers.get("message-id"),
-            relay=headers.get("via").removeprefix("1.1 "), conn=id(exchange.conn) % 10**8)
+            "cut",
+            partner=self.partner.spec.name,
+            endpoint=self.spec.id,
+            mid=headers.get("message-id"),
+            relay=headers.get("via").removeprefix("1.1 "),
+            conn=id(exchange.conn) % 10**8,
+        )
         if crawls:
             self._crawl(exchange)
 
@@ -122,8 +139,13 @@
 
     def _request(self, exchange: server.Exchange) -> None:
         partner, headers = self.partner, exchange.head.headers
-        who = {"partner": partner.spec.name, "endpoint": self.spec.id, "mid": headers.get("message-id"),
-               "relay": headers.get("via").removeprefix("1.1 "), "conn": id(exchange.conn) % 10**8}
+        who = {
+            "partner": partner.spec.name,
+            "endpoint": self.spec.id,
+            "mid": headers.get("message-id"),
+            "relay": headers.get("via").removeprefix("1.1 "),
+            "conn": id(exchange.conn) % 10**8,
+        }
         exchange.on_gone = lambda: self._gone(exchange, who)
         subject = headers.get("subject")
         fault = partner.fault(self.spec.id, subject)
@@ -136,7 +158,8 @@
             return
         if fault == "crawl":  # a body that came in one piece has not been read before its time either
             asyncio.get_running_loop().call_later(
-                min(len(exchange.body), 16384) / (partner.reset_after or 200), self._work, exchange, who)
+                min(len(exchange.body), 16384) / (partner.reset_after or 200), self._work, exchange, who
+            )
             return
         if fault == "fast_errors":
             self._answer(exchange, who, 500, [], b"quick error\n")
@@ -161,8 +184,7 @@
         self.busy += 1
         made = self.server
         who = {**who, "repeat": self.partner.repeat(exchange)}
-        asyncio.get_running_loop().call_later(
-            self.partner.work_s(self.spec.id), self._done, exchange, who, made)
+        asyncio.get_running_loop().call_later(self.partner.work_s(self.spec.id), self._done, exchange, who, made)
 
     def _done(self, exchange: server.Exchange, who: dict[str, Any], made: server.Server | None) -> None:
         if made is not self.server or made is None:
@@ -192,7 +214,8 @@
             partner.stand.record("answer", status=0, how="reset", **who)
             exchange.conn.transport.write(data)
             exchange.conn.transport.abort() if not data else asyncio.get_running_loop().call_later(
-                0.02, exchange.conn.transport.abort)
+                0.02, exchange.conn.transport.abort
+            )
             return
         if fault == "trickle":
             asyncio.get_running_loop().create_task(self._trickle(exchange, http1.response(status, headers, body)))
@@ -204,12 +227,19 @@
         for n in range(len(data)):
             if exchange.conn.dead:
                 return
-            exchange.conn.transport.write(data[n: n + 1])
+            exchange.conn.transport.write(data[n : n + 1])
             await asyncio.sleep(0.05)
         exchange.conn.transport.close()
 
-    def _answer(self, exchange: server.Exchange, who: dict[str, Any], status: int,
-                headers: list[tuple[str, str]], body: bytes, **more: Any) -> None:
+    def _answer(
+        self,
+        exchange: server.Exchange,
+        who: dict[str, Any],
+        status: int,
+        headers: list[tuple[str, str]],
+        body: bytes,
+        **more: Any,
+    ) -> None:
         if exchange.answered or exchange.conn.dead:
             return
         if told := [value for name, value in headers if name == "Retry-After"]:
@@ -230,8 +260,9 @@
         self.identity = cms.load(spec.pem.read_bytes()) if spec.pem else None
         self.opener = cms.load(spec.decrypt_pem.read_bytes()) if spec.decrypt_pem else None
         self.keys: dict[str, float] = {}
-        self.keys_tls = Keys(True, spec.tls_pem, None, spec.tls_clients, spec.tls_clients is not None) \
-            if spec.tls_pem else None
+        self.keys_tls = (
+            Keys(True, spec.tls_pem, None, spec.tls_clients, spec.tls_clients is not None) if spec.tls_pem else None
+        )
         self.credit, self.credit_at = max(2.0, spec.rate / 2), now_ms()
         self.span, self.spent = 0, 0
         self.cold_since = float("-inf")
@@ -287,8 +318,14 @@
         now, spec = now_ms(), self.spec
         told = self.stand.rng.random() < spec.tell
         if shut:
-            ends = max((f.at_s + f.for_s for f in self.stand.spec.faults if f.kind == "shut"
-                        and f.active(self.stand.seconds()) and f.hits(spec.name, -1)), default=0.0)
+            ends = max(
+                (
+                    f.at_s + f.for_s
+                    for f in self.stand.spec.faults
+                    if f.kind == "shut" and f.active(self.stand.seconds()) and f.hits(spec.name, -1)
+                ),
+                default=0.0,
+            )
             return max(0.0, (ends - self.stand.seconds()) * 1000) if told else 0.0
         if not spec.rate:
             return None
@@ -315,14 +352,16 @@
             return [("Retry-After", email.utils.formatdate(int(time.time() + wait / 1000) + 1, usegmt=True))]
         return [("Retry-After", str(int(wait / 1000) + 1))]
 
-    def process(self, exchange: server.Exchange, who: dict[str, Any],
-                fault: str) -> tuple[int, list[tuple[str, str]], bytes]:
+    def process(
+        self, exchange: server.Exchange, who: dict[str, Any], fault: str
+    ) -> tuple[int, list[tuple[str, str]], bytes]:
         """Does the work of one message: the effect, and the receipt."""
         headers = exchange.head.headers
         try:
             head = as2.Head.of(headers)
-            opened, _ = cms.opened(headers.get("content-type"), headers.get("content-transfer-encoding"),
-                                   exchange.body, self.opener)
+            opened, _ = cms.opened(
+                headers.get("content-type"), headers.get("content-transfer-encoding"), exchange.body, self.opener
+            )
         except (as2.As2Error, cms.CmsError, mime.MimeError) as error:
             return 400, [], f"{error}\n".encode()
         duplicate = bool(who["repeat"])
@@ -342,34 +381,51 @@
         self.keys[headers.get("message-id")] = now
         return False
 
-    def receipt(self, head: as2.Head, opened: bytes | None, duplicate: bool,
-                fault: str) -> tuple[list[tuple[str, str]], bytes]:
+    def receipt(
+        self, head: as2.Head, opened: bytes | None, duplicate: bool, fault: str
+    ) -> tuple[list[tuple[str, str]], bytes]:
         alg = head.wish.micalgs[0] if head.wish.micalgs else "sha-256"
         mic = cms.digest(opened if fault != "wrong_mic" and opened is not None else b"other", alg)
-        found = mdn.Mdn(head.id, head.receiver, modifier="warning" if duplicate else "",
-                        detail="duplicate-document" if duplicate else "", mic=mic, micalg=alg)
+        found = mdn.Mdn(
+            head.id,
+            head.receiver,
+            modifier="warning" if duplicate else "",
+            detail="duplicate-document" if duplicate else "",
+            mic=mic,
+            micalg=alg,
+        )
         kind, body = found.build()
         identity = self.stand.forger if fault == "forged_receipt" else self.identity
         if head.wish.signed and identity is not None:
-            kind, body = cms.sign(f"Content-Type: {kind}\r\n\r\n".encode() + body, identity,
-                                  alg if alg in ("sha-256", "sha-384", "sha-512") else "sha-256")
+            kind, body = cms.sign(
+                f"Content-Type: {kind}\r\n\r\n".encode() + body,
+                identity,
+                alg if alg in ("sha-256", "sha-384", "sha-512") else "sha-256",
+            )
         self.serial += 1
-        return [("Content-Type", kind), ("AS2-Version", "1.2"), ("AS2-From", as2.quoted(head.receiver)),
-                ("AS2-To", as2.quoted(head.sender)),
-                ("Message-ID", f"<{int(now_ms())}.{self.serial}@{self.spec.name}>")], body
+        return [
+            ("Content-Type", kind),
+            ("AS2-Version", "1.2"),
+            ("AS2-From", as2.quoted(head.receiver)),
+            ("AS2-To", as2.quoted(head.sender)),
+            ("Message-ID", f"<{int(now_ms())}.{self.serial}@{self.spec.name}>"),
+        ], body
 
     @staticmethod
     def wants_async(exchange: server.Exchange) -> bool:
         return "receipt-delivery-option" in exchange.head.headers
 
-    def post(self, exchange: server.Exchange, headers: list[tuple[str, str]], body: bytes,
-             who: dict[str, Any]) -> None:
+    def post(self, exchange: server.Exchange, headers: list[tuple[str, str]], body: bytes, who: dict[str, Any]) -> None:
         parts = urllib.parse.urlsplit(exchange.head.headers.get("receipt-delivery-option"))
         data = http1.request("POST", parts.path or "/", [("Host", parts.netloc), *headers], body)
         address = (parts.hostname or "127.0.0.1", parts.port or 80)
-        self.stand.pool.call(address, "POST", data,
-                             lambda answer: self.stand.record("receipt", how=answer.sight.value, **who),
-                             asyncio.get_running_loop().time() + 5.0)
+        self.stand.pool.call(
+            address,
+            "POST",
+            data,
+            lambda answer: self.stand.record("receipt", how=answer.sight.value, **who),
+            asyncio.get_running_loop().time() + 5.0,
+        )
 
     def back(self, kind: str) -> None:
         if self.stand.seconds() > 0:
@@ -414,8 +470,10 @@
                     continue
                 start = max(0.0, fault.at_s - self.seconds())
                 whole = len(hit) == len(partner.endpoints)
-                self.timers += [loop.call_later(start, self._down, partner, hit, fault, whole),
-                                loop.call_later(start + fault.for_s, self._up, partner, hit, fault, whole)]
+                self.timers += [
+                    loop.call_later(start, self._down, partner, hit, fault, whole),
+                    loop.call_later(start + fault.for_s, self._up, partner, hit, fault, whole),
+                ]
 
     def _down(self, partner: Partner, hit: list[Endpoint], fault: Fault, whole: bool) -> None:
         if whole:
--- a/linnetstile/standins/register.py
+++ b/linnetstile/standins/register.py
@@ -1,7 +1,7 @@
 """Register stand-in: the whole list and a watch on changes over HTTP, with lag, failures and stale answers.
 
-    GET /list                           {"version": 7, "entries": [...]}
-    GET /changes?since=5&wait_ms=10000  the entries changed since then; 410 where it no longer knows them
+GET /list                           {"version": 7, "entries": [...]}
+GET /changes?since=5&wait_ms=10000  the entries changed since then; 410 where it no longer knows them
 """
 
 from __future__ import annotations
@@ -82,7 +82,7 @@
             return
         self.version += 1
         self.entries.setdefault(change.id, {}).update(change.entry or {"id": change.id}, status=change.status)
-        self.log = [*self.log, (self.version, change.id)][-self.spec.keep:]
+        self.log = [*self.log, (self.version, change.id)][-self.spec.keep :]
         waiting, self.waiting = self.waiting, []
         for exchange, since in waiting:
             self._changes(exchange, since)
@@ -91,8 +91,13 @@
         if exchange.answered or exchange.conn.dead:
             return
         relay = exchange.head.headers.get("via").removeprefix("1.1 ")
-        self.record("told", relay=relay, version=self.version, whole=whole,
-                    states={str(entry["id"]): entry["status"] for entry in entries})
+        self.record(
+            "told",
+            relay=relay,
+            version=self.version,
+            whole=whole,
+            states={str(entry["id"]): entry["status"] for entry in entries},
+        )
         body = json.dumps({"version": self.version, "entries": entries}).encode()
         exchange.reply(200, [("Content-Type", "application/json")], body)
 
@@ -128,7 +133,8 @@
         else:
             self.waiting.append((exchange, since))
             asyncio.get_running_loop().call_later(
-                min(60_000, int(query.get("wait_ms", "0"))) / 1000, self._over, exchange, since)
+                min(60_000, int(query.get("wait_ms", "0"))) / 1000, self._over, exchange, since
+            )
 
     def _over(self, exchange: server.Exchange, since: int) -> None:
         if (exchange, since) in self.waiting:
--- a/linnetstile/standins/script.py
+++ b/linnetstile/standins/script.py
@@ -11,8 +11,23 @@
 from ..config.files import Strict
 
 PARTNER_KINDS = Literal[
-    "hang", "vanish", "reset", "shut", "fast_errors", "slow", "pauses", "crash", "answer_lost", "class_fail",
-    "no_receipt", "wrong_mic", "forged_receipt", "garbage", "trickle", "crawl"]
+    "hang",
+    "vanish",
+    "reset",
+    "shut",
+    "fast_errors",
+    "slow",
+    "pauses",
+    "crash",
+    "answer_lost",
+    "class_fail",
+    "no_receipt",
+    "wrong_mic",
+    "forged_receipt",
+    "garbage",
+    "trickle",
+    "crawl",
+]
 OUTAGES = ("hang", "vanish", "shut", "crash")  # what a partner comes back from cold
 
 
--- a/linnetstile/store/snapshot.py
+++ b/linnetstile/store/snapshot.py
@@ -34,9 +34,15 @@
 
 def encode(payload: dict[str, Any]) -> bytes:
     body = json.dumps(payload, separators=(",", ":"), allow_nan=False).encode()
-    head = {"linnetstile": "snapshot", "format": FORMAT, "bytes": len(body), "boot": _boot(),
-            "since_boot_s": _since_boot_s(), "wall_s": time.time(),
-            "blake2b": hashlib.blake2b(body, digest_size=16).hexdigest()}
+    head = {
+        "linnetstile": "snapshot",
+        "format": FORMAT,
+        "bytes": len(body),
+        "boot": _boot(),
+        "since_boot_s": _since_boot_s(),
+        "wall_s": time.time(),
+        "blake2b": hashlib.blake2b(body, digest_size=16).hexdigest(),
+    }
     return json.dumps(head).encode() + b"\n" + body
 
 
--- a/linnetstile/telemetry/log.py
+++ b/linnetstile/telemetry/log.py
@@ -49,9 +49,14 @@
     import structlog
 
     structlog.configure(
-        processors=[structlog.processors.add_log_level, structlog.processors.TimeStamper("iso", utc=True),
-                    structlog.processors.format_exc_info, structlog.processors.JSONRenderer(sort_keys=False)],
+        processors=[
+            structlog.processors.add_log_level,
+            structlog.processors.TimeStamper("iso", utc=True),
+            structlog.processors.format_exc_info,
+            structlog.processors.JSONRenderer(sort_keys=False),
+        ],
         wrapper_class=structlog.make_filtering_bound_logger(logging.getLevelName(level.upper())),
         logger_factory=structlog.WriteLoggerFactory(file=cast(TextIO, Unfailing(sys.stderr))),
-        cache_logger_on_first_use=True)
+        cache_logger_on_first_use=True,
+    )
     return structlog.get_logger().bind(**bound)
--- a/linnetstile/wirehost.py
+++ b/linnetstile/wirehost.py
@@ -12,8 +12,16 @@
 from .decisions import interface as api
 from .decisions.control import Relay
 
-OUTCOMES = (api.Outcome.ERROR, api.Outcome.OK, api.Outcome.FULL, api.Outcome.TIMEOUT,
-            api.Outcome.CONNECT_FAILED, api.Outcome.RESET, api.Outcome.CANCELLED, api.Outcome.NOT_SENT)
+OUTCOMES = (
+    api.Outcome.ERROR,
+    api.Outcome.OK,
+    api.Outcome.FULL,
+    api.Outcome.TIMEOUT,
+    api.Outcome.CONNECT_FAILED,
+    api.Outcome.RESET,
+    api.Outcome.CANCELLED,
+    api.Outcome.NOT_SENT,
+)
 LISTINGS = {1: api.Listing.READY, 2: api.Listing.GONE, 3: api.Listing.DRAINING}
 LIST_KINDS = (api.ListKind.CHANGES, api.ListKind.WHOLE, api.ListKind.CACHED, api.ListKind.FAILED)
 ENTRY = struct.Struct("<BfdHBHI")
@@ -47,8 +55,11 @@
         out: list[bytes] = []
         for instance, mine in events.items():
             if instance in self.relays:
-                out += [encode(instance, now, action) for action in self.relays[instance].handle(now, mine)
-                        if not isinstance(action, api.Recall)]  # a call leaves at once here
+                out += [
+                    encode(instance, now, action)
+                    for action in self.relays[instance].handle(now, mine)
+                    if not isinstance(action, api.Recall)
+                ]  # a call leaves at once here
         return struct.pack("<II", sum(map(len, out)), len(out)) + b"".join(out)
 
     @staticmethod
@@ -92,15 +103,25 @@
     def _event(self, code: int, data: bytes) -> api.Event:
         if code == 110:
             tid, lane, tenant, key, left, hint, dest, opts = struct.unpack_from("<IBIQddfB", data, 4)
-            return api.Message(tid, int(dest), lane, left, tenant, key, hint if opts & 1 else None,
-                               bool(opts & 2), bool(opts & 16))
+            return api.Message(
+                tid, int(dest), lane, left, tenant, key, hint if opts & 1 else None, bool(opts & 2), bool(opts & 16)
+            )
         if code == 100:
             tid, go, endpoint, result, cost, done, wait, n = struct.unpack_from("<IHIBdBIB", data, 4)
             report = struct.unpack_from(f"<{n}f", data, 29)
             outcome = outcome_of(result)
             full = outcome is api.Outcome.FULL
-            return api.AttemptEnded(tid, go, endpoint, outcome, cost, bool(done), wait if full else 0.0,
-                                    bool(wait) and outcome is api.Outcome.NOT_SENT, report)
+            return api.AttemptEnded(
+                tid,
+                go,
+                endpoint,
+                outcome,
+                cost,
+                bool(done),
+                wait if full else 0.0,
+                bool(wait) and outcome is api.Outcome.NOT_SENT,
+                report,
+            )
         if code == 30:
             kind, _, number = struct.unpack_from("<BQB", data, 4)
             if kind >= len(LIST_KINDS):
--- a/tests/codec/test_as2.py
+++ b/tests/codec/test_as2.py
@@ -19,8 +19,10 @@
 OPENER = cms.make_identity("opener", rsa=True)
 
 
-@pytest.mark.parametrize(("text", "plain"), [
-    ("abc", "abc"), ('"a b"', "a b"), ('"a\\"b\\\\"', 'a"b\\'), ("x" * 128, "x" * 128), ("Firma#1", "Firma#1")])
+@pytest.mark.parametrize(
+    ("text", "plain"),
+    [("abc", "abc"), ('"a b"', "a b"), ('"a\\"b\\\\"', 'a"b\\'), ("x" * 128, "x" * 128), ("Firma#1", "Firma#1")],
+)
 def test_names(text: str, plain: str) -> None:
     assert as2.name(text, "AS2-From") == plain and as2.name(as2.quoted(plain), "AS2-To") == plain
 
@@ -34,10 +36,20 @@
 BASE = {"AS2-From": "a", "AS2-To": "b", "Message-ID": "<1@a>", "AS2-Version": "1.2"}
 
 
-@pytest.mark.parametrize(("field", "value"), [
-    ("AS2-From", ""), ("AS2-To", "a b"), ("Message-ID", "1@a"), ("Message-ID", "<>"), ("Message-ID", "<1 2@a>"),
-    ("AS2-Version", "2.0"), ("Receipt-Delivery-Option", "ftp://x"),
-    ("Disposition-Notification-Options", "signed-receipt-protocol"), ("Message-ID", "<" + "x" * 1000 + ">")])
+@pytest.mark.parametrize(
+    ("field", "value"),
+    [
+        ("AS2-From", ""),
+        ("AS2-To", "a b"),
+        ("Message-ID", "1@a"),
+        ("Message-ID", "<>"),
+        ("Message-ID", "<1 2@a>"),
+        ("AS2-Version", "2.0"),
+        ("Receipt-Delivery-Option", "ftp://x"),
+        ("Disposition-Notification-Options", "signed-receipt-protocol"),
+        ("Message-ID", "<" + "x" * 1000 + ">"),
+    ],
+)
 def test_a_bad_field_is_named(field: str, value: str) -> None:
     with pytest.raises(as2.As2Error, match=field):
         as2.Head.of(Headers([*{**BASE, field: value}.items()]))
@@ -46,31 +58,47 @@
 
 
 def test_the_wish_for_a_receipt_is_read() -> None:
-    wish = as2.receipt_wish("signed-receipt-protocol=optional, pkcs7-signature;"
-                            " signed-receipt-micalg=optional, SHA-256, sha1")
+    wish = as2.receipt_wish(
+        "signed-receipt-protocol=optional, pkcs7-signature; signed-receipt-micalg=optional, SHA-256, sha1"
+    )
     assert wish == as2.ReceiptWish(True, False, ("sha-256", "sha1"))
 
 
-@pytest.mark.parametrize("found", [
-    mdn.Mdn("<1@a>", "b", mic=b"x" * 32, micalg="sha-256"),
-    mdn.Mdn("<1@a>", "b c", "processed", "error", "authentication-failed"),
-    mdn.Mdn("<1@a>", "b", "processed", "warning", "duplicate-document", text="seen\nbefore"),
-    mdn.Mdn("<1@a>", "b", "failed", "failure", "unsupported format")])
+@pytest.mark.parametrize(
+    "found",
+    [
+        mdn.Mdn("<1@a>", "b", mic=b"x" * 32, micalg="sha-256"),
+        mdn.Mdn("<1@a>", "b c", "processed", "error", "authentication-failed"),
+        mdn.Mdn("<1@a>", "b", "processed", "warning", "duplicate-document", text="seen\nbefore"),
+        mdn.Mdn("<1@a>", "b", "failed", "failure", "unsupported format"),
+    ],
+)
 def test_receipts_read_back(found: mdn.Mdn) -> None:
     kind, body = found.build()
     read = mdn.parse(kind, body)
     assert (read.original_id, read.kind, read.modifier, read.detail, read.mic, read.micalg) == (
-        found.original_id, found.kind, found.modifier, found.detail, found.mic, found.micalg)
+        found.original_id,
+        found.kind,
+        found.modifier,
+        found.detail,
+        found.mic,
+        found.micalg,
+    )
     assert read.positive == (found.kind == "processed" and found.modifier in ("", "warning"))
     assert as2.name(read.recipient, "Final-Recipient") == found.recipient
 
 
 def test_a_receipt_in_base64_with_bare_line_feeds_is_read() -> None:
     import base64
-    inner = base64.encodebytes(b"Reporting-UA: x\nOriginal-Message-ID: <1@a>\nDisposition: automatic-action/"
-                               b"MDN-sent-automatically; processed\nFinal-Recipient: rfc822; b\n")
-    body = (b"preamble\n--B\nContent-Type: text/plain\n\nhello\n--B\nContent-Type: message/disposition-notification\n"
-            b"Content-Transfer-Encoding: base64\n\n" + inner + b"--B--\nepilogue")
+
+    inner = base64.encodebytes(
+        b"Reporting-UA: x\nOriginal-Message-ID: <1@a>\nDisposition: automatic-action/"
+        b"MDN-sent-automatically; processed\nFinal-Recipient: rfc822; b\n"
+    )
+    body = (
+        b"preamble\n--B\nContent-Type: text/plain\n\nhello\n--B\nContent-Type: message/disposition-notification\n"
+        b"Content-Transfer-Encoding: base64\n\n" + inner + b"--B--\nepilogue"
+    )
     assert mdn.parse('multipart/report; boundary="B"', body).positive
 
 
@@ -89,6 +117,7 @@
 
 def test_sha1_is_read_only_where_allowed() -> None:
     from asn1crypto import cms as asn1
+
     kind, body = cms.sign(b"x", OPENER)
     _, der = cms.signed_content(kind, body)
     info = asn1.ContentInfo.load(der)
@@ -104,8 +133,16 @@
 @pytest.mark.parametrize("compress", [False, True])
 @pytest.mark.parametrize("encrypt", [False, True])
 def test_any_mix_opens_to_what_the_receipt_is_over(sign: bool, compress: bool, encrypt: bool) -> None:
-    made = messages.make("a", "b", "<1@a>", "s", b"ISA*00~" * 50, sign_by=ALICE if sign else None,
-                         compress=compress, encrypt_to=OPENER.certificate if encrypt else None)
+    made = messages.make(
+        "a",
+        "b",
+        "<1@a>",
+        "s",
+        b"ISA*00~" * 50,
+        sign_by=ALICE if sign else None,
+        compress=compress,
+        encrypt_to=OPENER.certificate if encrypt else None,
+    )
     kind = Headers(made.headers).get("content-type")
     opened, _ = cms.opened(kind, "", made.body, OPENER)
     assert opened == made.opened
@@ -115,9 +152,17 @@
 
 def test_a_compression_bomb_is_refused() -> None:
     from asn1crypto import cms as asn1
-    der = asn1.ContentInfo({"content_type": "compressed_data", "content": {
-        "version": "v0", "compression_algorithm": {"algorithm": "zlib"},
-        "encap_content_info": {"content_type": "data", "content": zlib.compress(b"\0" * 10_000_000)}}}).dump()
+
+    der = asn1.ContentInfo(
+        {
+            "content_type": "compressed_data",
+            "content": {
+                "version": "v0",
+                "compression_algorithm": {"algorithm": "zlib"},
+                "encap_content_info": {"content_type": "data", "content": zlib.compress(b"\0" * 10_000_000)},
+            },
+        }
+    ).dump()
     with pytest.raises(cms.CmsError, match="more than 100000 bytes"):
         cms.decompress(der, 100_000)
 
@@ -133,10 +178,13 @@
     made = messages.make("a", "b", "<1@a>", "s", b"hello")
     good = mdn.Mdn("<1@a>", "b", mic=cms.digest(b"hello", "sha-256"), micalg="sha-256")
     for found, signer, expected in [
-            (good, ALICE, Receipt.POSITIVE), (good, MALLORY, Receipt.UNPROVEN), (good, None, Receipt.UNPROVEN),
-            (mdn.Mdn("<2@a>", "b"), ALICE, Receipt.OTHER_MESSAGE),
-            (mdn.Mdn("<1@a>", "b", mic=b"x" * 32, micalg="sha-256"), ALICE, Receipt.WRONG_MIC),
-            (mdn.Mdn("<1@a>", "b", "failed", "failure"), ALICE, Receipt.NEGATIVE)]:
+        (good, ALICE, Receipt.POSITIVE),
+        (good, MALLORY, Receipt.UNPROVEN),
+        (good, None, Receipt.UNPROVEN),
+        (mdn.Mdn("<2@a>", "b"), ALICE, Receipt.OTHER_MESSAGE),
+        (mdn.Mdn("<1@a>", "b", mic=b"x" * 32, micalg="sha-256"), ALICE, Receipt.WRONG_MIC),
+        (mdn.Mdn("<1@a>", "b", "failed", "failure"), ALICE, Receipt.NEGATIVE),
+    ]:
         assert messages.check(made, *receipt_of(found, signer), ALICE.certificate)[0] is expected
     assert messages.check(made, Headers([("Content-Type", "text/plain")]), b"ok", None)[0] is Receipt.MISSING
 
@@ -151,7 +199,7 @@
     raw = bytearray(body)
     for _ in range(data.draw(st.integers(1, 6))):
         at = data.draw(st.integers(0, len(raw) - 1))
-        raw[at: at + data.draw(st.integers(0, 40))] = data.draw(st.binary(max_size=20))
+        raw[at : at + data.draw(st.integers(0, 40))] = data.draw(st.binary(max_size=20))
         raw = raw or bytearray(b"x")
     try:
         content, der = cms.signed_content(kind.get("content-type"), bytes(raw))
@@ -163,9 +211,20 @@
 
 
 @settings(max_examples=200)
-@given(st.binary(max_size=400), st.sampled_from(
-    ["multipart/signed; boundary=B", "application/pkcs7-mime; smime-type=compressed-data", "text/plain", "x", "a/b; c",
-     "application/pkcs7-mime; smime-type=enveloped-data"]), st.sampled_from(["", "base64", "quoted-printable", "odd"]))
+@given(
+    st.binary(max_size=400),
+    st.sampled_from(
+        [
+            "multipart/signed; boundary=B",
+            "application/pkcs7-mime; smime-type=compressed-data",
+            "text/plain",
+            "x",
+            "a/b; c",
+            "application/pkcs7-mime; smime-type=enveloped-data",
+        ]
+    ),
+    st.sampled_from(["", "base64", "quoted-printable", "odd"]),
+)
 def test_any_bytes_are_opened_or_refused(body: bytes, kind: str, encoding: str) -> None:
     with contextlib.suppress(cms.CmsError, mime.MimeError):
         cms.opened(kind, encoding, body.replace(b"|", b"\r\n--B\r\n"), OPENER)
--- a/tests/codec/test_http1.py
+++ b/tests/codec/test_http1.py
@@ -12,8 +12,9 @@
 HOST = b"Host: a\r\n"
 
 
-def run(data: bytes, cuts: list[int] | None = None, client: bool = False,
-        methods: tuple[str, ...] = ()) -> tuple[list[http1.Event], int]:
+def run(
+    data: bytes, cuts: list[int] | None = None, client: bool = False, methods: tuple[str, ...] = ()
+) -> tuple[list[http1.Event], int]:
     """Events with neighbouring data joined, and the status of the error (0 = none)."""
     parser = http1.Parser(client, LIMITS)
     for method in methods:
@@ -37,8 +38,12 @@
 GOOD = [
     (b"GET /x HTTP/1.1\r\n" + HOST + b"\r\n", b""),
     (b"\r\nPOST / HTTP/1.1\r\n" + HOST + b"Content-Length: 3\r\n\r\nabc", b"abc"),
-    (b"POST / HTTP/1.1\r\n" + HOST + b"Transfer-Encoding: chunked\r\n\r\n3;x=y\r\nabc\r\n0A\r\n0123456789\r\n0\r\n\r\n",
-     b"abc0123456789"),
+    (
+        b"POST / HTTP/1.1\r\n"
+        + HOST
+        + b"Transfer-Encoding: chunked\r\n\r\n3;x=y\r\nabc\r\n0A\r\n0123456789\r\n0\r\n\r\n",
+        b"abc0123456789",
+    ),
     (b"POST / HTTP/1.1\r\n" + HOST + b"Transfer-Encoding: Chunked\r\n\r\n0\r\nX: y\r\n\r\n", b""),
     (b"POST / HTTP/1.0\r\nContent-Length: 1\r\n\r\nz", b"z"),
     (b"OPTIONS * HTTP/1.1\r\nHOST:a\r\nUpgrade: h2c\r\nConnection: upgrade\r\n\r\n", b""),
@@ -71,14 +76,30 @@
     (431, HOST + (b"X: " + b"a" * 100 + b"\r\n") * 5),
 ]
 FIRST = [
-    (400, b"GET  / HTTP/1.1"), (400, b"GET /"), (400, b"G(T / HTTP/1.1"), (400, b"GET /\x7f HTTP/1.1"),
-    (505, b"GET / HTTP/2.0"), (400, b"GET / http/1.1"), (400, b" GET / HTTP/1.1"), (400, b"GET / HTTP/1.1 "),
+    (400, b"GET  / HTTP/1.1"),
+    (400, b"GET /"),
+    (400, b"G(T / HTTP/1.1"),
+    (400, b"GET /\x7f HTTP/1.1"),
+    (505, b"GET / HTTP/2.0"),
+    (400, b"GET / http/1.1"),
+    (400, b" GET / HTTP/1.1"),
+    (400, b"GET / HTTP/1.1 "),
     (431, b"GET /" + b"a" * 250 + b" HTTP/1.1"),
 ]
 CHUNKS = [
-    (400, b"g\r\n"), (400, b"\r\n"), (400, b"-1\r\n"), (400, b"0x1\r\n"), (400, b"1 1\r\n"), (400, b"3\nabc\r\n"),
-    (400, b"3\r\nabcd\r\n"), (400, b"3\r\nabc\n"), (400, b"1;" + b"a" * 40 + b"\r\n"), (413, b"fffffff\r\n"),
-    (400, b"11111111111111111111\r\n"), (400, b"0\r\nX : y\r\n\r\n"), (400, b"0\r\nX: y\n\r\n"),
+    (400, b"g\r\n"),
+    (400, b"\r\n"),
+    (400, b"-1\r\n"),
+    (400, b"0x1\r\n"),
+    (400, b"1 1\r\n"),
+    (400, b"3\nabc\r\n"),
+    (400, b"3\r\nabcd\r\n"),
+    (400, b"3\r\nabc\n"),
+    (400, b"1;" + b"a" * 40 + b"\r\n"),
+    (413, b"fffffff\r\n"),
+    (400, b"11111111111111111111\r\n"),
+    (400, b"0\r\nX : y\r\n\r\n"),
+    (400, b"0\r\nX: y\n\r\n"),
 ]
 
 
@@ -90,12 +111,17 @@
     assert run(data, list(range(len(data)))) == (whole, 0)
 
 
-@pytest.mark.parametrize(("status", "data"), [
-    *((status, b"POST / HTTP/1.1\r\n" + lines + b"\r\n") for status, lines in BAD),
-    *((status, first + b"\r\n" + HOST + b"\r\n") for status, first in FIRST),
-    *((status, b"POST / HTTP/1.1\r\n" + HOST + b"Transfer-Encoding: chunked\r\n\r\n" + rest)
-      for status, rest in CHUNKS),
-])
+@pytest.mark.parametrize(
+    ("status", "data"),
+    [
+        *((status, b"POST / HTTP/1.1\r\n" + lines + b"\r\n") for status, lines in BAD),
+        *((status, first + b"\r\n" + HOST + b"\r\n") for status, first in FIRST),
+        *(
+            (status, b"POST / HTTP/1.1\r\n" + HOST + b"Transfer-Encoding: chunked\r\n\r\n" + rest)
+            for status, rest in CHUNKS
+        ),
+    ],
+)
 def test_what_is_ambiguous_or_too_large_is_refused_with_its_status(status: int, data: bytes) -> None:
     assert run(data)[1] == status
     assert run(data, list(range(len(data))))[1] == status
@@ -149,9 +175,16 @@
     assert events[1:] == [http1.Data(b"abc")] and parser.eof() == [http1.End()]
 
 
-@pytest.mark.parametrize("data", [
-    b"HTTP/1.1 99 no\r\n\r\n", b"ICY 200 OK\r\n\r\n", b"HTTP/1.1 2000 OK\r\n\r\n", b"\x16\x03\x01\x02\r\n\r\n",
-    b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n"])
+@pytest.mark.parametrize(
+    "data",
+    [
+        b"HTTP/1.1 99 no\r\n\r\n",
+        b"ICY 200 OK\r\n\r\n",
+        b"HTTP/1.1 2000 OK\r\n\r\n",
+        b"\x16\x03\x01\x02\r\n\r\n",
+        b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n",
+    ],
+)
 def test_what_is_no_response_is_an_error(data: bytes) -> None:
     assert run(data, [], True, ("POST",))[1] == 400
 
@@ -175,8 +208,10 @@
 
 
 @settings(max_examples=300)
-@given(st.sampled_from([*(data for data, _ in GOOD), *(
-    b"POST / HTTP/1.1\r\n" + lines + b"\r\n" for _, lines in BAD)]), st.data())
+@given(
+    st.sampled_from([*(data for data, _ in GOOD), *(b"POST / HTTP/1.1\r\n" + lines + b"\r\n" for _, lines in BAD)]),
+    st.data(),
+)
 def test_any_split_and_any_mutation_end_the_same_way(seed: bytes, data: st.DataObject) -> None:
     raw = bytearray(seed * 2)
     for _ in range(data.draw(st.integers(0, 4))):
@@ -187,7 +222,7 @@
         elif how == 1:
             raw[at:at] = data.draw(st.binary(max_size=6))
         else:
-            del raw[at: at + data.draw(st.integers(1, 5))]
+            del raw[at : at + data.draw(st.integers(1, 5))]
     whole = run(bytes(raw))
     cuts = data.draw(st.lists(st.integers(0, len(raw)), max_size=8))
     assert run(bytes(raw), cuts) == whole
--- a/tests/codec/test_objects.py
+++ b/tests/codec/test_objects.py
@@ -15,16 +15,21 @@
 from linnetstile.codec.objects import DEEPEST, STEP, Objects, Part
 
 TEXT = st.text(st.characters(codec="utf-8"), max_size=4)
-JSON = st.recursive(st.none() | st.booleans() | st.integers() | TEXT, lambda inner: st.lists(inner, max_size=3)
-                    | st.dictionaries(TEXT, inner, max_size=3), max_leaves=8)
+JSON = st.recursive(
+    st.none() | st.booleans() | st.integers() | TEXT,
+    lambda inner: st.lists(inner, max_size=3) | st.dictionaries(TEXT, inner, max_size=3),
+    max_leaves=8,
+)
 VALUES = st.lists(st.dictionaries(TEXT, JSON, max_size=3) | st.lists(JSON, max_size=3), max_size=4)
 
 
 @given(VALUES, st.sampled_from([None, 1, "\t"]), st.sampled_from(["", "\n", "\r\n\r\n \t"]), st.data())
 def test_values_come_out_whole_wherever_the_stream_is_cut_and_however_they_are_indented(
-        values: list[Any], indent: int | None, between: str, data: st.DataObject) -> None:
-    stream = "".join(json.dumps(value, indent=indent, ensure_ascii=data.draw(st.booleans())) + between
-                     for value in values).encode()
+    values: list[Any], indent: int | None, between: str, data: st.DataObject
+) -> None:
+    stream = "".join(
+        json.dumps(value, indent=indent, ensure_ascii=data.draw(st.booleans())) + between for value in values
+    ).encode()
     cuts = sorted(data.draw(st.lists(st.integers(0, len(stream)), max_size=6)))
     reader, found = Objects(1 << 20), []
     for begin, end in zip([0, *cuts], [*cuts, len(stream)], strict=True):
@@ -32,9 +37,25 @@
     assert found == values and not reader.part
 
 
-@pytest.mark.parametrize("stream", [
-    b"7", b"null\n", b"x{}", b"}", b'{"a": 1,}', b"[1}", b'{"a\nb": 1}', b'{"a": NaN}', b'["\\q"]', b'["\xff"]',
-    b"[" * 40, b'{"a": ' * (DEEPEST + 1), b"[1]]", b'["' + b"a" * 2000])
+@pytest.mark.parametrize(
+    "stream",
+    [
+        b"7",
+        b"null\n",
+        b"x{}",
+        b"}",
+        b'{"a": 1,}',
+        b"[1}",
+        b'{"a\nb": 1}',
+        b'{"a": NaN}',
+        b'["\\q"]',
+        b'["\xff"]',
+        b"[" * 40,
+        b'{"a": ' * (DEEPEST + 1),
+        b"[1]]",
+        b'["' + b"a" * 2000,
+    ],
+)
 @pytest.mark.parametrize("step", [1, 1 << 20])
 def test_what_is_no_json_is_one_error_for_good(stream: bytes, step: int) -> None:
     reader, before = Objects(1000), 0
@@ -83,13 +104,14 @@
     return [*found, reader.part]
 
 
-ELEMENTS: list[Any] = [{"a": 1}, {}, 7, "x},{", [1, [2, {"b": "]"}]], None, {"c": "\\\"},"}, {"d": {"e": {}}}, "", -1e3]
+ELEMENTS: list[Any] = [{"a": 1}, {}, 7, "x},{", [1, [2, {"b": "]"}]], None, {"c": '\\"},'}, {"d": {"e": {}}}, "", -1e3]
 
 
 @pytest.mark.parametrize("indent", [None, 0, 3])
 @pytest.mark.parametrize("elements", [ELEMENTS * 2, [{"id": number} for number in range(20)], ["y" * 140, {}, 3]])
 def test_long_object_comes_in_parts_that_are_the_same_wherever_it_is_cut(
-        indent: int | None, elements: list[Any], monkeypatch: pytest.MonkeyPatch) -> None:
+    indent: int | None, elements: list[Any], monkeypatch: pytest.MonkeyPatch
+) -> None:
     monkeypatch.setattr(objects, "QUICK", 24)
     told = {"version": 7, "full": True, "servers": elements}
     short = {"version": 8, "full": False, "servers": [{}]}
@@ -104,18 +126,28 @@
     assert fed(stream, [], step=len(stream)) == [told, short, told, False]
 
 
-@pytest.mark.parametrize("text", [
-    b'{"version":1,"full":true,"servers":[%s],"more":{"servers":[1]},"x":"]}"}',
-    b'{"servers":[%s],"version":1,"full":true}',
-    b'{"version":1,"servers":[%s],"full":true}', b'[{"version":1,"full":true,"servers":[%s]}]',
-    b'{"version":1,"full":true,"x":{"servers":[%s]}}', b'{"version":1,"full":true,"\\"servers":[%s]}',
-    b'{"version":1,"full":true,"servers":{"servers":[%s]}}',
-    b' {"full":0 , "version":{"servers":[[]]},"servers" : [ %s ] } '])
+@pytest.mark.parametrize(
+    "text",
+    [
+        b'{"version":1,"full":true,"servers":[%s],"more":{"servers":[1]},"x":"]}"}',
+        b'{"servers":[%s],"version":1,"full":true}',
+        b'{"version":1,"servers":[%s],"full":true}',
+        b'[{"version":1,"full":true,"servers":[%s]}]',
+        b'{"version":1,"full":true,"x":{"servers":[%s]}}',
+        b'{"version":1,"full":true,"\\"servers":[%s]}',
+        b'{"version":1,"full":true,"servers":{"servers":[%s]}}',
+        b' {"full":0 , "version":{"servers":[[]]},"servers" : [ %s ] } ',
+    ],
+)
 def test_object_whose_array_is_not_the_one_or_comes_too_early_comes_whole(text: bytes) -> None:
     stream = text % (b'{"id":1},' * 20 + b"{}")
     told = json.loads(stream)
-    parted = (isinstance(told, dict) and {*[*told][:2]} == {*NAMES} and "servers" in told
-              and isinstance(told["servers"], list))
+    parted = (
+        isinstance(told, dict)
+        and {*[*told][:2]} == {*NAMES}
+        and "servers" in told
+        and isinstance(told["servers"], list)
+    )
     expected = [[{name: told[name] for name in NAMES}, told["servers"], True], False] if parted else [told, False]
     for cut in range(len(stream) + 1):
         assert fed(stream, [cut]) == expected, cut
@@ -123,16 +155,37 @@
 
 
 SOUND = b'{"version":1,"full":true,"servers":[' + b'{"id":1},' * 20
-FAULTS = [b"{},,{}]}", b"{},]}", b"{}}", b"{}]]", b"{} {}]}", b'{"a":NaN},{}]}', b'{"a":1,},{}]}', b'{"a\n":1},{}]}',
-          b"[" * 40 + b"]" * 40 + b",{}]}", b'{"a":' * 31 + b"1" + b"}" * 31 + b",{}]}", b'"' + b"y" * 70 + b'",{}]}',
-          b" " * 70 + b"{},{}]}", b"[}],{}]}", b"{]},{}]}", b'{}],"version":2}', b'{}],"servers":[]}', b'{}],"x":}',
-          b"{},x,{}]}", b'"\xff",{}]}', b'{}],"x":"' + b"y" * 3000 + b'"}', b'{"a":Infinity}]}', b"\0{\0},{}]}"]
+FAULTS = [
+    b"{},,{}]}",
+    b"{},]}",
+    b"{}}",
+    b"{}]]",
+    b"{} {}]}",
+    b'{"a":NaN},{}]}',
+    b'{"a":1,},{}]}',
+    b'{"a\n":1},{}]}',
+    b"[" * 40 + b"]" * 40 + b",{}]}",
+    b'{"a":' * 31 + b"1" + b"}" * 31 + b",{}]}",
+    b'"' + b"y" * 70 + b'",{}]}',
+    b" " * 70 + b"{},{}]}",
+    b"[}],{}]}",
+    b"{]},{}]}",
+    b'{}],"version":2}',
+    b'{}],"servers":[]}',
+    b'{}],"x":}',
+    b"{},x,{}]}",
+    b'"\xff",{}]}',
+    b'{}],"x":"' + b"y" * 3000 + b'"}',
+    b'{"a":Infinity}]}',
+    b"\0{\0},{}]}",
+]
 
 
 @pytest.mark.parametrize("fault", FAULTS, ids=repr)
 @pytest.mark.parametrize("quick", [24, 1 << 20])
 def test_fault_in_a_long_array_ends_it_behind_the_elements_before_it(
-        fault: bytes, quick: int, monkeypatch: pytest.MonkeyPatch) -> None:
+    fault: bytes, quick: int, monkeypatch: pytest.MonkeyPatch
+) -> None:
     monkeypatch.setattr(objects, "QUICK", quick)
     stream = SOUND + fault + b"\n{}"
     expected = fed(stream, range(1, len(stream)))
@@ -154,10 +207,14 @@
 
 def test_long_object_is_held_in_no_more_than_a_step_and_its_cost_follows_its_length() -> None:
     """Element by element in drops, and whole: the bytes that are held, and the time against half the length."""
+
     def read(size: int, piece: int) -> float:
         reader, held, count = Objects(1 << 20, "servers", NAMES), 0, 0
-        stream = b'{"version":1,"full":true,"servers":[' + b",".join(
-            b'{"id":"s-%08d","addr":"10.0.0.1:3000","state":"SERVING"}' % number for number in range(size)) + b"]}"
+        stream = (
+            b'{"version":1,"full":true,"servers":['
+            + b",".join(b'{"id":"s-%08d","addr":"10.0.0.1:3000","state":"SERVING"}' % number for number in range(size))
+            + b"]}"
+        )
         began = time.process_time()
         for at in range(0, len(stream), piece):
             for part in reader.feed(stream[at : at + piece]):
--- a/tests/config/test_files.py
+++ b/tests/config/test_files.py
@@ -16,7 +16,9 @@
 
 ROOT = Path(__file__).parent.parent.parent
 GOOD: dict[str, Any] = {
-    "name": "r1", "register": "http://127.0.0.1:4090", "limits": {"slots": 8, "hold": 100},
+    "name": "r1",
+    "register": "http://127.0.0.1:4090",
+    "limits": {"slots": 8, "hold": 100},
     "classes": {"a": {"effect": "keyed", "aim_ms": 1000, "deadline_ms": 4000, "key_window_ms": 2000}},
     "rules": [{"class": "a", "from": "x*"}],
 }
@@ -35,23 +37,30 @@
     assert found.router_rules()[0].sender == "x*"
 
 
-@pytest.mark.parametrize(("change", "path", "expected"), [
-    ({"register": "http://10.0.0.1:80"}, "register = 'http://10.0.0.1:80'", "loopback"),
-    ({"register": "https://127.0.0.1:80"}, "register", "expected a URL such as"),
-    ({"listen": "0.0.0.0:80"}, "listen", "loopback"), ({"listen": "127.0.0.1"}, "listen", "loopback"),
-    ({"limits": {"slots": 0, "hold": 1}}, "limits.slots = 0", "greater than or equal to 1"),
-    ({"limits": {"slots": 8}}, "limits.hold", "Field required"), ({"slots": 8}, "slots", "not permitted"),
-    ({"classes": {}}, "classes", "at least 1"), ({"name": "a b"}, "name = 'a b'", "pattern"),
-    ({"classes": {"a": {"effect": "keyed", "aim_ms": 1, "deadline_ms": 4}}}, "classes.a", "key_window_ms above 0"),
-    ({"classes": {"a": {"effect": "safe", "aim_ms": 9, "deadline_ms": 4}}}, "classes.a", "at most deadline_ms"),
-    ({"classes": {"a": {"effect": "once", "aim_ms": 1, "deadline_ms": 4}}}, "classes.a.effect = 'once'", "'safe'"),
-    ({"rules": [{"class": "b"}]}, "(whole file)", "rules.0.class: expected one of a, not 'b'"),
-    ({"rules": [{"class": "a", "tenant": "t"}]}, "(whole file)", "'t' is not among the tenants"),
-    ({"zone": "z"}, "(whole file)", "zone: 'z' is not among the zones"),
-    ({"safety": {"cold_share": float("nan")}}, "safety.cold_share = nan", "Input should be"),
-])
+@pytest.mark.parametrize(
+    ("change", "path", "expected"),
+    [
+        ({"register": "http://10.0.0.1:80"}, "register = 'http://10.0.0.1:80'", "loopback"),
+        ({"register": "https://127.0.0.1:80"}, "register", "expected a URL such as"),
+        ({"listen": "0.0.0.0:80"}, "listen", "loopback"),
+        ({"listen": "127.0.0.1"}, "listen", "loopback"),
+        ({"limits": {"slots": 0, "hold": 1}}, "limits.slots = 0", "greater than or equal to 1"),
+        ({"limits": {"slots": 8}}, "limits.hold", "Field required"),
+        ({"slots": 8}, "slots", "not permitted"),
+        ({"classes": {}}, "classes", "at least 1"),
+        ({"name": "a b"}, "name = 'a b'", "pattern"),
+        ({"classes": {"a": {"effect": "keyed", "aim_ms": 1, "deadline_ms": 4}}}, "classes.a", "key_window_ms above 0"),
+        ({"classes": {"a": {"effect": "safe", "aim_ms": 9, "deadline_ms": 4}}}, "classes.a", "at most deadline_ms"),
+        ({"classes": {"a": {"effect": "once", "aim_ms": 1, "deadline_ms": 4}}}, "classes.a.effect = 'once'", "'safe'"),
+        ({"rules": [{"class": "b"}]}, "(whole file)", "rules.0.class: expected one of a, not 'b'"),
+        ({"rules": [{"class": "a", "tenant": "t"}]}, "(whole file)", "'t' is not among the tenants"),
+        ({"zone": "z"}, "(whole file)", "zone: 'z' is not among the zones"),
+        ({"safety": {"cold_share": float("nan")}}, "safety.cold_share = nan", "Input should be"),
+    ],
+)
 def test_a_fault_names_file_path_value_and_what_was_expected(
-        tmp_path: Path, change: dict[str, Any], path: str, expected: str) -> None:
+    tmp_path: Path, change: dict[str, Any], path: str, expected: str
+) -> None:
     with pytest.raises(SettingsError) as caught:
         load(write(tmp_path, GOOD | change), RelaySettings)
     (line,) = caught.value.lines
@@ -64,9 +73,15 @@
     assert len(caught.value.lines) == 3
 
 
-@pytest.mark.parametrize(("text", "expected"), [
-    ("name: [", "line 1, column 8: not YAML"), ("- a", "valid dictionary"), ("", "Field required"),
-    ("a: !!python/object:os.system x", "not YAML")])
+@pytest.mark.parametrize(
+    ("text", "expected"),
+    [
+        ("name: [", "line 1, column 8: not YAML"),
+        ("- a", "valid dictionary"),
+        ("", "Field required"),
+        ("a: !!python/object:os.system x", "not YAML"),
+    ],
+)
 def test_what_is_not_a_settings_file(tmp_path: Path, text: str, expected: str) -> None:
     with pytest.raises(SettingsError, match=expected):
         load(write(tmp_path, text), RelaySettings)
@@ -88,8 +103,9 @@
 
 
 def command(*args: str) -> subprocess.CompletedProcess[str]:
-    return subprocess.run([sys.executable, "-m", "linnetstile.cli.main", *args], capture_output=True, text=True,
-                          timeout=60)
+    return subprocess.run(
+        [sys.executable, "-m", "linnetstile.cli.main", *args], capture_output=True, text=True, timeout=60
+    )
 
 
 def test_exit_codes_and_one_clear_line(tmp_path: Path) -> None:
@@ -109,8 +125,10 @@
 
 
 def test_help_imports_nothing_heavy() -> None:
-    code = ("import sys, linnetstile.cli.main as m\ntry: m.main(['--help'])\nexcept SystemExit: pass\n"
-            "heavy = {'pydantic', 'yaml', 'cryptography', 'asn1crypto', 'structlog', 'asyncio'} & set(sys.modules)\n"
-            "sys.exit(str(heavy) if heavy else 0)")
+    code = (
+        "import sys, linnetstile.cli.main as m\ntry: m.main(['--help'])\nexcept SystemExit: pass\n"
+        "heavy = {'pydantic', 'yaml', 'cryptography', 'asn1crypto', 'structlog', 'asyncio'} & set(sys.modules)\n"
+        "sys.exit(str(heavy) if heavy else 0)"
+    )
     done = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, timeout=60)
     assert done.returncode == 0 and "Play a day" in done.stdout, done.stderr
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -13,17 +13,22 @@
 hypothesis_settings.register_profile("fixed", derandomize=True, deadline=None, database=None)
 hypothesis_settings.load_profile("fixed")
 
-CLASSES = tuple(
-    api.MessageClass(effect.value, effect, 1000.0, 10000.0, 1.0, 0.5, 3000.0) for effect in api.Effect
-)
+CLASSES = tuple(api.MessageClass(effect.value, effect, 1000.0, 10000.0, 1.0, 0.5, 3000.0) for effect in api.Effect)
 SAFE, KEYED, UNSAFE = range(3)
 UNCLEAR = (api.Outcome.ERROR, api.Outcome.TIMEOUT, api.Outcome.RESET)
 
 
 def make_settings(**more: Any) -> api.Settings:
     values: dict[str, Any] = {
-        "classes": CLASSES, "kinds": (api.DestinationKind("k"),), "slots": 8, "hold": 40, "attempts": 5,
-        "relays": 2, "rates": api.Rates.NOMINAL, "idle_ms": 10000.0, "tick_ms": 5.0,
+        "classes": CLASSES,
+        "kinds": (api.DestinationKind("k"),),
+        "slots": 8,
+        "hold": 40,
+        "attempts": 5,
+        "relays": 2,
+        "rates": api.Rates.NOMINAL,
+        "idle_ms": 10000.0,
+        "tick_ms": 5.0,
         "safety": api.Safety(20.0, 250.0, 0.2, 9000.0, 2.0, 1500.0, 10000.0, 100.0),
     }
     return api.Settings(**{**values, **more})
@@ -61,12 +66,14 @@
         return acts
 
     def listed(self, *entries: tuple[int, int], rate: float = 20.0, kind: int = 0) -> None:
-        self.feed(api.EndpointList(api.ListKind.CACHED, tuple(
-            api.Endpoint(ident, dest, api.Listing.READY, kind, 0, rate) for ident, dest in entries)))
-
-    def message(
-        self, class_: int = SAFE, dest: int = 1, left: float = 1e4, key: int = 0, tenant: int = 0
-    ) -> int:
+        self.feed(
+            api.EndpointList(
+                api.ListKind.CACHED,
+                tuple(api.Endpoint(ident, dest, api.Listing.READY, kind, 0, rate) for ident, dest in entries),
+            )
+        )
+
+    def message(self, class_: int = SAFE, dest: int = 1, left: float = 1e4, key: int = 0, tenant: int = 0) -> int:
         self.ids += 1
         self.feed(api.Message(self.ids, dest, class_, left, tenant, key))
         return self.ids
@@ -80,11 +87,27 @@
     def last(self, ident: int) -> tuple[float, api.Send]:
         return [entry for entry in self.sent if entry[1].id == ident][-1]
 
-    def answer(self, ident: int, outcome: api.Outcome = api.Outcome.OK, wait: float = 0.0,
-               took: float = 100.0, report: tuple[float, ...] = ()) -> list[api.Action]:
+    def answer(
+        self,
+        ident: int,
+        outcome: api.Outcome = api.Outcome.OK,
+        wait: float = 0.0,
+        took: float = 100.0,
+        report: tuple[float, ...] = (),
+    ) -> list[api.Action]:
         send = self.out.pop(ident)
-        return self.feed(api.AttemptEnded(ident, self.tries[ident] - 1, send.endpoint, outcome, took,
-                                          outcome is api.Outcome.OK, wait, report=report))
+        return self.feed(
+            api.AttemptEnded(
+                ident,
+                self.tries[ident] - 1,
+                send.endpoint,
+                outcome,
+                took,
+                outcome is api.Outcome.OK,
+                wait,
+                report=report,
+            )
+        )
 
     def warm_up(self, dest: int = 1, calls: int = 6) -> None:
         """Some quick answers, so that the destination is known and well."""
--- a/tests/decisions/test_connections.py
+++ b/tests/decisions/test_connections.py
@@ -88,8 +88,15 @@
 def test_an_endpoint_without_a_connection_left_comes_after_the_others_for_a_while() -> None:
     def used(short: bool, fee: float) -> list[int]:
         d = Driver(make_settings(route_fees=(0.0, fee)))
-        d.feed(api.EndpointList(api.ListKind.CACHED, (
-            api.Endpoint(11, 1, api.Listing.READY, 0, 0, 20.0), api.Endpoint(12, 1, api.Listing.READY, 0, 1, 20.0))))
+        d.feed(
+            api.EndpointList(
+                api.ListKind.CACHED,
+                (
+                    api.Endpoint(11, 1, api.Listing.READY, 0, 0, 20.0),
+                    api.Endpoint(12, 1, api.Listing.READY, 0, 1, 20.0),
+                ),
+            )
+        )
         for _ in range(20 if short else 0):
             d.relay.places[0].met(kept=False, refused=True, waits=False)
         answered(d, 1, api.Outcome.FULL)
@@ -104,6 +111,7 @@
 
 def test_a_refusal_that_a_shortage_explains_does_not_cut_the_pace() -> None:
     """1,636 refusals on new connections and none on kept ones held their senders to a cut pace for 4 s and longer."""
+
     def pace(late: float = 0.0, reused: bool = False, wait: float = 0.0, short: bool = True) -> float:
         d = Driver()
         d.listed((11, 1))
--- a/tests/decisions/test_destinations.py
+++ b/tests/decisions/test_destinations.py
@@ -54,8 +54,9 @@
             index.pop(ident)
             del model[ident]
         else:
-            made = entry(ident, rng.randrange(60), rate=float(rng.randrange(9)), kind=rng.randrange(3),
-                         zone=rng.randrange(9))
+            made = entry(
+                ident, rng.randrange(60), rate=float(rng.randrange(9)), kind=rng.randrange(3), zone=rng.randrange(9)
+            )
             index.put(made)
             model[ident] = made
         dest = rng.randrange(60)
@@ -69,8 +70,17 @@
     index = Index()
     for ident in range(20_000):
         index.put(entry(ident, ident // 2))
-    columns = (index.ids, index.dests, index.kinds, index.zones, index.rates, index.by_id.heads, index.by_id.after,
-               index.by_dest.heads, index.by_dest.after)
+    columns = (
+        index.ids,
+        index.dests,
+        index.kinds,
+        index.zones,
+        index.rates,
+        index.by_id.heads,
+        index.by_id.after,
+        index.by_dest.heads,
+        index.by_dest.after,
+    )
     assert sum(map(sys.getsizeof, columns)) < 64 * 20_000
 
 
@@ -88,19 +98,34 @@
             nonlocal count
             count += 1
             return inner(*args)
+
         monkeypatch.setattr(owner, name, outer)
 
-    for owner, name in ((relay.destinations.index, "_entry"), (relay.destinations.index, "_id_hash"),
-                        (relay.destinations.index, "_dest_hash"), (relay.destinations, "attach"), (relay, "_pick")):
+    for owner, name in (
+        (relay.destinations.index, "_entry"),
+        (relay.destinations.index, "_id_hash"),
+        (relay.destinations.index, "_dest_hash"),
+        (relay.destinations, "attach"),
+        (relay, "_pick"),
+    ):
         counted(owner, name)
     relay.handle(now, list(events))
     monkeypatch.undo()
     return count
 
 
-@pytest.mark.parametrize("event", [
-    changes(entry(7, 7, DRAINING)), changes(entry(7, 7, GONE)), changes(entry(7, 7, rate=9.0)),
-    changes(entry(10**6, 7)), changes(entry(7, 8)), api.Message(1, 7, SAFE, 5000.0), api.TimerFired(0)])
+@pytest.mark.parametrize(
+    "event",
+    [
+        changes(entry(7, 7, DRAINING)),
+        changes(entry(7, 7, GONE)),
+        changes(entry(7, 7, rate=9.0)),
+        changes(entry(10**6, 7)),
+        changes(entry(7, 8)),
+        api.Message(1, 7, SAFE, 5000.0),
+        api.TimerFired(0),
+    ],
+)
 def test_a_turn_costs_what_it_is_about(event: api.Event, monkeypatch: pytest.MonkeyPatch) -> None:
     work = []
     for size in (64, 4096):
@@ -120,8 +145,14 @@
         for step in range(200):  # as many are out as there are slots: all are told to wait
             for ident, held in list(relay.board.held.items()):
                 if held.out is not None:
-                    relay.handle(2.0 + step, [api.AttemptEnded(
-                        ident, held.tries - 1, held.out.door.entry.id, api.Outcome.FULL, 1.0, False, 9000.0)])
+                    relay.handle(
+                        2.0 + step,
+                        [
+                            api.AttemptEnded(
+                                ident, held.tries - 1, held.out.door.entry.id, api.Outcome.FULL, 1.0, False, 9000.0
+                            )
+                        ],
+                    )
             if not relay.busy and not relay.board.soon:
                 break
         assert len(relay.board.queues) == size and not relay.board.soon
@@ -152,8 +183,9 @@
     relay.handle(0.0, [changes(*(entry(ident, ident) for ident in range(3 * resting.IN_USE)))])
     for number in range(3 * resting.IN_USE):
         now = 1.0 + number
-        (send,) = [act for act in relay.handle(now, [api.Message(number, number, SAFE, 5000.0)])
-                   if isinstance(act, api.Send)]
+        (send,) = [
+            act for act in relay.handle(now, [api.Message(number, number, SAFE, 5000.0)]) if isinstance(act, api.Send)
+        ]
         relay.handle(now + 0.5, [api.AttemptEnded(number, 0, send.endpoint, api.Outcome.OK, 0.5, True)])
     assert len(relay.lanes) <= resting.IN_USE + 2 and len(relay.doors) == len(relay.lanes)
     assert max(relay.lanes) == 3 * resting.IN_USE - 1 and min(relay.lanes) >= 2 * resting.IN_USE - 2
--- a/tests/decisions/test_knowledge.py
+++ b/tests/decisions/test_knowledge.py
@@ -23,8 +23,18 @@
 
 
 def down(age: float = 100.0, since: float = 3000.0) -> Claim:
-    return Claim("p", -1, (11, 12), answered_age=since + 500, failed_age=age, out_age=since, mean_ms=100, dev_ms=30,
-                 answers=9, knowers=2.0)
+    return Claim(
+        "p",
+        -1,
+        (11, 12),
+        answered_age=since + 500,
+        failed_age=age,
+        out_age=since,
+        mean_ms=100,
+        dev_ms=30,
+        answers=9,
+        knowers=2.0,
+    )
 
 
 def learn(*claims: Claim, own: bool = False, relays: int = 10) -> tuple[Lesson | None, list[Doubt]]:
@@ -67,10 +77,12 @@
 
 
 def test_what_was_learned_from_others_endpoints_is_about_somebody_else() -> None:
-    for claim, reason in [(Claim("p", -1, (99,), failed_age=1, out_age=1), "not its own"),
-                          (Claim("q", -1, (11,), failed_age=1, out_age=1), "no such partner"),
-                          (Claim("p", -1, (11,), failed_age=float("nan"), out_age=1), "can't be"),
-                          (Claim("p", -1, (11,), failed_age=-5, out_age=1), "can't be")]:
+    for claim, reason in [
+        (Claim("p", -1, (99,), failed_age=1, out_age=1), "not its own"),
+        (Claim("q", -1, (11,), failed_age=1, out_age=1), "no such partner"),
+        (Claim("p", -1, (11,), failed_age=float("nan"), out_age=1), "can't be"),
+        (Claim("p", -1, (11,), failed_age=-5, out_age=1), "can't be"),
+    ]:
         found, doubts = learn(claim)
         assert found is None and reason in doubts[0].reason
 
@@ -84,9 +96,21 @@
     lanes = {(f"p{n}", -1): {n} for n in range(10)}
 
     def all_(name: str, out: bool) -> Source:
-        return Source(name, False, tuple(
-            Claim(f"p{n}", -1, (n,), answered_age=4000 if out else 50, failed_age=100 if out else None,
-                  out_age=3000 if out else None) for n in range(10)))
+        return Source(
+            name,
+            False,
+            tuple(
+                Claim(
+                    f"p{n}",
+                    -1,
+                    (n,),
+                    answered_age=4000 if out else 50,
+                    failed_age=100 if out else None,
+                    out_age=3000 if out else None,
+                )
+                for n in range(10)
+            ),
+        )
 
     found, doubts = lessons([all_("liar", True), all_("b", False)], lanes, set(), 10)
     assert not [each for each in found if each.out_ms is not None] and {d.source for d in doubts} == {"liar"}
@@ -107,9 +131,28 @@
 ages = st.one_of(st.none(), st.floats(-10, 1e7), st.just(float("nan")), st.just(float("inf")))
 
 
-@given(st.lists(st.builds(Claim, st.just("p"), st.just(-1), st.just((11,)), ages, ages, ages, ages,
-                          st.floats(-1, 1e12), st.floats(0, 1e6), st.floats(0, 1e6), st.integers(0, 9),
-                          st.floats(0, 1e6), st.floats(0, 1e9)), max_size=5), st.booleans())
+@given(
+    st.lists(
+        st.builds(
+            Claim,
+            st.just("p"),
+            st.just(-1),
+            st.just((11,)),
+            ages,
+            ages,
+            ages,
+            ages,
+            st.floats(-1, 1e12),
+            st.floats(0, 1e6),
+            st.floats(0, 1e6),
+            st.integers(0, 9),
+            st.floats(0, 1e6),
+            st.floats(0, 1e9),
+        ),
+        max_size=5,
+    ),
+    st.booleans(),
+)
 def test_nothing_that_peers_say_breaks_the_bounds(claims: list[Claim], own: bool) -> None:
     found, _ = learn(*claims, own=own, relays=7)
     if found is not None:
--- a/tests/decisions/test_pace.py
+++ b/tests/decisions/test_pace.py
@@ -7,14 +7,17 @@
 from linnetstile.decisions.pace import STAY_MS, Meter, Offices, Place, giving_way
 
 
-@pytest.mark.parametrize(("rate", "pattern", "lasts"), [
-    (1000, lambda ms: 250, True),  # exactly the least rate
-    (1000, lambda ms: 1, False),  # some bytes a second
-    (1000, lambda ms: 0, False),
-    (1000, lambda ms: 3000 if ms % 1000 == 0 else 0, True),  # 900 ms of stall in each second, and quick between
-    (1000, lambda ms: 300 if ms % 1000 == 0 else 0, False),  # the same stalls, and slow between
-    (0, lambda ms: 0, True),  # no rate asked for
-])
+@pytest.mark.parametrize(
+    ("rate", "pattern", "lasts"),
+    [
+        (1000, lambda ms: 250, True),  # exactly the least rate
+        (1000, lambda ms: 1, False),  # some bytes a second
+        (1000, lambda ms: 0, False),
+        (1000, lambda ms: 3000 if ms % 1000 == 0 else 0, True),  # 900 ms of stall in each second, and quick between
+        (1000, lambda ms: 300 if ms % 1000 == 0 else 0, False),  # the same stalls, and slow between
+        (0, lambda ms: 0, True),  # no rate asked for
+    ],
+)
 def test_a_peer_is_let_go_by_its_mean_rate_and_not_by_a_stall(rate: float, pattern: object, lasts: bool) -> None:
     meter = Meter(rate, 5000.0)
     assert callable(pattern)
@@ -88,12 +91,25 @@
 def test_a_full_listener_lets_go_what_proved_nothing_first() -> None:
     hosts = {"many": 90, "few": 2}
     rows: list[tuple[str, bool, bool, float, float, str]] = [
-        ("few", True, False, 9.0, 0.0, "kept of few"), ("many", True, False, 9.0, 0.0, "kept of many"),
-        ("many", False, False, 10**6, 1.0, "upload"), ("many", False, False, 1.0, 5.0, "drips"),
-        ("many", False, False, 0.0, 7.0, "silent"), ("many", False, False, 0.0, 6.0, "silent for longer"),
-        ("few", False, False, 0.0, 1.0, "silent of few"), ("many", False, True, 0.0, 8.0, "new")]
+        ("few", True, False, 9.0, 0.0, "kept of few"),
+        ("many", True, False, 9.0, 0.0, "kept of many"),
+        ("many", False, False, 10**6, 1.0, "upload"),
+        ("many", False, False, 1.0, 5.0, "drips"),
+        ("many", False, False, 0.0, 7.0, "silent"),
+        ("many", False, False, 0.0, 6.0, "silent for longer"),
+        ("few", False, False, 0.0, 1.0, "silent of few"),
+        ("many", False, True, 0.0, 8.0, "new"),
+    ]
     places = [Place(*row) for row in rows]
     order = [place.token for place in giving_way(hosts, places, 10)[::-1]]
-    assert order == ["silent for longer", "silent", "drips", "upload", "silent of few", "new", "kept of many",
-                     "kept of few"]
+    assert order == [
+        "silent for longer",
+        "silent",
+        "drips",
+        "upload",
+        "silent of few",
+        "new",
+        "kept of many",
+        "kept of few",
+    ]
     assert [place.token for place in giving_way(hosts, places, 1)] == ["silent for longer"]
--- a/tests/decisions/test_platform.py
+++ b/tests/decisions/test_platform.py
@@ -19,25 +19,29 @@
 from ..conftest import CLASSES, KEYED, SAFE, UNSAFE, Driver, make_settings
 
 
-@pytest.mark.parametrize(("seen", "claimed", "no_slot", "outcome", "finished"), [
-    (Seen(Sight.ANSWERED, 200), 0, False, Outcome.OK, True),
-    (Seen(Sight.GARBLED), 200, False, Outcome.OK, True),
-    (Seen(Sight.TIMED_OUT), 200, False, Outcome.OK, True),
-    (Seen(Sight.LOST), 200, False, Outcome.OK, True),
-    (Seen(Sight.ANSWERED, 200, late=True), 200, False, Outcome.TIMEOUT, False),  # its end is owed
-    (Seen(Sight.TIMED_OUT, late=True), 200, False, Outcome.TIMEOUT, False),
-    (Seen(Sight.ANSWERED, 503, late=True), 0, False, Outcome.FULL, False),
-    (Seen(Sight.GARBLED), 503, False, Outcome.RESET, False),
-    (Seen(Sight.ANSWERED, 500), 0, False, Outcome.ERROR, False),
-    (Seen(Sight.ANSWERED, 429, 300.0), 0, False, Outcome.FULL, False),
-    (Seen(Sight.ANSWERED, 503), 0, False, Outcome.FULL, False),
-    (Seen(Sight.ANSWERED, 503), 0, True, Outcome.NOT_SENT, False),
-    (Seen(Sight.ANSWERED, 504), 0, False, Outcome.NOT_SENT, False),
-    (Seen(Sight.ANSWERED, 410), 0, False, Outcome.NOT_SENT, True),
-    (Seen(Sight.CUT), 0, False, Outcome.CONNECT_FAILED, False),
-])
-def test_each_row_of_the_platforms_page(seen: Seen, claimed: int, no_slot: bool, outcome: Outcome,
-                                        finished: bool) -> None:
+@pytest.mark.parametrize(
+    ("seen", "claimed", "no_slot", "outcome", "finished"),
+    [
+        (Seen(Sight.ANSWERED, 200), 0, False, Outcome.OK, True),
+        (Seen(Sight.GARBLED), 200, False, Outcome.OK, True),
+        (Seen(Sight.TIMED_OUT), 200, False, Outcome.OK, True),
+        (Seen(Sight.LOST), 200, False, Outcome.OK, True),
+        (Seen(Sight.ANSWERED, 200, late=True), 200, False, Outcome.TIMEOUT, False),  # its end is owed
+        (Seen(Sight.TIMED_OUT, late=True), 200, False, Outcome.TIMEOUT, False),
+        (Seen(Sight.ANSWERED, 503, late=True), 0, False, Outcome.FULL, False),
+        (Seen(Sight.GARBLED), 503, False, Outcome.RESET, False),
+        (Seen(Sight.ANSWERED, 500), 0, False, Outcome.ERROR, False),
+        (Seen(Sight.ANSWERED, 429, 300.0), 0, False, Outcome.FULL, False),
+        (Seen(Sight.ANSWERED, 503), 0, False, Outcome.FULL, False),
+        (Seen(Sight.ANSWERED, 503), 0, True, Outcome.NOT_SENT, False),
+        (Seen(Sight.ANSWERED, 504), 0, False, Outcome.NOT_SENT, False),
+        (Seen(Sight.ANSWERED, 410), 0, False, Outcome.NOT_SENT, True),
+        (Seen(Sight.CUT), 0, False, Outcome.CONNECT_FAILED, False),
+    ],
+)
+def test_each_row_of_the_platforms_page(
+    seen: Seen, claimed: int, no_slot: bool, outcome: Outcome, finished: bool
+) -> None:
     found = endpoint_proof(seen, claimed, no_slot)
     assert (found.outcome, found.finished, found.no_slot) == (outcome, finished, no_slot)
 
@@ -55,18 +59,22 @@
     driver.feed(api.Resumed(api.Message(driver.ids, 1, class_, left), 5000.0, tries, risk_ms))
 
 
-@pytest.mark.parametrize(("class_", "tries", "risk_ms", "sent", "ended"), [
-    (SAFE, 1, 500.0, True, None),
-    (KEYED, 1, 500.0, True, None),
-    (KEYED, 1, CLASSES[KEYED].key_window_ms, False, api.Fail),  # the destination may have forgotten its key
-    (UNSAFE, 1, 500.0, False, api.Fail),
-    (UNSAFE, 1, None, True, None),  # its one attempt proved no effect
-    (UNSAFE, 0, None, True, None),
-    (SAFE, 5, 500.0, False, api.Refuse),  # had all its attempts
-    (SAFE, 5, None, False, api.Refuse),
-])
-def test_restart_goes_by_class_window_and_attempts(class_: int, tries: int, risk_ms: float | None, sent: bool,
-                                                   ended: type | None) -> None:
+@pytest.mark.parametrize(
+    ("class_", "tries", "risk_ms", "sent", "ended"),
+    [
+        (SAFE, 1, 500.0, True, None),
+        (KEYED, 1, 500.0, True, None),
+        (KEYED, 1, CLASSES[KEYED].key_window_ms, False, api.Fail),  # the destination may have forgotten its key
+        (UNSAFE, 1, 500.0, False, api.Fail),
+        (UNSAFE, 1, None, True, None),  # its one attempt proved no effect
+        (UNSAFE, 0, None, True, None),
+        (SAFE, 5, 500.0, False, api.Refuse),  # had all its attempts
+        (SAFE, 5, None, False, api.Refuse),
+    ],
+)
+def test_restart_goes_by_class_window_and_attempts(
+    class_: int, tries: int, risk_ms: float | None, sent: bool, ended: type | None
+) -> None:
     driver = Driver()
     driver.listed((1, 1))
     resumed(driver, class_, tries, risk_ms)
@@ -88,8 +96,9 @@
 
 
 @pytest.mark.parametrize(("took", "reused", "blamed"), [(1.0, True, False), (1.0, False, True), (90.0, True, True)])
-def test_kept_connection_found_closed_is_no_evidence_about_its_destination(took: float, reused: bool,
-                                                                            blamed: bool) -> None:
+def test_kept_connection_found_closed_is_no_evidence_about_its_destination(
+    took: float, reused: bool, blamed: bool
+) -> None:
     driver = Driver()
     driver.listed((1, 1))
     driver.warm_up()
@@ -175,6 +184,7 @@
 
 def test_list_of_1024_that_loses_half_costs_no_more_than_some_lists_that_bring_them() -> None:
     """A ratio within this run: each endpoint that left used to cost a look at every destination, 50 lists in all."""
+
     def took(relay: Relay, now: float, first: int) -> float:
         entries = tuple(api.Endpoint(ident, ident // 2, api.Listing.READY, 0, 0, 20.0) for ident in range(first, 1024))
         began = time.perf_counter()
--- a/tests/decisions/test_shares.py
+++ b/tests/decisions/test_shares.py
@@ -10,8 +10,16 @@
 from linnetstile.decisions.shares import LENT, Charge, Say, Shares
 
 
-def ask(shares: Shares, sender: str, partner: str, size: float, now: float = 0.0, wait: float = 1000.0,
-        token: object = None, tenant: str = "") -> tuple[Say, Charge]:
+def ask(
+    shares: Shares,
+    sender: str,
+    partner: str,
+    size: float,
+    now: float = 0.0,
+    wait: float = 1000.0,
+    token: object = None,
+    tenant: str = "",
+) -> tuple[Say, Charge]:
     return shares.ask(now, ((tenant, "host", sender), (partner,)), size, wait, token or object())
 
 
@@ -150,8 +158,16 @@
         what = rng.random()
         if what < 0.5:
             token = object()
-            say, charge = ask(shares, f"s{rng.randrange(6)}", f"p{rng.randrange(4)}", rng.choice((1, 5, 40)), now,
-                              rng.choice((5.0, 500.0)), token, rng.choice("tu"))
+            say, charge = ask(
+                shares,
+                f"s{rng.randrange(6)}",
+                f"p{rng.randrange(4)}",
+                rng.choice((1, 5, 40)),
+                now,
+                rng.choice((5.0, 500.0)),
+                token,
+                rng.choice("tu"),
+            )
             if say is Say.YES:
                 granted.append(charge)
             elif say is Say.WAIT:
--- a/tests/decisions/test_subjects.py
+++ b/tests/decisions/test_subjects.py
@@ -20,8 +20,10 @@
     (Seen(Sight.GARBLED), Outcome.RESET, False),
     (Seen(Sight.CANCELLED), Outcome.CANCELLED, False),
     *((Seen(Sight.ANSWERED, status), Outcome.FULL, False) for status in (429, 503)),
-    *((Seen(Sight.ANSWERED, status), Outcome.ERROR, False)
-      for status in (301, 400, 401, 403, 404, 408, 409, 413, 415, 422, 500, 501, 502, 504)),
+    *(
+        (Seen(Sight.ANSWERED, status), Outcome.ERROR, False)
+        for status in (301, 400, 401, 403, 404, 408, 409, 413, 415, 422, 500, 501, 502, 504)
+    ),
     (Seen(Sight.ANSWERED, 200, None, Receipt.NOT_ASKED), Outcome.OK, True),
     (Seen(Sight.ANSWERED, 200, None, Receipt.POSITIVE), Outcome.OK, True),
     (Seen(Sight.ANSWERED, 202, None, Receipt.POSITIVE), Outcome.OK, True),
@@ -29,8 +31,10 @@
     (Seen(Sight.ANSWERED, 200, None, Receipt.NEGATIVE), Outcome.OK, True),
     (Seen(Sight.CUT), Outcome.CONNECT_FAILED, False),  # its last byte never left: nothing can have run
     (Seen(Sight.ANSWERED, 500, whole=False), Outcome.CONNECT_FAILED, False),
-    *((Seen(Sight.ANSWERED, 200, None, receipt), Outcome.ERROR, False)
-      for receipt in (Receipt.MISSING, Receipt.UNPROVEN, Receipt.OTHER_MESSAGE, Receipt.WRONG_MIC)),
+    *(
+        (Seen(Sight.ANSWERED, 200, None, receipt), Outcome.ERROR, False)
+        for receipt in (Receipt.MISSING, Receipt.UNPROVEN, Receipt.OTHER_MESSAGE, Receipt.WRONG_MIC)
+    ),
 ]
 
 
@@ -40,8 +44,16 @@
     assert (found.outcome, found.finished) == (outcome, finished) and found.reason
 
 
-@given(st.builds(Seen, st.sampled_from(Sight), st.integers(200, 599),
-                 st.one_of(st.none(), st.floats(-1e12, 1e12)), st.sampled_from(Receipt), st.booleans()))
+@given(
+    st.builds(
+        Seen,
+        st.sampled_from(Sight),
+        st.integers(200, 599),
+        st.one_of(st.none(), st.floats(-1e12, 1e12)),
+        st.sampled_from(Receipt),
+        st.booleans(),
+    )
+)
 def test_only_proof_is_taken_for_proof(seen: Seen) -> None:
     found = proof(seen)
     if found.outcome.proves_no_effect:
@@ -81,11 +93,21 @@
 
 
 def test_the_first_rule_that_fits_counts() -> None:
-    router = Router((Rule(1, sender="dir-*", subject="plata*"), Rule(2, receiver="firma-1"),
-                     Rule(3, content_type="application/edi*")))
-    for args, class_ in [(("dir-x", "b", "plata 7", "text/plain"), 1), (("dir-x", "firma-1", "x", "a/b"), 2),
-                         (("z", "firma-1", "plata", "a/b"), 2), (("z", "b", "x", "Application/EDI-X12"), 3),
-                         (("z", "Firma-1", "x", "a/b"), 0), (("", "", "", ""), 0)]:
+    router = Router(
+        (
+            Rule(1, sender="dir-*", subject="plata*"),
+            Rule(2, receiver="firma-1"),
+            Rule(3, content_type="application/edi*"),
+        )
+    )
+    for args, class_ in [
+        (("dir-x", "b", "plata 7", "text/plain"), 1),
+        (("dir-x", "firma-1", "x", "a/b"), 2),
+        (("z", "firma-1", "plata", "a/b"), 2),
+        (("z", "b", "x", "Application/EDI-X12"), 3),
+        (("z", "Firma-1", "x", "a/b"), 0),
+        (("", "", "", ""), 0),
+    ]:
         found = router.match(*args)
         assert (found.class_ if found else 0) == class_
 
--- a/tests/faults/rig.py
+++ b/tests/faults/rig.py
@@ -24,19 +24,36 @@
     "unsafe": {"effect": "unsafe", "aim_ms": 1000, "deadline_ms": 4000},
     "safe": {"effect": "safe", "aim_ms": 1000, "deadline_ms": 8000},
 }
-SAFETY = {"drain_grace_ms": 100.0, "cold_share": 0.2, "cold_ms": 4000.0, "fall_multiple": 2.0, "fall_ms": 1000.0,
-          "ask_within_ms": 2000.0, "key_rest_ms": 50.0, "answer_slack_ms": 20.0}
+SAFETY = {
+    "drain_grace_ms": 100.0,
+    "cold_share": 0.2,
+    "cold_ms": 4000.0,
+    "fall_multiple": 2.0,
+    "fall_ms": 1000.0,
+    "ask_within_ms": 2000.0,
+    "key_rest_ms": 50.0,
+    "answer_slack_ms": 20.0,
+}
 
 
 class Rig:
     """`async with Rig(tmp_path, ...) as rig`; `seconds()` counts from the moment everything stands."""
 
     def __init__(
-            self, folder: Path, relays: int = 1, faults: list[dict[str, Any]] | None = None,
-            partner: dict[str, Any] | None = None, endpoints: int = 1, classes: dict[str, Any] | None = None,
-            limits: dict[str, Any] | None = None, register: dict[str, Any] | None = None,
-            warm: bool = True, knowledge: dict[str, Any] | None = None, fleet: int = 0,
-            tls: dict[str, Any] | None = None) -> None:
+        self,
+        folder: Path,
+        relays: int = 1,
+        faults: list[dict[str, Any]] | None = None,
+        partner: dict[str, Any] | None = None,
+        endpoints: int = 1,
+        classes: dict[str, Any] | None = None,
+        limits: dict[str, Any] | None = None,
+        register: dict[str, Any] | None = None,
+        warm: bool = True,
+        knowledge: dict[str, Any] | None = None,
+        fleet: int = 0,
+        tls: dict[str, Any] | None = None,
+    ) -> None:
         self.tls = tls  # how the relays reach the partner
         self.knowledge = knowledge
         self.fleet = fleet or relays  # how many the relays are told there are
@@ -44,16 +61,34 @@
         self.keys = {name: cms.make_identity(name) for name in ("firma", "relay", "office")}
         for name, identity in self.keys.items():
             (folder / f"{name}.pem").write_bytes(cms.save(identity))
-        self.partner = {"name": "firma", "endpoints": [{"id": n + 1} for n in range(endpoints)], "work_ms": 40,
-                        "spread": 0.0, "rate": 50.0, "tell": 1.0, "keyed": ["keyed"], "key_window_ms": 4000,
-                        "cold_share": 0.2, "cold_ms": 4000, "fall_multiple": 2, "fall_ms": 1000,
-                        "pem": folder / "firma.pem", **(partner or {})}
+        self.partner = {
+            "name": "firma",
+            "endpoints": [{"id": n + 1} for n in range(endpoints)],
+            "work_ms": 40,
+            "spread": 0.0,
+            "rate": 50.0,
+            "tell": 1.0,
+            "keyed": ["keyed"],
+            "key_window_ms": 4000,
+            "cold_share": 0.2,
+            "cold_ms": 4000,
+            "fall_multiple": 2,
+            "fall_ms": 1000,
+            "pem": folder / "firma.pem",
+            **(partner or {}),
+        }
         self.faults = faults or []
         self.warm = warm and "safe" in (classes or CLASSES)
         self.relays = relays
         self.classes = classes or CLASSES
-        self.limits = {"slots": 8, "hold": 100, "attempts": 5, "connect_timeout_ms": 500,
-                       "self_check_ms": 50, **(limits or {})}
+        self.limits = {
+            "slots": 8,
+            "hold": 100,
+            "attempts": 5,
+            "connect_timeout_ms": 500,
+            "self_check_ms": 50,
+            **(limits or {}),
+        }
         self.faulty: list[str] = []
         self.register_spec = register or {}
         self.services: list[Service] = []
@@ -63,15 +98,30 @@
 
     async def __aenter__(self) -> Rig:
         # A relay checks itself as it runs; what it finds fails the test.
-        asyncio.get_running_loop().set_exception_handler(lambda _, told: self.faulty.append(
-            f"{told.get('message')}: {told.get('exception')!r}"))
-        self.stand = Stand(PartnersSpec.model_validate({
-            "record": self.folder / "partners.jsonl", "t0_ms": now_ms() + 1e9, "partners": [self.partner],
-            "faults": self.faults}))
+        asyncio.get_running_loop().set_exception_handler(
+            lambda _, told: self.faulty.append(f"{told.get('message')}: {told.get('exception')!r}")
+        )
+        self.stand = Stand(
+            PartnersSpec.model_validate(
+                {
+                    "record": self.folder / "partners.jsonl",
+                    "t0_ms": now_ms() + 1e9,
+                    "partners": [self.partner],
+                    "faults": self.faults,
+                }
+            )
+        )
         self.ports = await self.stand.start()
-        self.register = RegisterStand(RegisterSpec.model_validate({
-            "lag_ms": 0, "record": self.folder / "register.jsonl", **self.register_spec,
-            "entries": [self.entry(ident) for ident in self.ports]}))
+        self.register = RegisterStand(
+            RegisterSpec.model_validate(
+                {
+                    "lag_ms": 0,
+                    "record": self.folder / "register.jsonl",
+                    **self.register_spec,
+                    "entries": [self.entry(ident) for ident in self.ports],
+                }
+            )
+        )
         await self.register.start()
         self.pool = client.Pool()
         for _ in range(self.relays):
@@ -85,16 +135,35 @@
 
     def entry(self, ident: int) -> dict[str, Any]:
         scheme = "https" if self.partner.get("tls_pem") else "http"
-        return {"id": ident, "partner": "firma", "url": f"{scheme}://127.0.0.1:{self.ports[ident]}/as2",
-                "status": "ready", "rate": self.partner["rate"] or 50.0}
+        return {
+            "id": ident,
+            "partner": "firma",
+            "url": f"{scheme}://127.0.0.1:{self.ports[ident]}/as2",
+            "status": "ready",
+            "rate": self.partner["rate"] or 50.0,
+        }
 
     def settings(self, name: str, **more: Any) -> RelaySettings:
-        return RelaySettings.model_validate({
-            "name": name, "register": f"http://127.0.0.1:{self.register.port}", "relays": self.fleet,
-            "identity": {"pem": self.folder / "relay.pem"}, "classes": self.classes, "safety": SAFETY,
-            "rules": [{"class": name, "subject": name} for name in self.classes], "limits": self.limits,
-            "partners": {"firma": {"certificate": self.folder / "firma.pem", "tls": self.tls,
-                                   "receipts": self.partner.get("receipts", "sync")}}, **more})
+        return RelaySettings.model_validate(
+            {
+                "name": name,
+                "register": f"http://127.0.0.1:{self.register.port}",
+                "relays": self.fleet,
+                "identity": {"pem": self.folder / "relay.pem"},
+                "classes": self.classes,
+                "safety": SAFETY,
+                "rules": [{"class": name, "subject": name} for name in self.classes],
+                "limits": self.limits,
+                "partners": {
+                    "firma": {
+                        "certificate": self.folder / "firma.pem",
+                        "tls": self.tls,
+                        "receipts": self.partner.get("receipts", "sync"),
+                    }
+                },
+                **more,
+            }
+        )
 
     async def relay(self, wait: bool = True, knowledge: dict[str, Any] | None = None) -> Service:
         name = f"r{len(self.services) + 1}"
@@ -129,8 +198,17 @@
     async def hand(self, made: messages.Made, relay: int = 0) -> client.Answer:
         """Hands a message in and waits for the answer on the connection."""
         mark, name = f"h{next(self.serial)}", f"r{relay + 1}"
-        self.hands("hand", hand=mark, mid=made.head.id, relay=name, cls=made.head.subject, again=False,
-                   sender="office", receiver="firma", wait="")
+        self.hands(
+            "hand",
+            hand=mark,
+            mid=made.head.id,
+            relay=name,
+            cls=made.head.subject,
+            again=False,
+            sender="office",
+            receiver="firma",
+            wait="",
+        )
         answer = await self.post(self.services[relay].address, made)
         if answer.head is None:
             self.hands("lost", hand=mark, mid=made.head.id, sight=answer.sight.value)
@@ -140,15 +218,27 @@
             receipt = "none"
             if answer.head.status == 200 and made.head.notify:
                 receipt = messages.check(made, answer.head.headers, answer.body, signer)[0].value
-            self.hands("final", hand=mark, mid=made.head.id, kind=kind, status=answer.head.status, receipt=receipt,
-                       digest=str(hash(answer.body)))
+            self.hands(
+                "final",
+                hand=mark,
+                mid=made.head.id,
+                kind=kind,
+                status=answer.head.status,
+                receipt=receipt,
+                digest=str(hash(answer.body)),
+            )
         return answer
 
     async def post(self, address: str, made: messages.Made, path: str = "/as2") -> client.Answer:
         done: asyncio.Future[client.Answer] = asyncio.get_running_loop().create_future()
         data = http1.request("POST", path, [("Host", address), *made.headers], made.body)
-        self.pool.call(split(address), "POST", data, lambda answer: None if done.done() else done.set_result(answer),
-                       asyncio.get_running_loop().time() + 12)
+        self.pool.call(
+            split(address),
+            "POST",
+            data,
+            lambda answer: None if done.done() else done.set_result(answer),
+            asyncio.get_running_loop().time() + 12,
+        )
         return await done
 
     async def load(self, cls: str, per_s: float, seconds: float, relays: int | None = None) -> list[client.Answer]:
@@ -176,11 +266,18 @@
 
     def judge(self) -> list[Verdict]:
         """The rules, from the records. Call it after the fleet has ended."""
-        rows = [sorted(read(self.folder / f"{n}.jsonl"), key=lambda row: float(row["t"]))
-                for n in ("partners", "clients", "register")]
+        rows = [
+            sorted(read(self.folder / f"{n}.jsonl"), key=lambda row: float(row["t"]))
+            for n in ("partners", "clients", "register")
+        ]
         classes = {name: {"worth": 1.0, "late_share": 0.0, **cls} for name, cls in self.classes.items()}
-        facts = {"classes": classes, "safety": SAFETY, "attempts": self.limits["attempts"], "relays": self.lives,
-                 "partners": {"firma": {"rate": self.partner["rate"]}}}
+        facts = {
+            "classes": classes,
+            "safety": SAFETY,
+            "attempts": self.limits["attempts"],
+            "relays": self.lives,
+            "partners": {"firma": {"rate": self.partner["rate"]}},
+        }
         return Judge(Run(facts, *rows)).judge()
 
     def broken(self) -> list[str]:
--- a/tests/faults/test_fleet.py
+++ b/tests/faults/test_fleet.py
@@ -34,10 +34,10 @@
             await rig.until(1.4)
             rig.change(used, "ready")
             assert Counter(map(kind, await load)) == {"delivered": 60}
-            gap = [row for row in rig.rows("began") if row["endpoint"] == used
-                   and 800 < row["t"] - rig.stand.t0 < 1400]
+            gap = [row for row in rig.rows("began") if row["endpoint"] == used and 800 < row["t"] - rig.stand.t0 < 1400]
             assert not gap and {row["endpoint"] for row in rig.rows("began")} == {1, 2}
         assert rig.broken() == []
+
     run(test)
 
 
@@ -50,13 +50,18 @@
             assert not rig.rows("fallen")
             assert [row for row in rig.rows("began") if row["t"] - rig.stand.t0 > 4000]
         assert rig.broken() == []
+
     run(test)
 
 
 def test_a_register_that_fails_or_garbles_its_list_is_asked_again(tmp_path: Path) -> None:
     async def test() -> None:
-        async with Rig(tmp_path, register={"troubles": [
-                {"kind": "fail", "at_s": 0, "for_s": 0.6}, {"kind": "garbage", "at_s": 0.6, "for_s": 0.5}]}) as rig:
+        async with Rig(
+            tmp_path,
+            register={
+                "troubles": [{"kind": "fail", "at_s": 0, "for_s": 0.6}, {"kind": "garbage", "at_s": 0.6, "for_s": 0.5}]
+            },
+        ) as rig:
             late = await rig.relay(wait=False)
             answer = await rig.hand(rig.make("safe"), 1)
             assert kind(answer) == "refused" and answer.head is not None and answer.head.status == 503
@@ -64,6 +69,7 @@
             assert late.register.version == 1 and late.register.lists["failed"] >= 2
             assert kind(await rig.hand(rig.make("safe"), 1)) == "delivered"
         assert rig.broken() == []
+
     run(test)
 
 
@@ -80,6 +86,7 @@
             await asyncio.sleep(0.1)
             assert service.register.version == 2 and service.register.lists["failed"] >= 1
             rig.register.version = 3
+
     run(test)
 
 
@@ -96,6 +103,7 @@
             await asyncio.wait_for(service.stopped.wait(), 5)
             assert not service.carried
         assert rig.broken() == []
+
     run(test)
 
 
@@ -110,11 +118,13 @@
             assert len(rig.services[0].carried) == 1
             rig.kill(0)
             assert kind(await waiting) == "lost"
+
     run(test)
 
 
 def test_a_relay_killed_outright_and_one_that_is_started_again(tmp_path: Path) -> None:
     """What it held is the client's to hand in again; the partner's key keeps the effect single."""
+
     async def test() -> None:
         async with Rig(tmp_path, partner={"work_ms": 600}) as rig:
             settings = rig.settings("r1").model_dump(mode="json", by_alias=True)
@@ -122,8 +132,15 @@
 
             async def start() -> tuple[asyncio.subprocess.Process, str]:
                 child = await asyncio.create_subprocess_exec(
-                    sys.executable, "-m", "linnetstile.cli.main", "relay", str(tmp_path / "relay.yaml"),
-                    "--log-level", "error", stdout=asyncio.subprocess.PIPE)
+                    sys.executable,
+                    "-m",
+                    "linnetstile.cli.main",
+                    "relay",
+                    str(tmp_path / "relay.yaml"),
+                    "--log-level",
+                    "error",
+                    stdout=asyncio.subprocess.PIPE,
+                )
                 assert child.stdout is not None
                 return child, json.loads(await asyncio.wait_for(child.stdout.readline(), 20))["listening"]
 
@@ -151,6 +168,7 @@
             assert Counter(row["mid"] for row in rig.rows("effect")) == {made.head.id: 1, unsafe.head.id: 1}
             child.send_signal(signal.SIGTERM)
             assert await asyncio.wait_for(child.wait(), 20) == 0
+
     run(test)
 
 
@@ -166,13 +184,16 @@
             assert kind(await rig.hand(rig.make("safe"))) == "delivered"
             for _, writer in idle:
                 writer.close()
+
     run(test)
 
 
 def test_a_silent_client_is_let_go() -> None:
     async def test() -> None:
-        listener = server.Server(lambda exchange: None, bounds=server.Bounds(
-            head_s=0.2, idle_s=0.3, body_rate=100, grace_s=0.2, sweep_s=0.05))
+        listener = server.Server(
+            lambda exchange: None,
+            bounds=server.Bounds(head_s=0.2, idle_s=0.3, body_rate=100, grace_s=0.2, sweep_s=0.05),
+        )
         port = await listener.start()
         for first in (b"", b"GET / HT", b"POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 9\r\n\r\nabc"):
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
@@ -184,11 +205,13 @@
             writer.close()
         assert listener.counts == {"let_go_head": 2, "let_go_body_rate": 1}
         listener.close()
+
     run(test)
 
 
 def test_a_kept_connection_that_has_died_is_no_attempt() -> None:
     """The reuse race: not a byte left on the dead one, so the request goes out on another, once."""
+
     async def test() -> None:
         seen: list[str] = []
 
@@ -215,6 +238,7 @@
         assert (await call("/3")).head is not None and seen == ["/1", "/2", "/3"] and pool.counts["connects"] == 3
         pool.close()
         listener.close()
+
     run(test)
 
 
@@ -224,4 +248,5 @@
             taken = rig.settings("r9", listen=rig.services[0].address)
             with pytest.raises(OSError, match="address already in use"):
                 await Service(taken, logger("error")).start()
+
     run(test)
--- a/tests/faults/test_fuzz.py
+++ b/tests/faults/test_fuzz.py
@@ -13,12 +13,31 @@
 
 from .rig import Rig, kind, run
 
-LIMITS = {"body_rate": 20_000, "answer_rate": 20_000, "request_rate": 50_000, "response_rate": 500, "stall_ms": 300,
-          "head_ms": 500, "connections": 60, "body_bytes": 300_000, "hold_bytes": 700_000, "room_wait_ms": 200,
-          "slots": 6, "hold": 40}
-FAULTS = [{"kind": kind, "at_s": 0, "for_s": 5, "partners": ["firma"], "share": 0.12, **more} for kind, more in (
-    ("crawl", {"bytes": 20_000}), ("trickle", {}), ("reset", {"bytes": 30}), ("garbage", {}), ("hang", {}),
-    ("answer_lost", {"how": "reset"}))]
+LIMITS = {
+    "body_rate": 20_000,
+    "answer_rate": 20_000,
+    "request_rate": 50_000,
+    "response_rate": 500,
+    "stall_ms": 300,
+    "head_ms": 500,
+    "connections": 60,
+    "body_bytes": 300_000,
+    "hold_bytes": 700_000,
+    "room_wait_ms": 200,
+    "slots": 6,
+    "hold": 40,
+}
+FAULTS = [
+    {"kind": kind, "at_s": 0, "for_s": 5, "partners": ["firma"], "share": 0.12, **more}
+    for kind, more in (
+        ("crawl", {"bytes": 20_000}),
+        ("trickle", {}),
+        ("reset", {"bytes": 30}),
+        ("garbage", {}),
+        ("hang", {}),
+        ("answer_lost", {"how": "reset"}),
+    )
+]
 
 
 async def bad_client(rig: Rig, rng: random.Random) -> None:
@@ -37,7 +56,7 @@
     at = 0
     while at < len(data):
         step = rng.choice((1, 100, 5000, 100_000))
-        writer.write(data[at: at + step])
+        writer.write(data[at : at + step])
         at += step
         if rng.random() < 0.15:
             await asyncio.sleep(rng.choice((0.0, 0.05, 0.4)))
@@ -55,6 +74,7 @@
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_nothing_leaks_whatever_peers_do(tmp_path: Path, seed: int) -> None:
     """The relay asserts its own books twenty times a second (limits.self_check_ms); at the end they are empty."""
+
     async def test() -> None:
         rng = random.Random(seed)
         async with Rig(tmp_path, limits=LIMITS, faults=FAULTS, partner={"rate": 200.0, "work_ms": 5}) as rig:
@@ -85,4 +105,5 @@
             assert len(asyncio.all_tasks()) <= before
             assert kind(await rig.hand(rig.make("safe"))) == "delivered"
         assert not [text for text in rig.broken() if "no final answer" not in text]
+
     run(test)
--- a/tests/faults/test_knowledge.py
+++ b/tests/faults/test_knowledge.py
@@ -26,13 +26,33 @@
 
 
 def claim(**more: Any) -> dict[str, Any]:
-    return {"partner": "firma", "route": -1, "endpoints": [1], "answered_age": 9000, "failed_age": 50, "out_age": 5000,
-            "mean_ms": 40, "dev_ms": 10, "answers": 9, "knowers": 2, **more}
+    return {
+        "partner": "firma",
+        "route": -1,
+        "endpoints": [1],
+        "answered_age": 9000,
+        "failed_age": 50,
+        "out_age": 5000,
+        "mean_ms": 40,
+        "dev_ms": 10,
+        "answers": 9,
+        "knowers": 2,
+        **more,
+    }
 
 
 def document(*claims: dict[str, Any], **more: Any) -> dict[str, Any]:
-    return {"format": FORMAT, "relay": "peer", "run": "x", "version": 1, "since": 0, "relays": 3, "peers": [],
-            "claims": list(claims), **more}
+    return {
+        "format": FORMAT,
+        "relay": "peer",
+        "run": "x",
+        "version": 1,
+        "since": 0,
+        "relays": 3,
+        "peers": [],
+        "claims": list(claims),
+        **more,
+    }
 
 
 async def peer(reply: Callable[[server.Exchange], None]) -> tuple[server.Server, str]:
@@ -45,6 +65,7 @@
 
     def reply(exchange: server.Exchange) -> None:
         exchange.reply(200, [("Content-Type", "application/json")], data)
+
     return reply
 
 
@@ -61,8 +82,9 @@
 def test_a_fresh_relay_spares_a_partner_that_others_know_to_be_out(tmp_path: Path) -> None:
     async def test() -> None:
         faults = [{"kind": "fast_errors", "at_s": 0, "for_s": 4, "partners": ["firma"]}]
-        async with Rig(tmp_path, relays=2, fleet=3, faults=faults, partner={"rate": 15.0},
-                       knowledge=with_token(tmp_path)) as rig:
+        async with Rig(
+            tmp_path, relays=2, fleet=3, faults=faults, partner={"rate": 15.0}, knowledge=with_token(tmp_path)
+        ) as rig:
             before = asyncio.create_task(rig.load("safe", 8, 2.0))
             await rig.until(2.0)
             old = rig.services[0]
@@ -81,6 +103,7 @@
             assert len(mine) <= 5
             assert all(kind(answer) in ("delivered", "refused") for answer in [*await task, *await before])
         assert rig.broken() == []
+
     run(test)
 
 
@@ -100,13 +123,17 @@
             answer = await rig.hand(rig.make("safe"), 1)
             assert kind(answer) == "delivered" and rig.seconds() > 5.9
         assert rig.broken() == []
+
     run(test)
 
 
-@pytest.mark.parametrize(("data", "text"), [
-    (b"garbage", "not a snapshot"), (None, "checksum"), (b'{"linnetstile":"snapshot","format":9}\n', "format 9")])
+@pytest.mark.parametrize(
+    ("data", "text"),
+    [(b"garbage", "not a snapshot"), (None, "checksum"), (b'{"linnetstile":"snapshot","format":9}\n', "format 9")],
+)
 def test_a_torn_or_foreign_snapshot_is_set_aside_and_the_relay_starts(
-        tmp_path: Path, data: bytes | None, text: str) -> None:
+    tmp_path: Path, data: bytes | None, text: str
+) -> None:
     async def test() -> None:
         path = tmp_path / "know"
         snapshot.write(path, document(claim()))
@@ -116,6 +143,7 @@
         async with Rig(tmp_path, knowledge={"snapshot": path}) as rig:
             assert (tmp_path / "know.bad").exists() and rig.services[0].knowledge.before is None
             assert kind(await rig.hand(rig.make("safe"))) == "delivered"
+
     run(test)
 
 
@@ -126,6 +154,7 @@
             await asyncio.sleep(0.5)
             assert rig.services[0].knowledge.counts["snapshots_failed"] >= 1
             assert kind(await rig.hand(rig.make("safe"))) == "delivered"
+
     run(test)
 
 
@@ -142,14 +171,24 @@
     asyncio.get_running_loop().call_later(0.05, exchange.conn.transport.abort)
 
 
-@pytest.mark.parametrize(("reply", "counted"), [
-    (hang, "no_answer"), (half, "no_answer"), (says(b"{not json"), "unreadable"), (says(b"[" * 10_000), "unreadable"),
-    (says(document(claim(), format=2)), "unreadable"), (says(document(claim(out_age=-5))), "unreadable"),
-    (says(document(claim(partner="x" * 500))), "unreadable"),
-    (says(b"x" * (5 * 1024 * 1024)), "no_answer"),
-    (says(document(peers=["10.0.0.1:80"])), "unreadable"), (broken, "no_answer")])
+@pytest.mark.parametrize(
+    ("reply", "counted"),
+    [
+        (hang, "no_answer"),
+        (half, "no_answer"),
+        (says(b"{not json"), "unreadable"),
+        (says(b"[" * 10_000), "unreadable"),
+        (says(document(claim(), format=2)), "unreadable"),
+        (says(document(claim(out_age=-5))), "unreadable"),
+        (says(document(claim(partner="x" * 500))), "unreadable"),
+        (says(b"x" * (5 * 1024 * 1024)), "no_answer"),
+        (says(document(peers=["10.0.0.1:80"])), "unreadable"),
+        (broken, "no_answer"),
+    ],
+)
 def test_a_slow_lying_older_or_newer_peer_stands_in_nobodys_way(
-        tmp_path: Path, reply: Callable[[server.Exchange], None], counted: str) -> None:
+    tmp_path: Path, reply: Callable[[server.Exchange], None], counted: str
+) -> None:
     async def test() -> None:
         listener, address = await peer(reply)
         async with Rig(tmp_path, warm=False) as rig:
@@ -160,11 +199,13 @@
             assert fresh.knowledge.counts[counted] == 1 and not fresh.knowledge.taken
             assert fresh.knowledge.state()["peers"][0]["standing"] == "suspected"
         listener.close()
+
     run(test)
 
 
 def test_a_peer_that_is_wrong_costs_some_time_and_no_message(tmp_path: Path) -> None:
     """It says out of a partner that is well: the first own answer ends what it said."""
+
     async def test() -> None:
         listener, address = await peer(says(document(claim(out_age=8_000, wait_ms=700))))
         async with Rig(tmp_path, warm=False, partner={"rate": 200.0}) as rig:
@@ -177,6 +218,7 @@
             assert kind(await rig.hand(rig.make("unsafe"), 1)) == "delivered"
         listener.close()
         assert rig.broken() == []
+
     run(test)
 
 
@@ -193,6 +235,7 @@
             for n in range(3):
                 assert kind(await rig.hand(rig.make("safe"), n)) == "delivered"
         assert rig.broken() == []
+
     run(test)
 
 
@@ -207,6 +250,7 @@
             await rig.hand(rig.make("safe"))
             changed = parse(know.document(whole.version))
             assert len(changed.claims) == 1 and changed.version > whole.version
+
     run(test)
 
 
@@ -218,8 +262,12 @@
 
             async def command(*args: str) -> subprocess.CompletedProcess[str]:
                 return await asyncio.to_thread(
-                    subprocess.run, [sys.executable, "-m", "linnetstile.cli.main", "knowledge", *args],
-                    capture_output=True, text=True, timeout=30)
+                    subprocess.run,
+                    [sys.executable, "-m", "linnetstile.cli.main", "knowledge", *args],
+                    capture_output=True,
+                    text=True,
+                    timeout=30,
+                )
 
             refused = await command("show", service.address, "--token-file", str(tmp_path / "wrong"))
             assert refused.returncode == 1 and "403" in refused.stderr and "firma" not in refused.stdout
@@ -235,33 +283,48 @@
             (tmp_path / "kept").write_bytes(b"x")
             bad = await command("import", str(tmp_path / "kept"), str(tmp_path / "other"))
             assert bad.returncode == 2 and "not a snapshot" in bad.stderr
+
     run(test)
 
 
 def test_operators_see_what_was_taken_of_whom_and_what_was_doubted(tmp_path: Path) -> None:
     async def test() -> None:
-        listener, address = await peer(says(document(
-            claim(out_age=8_000), claim(partner="other"), relays=9)))
+        listener, address = await peer(says(document(claim(out_age=8_000), claim(partner="other"), relays=9)))
         async with Rig(tmp_path, warm=False) as rig:
             fresh = await rig.relay(knowledge=with_token(tmp_path) | {"peers": [address]})
             await asked(fresh)
             done = await asyncio.to_thread(
-                subprocess.run, [sys.executable, "-m", "linnetstile.cli.main", "knowledge", "learned", fresh.address,
-                                 "--token-file", str(tmp_path / "token")], capture_output=True, text=True, timeout=30)
+                subprocess.run,
+                [
+                    sys.executable,
+                    "-m",
+                    "linnetstile.cli.main",
+                    "knowledge",
+                    "learned",
+                    fresh.address,
+                    "--token-file",
+                    str(tmp_path / "token"),
+                ],
+                capture_output=True,
+                text=True,
+                timeout=30,
+            )
             told = json.loads(done.stdout)
             assert {row["why"] for row in told["doubted"]} >= {"no such partner or route now"}
             assert told["peers"][0]["standing"] == "alive" and told["counts"]["answered"] == 1
             (taken,) = told["taken"]  # it says there are nine relays: the larger number counts
             assert taken["knowers"] == 9 and taken["sources"] == [address] and taken["out_ms"] >= 8000
         listener.close()
+
     run(test)
 
 
 def test_a_partner_replaced_since_and_a_claim_of_an_hour_ago_are_not_believed(tmp_path: Path) -> None:
     async def test() -> None:
         listener, address = await peer(says(document(claim(endpoints=[77], out_age=5000))))
-        old, old_address = await peer(says(document(claim(failed_age=3_600_000, out_age=3_600_500,
-                                                          answered_age=3_700_000))))
+        old, old_address = await peer(
+            says(document(claim(failed_age=3_600_000, out_age=3_600_500, answered_age=3_700_000)))
+        )
         async with Rig(tmp_path, warm=False) as rig:
             fresh = await rig.relay(knowledge={"peers": [address, old_address]})
             await asked(fresh, 2)
@@ -273,6 +336,7 @@
         listener.close()
         old.close()
         assert rig.broken() == []
+
     run(test)
 
 
@@ -283,4 +347,5 @@
             writer.write(b"GET /knowledge HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer \r\n\r\n")
             assert b" 404 " in await reader.read(100)
             writer.close()
+
     run(test)
--- a/tests/faults/test_outcomes.py
+++ b/tests/faults/test_outcomes.py
@@ -23,8 +23,9 @@
     return {"kind": what, "at_s": 0, "for_s": 60, "partners": ["firma"], **more}
 
 
-@pytest.mark.parametrize("options", [
-    {}, {"sign_by": True}, {"compress": True}, {"sign_by": True, "compress": True}, {"receipt": False}])
+@pytest.mark.parametrize(
+    "options", [{}, {"sign_by": True}, {"compress": True}, {"sign_by": True, "compress": True}, {"receipt": False}]
+)
 def test_the_partners_receipt_comes_back_byte_for_byte(tmp_path: Path, options: dict[str, Any]) -> None:
     async def test() -> None:
         async with Rig(tmp_path) as rig:
@@ -43,24 +44,28 @@
             else:
                 assert answer.body == b""
         assert rig.broken() == []
+
     run(test)
 
 
 @pytest.mark.parametrize("sign", [False, True])
 @pytest.mark.parametrize("compress", [False, True])
 def test_an_encrypted_message_passes_closed_and_its_receipt_is_the_clients_to_compare(
-        tmp_path: Path, sign: bool, compress: bool) -> None:
+    tmp_path: Path, sign: bool, compress: bool
+) -> None:
     async def test() -> None:
         opener = cms.make_identity("firma-open", rsa=True)
         (tmp_path / "open.pem").write_bytes(cms.save(opener))
         async with Rig(tmp_path, partner={"decrypt_pem": tmp_path / "open.pem"}) as rig:
-            made = rig.make("unsafe", encrypt_to=opener.certificate, compress=compress,
-                            sign_by=rig.keys["office"] if sign else None)
+            made = rig.make(
+                "unsafe", encrypt_to=opener.certificate, compress=compress, sign_by=rig.keys["office"] if sign else None
+            )
             answer = await rig.hand(made)
             assert kind(answer) == "delivered" and answer.head is not None
             found = messages.check(made, answer.head.headers, answer.body, rig.keys["firma"].certificate)
             assert found[0] is Receipt.POSITIVE and found[1] is not None and found[1].mic
         assert rig.broken() == []
+
     run(test)
 
 
@@ -74,6 +79,7 @@
             assert found is not None and found.kind == "failed" and "may or may not" in found.text
             assert len(rig.rows("began")) == 1 and len(rig.rows("effect")) <= 1
         assert rig.broken() == []
+
     run(test)
 
 
@@ -84,6 +90,7 @@
             assert kind(answer) == "delivered" and b"duplicate-document" in answer.body
             assert len(rig.rows("began")) >= 2 and len(rig.rows("effect")) == 1
         assert rig.broken() == []
+
     run(test)
 
 
@@ -95,6 +102,7 @@
             assert kind(answer) == "failed" and began[-1] - began[0] < 4000 + 25
             assert len(rig.rows("effect")) == 1
         assert rig.broken() == []
+
     run(test)
 
 
@@ -103,6 +111,7 @@
         async with Rig(tmp_path, faults=[fault("fast_errors", for_s=0.4)]) as rig:
             assert kind(await rig.hand(rig.make("safe"))) == "delivered"
         assert rig.broken() == []
+
     run(test)
 
 
@@ -112,6 +121,7 @@
         async with Rig(tmp_path, faults=[fault(what, for_s=1.0, bytes=40)]) as rig:
             assert kind(await rig.hand(rig.make("safe"))) == "delivered"
         assert rig.broken() == []
+
     run(test)
 
 
@@ -127,6 +137,7 @@
             told = [row for row in rig.rows("answer") if row["status"] == 503]
             assert len(told) == 1 and told[0]["told_ms"] > 200
         assert rig.broken() == []
+
     run(test)
 
 
@@ -144,6 +155,7 @@
             assert other.head is not None and (kind(other), other.head.status) == ("conflict", 409)
             assert b"other content" in other.body
         assert rig.broken() == []
+
     run(test)
 
 
@@ -154,13 +166,17 @@
             one, two = await rig.hand(made, 0), await rig.hand(made, 1)
             assert kind(one) == kind(two) == "delivered" and len(rig.rows("effect")) == 1
         assert rig.broken() == []
+
     run(test)
 
 
 def test_after_a_refusal_the_same_identifier_is_a_new_try(tmp_path: Path) -> None:
     async def test() -> None:
-        async with Rig(tmp_path, faults=[fault("crash", for_s=4.5)], classes={
-                "unsafe": {"effect": "unsafe", "aim_ms": 500, "deadline_ms": 1500}}) as rig:
+        async with Rig(
+            tmp_path,
+            faults=[fault("crash", for_s=4.5)],
+            classes={"unsafe": {"effect": "unsafe", "aim_ms": 500, "deadline_ms": 1500}},
+        ) as rig:
             made = rig.make("unsafe")
             first = await rig.hand(made)
             assert kind(first) == "refused" and first.head is not None and first.head.status == 503
@@ -172,34 +188,44 @@
                     break
             assert kind(answer) == "delivered" and len(rig.rows("effect")) == 1
         assert rig.broken() == []
+
     run(test)
 
 
 def test_a_keyed_message_that_may_have_run_is_not_refused(tmp_path: Path) -> None:
     """Found by the day of every trouble: refused after an unclear attempt, it came again 8 s later and ran twice."""
+
     async def test() -> None:
         classes = {"keyed": {"effect": "keyed", "aim_ms": 500, "deadline_ms": 2000, "key_window_ms": 900}}
-        async with Rig(tmp_path, classes=classes, partner={"key_window_ms": 900},
-                       faults=[fault("answer_lost", for_s=2.2)]) as rig:
+        async with Rig(
+            tmp_path, classes=classes, partner={"key_window_ms": 900}, faults=[fault("answer_lost", for_s=2.2)]
+        ) as rig:
             made = rig.make("keyed")
             assert kind(await rig.hand(made)) == "failed"
             await rig.until(3.0)
             assert kind(await rig.hand(made)) == "failed" and len(rig.rows("effect")) == 1
         assert rig.broken() == []
+
     run(test)
 
 
-@pytest.mark.parametrize(("change", "status", "text"), [
-    ({"to": "nobody"}, 404, b"no partner nobody is listed"), ({"cls": "other"}, 403, b"no rule takes"),
-])
+@pytest.mark.parametrize(
+    ("change", "status", "text"),
+    [
+        ({"to": "nobody"}, 404, b"no partner nobody is listed"),
+        ({"cls": "other"}, 403, b"no rule takes"),
+    ],
+)
 def test_what_fits_no_rule_or_partner_is_refused_and_says_so(
-        tmp_path: Path, change: dict[str, str], status: int, text: bytes) -> None:
+    tmp_path: Path, change: dict[str, str], status: int, text: bytes
+) -> None:
     async def test() -> None:
         async with Rig(tmp_path) as rig:
             made = rig.make(change.get("cls", "safe"), to=change.get("to", "firma"))
             answer = await rig.post(rig.services[0].address, made)
             assert answer.head is not None and answer.head.status == status and text in answer.body
             assert kind(answer) == "refused" and not rig.services[0].carried
+
     run(test)
 
 
@@ -207,11 +233,16 @@
     return f"POST /as2 HTTP/1.1\r\nHost: x\r\nContent-Length: {len(body)}\r\n{headers}\r\n".encode() + body
 
 
-@pytest.mark.parametrize(("data", "status"), [
-    (raw_request("AS2-From: a\r\nAS2-To: b\r\n"), b"400"), (b"\x16\x03\x01\x00\xa5\r\n\r\n", b"400"),
-    (b"GET /as2 HTTP/1.1\r\nHost: x\r\n\r\n", b"405"), (b"POST /as2 HTTP/1.1\r\nHost: x\r\nX: " + b"a" * 2**20, b"431"),
-    (b"POST /as2 HTTP/1.1\r\nHost: x\r\nContent-Length: 99999999999\r\n\r\n", b"413"),
-])
+@pytest.mark.parametrize(
+    ("data", "status"),
+    [
+        (raw_request("AS2-From: a\r\nAS2-To: b\r\n"), b"400"),
+        (b"\x16\x03\x01\x00\xa5\r\n\r\n", b"400"),
+        (b"GET /as2 HTTP/1.1\r\nHost: x\r\n\r\n", b"405"),
+        (b"POST /as2 HTTP/1.1\r\nHost: x\r\nX: " + b"a" * 2**20, b"431"),
+        (b"POST /as2 HTTP/1.1\r\nHost: x\r\nContent-Length: 99999999999\r\n\r\n", b"413"),
+    ],
+)
 def test_bad_bytes_get_the_protocols_own_error(tmp_path: Path, data: bytes, status: bytes) -> None:
     async def test() -> None:
         async with Rig(tmp_path) as rig:
@@ -221,6 +252,7 @@
             assert got.split(b" ")[1] == status
             writer.close()
             assert kind(await rig.hand(rig.make("safe"))) == "delivered"
+
     run(test)
 
 
@@ -235,6 +267,7 @@
                     await asyncio.sleep(0)
             assert b"200 OK" in await asyncio.wait_for(reader.read(200), 5)
             writer.close()
+
     run(test)
 
 
@@ -250,6 +283,7 @@
                     await writer.drain()
             assert sent < 64 * 2**20
             assert rig.services[0].server.counts["protocol_errors"] == 1
+
     run(test)
 
 
@@ -284,6 +318,7 @@
             assert service.counts["receipts_without_attempt"] == 2 and service.counts["receipts_not_counted"] == 1
             assert service.counts["delivered"] == 7 and not service.tokens
         assert rig.broken() == []
+
     run(test)
 
 
@@ -294,12 +329,14 @@
             assert kind(answer) == "failed" and len(rig.rows("began")) == 1 and len(rig.rows("effect")) == 1
             assert not rig.services[0].tokens
         assert rig.broken() == []
+
     run(test)
 
 
 def test_a_client_with_a_receipt_address_gets_its_answer_there(tmp_path: Path) -> None:
     async def test() -> None:
         from linnetstile.net import server
+
         got: asyncio.Queue[tuple[Headers, bytes]] = asyncio.Queue()
         tries: Counter[str] = Counter()
 
@@ -322,4 +359,5 @@
             bad = await rig.post(rig.services[0].address, rig.make("keyed", reply_to="http://10.0.0.1:80/r"))
             assert bad.head is not None and bad.head.status == 400 and b"loopback" in bad.body
             made_server.close()
+
     run(test)
--- a/tests/faults/test_slow.py
+++ b/tests/faults/test_slow.py
@@ -19,8 +19,14 @@
 
 from .rig import Rig, kind, run
 
-SLOW = {"body_rate": 2000, "answer_rate": 2000, "request_rate": 2000, "response_rate": 2000, "stall_ms": 600,
-        "head_ms": 800}
+SLOW = {
+    "body_rate": 2000,
+    "answer_rate": 2000,
+    "request_rate": 2000,
+    "response_rate": 2000,
+    "stall_ms": 600,
+    "head_ms": 800,
+}
 
 
 async def dial(rig: Rig) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
@@ -38,7 +44,7 @@
     """One byte at a time, until the other side has had enough."""
     try:
         for n in range(len(data)):
-            writer.write(data[n: n + 1])
+            writer.write(data[n : n + 1])
             await writer.drain()
             await asyncio.sleep(pause)
     except ConnectionError:
@@ -65,6 +71,7 @@
             assert not service.room.charges and service.counts["taken"] == 6  # what warmed it up
             assert kind(await rig.hand(rig.make("safe"))) == "delivered"
         assert not rig.broken()
+
     run(test)
 
 
@@ -75,16 +82,18 @@
             body = b"ISA*00~" * 1500
             writer.write(head(rig, len(body)))
             for at in range(0, len(body), 2000):  # 400 ms of stall in each 450
-                writer.write(body[at: at + 2000])
+                writer.write(body[at : at + 2000])
                 await asyncio.sleep(0.4)
             assert (await asyncio.wait_for(reader.readline(), 8)).startswith(b"HTTP/1.1 200")
             writer.close()
+
     run(test)
 
 
 def big_answers(size: int) -> Callable[[server.Exchange], None]:
     def take(exchange: server.Exchange) -> None:
         exchange.reply(200, body=b"x" * size)
+
     return take
 
 
@@ -92,8 +101,10 @@
     async def test() -> None:
         size, gone = 8 * 2**20, []
         listener = server.Server(
-            big_answers(size), bounds=server.Bounds(answer_rate=2000, grace_s=0.5, sweep_s=0.1),
-            on_slow=lambda conn, why: gone.append((why, conn.unsent > 0)))
+            big_answers(size),
+            bounds=server.Bounds(answer_rate=2000, grace_s=0.5, sweep_s=0.1),
+            on_slow=lambda conn, why: gone.append((why, conn.unsent > 0)),
+        )
         port = await listener.start()
         reader, writer = await asyncio.open_connection("127.0.0.1", port, limit=1024)
         writer.write(b"GET / HTTP/1.1\r\nHost: x\r\n\r\n" * 4)
@@ -115,11 +126,13 @@
             await asyncio.sleep(0.05)
         assert got > size
         listener.close()
+
     run(test)
 
 
 def test_a_request_that_never_left_whole_can_not_have_run(tmp_path: Path) -> None:
     """A partner that does not read: until the last byte is with the kernel, Content-Length is not complete."""
+
     async def test() -> None:
         done: list[Answer] = []
         stop = asyncio.Event()
@@ -133,8 +146,13 @@
         slow: list[str] = []
         pool = Pool(rates=Rates(request=10_000, response=10_000, grace_s=0.5), on_slow=lambda _, why: slow.append(why))
         for size in (100, 64 * 2**20):
-            pool.call(address, "POST", http1.request_parts("POST", "/", [("Host", "x")], b"x" * size), done.append,
-                      asyncio.get_running_loop().time() + 3)
+            pool.call(
+                address,
+                "POST",
+                http1.request_parts("POST", "/", [("Host", "x")], b"x" * size),
+                done.append,
+                asyncio.get_running_loop().time() + 3,
+            )
         while len(done) < 2:
             await asyncio.sleep(0.02)
         # The big one is let go by its rate, long before its time; the small one is all with the kernel: unclear.
@@ -142,6 +160,7 @@
         stop.set()
         pool.close()
         listener.close()
+
     run(test)
 
 
@@ -154,24 +173,31 @@
         listener = await asyncio.start_server(refuses, "127.0.0.1", 0, limit=1024)
         done: list[Answer] = []
         pool = Pool()
-        pool.call(listener.sockets[0].getsockname()[:2], "POST",
-                  http1.request_parts("POST", "/", [("Host", "x")], b"x" * (64 * 2**20)), done.append)
+        pool.call(
+            listener.sockets[0].getsockname()[:2],
+            "POST",
+            http1.request_parts("POST", "/", [("Host", "x")], b"x" * (64 * 2**20)),
+            done.append,
+        )
         while not done:
             await asyncio.sleep(0.02)
         assert done[0].head is not None and done[0].head.status == 413 and not done[0].whole
         pool.close()
         listener.close()
+
     run(test)
 
 
 def test_a_partner_that_reads_slowly_is_tried_again_even_for_an_unsafe_message(tmp_path: Path) -> None:
     """Its attempt ended before it was whole: no effect is possible, so another try is none too many."""
+
     async def test() -> None:
         faults = [{"kind": "crawl", "at_s": 0, "for_s": 3, "partners": ["firma"], "bytes": 20_000}]
-        classes = {"unsafe": {"effect": "unsafe", "aim_ms": 4000, "deadline_ms": 15_000},
-                   "safe": {"effect": "safe", "aim_ms": 1000, "deadline_ms": 8000}}
-        async with Rig(tmp_path, faults=faults, classes=classes,
-                       limits={**SLOW, "request_rate": 2_000_000}) as rig:
+        classes = {
+            "unsafe": {"effect": "unsafe", "aim_ms": 4000, "deadline_ms": 15_000},
+            "safe": {"effect": "safe", "aim_ms": 1000, "deadline_ms": 8000},
+        }
+        async with Rig(tmp_path, faults=faults, classes=classes, limits={**SLOW, "request_rate": 2_000_000}) as rig:
             answer = await rig.hand(rig.make("unsafe", b"ISA*00~" * 2_000_000))
             assert kind(answer) == "delivered"
             service = rig.services[0]
@@ -179,6 +205,7 @@
             assert service.counts[f"outcome_{Outcome.CONNECT_FAILED.value}"] >= 1
             assert len(rig.rows("effect")) == 1
         assert not rig.broken()
+
     run(test)
 
 
@@ -189,14 +216,16 @@
             assert kind(await rig.hand(rig.make("keyed"))) == "delivered"
             assert rig.services[0].counts["partner_let_go_response_rate"] >= 1
         assert not rig.broken()
+
     run(test)
 
 
 def test_a_client_over_its_share_waits_is_refused_with_advice_and_keeps_nobody_out(tmp_path: Path) -> None:
     async def test() -> None:
         limits = {**SLOW, "body_bytes": 400_000, "hold_bytes": 500_000, "room_wait_ms": 400}
-        async with Rig(tmp_path, limits=limits, faults=[
-                {"kind": "hang", "at_s": 0, "for_s": 4, "partners": ["firma"]}]) as rig:
+        async with Rig(
+            tmp_path, limits=limits, faults=[{"kind": "hang", "at_s": 0, "for_s": 4, "partners": ["firma"]}]
+        ) as rig:
             many = [asyncio.create_task(rig.hand(rig.make("safe", b"x" * 100_000))) for _ in range(12)]
             await asyncio.sleep(0.2)
             room = rig.services[0].room
@@ -215,24 +244,31 @@
             assert rig.services[0].counts["refused_no_room"] >= 1
             assert {kind(a) for a in answers} <= {"refused", "delivered", "failed"}
         assert not rig.broken()
+
     run(test)
 
 
 def test_a_big_body_beside_thousands_of_small_ones(tmp_path: Path) -> None:
     async def test() -> None:
         limits = {"body_bytes": 64 * 2**20, "hold_bytes": 80 * 2**20, "slots": 16, "hold": 500}
-        async with Rig(tmp_path, limits=limits, partner={"rate": 2000.0, "work_ms": 2, "servers": 64},
-                       classes={"safe": {"effect": "safe", "aim_ms": 1000, "deadline_ms": 15_000}}) as rig:
+        async with Rig(
+            tmp_path,
+            limits=limits,
+            partner={"rate": 2000.0, "work_ms": 2, "servers": 64},
+            classes={"safe": {"effect": "safe", "aim_ms": 1000, "deadline_ms": 15_000}},
+        ) as rig:
             big = asyncio.create_task(rig.hand(rig.make("safe", b"x" * (48 * 2**20))))
             small = await rig.load("safe", 200, 3)
             assert all(kind(a) == "delivered" for a in small)
             assert kind(await big) == "delivered"
             assert not rig.services[0].room.charges
+
     run(test)
 
 
 def test_a_slow_client_and_a_slow_partner_on_one_message_at_a_stop(tmp_path: Path) -> None:
     """The body is still coming in when the relay is told to stop: it is taken or told, and the stop ends in time."""
+
     async def test() -> None:
         faults = [{"kind": "crawl", "at_s": 0, "for_s": 20, "partners": ["firma"], "bytes": 4000}]
         async with Rig(tmp_path, faults=faults, limits={**SLOW, "stop_ms": 9000}) as rig:
@@ -248,6 +284,7 @@
             assert said.startswith(b"HTTP/1.1 ") and b"Linnetstile-Answer" in said
             await asyncio.wait_for(rig.services[0].stopped.wait(), 9)
             idle[1].close()
+
     run(test)
 
 
@@ -264,6 +301,7 @@
             assert len(rig.services[0].server.open) <= 300
             for _, writer in half:
                 writer.close()
+
     run(test)
 
 
@@ -278,6 +316,7 @@
             await asyncio.sleep(0.1)
             service = rig.services[0]
             assert len(service.server.open) <= 2 and not service.room.charges and not service.carried
+
     run(test)
 
 
@@ -303,6 +342,7 @@
             assert kind(await done) == "delivered"
             assert service.pool.counts["no_descriptors"] >= 1 and service.counts["outcome_not_sent"] >= 1
             assert "outcome_connect_failed" not in service.counts
+
     run(test)
 
 
@@ -312,6 +352,7 @@
         async with Rig(tmp_path, faults=faults) as rig:
             service = rig.services[0]
             from linnetstile.service.admin import Admin
+
             admin = Admin(service, tmp_path / "admin", "127.0.0.1:0")
             await admin.start()
             assert (tmp_path / "admin").stat().st_mode & 0o777 == 0o600
@@ -339,4 +380,5 @@
             assert not (tmp_path / "admin").exists()
             writer.close()
             waiting.cancel()
+
     run(test)
