--- a/tests/lab/test_check.py
+++ b/tests/lab/test_check.py
@@ -15,14 +15,26 @@
 
 Row = dict[str, Any]
 FACTS: Row = {
-    "attempts": 3, "relays": {"r1": [[0.0, None, ""]], "r2": [[0.0, None, ""]]},
-    "safety": {"drain_grace_ms": 250.0, "cold_share": 0.2, "cold_ms": 10_000.0, "fall_multiple": 2.0,
-               "fall_ms": 1000.0},
+    "attempts": 3,
+    "relays": {"r1": [[0.0, None, ""]], "r2": [[0.0, None, ""]]},
+    "safety": {
+        "drain_grace_ms": 250.0,
+        "cold_share": 0.2,
+        "cold_ms": 10_000.0,
+        "fall_multiple": 2.0,
+        "fall_ms": 1000.0,
+    },
     "partners": {"p": {"rate": 10.0}},
     "classes": {
         "u": {"effect": "unsafe", "deadline_ms": 4000, "aim_ms": 1000, "worth": 1, "late_share": 0.5},
-        "k": {"effect": "keyed", "deadline_ms": 4000, "aim_ms": 1000, "worth": 1, "late_share": 0.5,
-              "key_window_ms": 1000},
+        "k": {
+            "effect": "keyed",
+            "deadline_ms": 4000,
+            "aim_ms": 1000,
+            "worth": 1,
+            "late_share": 0.5,
+            "key_window_ms": 1000,
+        },
         "o": {"effect": "safe", "deadline_ms": 4000, "aim_ms": 1000, "worth": 1, "late_share": 0.5, "in_order": True},
     },
 }
@@ -35,26 +47,61 @@
         self.facts = copy.deepcopy(FACTS)
         self.partners: list[Row] = []
         self.clients: list[Row] = []
-        self.register: list[Row] = [{"ev": "told", "t": 10.0, "relay": r, "version": 1, "whole": True,
-                                     "states": {"1": "ready", "2": "ready"}} for r in ("r1", "r2")]
+        self.register: list[Row] = [
+            {"ev": "told", "t": 10.0, "relay": r, "version": 1, "whole": True, "states": {"1": "ready", "2": "ready"}}
+            for r in ("r1", "r2")
+        ]
 
     def hand(self, t: float, mid: str, cls: str, mark: str = "", relay: str = "r1") -> None:
-        self.clients.append({"ev": "hand", "t": t, "hand": mark or mid, "mid": mid, "relay": relay, "cls": cls,
-                             "again": False, "sender": "s", "receiver": "p", "wait": ""})
-
-    def final(self, t: float, mid: str, kind: str = "delivered", mark: str = "", digest: str = "d",
-              receipt: str = "positive") -> None:
-        self.clients.append({"ev": "final", "t": t, "hand": mark or mid, "mid": mid, "kind": kind, "status": 200,
-                             "receipt": receipt, "digest": digest})
-
-    def call(self, t: float, mid: str, end: float = 50.0, status: int = 200, relay: str = "r1", endpoint: int = 1,
-             effect: bool = True, told_ms: float = 0) -> None:
+        self.clients.append(
+            {
+                "ev": "hand",
+                "t": t,
+                "hand": mark or mid,
+                "mid": mid,
+                "relay": relay,
+                "cls": cls,
+                "again": False,
+                "sender": "s",
+                "receiver": "p",
+                "wait": "",
+            }
+        )
+
+    def final(
+        self, t: float, mid: str, kind: str = "delivered", mark: str = "", digest: str = "d", receipt: str = "positive"
+    ) -> None:
+        self.clients.append(
+            {
+                "ev": "final",
+                "t": t,
+                "hand": mark or mid,
+                "mid": mid,
+                "kind": kind,
+                "status": 200,
+                "receipt": receipt,
+                "digest": digest,
+            }
+        )
+
+    def call(
+        self,
+        t: float,
+        mid: str,
+        end: float = 50.0,
+        status: int = 200,
+        relay: str = "r1",
+        endpoint: int = 1,
+        effect: bool = True,
+        told_ms: float = 0,
+    ) -> None:
         who = {"partner": "p", "endpoint": endpoint, "mid": mid, "relay": relay}
         self.partners.append({"ev": "began", "t": t, **who})
         if effect and status == 200:
             self.partners.append({"ev": "effect", "t": t + end, **who})
-        ends: Row = {"ev": "answer", "t": t + end, "status": status, **who} if status else {
-            "ev": "closed", "t": t + end, **who}
+        ends: Row = (
+            {"ev": "answer", "t": t + end, "status": status, **who} if status else {"ev": "closed", "t": t + end, **who}
+        )
         self.partners.append(ends | ({"told_ms": told_ms} if told_ms else {}))
 
     def cut(self, t: float, mid: str, seen: float, endpoint: int = 1, conn: int = 7) -> None:
@@ -65,6 +112,7 @@
     def run(self) -> Run:
         def sort(rows: list[Row]) -> list[Row]:
             return sorted(rows, key=lambda row: float(row["t"]))
+
         return Run(self.facts, sort(self.partners), sort(self.clients), sort(self.register))
 
     def broken(self) -> dict[str, list[str]]:
@@ -92,8 +140,9 @@
     r.final(3080, "o1")
     r.call(3090, "o2")
     r.final(3200, "o2")
-    r.register.append({"ev": "told", "t": 4000.0, "relay": "r1", "version": 2, "whole": False,
-                       "states": {"2": "draining"}})
+    r.register.append(
+        {"ev": "told", "t": 4000.0, "relay": "r1", "version": 2, "whole": False, "states": {"2": "draining"}}
+    )
     r.hand(4050, "d", "u")
     r.call(4100, "d", endpoint=2)  # inside the grace
     r.final(4200, "d")
@@ -223,13 +272,28 @@
     r.final(11_600, "x")
 
 
-@pytest.mark.parametrize(("rule", "doctor"), [
-    ("answers", no_answer), ("answers", late_answer), ("answers", two_answers), ("answers", other_answer_to_a_repeat),
-    ("answers", delivered_without_effect), ("answers", receipt_that_does_not_hold),
-    ("effects", unsafe_twice), ("effects", keyed_outside_its_window), ("effects", effect_twice),
-    ("effects", refused_though_it_may_have_run), ("one-out", two_out), ("one-out", too_many),
-    ("drains", after_the_drain), ("drains", gone_from_the_whole_list), ("returns", pushed_over),
-    ("order", out_of_order), ("waits", before_the_wait_is_over)])
+@pytest.mark.parametrize(
+    ("rule", "doctor"),
+    [
+        ("answers", no_answer),
+        ("answers", late_answer),
+        ("answers", two_answers),
+        ("answers", other_answer_to_a_repeat),
+        ("answers", delivered_without_effect),
+        ("answers", receipt_that_does_not_hold),
+        ("effects", unsafe_twice),
+        ("effects", keyed_outside_its_window),
+        ("effects", effect_twice),
+        ("effects", refused_though_it_may_have_run),
+        ("one-out", two_out),
+        ("one-out", too_many),
+        ("drains", after_the_drain),
+        ("drains", gone_from_the_whole_list),
+        ("returns", pushed_over),
+        ("order", out_of_order),
+        ("waits", before_the_wait_is_over),
+    ],
+)
 def test_each_breach_is_found_and_only_its_rule(rule: str, doctor: Callable[[Records], None]) -> None:
     records = good()
     assert records.broken() == {}
--- a/tests/lab/test_play.py
+++ b/tests/lab/test_play.py
@@ -14,21 +14,45 @@
 from linnetstile.standins.client import ClientSpec, draw
 
 DAY: dict[str, Any] = {
-    "name": "short", "seconds": 5, "relays": 2, "slots": 8, "hold": 60, "learning": True, "register_lag_ms": 100,
-    "classes": {"k": {"effect": "keyed", "aim_ms": 1000, "deadline_ms": 4000, "key_window_ms": 2000, "share": 2},
-                "u": {"effect": "unsafe", "aim_ms": 1000, "deadline_ms": 4000, "share": 1}},
+    "name": "short",
+    "seconds": 5,
+    "relays": 2,
+    "slots": 8,
+    "hold": 60,
+    "learning": True,
+    "register_lag_ms": 100,
+    "classes": {
+        "k": {"effect": "keyed", "aim_ms": 1000, "deadline_ms": 4000, "key_window_ms": 2000, "share": 2},
+        "u": {"effect": "unsafe", "aim_ms": 1000, "deadline_ms": 4000, "share": 1},
+    },
     "partners": [{"name": "p", "count": 2, "endpoints": 2, "work_ms": 30, "limit_least": 20}],
     "traffic": {"per_s": 20, "senders": {"s": 1}, "asynchronous": 0.2},
     "faults": [{"kind": "fast_errors", "at_s": 1, "for_s": 1, "partners": ["p-1"]}],
-    "troubles": [{"kind": "balancer_crash", "at_s": 2, "for_s": 0.3, "relays": [2]},
-                 {"kind": "gone", "at_s": 1, "for_s": 2, "partners": ["p-2"]}],
+    "troubles": [
+        {"kind": "balancer_crash", "at_s": 2, "for_s": 0.3, "relays": [2]},
+        {"kind": "gone", "at_s": 1, "for_s": 2, "partners": ["p-2"]},
+    ],
 }
 
 
 def play(folder: Path, day: dict[str, Any], *more: str) -> subprocess.CompletedProcess[str]:
     (folder / "day.yaml").write_text(yaml.safe_dump(day))
-    return subprocess.run([sys.executable, "-m", "linnetstile.cli.main", "play", str(folder / "day.yaml"), "--json",
-                           "--record", str(folder / "record"), *more], capture_output=True, text=True, timeout=120)
+    return subprocess.run(
+        [
+            sys.executable,
+            "-m",
+            "linnetstile.cli.main",
+            "play",
+            str(folder / "day.yaml"),
+            "--json",
+            "--record",
+            str(folder / "record"),
+            *more,
+        ],
+        capture_output=True,
+        text=True,
+        timeout=120,
+    )
 
 
 def test_a_short_day_is_played_judged_and_cleaned_up(tmp_path: Path) -> None:
@@ -45,11 +69,16 @@
 
 
 def test_the_same_seed_draws_the_same_script() -> None:
-    spec = ClientSpec.model_validate({
-        "seconds": 5, "seed": 3, "relays": [{"name": "r", "address": "127.0.0.1:1"}],
-        "classes": {"k": {"effect": "keyed", "deadline_ms": 1000}},
-        "flows": [{"sender": "s", "receiver": "p", "cls": "k", "subject": "k", "per_s": 30}],
-        "surges": [{"at_s": 1, "for_s": 1, "times": 4, "receivers": ["p"]}]})
+    spec = ClientSpec.model_validate(
+        {
+            "seconds": 5,
+            "seed": 3,
+            "relays": [{"name": "r", "address": "127.0.0.1:1"}],
+            "classes": {"k": {"effect": "keyed", "deadline_ms": 1000}},
+            "flows": [{"sender": "s", "receiver": "p", "cls": "k", "subject": "k", "per_s": 30}],
+            "surges": [{"at_s": 1, "for_s": 1, "times": 4, "receivers": ["p"]}],
+        }
+    )
     one, two = draw(spec), draw(spec)
     assert one == two != draw(spec.model_copy(update={"seed": 4}))
     early, surge = ([p for p in one if at <= p.at_s < at + 1] for at in (0, 1))
@@ -60,5 +89,17 @@
     root = Path(__file__).parent.parent.parent / "days"
     day = Day.model_validate(yaml.safe_load((root / "every-trouble.yaml").read_text()))
     names = {fault.kind for fault in day.faults} | {trouble.kind for trouble in day.troubles}
-    assert names >= {"hang", "vanish", "class_fail", "pauses", "burst", "hot_key", "fast_errors", "crash",
-                     "balancer_crash", "discovery_stale", "answer_lost", "balancer_roll"}
+    assert names >= {
+        "hang",
+        "vanish",
+        "class_fail",
+        "pauses",
+        "burst",
+        "hot_key",
+        "fast_errors",
+        "crash",
+        "balancer_crash",
+        "discovery_stale",
+        "answer_lost",
+        "balancer_roll",
+    }
--- a/tests/lab/test_scale.py
+++ b/tests/lab/test_scale.py
@@ -22,8 +22,22 @@
 from linnetstile.lab.scale.hollow import Ears, Hollow, Trace
 from linnetstile.lab.scale.truth import SCENES, Sizes, World
 
-TINY = Sizes(relays=10, destinations=200, real=1, in_use=8, workers=2, changes=20, failing=1, restarts=2, rack=2,
-             day_s=20, zone_s=20, parted_s=20, held=5, cost_most=400)
+TINY = Sizes(
+    relays=10,
+    destinations=200,
+    real=1,
+    in_use=8,
+    workers=2,
+    changes=20,
+    failing=1,
+    restarts=2,
+    rack=2,
+    day_s=20,
+    zone_s=20,
+    parted_s=20,
+    held=5,
+    cost_most=400,
+)
 MEASURED = {"spent", "longest"}
 
 
@@ -37,8 +51,12 @@
 
 
 def start(folder: Path, sizes: Sizes) -> subprocess.Popen[str]:
-    return subprocess.Popen([sys.executable, "-m", "linnetstile.cli.main", "scale", *options(sizes), "--out",
-                             str(folder)], stdout=subprocess.PIPE, stderr=subprocess.PIPE, text=True)
+    return subprocess.Popen(
+        [sys.executable, "-m", "linnetstile.cli.main", "scale", *options(sizes), "--out", str(folder)],
+        stdout=subprocess.PIPE,
+        stderr=subprocess.PIPE,
+        text=True,
+    )
 
 
 def play(sizes: Sizes, relay: int = 0, since_version: bool = False, world: World | None = None) -> Trace:
@@ -140,7 +158,7 @@
 def test_membership_notices_what_stays_away() -> None:
     world = scenes.build(replace(TINY, scenes=("rack",)))
     found = members.play(world, lambda: False)
-    rack, = found["scenes"]
+    (rack,) = found["scenes"]
     assert rack["pairs"] == 16 >= rack["noticed"] > 8 and rack["asks"] > 0 and found["cut_at_ms"] is None
     assert members.play(world, lambda: False) == found
 
@@ -163,20 +181,26 @@
     assert part["simulated"]["scenes"][0]["control"]["largest_second_a_machine"] is None
 
 
-@pytest.mark.parametrize(("args", "expected"), [
-    (["--relays", "1"], "--relays: expected a whole number from 2 to 2000, found 1"),
-    (["--relays", "many"], "--relays: expected a whole number from 2 to 2000, found 'many'"),
-    (["--destinations", "-5"], "--destinations: expected a whole number from 12 to 200000, found -5"),
-    (["--seed", "1.5"], "--seed: expected a whole number from 0 to 2147483648, found '1.5'"),
-    (["--minutes", "11"], "--minutes: expected a whole number from 1 to 10, found 11"),
-    (["--real", "9"], "--real: expected a whole number from 0 to 8, found 9"),
-    (["--relays", "50"], "--restarts: expected no more than --relays less --failing (48), found 84"),
-    (["--played", "461"], "--played: expected no more than --relays (460), found 461"),
-    (["--destinations", "12"], "--in-use: expected no more than --destinations (12), found 32"),
-    (["--scenes", "day,noon"], "--scenes: expected some of day,rack,zone,parted,hands, each once, found 'day,noon'"),
-    (["--scenes", ""], "--scenes: expected some of day,rack,zone,parted,hands, each once, found ''"),
-    (["--scenes", "day,day"], "--scenes: expected some of day,rack,zone,parted,hands, each once, found 'day,day'"),
-])
+@pytest.mark.parametrize(
+    ("args", "expected"),
+    [
+        (["--relays", "1"], "--relays: expected a whole number from 2 to 2000, found 1"),
+        (["--relays", "many"], "--relays: expected a whole number from 2 to 2000, found 'many'"),
+        (["--destinations", "-5"], "--destinations: expected a whole number from 12 to 200000, found -5"),
+        (["--seed", "1.5"], "--seed: expected a whole number from 0 to 2147483648, found '1.5'"),
+        (["--minutes", "11"], "--minutes: expected a whole number from 1 to 10, found 11"),
+        (["--real", "9"], "--real: expected a whole number from 0 to 8, found 9"),
+        (["--relays", "50"], "--restarts: expected no more than --relays less --failing (48), found 84"),
+        (["--played", "461"], "--played: expected no more than --relays (460), found 461"),
+        (["--destinations", "12"], "--in-use: expected no more than --destinations (12), found 32"),
+        (
+            ["--scenes", "day,noon"],
+            "--scenes: expected some of day,rack,zone,parted,hands, each once, found 'day,noon'",
+        ),
+        (["--scenes", ""], "--scenes: expected some of day,rack,zone,parted,hands, each once, found ''"),
+        (["--scenes", "day,day"], "--scenes: expected some of day,rack,zone,parted,hands, each once, found 'day,day'"),
+    ],
+)
 def test_a_bad_option_is_told_in_one_line(args: list[str], expected: str) -> None:
     done = CliRunner().invoke(main, ["scale", *args])
     assert done.exit_code == 2
@@ -245,10 +269,12 @@
     return found
 
 
-@pytest.mark.parametrize(("real", "line", "number"), [
-    (1, "ready with", signal.SIGTERM), (0, "relays played", signal.SIGINT)])
-def test_a_run_that_is_ended_leaves_no_process_behind(tmp_path: Path, real: int, line: str,
-                                                      number: signal.Signals) -> None:
+@pytest.mark.parametrize(
+    ("real", "line", "number"), [(1, "ready with", signal.SIGTERM), (0, "relays played", signal.SIGINT)]
+)
+def test_a_run_that_is_ended_leaves_no_process_behind(
+    tmp_path: Path, real: int, line: str, number: signal.Signals
+) -> None:
     process = start(tmp_path, replace(TINY, real=real, day_s=3_600, in_use=100))  # it would go on for long
     assert process.stderr is not None
     for text in process.stderr:
--- a/tests/net/test_client.py
+++ b/tests/net/test_client.py
@@ -64,11 +64,19 @@
     asyncio.run(run())
 
 
-async def call(pool: client.Pool, where: client.Address, hold_s: float = 0.0, begin_s: float = 9.0,
-               data: bytes = REQUEST) -> client.Answer:
+async def call(
+    pool: client.Pool, where: client.Address, hold_s: float = 0.0, begin_s: float = 9.0, data: bytes = REQUEST
+) -> client.Answer:
     answered: asyncio.Future[client.Answer] = asyncio.get_running_loop().create_future()
-    pool.call(where, "POST", data, answered.set_result, pool.loop.time() + 3, hold_s=hold_s,
-              begin_by=pool.loop.time() + begin_s)
+    pool.call(
+        where,
+        "POST",
+        data,
+        answered.set_result,
+        pool.loop.time() + 3,
+        hold_s=hold_s,
+        begin_by=pool.loop.time() + begin_s,
+    )
     return await answered
 
 
@@ -133,8 +141,9 @@
 
 
 @pytest.mark.parametrize(("makes_s", "sight"), [(0.0, Sight.ANSWERED), (0.6, Sight.NOT_SENT)])
-def test_connection_that_comes_up_too_late_carries_nothing(makes_s: float, sight: Sight,
-                                                           monkeypatch: pytest.MonkeyPatch) -> None:
+def test_connection_that_comes_up_too_late_carries_nothing(
+    makes_s: float, sight: Sight, monkeypatch: pytest.MonkeyPatch
+) -> None:
     opens = client.Pool._open
 
     async def slow(pool: client.Pool, *where: Any) -> client.ClientConnection:
@@ -179,8 +188,10 @@
     play(story)
 
 
-@pytest.mark.parametrize(("stage", "sight"), [("connecting", Sight.NOT_SENT), ("held", Sight.NOT_SENT),
-                                              ("blocked", Sight.NOT_SENT), ("out", Sight.ANSWERED)])
+@pytest.mark.parametrize(
+    ("stage", "sight"),
+    [("connecting", Sight.NOT_SENT), ("held", Sight.NOT_SENT), ("blocked", Sight.NOT_SENT), ("out", Sight.ANSWERED)],
+)
 def test_recalled_call_is_not_sent_as_long_as_its_last_byte_has_not_left(stage: str, sight: Sight) -> None:
     big = REQUEST if stage != "blocked" else http1.request("POST", "/", [("Host", "x")], bytes(16_000_000) + b"body")
 
--- a/tests/net/test_tls.py
+++ b/tests/net/test_tls.py
@@ -30,21 +30,32 @@
 def make(name: str, by: Made | None = None, days: tuple[int, int] = (-1, 10)) -> Made:
     key, now = ec.generate_private_key(ec.SECP256R1()), datetime.datetime.now(datetime.UTC)
     subject = x509.Name([x509.NameAttribute(NameOID.COMMON_NAME, name)])
-    found = (x509.CertificateBuilder().subject_name(subject).issuer_name(by[0].subject if by else subject)
-             .public_key(key.public_key()).serial_number(x509.random_serial_number())
-             .not_valid_before(now + datetime.timedelta(days=days[0]))
-             .not_valid_after(now + datetime.timedelta(days=days[1]))
-             .add_extension(x509.BasicConstraints(ca=by is None, path_length=None), critical=True)
-             .add_extension(x509.SubjectAlternativeName(
-                 [x509.DNSName(name), x509.IPAddress(ipaddress.ip_address("127.0.0.1"))]), critical=False)
-             .sign(by[1] if by else key, hashes.SHA256()))
+    found = (
+        x509.CertificateBuilder()
+        .subject_name(subject)
+        .issuer_name(by[0].subject if by else subject)
+        .public_key(key.public_key())
+        .serial_number(x509.random_serial_number())
+        .not_valid_before(now + datetime.timedelta(days=days[0]))
+        .not_valid_after(now + datetime.timedelta(days=days[1]))
+        .add_extension(x509.BasicConstraints(ca=by is None, path_length=None), critical=True)
+        .add_extension(
+            x509.SubjectAlternativeName([x509.DNSName(name), x509.IPAddress(ipaddress.ip_address("127.0.0.1"))]),
+            critical=False,
+        )
+        .sign(by[1] if by else key, hashes.SHA256())
+    )
     return found, key
 
 
 def save(made: Made, path: Path) -> Path:
     fresh = path.with_suffix(".new")
-    fresh.write_bytes(made[0].public_bytes(serialization.Encoding.PEM) + made[1].private_bytes(
-        serialization.Encoding.PEM, serialization.PrivateFormat.PKCS8, serialization.NoEncryption()))
+    fresh.write_bytes(
+        made[0].public_bytes(serialization.Encoding.PEM)
+        + made[1].private_bytes(
+            serialization.Encoding.PEM, serialization.PrivateFormat.PKCS8, serialization.NoEncryption()
+        )
+    )
     fresh.replace(path)
     return path
 
@@ -64,16 +75,28 @@
     def answer(exchange: server.Exchange) -> None:
         shown = exchange.conn.tls.certificate() if exchange.conn.tls else ""
         exchange.reply(200, [("X-Shown", shown)], bytes(exchange.body[::-1]))
+
     keys = Keys(True, files.server, None, files.authority, more.pop("need_client", False))
     return server.Server(answer, keys=keys, **more)
 
 
-async def ask(port: int, keys: Keys, name: str = "relay", body: bytes = b"abc", pool: client.Pool | None = None,
-              ) -> client.Answer:
+async def ask(
+    port: int,
+    keys: Keys,
+    name: str = "relay",
+    body: bytes = b"abc",
+    pool: client.Pool | None = None,
+) -> client.Answer:
     done: asyncio.Future[client.Answer] = asyncio.get_running_loop().create_future()
     used = pool or client.Pool(connect_s=1.0)
-    used.call(("127.0.0.1", port), "POST", http1.request_parts("POST", "/", [("Host", "x")], body), done.set_result,
-              asyncio.get_running_loop().time() + 8, (keys, name))
+    used.call(
+        ("127.0.0.1", port),
+        "POST",
+        http1.request_parts("POST", "/", [("Host", "x")], body),
+        done.set_result,
+        asyncio.get_running_loop().time() + 8,
+        (keys, name),
+    )
     answer = await done
     if pool is None:
         used.close()
@@ -83,6 +106,7 @@
 def with_files(test: Callable[[Files], Any], tmp_path: Path) -> None:
     async def go() -> None:
         await test(Files(tmp_path))
+
     run(go)
 
 
@@ -96,6 +120,7 @@
         assert pool.counts["connects"] == 1
         pool.close()
         listener.close()
+
     with_files(test, tmp_path)
 
 
@@ -110,12 +135,14 @@
         await asyncio.sleep(0.05)
         assert listener.counts["handshakes_failed"] == 1
         listener.close()
+
     with_files(test, tmp_path)
 
 
 @pytest.mark.parametrize("what", ["name", "authority", "plain", "expired"])
 def test_a_peer_that_can_not_be_proven_is_no_connection(tmp_path: Path, what: str) -> None:
     """Not a byte of the request was sent, so nothing can have run."""
+
     async def test(files: Files) -> None:
         listener = listen(files)
         if what == "expired":  # it was good when it was loaded; the peer must see it as what it is
@@ -130,6 +157,7 @@
         answer = await ask(port, keys, "other" if what == "name" else "relay")
         assert answer.sight is Sight.NO_CONNECTION
         listener.close()
+
     with_files(test, tmp_path)
 
 
@@ -144,7 +172,7 @@
         first = hello.read()
         half = [await asyncio.open_connection("127.0.0.1", port) for _ in range(60)]
         for n, (_, writer) in enumerate(half):
-            writer.write(first[: n])  # some bytes of a handshake
+            writer.write(first[:n])  # some bytes of a handshake
         await asyncio.sleep(0.1)
         assert len(listener.open) <= 20 and {conn.phase for conn in listener.open} == {"handshake"}
         answer = await ask(port, keys)  # the oldest of them gives way
@@ -155,6 +183,7 @@
         for _, writer in half:
             writer.close()
         listener.close()
+
     with_files(test, tmp_path)
 
 
@@ -169,6 +198,7 @@
         assert told and told[0].startswith("no TLS handshake: ")
         writer.close()
         listener.close()
+
     with_files(test, tmp_path)
 
 
@@ -176,8 +206,11 @@
     files = Files(tmp_path)
     expired = save(make("relay", files.root, (-9, -1)), tmp_path / "expired.pem")
     (tmp_path / "no.pem").write_text("nothing")
-    for path, why in ((expired, "has expired on"), (tmp_path / "no.pem", "expected a certificate in PEM"),
-                      (tmp_path / "absent.pem", "No such file")):
+    for path, why in (
+        (expired, "has expired on"),
+        (tmp_path / "no.pem", "expected a certificate in PEM"),
+        (tmp_path / "absent.pem", "No such file"),
+    ):
         with pytest.raises(TlsError, match=why) as error:
             Keys(True, path)
         assert str(path) in str(error.value)
@@ -209,8 +242,14 @@
                 done: asyncio.Future[client.Answer] = asyncio.get_running_loop().create_future()
                 # A connection of its own each time: every message meets the keys of its moment.
                 fields = [("Host", "x"), ("Connection", "close"), *made.headers]
-                pool.call(("127.0.0.1", port), "POST", http1.request("POST", "/as2", fields, made.body),
-                          done.set_result, asyncio.get_running_loop().time() + 9, (either, "relay"))
+                pool.call(
+                    ("127.0.0.1", port),
+                    "POST",
+                    http1.request("POST", "/as2", fields, made.body),
+                    done.set_result,
+                    asyncio.get_running_loop().time() + 9,
+                    (either, "relay"),
+                )
                 answers.append(await done)
 
             tasks = []
@@ -227,6 +266,7 @@
             assert (await ask(port, old)).sight is Sight.NO_CONNECTION  # the new ones are in service
             pool.close()
             service.close()
+
     run(test)
 
 
@@ -236,8 +276,9 @@
         files = Files(tmp_path)
         shown = files.client if trusted else None
         tls = {"authorities": files.authority, "name": "relay", "certificate": shown}
-        async with Rig(tmp_path, warm=trusted, tls=tls, partner={
-                "tls_pem": files.server, "tls_clients": files.authority}) as rig:
+        async with Rig(
+            tmp_path, warm=trusted, tls=tls, partner={"tls_pem": files.server, "tls_clients": files.authority}
+        ) as rig:
             if trusted:
                 assert kind(await rig.hand(rig.make("unsafe", b"x" * 500_000))) == "delivered"
                 assert len(rig.rows("effect")) == 1
@@ -246,4 +287,5 @@
             assert kind(await rig.hand(rig.make("safe"))) in ("refused", "failed")
             assert not rig.rows("began")
         assert not rig.broken()
+
     run(test)
--- a/tests/node/test_crossings.py
+++ b/tests/node/test_crossings.py
@@ -43,9 +43,11 @@
 
 @pytest.mark.parametrize(("class_", "result"), [("pay", "dead"), ("order", "dead"), ("state", "bounced")])
 def test_answer_that_crosses_the_end_of_its_time_leaves_no_message_without_an_end(
-        tmp_path: Path, class_: str, result: str) -> None:
+    tmp_path: Path, class_: str, result: str
+) -> None:
     """The endpoint says 200 as the message's time is up, and the relay is busy until then: the platform may have
     counted it or not."""
+
     async def story(world: World) -> None:
         async def late(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             _, fields, _ = await read(reader)
@@ -104,6 +106,7 @@
 
 def test_client_whose_connection_was_closed_as_it_wrote_is_answered_on_a_new_one(tmp_path: Path) -> None:
     """It may hand in once more on a new connection, and there was nobody to let it in."""
+
     async def story(world: World) -> None:
         node = await world.node()
         reader, writer = await resting(node)
@@ -168,6 +171,7 @@
 
 def test_small_writes_are_not_held_back_by_the_system(tmp_path: Path) -> None:
     """A close over unread bytes resets a connection, and takes with it what the system still held."""
+
     async def story(world: World) -> None:
         node = await world.node()
         _, writer = await resting(node)
@@ -184,6 +188,7 @@
 
 def test_notice_whose_connection_leads_nowhere_arrives_in_time(tmp_path: Path) -> None:
     """An end told in the last moment of its message: the platform counts it up to 0.3 s after."""
+
     async def story(world: World) -> None:
         where = await world.discovery()
         node = await world.node(where)
@@ -210,7 +215,8 @@
 
 
 def test_connection_that_comes_up_as_its_call_is_given_up_is_not_left_open(
-        tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     async def story(world: World) -> None:
         node = await world.node()
         made = client.ClientConnection.connection_made
@@ -233,7 +239,8 @@
 
 
 def test_idle_connection_that_its_peer_closes_between_the_check_and_the_write_may_have_had_the_call(
-        tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     async def story(world: World) -> None:
         node = await world.node()
         assert await ask(node, hand_in("first")) == 202
@@ -246,8 +253,16 @@
         with monkeypatch.context() as patch:
             patch.setattr(client.ClientConnection, "speaks", False)  # the check came before
             peer.get_extra_info("socket").shutdown(socket.SHUT_RDWR)  # its end is in our kernel, and not read
-            node.calls.send(place, [("X-Correlation-Id", "m")], b"", 1000.0, 0.0, math.inf, 1000.0,
-                            lambda proof, report, reused: ended.append(proof))
+            node.calls.send(
+                place,
+                [("X-Correlation-Id", "m")],
+                b"",
+                1000.0,
+                0.0,
+                math.inf,
+                1000.0,
+                lambda proof, report, reused: ended.append(proof),
+            )
         await until(lambda: ended)
         assert ended[0].outcome is Outcome.RESET and not ended[0].outcome.proves_no_effect
 
@@ -271,6 +286,7 @@
 
 def test_client_that_closes_as_it_is_told_is_owed_nothing_more_than_the_end(tmp_path: Path) -> None:
     """Its close has arrived and is not read as the 202 is written: taken on, and it has one end all the same."""
+
     async def story(world: World) -> None:
         node = await world.node()
         _, writer = await resting(node)
@@ -308,8 +324,10 @@
 
 def other(name: str, effects: list[str]) -> dict[str, Any]:
     """Settings that share no name and no order with another's."""
-    classes = [{"name": f"{name}-{effect}", "effect": effect, "aim-ms": 1000.0, "deadline-ms": 4000.0,
-                "window-ms": 900.0} for effect in effects]
+    classes = [
+        {"name": f"{name}-{effect}", "effect": effect, "aim-ms": 1000.0, "deadline-ms": 4000.0, "window-ms": 900.0}
+        for effect in effects
+    ]
     return RAW | {"classes": classes, "orgs": [{"name": f"{name}-org", "quota-per-s": 9.0}], "zones": [f"{name}-zone"]}
 
 
@@ -325,14 +343,18 @@
             for effect in effects:
                 for asked in customers:
                     ident = f"{name}-{effect}-{asked}"
-                    told = await ask(nodes[asked], hand_in(ident, f"{name}-{effect}", X_Account=f"{name}-org",
-                                                          Idempotency_Key="k" + ident))
+                    told = await ask(
+                        nodes[asked],
+                        hand_in(ident, f"{name}-{effect}", X_Account=f"{name}-org", Idempotency_Key="k" + ident),
+                    )
                     assert told == (202 if asked == name else 400)
             await until(partial(idle, nodes[name]))
         assert not world.notices and len(ids(world)) == 6
         assert nodes["a"].relay.s.classes[0].effect is not nodes["b"].relay.s.classes[0].effect
-        mine, theirs = ({id(each) for each in vars(nodes[name].relay).values() if isinstance(each, (dict, list, set))}
-                        for name in customers)
+        mine, theirs = (
+            {id(each) for each in vars(nodes[name].relay).values() if isinstance(each, (dict, list, set))}
+            for name in customers
+        )
         assert mine and not mine & theirs
 
     play(tmp_path, story)
@@ -347,21 +369,43 @@
         return "".join(rng.choice("abcXYZ019-._") for _ in range(rng.randint(1, 12)))
 
     classes: list[dict[str, Any]] = [
-        {"name": f"{n}{name()}", "effect": rng.choice(["repeatable", "by_key", "once"]),
-         "aim-ms": rng.uniform(50, 3000), "deadline-ms": rng.uniform(3000, 30_000)} for n in range(rng.randint(1, 5))]
+        {
+            "name": f"{n}{name()}",
+            "effect": rng.choice(["repeatable", "by_key", "once"]),
+            "aim-ms": rng.uniform(50, 3000),
+            "deadline-ms": rng.uniform(3000, 30_000),
+        }
+        for n in range(rng.randint(1, 5))
+    ]
     for each in classes:
         optional: dict[str, Any] = {
-            "worth": rng.uniform(0, 9), "late-share": rng.random(), "window-ms": rng.uniform(500, 9000),
-            "dedup-scope": rng.choice(["all", "zone", "cell"]), "by-arrival": rng.random() < 0.3}
+            "worth": rng.uniform(0, 9),
+            "late-share": rng.random(),
+            "window-ms": rng.uniform(500, 9000),
+            "dedup-scope": rng.choice(["all", "zone", "cell"]),
+            "by-arrival": rng.random() < 0.3,
+        }
         each.update({key: value for key, value in optional.items() if rng.random() < 0.6})
-    raw: dict[str, Any] = {"classes": classes, "kinds": ["k", name()][: rng.randint(1, 2)], "zones": ["z"],
-                           "extra": {"call-slots": rng.randint(1, 9)}, "safety": {},
-                           "limits": {"open-cap": rng.randint(8, 90), "try-limit": rng.randint(1, 9)}}
+    raw: dict[str, Any] = {
+        "classes": classes,
+        "kinds": ["k", name()][: rng.randint(1, 2)],
+        "zones": ["z"],
+        "extra": {"call-slots": rng.randint(1, 9)},
+        "safety": {},
+        "limits": {"open-cap": rng.randint(8, 90), "try-limit": rng.randint(1, 9)},
+    }
     optional = {
         "orgs": [{"name": f"{n}{name()}", "quota-per-s": rng.uniform(0, 50)} for n in range(rng.randint(1, 20))],
-        "balancers": rng.randint(1, 300), "weight-kind": rng.choice(["silent", "rough", "nominal"]),
-        "registry-mode": rng.choice(["ask", "push"]), "prices": {}, "goal": {}, "feedback": {"fields": ["x0", "x1"]},
-        "over-share-worth": rng.random(), "client-habits": {"marks-retry": True}, "tick-ms": rng.choice([1.0, 5.0])}
+        "balancers": rng.randint(1, 300),
+        "weight-kind": rng.choice(["silent", "rough", "nominal"]),
+        "registry-mode": rng.choice(["ask", "push"]),
+        "prices": {},
+        "goal": {},
+        "feedback": {"fields": ["x0", "x1"]},
+        "over-share-worth": rng.random(),
+        "client-habits": {"marks-retry": True},
+        "tick-ms": rng.choice([1.0, 5.0]),
+    }
     raw |= {key: value for key, value in optional.items() if rng.random() < 0.6}
 
     async def story(world: World) -> None:
--- a/tests/node/test_directory.py
+++ b/tests/node/test_directory.py
@@ -16,8 +16,15 @@
 
 
 def entry(name: str, state: str = "SERVING", cell: Any = 1, **more: Any) -> dict[str, Any]:
-    return {"id": name, "addr": "10.0.0.1:9", "zone": "z", "kind": "k", "cell": cell, "state": state,
-            "weight": 5.0} | more
+    return {
+        "id": name,
+        "addr": "10.0.0.1:9",
+        "zone": "z",
+        "kind": "k",
+        "cell": cell,
+        "state": state,
+        "weight": 5.0,
+    } | more
 
 
 def told(*entries: Any, version: int = 1, full: bool = True) -> dict[str, Any]:
@@ -32,8 +39,9 @@
     return {place.name: place for place in map(directory.place, directory) if place}
 
 
-def piecewise(directory: Directory, servers: list[Any], size: int, version: int = 1, full: bool = True,
-              upto: int | None = None) -> tuple[Reading, list[list[api.Endpoint]]]:
+def piecewise(
+    directory: Directory, servers: list[Any], size: int, version: int = 1, full: bool = True, upto: int | None = None
+) -> tuple[Reading, list[list[api.Endpoint]]]:
     """The steps of a list; of its first `upto` entries, and then no more, where that is told."""
     reading = directory.begin({"version": version, "full": full})
     steps = [reading.take(servers[:upto][at : at + size]) for at in range(0, len(servers[:upto]), size)]
@@ -85,9 +93,17 @@
     for version in range(250):
         servers = []
         for _ in range(rng.randrange(25)):
-            servers.append(entry(f"s{'x' * rng.randrange(3)}{rng.randrange(12)}ü", rng.choice(
-                ["SERVING"] * 4 + ["DRAINING", "DELETED", "?"]), rng.randrange(5), addr=rng.choice(ADDRESSES),
-                kind=rng.choice(["k", "l", "?"]), zone=rng.choice(["y", "z", "?"]), weight=rng.choice([1.5, 0, 3])))
+            servers.append(
+                entry(
+                    f"s{'x' * rng.randrange(3)}{rng.randrange(12)}ü",
+                    rng.choice(["SERVING"] * 4 + ["DRAINING", "DELETED", "?"]),
+                    rng.randrange(5),
+                    addr=rng.choice(ADDRESSES),
+                    kind=rng.choice(["k", "l", "?"]),
+                    zone=rng.choice(["y", "z", "?"]),
+                    weight=rng.choice([1.5, 0, 3]),
+                )
+            )
         full = rng.random() < 0.3
         before = dict(view)
         _, steps = piecewise(directory, servers, rng.choice([1, 3, 100]), version, full)
@@ -109,7 +125,10 @@
             listed = view[place.number]
             assert f"{place.host}:{place.port}" == life["addr"] and place.destination == life["cell"]
             assert (listed.kind, listed.zone, listed.rate) == (
-                {"k": 0, "l": 1}.get(life["kind"], 2), {"y": 0, "z": 1}.get(life["zone"], 2), life["weight"])
+                {"k": 0, "l": 1}.get(life["kind"], 2),
+                {"y": 0, "z": 1}.get(life["zone"], 2),
+                life["weight"],
+            )
             assert place.zone == listed.zone and directory.number(name) == place.number
             assert (listed.listing is api.Listing.DRAINING) == (life["state"] == "DRAINING")
             assert lives.setdefault(place.number, name) == name, "a number is used twice"
@@ -130,8 +149,10 @@
     gone = servers.pop()
     changed = flat(piecewise(directory, servers, piece, 3)[1])
     assert [(each.id, each.listing, each.destination) for each in changed] == [
-        (numbers[77], api.Listing.DRAINING, 77), (numbers[78], api.Listing.READY, 78),
-        (numbers[-1], api.Listing.GONE, gone["cell"])]
+        (numbers[77], api.Listing.DRAINING, 77),
+        (numbers[78], api.Listing.READY, 78),
+        (numbers[-1], api.Listing.GONE, gone["cell"]),
+    ]
     moved = directory.place(numbers[79])
     assert moved and moved.host == "10.0.0.9"
 
@@ -152,8 +173,17 @@
         piecewise(directory, fleet(size), 500)
         looked = 0
         for version in range(2, 102):
-            piecewise(directory, [entry(f"s-{version - 2}", "DRAINING"), entry(f"new-{version}", cell=2000),
-                                  entry(f"s-{version - 2}", "DELETED")], 3, version, False)
+            piecewise(
+                directory,
+                [
+                    entry(f"s-{version - 2}", "DRAINING"),
+                    entry(f"new-{version}", cell=2000),
+                    entry(f"s-{version - 2}", "DELETED"),
+                ],
+                3,
+                version,
+                False,
+            )
         work[size] = looked
     assert work[10_000] < 1.5 * work[100] < 100 * 40
 
@@ -208,10 +238,16 @@
     assert [each.destination for each in flat(steps)] == [235] and len(directory) == 4999  # the one that has no name
 
 
-@pytest.mark.parametrize("raw, why", [
-    (entry("x", "WARMING"), "state: expected one of SERVING, DRAINING, DELETED, found 'WARMING'"),
-    (entry("x", addr="nowhere"), "addr: expected HOST:PORT, found 'nowhere'"), ({"id": "x"}, "state: missing"),
-    (entry(""), "id: expected a name of 1 to 256 bytes"), (7, "expected an object")])
+@pytest.mark.parametrize(
+    "raw, why",
+    [
+        (entry("x", "WARMING"), "state: expected one of SERVING, DRAINING, DELETED, found 'WARMING'"),
+        (entry("x", addr="nowhere"), "addr: expected HOST:PORT, found 'nowhere'"),
+        ({"id": "x"}, "state: missing"),
+        (entry(""), "id: expected a name of 1 to 256 bytes"),
+        (7, "expected an object"),
+    ],
+)
 def test_fault_names_the_field_and_what_was_expected(raw: Any, why: str) -> None:
     reading, _ = piecewise(Directory(KINDS, ZONES), [entry("a"), raw], 1)
     assert reading.fault == f"servers[1]: {why}"
@@ -240,7 +276,8 @@
     directory.take(told(entry("a")))
     drains = told(entry("a", "DRAINING", cell=9), full=False)  # that it ends is all that is read
     assert [(each.id, each.listing, each.destination) for each in directory.take(drains).entries] == [
-        (1, api.Listing.DRAINING, 1)]
+        (1, api.Listing.DRAINING, 1)
+    ]
     assert not directory.take(drains).entries and len(directory) == 1
     place = directory.place(1)
     assert place and place.destination == 1
--- a/tests/node/test_discovery.py
+++ b/tests/node/test_discovery.py
@@ -23,8 +23,15 @@
 
 
 def entry(name: str, state: str = "SERVING", cell: Any = 1, **more: Any) -> dict[str, Any]:
-    return {"id": name, "addr": "127.0.0.1:9", "zone": "z", "kind": "k", "cell": cell, "state": state,
-            "weight": 5.0} | more
+    return {
+        "id": name,
+        "addr": "127.0.0.1:9",
+        "zone": "z",
+        "kind": "k",
+        "cell": cell,
+        "state": state,
+        "weight": 5.0,
+    } | more
 
 
 def chunk(data: bytes) -> bytes:
@@ -111,10 +118,13 @@
                 del self.view[each.id]
 
     def agrees(self) -> bool:
-        mine = {place.name: (discovery_state(self.view.get(place.number)), place.destination)
-                for place in places(self.directory)}
-        return (mine == {name: (each["state"], each["cell"]) for name, each in self.told.entries.items()}
-                and self.view == {number: self.directory.entry(number) for number in self.directory})
+        mine = {
+            place.name: (discovery_state(self.view.get(place.number)), place.destination)
+            for place in places(self.directory)
+        }
+        return mine == {
+            name: (each["state"], each["cell"]) for name, each in self.told.entries.items()
+        } and self.view == {number: self.directory.entry(number) for number in self.directory}
 
 
 def places(directory: Directory) -> list[Place]:
@@ -125,14 +135,16 @@
     return {api.Listing.READY: "SERVING", api.Listing.DRAINING: "DRAINING"}[each.listing] if each else "?"
 
 
-def play(story: Callable[[Told, Rig], Any], *script: tuple[bytes, bool], indent: int | None = None,
-         more: int = 0) -> None:
+def play(
+    story: Callable[[Told, Rig], Any], *script: tuple[bytes, bool], indent: int | None = None, more: int = 0
+) -> None:
     async def run() -> None:
         told = Told()
         told.script, told.indent = list(script), indent
         told.entries = {"a": entry("a"), "b": entry("b", cell=2)}
-        told.entries |= {name: entry(name, cell=number % 50) for number, name in enumerate(
-            f"s-{number}" for number in range(more))}
+        told.entries |= {
+            name: entry(name, cell=number % 50) for number, name in enumerate(f"s-{number}" for number in range(more))
+        }
         rig = Rig(told, await told.start())
         try:
             await story(told, rig)
@@ -159,14 +171,27 @@
 
 
 SILENT = [
-    b"", HEAD[:20], HEAD, HEAD + b"5", HEAD + b"40\r\n", HEAD + b'40\r\n{"version":41,"full":true,"servers":[',
-    HEAD + chunk(b"\n"), HEAD + chunk(b'{"version": 4') + b"1",
+    b"",
+    HEAD[:20],
+    HEAD,
+    HEAD + b"5",
+    HEAD + b"40\r\n",
+    HEAD + b'40\r\n{"version":41,"full":true,"servers":[',
+    HEAD + chunk(b"\n"),
+    HEAD + chunk(b'{"version": 4') + b"1",
 ]
 SPOILT = [
-    b"HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n", b"\x16\x03 noise\r\n\r\n", HEAD + b"zz\r\n",
-    HEAD + chunk(b"17\n"), HEAD + chunk(b"[]\n"), HEAD + chunk(b"{}\n"), HEAD + chunk(b'{"servers":7}\n'),
-    HEAD + chunk(b"[" * 100_000), HEAD + chunk(b'{"version":41,"full":true,"servers":[{"id":"a"\n{'),
-    HEAD + chunk(b'"\xff"'), HEAD + b"0\r\n\r\n",
+    b"HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n",
+    b"\x16\x03 noise\r\n\r\n",
+    HEAD + b"zz\r\n",
+    HEAD + chunk(b"17\n"),
+    HEAD + chunk(b"[]\n"),
+    HEAD + chunk(b"{}\n"),
+    HEAD + chunk(b'{"servers":7}\n'),
+    HEAD + chunk(b"[" * 100_000),
+    HEAD + chunk(b'{"version":41,"full":true,"servers":[{"id":"a"\n{'),
+    HEAD + chunk(b'"\xff"'),
+    HEAD + b"0\r\n\r\n",
 ]
 
 
@@ -249,9 +274,22 @@
             versions.read(version)
         return counts
 
-    assert [takes(*told) for told in [(5, True), (6, False), (6, False), (4, False), (4, False), (None, True),
-                                      (4, True), (7, False), (3, True), (3, True), (4, False)]] == [
-        True, True, True, False, False, True, False, True, False, True, True]
+    assert [
+        takes(*told)
+        for told in [
+            (5, True),
+            (6, False),
+            (6, False),
+            (4, False),
+            (4, False),
+            (None, True),
+            (4, True),
+            (7, False),
+            (3, True),
+            (3, True),
+            (4, False),
+        ]
+    ] == [True, True, True, False, False, True, False, True, False, True, True]
 
 
 def test_watch_is_waited_for_by_what_it_has_shown() -> None:
@@ -261,10 +299,28 @@
 
 
 ODD: list[Any] = [
-    7, None, [], "s", {}, {"id": "x"}, entry("x", "WARMING"), entry("x", state=["SERVING"]), entry("x", addr=7),  # type: ignore[arg-type]
-    entry("x", addr="nowhere"), entry("x", addr="a\nb:1"), entry("x", addr="10.0.0.1:99999"), entry("x", cell=None),
-    entry("x", cell=float("inf")), entry("x", cell=True), entry("x", cell=-1), entry("x", cell="1"),
-    entry("x", cell=1e300), entry("\ud800"), entry(""), entry("x" * 300), entry("x", cell={"a": 1}),
+    7,
+    None,
+    [],
+    "s",
+    {},
+    {"id": "x"},
+    entry("x", "WARMING"),
+    entry("x", state=["SERVING"]),
+    entry("x", addr=7),  # type: ignore[arg-type]
+    entry("x", addr="nowhere"),
+    entry("x", addr="a\nb:1"),
+    entry("x", addr="10.0.0.1:99999"),
+    entry("x", cell=None),
+    entry("x", cell=float("inf")),
+    entry("x", cell=True),
+    entry("x", cell=-1),
+    entry("x", cell="1"),
+    entry("x", cell=1e300),
+    entry("\ud800"),
+    entry(""),
+    entry("x" * 300),
+    entry("x", cell={"a": 1}),
     entry("x") | {"id": 5},
 ]
 
@@ -295,8 +351,9 @@
     assert list(directory) == [2, 3]
 
 
-@pytest.mark.parametrize("servers", [
-    [entry("a", "DELETED"), entry("a", cell=2)], [entry("a"), entry("a", "DELETED"), entry("a", cell=2)]])
+@pytest.mark.parametrize(
+    "servers", [[entry("a", "DELETED"), entry("a", cell=2)], [entry("a"), entry("a", "DELETED"), entry("a", cell=2)]]
+)
 @pytest.mark.parametrize("whole", [True, False])
 def test_endpoint_that_comes_back_under_its_name_in_one_list_is_another(servers: list[Any], whole: bool) -> None:
     directory = Directory(("k",), ("z",))
@@ -328,11 +385,14 @@
 
 LONG = 5000  # endpoints: some 600 KB
 
+
 def opened(told: Told, number: int) -> Callable[[], bool]:
     return lambda: len(told.watches) == number
 
+
 ALL = "/api/targets?follow=1"
 
+
 @pytest.mark.parametrize("indent", [None, 2])
 def test_long_list_is_told_in_bounded_events_and_a_watch_goes_on_from_its_version(indent: int | None) -> None:
     async def story(told: Told, rig: Rig) -> None:
@@ -356,8 +416,10 @@
 
     play(story, indent=indent, more=LONG)
 
-def test_watch_that_goes_on_from_a_version_may_be_told_the_whole_list_and_one_that_changes_nothing_tells_nothing(
-        ) -> None:
+
+def test_watch_that_goes_on_from_a_version_may_be_told_the_whole_list_and_one_that_changes_nothing_tells_nothing() -> (
+    None
+):
     async def story(told: Told, rig: Rig) -> None:
         await until(lambda: rig.agrees() and rig.watch.first.is_set())
         told.forgets = True
@@ -374,6 +436,7 @@
 
     play(story, more=LONG)
 
+
 def test_short_list_is_asked_for_whole_each_time() -> None:
     async def story(told: Told, rig: Rig) -> None:
         for number in (1, 2, 3):
@@ -384,28 +447,44 @@
 
     play(story)
 
+
 HALF = 300_000
 
+
 def half(text: bytes) -> bytes:
     return b"%x\r\n%s" % (len(text), text[:HALF])
 
+
 def spoilt(text: bytes) -> bytes:
     at = text.index(b"},", HALF) + 1
     return chunk(text[:at] + b"}" + text[at:])
 
+
 def broken_off(text: bytes) -> bytes:
     return chunk(text[:HALF]) + b"0\r\n\r\n"
 
-def short(text: bytes) -> bytes:
-    return chunk(text[:text.index(b"{", 2) + 9])
 
-@pytest.mark.parametrize("said, closes, log", [
-    (half, True, "list_cut"), (half, False, "list_cut"), (spoilt, False, "list_refused"),
-    (broken_off, False, "list_cut"), (short, True, "list_cut"), (short, False, "list_cut")])
+def short(text: bytes) -> bytes:
+    return chunk(text[: text.index(b"{", 2) + 9])
+
+
+@pytest.mark.parametrize(
+    "said, closes, log",
+    [
+        (half, True, "list_cut"),
+        (half, False, "list_cut"),
+        (spoilt, False, "list_refused"),
+        (broken_off, False, "list_cut"),
+        (short, True, "list_cut"),
+        (short, False, "list_cut"),
+    ],
+)
 @pytest.mark.parametrize("since", [False, True])
 def test_long_list_that_breaks_off_takes_nothing_away_and_its_version_does_not_count(
-        said: Callable[[bytes], bytes], closes: bool, log: str, since: bool) -> None:
+    said: Callable[[bytes], bytes], closes: bool, log: str, since: bool
+) -> None:
     """Each is told in one line, and asked for whole after growing pauses."""
+
     async def story(told: Told, rig: Rig) -> None:
         await until(lambda: rig.agrees() and rig.watch.first.is_set())
         before = dict(told.entries)
@@ -432,12 +511,12 @@
 
     play(story, more=LONG)
 
+
 def test_older_long_list_is_refused_before_any_entry_and_asked_for_again() -> None:
     async def story(told: Told, rig: Rig) -> None:
         await until(lambda: rig.agrees() and rig.watch.first.is_set())
         rig.events.clear()
-        older = told.text({"version": 39, "full": True, "servers": [
-            entry(name, "DRAINING") for name in told.entries]})
+        older = told.text({"version": 39, "full": True, "servers": [entry(name, "DRAINING") for name in told.entries]})
         told.script = [(HEAD + chunk(older), False)]
         told.watches[0].close()
         await until(lambda: len(told.watches) == 3)
@@ -447,6 +526,7 @@
 
     play(story, more=LONG)
 
+
 def test_broken_entries_among_many_are_one_line() -> None:
     async def story(told: Told, rig: Rig) -> None:
         await until(lambda: rig.agrees() and rig.watch.first.is_set())
@@ -458,12 +538,20 @@
         await until(lambda: rig.directory.versions.newest == 41)
         told.entries = held
         assert rig.agrees() and len(told.watches) == 1
-        assert rig.logged == [("entries_skipped", {
-            "skipped": 2, "of": LONG + 2,
-            "first": "servers[3002]: cell: expected a whole number from 0 to 999999999, found 'x'"})]
+        assert rig.logged == [
+            (
+                "entries_skipped",
+                {
+                    "skipped": 2,
+                    "of": LONG + 2,
+                    "first": "servers[3002]: cell: expected a whole number from 0 to 999999999, found 'x'",
+                },
+            )
+        ]
 
     play(story, more=LONG)
 
+
 def test_long_list_that_can_not_be_read_in_parts_is_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(discovery, "LIST", 200_000)
 
@@ -478,9 +566,11 @@
 
     play(story, more=LONG)
 
+
 def test_changes_behind_a_long_list_wait_until_its_sweep_is_over() -> None:
     """All but two endpoints go, and one comes again under its name in the object behind: were it looked at before, the
     sweep would take it away."""
+
     async def story(told: Told, rig: Rig) -> None:
         await until(lambda: rig.agrees() and rig.watch.first.is_set())
         rig.events.clear()
@@ -494,10 +584,13 @@
         assert [len(event.entries) for event in sweeps][:-1] == [ENTRIES] * (LONG // ENTRIES)
         assert {each.listing for event in sweeps for each in event.entries} == {api.Listing.GONE}
         assert [(each.listing, each.destination) for each in last.entries] == [
-            (api.Listing.DRAINING, 1), (api.Listing.READY, 3)]
+            (api.Listing.DRAINING, 1),
+            (api.Listing.READY, 3),
+        ]
 
     play(story, more=LONG)
 
+
 def test_move_in_the_middle_of_a_long_list_leaves_the_rest_of_it_unheard() -> None:
     async def story(told: Told, rig: Rig) -> None:
         await until(lambda: rig.agrees() and rig.watch.first.is_set())
@@ -516,6 +609,7 @@
 
     play(story, more=LONG)
 
+
 def test_what_the_next_watch_asks_for() -> None:
     asking = Asking()
     assert asking.since(None) is None and asking.since(5) is None  # at first
@@ -534,6 +628,7 @@
     asking.moved()
     assert asking.since(5) is None
 
+
 def test_list_counts_by_its_head_and_its_version_once_it_has_been_read() -> None:
     versions = Versions()
     assert versions.counts(5, True) and versions.newest is None
@@ -544,15 +639,18 @@
     versions.read(None)
     assert versions.newest == 3 and not versions.counts(2, True)
 
+
 def test_watch_that_goes_on_from_a_version_is_waited_for_once_its_head_has_come() -> None:
     assert watch_until(10.0, False, None, asked=9.2) == 9.2 + QUIET_S
     assert watch_until(10.0, True, None, asked=9.2) == 10 + QUIET_S
     assert watch_until(10.0, False, 9.9, asked=9.2) == 10 + STALL_S
 
+
 # -- the clock ----------------------------------------------------------------------------------------------------
 
 Said = list[tuple[float, bytes]]  # s after it was asked, and what comes then
 
+
 class Ends(asyncio.Transport):
     """A connection to a discovery that says what its script tells."""
 
@@ -591,6 +689,7 @@
     def set_write_buffer_limits(self, high: int | None = None, low: int | None = None) -> None:
         pass
 
+
 class Clock(asyncio.SelectorEventLoop):
     """A loop whose time goes on when nothing else is to be done, with connections that `script` plays in turn."""
 
@@ -616,20 +715,31 @@
         protocol.connection_made(transport)
         return transport, protocol
 
+
 def listed(*entries: dict[str, Any], version: int = 41) -> bytes:
     return chunk(json.dumps({"version": version, "full": True, "servers": list(entries)}).encode() + b"\n")
 
+
 MANY = [entry(f"s-{number}") for number in range(1000)]
 CHANGED = [*MANY[1:], entry("s-0", "DRAINING")]
 NOTHING: Said = []
 
-@pytest.mark.parametrize("chain, asks", [
-    ([NOTHING], [True, False]), ([NOTHING, NOTHING], [True, False, False]),
-    ([[(0.0, HEAD)]], [True, False]), ([[(0.99, HEAD)]], [True, False]),
-    ([[(0.49, HEAD[:9])], NOTHING], [True, False, False]), ([[(0.99, HEAD + b"5")]], [True, False]),
-    ([[(0.99, HEAD), (2.59, b"\r")]], [True, False])])
+
+@pytest.mark.parametrize(
+    "chain, asks",
+    [
+        ([NOTHING], [True, False]),
+        ([NOTHING, NOTHING], [True, False, False]),
+        ([[(0.0, HEAD)]], [True, False]),
+        ([[(0.99, HEAD)]], [True, False]),
+        ([[(0.49, HEAD[:9])], NOTHING], [True, False, False]),
+        ([[(0.99, HEAD + b"5")]], [True, False]),
+        ([[(0.99, HEAD), (2.59, b"\r")]], [True, False]),
+    ],
+)
 def test_worst_chain_of_silences_is_made_up_for_before_its_change_counts_as_told(
-        chain: list[Said], asks: list[bool]) -> None:
+    chain: list[Said], asks: list[bool]
+) -> None:
     """The first watch tells a long list and falls silent; a change is made then. Each of `chain` says no more than
     that; `asks` tells which of those that follow may go on from the version."""
     loop = Clock([[(0.0, HEAD + listed(*MANY))], *chain, [(0.0, HEAD + listed(*CHANGED, version=42))]])
@@ -657,6 +767,7 @@
     assert ["since=41" in asked for _, asked in loop.asked[1:]] == asks
     assert loop.asked[1][0] < 2.7
 
+
 def test_long_list_that_comes_slowly_is_waited_for_and_one_that_stops_is_not() -> None:
     text = HEAD + listed(*(entry(f"s-{number}") for number in range(LONG)))
     pieces = [text[at : at + 24_000] for at in range(0, len(text), 24_000)]  # the first step is over in 0.9 s
--- a/tests/node/test_journal.py
+++ b/tests/node/test_journal.py
@@ -16,12 +16,22 @@
 
 
 def story() -> bytes:
-    return b"".join([
-        journal.taken(1, FIELDS, b"\x00body"), journal.attempt(1, 1.0, 0, "a"), journal.outcome(1, False),
-        journal.attempt(1, 2.0, 1, "b"), journal.outcome(1, True), journal.attempt(1, 3.0, 0, "c"),
-        journal.taken(2, FIELDS, b""), journal.ended(2),
-        journal.taken(3, FIELDS, b""), journal.owed(3, {"ref": "x", "result": "dead"}),
-        journal.taken(4, FIELDS, b"y" * 100), journal.attempt(4, 5.0, 0, "d")])
+    return b"".join(
+        [
+            journal.taken(1, FIELDS, b"\x00body"),
+            journal.attempt(1, 1.0, 0, "a"),
+            journal.outcome(1, False),
+            journal.attempt(1, 2.0, 1, "b"),
+            journal.outcome(1, True),
+            journal.attempt(1, 3.0, 0, "c"),
+            journal.taken(2, FIELDS, b""),
+            journal.ended(2),
+            journal.taken(3, FIELDS, b""),
+            journal.owed(3, {"ref": "x", "result": "dead"}),
+            journal.taken(4, FIELDS, b"y" * 100),
+            journal.attempt(4, 5.0, 0, "d"),
+        ]
+    )
 
 
 KEPT = {
@@ -36,8 +46,14 @@
 
 
 def test_attempt_that_a_kill_left_open_stays_a_risk_after_a_later_one() -> None:
-    data = b"".join([journal.taken(1, FIELDS, b""), journal.attempt(1, 1.0, 0, "a"),
-                     journal.attempt(1, 2.0, 0, "b"), journal.outcome(1, False)])
+    data = b"".join(
+        [
+            journal.taken(1, FIELDS, b""),
+            journal.attempt(1, 1.0, 0, "a"),
+            journal.attempt(1, 2.0, 0, "b"),
+            journal.outcome(1, False),
+        ]
+    )
     kept, _ = journal.replay(data)
     assert (kept[1].tries, kept[1].risk, kept[1].out) == (2, (1.0, 0, "a"), None)
     assert journal.replay(b"".join(kept[1].records()))[0] == kept
--- a/tests/node/test_once.py
+++ b/tests/node/test_once.py
@@ -43,10 +43,19 @@
     *(Fault("accepted", how) for how in ("reset", "close")),
     *(Fault("part", how) for how in ("reset", "close", "silence")),
     *(Fault("whole", how) for how in ("reset", "close", "silence", "late")),
-    *(Fault("said", how, said) for how in ("reset", "close", "silence")
-      for said in (b"HTTP/1.1 20", b"HTTP/1.1 200 OK\r\n", b"HTTP/1.1 503 Busy\r\n", REFUSED[:-2],
-                   b"\x16\x03 noise\r\n\r\n")),
-    Fault("said", "close", REFUSED), Fault("said", "close", b"HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n"),
+    *(
+        Fault("said", how, said)
+        for how in ("reset", "close", "silence")
+        for said in (
+            b"HTTP/1.1 20",
+            b"HTTP/1.1 200 OK\r\n",
+            b"HTTP/1.1 503 Busy\r\n",
+            REFUSED[:-2],
+            b"\x16\x03 noise\r\n\r\n",
+        )
+    ),
+    Fault("said", "close", REFUSED),
+    Fault("said", "close", b"HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n"),
 ]
 
 
@@ -112,8 +121,11 @@
         mine = [call for call in calls if call.body == body]
         ran = next((call for call in mine if call.ran), None)
         if one_life:
-            found += [f"two calls of {one.ident} at once" for one, other in zip(mine, mine[1:], strict=False)
-                      if one.over is None or other.at < one.over]
+            found += [
+                f"two calls of {one.ident} at once"
+                for one, other in zip(mine, mine[1:], strict=False)
+                if one.over is None or other.at < one.over
+            ]
         if ran is None:
             continue
         for call in mine[mine.index(ran) + 1 :]:
@@ -180,8 +192,7 @@
             world.state, desk.faults = folder, []
             second = await world.node(where)
             await self.come_again(second, where, folder.name)
-            found += [f"{folder.name}: {each}" for each in
-                      breaches(self.class_, desk.calls, self.notices, False)]
+            found += [f"{folder.name}: {each}" for each in breaches(self.class_, desk.calls, self.notices, False)]
         return [f"{self}: {each}" for each in found]
 
     @property
@@ -217,10 +228,14 @@
 
 def all_of(folder: Path, monkeypatch: pytest.MonkeyPatch, keep: Callable[[Story], bool]) -> list[Story]:
     flush = Journal.flush
-    stories = [Story(folder / f"{number}-{connection}-{class_}-{full}", fault, connection, class_, full)
-               for number, fault in enumerate(FAULTS) for connection in ("new", "kept", "held")
-               for class_ in ("pay", "order", "state") for full in (False, True)
-               if (connection == "held") <= (class_ == "pay") and (fault.stage == "accepted") <= (connection != "kept")]
+    stories = [
+        Story(folder / f"{number}-{connection}-{class_}-{full}", fault, connection, class_, full)
+        for number, fault in enumerate(FAULTS)
+        for connection in ("new", "kept", "held")
+        for class_ in ("pay", "order", "state")
+        for full in (False, True)
+        if (connection == "held") <= (class_ == "pay") and (fault.stage == "accepted") <= (connection != "kept")
+    ]
     kept = [story for story in stories if keep(story)]
     homes = {story.world.state: story for story in kept}
 
@@ -239,16 +254,26 @@
 
 @pytest.mark.parametrize("class_", ["pay", "order", "state"])
 def test_nothing_runs_twice_wherever_a_call_ends_and_whenever_the_relay_is_killed(
-        tmp_path: Path, class_: str, monkeypatch: pytest.MonkeyPatch) -> None:
+    tmp_path: Path, class_: str, monkeypatch: pytest.MonkeyPatch
+) -> None:
     stories = all_of(tmp_path, monkeypatch, lambda story: story.class_ == class_)
     assert asyncio.run(told(stories)) == [], "breaches"
     assert min(len(story.kills) for story in stories) >= 3  # taken, attempted, ended
 
 
 @pytest.mark.parametrize("sight", [Sight.LOST, Sight.TIMED_OUT, Sight.GARBLED])
-def test_the_judge_finds_an_unclear_end_that_is_called_clean(tmp_path: Path, sight: Sight,
-                                                              monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_judge_finds_an_unclear_end_that_is_called_clean(
+    tmp_path: Path, sight: Sight, monkeypatch: pytest.MonkeyPatch
+) -> None:
     monkeypatch.setitem(evidence.SIGHTS, sight, evidence.SIGHTS[Sight.CUT])
-    stories = all_of(tmp_path, monkeypatch, lambda story: story.class_ == "pay" and story.connection == "new"
-                     and story.fault.stage in ("whole", "said") and not story.full)
+    stories = all_of(
+        tmp_path,
+        monkeypatch,
+        lambda story: (
+            story.class_ == "pay"
+            and story.connection == "new"
+            and story.fault.stage in ("whole", "said")
+            and not story.full
+        ),
+    )
     assert any("sent again" in breach for breach in asyncio.run(told(stories)))
--- a/tests/node/test_process.py
+++ b/tests/node/test_process.py
@@ -16,8 +16,15 @@
 
 from .world import RAW
 
-GOOD: dict[str, Any] = {"name": "n0", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:9", "seed": "ff",
-                        "limits": {"sockets": 256, "memory_mb": 64, "disk_mb": 1}, "known": {}, "settings": RAW}
+GOOD: dict[str, Any] = {
+    "name": "n0",
+    "listen": "127.0.0.1:0",
+    "discovery": "127.0.0.1:9",
+    "seed": "ff",
+    "limits": {"sockets": 256, "memory_mb": 64, "disk_mb": 1},
+    "known": {},
+    "settings": RAW,
+}
 
 
 def start(tmp_path: Path, raw: object) -> subprocess.Popen[str]:
@@ -27,18 +34,21 @@
     return subprocess.Popen([sys.executable, "-m", "linnetstile.node"], env=env, stderr=subprocess.PIPE, text=True)
 
 
-@pytest.mark.parametrize(("raw", "told"), [
-    ("{", "config.json: expected JSON"),
-    ({**GOOD, "listen": "nowhere"}, "listen: expected HOST:PORT"),
-    ({**GOOD, "seed": "xyz"}, "seed: expected a hexadecimal number"),
-    ({**GOOD, "limits": {"sockets": "many"}}, "limits.sockets: expected a number"),
-    ({**GOOD, "settings": {**RAW, "classes": [{"name": "x"}]}}, "settings: "),
-    ({**GOOD, "settings": {**RAW, "extra": {}}}, "settings: 'call-slots' is missing"),
-    ({**GOOD, "settings": {**RAW, "zones": None}}, "settings.zones: expected a list"),
-    ({**GOOD, "settings": {**RAW, "orgs": [{"name": "a", "quota-per-s": "x"}]}}, "tenants.quota_per_s: must be"),
-    ({**GOOD, "discovery": "a b:80"}, "discovery: expected HOST:PORT"),
-    ("[" * 100_000, "config.json: expected JSON"),
-])
+@pytest.mark.parametrize(
+    ("raw", "told"),
+    [
+        ("{", "config.json: expected JSON"),
+        ({**GOOD, "listen": "nowhere"}, "listen: expected HOST:PORT"),
+        ({**GOOD, "seed": "xyz"}, "seed: expected a hexadecimal number"),
+        ({**GOOD, "limits": {"sockets": "many"}}, "limits.sockets: expected a number"),
+        ({**GOOD, "settings": {**RAW, "classes": [{"name": "x"}]}}, "settings: "),
+        ({**GOOD, "settings": {**RAW, "extra": {}}}, "settings: 'call-slots' is missing"),
+        ({**GOOD, "settings": {**RAW, "zones": None}}, "settings.zones: expected a list"),
+        ({**GOOD, "settings": {**RAW, "orgs": [{"name": "a", "quota-per-s": "x"}]}}, "tenants.quota_per_s: must be"),
+        ({**GOOD, "discovery": "a b:80"}, "discovery: expected HOST:PORT"),
+        ("[" * 100_000, "config.json: expected JSON"),
+    ],
+)
 def test_bad_configuration_gets_one_line_and_exit_2(tmp_path: Path, raw: object, told: str) -> None:
     process = start(tmp_path, raw)
     _, error = process.communicate(timeout=20)
@@ -91,8 +101,10 @@
         (tmp_path / "config.json").write_text("{")
         process.send_signal(signal.SIGHUP)
         assert "expected JSON" in wait_for(process, "config_refused")["why"]
-        head = ("POST /api HTTP/1.1\r\nHost: x\r\nX-Correlation-Id: m\r\nX-Service-Class: state\r\nX-Account: acme\r\n"
-                "X-Time-Left: 6000m\r\nEnvelope: dest=1\r\nContent-Length: 0\r\n\r\n")
+        head = (
+            "POST /api HTTP/1.1\r\nHost: x\r\nX-Correlation-Id: m\r\nX-Service-Class: state\r\nX-Account: acme\r\n"
+            "X-Time-Left: 6000m\r\nEnvelope: dest=1\r\nContent-Length: 0\r\n\r\n"
+        )
         with socket.create_connection(("127.0.0.1", port), timeout=5) as client:
             client.sendall(head.encode())
             assert b" 202 " in client.recv(1000)
--- a/tests/node/test_relay.py
+++ b/tests/node/test_relay.py
@@ -67,7 +67,7 @@
         assert await ask(node, b"GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n") == 200
         assert await ask(node, hand_in("m1", "order", body=body, left="2500000u")) == 202
         await until(lambda: not node.carried)
-        (dest, fields, came), = world.calls
+        ((dest, fields, came),) = world.calls
         assert (dest, fields["x-correlation-id"], fields["idempotency-key"], came) == (1, "m1", "key-m1", body)
         assert 0 < int(fields["x-time-left"].removesuffix("m")) <= 2500
         assert not world.notices and not node.owed
@@ -75,18 +75,21 @@
     play(tmp_path, story)
 
 
-@pytest.mark.parametrize("answer", [
-    b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n" + b"x" * 100_000,
-    b"HTTP/1.1 200 OK\r\nContent-Length: -5\r\n\r\nok",
-    b"HTTP/1.1 200 OK\r\nX: \x00\x01\r\n\r\n",
-    b"HTTP/1.1 200 OK\nX: y\n\n",
-    b"HTTP/1.1 200 OK\r\n" + b"X: y\r\n" * 9000,
-    b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 4\r\n\r\nok",
-    b"HTTP/1.1 100 Continue\r\n\r\n" + OK,
-    OK + OK,
-    OK + b"\x00\xff noise",
-    b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nX-Backend-Load: {{{\r\n\r\nok",
-])
+@pytest.mark.parametrize(
+    "answer",
+    [
+        b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n" + b"x" * 100_000,
+        b"HTTP/1.1 200 OK\r\nContent-Length: -5\r\n\r\nok",
+        b"HTTP/1.1 200 OK\r\nX: \x00\x01\r\n\r\n",
+        b"HTTP/1.1 200 OK\nX: y\n\n",
+        b"HTTP/1.1 200 OK\r\n" + b"X: y\r\n" * 9000,
+        b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 4\r\n\r\nok",
+        b"HTTP/1.1 100 Continue\r\n\r\n" + OK,
+        OK + OK,
+        OK + b"\x00\xff noise",
+        b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nX-Backend-Load: {{{\r\n\r\nok",
+    ],
+)
 def test_answer_whose_first_line_says_200_counts_whatever_follows(tmp_path: Path, answer: bytes) -> None:
     async def story(world: World) -> None:
         node = await world.node()
@@ -103,12 +106,17 @@
     play(tmp_path, story)
 
 
-@pytest.mark.parametrize("answer", [
-    b"\x16\x03\x01 noise\r\n\r\n", b"HTTP/1.1 503 Busy\r\nContent-Length: zero\r\n\r\n",
-    b"HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n",
-])
+@pytest.mark.parametrize(
+    "answer",
+    [
+        b"\x16\x03\x01 noise\r\n\r\n",
+        b"HTTP/1.1 503 Busy\r\nContent-Length: zero\r\n\r\n",
+        b"HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n",
+    ],
+)
 def test_unclear_answer_is_final_for_what_may_not_be_repeated_and_repeated_for_the_rest(
-        tmp_path: Path, answer: bytes) -> None:
+    tmp_path: Path, answer: bytes
+) -> None:
     async def story(world: World) -> None:
         node = await world.node()
         world.script[1] = [answer]
@@ -127,12 +135,21 @@
 BAD = [
     b"\x00\x01\x02 not http\r\n\r\n",
     b"POST /api HTTP/1.1\r\nHost: x\r\nX: " + b"a" * 40_000,
-    hand_in("x", Content_Length="-1"), hand_in("x", Content_Length="99999999999999999999"),
-    hand_in("x", Content_Length="62914560"), hand_in("x", Transfer_Encoding="chunked"),
-    hand_in("x", "nonsense"), hand_in("x", dest=999), hand_in("x", Envelope="dest=one"),
-    hand_in("x", left="soon"), hand_in("x", left="-5m"), hand_in("x", left="99999999m"), hand_in(""),
-    hand_in("x", X_Account="nobody"), hand_in("x", "order", Idempotency_Key=""),
-    hand_in("x").replace(b"/api", b"/other"), hand_in("x").replace(b"POST", b"GET"),
+    hand_in("x", Content_Length="-1"),
+    hand_in("x", Content_Length="99999999999999999999"),
+    hand_in("x", Content_Length="62914560"),
+    hand_in("x", Transfer_Encoding="chunked"),
+    hand_in("x", "nonsense"),
+    hand_in("x", dest=999),
+    hand_in("x", Envelope="dest=one"),
+    hand_in("x", left="soon"),
+    hand_in("x", left="-5m"),
+    hand_in("x", left="99999999m"),
+    hand_in(""),
+    hand_in("x", X_Account="nobody"),
+    hand_in("x", "order", Idempotency_Key=""),
+    hand_in("x").replace(b"/api", b"/other"),
+    hand_in("x").replace(b"POST", b"GET"),
     hand_in("x", Content_Length="500"),
 ]
 
@@ -170,8 +187,14 @@
 def test_silent_clients_are_let_go_and_an_open_identifier_is_not_taken_twice(tmp_path: Path) -> None:
     async def story(world: World) -> None:
         node = await world.node(sockets=128)
-        silent = [await asyncio.open_connection("127.0.0.1", node.front.server._server.sockets[0].getsockname()[1])
-                  for _ in range(100)] if node.front.server._server else []
+        silent = (
+            [
+                await asyncio.open_connection("127.0.0.1", node.front.server._server.sockets[0].getsockname()[1])
+                for _ in range(100)
+            ]
+            if node.front.server._server
+            else []
+        )
         world.script[1] = [None]
         assert await ask(node, hand_in("m")) == 202
         assert await ask(node, hand_in("m", body=b"other")) == 409
@@ -204,8 +227,9 @@
 
 
 @pytest.mark.parametrize("class_", ["pay", "state"])
-def test_killed_after_any_write_a_message_has_one_end_and_no_second_effect(tmp_path: Path, class_: str,
-                                                                           monkeypatch: pytest.MonkeyPatch) -> None:
+def test_killed_after_any_write_a_message_has_one_end_and_no_second_effect(
+    tmp_path: Path, class_: str, monkeypatch: pytest.MonkeyPatch
+) -> None:
     """The folder as it is after each write of one message's life is what a kill at that moment leaves."""
     left: list[tuple[Path, int, int]] = []  # the folder, calls that had come, notices posted
     flush, original = Journal.flush, tmp_path / "journal"
@@ -301,11 +325,18 @@
     play(tmp_path, story)
 
 
-@pytest.mark.parametrize("said", [
-    b"", b"HTTP/1.1 200 OK\r\nTransfer-Enc", b"HTTP/1.1 500 X\r\n\r\n",
-    b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n40\r\n{\"version\":9,\"full\":fal"])
-def test_watch_that_stops_in_the_middle_is_opened_anew_well_before_its_change_counts(tmp_path: Path,
-                                                                                   said: bytes) -> None:
+@pytest.mark.parametrize(
+    "said",
+    [
+        b"",
+        b"HTTP/1.1 200 OK\r\nTransfer-Enc",
+        b"HTTP/1.1 500 X\r\n\r\n",
+        b'HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n40\r\n{"version":9,"full":fal',
+    ],
+)
+def test_watch_that_stops_in_the_middle_is_opened_anew_well_before_its_change_counts(
+    tmp_path: Path, said: bytes
+) -> None:
     async def story(world: World) -> None:
         world.stall = [said, said]
         node = await world.node()
@@ -377,7 +408,8 @@
 
 
 def test_work_that_may_run_only_once_is_not_sent_again_by_a_connection_that_comes_up_late(
-        tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     """The fleet's case: a second try was decided inside the key's window, its connection took a second to be made
     (the listener's queue was full), and the request left outside the window."""
     raw = json.loads(json.dumps(RAW))
@@ -400,7 +432,8 @@
 
 
 def test_call_whose_connection_comes_up_after_a_wait_was_told_waits_too(
-        tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     async def story(world: World) -> None:
         world.script[1] = [b"HTTP/1.1 429 X\r\nRetry-After: 0.9\r\nContent-Length: 0\r\n\r\n"]
         node = await world.node()
@@ -419,9 +452,15 @@
 def test_lists_of_1024_endpoints_are_taken_whole_and_half_of_them_leave(tmp_path: Path) -> None:
     async def story(world: World) -> None:
         world.raw = {**RAW, "balancers": 1024}
-        others = [{**world.entries[0], "id": f"o-{number}", "cell": 2 + number,
-                   "addr": f"127.9.{number >> 8}.1:{3000 + number}"}
-                  for number in range(1023)]
+        others = [
+            {
+                **world.entries[0],
+                "id": f"o-{number}",
+                "cell": 2 + number,
+                "addr": f"127.9.{number >> 8}.1:{3000 + number}",
+            }
+            for number in range(1023)
+        ]
         world.entries += others
         node = await world.node()
         assert len(node.directory) == len(node.relay.destinations.index) == 1024
@@ -441,8 +480,10 @@
 def test_clients_are_answered_while_a_list_of_20000_is_read(tmp_path: Path) -> None:
     async def story(world: World) -> None:
         node = await world.node()
-        world.entries += [{**world.entries[0], "id": f"o-{number}", "cell": 2 + number, "addr": "127.9.0.1:3000"}
-                          for number in range(20_000)]
+        world.entries += [
+            {**world.entries[0], "id": f"o-{number}", "cell": 2 + number, "addr": "127.9.0.1:3000"}
+            for number in range(20_000)
+        ]
         world.tell(world.watches[-1], world.entries, True)
         await until(lambda: node.watch.reading)
         answered = 0
@@ -455,7 +496,8 @@
 
 
 def test_end_that_the_disk_would_not_take_is_not_forgotten_by_the_next_process(
-        tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     """A message that was told as refused goes on nowhere: its client has come again."""
     write = os.write
     failed: list[bytes] = []
@@ -482,6 +524,7 @@
 
 def test_messages_of_a_class_in_order_go_one_at_a_time_by_the_key_in_their_path(tmp_path: Path) -> None:
     """Each hand-in of such a class was answered 404, so that none of it was served on other deployments."""
+
     async def story(world: World) -> None:
         node = await world.node()
         world.script[1] = [None]
@@ -501,6 +544,7 @@
 
 def test_next_message_in_order_goes_once_the_platform_has_the_end_of_the_one_before(tmp_path: Path) -> None:
     """Both came out of one turn of the module, and the call overtook the notice."""
+
     async def story(world: World) -> None:
         where = await world.discovery()
         world.notice_status = [500]
@@ -524,6 +568,7 @@
 
 def test_a_destination_that_takes_several_in_one_call_gets_no_more_calls_than_there_are_slots(tmp_path: Path) -> None:
     """Riders of a call went out as calls of their own: more at once than slots, which the platform turns away."""
+
     async def story(world: World) -> None:
         world.raw = RAW | {"extra": {"call-slots": 2, "per-call": [10]}, "weight-kind": "silent"}
         out: list[int] = [0]
@@ -572,8 +617,9 @@
 
 
 @pytest.mark.parametrize("whole", (True, False))
-def test_start_waits_for_a_list_that_is_coming_in_but_not_for_ever(tmp_path: Path, whole: bool,
-                                                                  monkeypatch: pytest.MonkeyPatch) -> None:
+def test_start_waits_for_a_list_that_is_coming_in_but_not_for_ever(
+    tmp_path: Path, whole: bool, monkeypatch: pytest.MonkeyPatch
+) -> None:
     """What it has not read yet would be refused as listed nowhere: longer than for a list that does not come."""
     monkeypatch.setattr("linnetstile.node.relay.SETTLE_S", 0.3)
     monkeypatch.setattr("linnetstile.node.relay.LONG_LIST_S", 4.0 if whole else 0.9)
--- a/tests/node/test_restart.py
+++ b/tests/node/test_restart.py
@@ -78,7 +78,8 @@
 
 @pytest.mark.parametrize("moved_ms", [-3_600_000.0, 0.0])
 def test_clock_that_was_set_back_gives_no_message_more_time_than_it_had(
-        tmp_path: Path, moved_ms: float, monkeypatch: pytest.MonkeyPatch) -> None:
+    tmp_path: Path, moved_ms: float, monkeypatch: pytest.MonkeyPatch
+) -> None:
     async def story(world: World) -> None:
         where = await killed(world, tmp_path)
         unix = node_relay.unix_ms
@@ -94,7 +95,8 @@
 
 @pytest.mark.parametrize("risky", [True, False])
 def test_class_that_the_settings_name_no_more_is_tried_but_never_again_once_it_may_have_run(
-        tmp_path: Path, risky: bool) -> None:
+    tmp_path: Path, risky: bool
+) -> None:
     async def story(world: World) -> None:
         where = await world.discovery()
         first = await world.node(where)
@@ -113,7 +115,8 @@
 
 
 def test_relay_starts_on_what_there_is_where_the_disk_takes_no_new_file(
-        tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     async def story(world: World) -> None:
         where = await killed(world, tmp_path)
         rename = os.rename
@@ -135,6 +138,7 @@
 def test_identifier_that_ended_before_a_restart_is_a_new_one_after_it(tmp_path: Path) -> None:
     """What it costs that ended identifiers are not kept: work that may run only once runs again for a client that
     hands in the same identifier after the end and after a restart, which the platform's page rules out."""
+
     async def story(world: World) -> None:
         where = await world.discovery()
         first = await world.node(where)
--- a/tests/node/world.py
+++ b/tests/node/world.py
@@ -19,10 +19,20 @@
     {"name": "charge", "effect": "once", "aim-ms": 1000.0, "deadline-ms": 6000.0, "by-arrival": True},
 ]
 RAW: dict[str, Any] = {
-    "classes": CLASSES, "kinds": ["k"], "zones": ["z"], "orgs": [{"name": "acme", "quota-per-s": 100.0}],
-    "extra": {"call-slots": 8}, "balancers": 1, "weight-kind": "nominal",
-    "limits": {"open-cap": 60, "try-limit": 4, "conn-idle-ms": 10000.0, "connect-timeout-ms": 500.0,
-               "cancelling": True},
+    "classes": CLASSES,
+    "kinds": ["k"],
+    "zones": ["z"],
+    "orgs": [{"name": "acme", "quota-per-s": 100.0}],
+    "extra": {"call-slots": 8},
+    "balancers": 1,
+    "weight-kind": "nominal",
+    "limits": {
+        "open-cap": 60,
+        "try-limit": 4,
+        "conn-idle-ms": 10000.0,
+        "connect-timeout-ms": 500.0,
+        "cancelling": True,
+    },
     "safety": {"drain-grace-ms": 250.0, "cold-from": 0.2, "cold-ms": 5000.0, "fall-multiple": 2.0},
 }
 OK = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
@@ -81,8 +91,18 @@
                     writer.write(answer)
 
         port = await self.listen(serve or scripted)
-        self.entries.append({"id": f"s-{len(self.entries)}", "addr": f"127.0.0.1:{port}", "zone": "z", "kind": "k",
-                             "cell": dest, "state": state, "weight": 50.0, "started_ms": 0})
+        self.entries.append(
+            {
+                "id": f"s-{len(self.entries)}",
+                "addr": f"127.0.0.1:{port}",
+                "zone": "z",
+                "kind": "k",
+                "cell": dest,
+                "state": state,
+                "weight": 50.0,
+                "started_ms": 0,
+            }
+        )
 
     async def discovery(self) -> tuple[str, int]:
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -92,8 +112,9 @@
                     status = self.notice_status.pop(0) if len(self.notice_status) > 1 else self.notice_status[0]
                     if status == 204:
                         self.notices += [json.loads(line) for line in body.splitlines()]
-                    writer.write(b"HTTP/1.1 %d X\r\n%s\r\n" % (status, b"" if status == 204
-                                                               else b"Content-Length: 0\r\n"))
+                    writer.write(
+                        b"HTTP/1.1 %d X\r\n%s\r\n" % (status, b"" if status == 204 else b"Content-Length: 0\r\n")
+                    )
                 else:
                     self.watches.append(writer)
                     if self.stall:
@@ -114,8 +135,18 @@
         host, port = discovery or await self.discovery()
         self.state.parent.mkdir(parents=True, exist_ok=True)
         path = self.state.parent / "config.json"
-        path.write_text(json.dumps({"name": "n0", "listen": "127.0.0.1:0", "discovery": f"{host}:{port}",
-                                    "seed": "1", "limits": limits, "settings": self.raw}))
+        path.write_text(
+            json.dumps(
+                {
+                    "name": "n0",
+                    "listen": "127.0.0.1:0",
+                    "discovery": f"{host}:{port}",
+                    "seed": "1",
+                    "limits": limits,
+                    "settings": self.raw,
+                }
+            )
+        )
         settings = config.load({"GW_CONFIG": str(path), "GW_STATE": str(self.state)})
         node = Node(settings, lambda event, **fields: None)
         await node.start()
@@ -148,10 +179,24 @@
     return int(listening.sockets[0].getsockname()[1])
 
 
-def hand_in(ident: str, class_: str = "state", dest: int = 1, body: bytes = b"hello", left: str = "5000m",
-            path: str = "/api", **more: str) -> bytes:
-    fields = {"Host": "api.internal", "X-Correlation-Id": ident, "X-Service-Class": class_, "X-Account": "acme",
-              "X-Time-Left": left, "Envelope": f"dest={dest}", "Content-Length": str(len(body))}
+def hand_in(
+    ident: str,
+    class_: str = "state",
+    dest: int = 1,
+    body: bytes = b"hello",
+    left: str = "5000m",
+    path: str = "/api",
+    **more: str,
+) -> bytes:
+    fields = {
+        "Host": "api.internal",
+        "X-Correlation-Id": ident,
+        "X-Service-Class": class_,
+        "X-Account": "acme",
+        "X-Time-Left": left,
+        "Envelope": f"dest={dest}",
+        "Content-Length": str(len(body)),
+    }
     if class_ == "order":
         fields["Idempotency-Key"] = f"key-{ident}"
     fields |= {name.replace("_", "-"): value for name, value in more.items()}
--- a/tests/service/test_process.py
+++ b/tests/service/test_process.py
@@ -41,8 +41,15 @@
 
             with open("/dev/full" if trouble == "full log" else tmp_path / "log", "ab", buffering=0) as log:
                 child = await asyncio.create_subprocess_exec(
-                    sys.executable, "-m", "linnetstile.cli.main", "relay", str(tmp_path / "relay.yaml"),
-                    stdout=asyncio.subprocess.PIPE, stderr=log, preexec_fn=few)
+                    sys.executable,
+                    "-m",
+                    "linnetstile.cli.main",
+                    "relay",
+                    str(tmp_path / "relay.yaml"),
+                    stdout=asyncio.subprocess.PIPE,
+                    stderr=log,
+                    preexec_fn=few,
+                )
             assert child.stdout is not None
             address = json.loads(await asyncio.wait_for(child.stdout.readline(), 20))["listening"]
             host, port = address.split(":")
@@ -61,6 +68,7 @@
                 fitted = [line for line in lines if line["event"] == "open_files"]
                 assert [line["connections"] for line in fitted] == [16]  # told at the start, with what to turn
                 assert "raise the limit on open files" in fitted[0]["why"]
+
     run(test)
 
 
@@ -71,22 +79,31 @@
             answer = await rig.hand(rig.make("unsafe"))
             assert kind(answer) == "failed"
             assert b"1 attempt, the last one: receipt not signed by the partner" in answer.body
+
     run(test)
 
 
-@pytest.mark.parametrize(("more", "says"), [
-    ({"tls": {"certificate": "/nowhere/none.pem"}}, "/nowhere/none.pem: can't be used: No such file"),
-    ({"partners": {"firma": {"tls": {"authorities": "/nowhere/root.pem"}}}}, "/nowhere/root.pem: can't be used"),
-    ({"limits": {"slots": 1, "hold": 1, "hold_bytes": 70_000}}, "expected hold_bytes to be at least"),
-])
+@pytest.mark.parametrize(
+    ("more", "says"),
+    [
+        ({"tls": {"certificate": "/nowhere/none.pem"}}, "/nowhere/none.pem: can't be used: No such file"),
+        ({"partners": {"firma": {"tls": {"authorities": "/nowhere/root.pem"}}}}, "/nowhere/root.pem: can't be used"),
+        ({"limits": {"slots": 1, "hold": 1, "hold_bytes": 70_000}}, "expected hold_bytes to be at least"),
+    ],
+)
 def test_a_check_loads_what_the_settings_name(tmp_path: Path, more: dict[str, object], says: str) -> None:
     from click.testing import CliRunner
 
     from linnetstile.cli.relay import command
 
-    found = {"name": "r", "register": "http://127.0.0.1:1", "classes": {"a": {
-        "effect": "safe", "aim_ms": 1, "deadline_ms": 2}}, "rules": [{"class": "a"}],
-        "limits": {"slots": 1, "hold": 1}, **more}
+    found = {
+        "name": "r",
+        "register": "http://127.0.0.1:1",
+        "classes": {"a": {"effect": "safe", "aim_ms": 1, "deadline_ms": 2}},
+        "rules": [{"class": "a"}],
+        "limits": {"slots": 1, "hold": 1},
+        **more,
+    }
     (tmp_path / "relay.yaml").write_text(yaml.safe_dump(found))
     told = CliRunner().invoke(command, [str(tmp_path / "relay.yaml"), "--check"])
     assert told.exit_code == 2 and says in told.output
--- a/tests/standins/test_discovery.py
+++ b/tests/standins/test_discovery.py
@@ -20,8 +20,10 @@
         self.version = 1
 
     def line(self, version: int, full: bool) -> bytes:
-        servers = [{"id": f"s-{n}", "addr": "127.0.0.1:9", "zone": "z", "kind": "k", "cell": n, "state": "SERVING"}
-                   for n in ([version] if not full else range(1, version + 1))]
+        servers = [
+            {"id": f"s-{n}", "addr": "127.0.0.1:9", "zone": "z", "kind": "k", "cell": n, "state": "SERVING"}
+            for n in ([version] if not full else range(1, version + 1))
+        ]
         return json.dumps({"version": version, "full": full, "servers": servers}).encode() + b"\n"
 
     def whole(self) -> bytes:
--- a/tests/store/test_snapshot.py
+++ b/tests/store/test_snapshot.py
@@ -21,10 +21,12 @@
     assert payload == {"a": 2} and age is not None and 0 <= age < 5000 and list(tmp_path.iterdir()) == [path]
 
 
-@pytest.mark.parametrize(("boot", "wall", "known"), [
-    ("another", -60.0, True), ("another", 60.0, False), ("", -60.0, True)])
+@pytest.mark.parametrize(
+    ("boot", "wall", "known"), [("another", -60.0, True), ("another", 60.0, False), ("", -60.0, True)]
+)
 def test_after_another_boot_the_wall_clock_counts_unless_it_went_back(
-        tmp_path: Path, boot: str, wall: float, known: bool) -> None:
+    tmp_path: Path, boot: str, wall: float, known: bool
+) -> None:
     head, _, body = snapshot.encode({"a": 1}).partition(b"\n")
     fields = json.loads(head) | {"boot": boot, "wall_s": time.time() + wall}
     (tmp_path / "s").write_bytes(json.dumps(fields).encode() + b"\n" + body)
@@ -35,11 +37,12 @@
 @given(st.integers(0, 400), st.integers(0, 255))
 def test_any_byte_that_flips_or_is_missing_is_noticed(at: int, byte: int) -> None:
     import tempfile
+
     data = snapshot.encode({"claims": ["x" * 50, 1.5]})
     at %= len(data)
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "s"
-        for changed in (data[:at], data[:at] + bytes([byte]) + data[at + 1:]):
+        for changed in (data[:at], data[:at] + bytes([byte]) + data[at + 1 :]):
             path.write_bytes(changed)
             if changed == data:
                 continue
@@ -51,8 +54,12 @@
 
 def test_foreign_files_are_named_and_set_aside(tmp_path: Path) -> None:
     path = tmp_path / "s"
-    for data, text in [(b"", "not a snapshot"), (b"\x00\xff\n", "not a snapshot"), (b"[1]\n{}", "not a snapshot"),
-                       (snapshot.encode({}).replace(b'"format": 1', b'"format": 2'), "format 2, expected 1")]:
+    for data, text in [
+        (b"", "not a snapshot"),
+        (b"\x00\xff\n", "not a snapshot"),
+        (b"[1]\n{}", "not a snapshot"),
+        (snapshot.encode({}).replace(b'"format": 1', b'"format": 2'), "format 2, expected 1"),
+    ]:
         path.write_bytes(data)
         with pytest.raises(snapshot.SnapshotError, match=text):
             snapshot.read(path)
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -17,15 +17,41 @@
 
 ROOT = Path(__file__).parent.parent
 PAGE = (ROOT / "docs" / "CAPACITY.md").read_text(encoding="utf-8")
-ROLES = ("Relay (carrying)", "Relay (control)", "Control machine", "Discovery's agent", "The folder that lasts",
-         "Endpoint: what it gets from the fleet")
-COLUMNS = ["what", "state", "messages a second", "processor time", "memory at the target", "slope, benchmark",
-           "users' bound", "need / bound", "mechanism"]
+ROLES = (
+    "Relay (carrying)",
+    "Relay (control)",
+    "Control machine",
+    "Discovery's agent",
+    "The folder that lasts",
+    "Endpoint: what it gets from the fleet",
+)
+COLUMNS = [
+    "what",
+    "state",
+    "messages a second",
+    "processor time",
+    "memory at the target",
+    "slope, benchmark",
+    "users' bound",
+    "need / bound",
+    "mechanism",
+]
 FAILURES, MISSING = "When something fails", "What is missing, in order"
 CHANGED, SCENES = "Before and after", "Scenes before and after"
 OWN = ("what", "users' bound", "bound", "what fails, how often", "at 120,000 destinations", "scene")
-KINDS = ("a machine", "a relay restarted", "a relay replaced", "a rack or switch", "a zone", "regions part",
-         "destinations down", "discovery silent", "a change that is wrong", "disk full", "disk lost")
+KINDS = (
+    "a machine",
+    "a relay restarted",
+    "a relay replaced",
+    "a rack or switch",
+    "a zone",
+    "regions part",
+    "destinations down",
+    "discovery silent",
+    "a change that is wrong",
+    "disk full",
+    "disk lost",
+)
 
 CODE = re.compile(r"`([^`]+)`")
 FILE = re.compile(r"(?:linnetstile|benchmarks|tests|docs|deploy|days|journal)/[\w./-]+\.\w+\Z")
@@ -120,8 +146,11 @@
 
 
 def test_sections_that_are_linked_exist() -> None:
-    there = {re.sub(r"[^\w -]", "", line[3:].lower()).replace(" ", "-")
-             for line in PAGE.splitlines() if line.startswith("## ")}
+    there = {
+        re.sub(r"[^\w -]", "", line[3:].lower()).replace(" ", "-")
+        for line in PAGE.splitlines()
+        if line.startswith("## ")
+    }
     assert set(re.findall(r"\]\(#([^)]+)\)", PAGE)) <= there
 
 
@@ -152,8 +181,9 @@
 
 def test_the_list_has_the_ratios_of_the_tables() -> None:
     for row in rows(MISSING):
-        told = {each["need / bound"] for section in ROLES for each in rows(section)
-                if row["no."] in gaps(each["mechanism"])}
+        told = {
+            each["need / bound"] for section in ROLES for each in rows(section) if row["no."] in gaps(each["mechanism"])
+        }
         own = ratio(row["need / bound"])
         assert own in {ratio(cell) for cell in told} if own is not None else row["need / bound"] in {"-"}, row["what"]
         sketch = re.search(rf"^\*\*{row['no.']} [^*]+\*\* \(([^)]+)\)\.(.*?)\n\n", PAGE, re.M | re.S)
@@ -219,8 +249,11 @@
             if words[2:3] == ["benchmarks.slopes"]:
                 assert result["axis"] == words[3]
             else:
-                told = {words[at][2:].replace("-", "_"): words[at + 1]
-                        for at in range(len(words)) if words[at].startswith("--")}
+                told = {
+                    words[at][2:].replace("-", "_"): words[at + 1]
+                    for at in range(len(words))
+                    if words[at].startswith("--")
+                }
                 for option, value in told.items():
                     size = result["sizes"][option]
                     assert (",".join(size) if isinstance(size, list) else str(size)) == value, (name, option)
--- a/tests/test_machine.py
+++ b/tests/test_machine.py
@@ -23,17 +23,27 @@
     def cls(effect: api.Effect, scope: api.Scope, ordered: bool) -> api.MessageClass:
         return api.MessageClass("c", effect, 400.0, 4000.0, 1.0, 0.5, 1200.0, scope, ordered)
 
-    classes = draw(st.lists(
-        st.builds(cls, st.sampled_from(api.Effect), st.sampled_from([api.Scope.ALL, api.Scope.ZONE]),
-                  st.booleans()), min_size=1, max_size=3))
+    classes = draw(
+        st.lists(
+            st.builds(
+                cls, st.sampled_from(api.Effect), st.sampled_from([api.Scope.ALL, api.Scope.ZONE]), st.booleans()
+            ),
+            min_size=1,
+            max_size=3,
+        )
+    )
     return make_settings(
         classes=tuple(classes),
         kinds=(api.DestinationKind("k", draw(st.integers(1, 3)), draw(st.booleans())),),
         longest_advice_ms=draw(st.sampled_from([0.0, 2000.0])),
         limit_report=draw(st.sampled_from([None, (0, 1)])),
-        slots=draw(st.integers(1, 6)), hold=draw(st.integers(5, 30)), attempts=draw(st.integers(1, 5)),
-        ask_for_list=draw(st.booleans()), rates=draw(st.sampled_from(api.Rates)),
-        decay=draw(st.sampled_from(api.Decay)), marks_repeats=draw(st.booleans()),
+        slots=draw(st.integers(1, 6)),
+        hold=draw(st.integers(5, 30)),
+        attempts=draw(st.integers(1, 5)),
+        ask_for_list=draw(st.booleans()),
+        rates=draw(st.sampled_from(api.Rates)),
+        decay=draw(st.sampled_from(api.Decay)),
+        marks_repeats=draw(st.booleans()),
     )
 
 
@@ -77,12 +87,21 @@
                 finished = outcome is api.Outcome.OK or watch.seen[ident].over
                 del out[ident, number]
                 report = (rng.random(), 20.0) if setup.limit_report else ()
-                events.append(api.AttemptEnded(ident, number, send.endpoint, outcome, 80.0, finished, wait,
-                                               report=report))
+                events.append(
+                    api.AttemptEnded(ident, number, send.endpoint, outcome, 80.0, finished, wait, report=report)
+                )
         if rng.random() < 0.4 and step < 120:
             ids += 1
-            events.append(api.Message(ids, rng.choice([1, 2, 3]), rng.randrange(len(setup.classes)),
-                                      rng.choice([300.0, 2000.0, 4000.0]), 0, rng.choice([0, 7, 8])))
+            events.append(
+                api.Message(
+                    ids,
+                    rng.choice([1, 2, 3]),
+                    rng.randrange(len(setup.classes)),
+                    rng.choice([300.0, 2000.0, 4000.0]),
+                    0,
+                    rng.choice([0, 7, 8]),
+                )
+            )
         if rng.random() < 0.03:
             kind = rng.choice(list(api.ListKind))
             part = rng.sample(listed, 2)
@@ -103,8 +122,12 @@
         api.MessageClass("o", api.Effect.SAFE, 400.0, 4000.0, in_order=True),
     )
     watch = Checker(make_settings(classes=classes, **more))
-    watch.event(0.0, api.EndpointList(api.ListKind.CACHED, tuple(
-        api.Endpoint(e, 1, api.Listing.READY, 0, z, 2.0) for e, z in ((11, 0), (12, 1)))))
+    watch.event(
+        0.0,
+        api.EndpointList(
+            api.ListKind.CACHED, tuple(api.Endpoint(e, 1, api.Listing.READY, 0, z, 2.0) for e, z in ((11, 0), (12, 1)))
+        ),
+    )
     for ident, class_ in enumerate([0, 1, 2, 2]):
         watch.event(0.0, api.Message(ident, 1, class_, 4000.0, 0, 7))
     return watch
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -58,8 +58,12 @@
     ident = d.message(KEYED)
     start = d.now
     for _ in range(4):
-        while ident not in d.ended and d.tries[ident] == len([e for e in d.sent if e[1].id == ident]) \
-                and d.now < start + 9000 and ident not in d.out:
+        while (
+            ident not in d.ended
+            and d.tries[ident] == len([e for e in d.sent if e[1].id == ident])
+            and d.now < start + 9000
+            and ident not in d.out
+        ):
             d.pass_time(20)
         if ident in d.ended:
             break
@@ -73,8 +77,12 @@
 def test_key_window_of_one_zone_binds_the_repeat_to_it(scope: api.Scope) -> None:
     keyed = api.MessageClass("k", api.Effect.KEYED, 1000.0, 10000.0, 1.0, 0.5, 6000.0, scope)
     d = Driver(make_settings(classes=(keyed,)))
-    d.feed(api.EndpointList(api.ListKind.CACHED, tuple(
-        api.Endpoint(ident, 1, api.Listing.READY, 0, zone, 20.0) for ident, zone in ((11, 0), (12, 1)))))
+    d.feed(
+        api.EndpointList(
+            api.ListKind.CACHED,
+            tuple(api.Endpoint(ident, 1, api.Listing.READY, 0, zone, 20.0) for ident, zone in ((11, 0), (12, 1))),
+        )
+    )
     ident = d.message(0)
     first = d.last(ident)[1].endpoint
     d.pass_time(100)
--- a/tests/test_slopes.py
+++ b/tests/test_slopes.py
@@ -65,7 +65,10 @@
 
 def test_of_rounds_the_least_counts_and_a_text_only_without_a_number() -> None:
     assert least([{"a_us": 3.0, "b": "refused"}, {"a_us": 2.0, "b": 4.0}, {"a_us": 5.0, "c": "refused"}]) == {
-        "a_us": 2.0, "b": 4.0, "c": "refused"}
+        "a_us": 2.0,
+        "b": 4.0,
+        "c": "refused",
+    }
 
 
 def test_a_check_is_no_part_of_the_fit_and_stands_beside_its_forecast() -> None:
@@ -75,13 +78,16 @@
     series = Series("things", (10, 20, 40, 80), (1000, 2000), lambda n: {})
     made = judged(series, points)["x_us"]
     assert (made["form"], made["b"], made["points"]) == ("linear", 2.0, 4)
-    assert made["checks"] == [{"n": 1000, "measured": 4000.0, "forecast": 2000.0, "ratio": 2.0},
-                              {"n": 2000, "measured": "refused: over 8 bytes", "forecast": 4000.0}]
+    assert made["checks"] == [
+        {"n": 1000, "measured": 4000.0, "forecast": 2000.0, "ratio": 2.0},
+        {"n": 2000, "measured": "refused: over 8 bytes", "forecast": 4000.0},
+    ]
 
 
 def test_processor_time_is_told_in_calibration_loops_too() -> None:
-    points: dict[int, Found] = {n: {"x_us": 100.0 + 2.0 * n, "y_us_a_z": n**1.5, "z_bytes": 1.0 * n, LOOP: 50.0}
-                                for n in (10, 20, 40, 80)}
+    points: dict[int, Found] = {
+        n: {"x_us": 100.0 + 2.0 * n, "y_us_a_z": n**1.5, "z_bytes": 1.0 * n, LOOP: 50.0} for n in (10, 20, 40, 80)
+    }
     made = judged(Series("things", (10, 20, 40, 80), (), lambda n: {}), points)
     in_loops(made, 50.0)
     assert made["x_us"]["in_loops"] == {"a": 2.0, "b": 0.04}
--- a/tests/test_symptoms.py
+++ b/tests/test_symptoms.py
@@ -107,7 +107,7 @@
             bad = d.last(ident)[1].endpoint == 11
             d.answer(ident, api.Outcome.RESET if bad else api.Outcome.OK)
         d.pass_time(200)
-    later = [send.endpoint for _, send in d.sent[start + 10:]]
+    later = [send.endpoint for _, send in d.sent[start + 10 :]]
     assert later.count(12) > 4 * later.count(11)
 
 
@@ -253,9 +253,15 @@
     d = Driver()
     sizes = []
     for generation in range(60):
-        d.feed(api.EndpointList(api.ListKind.WHOLE, tuple(
-            api.Endpoint(100 * generation + n, 50 * generation + n, api.Listing.READY, 0, 0, 20.0)
-            for n in range(5))))
+        d.feed(
+            api.EndpointList(
+                api.ListKind.WHOLE,
+                tuple(
+                    api.Endpoint(100 * generation + n, 50 * generation + n, api.Listing.READY, 0, 0, 20.0)
+                    for n in range(5)
+                ),
+            )
+        )
         ident = d.message(dest=50 * generation)
         d.pass_time(50)
         d.answer(ident)
@@ -404,8 +410,7 @@
     d = Driver(make_settings(classes=(keyed,)))
     d.listed((11, 1), (12, 1))
     ident = d.message(0)
-    d.feed(api.EndpointList(api.ListKind.CHANGES, (
-        api.Endpoint(d.out[ident].endpoint, 1, api.Listing.GONE),)))
+    d.feed(api.EndpointList(api.ListKind.CHANGES, (api.Endpoint(d.out[ident].endpoint, 1, api.Listing.GONE),)))
     assert ended_with(d.answer(ident, api.Outcome.RESET), ident) is api.Fail
 
 
--- a/tests/test_wirehost.py
+++ b/tests/test_wirehost.py
@@ -16,15 +16,29 @@
     "az": 0,
     "balancers": 2,
     "classes": [
-        {"aim-ms": 400.0, "deadline-ms": 4000.0, "dedup-scope": "all", "effect": "by_key", "late-share": 0.5,
-         "name": "a", "window-ms": 2000.0, "worth": 2.0},
+        {
+            "aim-ms": 400.0,
+            "deadline-ms": 4000.0,
+            "dedup-scope": "all",
+            "effect": "by_key",
+            "late-share": 0.5,
+            "name": "a",
+            "window-ms": 2000.0,
+            "worth": 2.0,
+        },
     ],
     "extra": {"call-slots": 4, "loses-worth": "halves", "per-call": [1], "separate-routes": [False]},
     "kinds": ["k"],
     "limits": {"open-cap": 20, "try-limit": 5, "probing": False, "streams-per-conn": 1, "conn-idle-ms": 1e4},
     "registry-mode": "push",
-    "safety": {"answer-slack-ms": 20.0, "cold-from": 0.2, "cold-ms": 9000.0, "drain-grace-ms": 250.0,
-               "fall-ms": 1500.0, "fall-multiple": 2.0},
+    "safety": {
+        "answer-slack-ms": 20.0,
+        "cold-from": 0.2,
+        "cold-ms": 9000.0,
+        "drain-grace-ms": 250.0,
+        "fall-ms": 1500.0,
+        "fall-multiple": 2.0,
+    },
     "tick-ms": 5.0,
     "weight-kind": "nominal",
     "a-key-nobody-knows": {"x": 1},
@@ -59,29 +73,39 @@
 
 
 def run(data: bytes, **env: str) -> subprocess.CompletedProcess[bytes]:
-    return subprocess.run([sys.executable, "-m", "linnetstile.wirehost"], input=data, capture_output=True,
-                          timeout=60, env={**os.environ, **env})
+    return subprocess.run(
+        [sys.executable, "-m", "linnetstile.wirehost"],
+        input=data,
+        capture_output=True,
+        timeout=60,
+        env={**os.environ, **env},
+    )
 
 
 def test_documented_events_are_decoded() -> None:
     host = wirehost.Host()
-    data = bytes.fromhex("03000000c4913a5d0000000000640ad2557c3bf091"
-                         "0000000000006e4000000000000028400000644201")
-    assert host._event(110, data) == api.Message(
-        0x5D3A91C4, 57, 0, 240.0, 0, 0x91F03B7C55D20A64, 12.0, False, False)
+    data = bytes.fromhex("03000000c4913a5d0000000000640ad2557c3bf0910000000000006e4000000000000028400000644201")
+    assert host._event(110, data) == api.Message(0x5D3A91C4, 57, 0, 240.0, 0, 0x91F03B7C55D20A64, 12.0, False, False)
     assert host._event(40, bytes.fromhex("030000004d00000000000000")) == api.TimerFired(77)
     assert host._event(70, bytes.fromhex("05000000192b6f0e")) == api.Withdrawn(0x0E6F2B19)
     done = bytes.fromhex("03000000c4913a5d0000074a12030100000000008032400100000000" + "00")
     assert host._event(100, done) == api.AttemptEnded(
-        0x5D3A91C4, 0, 0x03124A07, api.Outcome.OK, 18.5, True, 0.0, False, ())
+        0x5D3A91C4, 0, 0x03124A07, api.Outcome.OK, 18.5, True, 0.0, False, ()
+    )
     events: dict[int, list[api.Event]] = {}
     rows = "020000000" + "1" + "0000803f00000000000000000000003900074a1203"
     rows += "01" + "0000c03f0000000000d4b740000000" + "3900f211902c"
     host._take(20, b"\0" + bytes.fromhex(rows), events)
     host._take(30, bytes.fromhex("0300000002290000000000000000"), events)
-    assert events[3] == [api.EndpointList(api.ListKind.CACHED, (
-        api.Endpoint(0x03124A07, 57, api.Listing.READY, 0, 0, 1.0),
-        api.Endpoint(0x2C9011F2, 57, api.Listing.READY, 0, 0, 1.5)))]
+    assert events[3] == [
+        api.EndpointList(
+            api.ListKind.CACHED,
+            (
+                api.Endpoint(0x03124A07, 57, api.Listing.READY, 0, 0, 1.0),
+                api.Endpoint(0x2C9011F2, 57, api.Listing.READY, 0, 0, 1.5),
+            ),
+        )
+    ]
 
 
 @pytest.mark.parametrize(
@@ -112,13 +136,15 @@
 
 def conversation() -> bytes:
     done = struct.pack("<IIHIBdBIB", 3, 1, 0, 11, 1, 120.0, 1, 0, 0)
-    return b"".join([
-        frame(0.0),
-        frame(100.0, enlist(), listing(), announce()),
-        frame(110.0, request(1)),
-        frame(1240.0, record(100, done), *(request(n) for n in range(2, 9))),
-        frame(1260.0, record(40, struct.pack("<IQ", 3, 0))),
-    ])
+    return b"".join(
+        [
+            frame(0.0),
+            frame(100.0, enlist(), listing(), announce()),
+            frame(110.0, request(1)),
+            frame(1240.0, record(100, done), *(request(n) for n in range(2, 9))),
+            frame(1260.0, record(40, struct.pack("<IQ", 3, 0))),
+        ]
+    )
 
 
 def replies(data: bytes) -> list[list[tuple[int, bytes]]]:
