--- a/tests/node/test_discovery.py
+++ b/tests/node/test_discovery.py
@@ -306,7 +306,7 @@
     {},
     {"id": "x"},
     entry("x", "WARMING"),
-    entry("x", state=["SERVING"]),
+    entry("x", state=["SERVING"]),  # type: ignore[arg-type]
     entry("x", addr=7),  # type: ignore[arg-type]
     entry("x", addr="nowhere"),
     entry("x", addr="a\nb:1"),
