--- a/benchmarks/attack.py
+++ b/benchmarks/attack.py
@@ -28,10 +28,10 @@
 from benchmarks.common import child, end, parser, resident_mb, serve_forever, spawn, tell
 from linnetstile.codec import http1
 from linnetstile.config.relay import RelaySettings
+from linnetstile.emulators import messages
+from linnetstile.emulators.partner import PartnersSpec, Stand
+from linnetstile.emulators.registry import RegisterSpec, RegisterStand
 from linnetstile.net import client
-from linnetstile.standins import messages
-from linnetstile.standins.partner import PartnersSpec, Stand
-from linnetstile.standins.register import RegisterSpec, RegisterStand
 
 SERIAL = itertools.count()
 LIMITS = {
--- a/benchmarks/crawl.py
+++ b/benchmarks/crawl.py
@@ -26,11 +26,11 @@
 
 from benchmarks.common import child, end, parser, serve_forever, spawn, tell
 from linnetstile.codec import http1
+from linnetstile.emulators import messages
+from linnetstile.emulators.partner import PartnersSpec, Stand
+from linnetstile.emulators.record import now_ms
+from linnetstile.emulators.registry import RegisterSpec, RegisterStand
 from linnetstile.net import client
-from linnetstile.standins import messages
-from linnetstile.standins.partner import PartnersSpec, Stand
-from linnetstile.standins.record import now_ms
-from linnetstile.standins.register import RegisterSpec, RegisterStand
 
 PARTNERS, SLOTS, WORK_MS = 24, 32, 100.0
 AIM_MS, DEADLINE_MS = 1000.0, 8000.0
--- a/benchmarks/held.py
+++ b/benchmarks/held.py
@@ -14,9 +14,9 @@
 
 from benchmarks.common import child, end, parser, resident_mb, tell
 from linnetstile.codec import http1
+from linnetstile.emulators import messages
+from linnetstile.emulators.registry import RegisterSpec, RegisterStand
 from linnetstile.net import client
-from linnetstile.standins import messages
-from linnetstile.standins.register import RegisterSpec, RegisterStand
 
 
 async def measure(count: int, size: int) -> dict[str, Any]:
--- a/benchmarks/lists.py
+++ b/benchmarks/lists.py
@@ -16,18 +16,21 @@
 from typing import TypeVar
 
 from benchmarks.common import parser, tell
-from linnetstile.decisions import interface as api
-from linnetstile.decisions.control import Relay
-from linnetstile.node.directory import Directory
+from linnetstile.engine.engine import DeliveryEngine
+from linnetstile.engine.events import AttemptEnded, Endpoint, EndpointList, EndpointStatus, ListKind, Message, Outcome
+from linnetstile.engine.settings import DestinationKind, Effect, MessageClass, RateTrust, Settings
+from linnetstile.platform_relay.directory import Directory
 
 T = TypeVar("T")
 SIZES = (20, 300, 1024)
 MESSAGES = 300
 
 
-def settings(relays: int) -> api.Settings:
-    cls = api.MessageClass("order", api.Effect.KEYED, 4000.0, 12000.0, key_window_ms=3000.0)
-    return api.Settings((cls,), (api.DestinationKind("k"),), 8, 40, 8, relays=relays, rates=api.Rates.NOMINAL)
+def settings(relays: int) -> Settings:
+    message_class = MessageClass("order", Effect.DEDUPLICATED, 4000.0, 12000.0, deduplication_window_ms=3000.0)
+    return Settings(
+        (message_class,), (DestinationKind("k"),), 8, 40, 8, relay_count=relays, rate_trust=RateTrust.NOMINAL
+    )
 
 
 def told(first: int, size: int) -> str:
@@ -62,24 +65,24 @@
         took[name] = (time.perf_counter() - began) * 1e6 / times
         return found
 
-    relay, directory = Relay(settings(size), 1), Directory(("k",), ("a",))
+    relay, directory = DeliveryEngine(settings(size), 1), Directory(("k",), ("a",))
     text = told(0, size)
     raw = timed("json", lambda: json.loads(text))
     whole = timed("directory", lambda: directory.take(raw))
     assert whole is not None
     timed("whole", lambda: relay.handle(0.0, [whole]))
-    change = api.EndpointList(api.ListKind.CHANGES, (api.Endpoint(1, 0, api.Listing.DRAINING),))
+    change = EndpointList(ListKind.CHANGES, (Endpoint(1, 0, EndpointStatus.DRAINING),))
     timed("change", lambda: relay.handle(1.0, [change]))
     half = directory.take(json.loads(told(size // 2, size)))
     assert half is not None
     timed("half_leave", lambda: relay.handle(2.0, [half]))
-    cells = sorted({entry.destination for entry in half.entries})
+    cells = sorted({entry.destination for entry in half.endpoints})
 
     def messages() -> None:
         for number in range(MESSAGES):
             now = 10.0 + number
-            relay.handle(now, [api.Message(number, cells[number % len(cells)], 0, 9000.0)])
-            relay.handle(now + 0.5, [api.AttemptEnded(number, 0, 0, api.Outcome.OK, 1.0, True)])
+            relay.handle(now, [Message(number, cells[number % len(cells)], 0, 9000.0)])
+            relay.handle(now + 0.5, [AttemptEnded(number, 0, 0, Outcome.OK, 1.0, True)])
 
     timed("message", messages, MESSAGES)
     return took
--- a/benchmarks/slopes/destinations.py
+++ b/benchmarks/slopes/destinations.py
@@ -19,8 +19,8 @@
 from benchmarks.slopes import inside, program
 from benchmarks.slopes.harness import Found, Series, timed
 from benchmarks.slopes.outside import Child, Client, Node, until_listed
-from linnetstile.decisions import interface as api
-from linnetstile.decisions.control import Relay
+from linnetstile.engine.engine import DeliveryEngine
+from linnetstile.engine.events import Endpoint, EndpointList, EndpointStatus, Event, ListKind
 
 SIZES, TARGET = (1024, 7500, 15_000, 30_000, 60_000), (120_000,)
 SMALL, HALF = (1024, 3750, 7500, 15_000), (60_000,)  # where tracing makes it slow
@@ -36,9 +36,9 @@
 
     def read() -> Any:
         directory = program.new_directory()
-        events: list[api.Event] = []
+        events: list[Event] = []
         for told in program.parsed(data)[0]:
-            more: list[api.Event] | None = program.taken(directory, told)
+            more: list[Event] | None = program.taken(directory, told)
             while more is not None:
                 events += more
                 more = program.swept(told)
@@ -63,7 +63,7 @@
     """The whole list from its text to the module, then `at_rest`. Where the inner parts are not to be had, the module
     alone is measured."""
     told, events = read_in(count, endpoints)
-    relay = Relay(inside.settings(), 1)
+    relay = DeliveryEngine(inside.settings(), 1)
     turns = [timed(partial(relay.handle, 0.0, [event])) for event in events]
     module = sum(turns)
     told["module_us"] = module
@@ -75,7 +75,7 @@
     return told | at_rest(relay, count, endpoints)
 
 
-def read_in(count: int, endpoints: int) -> tuple[Found, list[api.Event]]:
+def read_in(count: int, endpoints: int) -> tuple[Found, list[Event]]:
     """From the text to events for the module. The bytes that complete a text, or a part of it, bring that to the
     directory in one go."""
     data, bound = program.told(inside.servers(count, endpoints), 1, True), program.bound_bytes()
@@ -114,15 +114,15 @@
             "directory_us": directory_us,
             "longest_step_us": found["text"][1] + found["longest"],
         }
-        events: list[api.Event] = found["events"]
+        events: list[Event] = found["events"]
     except Exception as error:  # whatever a changed inner surface raises
         sizes["text_us"] = f"not measured: {error!r}"
-        events = [api.EndpointList(api.ListKind.WHOLE, inside.entries(count, endpoints))]
+        events = [EndpointList(ListKind.FULL, inside.entries(count, endpoints))]
     KEEP.append(found.get("directory"))  # as in a node, whose collections see it
     return sizes, events
 
 
-def at_rest(relay: Relay, count: int, endpoints: int) -> Found:
+def at_rest(relay: DeliveryEngine, count: int, endpoints: int) -> Found:
     """A module that knows of so many: a change, a message, a turn."""
     inside.still()
     now = 1000.0
@@ -130,16 +130,16 @@
     samples: dict[str, list[float]] = {"drains": [], "goes": [], "comes": []}
     for number in range(7):
         cell = (number + 1) * count // 8
-        entry = api.Endpoint(cell * endpoints + 1, cell, api.Listing.READY, 0, 0, inside.RATE)
-        fresh = api.Endpoint(10**7 + number, cell, api.Listing.READY, 0, 0, inside.RATE)
+        entry = Endpoint(cell * endpoints + 1, cell, EndpointStatus.READY, 0, 0, inside.RATE)
+        fresh = Endpoint(10**7 + number, cell, EndpointStatus.READY, 0, 0, inside.RATE)
         for name, change in (
-            ("drains", api.Endpoint(entry.id, cell, api.Listing.DRAINING)),
+            ("drains", Endpoint(entry.id, cell, EndpointStatus.DRAINING)),
             ("comes", entry),
-            ("goes", api.Endpoint(entry.id, cell, api.Listing.GONE)),
+            ("goes", Endpoint(entry.id, cell, EndpointStatus.GONE)),
             ("comes", fresh),
         ):
             now += 20_000.0
-            event = api.EndpointList(api.ListKind.CHANGES, (change,))
+            event = EndpointList(ListKind.CHANGES, (change,))
             samples[name].append(timed(lambda now=now, event=event: relay.handle(now, [event])))  # type: ignore[misc]
     told |= {f"{name}_us": min(values) for name, values in samples.items()}
     cells = [(number * 7919) % count for number in range(min(MESSAGES, count))]
--- a/benchmarks/slopes/held.py
+++ b/benchmarks/slopes/held.py
@@ -18,17 +18,17 @@
 from benchmarks.slopes import inside, program
 from benchmarks.slopes.harness import Found, Series, timed
 from benchmarks.slopes.outside import Child, Node
-from linnetstile.decisions import interface as api
-from linnetstile.decisions.control import Relay
+from linnetstile.engine.engine import DeliveryEngine
+from linnetstile.engine.events import EndpointList, EndpointStatus, Event, ListKind, Message, MessageRecovered
 
 QUEUES = 2280  # destinations that are down, as at the target
 BODY = bytes(range(33, 127)) * 2 + b"x" * 24  # 212 bytes
 HOUR_MS = 3_600_000.0
 
 
-def drained() -> Relay:
+def drained() -> DeliveryEngine:
     relay = inside.relay(QUEUES)
-    relay.handle(1.0, [api.EndpointList(api.ListKind.CHANGES, inside.entries(QUEUES, 1, api.Listing.DRAINING))])
+    relay.handle(1.0, [EndpointList(ListKind.CHANGES, inside.entries(QUEUES, 1, EndpointStatus.DRAINING))])
     return relay
 
 
@@ -40,22 +40,20 @@
     relay = drained()
 
     def fill() -> None:  # all at once: what a turn takes beside them is measured below
-        relay.handle(2.0, [api.Message(ident, ident % QUEUES, 0, HOUR_MS) for ident in range(count)])
+        relay.handle(2.0, [Message(ident, ident % QUEUES, 0, HOUR_MS) for ident in range(count)])
 
     held_bytes, _ = inside.traced(fill)
     told: Found = {"module_bytes": float(held_bytes), "module_bytes_a_message": held_bytes / count}
     tracemalloc.stop()
     inside.still()
-    more = [api.Message(10**7 + number, number % QUEUES, 0, HOUR_MS) for number in range(1000)]
+    more = [Message(10**7 + number, number % QUEUES, 0, HOUR_MS) for number in range(1000)]
     told["take_on_us"] = timed(lambda: [relay.handle(2.0, [event]) for event in more]) / len(more)
     return told
 
 
 def resumed(count: int) -> Found:
     relay = drained()
-    back: list[api.Event] = [
-        api.Resumed(api.Message(ident, ident % QUEUES, 0, HOUR_MS), 1000.0) for ident in range(count)
-    ]
+    back: list[Event] = [MessageRecovered(Message(ident, ident % QUEUES, 0, HOUR_MS), 1000.0) for ident in range(count)]
     all_us = timed(lambda: relay.handle(2.0, back))
     inside.still()
     return {
--- a/benchmarks/slopes/hollow.py
+++ b/benchmarks/slopes/hollow.py
@@ -8,11 +8,12 @@
 from dataclasses import dataclass
 from typing import Any
 
-from linnetstile.decisions import interface as api
-from linnetstile.decisions.control import Relay
+from linnetstile.engine.actions import Fail, Reject, Send, SetTimer
+from linnetstile.engine.engine import DeliveryEngine
+from linnetstile.engine.events import AttemptEnded, Event, Message, Outcome, TimerFired
 
 # What an endpoint does with a call: relay, endpoint, when its last byte comes -> outcome and time it takes, ms.
-Answer = Callable[[int, int, float], tuple[api.Outcome, float]]
+Answer = Callable[[int, int, float], tuple[Outcome, float]]
 
 
 @dataclass(slots=True)
@@ -26,7 +27,7 @@
 class Fleet:
     """Events in the order of their time, and what each relay does with them. Times in simulated ms."""
 
-    def __init__(self, relays: list[Relay], answer: Answer) -> None:
+    def __init__(self, relays: list[DeliveryEngine], answer: Answer) -> None:
         self.relays, self.answer = relays, answer
         self.now = 0.0
         self.heap: list[tuple[float, int, int, Any]] = []
@@ -37,7 +38,7 @@
         self.spent: dict[str, Spent] = {}
         self.ends: dict[str, int] = {}
 
-    def at(self, when: float, relay: int, event: api.Event) -> int:
+    def at(self, when: float, relay: int, event: Event) -> int:
         self.serial += 1
         heapq.heappush(self.heap, (when, self.serial, relay, event))
         return self.serial
@@ -45,46 +46,46 @@
     def message(self, when: float, relay: int, destination: int, left_ms: float) -> None:
         self.ident += 1
         self.tries[self.ident], self.where[self.ident] = 0, destination
-        self.at(when, relay, api.Message(self.ident, destination, 0, left_ms))
+        self.at(when, relay, Message(self.ident, destination, 0, left_ms))
 
     def run(self, until: float) -> None:
         while self.heap and self.heap[0][0] <= until:
             self.now, serial, relay, event = heapq.heappop(self.heap)
-            if not isinstance(event, api.TimerFired) or self.timers[relay] == serial:
+            if not isinstance(event, TimerFired) or self.timers[relay] == serial:
                 self.turn(relay, event)
         self.now = until
 
-    def turn(self, relay: int, event: api.Event) -> None:
+    def turn(self, relay: int, event: Event) -> None:
         spent = self.spent.setdefault(type(event).__name__, Spent())
         began = time.process_time()
         actions = self.relays[relay].handle(self.now, [event])
         spent.seconds += time.process_time() - began
         spent.turns += 1
-        if isinstance(event, api.AttemptEnded) and event.finished:
+        if isinstance(event, AttemptEnded) and event.is_final:
             self.over(event.id, "delivered")
         for action in actions:
             match action:
-                case api.Send():
+                case Send():
                     self.sent(relay, action)
-                case api.SetTimer(delay, token):
-                    self.timers[relay] = self.at(self.now + delay, relay, api.TimerFired(token))
-                case api.Refuse(ident) | api.Fail(ident):
+                case SetTimer(delay, token):
+                    self.timers[relay] = self.at(self.now + delay, relay, TimerFired(token))
+                case Reject(ident) | Fail(ident):
                     self.over(ident, type(action).__name__.lower())
 
     def over(self, ident: int, how: str) -> None:
         self.ends[how] = self.ends.get(how, 0) + 1
         del self.tries[ident], self.where[ident]
 
-    def sent(self, relay: int, send: api.Send) -> None:
+    def sent(self, relay: int, send: Send) -> None:
         outcome, took = self.answer(relay, send.endpoint, self.now)
-        if self.now + took > send.give_up_at_ms:
-            outcome, took = api.Outcome.TIMEOUT, max(0.0, send.give_up_at_ms - self.now)
+        if self.now + took > send.timeout_at_ms:
+            outcome, took = Outcome.TIMEOUT, max(0.0, send.timeout_at_ms - self.now)
         number = self.tries[send.id]
         self.tries[send.id] += 1
         self.at(
             self.now + took,
             relay,
-            api.AttemptEnded(send.id, number, send.endpoint, outcome, took, outcome is api.Outcome.OK),
+            AttemptEnded(send.id, number, send.endpoint, outcome, took, outcome is Outcome.OK),
         )
 
     def cpu_us(self, *kinds: str) -> float:
--- a/benchmarks/slopes/inside.py
+++ b/benchmarks/slopes/inside.py
@@ -7,28 +7,32 @@
 from collections.abc import Callable, Iterator
 from typing import Any
 
-from linnetstile.decisions import interface as api
-from linnetstile.decisions.control import Relay
+from linnetstile.engine.actions import Send
+from linnetstile.engine.engine import DeliveryEngine
+from linnetstile.engine.events import AttemptEnded, Endpoint, EndpointList, EndpointStatus, ListKind, Message, Outcome
+from linnetstile.engine.settings import DestinationKind, Effect, MessageClass, RateTrust, SafetyLimits, Settings
 
 RATE = 20.0  # calls a second that a destination takes, as listed
 EVERYWHERE = 1_100_000.0  # events a second at the target, all relays together
 RELAYS = 460
-SAFETY = api.Safety(answer_slack_ms=50.0, drain_grace_ms=250.0, cold_share=0.2, cold_ms=5000.0, fall_multiple=2.0)
-CLASS = api.MessageClass("state", api.Effect.SAFE, 10_000.0, 3_600_000.0)
+SAFETY = SafetyLimits(
+    answer_slack_ms=50.0, drain_grace_ms=250.0, slow_start_fraction=0.2, slow_start_ms=5000.0, overload_multiple=2.0
+)
+CLASS = MessageClass("state", Effect.IDEMPOTENT, 10_000.0, 3_600_000.0)
 
 
-def settings(relays: int = RELAYS, slots: int = 256, deadline_ms: float = CLASS.deadline_ms) -> api.Settings:
+def settings(relays: int = RELAYS, slots: int = 256, deadline_ms: float = CLASS.deadline_ms) -> Settings:
     """One relay of so many, with room for a million messages."""
-    cls = api.MessageClass(CLASS.name, CLASS.effect, CLASS.aim_ms, deadline_ms)
-    return api.Settings(
-        (cls,),
-        (api.DestinationKind("k"),),
+    message_class = MessageClass(CLASS.name, CLASS.effect, CLASS.latency_objective_ms, deadline_ms)
+    return Settings(
+        (message_class,),
+        (DestinationKind("k"),),
         slots,
         1_000_000,
         40,
-        relays=relays,
-        rates=api.Rates.NOMINAL,
-        idle_ms=10_000.0,
+        relay_count=relays,
+        rate_trust=RateTrust.NOMINAL,
+        idle_timeout_ms=10_000.0,
         connect_timeout_ms=500.0,
         safety=SAFETY,
     )
@@ -56,18 +60,16 @@
 
 
 def entries(
-    count: int, endpoints: int = 1, listing: api.Listing = api.Listing.READY, rate: float = RATE
-) -> tuple[api.Endpoint, ...]:
+    count: int, endpoints: int = 1, listing: EndpointStatus = EndpointStatus.READY, rate: float = RATE
+) -> tuple[Endpoint, ...]:
     """The same as the module is told them; numbers of endpoints begin at 1."""
-    return tuple(
-        api.Endpoint(number + 1, number // endpoints, listing, 0, 0, rate) for number in range(count * endpoints)
-    )
+    return tuple(Endpoint(number + 1, number // endpoints, listing, 0, 0, rate) for number in range(count * endpoints))
 
 
-def relay(count: int, endpoints: int = 1, rate: float = RATE, seed: int = 1, **more: Any) -> Relay:
+def relay(count: int, endpoints: int = 1, rate: float = RATE, seed: int = 1, **more: Any) -> DeliveryEngine:
     """A module that knows of so many destinations, all at rest."""
-    made = Relay(settings(**more), seed)
-    made.handle(0.0, [api.EndpointList(api.ListKind.WHOLE, entries(count, endpoints, rate=rate))])
+    made = DeliveryEngine(settings(**more), seed)
+    made.handle(0.0, [EndpointList(ListKind.FULL, entries(count, endpoints, rate=rate))])
     return made
 
 
@@ -88,8 +90,8 @@
     return tracemalloc.get_traced_memory()[0] - before, found
 
 
-def delivered(relay: Relay, ident: int, destination: int, now: float, left_ms: float = 5000.0) -> None:
+def delivered(relay: DeliveryEngine, ident: int, destination: int, now: float, left_ms: float = 5000.0) -> None:
     """One message with its answer 20 ms later: two turns and no more."""
-    for action in relay.handle(now, [api.Message(ident, destination, 0, left_ms)]):
-        if isinstance(action, api.Send):
-            relay.handle(now + 20.0, [api.AttemptEnded(action.id, 0, action.endpoint, api.Outcome.OK, 20.0, True)])
+    for action in relay.handle(now, [Message(ident, destination, 0, left_ms)]):
+        if isinstance(action, Send):
+            relay.handle(now + 20.0, [AttemptEnded(action.id, 0, action.endpoint, Outcome.OK, 20.0, True)])
--- a/benchmarks/slopes/outside.py
+++ b/benchmarks/slopes/outside.py
@@ -16,7 +16,7 @@
 
 from benchmarks.common import resident_mb
 from benchmarks.slopes.inside import RATE
-from tests.node import world
+from tests.platform_relay import world
 
 CLASSES = [{"name": "state", "effect": "repeatable", "aim-ms": 10_000.0, "deadline-ms": 3_600_000.0}]
 SETTINGS = world.RAW | {
@@ -79,7 +79,7 @@
 
 
 class Node:
-    """`python -m linnetstile.node` with a folder of its own; `known` is the list that its configuration holds."""
+    """`python -m linnetstile.platform_relay` with a folder of its own; `known` is the list of its configuration."""
 
     def __init__(self, child: Child, known: list[dict[str, Any]], state: Path | None = None, **more: Any) -> None:
         """`more` are settings other than the usual ones."""
@@ -103,7 +103,9 @@
         environ = os.environ | {"GW_CONFIG": str(config), "GW_STATE": str(state or self.folder / "state")}
         self.began = time.monotonic()
         with self.log.open("wb") as log:
-            self.process = subprocess.Popen([sys.executable, "-m", "linnetstile.node"], env=environ, stderr=log)
+            self.process = subprocess.Popen(
+                [sys.executable, "-m", "linnetstile.platform_relay"], env=environ, stderr=log
+            )
         self.pid = self.process.pid
 
     def ready(self) -> float:
--- a/benchmarks/slopes/program.py
+++ b/benchmarks/slopes/program.py
@@ -11,8 +11,8 @@
 from typing import Any
 
 from linnetstile.codec.objects import Objects, Part
-from linnetstile.decisions import interface as api
-from linnetstile.node import directory, discovery, journal
+from linnetstile.engine.events import Event
+from linnetstile.platform_relay import directory, discovery, journal
 
 
 def new_directory() -> Any:
@@ -34,7 +34,7 @@
 READING: list[Any] = []  # the list whose parts are coming
 
 
-def taken(into: Any, told: Any) -> list[api.Event]:
+def taken(into: Any, told: Any) -> list[Event]:
     """One object of discovery, or a part of one, as events for the module. Internal: node/directory.py and
     discovery.py."""
     if not isinstance(told, Part):
@@ -44,7 +44,7 @@
     return list(discovery.told(READING[0].take(told.elements)))
 
 
-def swept(told: Any) -> list[api.Event] | None:
+def swept(told: Any) -> list[Event] | None:
     """One step of the end of a list behind its last part, which the node takes in a turn of its own; None = there is no
     other one. Internal: node/directory.py."""
     if not isinstance(told, Part) or not told.last or READING[0].over:
@@ -87,7 +87,7 @@
 def filler(count: int, body: bytes) -> list[Any]:
     """Messages as the journal knows them, which share one body. Internal: node/journal.py."""
     fields = {"ident": "a", "class": "state", "dest": 1, "taken": 0.0, "due": 0.0}
-    return [journal.Kept(number, fields, body) for number in range(count)]
+    return [journal.JournaledMessage(number, fields, body) for number in range(count)]
 
 
 def told(servers: Iterable[dict[str, Any]], version: int, full: bool) -> bytes:
--- a/benchmarks/slopes/queues.py
+++ b/benchmarks/slopes/queues.py
@@ -12,7 +12,7 @@
 from benchmarks.slopes import inside
 from benchmarks.slopes.harness import Found, Series, timed
 from benchmarks.slopes.hollow import Fleet
-from linnetstile.decisions import interface as api
+from linnetstile.engine.events import Outcome
 
 ALL = 120_000
 PER_S = inside.EVERYWHERE / inside.RELAYS  # events a second of one relay
@@ -26,8 +26,8 @@
     relay = inside.relay(destinations, rate=inside.RATE * ALL / destinations, deadline_ms=DEADLINE_MS)
     rng = random.Random(queues)
 
-    def answer(_: int, endpoint: int, now: float) -> tuple[api.Outcome, float]:
-        return (api.Outcome.CONNECT_FAILED, 5.0) if endpoint <= queues else (api.Outcome.OK, 20.0)
+    def answer(_: int, endpoint: int, now: float) -> tuple[Outcome, float]:
+        return (Outcome.CONNECT_FAILED, 5.0) if endpoint <= queues else (Outcome.OK, 20.0)
 
     fleet = Fleet([relay], answer)
     for number in range(queues * QUEUED):  # as they come: not all in one moment
--- a/benchmarks/slopes/relays.py
+++ b/benchmarks/slopes/relays.py
@@ -3,7 +3,7 @@
 `outage`: so many modules on one simulated clock share the same load (9.2 events a second for each destination, over
 all relays); 6 of 24 destinations are out for 100 s and come back cold. Counted are calls, against the budget of the
 time (N calls in any second while it is cold; beyond it 2 * sqrt(N) + 2 are put down to chance). What relays tell each
-other: relays on the platform (linnetstile.node) tell each other nothing; relays of the service ask each other
+other: relays on the platform (linnetstile.platform_relay) tell each other nothing; relays of the service ask each other
 (service/knowledge.py). `asks`: membership alone on a simulated clock: asks a second, and how long until a relay has
 asked one of the hundredth of all that know of an outage. `document`: a relay's document in bytes and processor time, by
 the number of destinations that it has called.
@@ -21,8 +21,8 @@
 from benchmarks.slopes import inside
 from benchmarks.slopes.harness import Found, Series, timed
 from benchmarks.slopes.hollow import Fleet
-from linnetstile.decisions import interface as api
-from linnetstile.decisions.membership import Membership
+from linnetstile.engine.events import Outcome
+from linnetstile.engine.membership import Membership
 
 DESTINATIONS, OUT = 24, 6
 EACH_PER_S = 9.2  # events a second for one destination, from all relays
@@ -33,8 +33,8 @@
 def budget(since_ms: float) -> float:
     """Calls that a destination takes in one second, so long after its return."""
     safety = inside.SAFETY
-    share = safety.cold_share + (1 - safety.cold_share) * min(1.0, since_ms / safety.cold_ms)
-    return safety.fall_multiple * share * inside.RATE * safety.fall_ms / 1000
+    share = safety.slow_start_fraction + (1 - safety.slow_start_fraction) * min(1.0, since_ms / safety.slow_start_ms)
+    return safety.overload_multiple * share * inside.RATE * safety.overload_window_ms / 1000
 
 
 def over_budget(calls: list[float]) -> tuple[float, float]:
@@ -55,12 +55,12 @@
     rng = random.Random(relays)
     calls: list[tuple[float, int, int]] = []  # time, relay, destination: those that are out, or have been
 
-    def answer(relay: int, endpoint: int, now: float) -> tuple[api.Outcome, float]:
+    def answer(relay: int, endpoint: int, now: float) -> tuple[Outcome, float]:
         if endpoint <= OUT and now >= BEGIN_MS:
             calls.append((now, relay, endpoint - 1))
             if now < END_MS:
-                return api.Outcome.CONNECT_FAILED, 5.0
-        return api.Outcome.OK, 20.0
+                return Outcome.CONNECT_FAILED, 5.0
+        return Outcome.OK, 20.0
 
     fleet = Fleet(
         [inside.relay(DESTINATIONS, seed=seed, relays=relays, deadline_ms=DEADLINE_MS) for seed in range(relays)],
@@ -111,14 +111,14 @@
     asked, late, heard = 0, 0, dict[str, float]()
     while heap[0][0] < end:
         now, name = heapq.heappop(heap)
-        peer = members[name].due(now)
+        peer = members[name].next_peer(now)
         if peer is not None:
             asked += 1
             late += now >= begin
-            members[name].heard(now + 5.0, peer, "run", members[peer].alive()[:4])
+            members[name].poll_answered(now + 5.0, peer, "run", members[peer].alive_peers()[:4])
             if now >= begin and peer in knowers:
                 heard.setdefault(name, (now - begin) / 1000)
-        heapq.heappush(heap, (max(now + 5.0, members[name].next_at), name))
+        heapq.heappush(heap, (max(now + 5.0, members[name].next_poll_at), name))
     times = sorted(heard.get(name, math.inf) for name in names if name not in knowers)
     told: Found = {"asks_a_s": late / relays / (end - begin) * 1000, "first_minute_asks": (asked - late) / relays}
     for name, at in (("heard_median_s", times[len(times) // 2]), ("heard_last_s", times[-1])):
@@ -126,17 +126,17 @@
     return told
 
 
-def document(lanes: int) -> Found:
+def document(routes: int) -> Found:
     """Internal surface: service/knowledge.py, its document and the reading of one."""
+    from linnetstile.as2_relay.gossip import Knowledge, parse
     from linnetstile.config.relay import KnowledgeSettings
-    from linnetstile.service.knowledge import Knowledge, parse
 
-    relay = inside.relay(lanes)
+    relay = inside.relay(routes)
     now = 0.0
-    for number in range(lanes):
+    for number in range(routes):
         now += 0.4
         inside.delivered(relay, number, number, now)
-    numbers = {f"partner-{number}": number for number in range(lanes)}
+    numbers = {f"partner-{number}": number for number in range(routes)}
 
     async def go() -> Found:
         def ignore(*_: object, **__: object) -> None:
@@ -150,7 +150,7 @@
         type(made).now = property(lambda self: now)  # type: ignore[method-assign,assignment]
         told: Found = {"document_us": timed(made.document, 2)}
         whole = json.dumps(made.document()).encode()
-        told |= {"document_bytes": float(len(whole)), "bytes_a_destination": len(whole) / lanes}
+        told |= {"document_bytes": float(len(whole)), "bytes_a_destination": len(whole) / routes}
         told["nothing_new_bytes"] = float(len(json.dumps(made.document(made.version))))
         try:
             told["parse_us"] = timed(lambda: parse(whole))
--- a/benchmarks/slopes/standin.py
+++ b/benchmarks/slopes/standin.py
@@ -15,7 +15,7 @@
 
 from benchmarks.slopes.inside import servers
 from benchmarks.slopes.program import told
-from linnetstile.standins.discovery import DiscoveryStand
+from linnetstile.emulators.discovery import DiscoveryStand
 
 OK = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 LIFE_S = 240.0
--- a/benchmarks/throughput.py
+++ b/benchmarks/throughput.py
@@ -26,9 +26,9 @@
 from benchmarks.common import child, end, parser, tell
 from linnetstile.codec import cms, http1, mdn
 from linnetstile.config.relay import RelaySettings
+from linnetstile.emulators import messages
+from linnetstile.emulators.registry import RegisterSpec, RegisterStand
 from linnetstile.net import client, server
-from linnetstile.standins import messages
-from linnetstile.standins.register import RegisterSpec, RegisterStand
 
 CONTENT = b"ISA*00~" * 100
 
@@ -78,7 +78,7 @@
     identity = cms.load(Path(pem).read_bytes())
     mic = cms.digest(CONTENT, "sha-256")
 
-    def take(exchange: server.Exchange) -> None:
+    def take(exchange: server.RequestContext) -> None:
         headers = exchange.head.headers
         if "disposition-notification-to" not in headers:
             exchange.reply(200)
@@ -95,10 +95,10 @@
 
 
 async def serve_relay(settings: str, profile: str) -> None:
-    from linnetstile.service.relay import Service
+    from linnetstile.as2_relay.relay import As2Relay
     from linnetstile.telemetry.log import logger
 
-    service = Service(RelaySettings.model_validate_json(settings), logger(os.environ.get("BENCH_LOG", "warning")))
+    service = As2Relay(RelaySettings.model_validate_json(settings), logger(os.environ.get("BENCH_LOG", "warning")))
     address = await service.start()
     while service.register.version < 0:
         await asyncio.sleep(0.01)
--- a/benchmarks/timers.py
+++ b/benchmarks/timers.py
@@ -21,7 +21,7 @@
 from typing import Any
 
 from benchmarks.common import parser, tell
-from linnetstile.decisions.pace import Meter
+from linnetstile.engine.minimum_rate import MinimumRateMeter
 
 PATIENCE, STEP = 10.0, 0.25
 
@@ -197,7 +197,7 @@
 
 def rates(count: int) -> list[dict[str, Any]]:
     found = []
-    for name, make in (("meter", lambda: Meter(1024.0, 5000.0)), ("ring", Ring), ("reads", Reads)):
+    for name, make in (("meter", lambda: MinimumRateMeter(1024.0, 5000.0)), ("ring", Ring), ("reads", Reads)):
         made: list[Any] = [make() for _ in range(count)]
         start = time.process_time()
         for step in range(40):
--- a/linnetstile/service/admin.py
+++ b/linnetstile/as2_relay/admin.py
@@ -13,19 +13,19 @@
 from typing import TYPE_CHECKING, Any
 
 from ..config.relay import split
-from ..decisions.shares import BYTES, MESSAGES
+from ..engine.fair_share import BYTES, MESSAGES
 from ..net import client, server
 from ..telemetry.metrics import Sample, page
-from .room import origin_of
+from .admission import origin_of
 
 if TYPE_CHECKING:
-    from .relay import Service
+    from .relay import As2Relay
 
 ROWS = 1000  # in one answer; `total` tells how many there are
 
 
 class Admin:
-    def __init__(self, service: Service, path: Path | None, metrics: str | None) -> None:
+    def __init__(self, service: As2Relay, path: Path | None, metrics: str | None) -> None:
         self.service = service
         self.path = path
         self.address = metrics
@@ -59,13 +59,13 @@
         except OSError:
             pass
 
-    def _scrape(self, exchange: server.Exchange) -> None:
+    def _scrape(self, exchange: server.RequestContext) -> None:
         if exchange.head.method == "GET" and exchange.head.target == "/metrics":
             exchange.reply(200, [("Content-Type", "text/plain; version=0.0.4; charset=utf-8")], page(self.samples()))
         else:
             exchange.reply(404, [("Content-Type", "text/plain")], b"/metrics only\n")
 
-    def _serve(self, exchange: server.Exchange) -> None:
+    def _serve(self, exchange: server.RequestContext) -> None:
         path = exchange.head.target.strip("/")
         if exchange.head.method != "GET":
             exchange.reply(405, [("Content-Type", "text/plain")], b"GET only\n")
@@ -137,34 +137,38 @@
             {
                 "tree": tree,
                 "party": party.path(),
-                "bytes": int(party.held[BYTES]),
-                "messages": int(party.held[MESSAGES]),
-                "waiting": party.waits,
+                "bytes": int(party.used[BYTES]),
+                "messages": int(party.used[MESSAGES]),
+                "waiting": party.waiting,
                 "weight": party.weight,
-                "fair_bytes": int(shares.fair(party, BYTES)),
-                "fair_messages": int(shares.fair(party, MESSAGES)),
+                "fair_bytes": int(shares.fair_part(party, BYTES)),
+                "fair_messages": int(shares.fair_part(party, MESSAGES)),
             }
-            for tree, party in shares.parties()
+            for tree, party in shares.nodes()
         ]
         parties.sort(key=lambda row: -int(str(row["bytes"])))
         names = {number: name for name, number in service.register.partners.items()}
         out = Counter(carried.head.receiver for carried in service.carried.values() if carried.attempt is not None)
         partners = [
-            {"partner": names.get(dest, "?"), "queued": len(queue), "out": out.get(names.get(dest, "?"), 0)}
-            for dest, queue in service.relay.board.queues.items()
+            {
+                "partner": names.get(destination, "?"),
+                "queued": len(queue),
+                "out": out.get(names.get(destination, "?"), 0),
+            }
+            for destination, queue in service.relay.queues.queues.items()
         ]
         listed = {row["partner"] for row in partners}
         partners += [{"partner": name, "queued": 0, "out": n} for name, n in out.items() if name not in listed]
         partners.sort(key=lambda row: -int(str(row["queued"])))
         return {
             "room": {
-                "bytes": shares.room[BYTES],
-                "held_bytes": int(shares.held[BYTES]),
-                "messages": shares.room[MESSAGES],
-                "held_messages": int(shares.held[MESSAGES]),
+                "bytes": shares.capacity[BYTES],
+                "held_bytes": int(shares.used[BYTES]),
+                "messages": shares.capacity[MESSAGES],
+                "held_messages": int(shares.used[MESSAGES]),
                 "waiting": len(service.room.waiting),
                 "slots": service.s.limits.slots,
-                "slots_out": service.relay.busy,
+                "slots_out": service.relay.in_flight,
             },
             "total": len(parties),
             "parties": parties[:ROWS],
@@ -178,15 +182,15 @@
             {
                 "partner": o.name,
                 "slow_s": round((now - o.slow_since) / 1000, 1) if o.slow_since else None,
-                "slot_ms": round(offices.time(now, o)),
-                "out": len(o.out),
-                "entered": o.entered,
-                "why": o.why,
+                "slot_ms": round(offices.slot_ms(now, o)),
+                "out": len(o.in_flight),
+                "entered": o.times_slow,
+                "why": o.reason,
             }
-            for o in offices.known.values()
+            for o in offices.partners.values()
         ]
         rows.sort(key=lambda row: (row["slow_s"] is None, -int(str(row["slot_ms"]))))
-        return {"usual_ms": round(offices.usual()), "total": len(rows), "rows": rows[:ROWS]}
+        return {"usual_ms": round(offices.median_slot_ms()), "total": len(rows), "rows": rows[:ROWS]}
 
     def samples(self) -> Iterator[Sample]:
         service = self.service
@@ -203,21 +207,21 @@
             side, _, name = phase.partition(" ")
             yield Sample("connections", "gauge", "Open connections.", count, (("side", side), ("phase", name)))
         for n, name in ((BYTES, "bytes"), (MESSAGES, "messages")):
-            yield Sample(f"held_{name}", "gauge", "Held for messages and bodies under way.", shares.held[n])
-            yield Sample(f"room_{name}", "gauge", "The bound on what is held.", shares.room[n])
+            yield Sample(f"held_{name}", "gauge", "Held for messages and bodies under way.", shares.used[n])
+            yield Sample(f"room_{name}", "gauge", "The bound on what is held.", shares.capacity[n])
             for tree, root in shares.trees.items():
                 for party in root.children.values():
                     yield Sample(
                         f"party_held_{name}",
                         "gauge",
                         "Held by tenant (from) or partner (to).",
-                        party.held[n],
+                        party.used[n],
                         (("tree", tree), ("party", party.name)),
                     )
         yield Sample(
             "waiting_for_room", "gauge", "Requests that are not read on for want of room.", len(service.room.waiting)
         )
-        yield Sample("slots_out", "gauge", "Calls out.", service.relay.busy)
+        yield Sample("slots_out", "gauge", "Calls out.", service.relay.in_flight)
         yield Sample("slots", "gauge", "Calls that may be out.", service.s.limits.slots)
         yield Sample("memory_bound_bytes", "gauge", "What the process is to stay under.", service.s.memory_bound())
         for row in self.slow()["rows"]:
--- a/linnetstile/service/room.py
+++ b/linnetstile/as2_relay/admission.py
@@ -8,9 +8,9 @@
 from typing import Any
 
 from ..config.relay import LimitSettings
-from ..decisions.pace import SLOW_SHARE, Offices
-from ..decisions.shares import Charge, Say, Shares
-from ..net.server import Exchange
+from ..engine.fair_share import AdmissionDecision, FairShare, Reservation
+from ..engine.slow_partners import SLOW_PARTNER_WEIGHT, SlowPartnerDetector
+from ..net.server import RequestContext
 from ..telemetry import log as names
 
 OVERHEAD = 8 * 1024  # bytes that a held message takes beside its body (6.7 kB, benchmarks/results/held.json)
@@ -32,7 +32,7 @@
         return (self.tenant, self.client, self.sender), (self.partner,)
 
 
-def origin_of(exchange: Exchange | None) -> Origin | None:
+def origin_of(exchange: RequestContext | None) -> Origin | None:
     return exchange.who if exchange is not None and isinstance(exchange.who, Origin) else None
 
 
@@ -45,18 +45,18 @@
         hold: int,
         weights: dict[str, float],
         log: Any,
-        refuse: Callable[[Exchange, str, float], None],
+        refuse: Callable[[RequestContext, str, float], None],
     ) -> None:
         self.limits = limits
-        self.shares = Shares((limits.hold_bytes, hold))
+        self.shares = FairShare((limits.hold_bytes, hold))
         for tenant, weight in weights.items():
-            self.shares.weigh("from", tenant, weight)
-        self.offices = Offices()
+            self.shares.set_weight("from", tenant, weight)
+        self.offices = SlowPartnerDetector()
         self.refuse = refuse
         self.log = log
         self.loop = asyncio.get_running_loop()
-        self.waiting: dict[Exchange, int] = {}  # -> bytes asked for
-        self.charges: set[Charge] = set()  # all that are not given back
+        self.waiting: dict[RequestContext, int] = {}  # -> bytes asked for
+        self.charges: set[Reservation] = set()  # all that are not given back
         self.timer: asyncio.TimerHandle | None = None
         self.planned = False
         self.look = self.loop.call_later(LOOK_S, self._look)
@@ -65,39 +65,39 @@
     def now(self) -> float:
         return self.loop.time() * 1000
 
-    def admit(self, exchange: Exchange, size: int) -> bool:
+    def admit(self, exchange: RequestContext, size: int) -> bool:
         """Server.admit: whether this much of a body may be read now. If not, it waits or was refused."""
         origin = exchange.who
         if not isinstance(origin, Origin):
             return True  # answered at its head, or nobody's message
         if exchange.charge is None:
-            say, charge = self.shares.ask(
+            say, charge = self.shares.request(
                 self.now, origin.paths, size + OVERHEAD, self.limits.room_wait_ms, exchange, 1 if origin.sender else 0
             )
-            if say is not Say.NEVER:
+            if say is not AdmissionDecision.TOO_LARGE:
                 self.charges.add(charge)
                 exchange.charge = charge
         else:
-            assert isinstance(exchange.charge, Charge)
-            say = self.shares.more(self.now, exchange.charge, size, self.limits.room_wait_ms, exchange)
-        if say is Say.WAIT:
+            assert isinstance(exchange.charge, Reservation)
+            say = self.shares.extend(self.now, exchange.charge, size, self.limits.room_wait_ms, exchange)
+        if say is AdmissionDecision.QUEUED:
             self.waiting[exchange] = size
             self.log.debug(
                 names.WAITS, peer=exchange.conn.peer(), message=origin.message, bytes=size, bound=self._bound()
             )
             self._plan_end()
-        elif say is Say.NEVER:
+        elif say is AdmissionDecision.TOO_LARGE:
             self._refused(exchange, size)
-        return say is Say.YES
+        return say is AdmissionDecision.GRANTED
 
     def _bound(self) -> str:
         """Which bound keeps a request waiting, for people."""
-        return "hold_bytes" if self.shares.held[0] >= 0.99 * self.shares.room[0] else "share"
+        return "hold_bytes" if self.shares.used[0] >= 0.99 * self.shares.capacity[0] else "share"
 
-    def _refused(self, exchange: Exchange, size: int) -> None:
+    def _refused(self, exchange: RequestContext, size: int) -> None:
         origin = exchange.who
         assert isinstance(origin, Origin)
-        advice = self.shares.advice_ms(self.now, size, self.limits.longest_advice_ms)
+        advice = self.shares.retry_after_ms(self.now, size, self.limits.longest_advice_ms)
         self.log.warning(
             names.NO_ROOM,
             peer=exchange.conn.peer(),
@@ -116,19 +116,19 @@
             advice,
         )
 
-    def take(self, exchange: Exchange) -> Charge | None:
+    def take(self, exchange: RequestContext) -> Reservation | None:
         """The charge of a complete request goes over to its message."""
         charge, exchange.charge = exchange.charge, None
-        assert charge is None or isinstance(charge, Charge)
+        assert charge is None or isinstance(charge, Reservation)
         return charge
 
-    def release(self, charge: Charge | None) -> None:
+    def release(self, charge: Reservation | None) -> None:
         if charge is not None:
             self.charges.remove(charge)
             self.shares.release(self.now, charge)
             self._plan()
 
-    def ended(self, exchange: Exchange) -> None:
+    def ended(self, exchange: RequestContext) -> None:
         """Server.release: answered, or gone before it was complete."""
         self.waiting.pop(exchange, None)
         self.release(self.take(exchange))
@@ -141,28 +141,28 @@
             self.loop.call_soon(self._turn)
 
     def _plan_end(self) -> None:
-        end = self.shares.next_end()
+        end = self.shares.next_expiry()
         if self.timer:
             self.timer.cancel()
         self.timer = self.loop.call_later(max(0.001, (end - self.now) / 1000), self._turn) if end is not None else None
 
     def _turn(self) -> None:
         self.planned = False
-        good, late = self.shares.turn(self.now)
+        good, late = self.shares.grant_waiting(self.now)
         for token in good:
-            assert isinstance(token, Exchange)
+            assert isinstance(token, RequestContext)
             self.waiting.pop(token, None)
             token.go()
         for token in late:
-            assert isinstance(token, Exchange)
+            assert isinstance(token, RequestContext)
             self._refused(token, self.waiting.pop(token, 0))
         self._plan_end()
 
     def _look(self) -> None:
-        for office in self.offices.look(self.now):
+        for office in self.offices.update(self.now):
             slow = office.slow_since is not None
-            self.shares.weigh("to", office.name, SLOW_SHARE if slow else 1.0)
-            self.log.warning(names.SLOW if slow else names.TRUSTED, partner=office.name, why=office.why)
+            self.shares.set_weight("to", office.name, SLOW_PARTNER_WEIGHT if slow else 1.0)
+            self.log.warning(names.SLOW if slow else names.TRUSTED, partner=office.name, why=office.reason)
         self.look = self.loop.call_later(LOOK_S, self._look)
 
     def close(self) -> None:
--- a/linnetstile/service/knowledge.py
+++ b/linnetstile/as2_relay/gossip.py
@@ -14,15 +14,24 @@
 
 from pydantic import BaseModel, Field, ValidationError
 
+from linnetstile.engine.events import Event, GossipReceived, GossipSent, RouteFacts
+
 from ..codec import http1
 from ..config.relay import Address, KnowledgeSettings, split
-from ..decisions import interface as api
-from ..decisions import recall
-from ..decisions.control import Relay
-from ..decisions.knowledge import OWN_WINS, Claim, Doubt, Source, few_connections, lessons, middle
-from ..decisions.membership import TOLD_MAX, Membership
+from ..engine import gossip_export
+from ..engine.engine import DeliveryEngine
+from ..engine.gossip import (
+    OWN_OBSERVATION_WINS,
+    ClaimSource,
+    RejectedClaim,
+    RouteClaim,
+    lower_median,
+    merge_claims,
+    merge_connection_limits,
+)
+from ..engine.membership import MAX_PEERS_PER_ANSWER, Membership
 from ..net import client, server
-from ..store import snapshot
+from ..storage import snapshot
 from ..telemetry import log as names
 
 FORMAT = 1
@@ -32,6 +41,22 @@
 FRESH_MS = 2000.0  # a claim counts as changed when its latest evidence moved by this much
 LESSONS_KEPT = 200  # shown to operators
 
+# Names in the operators' document -> attributes of a merged route, in the order of the document.
+MERGED_ROUTE_FIELDS = {
+    "partner": "partner",
+    "route": "route",
+    "out_ms": "outage_age_ms",
+    "cold_ms": "slow_start_age_ms",
+    "wait_ms": "retry_after_ms",
+    "mean_ms": "latency_mean_ms",
+    "dev_ms": "latency_deviation_ms",
+    "answers": "answers",
+    "knowers": "aware_relays",
+    "pace": "rate",
+    "sources": "sources",
+    "age_ms": "age_ms",
+}
+
 
 class ClaimModel(BaseModel):
     """A claim as it travels; ages in ms."""
@@ -50,9 +75,9 @@
     knowers: float = Field(1.0, ge=0, le=1e6)
     pace: float = Field(0.0, ge=0, le=1e9)
 
-    def claim(self) -> Claim:
+    def claim(self) -> RouteClaim:
         values = self.model_dump()
-        return Claim(**{**values, "endpoints": tuple(values["endpoints"])})
+        return RouteClaim(**{**values, "endpoints": tuple(values["endpoints"])})
 
 
 class Document(BaseModel):
@@ -64,7 +89,7 @@
     version: int = Field(ge=0)
     since: int = Field(ge=0)
     relays: int = Field(ge=1, le=1_000_000)
-    peers: list[Address] = Field(max_length=TOLD_MAX)
+    peers: list[Address] = Field(max_length=MAX_PEERS_PER_ANSWER)
     claims: list[ClaimModel] = Field(max_length=CLAIMS_MAX)
     few_connections: dict[str, Annotated[float, Field(ge=0, le=1)]] = Field({}, max_length=1000)
 
@@ -89,11 +114,11 @@
     def __init__(
         self,
         settings: KnowledgeSettings,
-        relay: Relay,
+        relay: DeliveryEngine,
         name: str,
         run: str,
         names: dict[str, int],
-        tell: Callable[[api.Event], None],
+        tell: Callable[[Event], None],
         log: Any,
     ) -> None:
         self.s = settings
@@ -110,12 +135,12 @@
         self.version = 0
         self.changed: dict[tuple[str, int], tuple[tuple[Any, ...], int]] = {}
         self.peers_version: dict[str, int] = {}
-        self.heard: dict[str, tuple[float, dict[tuple[str, int], Claim]]] = {}  # peer -> when, claims then
+        self.heard: dict[str, tuple[float, dict[tuple[str, int], RouteClaim]]] = {}  # peer -> when, claims then
         self.few: dict[str, dict[str, float]] = {}
         self.fleet: dict[str, float] = {}  # how many relays each peer believes in
-        self.before: tuple[float, tuple[Claim, ...]] | None = None  # own snapshot: when read, claims then
+        self.before: tuple[float, tuple[RouteClaim, ...]] | None = None  # own snapshot: when read, claims then
         self.taken: dict[tuple[str, int], dict[str, Any]] = {}  # the latest of each lane
-        self.doubts: dict[Doubt, int] = {}
+        self.doubts: dict[RejectedClaim, int] = {}
         self.counts = {
             "asked": 0,
             "answered": 0,
@@ -156,30 +181,30 @@
 
     def document(self, since: int = 0) -> dict[str, Any]:
         """What this relay knows itself, as it travels."""
-        found = recall.claims(self.relay, self.now, self.names())
+        found = gossip_export.export_claims(self.relay, self.now, self.names())
         for each in found:
-            lane = each.partner, each.route
+            route = each.partner, each.route
             ok = -1 if each.answered_age is None else int((self.now - each.answered_age) / FRESH_MS)
             bad = -1 if each.failed_age is None else int((self.now - each.failed_age) / FRESH_MS)
             mark = (each.endpoints, each.out_age is None, each.cold_age is None, each.wait_ms > 0, ok, bad)
-            if self.changed.get(lane, ((), 0))[0] != mark:
+            if self.changed.get(route, ((), 0))[0] != mark:
                 self.version += 1
-                self.changed[lane] = mark, self.version
+                self.changed[route] = mark, self.version
         sent = [each for each in found if self.changed[each.partner, each.route][1] > since]
-        peers = (self.members.alive() if self.members else [])[:TOLD_MAX]
+        peers = (self.members.alive_peers() if self.members else [])[:MAX_PEERS_PER_ANSWER]
         return {
             "format": FORMAT,
             "relay": self.name,
             "run": self.run,
             "version": self.version,
             "since": since,
-            "relays": self.relay.s.relays,
+            "relays": self.relay.settings.relay_count,
             "peers": peers,
-            "few_connections": recall.few(self.relay),
-            "claims": [{name: getattr(each, name) for name in Claim.__slots__} for each in sent],
+            "few_connections": gossip_export.export_connection_limits(self.relay),
+            "claims": [{name: getattr(each, name) for name in RouteClaim.__slots__} for each in sent],
         }
 
-    def serve(self, exchange: server.Exchange) -> None:
+    def serve(self, exchange: server.RequestContext) -> None:
         """GET /knowledge?since=V with the token as bearer; /knowledge/state is for operators."""
         given = exchange.head.headers.get("authorization").removeprefix("Bearer ")
         if not self.token or not hmac.compare_digest(given.encode(), self.token.encode()):
@@ -201,18 +226,18 @@
                 if each["out_age"] is not None or each["cold_age"] is not None
             )
             if told:
-                self.tell(api.Shared(told))
+                self.tell(GossipSent(told))
         exchange.reply(200, [("Content-Type", "application/json")], json.dumps(found).encode())
 
     # -- asking ----------------------------------------------------------------------------------------------
 
     def _ask(self) -> None:
         assert self.members is not None
-        peer = self.members.due(self.now)
+        peer = self.members.next_peer(self.now)
         if peer is not None:
             self.counts["asked"] += 1
             since = self.peers_version.get(peer, 0)
-            run = self.members.peers[peer].run
+            run = self.members.peers[peer].incarnation
             target = "/knowledge" + (f"?since={run}.{since}" if since else "")
             data = http1.request(
                 "GET", target, [("Host", peer), ("Authorization", f"Bearer {self.token}"), ("Via", f"1.1 {self.name}")]
@@ -222,13 +247,13 @@
                 split(peer), "GET", data, lambda answer: self._answered(peer, asked, answer), self.loop.time() + ASK_S
             )
         self.timers = [timer for timer in self.timers if timer.when() > self.loop.time()]
-        self.timers.append(self.loop.call_later(0.05 if self.members.fresh else 0.5, self._ask))
+        self.timers.append(self.loop.call_later(0.05 if self.members.is_bootstrapping else 0.5, self._ask))
 
     def _answered(self, peer: str, asked: float, answer: client.Answer) -> None:
         assert self.members is not None
         if answer.head is None or answer.head.status != 200:
             self.counts["no_answer"] += 1
-            self.members.missed(self.now, peer)
+            self.members.poll_failed(self.now, peer)
             why = answer.sight.value if answer.head is None else str(answer.head.status)
             self.log.info(names.KNOWLEDGE_NO_ANSWER, peer=peer, why=why, standing=self._standing(peer))
             return
@@ -236,89 +261,95 @@
             found = parse(answer.body)
         except ValueError as error:
             self.counts["unreadable"] += 1
-            self.members.missed(self.now, peer)
+            self.members.poll_failed(self.now, peer)
             self.log.warning(names.KNOWLEDGE_UNREADABLE, peer=peer, why=str(error))
             return
         self.counts["answered"] += 1
-        another = self.members.heard(self.now, peer, found.run, found.peers)
+        another = self.members.poll_answered(self.now, peer, found.run, found.peers)
         _, known = self.heard.get(peer, (0.0, {}))
         if another or not found.since:
             known = {}
         # Its ages were true when it wrote them: at the latest since the ask, so the whole way counts as age.
         way = self.now - asked
-        known = {lane: claim.older(self.now - self.heard[peer][0]) for lane, claim in known.items()}
-        known |= {(c.partner, c.route): c.claim().older(way) for c in found.claims}
+        known = {route: claim.aged(self.now - self.heard[peer][0]) for route, claim in known.items()}
+        known |= {(c.partner, c.route): c.claim().aged(way) for c in found.claims}
         self.heard[peer] = self.now, known
         self.few[peer] = found.few_connections
         self.fleet[peer] = float(found.relays)
         self.peers_version[peer] = found.version
-        if found.relays != self.relay.s.relays:
+        if found.relays != self.relay.settings.relay_count:
             self.log.warning(
                 names.KNOWLEDGE_OTHER_FLEET,
                 peer=peer,
                 its=found.relays,
-                own=self.relay.s.relays,
+                own=self.relay.settings.relay_count,
                 taken="the own number for limits, the larger for learned outages",
             )
         self.learn()
 
     def _standing(self, peer: str) -> str:
         found = self.members.peers.get(peer) if self.members else None
-        return found.standing.value if found else "left"
+        return found.status.value if found else "left"
 
     def learn(self) -> None:
         """Weighs all sources anew and tells the module what there is to take. Called with each answer and list."""
         now = self.now
         sources = [
-            Source(peer, False, tuple(claim.older(now - at) for claim in known.values()))
+            ClaimSource(peer, False, tuple(claim.aged(now - at) for claim in known.values()))
             for peer, (at, known) in self.heard.items()
         ]
         if self.before:
             at, claims = self.before
-            sources.append(Source("snapshot", True, tuple(claim.older(now - at) for claim in claims)))
-        ends, seen = recall.lanes(self.relay, self.names())
+            sources.append(ClaimSource("snapshot", True, tuple(claim.aged(now - at) for claim in claims)))
+        ends, seen = gossip_export.known_routes(self.relay, self.names())
         if not ends or not sources:
             return
         # Who believes in too few relays would take too large a part of a cold partner: the larger number counts,
         # of the others that of the one in the middle.
-        relays = max(self.relay.s.relays, int(middle(list(self.fleet.values()))))
-        found, doubts = lessons(sources, ends, seen, relays)
+        relays = max(self.relay.settings.relay_count, int(lower_median(list(self.fleet.values()))))
+        found, doubts = merge_claims(sources, ends, seen, relays)
         for doubt in doubts:
             if doubt not in self.doubts and len(self.doubts) < LESSONS_KEPT:
                 self.counts["doubted"] += 1
-                tell = self.log.debug if doubt.reason == OWN_WINS else self.log.info  # that is no fault of a peer's
+                tell = (
+                    self.log.debug if doubt.reason == OWN_OBSERVATION_WINS else self.log.info
+                )  # that is no fault of a peer's
                 tell("knowledge_doubted", source=doubt.source, partner=doubt.partner, why=doubt.reason)
             self.doubts[doubt] = self.doubts.get(doubt, 0) + 1
-        kinds = [kind.name for kind in self.relay.s.kinds]
-        few = few_connections([self.few[name] for name in sorted(self.few)])
+        kinds = [kind.name for kind in self.relay.settings.kinds]
+        few = merge_connection_limits([self.few[name] for name in sorted(self.few)])
         known = tuple((kinds.index(kind), part) for kind, part in few.items() if kind in kinds)
         if not found and not known:
             return
         facts = tuple(
-            api.LaneFacts(
+            RouteFacts(
                 self.numbers[each.partner],
                 each.route,
-                each.out_ms,
-                each.cold_ms,
-                each.wait_ms,
-                each.mean_ms,
-                each.dev_ms,
+                each.outage_age_ms,
+                each.slow_start_age_ms,
+                each.retry_after_ms,
+                each.latency_mean_ms,
+                each.latency_deviation_ms,
                 each.answers,
-                each.knowers,
-                each.pace,
+                each.aware_relays,
+                each.rate,
             )
             for each in found
         )
-        cautions = [each for each in found if each.out_ms is not None or each.cold_ms is not None or each.wait_ms]
+        cautions = [
+            each
+            for each in found
+            if each.outage_age_ms is not None or each.slow_start_age_ms is not None or each.retry_after_ms
+        ]
         self.counts["taken"] += len(found)
         if cautions:
             shown = [
                 {
                     "partner": c.partner,
                     "route": c.route,
-                    "out_ms": c.out_ms,
-                    "cold_ms": c.cold_ms,
-                    "wait_ms": c.wait_ms,
+                    "out_ms": c.outage_age_ms,
+                    "cold_ms": c.slow_start_age_ms,
+                    "wait_ms": c.retry_after_ms,
                     "sources": c.sources,
                     "age_ms": round(c.age_ms) if c.age_ms < 1e12 else None,
                 }
@@ -329,9 +360,9 @@
             )
         for each in found:
             if len(self.taken) < LESSONS_KEPT or (each.partner, each.route) in self.taken:
-                row = {name: getattr(each, name) for name in each.__slots__}
+                row = {stored: getattr(each, name) for stored, name in MERGED_ROUTE_FIELDS.items()}
                 self.taken[each.partner, each.route] = row | {"age_ms": min(each.age_ms, 1e12), "taken_at": now}
-        self.tell(api.Learned(facts, known))
+        self.tell(GossipReceived(facts, known))
 
     # -- on disk ---------------------------------------------------------------------------------------------
 
@@ -351,7 +382,7 @@
             self.log.warning(names.KNOWLEDGE_SNAPSHOT_AGELESS, file=str(path), why="the clock has gone back: not taken")
             return
         self.few["snapshot"] = found.few_connections
-        self.before = self.now, tuple(claim.claim().older(age) for claim in found.claims)
+        self.before = self.now, tuple(claim.claim().aged(age) for claim in found.claims)
         self.log.info(names.KNOWLEDGE_SNAPSHOT_READ, file=str(path), age_ms=round(age), claims=len(found.claims))
 
     def _write(self) -> None:
@@ -390,9 +421,9 @@
             "peers": [
                 {
                     "address": p.address,
-                    "standing": p.standing.value,
-                    "fails": p.fails,
-                    "heard_ms_ago": round(now - p.heard_at) if p.run else None,
+                    "standing": p.status.value,
+                    "fails": p.failures,
+                    "heard_ms_ago": round(now - p.last_answer_at) if p.incarnation else None,
                 }
                 for p in members
             ],
--- a/linnetstile/service/process.py
+++ b/linnetstile/as2_relay/process.py
@@ -13,7 +13,7 @@
 from ..config.relay import RelaySettings
 from ..telemetry import log as names
 from .receipts import Receipts
-from .relay import Service, load_keys
+from .relay import As2Relay, load_keys
 
 
 def fit_files(settings: RelaySettings, log: Any) -> RelaySettings:
@@ -47,7 +47,7 @@
     """Runs until SIGTERM or SIGINT; a second one ends it at once. 0 = everything held was answered, 4 = not."""
     settings = fit_files(settings, log)
     try:
-        service = Service(settings, log)
+        service = As2Relay(settings, log)
         address = await service.start()
     except (OSError, ValueError) as error:
         log.error(names.FAULT, why=str(error))
--- a/linnetstile/service/receipts.py
+++ b/linnetstile/as2_relay/receipts.py
@@ -8,7 +8,7 @@
 from ..codec import as2, cms, mdn, mime
 from ..codec.http1 import Headers
 from ..config.relay import RelaySettings
-from ..decisions.evidence import Receipt
+from ..engine.attempt_outcome import ReceiptStatus
 
 # Of the partner's answer, what its receipt needs to be read and proven by the client.
 HANDED_ON = {
@@ -49,10 +49,10 @@
         self.identity = cms.load(pem.read_bytes()) if pem else None
         self.count = 0
 
-    def judge(self, head: as2.Head, sent: Headers, body: bytes, got: Headers, receipt: bytes) -> Receipt:
+    def judge(self, head: as2.Head, sent: Headers, body: bytes, got: Headers, receipt: bytes) -> ReceiptStatus:
         """What a receipt is worth for the message `head` with the fields `sent` and `body`."""
         if not head.notify:
-            return Receipt.NOT_ASKED
+            return ReceiptStatus.NOT_ASKED
         try:
             kind, content = got.get("content-type"), receipt
             if got.get("content-transfer-encoding"):
@@ -69,36 +69,36 @@
                 inner = mime.entity(signed)
                 kind, content = inner.headers.get("content-type"), inner.decoded()
             if not proven:
-                return Receipt.UNPROVEN
+                return ReceiptStatus.UNPROVEN
             found = mdn.parse(kind, content)
         except cms.CmsError:
-            return Receipt.UNPROVEN
+            return ReceiptStatus.UNPROVEN
         except (mime.MimeError, mdn.MdnError):
-            return Receipt.MISSING
+            return ReceiptStatus.MISSING
         if found.original_id != head.id:
-            return Receipt.OTHER_MESSAGE
+            return ReceiptStatus.OTHER_MESSAGE
         if not found.positive and not found.duplicate:
-            return Receipt.NEGATIVE
+            return ReceiptStatus.NEGATIVE
         if found.duplicate and not found.mic:
-            return Receipt.DUPLICATE
+            return ReceiptStatus.DUPLICATE
         right = self._mic(head, sent, body, found)
-        return Receipt.DUPLICATE if found.duplicate and right is Receipt.POSITIVE else right
+        return ReceiptStatus.DUPLICATE if found.duplicate and right is ReceiptStatus.POSITIVE else right
 
     @staticmethod
-    def _mic(head: as2.Head, sent: Headers, body: bytes, found: mdn.Mdn) -> Receipt:
+    def _mic(head: as2.Head, sent: Headers, body: bytes, found: mdn.Mdn) -> ReceiptStatus:
         try:
             opened, plain = cms.opened(
                 sent.get("content-type", "application/octet-stream"), sent.get("content-transfer-encoding"), body, None
             )
             if opened is None:  # encrypted: its digest is the client's to compare, the bytes were not touched
-                return Receipt.POSITIVE
+                return ReceiptStatus.POSITIVE
             if not found.mic:
                 # RFC 4130, 7.4.3: a digest is due wherever a signed receipt was asked for.
-                return Receipt.WRONG_MIC if head.wish.signed else Receipt.POSITIVE
+                return ReceiptStatus.WRONG_MIC if head.wish.signed else ReceiptStatus.POSITIVE
             # Some partners digest a plain body with its headers: RFC 4130, 7.3.1 leaves room where it says so.
-            return Receipt.POSITIVE if cms.digest(opened, found.micalg) == found.mic else Receipt.WRONG_MIC
+            return ReceiptStatus.POSITIVE if cms.digest(opened, found.micalg) == found.mic else ReceiptStatus.WRONG_MIC
         except (mime.MimeError, cms.CmsError):
-            return Receipt.WRONG_MIC
+            return ReceiptStatus.WRONG_MIC
 
     def own(self, head: as2.Head, text: str) -> Answer:
         """The relay's receipt that says failed, signed where it has a key."""
--- a/linnetstile/service/register.py
+++ b/linnetstile/as2_relay/registry.py
@@ -12,15 +12,16 @@
 
 from pydantic import BaseModel, Field, ValidationError
 
+from linnetstile.engine.events import Endpoint, EndpointList, EndpointStatus, ListKind
+
 from ..codec import http1
 from ..config.relay import PartnerUrl, loopback, split
-from ..decisions import interface as api
 from ..net import client
 from ..telemetry import log as names
 
 WATCH_MS = 10_000  # how long the register may hold a watch without a change
 ENTRIES_MAX = 100_000
-STATES = {"ready": api.Listing.READY, "draining": api.Listing.DRAINING, "gone": api.Listing.GONE}
+STATES = {"ready": EndpointStatus.READY, "draining": EndpointStatus.DRAINING, "gone": EndpointStatus.GONE}
 
 
 class Entry(BaseModel):
@@ -62,7 +63,7 @@
         name: str,
         kinds: list[str],
         zones: list[str],
-        tell: Callable[[api.EndpointList], None],
+        tell: Callable[[EndpointList], None],
         log: Any,
     ) -> None:
         parts = urllib.parse.urlsplit(url)
@@ -107,7 +108,7 @@
             return
         self.lists["failed"] += 1
         self.log.warning(names.REGISTER, result="failed", why=why, version=self.version)
-        self.tell(api.EndpointList(api.ListKind.FAILED))
+        self.tell(EndpointList(ListKind.FAILED))
 
     def _whole(self, answer: client.Answer) -> None:
         document = self._read(answer)
@@ -121,7 +122,7 @@
         listed = {entry.id for entry in document.entries}
         for ident in [ident for ident in self.places if ident not in listed]:
             del self.places[ident]
-        self._take(document, api.ListKind.WHOLE)
+        self._take(document, ListKind.FULL)
 
     def _changes(self, answer: client.Answer) -> None:
         if answer.head is not None and answer.head.status == 410:  # what we know is too old for changes
@@ -132,11 +133,11 @@
             return
         if document.entries and document.version > self.version:
             self.lists["changes"] += 1
-            self._take(document, api.ListKind.CHANGES)
+            self._take(document, ListKind.CHANGES)
         else:
             self._watch()
 
-    def _take(self, document: Document, kind: api.ListKind) -> None:
+    def _take(self, document: Document, kind: ListKind) -> None:
         self.version = document.version
         entries = []
         for entry in document.entries:
@@ -144,7 +145,7 @@
             if entry.status != "gone":
                 self.places[entry.id] = Place(entry)
             entries.append(
-                api.Endpoint(
+                Endpoint(
                     entry.id,
                     number,
                     STATES[entry.status],
@@ -160,7 +161,7 @@
             entries=len(entries),
             not_ready=[e.id for e in document.entries if e.status != "ready"],
         )
-        self.tell(api.EndpointList(kind, tuple(entries)))
+        self.tell(EndpointList(kind, tuple(entries)))
         self._watch()
 
     def _watch(self) -> None:
--- a/linnetstile/service/relay.py
+++ b/linnetstile/as2_relay/relay.py
@@ -14,24 +14,36 @@
 from dataclasses import dataclass, field
 from typing import Any
 
+from linnetstile.engine.actions import (
+    Action,
+    Cancel,
+    CancelIfUnsent,
+    CloseIdle,
+    Fail,
+    Log,
+    Reject,
+    Send,
+    WatchEndpoints,
+)
+from linnetstile.engine.events import AttemptEnded, EndpointList, EndpointStatus, Event, Message
+
 from ..codec import as2, http1
 from ..config.relay import RelaySettings, loopback_url, split
-from ..decisions import handback
-from ..decisions import interface as api
-from ..decisions.control import Relay
-from ..decisions.evidence import Receipt, Seen, Sight, proof
-from ..decisions.identifiers import Hand, Identifiers
-from ..decisions.routing import Router, Rule
-from ..decisions.shares import Charge
+from ..engine import receipt_retry
+from ..engine.attempt_outcome import AttemptObservation, ReceiptStatus, WireResult, judge_attempt
+from ..engine.deduplication import SubmissionStatus, SubmissionTable
+from ..engine.engine import DeliveryEngine
+from ..engine.fair_share import Reservation
+from ..engine.routing import Router, Rule
 from ..net import client, server
+from ..net.engine_loop import EngineLoop
 from ..net.tls import Keys, TlsError
-from ..net.turns import Turns
 from ..telemetry import log as names
 from .admin import Admin
-from .knowledge import Knowledge
+from .admission import Origin, Room, origin_of
+from .gossip import Knowledge
 from .receipts import Answer, Receipts
-from .register import Place, Register
-from .room import Origin, Room, origin_of
+from .registry import Place, Register
 
 # Hop by hop (RFC 9110, 7.6.1) or ours to say; all else of the client's head goes on as it came.
 NOT_FORWARDED = {
@@ -74,7 +86,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Carried:
+class AcceptedMessage:
     """One message from its acceptance to its final answer."""
 
     id: int
@@ -83,11 +95,11 @@
     body: bytes
     class_: int
     due: float  # loop time, ms
-    waiters: list[server.Exchange] = field(default_factory=list)
+    waiters: list[server.RequestContext] = field(default_factory=list)
     tries: int = 0
     attempt: Attempt | None = None
     last: str = ""  # what the latest attempt proved, for people
-    charge: Charge | None = None  # the room that it holds
+    charge: Reservation | None = None  # the room that it holds
 
 
 def retry_after(headers: http1.Headers) -> float | None:
@@ -121,7 +133,7 @@
     )
 
 
-class Service:
+class As2Relay:
     """Start with `start`, stop with `stop`; `stopped` is set once nothing is held."""
 
     def __init__(self, settings: RelaySettings, log: Any, seed: int | None = None) -> None:
@@ -130,9 +142,9 @@
         self.loop = asyncio.get_running_loop()
         limits, module = settings.limits, settings.module()
         self.classes = module.classes
-        self.relay = Relay(module, settings.seed if seed is None else seed)
+        self.relay = DeliveryEngine(module, settings.seed if seed is None else seed)
         self.router = Router(settings.router_rules())
-        self.identifiers: Identifiers[Carried, Answer] = Identifiers(
+        self.identifiers: SubmissionTable[AcceptedMessage, Answer] = SubmissionTable(
             limits.remember_ms,
             limits.remember,
             limits.remember_bytes,
@@ -153,7 +165,11 @@
             self._slow_partner,
         )
         self.room = Room(
-            limits, module.hold, {name: t.weight for name, t in settings.tenants.items()}, log, self._no_room
+            limits,
+            module.max_pending_messages,
+            {name: t.weight for name, t in settings.tenants.items()},
+            log,
+            self._no_room,
         )
         self.keys, self.partner_keys = load_keys(settings)
         self.server = server.Server(
@@ -176,11 +192,11 @@
         )
         self.periodic: list[asyncio.TimerHandle] = []
         self.admin = Admin(self, settings.admin, settings.metrics) if settings.admin or settings.metrics else None
-        self.carried: dict[int, Carried] = {}
-        self.tokens: dict[str, tuple[Carried, Attempt]] = {}
+        self.carried: dict[int, AcceptedMessage] = {}
+        self.tokens: dict[str, tuple[AcceptedMessage, Attempt]] = {}
         self.counts: dict[str, int] = {}
-        self.turns = Turns(self.relay, self._turn)
-        self._tell = self.turns.tell
+        self.turns = EngineLoop(self.relay, self._turn)
+        self._tell = self.turns.post
         self.ids = 0
         self.stopping = False
         self.stopped = asyncio.Event()
@@ -203,7 +219,7 @@
             self._every(self.s.limits.self_check_ms, self.verify)
         if self.keys or self.partner_keys:
             self._every(1000.0, self._renew)
-        self.turns.plan()
+        self.turns.schedule_turn()
         return self.address
 
     def stop(self) -> None:
@@ -211,7 +227,7 @@
         if self.stopping:
             return
         self.stopping = True
-        longest = max(cls.deadline_ms for cls in self.classes) + 1000.0
+        longest = max(message_class.deadline_ms for message_class in self.classes) + 1000.0
         grace = self.s.limits.stop_ms if self.s.limits.stop_ms is not None else longest
         self.log.info(names.STOPPING, held=len(self.carried), within_ms=grace)
         self.loop.call_later(grace / 1000, self._overtime)
@@ -262,19 +278,21 @@
 
     def verify(self) -> None:
         """Asserts that no room, slot, token, timer or connection is held by nobody (limits.self_check_ms)."""
-        self.room.shares.verify()
+        self.room.shares.verify_invariants()
         reading = {id(c.current.charge) for c in self.server.open if c.current is not None and c.current.charge}
         held = {id(carried.charge) for carried in self.carried.values() if carried.charge is not None}
         owned = {id(charge) for charge in self.room.charges}
         told = f"{len(owned)} charges, {len(reading)} read, {len(held)} held"
         assert owned == reading | held, f"room held by nobody: {told}"
         out = [carried.attempt for carried in self.carried.values() if carried.attempt is not None]
-        assert len(out) <= self.relay.busy + len(self.turns.events), f"{len(out)} attempts, {self.relay.busy} slots"
+        assert len(out) <= self.relay.in_flight + len(self.turns.events), (
+            f"{len(out)} attempts, {self.relay.in_flight} slots"
+        )
         assert set(self.tokens) == {a.token for a in out if a.token}, "a receipt address without attempt"
         calls = {id(conn.call) for conn in self.pool.open if conn.call is not None and conn.call.done is not None}
         ours = {id(attempt.call) for attempt in out if attempt.call is not None}
         assert len(calls - ours) <= len(self.handbacks), "a call that no attempt waits for"
-        slots = sum(len(office.out) for office in self.room.offices.known.values())
+        slots = sum(len(office.in_flight) for office in self.room.offices.partners.values())
         assert slots == len(out), f"{slots} attempts counted by office, {len(out)} out"
 
     def _slow_client(self, conn: server.Connection, why: str) -> None:
@@ -294,7 +312,7 @@
         self.count(f"partner_let_go_{why.partition(':')[0]}")
         self.log.warning(names.LET_GO, peer=client.shown(conn.address), bound=why, unsent=conn.queued, read=conn.came)
 
-    def _no_room(self, exchange: server.Exchange, text: str, advice_ms: float) -> None:
+    def _no_room(self, exchange: server.RequestContext, text: str, advice_ms: float) -> None:
         self.count("refused_no_room")
         self._reply(exchange, plain(503, text, "refused", advice_ms))
 
@@ -322,52 +340,52 @@
 
     # -- the module ------------------------------------------------------------------------------------------
 
-    def _turn(self, events: list[api.Event], actions: list[api.Action]) -> None:
+    def _turn(self, events: list[Event], actions: list[Action]) -> None:
         """One turn of the module: all that happened since the last one, in its order."""
         for action in actions:
             self._act(action)
-        if any(isinstance(event, api.EndpointList) and event.entries for event in events):
+        if any(isinstance(event, EndpointList) and event.endpoints for event in events):
             self.knowledge.learn()  # lanes that came with this list may be known to others
 
-    def _act(self, action: api.Action) -> None:
+    def _act(self, action: Action) -> None:
         match action:
-            case api.Send(ident, endpoint, until, begin_by_ms=begin_by):
+            case Send(ident, endpoint, until, send_before_ms=begin_by):
                 self._send(self.carried[ident], endpoint, until, begin_by)
-            case api.Refuse(ident, stay):
+            case Reject(ident, stay):
                 carried = self.carried[ident]
                 text = f"refused: {self._why(carried)}; nothing was done, it may be handed in again"
                 self._final(carried, plain(503, text, "refused", stay))
-            case api.Fail(ident):
+            case Fail(ident):
                 carried = self.carried[ident]
                 text = f"failed: {self._why(carried)}; it may or may not have taken effect"
                 own = self.receipts.own(carried.head, text)
                 self._final(carried, Answer(own.status, own.headers, own.body, "failed"))
-            case api.Cancel(ident, number):
+            case Cancel(ident, number):
                 attempt = self.carried[ident].attempt if ident in self.carried else None
                 if attempt and attempt.number == number and attempt.call:
-                    attempt.call.abort(Sight.CANCELLED)
-            case api.Recall(ident):
+                    attempt.call.abort(WireResult.CANCELLED)
+            case CancelIfUnsent(ident):
                 attempt = self.carried[ident].attempt if ident in self.carried else None
                 if attempt and attempt.call:
                     attempt.call.recall()
-            case api.CloseIdle(endpoint):
+            case CloseIdle(endpoint):
                 if endpoint in self.register.places:
                     self.pool.close_idle(self.register.places[endpoint].address)
-            case api.WatchList():
+            case WatchEndpoints():
                 self.register.ask()
-            case api.Log(text):
+            case Log(text):
                 self.log.info("module", text=text)
 
     @staticmethod
-    def _why(carried: Carried) -> str:
+    def _why(carried: AcceptedMessage) -> str:
         if not carried.tries:
             return "no room, or no way to deliver it in time"
         return f"{carried.tries} attempt{'s' * (carried.tries > 1)}, the last one: {carried.last}"
 
-    def _listed(self, event: api.EndpointList) -> None:
+    def _listed(self, event: EndpointList) -> None:
         self._tell(event)
-        for entry in event.entries:
-            if entry.listing is not api.Listing.READY and entry.id in self.register.places:
+        for entry in event.endpoints:
+            if entry.status is not EndpointStatus.READY and entry.id in self.register.places:
                 self.pool.close_idle(self.register.places[entry.id].address)
 
     # -- intake ----------------------------------------------------------------------------------------------
@@ -375,7 +393,7 @@
     def _bad_peer(self, peer: str, error: http1.ProtocolError) -> None:
         self.log.warning(names.BAD_PEER, peer=peer, status=error.status, why=error.text)
 
-    def _head(self, exchange: server.Exchange) -> None:
+    def _head(self, exchange: server.RequestContext) -> None:
         """Before the body is read: what can be refused by its head alone."""
         if exchange.head.target.startswith("/receipt/"):
             carried, _ = self.tokens.get(exchange.head.target.removeprefix("/receipt/"), (None, None))
@@ -395,7 +413,7 @@
         else:
             self._sorted(exchange)
 
-    def _sorted(self, exchange: server.Exchange) -> None:
+    def _sorted(self, exchange: server.RequestContext) -> None:
         """Whose message it is, by its head: its tenant and class, and whose room its body takes."""
         headers = exchange.head.headers
         try:
@@ -415,7 +433,7 @@
             self._refuse(exchange, plain(403, text, "refused"), head.id)
             return
         # Its time counts from its first byte: a body that comes in later than that could not be delivered.
-        exchange.until = exchange.began + self.classes[rule.class_].deadline_ms / 1000
+        exchange.until = exchange.began + self.classes[rule.class_index].deadline_ms / 1000
         tenants = list(self.s.tenants)
         tenant = tenants[rule.tenant] if rule.tenant < len(tenants) else ""
         shown = exchange.conn.tls.certificate() if exchange.conn.tls else ""
@@ -440,12 +458,12 @@
             return plain(503, "draining", "")
         return plain(200, "ready" if self.register.version >= 0 else "starting: no list of endpoints yet", "")
 
-    def _refuse(self, exchange: server.Exchange, answer: Answer, ident: str) -> None:
+    def _refuse(self, exchange: server.RequestContext, answer: Answer, ident: str) -> None:
         self.count("refused_at_door")
         self.log.info(names.REFUSED_AT_DOOR, message=ident, status=answer.status, why=answer.body.decode().strip())
         self._reply(exchange, answer)
 
-    def _request(self, exchange: server.Exchange) -> None:
+    def _request(self, exchange: server.RequestContext) -> None:
         if exchange.answered:
             return
         if exchange.head.target.startswith("/receipt/"):
@@ -456,14 +474,14 @@
         head, rule = found.head, found.rule
         partner = self.register.partners.get(head.receiver)
         digest = found.hash.digest()
-        hand, known = self.identifiers.look(self.now, head.sender, head.id, digest)
-        if hand is Hand.CONFLICT:
+        hand, known = self.identifiers.lookup(self.now, head.sender, head.id, digest)
+        if hand is SubmissionStatus.CONFLICT:
             text = "conflict: this Message-ID was handed in before with other content"
             self._refuse(exchange, plain(409, text, "conflict"), head.id)
-        elif hand is Hand.OPEN and known is not None and known.open is not None:
+        elif hand is SubmissionStatus.OPEN and known is not None and known.message is not None:
             self.log.info(names.REPEATED, message=head.id, open=True)
-            self._join(known.open, exchange)
-        elif hand is Hand.ANSWERED and known is not None and known.answer is not None:
+            self._join(known.message, exchange)
+        elif hand is SubmissionStatus.ANSWERED and known is not None and known.answer is not None:
             self.log.info(names.REPEATED, message=head.id, open=False, answer=known.answer.kind)
             self._give(head, exchange, known.answer)
         elif partner is None:
@@ -473,28 +491,28 @@
             else:
                 self._refuse(exchange, plain(404, f"refused: no partner {head.receiver} is listed", "refused"), head.id)
         else:
-            self._take(exchange, head, rule.class_, rule.tenant, partner, digest)
+            self._take(exchange, head, rule.class_index, rule.tenant, partner, digest)
 
     def _take(
-        self, exchange: server.Exchange, head: as2.Head, class_: int, tenant: int, partner: int, digest: bytes
+        self, exchange: server.RequestContext, head: as2.Head, class_: int, tenant: int, partner: int, digest: bytes
     ) -> None:
         self.ids += 1
-        cls = self.classes[class_]
-        due = exchange.began * 1000 + cls.deadline_ms
-        carried = Carried(self.ids, head, exchange.head.headers, exchange.body, class_, due)
+        message_class = self.classes[class_]
+        due = exchange.began * 1000 + message_class.deadline_ms
+        carried = AcceptedMessage(self.ids, head, exchange.head.headers, exchange.body, class_, due)
         carried.charge = self.room.take(exchange)
         self.carried[carried.id] = carried
-        self.identifiers.open(head.sender, head.id, digest, carried)
+        self.identifiers.start(head.sender, head.id, digest, carried)
         self.count("taken")
-        self.log.info(names.TAKEN, message=head.id, sender=head.sender, partner=head.receiver, cls=cls.name)
+        self.log.info(names.TAKEN, message=head.id, sender=head.sender, partner=head.receiver, cls=message_class.name)
         key = 0
-        if cls.in_order:
+        if message_class.in_order:
             pair = f"{head.sender}\0{head.receiver}".encode()
             key = int.from_bytes(hashlib.blake2b(pair, digest_size=7).digest(), "big") + 1
         self._join(carried, exchange)
-        self._tell(api.Message(carried.id, partner, class_, max(0.0, due - self.now), tenant, key))
+        self._tell(Message(carried.id, partner, class_, max(0.0, due - self.now), tenant, key))
 
-    def _join(self, carried: Carried, exchange: server.Exchange) -> None:
+    def _join(self, carried: AcceptedMessage, exchange: server.RequestContext) -> None:
         """Waits for the final answer, on this connection or by the receipt address."""
         exchange.body = b""  # held once, by the message
         if exchange.charge is not None:
@@ -506,15 +524,15 @@
 
     # -- delivery --------------------------------------------------------------------------------------------
 
-    def _send(self, carried: Carried, endpoint: int, until: float, begin_by: float) -> None:
+    def _send(self, carried: AcceptedMessage, endpoint: int, until: float, begin_by: float) -> None:
         assert carried.attempt is None, "two attempts at once"
         attempt = Attempt(carried.tries, endpoint, self.now)
         carried.tries += 1
         carried.attempt = attempt
-        self.room.offices.began(self.now, carried.head.receiver, id(attempt))
+        self.room.offices.attempt_started(self.now, carried.head.receiver, id(attempt))
         place = self.register.places.get(endpoint)
         if place is None:
-            self._outcome(carried, attempt, Seen(Sight.NOT_SENT), None)
+            self._outcome(carried, attempt, AttemptObservation(WireResult.NOT_SENT), None)
             return
         self.log.debug(
             names.ATTEMPT,
@@ -528,7 +546,7 @@
             keys, own = self.partner_keys.get(carried.head.receiver), self.s.partners.get(carried.head.receiver)
             if keys is None or own is None or own.tls is None:
                 self.log.error(names.FAULT, why=f"partners.{carried.head.receiver}.tls is not set, its URL is https")
-                self._outcome(carried, attempt, Seen(Sight.NO_CONNECTION), None)
+                self._outcome(carried, attempt, AttemptObservation(WireResult.NO_CONNECTION), None)
                 return
             secure = keys, own.tls.name or place.address[0]
         data = http1.request_parts("POST", place.target, self._fields(carried, attempt, place), carried.body)
@@ -544,7 +562,7 @@
         if attempt.token:
             attempt.timer = self.loop.call_at(until / 1000, self._no_receipt, carried, attempt)
 
-    def _fields(self, carried: Carried, attempt: Attempt, place: Place) -> list[tuple[str, str]]:
+    def _fields(self, carried: AcceptedMessage, attempt: Attempt, place: Place) -> list[tuple[str, str]]:
         fields = [("Host", place.host), ("Via", f"1.1 {self.s.name}")]
         dropped = NOT_FORWARDED | set(carried.headers.tokens("connection"))
         fields += [(name, value) for name, value in carried.headers if name.lower() not in dropped]
@@ -555,32 +573,32 @@
             fields.append(("Receipt-Delivery-Option", f"http://{self.address}/receipt/{attempt.token}"))
         return fields
 
-    def _answered(self, carried: Carried, attempt: Attempt, answer: client.Answer) -> None:
+    def _answered(self, carried: AcceptedMessage, attempt: Attempt, answer: client.Answer) -> None:
         attempt.call = None
         if carried.attempt is not attempt:
             return
         if answer.head is None:
-            self._outcome(carried, attempt, Seen(answer.sight), None)
+            self._outcome(carried, attempt, AttemptObservation(answer.sight), None)
             return
         status, headers = answer.head.status, answer.head.headers
         if 200 <= status < 300 and attempt.token and not answer.body:
             attempt.awaiting = True  # the receipt comes on a connection of its own (RFC 4130, 7.2.1)
             return
-        receipt = Receipt.NOT_ASKED
+        receipt = ReceiptStatus.NOT_ASKED
         if 200 <= status < 300:
             receipt = self.receipts.judge(carried.head, carried.headers, carried.body, headers, answer.body)
         self._outcome(
             carried,
             attempt,
-            Seen(Sight.ANSWERED, status, retry_after(headers), receipt, answer.whole),
+            AttemptObservation(WireResult.ANSWERED, status, retry_after(headers), receipt, answer.whole),
             Receipts.handed_on(status, headers, answer.body),
         )
 
-    def _no_receipt(self, carried: Carried, attempt: Attempt) -> None:
+    def _no_receipt(self, carried: AcceptedMessage, attempt: Attempt) -> None:
         if carried.attempt is attempt:
-            self._outcome(carried, attempt, Seen(Sight.TIMED_OUT), None)
+            self._outcome(carried, attempt, AttemptObservation(WireResult.TIMED_OUT), None)
 
-    def _receipt(self, exchange: server.Exchange) -> None:
+    def _receipt(self, exchange: server.RequestContext) -> None:
         """A receipt on its own: it counts for the attempt whose address it was sent to, while that is out."""
         token = exchange.head.target.removeprefix("/receipt/")
         carried, attempt = self.tokens.get(token, (None, None))
@@ -597,24 +615,29 @@
         got = exchange.head.headers
         receipt = self.receipts.judge(carried.head, carried.headers, carried.body, got, exchange.body)
         exchange.reply(200)
-        if receipt in (Receipt.UNPROVEN, Receipt.MISSING, Receipt.OTHER_MESSAGE):
+        if receipt in (ReceiptStatus.UNPROVEN, ReceiptStatus.MISSING, ReceiptStatus.OTHER_MESSAGE):
             # Forged or misdirected: the address may have leaked. The true receipt may still come.
             self.count("receipts_not_counted")
             self.log.warning(names.RECEIPT_ODD, message=carried.head.id, why=receipt.value)
             return
         self._outcome(
-            carried, attempt, Seen(Sight.ANSWERED, 200, None, receipt), Receipts.handed_on(200, got, exchange.body)
+            carried,
+            attempt,
+            AttemptObservation(WireResult.ANSWERED, 200, None, receipt),
+            Receipts.handed_on(200, got, exchange.body),
         )
 
-    def _outcome(self, carried: Carried, attempt: Attempt, seen: Seen, answer: Answer | None) -> None:
+    def _outcome(
+        self, carried: AcceptedMessage, attempt: Attempt, seen: AttemptObservation, answer: Answer | None
+    ) -> None:
         carried.attempt = None
-        self.room.offices.ended(self.now, carried.head.receiver, id(attempt))
+        self.room.offices.attempt_ended(self.now, carried.head.receiver, id(attempt))
         self.tokens.pop(attempt.token, None)
         if attempt.timer:
             attempt.timer.cancel()
         if attempt.call:  # its receipt came, or is not waited for, before its response did
-            attempt.call.forget() if seen.sight is Sight.ANSWERED else attempt.call.abort(seen.sight)
-        found = proof(seen)
+            attempt.call.forget() if seen.wire_result is WireResult.ANSWERED else attempt.call.abort(seen.wire_result)
+        found = judge_attempt(seen)
         carried.last = found.reason
         took = self.now - attempt.began
         self.count(f"outcome_{found.outcome.value}")
@@ -628,26 +651,26 @@
             took_ms=round(took, 1),
         )
         self._tell(
-            api.AttemptEnded(
-                carried.id, attempt.number, attempt.endpoint, found.outcome, took, found.finished, found.wait_ms
+            AttemptEnded(
+                carried.id, attempt.number, attempt.endpoint, found.outcome, took, found.is_final, found.retry_after_ms
             )
         )
-        if found.finished and answer is not None:
-            rejected = seen.receipt is Receipt.NEGATIVE
+        if found.is_final and answer is not None:
+            rejected = seen.receipt is ReceiptStatus.NEGATIVE
             kind = "rejected" if rejected else "delivered"
             self._final(carried, Answer(200, answer.headers, answer.body, kind))
 
     # -- answers ---------------------------------------------------------------------------------------------
 
-    def _final(self, carried: Carried, answer: Answer) -> None:
+    def _final(self, carried: AcceptedMessage, answer: Answer) -> None:
         """The one final answer, on every connection that waits and to the receipt address."""
         del self.carried[carried.id]
         self.room.release(carried.charge)
         head = carried.head
         if answer.kind == "refused":
-            self.identifiers.refused(head.sender, head.id)
+            self.identifiers.forget_rejected(head.sender, head.id)
         else:
-            self.identifiers.close(self.now, head.sender, head.id, answer)
+            self.identifiers.complete(self.now, head.sender, head.id, answer)
         self.count(answer.kind)
         self.log.info(
             names.ANSWERED,
@@ -662,11 +685,11 @@
             self._hand_back(head, answer)
         self._maybe_stopped()
 
-    def _reply(self, exchange: server.Exchange, answer: Answer) -> None:
+    def _reply(self, exchange: server.RequestContext, answer: Answer) -> None:
         fields = [*answer.headers, (ANSWER, answer.kind)] if answer.kind else answer.headers
         exchange.reply(answer.status, fields, answer.body, close=self.stopping)
 
-    def _give(self, head: as2.Head, exchange: server.Exchange, answer: Answer) -> None:
+    def _give(self, head: as2.Head, exchange: server.RequestContext, answer: Answer) -> None:
         if not answer.whole:
             again = self.receipts.again(head, answer.kind)
             answer = Answer(answer.status, again.headers, again.body, answer.kind)
@@ -705,7 +728,7 @@
             if self.to_post:
                 self._post(*self.to_post.popleft())
             good = answer.head is not None and 200 <= answer.head.status < 300
-            pause = handback.next_try(tries + 1, good)
+            pause = receipt_retry.next_attempt_ms(tries + 1, good)
             self.handbacks.discard(guard)
             guard.cancel()
             if pause is not None:
@@ -717,7 +740,7 @@
             self._maybe_stopped()
 
         planned: list[asyncio.TimerHandle] = []
-        until = self.loop.time() + handback.ANSWER_MS / 1000
+        until = self.loop.time() + receipt_retry.ATTEMPT_TIMEOUT_MS / 1000
         guard = self.loop.call_at(until + 1.0, lambda: None)  # counts as work that a stop waits for
         self.handbacks.add(guard)
         self.pool.call(address, "POST", data, done, until)
--- a/linnetstile/cli/check.py
+++ b/linnetstile/cli/check.py
@@ -9,8 +9,8 @@
 
 import click
 
-from ..lab.check import Verdict, check
-from ..standins.record import RecordError
+from ..emulators.record import RecordError
+from ..testbed.rule_checker import Verdict, check
 from .common import die
 
 
--- a/linnetstile/cli/knowledge.py
+++ b/linnetstile/cli/knowledge.py
@@ -20,10 +20,10 @@
 
 def fetch(address: str, token_file: Path | None, target: str = "/knowledge?look=1") -> bytes:
     """The body that a running relay answers."""
+    from ..as2_relay.gossip import BODY_MAX
     from ..codec import http1
     from ..config.relay import loopback, split
     from ..net import client
-    from ..service.knowledge import BODY_MAX
 
     try:
         loopback(address)
@@ -43,7 +43,7 @@
 
 def source(text: str, token_file: Path | None) -> Any:
     """A file, or a relay's address."""
-    from ..service.knowledge import load, parse
+    from ..as2_relay.gossip import load, parse
 
     try:
         return load(Path(text)) if Path(text).exists() else parse(fetch(text, token_file))
@@ -109,12 +109,12 @@
     """Where two relays (addresses or files) do not know the same. Exit code 1 if they differ in what is out or cold."""
     claims = [{(c.partner, c.route): c for c in source(each, token_file).claims} for each in (one, other)]
     differ = False
-    for lane in sorted(claims[0].keys() | claims[1].keys()):
-        sides = [side.get(lane) for side in claims]
+    for route in sorted(claims[0].keys() | claims[1].keys()):
+        sides = [side.get(route) for side in claims]
         words = [state(side).split(" for ")[0] if side else "unknown" for side in sides]
         if words[0] != words[1]:
             differ = differ or {"out", "cold"} & set(words) != set()
-            click.echo(f"{lane[0]}{'' if lane[1] < 0 else f'/{lane[1]}'}: {words[0]} | {words[1]}")
+            click.echo(f"{route[0]}{'' if route[1] < 0 else f'/{route[1]}'}: {words[0]} | {words[1]}")
     sys.exit(int(differ))
 
 
@@ -124,7 +124,7 @@
 @TOKEN
 def export(relay: str, file: Path, token_file: Path | None) -> None:
     """Write what RELAY knows to FILE, as a snapshot that `import` and a relay's start can read."""
-    from ..store import snapshot
+    from ..storage import snapshot
 
     found = source(relay, token_file)
     try:
@@ -140,8 +140,8 @@
 def import_(file: Path, snapshot_file: Path) -> None:
     """Give FILE (from `export`) to a relay that is down, as its knowledge.snapshot at SNAPSHOT_FILE. Its age goes on
     from when it was written; what is too old is doubted at the start."""
-    from ..service.knowledge import parse
-    from ..store import snapshot
+    from ..as2_relay.gossip import parse
+    from ..storage import snapshot
 
     try:
         payload, age = snapshot.read(file)
--- a/linnetstile/cli/play.py
+++ b/linnetstile/cli/play.py
@@ -26,8 +26,8 @@
 
     Exit code 0: every rule kept; 1: one broken; 2: a bad file; 3: a process did not start or ended by itself.
     """
-    from ..lab.day import Day
-    from ..lab.play import PlayError, play
+    from ..testbed.day import Day
+    from ..testbed.play import PlayError, play
     from .check import show
 
     found = settings(day, Day)
--- a/linnetstile/cli/relay.py
+++ b/linnetstile/cli/relay.py
@@ -29,8 +29,8 @@
     it takes no more, answers what it holds and ends (0), or ends when limits.stop_ms has passed (4). A second
     SIGTERM ends it at once.
     """
+    from ..as2_relay.process import check_files, run
     from ..config.relay import RelaySettings
-    from ..service.process import check_files, run
     from ..telemetry.log import logger
 
     found = settings(file, RelaySettings)
--- a/linnetstile/cli/scale.py
+++ b/linnetstile/cli/scale.py
@@ -9,7 +9,7 @@
 
 import click
 
-from ..lab.scale.truth import RANGES, SCENES, OptionError, Sizes
+from ..testbed.scale.world_model import RANGES, SCENES, OptionError, Sizes
 from .common import die
 
 
@@ -73,7 +73,7 @@
     Exit code 0: played, and hollow and real did the same; 1: they did not; 2: a bad option; 3: a process of the run did
     not start or ended by itself; 128 and the signal's number: ended.
     """
-    from ..lab.scale.run import Ended, Failed, NotStarted, run
+    from ..testbed.scale.run import Ended, Failed, NotStarted, run
 
     found = Sizes(**sizes, scenes=tuple(each for each in scenes.split(",") if each))
     try:
--- a/linnetstile/cli/send.py
+++ b/linnetstile/cli/send.py
@@ -50,8 +50,8 @@
     """
     from ..codec import as2, cms, http1
     from ..config.relay import loopback, split
+    from ..emulators import messages
     from ..net import client
-    from ..standins import messages
 
     ident = ident or f"<{time.time_ns():x}@{sender.replace(' ', '-')}>"
     try:
--- a/linnetstile/cli/standin.py
+++ b/linnetstile/cli/standin.py
@@ -28,7 +28,7 @@
 @click.argument("file", type=FILE)
 def partner(file: Path) -> None:
     """Partners with endpoints, limits, an effects ledger and scripted faults."""
-    from ..standins.partner import PartnersSpec, Stand
+    from ..emulators.partner import PartnersSpec, Stand
 
     spec = settings(file, PartnersSpec)
 
@@ -46,7 +46,7 @@
 @click.argument("file", type=FILE)
 def register(file: Path) -> None:
     """The partner register: a whole list and a watch on changes."""
-    from ..standins.register import RegisterSpec, RegisterStand
+    from ..emulators.registry import RegisterSpec, RegisterStand
 
     spec = settings(file, RegisterSpec)
 
@@ -63,7 +63,7 @@
 @click.argument("file", type=FILE)
 def client(file: Path) -> None:
     """Clients that hand messages in by a script drawn from a seed; ends when all are answered."""
-    from ..standins.client import ClientSpec, ClientStand
+    from ..emulators.client import ClientSpec, ClientStand
 
     spec = settings(file, ClientSpec)
 
--- a/linnetstile/config/relay.py
+++ b/linnetstile/config/relay.py
@@ -9,9 +9,21 @@
 
 from pydantic import AfterValidator, Field, model_validator
 
-from ..decisions import interface as api
-from ..decisions.routing import Rule
-from ..decisions.shares import LAST
+from linnetstile.engine.settings import (
+    DeduplicationScope,
+    DestinationKind,
+    Effect,
+    MessageClass,
+    RateTrust,
+    SafetyLimits,
+    ScoreWeights,
+    Settings,
+    Tenant,
+    ValueDecay,
+)
+
+from ..engine.fair_share import RESERVE_FRACTION
+from ..engine.routing import Rule
 from .files import Strict
 
 Positive = Annotated[float, Field(gt=0, allow_inf_nan=False)]
@@ -143,7 +155,7 @@
 
     @model_validator(mode="after")
     def _room(self) -> LimitSettings:
-        if self.hold_bytes * (1 - LAST) < self.body_bytes + 16_384:
+        if self.hold_bytes * (1 - RESERVE_FRACTION) < self.body_bytes + 16_384:
             raise ValueError("expected hold_bytes to be at least 16/15 of body_bytes and 17476 more: one must fit")
         return self
 
@@ -261,40 +273,54 @@
             for r in self.rules
         )
 
-    def module(self) -> api.Settings:
+    def module(self) -> Settings:
         """What the decision module is told."""
-        return api.Settings(
+        return Settings(
             classes=tuple(
-                api.MessageClass(
+                MessageClass(
                     name,
-                    api.Effect(c.effect),
+                    Effect(c.effect),
                     c.aim_ms,
                     c.deadline_ms,
                     c.worth,
                     c.late_share,
                     c.key_window_ms,
-                    api.Scope(c.key_scope),
+                    DeduplicationScope(c.key_scope),
                     c.in_order,
                 )
                 for name, c in self.classes.items()
             ),
-            kinds=tuple(api.DestinationKind(name, k.batch, k.routes_apart) for name, k in self.kinds.items())
-            or (api.DestinationKind("any"),),
-            slots=self.limits.slots,
-            hold=self.limits.hold,
-            attempts=self.limits.attempts,
-            relays=self.relays,
+            kinds=tuple(DestinationKind(name, k.batch, k.routes_apart) for name, k in self.kinds.items())
+            or (DestinationKind("any"),),
+            max_in_flight=self.limits.slots,
+            max_pending_messages=self.limits.hold,
+            max_attempts=self.limits.attempts,
+            relay_count=self.relays,
             zone=list(self.zones).index(self.zone) if self.zone is not None else 0,
-            tenants=tuple(api.Tenant(name, t.quota_per_s) for name, t in self.tenants.items()),
-            over_share_worth=self.over_share_worth,
-            decay=api.Decay(self.decay),
-            rates=api.Rates(self.rates),
-            ask_for_list=True,
-            idle_ms=self.limits.idle_ms,
+            tenants=tuple(Tenant(name, t.quota_per_s) for name, t in self.tenants.items()),
+            over_quota_value_factor=self.over_share_worth,
+            value_decay=ValueDecay(self.decay),
+            rate_trust=RateTrust(self.rates),
+            polls_for_list=True,
+            idle_timeout_ms=self.limits.idle_ms,
             connect_timeout_ms=self.limits.connect_timeout_ms,
-            longest_advice_ms=self.limits.longest_advice_ms,
+            max_retry_after_ms=self.limits.longest_advice_ms,
             cross_zone_price=self.cross_zone_price,
             route_fees=tuple(z.fee for z in self.zones.values()),
-            safety=api.Safety(**self.safety.model_dump()),
-            goal=api.Goal(**self.goal.model_dump()),
+            safety=SafetyLimits(
+                answer_slack_ms=self.safety.answer_slack_ms,
+                drain_grace_ms=self.safety.drain_grace_ms,
+                slow_start_fraction=self.safety.cold_share,
+                slow_start_ms=self.safety.cold_ms,
+                overload_multiple=self.safety.fall_multiple,
+                overload_window_ms=self.safety.fall_ms,
+                poll_within_ms=self.safety.ask_within_ms,
+                ordering_pause_ms=self.safety.key_rest_ms,
+            ),
+            score_weights=ScoreWeights(
+                whole_day=self.goal.whole,
+                worst_window=self.goal.worst_window,
+                worst_class=self.goal.worst_class,
+                worst_tenant=self.goal.worst_tenant,
+            ),
         )
--- a/linnetstile/standins/client.py
+++ b/linnetstile/emulators/client.py
@@ -16,7 +16,7 @@
 from ..codec import cms, http1
 from ..config.files import Strict
 from ..config.relay import Address, split
-from ..decisions.evidence import Sight
+from ..engine.attempt_outcome import WireResult
 from ..net import client, server
 from . import messages
 from .record import Recorder, now_ms
@@ -198,7 +198,7 @@
         item.tries += not again
         item.relay = relay
         to = spec.relays[relay % len(spec.relays)]
-        cls = spec.classes[plan.flow.cls]
+        message_class = spec.classes[plan.flow.cls]
         mark = f"{plan.number}.{item.tries}{'r' if again else ''}"
         self.record(
             "hand",
@@ -214,7 +214,7 @@
         address = split(to.address)
         data = http1.request("POST", "/as2", [("Host", to.address), *item.made.headers], item.made.body)
         # It waits a little longer than the relay may: an answer that comes late is to be seen as late.
-        until = self.loop.time() + cls.deadline_ms / 1000 + 3.0
+        until = self.loop.time() + message_class.deadline_ms / 1000 + 3.0
         self.pool.call(address, "POST", data, lambda answer: self._answered(item, relay, mark, again, answer), until)
 
     def _answered(self, item: Open, relay: int, mark: str, again: bool, answer: client.Answer) -> None:
@@ -222,7 +222,7 @@
         if answer.head is None:
             self.record("lost", hand=mark, mid=mid, sight=answer.sight.value)
             if not again:
-                nothing_left = answer.sight in (Sight.NO_CONNECTION, Sight.NOT_SENT)
+                nothing_left = answer.sight in (WireResult.NO_CONNECTION, WireResult.NOT_SENT)
                 may = nothing_left or self.spec.classes[item.plan.flow.cls].effect != "unsafe"
                 self._later(item, relay + 1, self.rng.uniform(0.36, 1.9), may, free=nothing_left)
             return
@@ -236,7 +236,7 @@
     def _no_receipt(self, item: Open, relay: int, mark: str) -> None:
         """The relay took it and no receipt came in its time."""
         if not item.over and mark == f"{item.plan.number}.{item.tries}":
-            self.record("lost", hand=mark, mid=item.made.head.id, sight=Sight.TIMED_OUT.value)
+            self.record("lost", hand=mark, mid=item.made.head.id, sight=WireResult.TIMED_OUT.value)
             may = self.spec.classes[item.plan.flow.cls].effect != "unsafe"
             self._later(item, relay + 1, self.rng.uniform(0.36, 1.9), may)
 
@@ -281,7 +281,7 @@
             if self.left == 0:
                 self.loop.call_later(0.3, self.done.set)
 
-    def _receipt(self, exchange: server.Exchange) -> None:
+    def _receipt(self, exchange: server.RequestContext) -> None:
         """An answer that comes on its own."""
         number = exchange.head.target.rpartition("/")[2]
         item = self.open.get(int(number)) if number.isdigit() else None
--- a/linnetstile/standins/messages.py
+++ b/linnetstile/emulators/messages.py
@@ -6,7 +6,7 @@
 
 from ..codec import as2, cms, mdn, mime
 from ..codec.http1 import Headers
-from ..decisions.evidence import Receipt
+from ..engine.attempt_outcome import ReceiptStatus
 
 Field = tuple[str, str]
 
@@ -75,7 +75,7 @@
     return Made(as2.Head.of(Headers(headers)), headers, body, opened)
 
 
-def check(made: Made, headers: Headers, body: bytes, signer: object | None) -> tuple[Receipt, mdn.Mdn | None]:
+def check(made: Made, headers: Headers, body: bytes, signer: object | None) -> tuple[ReceiptStatus, mdn.Mdn | None]:
     """What a client's own program finds in a receipt; `signer` is the certificate of who should have signed it."""
     kind, content, proven = headers.get("content-type"), body, not made.head.wish.signed
     try:
@@ -88,14 +88,14 @@
             kind, content = inner.headers.get("content-type"), inner.decoded()
         found = mdn.parse(kind, content)
     except cms.CmsError:
-        return Receipt.UNPROVEN, None
+        return ReceiptStatus.UNPROVEN, None
     except (mime.MimeError, mdn.MdnError):
-        return Receipt.MISSING, None
+        return ReceiptStatus.MISSING, None
     if found.original_id != made.head.id:
-        return Receipt.OTHER_MESSAGE, found
+        return ReceiptStatus.OTHER_MESSAGE, found
     if not proven:
-        return Receipt.UNPROVEN, found
+        return ReceiptStatus.UNPROVEN, found
     if not found.positive:
-        return Receipt.NEGATIVE, found
+        return ReceiptStatus.NEGATIVE, found
     right = not found.mic or cms.digest(made.opened, found.micalg) == found.mic
-    return (Receipt.POSITIVE if right else Receipt.WRONG_MIC), found
+    return (ReceiptStatus.POSITIVE if right else ReceiptStatus.WRONG_MIC), found
--- a/linnetstile/standins/partner.py
+++ b/linnetstile/emulators/partner.py
@@ -73,7 +73,7 @@
         self.server: server.Server | None = None
         self.port = spec.port
         self.busy = 0
-        self.waiting: deque[tuple[server.Exchange, dict[str, Any]]] = deque()
+        self.waiting: deque[tuple[server.RequestContext, dict[str, Any]]] = deque()
 
     async def open(self) -> None:
         made = server.Server(
@@ -93,7 +93,7 @@
         self.busy = 0
         self.waiting.clear()
 
-    def _head(self, exchange: server.Exchange) -> None:
+    def _head(self, exchange: server.RequestContext) -> None:
         headers = exchange.head.headers
         crawls = self.partner.fault(self.spec.id, headers.get("subject")) == "crawl"
         self.partner.stand.record(
@@ -118,7 +118,7 @@
         if crawls:
             self._crawl(exchange)
 
-    def _crawl(self, exchange: server.Exchange) -> None:
+    def _crawl(self, exchange: server.RequestContext) -> None:
         """Reads the body at so many bytes a second: what the kernels of both ends buffer is full soon enough."""
         conn, rate, loop = exchange.conn, self.partner.reset_after or 200, asyncio.get_running_loop()
         conn.hungry, take = False, conn.received
@@ -137,7 +137,7 @@
 
         conn.received = slowly  # type: ignore[method-assign]
 
-    def _request(self, exchange: server.Exchange) -> None:
+    def _request(self, exchange: server.RequestContext) -> None:
         partner, headers = self.partner, exchange.head.headers
         who = {
             "partner": partner.spec.name,
@@ -175,18 +175,18 @@
         else:
             self.waiting.append((exchange, who))
 
-    def _gone(self, exchange: server.Exchange, who: dict[str, Any]) -> None:
+    def _gone(self, exchange: server.RequestContext, who: dict[str, Any]) -> None:
         """The caller has closed before it was answered: it gave the call up. What was begun may run on."""
         self.partner.stand.record("closed", **who)
         exchange.conn.transport.abort()
 
-    def _work(self, exchange: server.Exchange, who: dict[str, Any]) -> None:
+    def _work(self, exchange: server.RequestContext, who: dict[str, Any]) -> None:
         self.busy += 1
         made = self.server
         who = {**who, "repeat": self.partner.repeat(exchange)}
         asyncio.get_running_loop().call_later(self.partner.work_s(self.spec.id), self._done, exchange, who, made)
 
-    def _done(self, exchange: server.Exchange, who: dict[str, Any], made: server.Server | None) -> None:
+    def _done(self, exchange: server.RequestContext, who: dict[str, Any], made: server.Server | None) -> None:
         if made is not self.server or made is None:
             if not who["repeat"]:  # it crashed meanwhile: nothing ran, and nothing is remembered
                 self.partner.keys.pop(who["mid"], None)
@@ -222,7 +222,7 @@
             return
         self._answer(exchange, who, status, headers, body)
 
-    async def _trickle(self, exchange: server.Exchange, data: bytes) -> None:
+    async def _trickle(self, exchange: server.RequestContext, data: bytes) -> None:
         """One byte at a time, some twenty a second."""
         for n in range(len(data)):
             if exchange.conn.dead:
@@ -233,7 +233,7 @@
 
     def _answer(
         self,
-        exchange: server.Exchange,
+        exchange: server.RequestContext,
         who: dict[str, Any],
         status: int,
         headers: list[tuple[str, str]],
@@ -353,7 +353,7 @@
         return [("Retry-After", str(int(wait / 1000) + 1))]
 
     def process(
-        self, exchange: server.Exchange, who: dict[str, Any], fault: str
+        self, exchange: server.RequestContext, who: dict[str, Any], fault: str
     ) -> tuple[int, list[tuple[str, str]], bytes]:
         """Does the work of one message: the effect, and the receipt."""
         headers = exchange.head.headers
@@ -371,7 +371,7 @@
             return 200, [], b""
         return 200, *self.receipt(head, opened, duplicate, fault)
 
-    def repeat(self, exchange: server.Exchange) -> bool:
+    def repeat(self, exchange: server.RequestContext) -> bool:
         """Whether a key is known as the work begins; a new one is remembered from then on."""
         headers, now = exchange.head.headers, now_ms()
         if not any(fnmatch.fnmatchcase(headers.get("subject"), pattern) for pattern in self.spec.keyed):
@@ -412,10 +412,12 @@
         ], body
 
     @staticmethod
-    def wants_async(exchange: server.Exchange) -> bool:
+    def wants_async(exchange: server.RequestContext) -> bool:
         return "receipt-delivery-option" in exchange.head.headers
 
-    def post(self, exchange: server.Exchange, headers: list[tuple[str, str]], body: bytes, who: dict[str, Any]) -> None:
+    def post(
+        self, exchange: server.RequestContext, headers: list[tuple[str, str]], body: bytes, who: dict[str, Any]
+    ) -> None:
         parts = urllib.parse.urlsplit(exchange.head.headers.get("receipt-delivery-option"))
         data = http1.request("POST", parts.path or "/", [("Host", parts.netloc), *headers], body)
         address = (parts.hostname or "127.0.0.1", parts.port or 80)
--- a/linnetstile/standins/register.py
+++ b/linnetstile/emulators/registry.py
@@ -53,7 +53,7 @@
         self.version = 1
         self.entries = {entry["id"]: dict(entry) for entry in spec.entries}
         self.log: list[tuple[int, int]] = []  # version, id
-        self.waiting: list[tuple[server.Exchange, int]] = []
+        self.waiting: list[tuple[server.RequestContext, int]] = []
         self.held: list[Change] = []  # kept back while it is stale
         self.server: server.Server | None = None
         self.port = spec.port
@@ -87,7 +87,7 @@
         for exchange, since in waiting:
             self._changes(exchange, since)
 
-    def _send(self, exchange: server.Exchange, entries: list[dict[str, Any]], whole: bool = False) -> None:
+    def _send(self, exchange: server.RequestContext, entries: list[dict[str, Any]], whole: bool = False) -> None:
         if exchange.answered or exchange.conn.dead:
             return
         relay = exchange.head.headers.get("via").removeprefix("1.1 ")
@@ -101,11 +101,11 @@
         body = json.dumps({"version": self.version, "entries": entries}).encode()
         exchange.reply(200, [("Content-Type", "application/json")], body)
 
-    def _changes(self, exchange: server.Exchange, since: int) -> None:
+    def _changes(self, exchange: server.RequestContext, since: int) -> None:
         ids = dict.fromkeys(ident for version, ident in self.log if version > since)
         self._send(exchange, [self.entries[ident] for ident in ids])
 
-    def _request(self, exchange: server.Exchange) -> None:
+    def _request(self, exchange: server.RequestContext) -> None:
         parts = urllib.parse.urlsplit(exchange.head.target)
         query = dict(urllib.parse.parse_qsl(parts.query))
         trouble, loop = self.trouble(), asyncio.get_running_loop()
@@ -118,7 +118,7 @@
         else:
             self._route(exchange, parts.path, query)
 
-    def _route(self, exchange: server.Exchange, path: str, query: dict[str, str]) -> None:
+    def _route(self, exchange: server.RequestContext, path: str, query: dict[str, str]) -> None:
         if exchange.answered or exchange.conn.dead:
             return
         if path.endswith("/list"):
@@ -136,7 +136,7 @@
                 min(60_000, int(query.get("wait_ms", "0"))) / 1000, self._over, exchange, since
             )
 
-    def _over(self, exchange: server.Exchange, since: int) -> None:
+    def _over(self, exchange: server.RequestContext, since: int) -> None:
         if (exchange, since) in self.waiting:
             self.waiting.remove((exchange, since))
             self._changes(exchange, since)
--- a/linnetstile/decisions/identifiers.py
+++ b/linnetstile/engine/deduplication.py
@@ -17,7 +17,7 @@
 A = TypeVar("A")  # a final answer
 
 
-class Hand(Enum):
+class SubmissionStatus(Enum):
     NEW = "new"
     OPEN = "open"
     ANSWERED = "answered"
@@ -25,77 +25,79 @@
 
 
 @dataclass(slots=True)
-class Known(Generic[T, A]):
+class KnownSubmission(Generic[T, A]):
     digest: bytes
-    open: T | None
+    message: T | None
     answer: A | None = None
-    until: float = 0.0
+    expires_at: float = 0.0
 
 
-class Identifiers(Generic[T, A]):
+class SubmissionTable(Generic[T, A]):
     """Holds answers for `keep_ms` after they were given, and at most `most` of them, the oldest given up first.
 
     `keep_ms` is to cover the longest key window and a client's patience: what is forgotten is new."""
 
     def __init__(
         self,
-        keep_ms: float,
-        most: int,
-        most_bytes: float = float("inf"),
+        retention_ms: float,
+        max_answers: int,
+        max_answer_bytes: float = float("inf"),
         size: Callable[[A], int] = lambda answer: 0,
-        short: Callable[[A], A] = lambda answer: answer,
+        shorten: Callable[[A], A] = lambda answer: answer,
     ) -> None:
-        self.keep_ms = keep_ms
-        self.most = most
-        self.most_bytes = most_bytes
-        self.size, self.short = size, short
-        self.bytes = 0  # of the answers kept whole
-        self.whole: OrderedDict[tuple[str, str], int] = OrderedDict()
-        self.shortened = 0
-        self.known: dict[tuple[str, str], Known[T, A]] = {}
+        self.retention_ms = retention_ms
+        self.max_answers = max_answers
+        self.max_answer_bytes = max_answer_bytes
+        self.size, self.shorten = size, shorten
+        self.answer_bytes = 0  # of the answers kept whole
+        self.full_answers: OrderedDict[tuple[str, str], int] = OrderedDict()
+        self.shortened_count = 0
+        self.known: dict[tuple[str, str], KnownSubmission[T, A]] = {}
         self.answered: OrderedDict[tuple[str, str], None] = OrderedDict()
-        self.given_up = 0  # answers forgotten for want of room, before their time
+        self.evicted_count = 0  # answers forgotten for want of room, before their time
 
-    def look(self, now: float, sender: str, ident: str, digest: bytes) -> tuple[Hand, Known[T, A] | None]:
+    def lookup(
+        self, now: float, sender: str, ident: str, digest: bytes
+    ) -> tuple[SubmissionStatus, KnownSubmission[T, A] | None]:
         """What a message just handed in is; `open` must follow at once where it is NEW and taken."""
         self._forget(now)
         known = self.known.get((sender, ident))
         if known is None:
-            return Hand.NEW, None
+            return SubmissionStatus.NEW, None
         if known.digest != digest:
-            return Hand.CONFLICT, known
-        return (Hand.OPEN if known.open is not None else Hand.ANSWERED), known
+            return SubmissionStatus.CONFLICT, known
+        return (SubmissionStatus.OPEN if known.message is not None else SubmissionStatus.ANSWERED), known
 
-    def open(self, sender: str, ident: str, digest: bytes, message: T) -> None:
+    def start(self, sender: str, ident: str, digest: bytes, message: T) -> None:
         assert (sender, ident) not in self.known, "an identifier was taken twice"
-        self.known[sender, ident] = Known(digest, message)
+        self.known[sender, ident] = KnownSubmission(digest, message)
 
-    def refused(self, sender: str, ident: str) -> None:
+    def forget_rejected(self, sender: str, ident: str) -> None:
         del self.known[sender, ident]
 
-    def close(self, now: float, sender: str, ident: str, answer: A) -> None:
+    def complete(self, now: float, sender: str, ident: str, answer: A) -> None:
         """The final answer that repeats will get."""
         known = self.known[sender, ident]
-        assert known.open is not None, "a second final answer"
-        known.open, known.answer, known.until = None, answer, now + self.keep_ms
+        assert known.message is not None, "a second final answer"
+        known.message, known.answer, known.expires_at = None, answer, now + self.retention_ms
         self.answered[sender, ident] = None
-        self.whole[sender, ident] = self.size(answer)
-        self.bytes += self.whole[sender, ident]
+        self.full_answers[sender, ident] = self.size(answer)
+        self.answer_bytes += self.full_answers[sender, ident]
         # Big answers go first in part: that there was one, and which, is never forgotten before its time for bytes.
-        while self.bytes > self.most_bytes:
-            oldest, size = self.whole.popitem(last=False)
-            self.bytes -= size
+        while self.answer_bytes > self.max_answer_bytes:
+            oldest, size = self.full_answers.popitem(last=False)
+            self.answer_bytes -= size
             shortened = self.known[oldest]
             if shortened.answer is not None:
-                shortened.answer = self.short(shortened.answer)
-            self.shortened += 1
+                shortened.answer = self.shorten(shortened.answer)
+            self.shortened_count += 1
 
     def _forget(self, now: float) -> None:
         while self.answered:
             oldest = next(iter(self.answered))
-            late = self.known[oldest].until <= now
-            if not late and len(self.answered) <= self.most:
+            late = self.known[oldest].expires_at <= now
+            if not late and len(self.answered) <= self.max_answers:
                 return
-            self.given_up += not late
+            self.evicted_count += not late
             del self.answered[oldest], self.known[oldest]
-            self.bytes -= self.whole.pop(oldest, 0)
+            self.answer_bytes -= self.full_answers.pop(oldest, 0)
--- a/linnetstile/decisions/chains.py
+++ b/linnetstile/engine/linear_hash.py
@@ -10,60 +10,60 @@
 from array import array
 from collections.abc import Callable, Iterator
 
-NONE = -1
-SPREAD, WORD = 0x9E3779B97F4A7C15, 2**64 - 1  # Knuth's multiplier: the golden ratio of a word
+NO_ROW = -1
+HASH_MULTIPLIER, WORD_MASK = 0x9E3779B97F4A7C15, 2**64 - 1  # Knuth's multiplier: the golden ratio of a word
 
 
-def spread(number: int) -> int:
+def hash_integer(number: int) -> int:
     """A hash of a whole number whose low bits depend on all of its bits: numbers of a step of 1,024 don't meet."""
-    mixed = (number * SPREAD) & WORD
+    mixed = (number * HASH_MULTIPLIER) & WORD_MASK
     return mixed ^ (mixed >> 32)
 
 
-class Chains:
+class LinearHashTable:
     """Rows by hash. `hash_of` gives the hash of a row that is in it; what equals what is judged by its user."""
 
     def __init__(self, hash_of: Callable[[int], int]) -> None:
         self.hash_of = hash_of
-        self.heads = array("i", [NONE])  # first row of each chain
-        self.after = array("i")  # by row: the next one of its chain
-        self.half = 1  # the largest power of two that is no more than the number of chains
-        self.rows = 0
+        self.heads = array("i", [NO_ROW])  # first row of each chain
+        self.next_row = array("i")  # by row: the next one of its chain
+        self.low_power = 1  # the largest power of two that is no more than the number of chains
+        self.row_count = 0
 
     def _chain(self, hashed: int) -> int:
-        chain = hashed & (2 * self.half - 1)
-        return chain if chain < len(self.heads) else hashed & (self.half - 1)
+        chain = hashed & (2 * self.low_power - 1)
+        return chain if chain < len(self.heads) else hashed & (self.low_power - 1)
 
     def find(self, hashed: int) -> Iterator[int]:
         """The rows that may be meant. Nothing may be added or removed meanwhile."""
         row = self.heads[self._chain(hashed)]
-        while row != NONE:
+        while row != NO_ROW:
             yield row
-            row = self.after[row]
+            row = self.next_row[row]
 
     def add(self, row: int) -> None:
         """A row that is not in it; rows are small numbers that are used again."""
-        while row >= len(self.after):
-            self.after.append(NONE)
-        self.rows += 1
-        if self.rows > len(self.heads):
+        while row >= len(self.next_row):
+            self.next_row.append(NO_ROW)
+        self.row_count += 1
+        if self.row_count > len(self.heads):
             self._split()
         self._put(row)
 
     def _put(self, row: int) -> None:
         chain = self._chain(self.hash_of(row))
-        self.after[row], self.heads[chain] = self.heads[chain], row
+        self.next_row[row], self.heads[chain] = self.heads[chain], row
 
     def _split(self) -> None:
-        if len(self.heads) == 2 * self.half:
-            self.half *= 2
-        old = len(self.heads) - self.half
+        if len(self.heads) == 2 * self.low_power:
+            self.low_power *= 2
+        old = len(self.heads) - self.low_power
         rows = []
-        row, self.heads[old] = self.heads[old], NONE
-        while row != NONE:
+        row, self.heads[old] = self.heads[old], NO_ROW
+        while row != NO_ROW:
             rows.append(row)
-            row = self.after[row]
-        self.heads.append(NONE)
+            row = self.next_row[row]
+        self.heads.append(NO_ROW)
         for row in reversed(rows):
             self._put(row)
 
@@ -72,9 +72,9 @@
         chain = self._chain(self.hash_of(row))
         at = self.heads[chain]
         if at == row:
-            self.heads[chain] = self.after[row]
+            self.heads[chain] = self.next_row[row]
         else:
-            while self.after[at] != row:
-                at = self.after[at]
-            self.after[at] = self.after[row]
-        self.rows -= 1
+            while self.next_row[at] != row:
+                at = self.next_row[at]
+            self.next_row[at] = self.next_row[row]
+        self.row_count -= 1
--- a/linnetstile/decisions/handback.py
+++ b/linnetstile/engine/receipt_retry.py
@@ -2,12 +2,12 @@
 
 from __future__ import annotations
 
-TRIES = 4
-FIRST_MS = 500.0  # doubles: a receiver that restarts is back within seconds
-ANSWER_MS = 5000.0  # how long one post may take
+MAX_ATTEMPTS = 4
+FIRST_BACKOFF_MS = 500.0  # doubles: a receiver that restarts is back within seconds
+ATTEMPT_TIMEOUT_MS = 5000.0  # how long one post may take
 
 
-def next_try(tries: int, delivered: bool) -> float | None:
+def next_attempt_ms(tries: int, delivered: bool) -> float | None:
     """Pause in ms before the next post after `tries` of them; None = no further one. A receipt may be posted
     twice: the client tells repeats by Original-Message-ID, and the answer is the same bytes each time."""
-    return None if delivered or tries >= TRIES else FIRST_MS * 2 ** (tries - 1)
+    return None if delivered or tries >= MAX_ATTEMPTS else FIRST_BACKOFF_MS * 2 ** (tries - 1)
--- a/linnetstile/decisions/backlog.py
+++ b/linnetstile/engine/recovery_throttle.py
@@ -6,10 +6,10 @@
 
 from __future__ import annotations
 
-WAITED_MS = 2500.0  # beyond the pause of a restart itself, and beyond any span of a limit
+BACKLOG_AGE_MS = 2500.0  # beyond the pause of a restart itself, and beyond any span of a limit
 
 
-def saved_up(credit: float, lot: float, tries: int, age_ms: float) -> float:
+def tokens_after_recovery(credit: float, lot: float, tries: int, age_ms: float) -> float:
     """Calls saved up for a destination once a message for it was found: `lot`, part of one by chance, so that relays
     which start together don't send in step, if it had waited without a try."""
-    return min(credit, lot) if tries == 0 and age_ms > WAITED_MS else credit
+    return min(credit, lot) if tries == 0 and age_ms > BACKLOG_AGE_MS else credit
--- a/linnetstile/decisions/routing.py
+++ b/linnetstile/engine/routing.py
@@ -11,7 +11,7 @@
 class Rule:
     """Patterns as of a shell (`*`, `?`, `[...]`); names with regard to case, content types without."""
 
-    class_: int
+    class_index: int
     tenant: int = 0
     sender: str = "*"
     receiver: str = "*"
--- a/linnetstile/decisions/leftover.py
+++ b/linnetstile/engine/unknown_class.py
@@ -6,15 +6,15 @@
 
 from __future__ import annotations
 
-from .interface import Effect, MessageClass
+from .settings import Effect, MessageClass
 
 
-def leftover(classes: tuple[MessageClass, ...]) -> MessageClass:
+def unknown_class(classes: tuple[MessageClass, ...]) -> MessageClass:
     """A class that no client can name. It takes no room from the others: its worth is the least of theirs."""
     return MessageClass(
         "",
-        Effect.UNSAFE,
-        max(cls.aim_ms for cls in classes),
-        max(cls.deadline_ms for cls in classes),
-        min(cls.worth for cls in classes),
+        Effect.NON_IDEMPOTENT,
+        max(message_class.latency_objective_ms for message_class in classes),
+        max(message_class.deadline_ms for message_class in classes),
+        min(message_class.priority_weight for message_class in classes),
     )
--- a/linnetstile/decisions/lists.py
+++ b/linnetstile/engine/watch_policy.py
@@ -19,28 +19,28 @@
 
 from __future__ import annotations
 
-QUIET_S = 2.6  # a watch is opened anew after so long a silence: an empty line comes every 2 s
-STALL_S = 0.5  # or in the middle of something: what a change told counts from when it began
-FIRST_S = 1.0  # or before anything of use came: discovery is down, or the connection leads nowhere
+WATCH_SILENCE_S = 2.6  # a watch is opened anew after so long a silence: an empty line comes every 2 s
+ELEMENT_STALL_S = 0.5  # or in the middle of something: what a change told counts from when it began
+FIRST_ELEMENT_S = 1.0  # or before anything of use came: discovery is down, or the connection leads nowhere
 # Endpoints that the module hears of in one event, and rows of the directory that one step of a sweep looks at: at some
 # 10 us and 0.1 us each, both stay below the few ms that a client notices, and a list of today's usual size is one step.
-ENTRIES, ROWS = 256, 4096
+ENTRIES_PER_EVENT, ROWS_PER_SWEEP = 256, 4096
 
 
-def watch_until(heard: float, useful: bool, begun: float | None, asked: float | None = None) -> float:
+def watch_deadline(heard: float, useful: bool, begun: float | None, asked: float | None = None) -> float:
     """Until when a watch is waited for: `heard` is when its last byte came, `useful` whether what its opening asks for
     has come, `begun` since when something of it is incomplete: elements of a long list that come are progress, and it
     begins anew with each. `asked` is when a watch was asked for that goes on from a version and of which no more than
     its head has come: that shows that it leads somewhere, and it may have nothing to tell. Silence is bounded, and so
     is what comes in drops."""
     if begun is not None:
-        return min(heard + STALL_S, begun + QUIET_S)
+        return min(heard + ELEMENT_STALL_S, begun + WATCH_SILENCE_S)
     if not useful and asked is not None:
-        return asked + QUIET_S
-    return heard + (QUIET_S if useful else FIRST_S)
+        return asked + WATCH_SILENCE_S
+    return heard + (WATCH_SILENCE_S if useful else FIRST_ELEMENT_S)
 
 
-class Asking:
+class ResumePolicy:
     """Whether the next watch asks for the whole list, or for what has changed since the version that is known. The
     whole one at first, after a move of discovery, and after a watch that brought nothing of use, was unsound, told an
     older list or was cut in the middle: only a whole list makes up for whatever such a one left out. And as long as the
@@ -48,43 +48,43 @@
     anywhere."""
 
     def __init__(self) -> None:
-        self.sure = False  # what is known is what discovery had told at its version
-        self.small = True
+        self.is_current = False  # what is known is what discovery had told at its version
+        self.is_small = True
 
-    def listed(self, small: bool) -> None:
+    def full_list_read(self, small: bool) -> None:
         """A whole list has been read to its end; `small`: it came in one piece."""
-        self.sure, self.small = True, small
+        self.is_current, self.is_small = True, small
 
-    def moved(self) -> None:
-        self.sure = False
+    def discovery_moved(self) -> None:
+        self.is_current = False
 
-    def ended(self, useful: bool, sound: bool, midway: bool) -> None:
+    def watch_ended(self, useful: bool, sound: bool, midway: bool) -> None:
         """A watch is over, or could not be opened: `useful` if it told something, or was seen to lead somewhere;
         `sound` if nothing of it was refused; `midway` if it ended in the middle of something."""
-        self.sure = self.sure and useful and sound and not midway
+        self.is_current = self.is_current and useful and sound and not midway
 
-    def since(self, newest: int | None) -> int | None:
+    def resume_version(self, newest: int | None) -> int | None:
         """From which version on; None = all."""
-        return newest if self.sure and not self.small else None
+        return newest if self.is_current and not self.is_small else None
 
 
-class Versions:
+class ListVersionGuard:
     """Guards against a list older than the one in force: endpoints that have left would be called again."""
 
     def __init__(self) -> None:
         self.newest: int | None = None  # of the lists that were read to their end
-        self.doubted = False  # the latest whole list was older, and not taken
+        self.older_list_rejected = False  # the latest whole list was older, and not taken
 
-    def counts(self, version: int | None, whole: bool) -> bool:
+    def accepts(self, version: int | None, whole: bool) -> bool:
         """Whether a list counts, judged by its head. A whole one that is older counts the second time in a row:
         discovery, asked again, says that it has begun anew, and what it had told before is no longer in force."""
         older = version is not None and self.newest is not None and version < self.newest
-        if older and not (whole and self.doubted):
-            self.doubted = self.doubted or whole
+        if older and not (whole and self.older_list_rejected):
+            self.older_list_rejected = self.older_list_rejected or whole
             return False
         return True
 
-    def read(self, version: int | None) -> None:
+    def list_read(self, version: int | None) -> None:
         """A list that counts has been read to its end. One that was cut tells nothing of what stood behind the cut."""
         if version is not None:  # else nothing to judge it by
-            self.doubted, self.newest = False, version
+            self.older_list_rejected, self.newest = False, version
--- a/linnetstile/net/client.py
+++ b/linnetstile/net/client.py
@@ -9,9 +9,9 @@
 from dataclasses import dataclass, replace
 
 from ..codec import http1
-from ..decisions.evidence import Sight
+from ..engine.attempt_outcome import WireResult
+from .connection import BufferedConnection
 from .tls import Keys, Tls
-from .wire import Wire
 
 # Host and port, or the path of a local socket; the third part of a longer one tells peers apart that use one address
 # one after the other: a connection to the one that has gone is never used for its successor.
@@ -41,7 +41,7 @@
     rest has not come or can't be read; 0 = none can be read. `reused`: it went out on a connection kept from
     an earlier call."""
 
-    sight: Sight
+    sight: WireResult
     head: http1.Response | None = None
     body: bytes = b""
     whole: bool = True
@@ -73,23 +73,23 @@
         """Nobody waits any more; the connection may still end in order and be kept."""
         self.done = None
 
-    def _unsent(self) -> Sight | None:
+    def _unsent(self) -> WireResult | None:
         """What an end proves as long as the last byte has not left: the rest of the request goes with the connection,
         and it never was whole. None once it has left."""
         if self.connecting:
-            return Sight.NO_CONNECTION
-        return Sight.CUT if self.conn is not None and self.conn.partial else None
+            return WireResult.NO_CONNECTION
+        return WireResult.REQUEST_INCOMPLETE if self.conn is not None and self.conn.partial else None
 
-    def abort(self, sight: Sight) -> None:
+    def abort(self, sight: WireResult) -> None:
         """Ends it now."""
         self._end(self._unsent() or sight)
 
     def recall(self) -> None:
         """Ends it as not sent if the peer can't have had all of it; else nothing changes."""
         if self.done is not None and self._unsent():
-            self._end(Sight.NOT_SENT)
+            self._end(WireResult.NOT_SENT)
 
-    def _end(self, sight: Sight) -> None:
+    def _end(self, sight: WireResult) -> None:
         """A connection on which a request is out can't be kept."""
         if self.connecting:
             self.connecting.cancel()
@@ -102,7 +102,7 @@
         self.finish(Answer(sight, claimed=claimed))
 
 
-class ClientConnection(Wire):
+class ClientConnection(BufferedConnection):
     def __init__(self, pool: Pool, address: Address) -> None:
         self.pool = pool
         self.address = address
@@ -140,7 +140,7 @@
         self.call, call.conn = call, self
         self.began = self.pool.loop.time()
         self.came = self.counted = 0
-        self.meter_in.rest()
+        self.meter_in.pause()
         self.parser.expect(method)
         if call.hold_s > 0:
             joined = data if isinstance(data, bytes) else b"".join(data)
@@ -160,7 +160,7 @@
     def _late(self, call: Call) -> None:
         """What has not left by now must not: a peer that reads on, or a network that is back, would have it whole."""
         if self.call is call and self.partial:
-            call.abort(Sight.CUT)
+            call.abort(WireResult.REQUEST_INCOMPLETE)
 
     def _release(self, call: Call) -> None:
         if self.call is call and self.held:
@@ -174,7 +174,7 @@
         went = self.went_out()
         if self.partial:
             return "request_rate" if self.meter_out.tick(now, went) else ""
-        self.meter_out.rest()
+        self.meter_out.pause()
         came = self.came_in()
         # Until the first byte of an answer a peer works, and its time is the caller's to bound.
         return "response_rate" if self.came and self.meter_in.tick(now, came) else ""
@@ -195,10 +195,10 @@
         if self.pool.eager and call.done is not None and self.parser.claimed == 200:
             # Its first line is true whatever follows: the peer's slot is free, and so is ours. The rest is only read
             # to see whether the connection can be used again.
-            call.finish(Answer(Sight.ANSWERED, self.head, b"", not self.partial, 200))
-            call.timer = self.pool.loop.call_later(TAIL_S, call.abort, Sight.TIMED_OUT)
+            call.finish(Answer(WireResult.ANSWERED, self.head, b"", not self.partial, 200))
+            call.timer = self.pool.loop.call_later(TAIL_S, call.abort, WireResult.TIMED_OUT)
         if self.parser.failed:
-            call.abort(Sight.GARBLED)
+            call.abort(WireResult.MALFORMED)
 
     def _take(self, events: list[http1.Event]) -> None:
         for event in events:
@@ -220,7 +220,7 @@
             self.pool.keep(self)
         else:
             self.transport.abort() if partial else self.transport.close()
-        call.finish(Answer(Sight.ANSWERED, head, body, not partial))
+        call.finish(Answer(WireResult.ANSWERED, head, body, not partial))
 
     def eof_received(self) -> None:
         if self.call is not None and not self.parser.failed:
@@ -236,7 +236,12 @@
         call, self.call = self.call, None
         if call is not None:
             call.conn = None
-            call.finish(Answer(Sight.CUT if partial else Sight.LOST, claimed=self.parser.claimed))
+            call.finish(
+                Answer(
+                    WireResult.REQUEST_INCOMPLETE if partial else WireResult.CONNECTION_LOST,
+                    claimed=self.parser.claimed,
+                )
+            )
 
 
 class Pool:
@@ -283,7 +288,7 @@
         It leaves by the loop time `begin_by` or not at all, however long a connection takes to be made."""
         call = Call(done)
         if until is not None:
-            call.timer = self.loop.call_at(until, call.abort, Sight.TIMED_OUT)
+            call.timer = self.loop.call_at(until, call.abort, WireResult.TIMED_OUT)
         idle = self.idle.get(address, [])
         call.hold_s, call.begin_by = hold_s, begin_by
         while idle and self.loop.time() <= begin_by:
@@ -302,7 +307,7 @@
 
     async def _connect(self, call: Call, address: Address, method: str, data: Data, secure: Secure | None) -> None:
         self.counts["connects"] += 1
-        sight = Sight.NO_CONNECTION
+        sight = WireResult.NO_CONNECTION
         conn: ClientConnection | None = None
         try:
             async with asyncio.timeout(min(self.connect_s, call.begin_by - self.loop.time())):
@@ -312,7 +317,7 @@
                     if error.errno not in (errno.EMFILE, errno.ENFILE):
                         raise
                     # Our own want of descriptors proves nothing about the peer.
-                    sight = Sight.NOT_SENT
+                    sight = WireResult.NOT_SENT
                     self.counts["no_descriptors"] += 1
                     for other in list(self.idle):
                         self.close_idle(other)
@@ -321,7 +326,7 @@
         except (OSError, TimeoutError):
             self.counts["failed"] += 1
             call.connecting = None
-            call.finish(Answer(Sight.NOT_SENT if self.loop.time() >= call.begin_by else sight))
+            call.finish(Answer(WireResult.NOT_SENT if self.loop.time() >= call.begin_by else sight))
             return
         call.connecting = None
         if call.done is None:
@@ -329,7 +334,7 @@
         elif not conn.send(call, method, data):
             if not conn.dead:
                 self.keep(conn)  # too late for this call, and good for another one
-            call.finish(Answer(Sight.NOT_SENT))
+            call.finish(Answer(WireResult.NOT_SENT))
 
     async def _open(self, address: Address, secure: Secure | None) -> ClientConnection:
         conn = ClientConnection(self, address)
@@ -392,7 +397,7 @@
             why = conn.overdue(now)
             if why and conn.call is not None:
                 self.on_slow(conn, why)
-                conn.call.abort(Sight.TIMED_OUT)
+                conn.call.abort(WireResult.TIMED_OUT)
         self._sweeper = self.loop.call_later(self._every, self._sweep)
 
     def close(self) -> None:
--- a/linnetstile/net/wire.py
+++ b/linnetstile/net/connection.py
@@ -4,12 +4,12 @@
 
 import asyncio
 import select
-from collections import deque
 from asyncio.trsock import TransportSocket
+from collections import deque
 from socket import socket as Socket
 from typing import Protocol, cast
 
-from ..decisions.pace import Meter
+from ..engine.minimum_rate import MinimumRateMeter
 
 # One buffer for all connections of a process: a selector loop fills it and hands it over within one callback, so it
 # is never in use twice. A buffer for each of 10,000 connections would hold 640 MB for nothing.
@@ -35,7 +35,7 @@
     def get_extra_info(self, name: str, default: object = None) -> object: ...
 
 
-class Wire(asyncio.BufferedProtocol):
+class BufferedConnection(asyncio.BufferedProtocol):
     """Reads into the shared buffer and calls `received` with a view that is valid during the call only. Writes with
     `put`: what the kernel does not take waits here, uncopied, so that `unsent` is exact to a slice."""
 
@@ -47,7 +47,10 @@
 
     def metered(self, rate_in: float, rate_out: float, grace_s: float) -> None:
         """Least rates in bytes a second (0 = none asked for) at which the peer is to send and to read."""
-        self.meter_in, self.meter_out = Meter(rate_in, grace_s * 1000), Meter(rate_out, grace_s * 1000)
+        self.meter_in, self.meter_out = (
+            MinimumRateMeter(rate_in, grace_s * 1000),
+            MinimumRateMeter(rate_out, grace_s * 1000),
+        )
         self.came = self.counted = 0  # bytes received, and those of them that the meter has seen
         self.left = 0  # bytes that had left at the last look
 
@@ -65,7 +68,7 @@
     @property
     def patience(self) -> float:
         """What the least rates have left of the stall that they forgive: 1 = all, 0 = about to be let go."""
-        return 1 - max(self.meter_in.spent, self.meter_out.spent) / self.meter_in.grace_ms
+        return 1 - max(self.meter_in.patience_used_ms, self.meter_out.patience_used_ms) / self.meter_in.grace_ms
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(Transport, transport)
--- a/linnetstile/net/server.py
+++ b/linnetstile/net/server.py
@@ -10,9 +10,9 @@
 from dataclasses import dataclass
 
 from ..codec import http1
-from ..decisions.pace import Place, giving_way
+from ..engine.connection_eviction import IdleConnection, connections_to_evict
+from .connection import BufferedConnection
 from .tls import Keys, Tls
-from .wire import Wire
 
 SMALL_BODY = 64 * 1024  # bytes: a body that was refused by its head is read and dropped up to here
 LINGER_S = 2.0  # what a peer still sends is dropped for so long, so that it can read why it was refused
@@ -39,7 +39,7 @@
     sweep_s: float = 1.0  # how often bounds are looked at
 
 
-class Exchange:
+class RequestContext:
     """One request and its one reply."""
 
     __slots__ = (
@@ -87,15 +87,15 @@
         return self.conn.answer(self, status, headers, body, close)
 
 
-Handler = Callable[[Exchange], None]
+Handler = Callable[[RequestContext], None]
 
 
-class Connection(Wire):
+class Connection(BufferedConnection):
     def __init__(self, server: Server) -> None:
         self.server = server
         self.parser = http1.Parser(limits=server.limits)
         self.pending: deque[http1.Event] = deque()
-        self.current: Exchange | None = None
+        self.current: RequestContext | None = None
         self.skipping = False  # the request was answered before its body was read
         self.pieces: list[bytes] = []
         self.size = 0  # of the pieces
@@ -193,11 +193,11 @@
         return self.blocked and self.unsent > self.server.bounds.write_bytes
 
     def _begun(self, head: http1.Request) -> None:
-        self.current = exchange = Exchange(self, head, self.since)
+        self.current = exchange = RequestContext(self, head, self.since)
         self.requests += 1
         self.pieces.clear()
         self.size = 0
-        self.meter_in.rest()
+        self.meter_in.pause()
         self.server.head(exchange)
         if exchange.answered:
             return
@@ -208,12 +208,12 @@
         exchange.room = need
         self._welcome(exchange)
 
-    def _welcome(self, exchange: Exchange) -> None:
+    def _welcome(self, exchange: RequestContext) -> None:
         self.hungry = exchange.length is None or exchange.length > SMALL_BODY
         if exchange.head.expects_continue:
             self.put(b"HTTP/1.1 100 Continue\r\n\r\n")
 
-    def go(self, exchange: Exchange) -> None:
+    def go(self, exchange: RequestContext) -> None:
         if exchange is not self.current or exchange.answered or self.dead:
             return
         self.waiting = False
@@ -255,7 +255,7 @@
         self.server.handler(exchange)
 
     def answer(
-        self, exchange: Exchange, status: int, headers: Iterable[tuple[str, str]], body: bytes, close: bool
+        self, exchange: RequestContext, status: int, headers: Iterable[tuple[str, str]], body: bytes, close: bool
     ) -> bool:
         if self.dead:
             return False
@@ -364,14 +364,14 @@
         bounds, phase = self.server.bounds, self.phase
         went, came = self.went_out(), self.came_in()
         if not self.unsent:
-            self.meter_out.rest()
+            self.meter_out.pause()
         elif self.meter_out.tick(now * 1000, went):
             return "answer_rate"
         if self.current is not None and not self._complete() and (self.current.until or now) < now:
             return "body_time"
         if phase == "body" and not self.paused:
             return "body_rate" if self.meter_in.tick(now * 1000, came) else ""
-        self.meter_in.at = None
+        self.meter_in.last_tick_at = None
         if self.lingers is not None:
             return "linger" if now - self.lingers > LINGER_S else ""
         if phase in ("head", "handshake"):
@@ -416,7 +416,7 @@
         limits: http1.Limits | None = None,
         bounds: Bounds | None = None,
         on_error: Callable[[str, http1.ProtocolError], None] | None = None,
-        admit: Callable[[Exchange, int], bool] | None = None,
+        admit: Callable[[RequestContext, int], bool] | None = None,
         release: Handler | None = None,
         on_slow: Callable[[Connection, str], None] | None = None,
         keys: Keys | None = None,
@@ -474,11 +474,11 @@
         """The order in which connections give way, for the next ones: one look at all serves many."""
         now = self.spare_at = self.loop.time()
         able = [
-            Place(c.where, c.proven, now - c.opened < YOUNG_S, c.came / (now - c.opened + 1), c.since, c)
+            IdleConnection(c.where, c.proven, now - c.opened < YOUNG_S, c.came / (now - c.opened + 1), c.since, c)
             for c in self.open
             if not c.carries and not c.dead
         ]
-        self.spare = [(place.host, place.token) for place in giving_way(self.hosts, able, ACCEPTS)]
+        self.spare = [(place.host, place.token) for place in connections_to_evict(self.hosts, able, ACCEPTS)]
 
     def add(self, conn: Connection) -> None:
         self.open.add(conn)
--- a/linnetstile/net/tls.py
+++ b/linnetstile/net/tls.py
@@ -14,7 +14,7 @@
 from pathlib import Path
 from typing import cast
 
-from .wire import _SHARED, _SMALL, Wire
+from .connection import _SHARED, _SMALL, BufferedConnection
 
 
 class TlsError(ValueError):
@@ -27,7 +27,7 @@
 
     def __init__(
         self,
-        wire: Wire,
+        wire: BufferedConnection,
         context: ssl.SSLContext,
         server: bool,
         name: str | None = None,
--- a/linnetstile/node/calls.py
+++ b/linnetstile/platform_relay/calls.py
@@ -7,14 +7,14 @@
 from collections.abc import Callable
 
 from ..codec import http1
-from ..decisions.bounds import BODY, HEAD, Bounds
-from ..decisions.control import KEPT
-from ..decisions.evidence import Proof, Seen, endpoint_proof
+from ..engine.attempt_outcome import AttemptObservation, AttemptVerdict, judge_endpoint_attempt
+from ..engine.engine import KEPT
+from ..engine.resource_limits import MAX_BODY_BYTES, MAX_HEAD_BYTES, ResourceLimits
 from ..net import client
 from .config import NodeSettings
-from .directory import Place
+from .directory import EndpointAddress
 
-Done = Callable[[Proof, tuple[float, ...], bool], None]  # the last: its connection was a kept one
+Done = Callable[[AttemptVerdict, tuple[float, ...], bool], None]  # the last: its connection was a kept one
 
 
 def wait_ms(headers: http1.Headers) -> float | None:
@@ -38,21 +38,21 @@
 
 
 class Calls:
-    def __init__(self, settings: NodeSettings, bounds: Bounds) -> None:
+    def __init__(self, settings: NodeSettings, bounds: ResourceLimits) -> None:
         module = settings.module
         self.names = settings.report
-        idle_s = module.idle_ms * KEPT / 1000 if module.idle_ms else 5.0  # the module counts on no more
+        idle_s = module.idle_timeout_ms * KEPT / 1000 if module.idle_timeout_ms else 5.0  # the module counts on no more
         self.pool = client.Pool(
             module.connect_timeout_ms / 1000 or 1.5,
             idle_s,
-            http1.Limits(body=BODY, head=HEAD),
+            http1.Limits(body=MAX_BODY_BYTES, head=MAX_HEAD_BYTES),
             eager=True,
-            most_idle=bounds.idle,
+            most_idle=bounds.max_idle_connections,
         )
 
     def send(
         self,
-        place: Place,
+        place: EndpointAddress,
         fields: list[tuple[str, str]],
         body: bytes,
         left_ms: float,
@@ -70,16 +70,16 @@
 
         def ended(answer: client.Answer) -> None:
             head = answer.head
-            seen = Seen(
+            seen = AttemptObservation(
                 answer.sight,
                 head.status if head else 0,
                 wait_ms(head.headers) if head else None,
-                whole=answer.whole,
-                late=self.pool.loop.time() >= due,
+                request_complete=answer.whole,
+                after_deadline=self.pool.loop.time() >= due,
             )
             no_slot = head is not None and head.headers.get("slots-taken") == "1"
             done(
-                endpoint_proof(seen, answer.claimed, no_slot),
+                judge_endpoint_attempt(seen, answer.claimed, no_slot),
                 report(head.headers, self.names) if head else (),
                 answer.reused,
             )
@@ -94,7 +94,7 @@
             begin_by=now + begin_ms / 1000,
         )
 
-    def close_idle(self, place: Place) -> None:
+    def close_idle(self, place: EndpointAddress) -> None:
         self.pool.close_idle((place.host, place.port, place.number))
 
     def close(self) -> None:
--- a/linnetstile/node/config.py
+++ b/linnetstile/platform_relay/config.py
@@ -9,8 +9,9 @@
 from pathlib import Path
 from typing import Any
 
+from linnetstile.engine.settings import Settings
+
 from ..config import platform
-from ..decisions import interface as api
 
 Address = tuple[str, int]
 HOST = re.compile(r"[0-9A-Za-z_][0-9A-Za-z_.-]{0,252}\Z")
@@ -36,7 +37,7 @@
     seed: int
     limits: Limits
     known: dict[str, Any]  # in discovery's form; may be old
-    module: api.Settings
+    module: Settings
     zones: tuple[str, ...]
     report: tuple[str, ...] = ()  # names in a load report, in the module's order
 
@@ -49,11 +50,11 @@
     return host, int(port)
 
 
-def one_a_call(module: api.Settings) -> api.Settings:
+def one_a_call(module: Settings) -> Settings:
     """The settings as they hold on sockets: a call to an endpoint carries one message (PROTOCOL, relays to endpoints),
     also where a destination takes several. Guards slots and limits, which count each call: the module's riders
     would go out as calls of their own that it does not count."""
-    return replace(module, kinds=tuple(replace(kind, batch=1) for kind in module.kinds))
+    return replace(module, kinds=tuple(replace(kind, max_batch=1) for kind in module.kinds))
 
 
 def _limit(raw: Mapping[str, Any], name: str, default: float, least: float) -> float:
--- a/linnetstile/node/directory.py
+++ b/linnetstile/platform_relay/directory.py
@@ -15,13 +15,14 @@
 from dataclasses import dataclass
 from typing import Any
 
-from ..decisions import interface as api
-from ..decisions.bounds import LEFT
-from ..decisions.chains import Chains, spread
-from ..decisions.lists import ENTRIES, ROWS, Versions
+from linnetstile.engine.events import Endpoint, EndpointList, EndpointStatus, ListKind
+
+from ..engine.linear_hash import LinearHashTable, hash_integer
+from ..engine.resource_limits import MAX_UNLISTED_DESTINATIONS
+from ..engine.watch_policy import ENTRIES_PER_EVENT, ROWS_PER_SWEEP, ListVersionGuard
 from .config import address
 
-STATES = {"SERVING": api.Listing.READY, "DRAINING": api.Listing.DRAINING, "DELETED": api.Listing.GONE}
+STATES = {"SERVING": EndpointStatus.READY, "DRAINING": EndpointStatus.DRAINING, "DELETED": EndpointStatus.GONE}
 NAME = 256  # bytes of an endpoint's name
 ROW = 24  # bits of a number that tell its row; those above count how often the row was used before
 
@@ -32,7 +33,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Place:
+class EndpointAddress:
     """Where an endpoint is to be called."""
 
     number: int
@@ -43,7 +44,7 @@
     destination: int
 
 
-class NoList(ValueError):
+class InvalidListError(ValueError):
     """What discovery told is no list, or an older one than is known."""
 
 
@@ -64,31 +65,33 @@
     return (WIDE if far else NARROW).pack(flags, destination, port, kind, zone, rate) + where + name
 
 
-def _entry(number: int, record: bytes, listing: api.Listing | None = None) -> api.Endpoint:
+def _entry(number: int, record: bytes, listing: EndpointStatus | None = None) -> Endpoint:
     flags, destination, _, kind, zone, rate = (WIDE if record[0] & FAR else NARROW).unpack_from(record)
-    listing = listing or (api.Listing.DRAINING if flags & DRAINING else api.Listing.READY)
-    return api.Endpoint(number, destination, listing, kind, zone, rate)
+    listing = listing or (EndpointStatus.DRAINING if flags & DRAINING else EndpointStatus.READY)
+    return Endpoint(number, destination, listing, kind, zone, rate)
 
 
 class ListedDestinations:
     """How many endpoints each destination has: 16 bytes each. Those that have none any more are remembered for a
     while."""
 
-    def __init__(self, most: int = LEFT) -> None:
+    def __init__(self, most: int = MAX_UNLISTED_DESTINATIONS) -> None:
         self.most = most
         self.numbers, self.endpoints = array("I"), array("i")  # by row
         self.free = array("i")
-        self.index = Chains(lambda row: spread(self.numbers[row]))
+        self.index = LinearHashTable(lambda row: hash_integer(self.numbers[row]))
         self.left: OrderedDict[int, None] = OrderedDict()  # the latest `most` of them, oldest first
 
     def _row(self, destination: int) -> int | None:
-        return next((row for row in self.index.find(spread(destination)) if self.numbers[row] == destination), None)
+        return next(
+            (row for row in self.index.find(hash_integer(destination)) if self.numbers[row] == destination), None
+        )
 
     def __contains__(self, destination: int) -> bool:
         return self._row(destination) is not None or destination in self.left
 
     def __len__(self) -> int:
-        return self.index.rows
+        return self.index.row_count
 
     def add(self, destination: int) -> None:
         row = self._row(destination)
@@ -129,9 +132,9 @@
         self.records: list[bytes | None] = []  # by row
         self.used = array("I")  # by row: how often it was used before
         self.free = array("i")
-        self.names = Chains(self._hash)
+        self.names = LinearHashTable(self._hash)
         self.destinations = ListedDestinations()
-        self.versions = Versions()
+        self.versions = ListVersionGuard()
         self.skipped = 0  # entries that could not be read
 
     def _hash(self, row: int) -> int:
@@ -140,7 +143,7 @@
         return hash(_name(record))
 
     def __len__(self) -> int:
-        return self.names.rows
+        return self.names.row_count
 
     def __iter__(self) -> Iterator[int]:
         """The numbers of all endpoints. Nothing may be taken meanwhile."""
@@ -168,7 +171,7 @@
         row = self._row(name.encode("utf-8", "surrogatepass"))
         return 0 if row is None else self._number(row)
 
-    def place(self, number: int) -> Place | None:
+    def place(self, number: int) -> EndpointAddress | None:
         """Where to call it; None once it has gone."""
         record = self._record(number)
         if record is None:
@@ -177,9 +180,9 @@
         flags, destination, port, _, zone, _ = layout.unpack_from(record)
         at = layout.size
         host = record[at + 1 : at + 1 + record[at]].decode() if flags & TEXT else socket.inet_ntoa(record[at : at + 4])
-        return Place(number, _name(record).decode(), host, port, zone, destination)
+        return EndpointAddress(number, _name(record).decode(), host, port, zone, destination)
 
-    def entry(self, number: int) -> api.Endpoint | None:
+    def entry(self, number: int) -> Endpoint | None:
         """As the module was told last; None once it has gone."""
         record = self._record(number)
         return None if record is None else _entry(number, record)
@@ -188,27 +191,27 @@
         """It is listed, or was a while ago."""
         return destination in self.destinations
 
-    def begin(self, told: object, cached: bool = False) -> Reading:
+    def begin(self, told: object, cached: bool = False) -> ListUpdate:
         """A list that begins: an object of discovery, or the members that stand before its servers. Raises NoList."""
         if not isinstance(told, dict):
-            raise NoList("expected an object with a list of servers")
+            raise InvalidListError("expected an object with a list of servers")
         whole, version = bool(told.get("full")), told.get("version")
         if isinstance(version, bool) or not isinstance(version, int):
             version = None
-        if not cached and not self.versions.counts(version, whole):
-            raise NoList(f"version: expected {self.versions.newest} or later, found {version}")
-        return Reading(self, whole, version, cached)
+        if not cached and not self.versions.accepts(version, whole):
+            raise InvalidListError(f"version: expected {self.versions.newest} or later, found {version}")
+        return ListUpdate(self, whole, version, cached)
 
-    def take(self, told: object, cached: bool = False) -> api.EndpointList:
+    def take(self, told: object, cached: bool = False) -> EndpointList:
         """A whole object of discovery at once, as one event with whatever it changes. Raises NoList."""
         servers = told.get("servers") if isinstance(told, dict) else None
         if not isinstance(servers, list):
-            raise NoList("expected an object with a list of servers")
+            raise InvalidListError("expected an object with a list of servers")
         reading = self.begin(told, cached)
         entries = reading.take(servers)
         while not reading.over:
             entries += reading.sweep()
-        return api.EndpointList(api.ListKind.CACHED if cached else api.ListKind.CHANGES, tuple(entries))
+        return EndpointList(ListKind.CACHED if cached else ListKind.CHANGES, tuple(entries))
 
     # -- rows ------------------------------------------------------------------------------------------------
 
@@ -225,11 +228,11 @@
         self.destinations.add(destination)
         return row
 
-    def _drop(self, row: int) -> api.Endpoint:
+    def _drop(self, row: int) -> Endpoint:
         """It has gone: what the module is told."""
         record = self.records[row]
         assert record is not None
-        gone = _entry(self._number(row), record, api.Listing.GONE)
+        gone = _entry(self._number(row), record, EndpointStatus.GONE)
         self.names.remove(row)
         self.destinations.remove(gone.destination)
         self.records[row] = None
@@ -238,7 +241,7 @@
         return gone
 
 
-class Reading:
+class ListUpdate:
     """One list on its way into the directory: `take` each piece of its servers, then `sweep` until it is `over`.
     Entries are in force as they come, and each step tells what it changed: a change counts as told once discovery has
     written it, and an endpoint that drains must not be called while the rest of a long list is read. What a whole list
@@ -253,10 +256,10 @@
         self.fault = ""  # of the first entry that could not be read
         self.over = False
 
-    def take(self, servers: list[Any]) -> list[api.Endpoint]:
+    def take(self, servers: list[Any]) -> list[Endpoint]:
         """What these entries change: the last word on each counts. One that can't be read leaves its endpoint as it
         was."""
-        changed: dict[int, api.Endpoint] = {}
+        changed: dict[int, Endpoint] = {}
         for raw in servers:
             try:
                 self._take(raw, changed)
@@ -269,19 +272,19 @@
             self.entries += 1
         return list(changed.values())
 
-    def sweep(self) -> list[api.Endpoint]:
+    def sweep(self) -> list[Endpoint]:
         """One step of its end: up to `ENTRIES` that have gone, among the next `ROWS` rows."""
         directory = self.directory
-        gone: list[api.Endpoint] = []
-        until = min(self.swept + ROWS, len(self.named))
-        while self.swept < until and len(gone) < ENTRIES:
+        gone: list[Endpoint] = []
+        until = min(self.swept + ROWS_PER_SWEEP, len(self.named))
+        while self.swept < until and len(gone) < ENTRIES_PER_EVENT:
             if not self.named[self.swept] and directory.records[self.swept] is not None:
                 gone.append(directory._drop(self.swept))
             self.swept += 1
         if self.swept == len(self.named):  # which is empty for a list of changes
             self.over = True
             if not self.cached:
-                directory.versions.read(self.version)
+                directory.versions.list_read(self.version)
         return gone
 
     def _mark(self, row: int) -> None:
@@ -296,7 +299,7 @@
         if row is not None:
             self._mark(row)
 
-    def _take(self, raw: Any, changed: dict[int, api.Endpoint]) -> None:
+    def _take(self, raw: Any, changed: dict[int, Endpoint]) -> None:
         if not isinstance(raw, dict):
             raise ValueError("expected an object")
         name = raw.get("id")
@@ -307,12 +310,12 @@
         listing = STATES.get(raw["state"])
         if listing is None:
             raise ValueError(f"state: expected one of {', '.join(STATES)}, found {raw['state']!r:.40}")
-        if listing is api.Listing.GONE:
+        if listing is EndpointStatus.GONE:
             if row is not None:
                 gone = directory._drop(row)
                 changed[gone.id] = gone
             return
-        if row is not None and listing is api.Listing.DRAINING:  # that it ends is all that has to be read
+        if row is not None and listing is EndpointStatus.DRAINING:  # that it ends is all that has to be read
             self._change(row, listing, None, changed)
             return
         record, destination = self._record(raw, text)
@@ -328,7 +331,7 @@
             self._change(row, listing, record, changed)
 
     def _change(
-        self, row: int, listing: api.Listing, record: bytes | None, changed: dict[int, api.Endpoint], new: bool = False
+        self, row: int, listing: EndpointStatus, record: bytes | None, changed: dict[int, Endpoint], new: bool = False
     ) -> None:
         """Puts `record` in this row, or the one that is there, with what is told of its state."""
         self._mark(row)
@@ -336,7 +339,7 @@
         before = records[row]
         record = record or before
         assert before is not None and record is not None
-        if listing is api.Listing.DRAINING and not record[0] & DRAINING:
+        if listing is EndpointStatus.DRAINING and not record[0] & DRAINING:
             record = bytes([record[0] | DRAINING]) + record[1:]
         if record == before and not new:
             return
--- a/linnetstile/node/discovery.py
+++ b/linnetstile/platform_relay/discovery.py
@@ -8,26 +8,27 @@
 from collections.abc import Callable, Iterable, Iterator
 from functools import partial
 
+from linnetstile.engine.events import Endpoint, EndpointList, EndpointStatus, ListKind
+
 from ..codec import http1
 from ..codec.objects import Objects, Part
-from ..decisions import interface as api
-from ..decisions.bounds import CONNECT_S, WATCH_MS, pause_ms
-from ..decisions.lists import ENTRIES, STALL_S, Asking, watch_until
-from ..net.wire import Wire
+from ..engine.resource_limits import WATCH_BACKOFF_MS, WATCH_CONNECT_TIMEOUT_S, backoff_ms
+from ..engine.watch_policy import ELEMENT_STALL_S, ENTRIES_PER_EVENT, ResumePolicy, watch_deadline
+from ..net.connection import BufferedConnection
 from .config import Address
-from .directory import Directory, NoList, Reading
+from .directory import Directory, InvalidListError, ListUpdate
 
 LIST = 8 * 1024 * 1024  # bytes: a longer object is no list, where it can't be read in parts
 
 
-def told(entries: Iterable[api.Endpoint]) -> Iterator[api.EndpointList]:
+def told(entries: Iterable[Endpoint]) -> Iterator[EndpointList]:
     """What has changed, in events of bounded size: first what ends, so that none is replaced before it has."""
-    changed = sorted(entries, key=lambda entry: entry.listing is api.Listing.READY)
-    for at in range(0, len(changed), ENTRIES):
-        yield api.EndpointList(api.ListKind.CHANGES, tuple(changed[at : at + ENTRIES]))
+    changed = sorted(entries, key=lambda entry: entry.status is EndpointStatus.READY)
+    for at in range(0, len(changed), ENTRIES_PER_EVENT):
+        yield EndpointList(ListKind.CHANGES, tuple(changed[at : at + ENTRIES_PER_EVENT]))
 
 
-class _Stream(Wire):
+class _Stream(BufferedConnection):
     """One connection with a watch on it. What has come waits in `values` until its step: a long list is swept in steps,
     and nothing behind it is looked at, nor read from the kernel, before it is over."""
 
@@ -43,7 +44,7 @@
         self.useful = False  # that, or it goes on from a version, and is alive
         self.sound = True  # nothing that could not be read
         self.values: deque[object] = deque()  # objects, parts of them, faults, and None for the end
-        self.reading: Reading | None = None  # the list that is coming in
+        self.reading: ListUpdate | None = None  # the list that is coming in
         self.complete = False  # all of it has come: what it did not name goes
         self.small = True  # it came in one piece
         self.planned = self.paused = False  # the next step follows; nothing is read meanwhile
@@ -134,15 +135,15 @@
         else:
             servers = value.get("servers") if isinstance(value, dict) else None
             if not isinstance(servers, list):
-                raise NoList("servers: expected an object with a list of them")
+                raise InvalidListError("servers: expected an object with a list of them")
             self.reading, self.small = self.watch.directory.begin(value), True
             changed = self.reading.take(servers)
-            if len(changed) <= ENTRIES:
+            if len(changed) <= ENTRIES_PER_EVENT:
                 changed += self.reading.sweep()  # what replaces one and what it replaces are told together
             self.watch.tell(changed)
             self.complete, self.begun = True, None
 
-    def _sweep(self, reading: Reading) -> None:
+    def _sweep(self, reading: ListUpdate) -> None:
         if not reading.over:
             self.watch.tell(reading.sweep())
         if reading.over:
@@ -169,7 +170,7 @@
         self,
         directory: Directory,
         where: Address,
-        hear: Callable[[api.EndpointList], None],
+        hear: Callable[[EndpointList], None],
         rng: random.Random,
         log: Callable[..., None] = lambda event, **fields: None,
     ) -> None:
@@ -177,7 +178,7 @@
         self.directory, self.where, self.hear, self.rng, self.log = directory, where, hear, rng, log
         self.stream: _Stream | None = None
         self.task: asyncio.Task[None] | None = None
-        self.asking = Asking()
+        self.asking = ResumePolicy()
         self.first = asyncio.Event()  # a list was heard to its end
         self.fails = 0
         self.opened = self.spoilt = 0
@@ -194,7 +195,7 @@
         """Another address is in force from now on."""
         self.close()
         self.where, self.fails = where, 0
-        self.asking.moved()
+        self.asking.discovery_moved()
         self.start()
 
     def close(self) -> None:
@@ -204,18 +205,18 @@
             self.stream.end()
         self.stream = None
 
-    def tell(self, entries: Iterable[api.Endpoint]) -> None:
+    def tell(self, entries: Iterable[Endpoint]) -> None:
         for event in told(entries):
             self.hear(event)
 
-    def listed(self, reading: Reading, small: bool) -> None:
+    def listed(self, reading: ListUpdate, small: bool) -> None:
         """A list has been read to its end, and is in force."""
         if reading.skipped:
             self.log("entries_skipped", skipped=reading.skipped, of=reading.entries, first=reading.fault)
         if reading.whole:
-            self.asking.listed(small)
+            self.asking.full_list_read(small)
         if not self.first.is_set():
-            self.hear(api.EndpointList(api.ListKind.CHANGES))  # discovery has answered, whatever it said
+            self.hear(EndpointList(ListKind.CHANGES))  # discovery has answered, whatever it said
             self.first.set()
 
     def refused(self, stream: _Stream, why: Exception) -> None:
@@ -227,9 +228,9 @@
     async def _keep(self) -> None:
         while True:
             useful, stream = False, None
-            since = self.asking.since(self.directory.versions.newest)
+            since = self.asking.resume_version(self.directory.versions.newest)
             try:
-                async with asyncio.timeout(CONNECT_S):
+                async with asyncio.timeout(WATCH_CONNECT_TIMEOUT_S):
                     _, stream = await self.loop.create_connection(partial(_Stream, self, since), *self.where)
                 await self._read(stream)
                 useful = stream.useful
@@ -239,13 +240,13 @@
                 pass
             self._ended(stream, useful)
             self.fails += 1
-            await asyncio.sleep(pause_ms(self.fails, WATCH_MS, self.rng) / 1000)
+            await asyncio.sleep(backoff_ms(self.fails, WATCH_BACKOFF_MS, self.rng) / 1000)
 
     def _ended(self, stream: _Stream | None, useful: bool) -> None:
         if stream is None:  # discovery could not be reached
-            self.asking.ended(False, True, False)
+            self.asking.watch_ended(False, True, False)
             return
-        self.asking.ended(useful, stream.sound, stream.midway)
+        self.asking.watch_ended(useful, stream.sound, stream.midway)
         if stream.sound and (stream.reading is not None or stream.objects.part):
             entries = stream.reading.entries if stream.reading else 0
             self.log("list_cut", entries=entries, why="expected the rest of the list")
@@ -261,9 +262,9 @@
         while not stream.over.done():
             now = self.loop.time()
             going = asked if stream.since is not None and stream.answered else None
-            until = watch_until(stream.heard, stream.useful, stream.begun, going)
+            until = watch_deadline(stream.heard, stream.useful, stream.begun, going)
             if until <= now and not stream.planned:  # discovery is down, or this connection leads nowhere: it may stop
                 stream.end()  # in the middle of a line
                 return
             # Looked at again that often: a line may begin, and stop, at any moment.
-            await asyncio.wait([stream.over], timeout=min(max(0.0, until - now), STALL_S))
+            await asyncio.wait([stream.over], timeout=min(max(0.0, until - now), ELEMENT_STALL_S))
--- a/linnetstile/node/front.py
+++ b/linnetstile/platform_relay/http_frontend.py
@@ -6,9 +6,17 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
+from linnetstile.engine.settings import Effect, Settings
+
 from ..codec import http1
-from ..decisions import interface as api
-from ..decisions.bounds import BODY, HEAD, HEAD_S, IDLE_S, LONGEST_LEFT, Bounds
+from ..engine.resource_limits import (
+    CLIENT_IDLE_TIMEOUT_S,
+    MAX_BODY_BYTES,
+    MAX_DEADLINE_MULTIPLE,
+    MAX_HEAD_BYTES,
+    REQUEST_TIMEOUT_S,
+    ResourceLimits,
+)
 from ..net import server
 
 IDENT = re.compile(r"[\x21-\x7e]{1,128}\Z")
@@ -26,7 +34,7 @@
 
 
 @dataclass(slots=True)
-class HandIn:
+class Submission:
     """A client's head, read."""
 
     ident: str
@@ -43,12 +51,12 @@
 class Reader:
     """Heads of one deployment: the names of its classes and tenants are those of the settings."""
 
-    def __init__(self, settings: api.Settings) -> None:
-        self.classes = {cls.name: number for number, cls in enumerate(settings.classes)}
+    def __init__(self, settings: Settings) -> None:
+        self.classes = {message_class.name: number for number, message_class in enumerate(settings.classes)}
         self.tenants = {tenant.name: number for number, tenant in enumerate(settings.tenants)}
         self.settings = settings
 
-    def read(self, head: http1.Request) -> HandIn:
+    def read(self, head: http1.Request) -> Submission:
         """Raises BadRequest."""
         path = ORDER.match(head.target.partition("?")[0])
         if not path:
@@ -72,29 +80,29 @@
         tenant = self.tenants.get(one("X-Account")) if self.tenants else 0
         if tenant is None:
             raise BadRequest(400, "X-Account: no such account")
-        cls = self.settings.classes[class_]
+        message_class = self.settings.classes[class_]
         left = LEFT.match(one("X-Time-Left"))
         if not left:
             raise BadRequest(400, "X-Time-Left: expected a number and m or u")
         left_ms = float(left[1]) / (1000.0 if left[2] == "u" else 1.0)
-        if left_ms > LONGEST_LEFT * cls.deadline_ms:
+        if left_ms > MAX_DEADLINE_MULTIPLE * message_class.deadline_ms:
             raise BadRequest(400, "X-Time-Left: longer than any message of its class has")
-        dest = DEST.search(one("Envelope"))
-        if not dest:
+        destination = DEST.search(one("Envelope"))
+        if not destination:
             raise BadRequest(400, "Envelope: expected dest=NUMBER")
         keys = headers.all("Idempotency-Key")
-        keyed = cls.effect is api.Effect.KEYED
+        keyed = message_class.effect is Effect.DEDUPLICATED
         if len(keys) > 1 or keys and not IDENT.match(keys[0]) or keyed and not keys:
             raise BadRequest(400, "Idempotency-Key: expected once in this class, at most 128 visible characters")
         order = path[1] or ""
-        if order and not cls.in_order:
+        if order and not message_class.in_order:
             raise BadRequest(404, "messages of this class are handed in at /api")
         repeat = headers.get("X-Repeat")
-        return HandIn(
+        return Submission(
             ident,
             class_,
             tenant,
-            int(dest[1]),
+            int(destination[1]),
             keys[0] if keys else "",
             order,
             left_ms,
@@ -103,36 +111,45 @@
         )
 
 
-Take = Callable[[server.Exchange, HandIn], None]
+Take = Callable[[server.RequestContext, Submission], None]
 
 
-def answer(exchange: server.Exchange, status: int, text: str = "", close: bool = False, wait_ms: float = 0.0) -> bool:
+def answer(
+    exchange: server.RequestContext, status: int, text: str = "", close: bool = False, wait_ms: float = 0.0
+) -> bool:
     """False if the client has gone."""
     fields = [("Retry-After", f"{wait_ms / 1000:.3f}")] if wait_ms > 0 else []
     return exchange.reply(status, fields, f"{text}\n".encode() if text else b"", close)
 
 
-class Front:
+class HttpFrontend:
     """Listens for clients; `take` gets each hand-in that can be read, `ready` is asked each time."""
 
-    def __init__(self, settings: api.Settings, bounds: Bounds, take: Take, ready: Callable[[], bool]) -> None:
+    def __init__(self, settings: Settings, bounds: ResourceLimits, take: Take, ready: Callable[[], bool]) -> None:
         self.reader = Reader(settings)
         self.take, self.ready = take, ready
         self.closing = False
         self.server = server.Server(
             self._request,
             self._head,
-            http1.Limits(line=4096, head=HEAD, fields=64, body=BODY),
-            server.Bounds(bounds.clients, HEAD_S, IDLE_S, pipelined=8, write_bytes=BODY, sweep_s=0.25),
+            http1.Limits(line=4096, head=MAX_HEAD_BYTES, fields=64, body=MAX_BODY_BYTES),
+            server.Bounds(
+                bounds.max_client_connections,
+                REQUEST_TIMEOUT_S,
+                CLIENT_IDLE_TIMEOUT_S,
+                pipelined=8,
+                write_bytes=MAX_BODY_BYTES,
+                sweep_s=0.25,
+            ),
         )
         self.bad = 0  # requests that were answered with an error of the client's
 
-    def _head(self, exchange: server.Exchange) -> None:
+    def _head(self, exchange: server.RequestContext) -> None:
         """Refuses by the head alone what can be: a bad client's body is not worth reading."""
         head = exchange.head
         path = head.target.partition("?")[0]
         # The whole request is owed to us by then, or an error to its client.
-        exchange.until = exchange.began + HEAD_S
+        exchange.until = exchange.began + REQUEST_TIMEOUT_S
         if path in ("/-/ready", "/-/healthy"):
             if head.method not in ("GET", "HEAD"):
                 self._refuse(exchange, 405, "GET is expected here")
@@ -142,14 +159,14 @@
         except BadRequest as error:
             self._refuse(exchange, error.status, error.text)
 
-    def _refuse(self, exchange: server.Exchange, status: int, text: str) -> None:
+    def _refuse(self, exchange: server.RequestContext, status: int, text: str) -> None:
         self.bad += 1
         answer(exchange, status, text, close=True)
 
-    def _request(self, exchange: server.Exchange) -> None:
+    def _request(self, exchange: server.RequestContext) -> None:
         if exchange.answered:
             return
-        if isinstance(exchange.who, HandIn):
+        if isinstance(exchange.who, Submission):
             self.take(exchange, exchange.who)
         elif exchange.head.target.startswith("/-/ready"):
             ready = self.ready()
--- a/linnetstile/node/journal.py
+++ b/linnetstile/platform_relay/journal.py
@@ -16,7 +16,7 @@
 from pathlib import Path
 from typing import Any
 
-from ..decisions.bounds import RECORDS
+from ..engine.resource_limits import JOURNAL_OVERHEAD_BYTES
 
 HEAD = struct.Struct("<cII")
 TAKEN, ATTEMPT, OUTCOME, OWED, ENDED = b"T", b"A", b"O", b"N", b"E"
@@ -27,7 +27,7 @@
 
 
 @dataclass(slots=True)
-class Kept:
+class JournaledMessage:
     """One message as the journal knows it."""
 
     id: int
@@ -98,9 +98,9 @@
     return next((there for there in range(at + 1, len(data)) if _sound(data, there)), len(data))
 
 
-def replay(data: bytes) -> tuple[dict[int, Kept], int]:
+def replay(data: bytes) -> tuple[dict[int, JournaledMessage], int]:
     """What is still owed, by id in the order it was taken, and how many bytes were no sound record."""
-    kept: dict[int, Kept] = {}
+    kept: dict[int, JournaledMessage] = {}
     at = lost = 0
     while at < len(data):
         end = _sound(data, at)
@@ -113,14 +113,14 @@
     return kept, lost
 
 
-def _apply(kept: dict[int, Kept], kind: bytes, content: bytes) -> None:
+def _apply(kept: dict[int, JournaledMessage], kind: bytes, content: bytes) -> None:
     if kind == TAKEN:
         (size,) = struct.unpack_from("<I", content)
         ident, fields = json.loads(content[4 : 4 + size])
-        kept[ident] = Kept(ident, fields, content[4 + size :])
+        kept[ident] = JournaledMessage(ident, fields, content[4 + size :])
     elif kind == OWED:
         ident, notice, *order = json.loads(content)
-        kept[ident] = Kept(ident, {}, b"", notice=notice, order=order[0] if order else 0)
+        kept[ident] = JournaledMessage(ident, {}, b"", notice=notice, order=order[0] if order else 0)
     elif kind == ATTEMPT:
         ident, when, zone = ATTEMPTED.unpack_from(content)
         if ident in kept:
@@ -152,7 +152,7 @@
     _file: int = -1
     _added: list[bytes] = field(default_factory=list)
 
-    def open(self) -> dict[int, Kept]:
+    def open(self) -> dict[int, JournaledMessage]:
         """Reads what an earlier process left and goes on from there. Raises OSError."""
         path = self.folder / "journal"
         (self.folder / "journal.new").unlink(missing_ok=True)
@@ -187,15 +187,15 @@
         return False
 
     @staticmethod
-    def weight(each: Kept) -> int:
+    def weight(each: JournaledMessage) -> int:
         """Bytes that a message takes on the disk while it is held, its attempts included."""
-        return len(each.body) + RECORDS
+        return len(each.body) + JOURNAL_OVERHEAD_BYTES
 
     @property
     def full(self) -> bool:
         return self.size > self.most
 
-    def rewrite(self, kept: Iterable[Kept]) -> None:
+    def rewrite(self, kept: Iterable[JournaledMessage]) -> None:
         """Writes what is owed into a new file, which takes the place of the old one as a whole or not at all."""
         new = self.folder / "journal.new"
         data = b"".join(record for each in kept for record in each.records())
--- a/linnetstile/node/finals.py
+++ b/linnetstile/platform_relay/notices.py
@@ -9,19 +9,19 @@
 from typing import Any
 
 from ..codec import http1
-from ..decisions.bounds import BODY, NOTICE_S, POST_MS, pause_ms
-from ..decisions.evidence import Sight
+from ..engine.attempt_outcome import WireResult
+from ..engine.resource_limits import MAX_BODY_BYTES, NOTICE_BACKOFF_MS, NOTICE_TIMEOUT_S, backoff_ms
 from ..net import client
 from .config import Address
 
 
-class Finals:
+class NoticeSender:
     """One post at a time, with all notices that wait as far as they fit; `done` gets the numbers that it has."""
 
     def __init__(self, where: Address, done: Callable[[list[int]], None], rng: random.Random) -> None:
         self.loop = asyncio.get_running_loop()
         self.where, self.done, self.rng = where, done, rng
-        self.pool = client.Pool(NOTICE_S, 30.0)
+        self.pool = client.Pool(NOTICE_TIMEOUT_S, 30.0)
         self.owed: dict[int, bytes] = {}
         self.posting: list[int] = []
         self.fails = 0
@@ -47,7 +47,7 @@
         size = 0
         for number, line in self.owed.items():
             size += len(line)
-            if self.posting and (size > BODY or self.one_by_one):
+            if self.posting and (size > MAX_BODY_BYTES or self.one_by_one):
                 break
             self.posting.append(number)
         if not self.posting:
@@ -59,12 +59,12 @@
             "POST",
             http1.request("POST", "/v2/finals", headers, body),
             self._answered,
-            self.loop.time() + NOTICE_S,
+            self.loop.time() + NOTICE_TIMEOUT_S,
         )
 
     def _answered(self, answer: client.Answer) -> None:
         posted, self.posting = self.posting, []
-        status = answer.head.status if answer.sight is Sight.ANSWERED and answer.head else 0
+        status = answer.head.status if answer.sight is WireResult.ANSWERED and answer.head else 0
         if 200 <= status < 300 or status == 400 and len(posted) == 1:
             self.fails = 0
             self.refused += status == 400
@@ -78,7 +78,9 @@
         if not self.owed:
             self.one_by_one = False
             return
-        pause = pause_ms(self.fails, POST_MS, self.rng) / 1000 if self.fails and not self.one_by_one else 0.0
+        pause = (
+            backoff_ms(self.fails, NOTICE_BACKOFF_MS, self.rng) / 1000 if self.fails and not self.one_by_one else 0.0
+        )
         self.timer = self.loop.call_later(pause, self._go)
 
     def close(self) -> None:
--- a/linnetstile/node/process.py
+++ b/linnetstile/platform_relay/process.py
@@ -12,7 +12,7 @@
 import time
 
 from .config import ConfigError, load
-from .relay import Node
+from .relay import PlatformRelay
 
 STATS_S = 5.0
 
@@ -29,7 +29,7 @@
 class Stats:
     """What the relay believes, every few seconds: to hold against the traffic."""
 
-    def __init__(self, node: Node) -> None:
+    def __init__(self, node: PlatformRelay) -> None:
         self.node = node
         self.cpu = time.process_time()
         self.before: dict[str, int] = {}
@@ -40,19 +40,19 @@
         node = self.node
         cpu, late = time.process_time(), node.loop.time() - self.due
         counts = dict(node.counts)
-        lanes = [lane for lanes in node.relay.lanes.values() for lane in lanes.values()]
+        routes = [route for routes in node.relay.routes.values() for route in routes.values()]
         log(
             "stats",
             cpu=round(cpu - self.cpu, 2),
             late_ms=round(late * 1000, 1),
             held=len(node.carried),
-            busy=node.relay.busy,
+            busy=node.relay.in_flight,
             notices=len(node.owed),
             clients=len(node.front.server.open),
             bad=node.front.bad,
             calls=len(node.calls.pool.open),
             idle=node.calls.pool.resting,
-            sick=sum(lane.sick for lane in lanes),
+            sick=sum(route.ejected for route in routes),
             journal=node.journal.size,
             memory_mb=resource.getrusage(resource.RUSAGE_SELF).ru_maxrss >> 10,
             since={k: v - self.before.get(k, 0) for k, v in counts.items() if v != self.before.get(k, 0)},
@@ -70,7 +70,7 @@
         node.loop.call_at(self.due, self._tell)
 
 
-def reload(node: Node) -> None:
+def reload(node: PlatformRelay) -> None:
     """SIGHUP: the configuration file is read again; one that can't be used leaves all as it was."""
     try:
         settings = load(os.environ)
@@ -98,7 +98,7 @@
         print(f"linnetstile node: {error}", file=sys.stderr)
         return 2
     try:
-        node = Node(settings, log)
+        node = PlatformRelay(settings, log)
         del settings  # it holds the known list, which the relay lets go of
         await node.start()
     except OSError as error:
