--- a/tests/lab/test_scale.py
+++ b/tests/testbed/test_scale.py
@@ -16,11 +16,11 @@
 from click.testing import CliRunner
 
 from linnetstile.cli.main import main
-from linnetstile.decisions import interface as api
-from linnetstile.lab.scale import fleet, hollow, members, real, report, scenes
-from linnetstile.lab.scale.fleet import Failed, Fleet, Played
-from linnetstile.lab.scale.hollow import Ears, Hollow, Trace
-from linnetstile.lab.scale.truth import SCENES, Sizes, World
+from linnetstile.engine.events import EndpointList
+from linnetstile.testbed.scale import fleet, members, relay_process, report, scenarios, simulated_relay
+from linnetstile.testbed.scale.fleet import Failed, Fleet, Played
+from linnetstile.testbed.scale.simulated_relay import Ears, Hollow, Trace
+from linnetstile.testbed.scale.world_model import SCENES, Sizes, World
 
 TINY = Sizes(
     relays=10,
@@ -60,7 +60,7 @@
 
 
 def play(sizes: Sizes, relay: int = 0, since_version: bool = False, world: World | None = None) -> Trace:
-    return Hollow(world or scenes.build(sizes), relay, since_version, lambda: False).play()
+    return Hollow(world or scenarios.build(sizes), relay, since_version, lambda: False).play()
 
 
 def told(trace: Trace) -> dict[str, Any]:
@@ -106,7 +106,7 @@
 
 
 def test_the_whole_list_is_what_its_changes_make_of_the_first() -> None:
-    world = scenes.build(replace(TINY, changes=60))
+    world = scenarios.build(replace(TINY, changes=60))
     steps, at_once = Ears(), Ears()
     steps.hear(world.whole(1))
     for change in world.changes:
@@ -121,7 +121,7 @@
 
 def test_a_relay_that_was_parted_hears_what_it_missed() -> None:
     sizes = replace(TINY, scenes=("parted",), changes=86_400)
-    world = scenes.build(sizes)
+    world = scenarios.build(sizes)
     far = next(relay for relay in range(10) if world.region(relay) == 1)
     for since_version, wholes in ((False, 2), (True, 1)):
         trace = play(sizes, far, since_version, world)
@@ -134,21 +134,21 @@
 
 
 def test_a_list_that_is_refused_is_offered_a_few_times_and_told(monkeypatch: pytest.MonkeyPatch) -> None:
-    def refuses(self: Ears, data: bytes) -> list[api.EndpointList]:
+    def refuses(self: Ears, data: bytes) -> list[EndpointList]:
         raise ValueError("too long")
 
     monkeypatch.setattr(Ears, "hear", refuses)
     sizes = replace(TINY, scenes=("rack",))
     trace = play(sizes, 9)
-    assert trace.refused == hollow.REFUSALS and trace.known == 0 and not trace.heard
+    assert trace.refused == simulated_relay.REFUSALS and trace.known == 0 and not trace.heard
     assert not any(what.endswith(":calls") for what in trace.counts)
-    found, _ = report.build(scenes.build(sizes), Played([trace]), None)
-    assert found["simulated"]["lists_refused"] == hollow.REFUSALS and "lists refused 3" in report.text(found)
+    found, _ = report.build(scenarios.build(sizes), Played([trace]), None)
+    assert found["simulated"]["lists_refused"] == simulated_relay.REFUSALS and "lists refused 3" in report.text(found)
     assert "NO LIST" in report.text(found) and found["telling"] == {}
 
 
 def test_what_the_time_does_not_allow_is_left_out_and_told() -> None:
-    world = scenes.build(TINY)
+    world = scenarios.build(TINY)
     trace = Hollow(world, 0, False, lambda: True).play()
     assert trace.cut
     found, _ = report.build(world, Played([trace, play(TINY, 1, world=world)]), None)
@@ -156,7 +156,7 @@
 
 
 def test_membership_notices_what_stays_away() -> None:
-    world = scenes.build(replace(TINY, scenes=("rack",)))
+    world = scenarios.build(replace(TINY, scenes=("rack",)))
     found = members.play(world, lambda: False)
     (rack,) = found["scenes"]
     assert rack["pairs"] == 16 >= rack["noticed"] > 8 and rack["asks"] > 0 and found["cut_at_ms"] is None
@@ -165,7 +165,7 @@
 
 @pytest.mark.parametrize(("met", "breaks"), [(12, 1), (11, 0)])  # of the 17 calls that fell it: 16.8 are allowed
 def test_a_cold_destination_that_gets_too_much_is_counted(met: int, breaks: int) -> None:
-    world = scenes.build(replace(TINY, played=1, relays=2, rack=1, restarts=0, scenes=("zone",)))
+    world = scenarios.build(replace(TINY, played=1, relays=2, rack=1, restarts=0, scenes=("zone",)))
     outage = [o for o in world.outages if o.destination in world.in_use][0]
     safety = world.settings(0).safety
     calls = [(outage.number, outage.end + n * 1e-3, n < met) for n in range(40)]
@@ -173,7 +173,7 @@
     cold = report._cold(world, world.scenes[0], [trace], True)
     assert cold["worst"]["calls"] == 40 and cold["worst"]["by_relays_that_met_it"] == met
     assert cold["falls"] == 1 and cold["breaks"] == breaks and cold["worst"]["met_by"] == 1
-    late = [(outage.number, outage.end + n * safety.fall_ms, True) for n in range(6)]
+    late = [(outage.number, outage.end + n * safety.overload_window_ms, True) for n in range(6)]
     assert report._cold(world, world.scenes[0], [Trace(0, 0, cold=late)], True)["falls"] == 0
     part, _ = report.build(world, Played([trace]), None)  # one relay of two: nothing is said of the fleet
     assert not part["simulated"]["scenes"][0]["cold"]["judged"] and "not judged" in report.text(part)
@@ -217,10 +217,10 @@
 def test_hollow_and_real_that_differ_are_told_apart() -> None:
     row = {"expected": "port-1", "hollow": ["port-1", "port-1"], "real": ["port-1", "port-1"]}
     same = {"changes": [row], "endpoints": [{"real": 3, "hollow": 3}]}
-    assert real.agrees(same)
+    assert relay_process.agrees(same)
     for name in ("hollow", "real"):
-        assert not real.agrees({**same, "changes": [row, row | {name: ["port-1", "none"]}]})
-    assert not real.agrees({**same, "endpoints": [{"real": 2, "hollow": 3}]})
+        assert not relay_process.agrees({**same, "changes": [row, row | {name: ["port-1", "none"]}]})
+    assert not relay_process.agrees({**same, "endpoints": [{"real": 2, "hollow": 3}]})
 
 
 def test_a_real_relay_that_does_not_start_is_told_in_one_line(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
@@ -232,12 +232,12 @@
 
 
 def test_a_process_that_has_drawn_another_world_ends_the_run() -> None:
-    world, other = scenes.build(TINY), scenes.build(replace(TINY, seed=2))
+    world, other = scenarios.build(TINY), scenarios.build(replace(TINY, seed=2))
     played = Played([Trace(0, world.mark()), Trace(3, other.mark())])
     with pytest.raises(Failed, match="relay 3 played another world"):
         played.check(world)
     played.traces.pop()
-    played.check(scenes.build(TINY))
+    played.check(scenarios.build(TINY))
 
 
 @pytest.mark.parametrize("killed", [True, False])
