--- a/linnetstile/engine/attempt_outcome.py
+++ b/linnetstile/engine/attempt_outcome.py
@@ -1,7 +1,8 @@
-"""What the end of one attempt proves: from what was seen on the wire to the words of the module.
+"""What the end of one attempt proves: from what was seen on the wire to the engine's outcome.
 
-The module acts on `Outcome`; whether an effect may have happened follows from that alone. Where the wire says less
-than the module's words, the row takes the word that promises less. docs/design/relay.md argues each row."""
+The engine acts on `Outcome`, and whether an effect may have happened follows from that alone. Where the wire proves
+less than an outcome says, the table takes the outcome that promises less. docs/design/relay.md argues each row.
+"""
 
 from __future__ import annotations
 
@@ -10,30 +11,33 @@
 
 from .events import Outcome
 
-MAX_RETRY_AFTER_MS = (
-    3_600_000.0  # a told wait beyond an hour is no wait but an error or an attack: it counts as an hour
-)
+MAX_RETRY_AFTER_MS = 3_600_000.0  # a Retry-After beyond an hour is an error or an attack: it counts as an hour
+STATUS_OK = 200
+STATUS_GONE = 410
+STATUS_TOO_MANY_REQUESTS = 429
+STATUS_SERVICE_UNAVAILABLE = 503
+STATUS_GATEWAY_TIMEOUT = 504
 
 
 class WireResult(Enum):
     """How far an attempt got, as the network shows it."""
 
-    NOT_SENT = "not_sent"  # the last byte of the request never left this process, for a reason of our own
+    NOT_SENT = "not_sent"  # the last byte of the request never left this process, for a reason of this relay
     NO_CONNECTION = "no_connection"
     REQUEST_INCOMPLETE = "cut"  # ended before the last byte of the request had left this process
     CONNECTION_LOST = "lost"  # the connection ended after a byte had left, before the answer was complete
     TIMED_OUT = "timed_out"
-    MALFORMED = "garbled"  # what came back is not HTTP
+    MALFORMED = "garbled"  # the answer is not HTTP
     CANCELLED = "cancelled"
     ANSWERED = "answered"
 
 
 class ReceiptStatus(Enum):
-    """What came with, or after, an answer of 2xx."""
+    """What receipt came with, or after, a 2xx answer."""
 
     NOT_ASKED = "not_asked"
-    MISSING = "missing"  # asked for, and there is none to read
-    UNPROVEN = "unproven"  # unsigned or signed by another where a signature was asked for
+    MISSING = "missing"  # a receipt was requested, and none can be read
+    UNPROVEN = "unproven"  # unsigned, or signed by someone else, where a signature was requested
     OTHER_MESSAGE = "other_message"  # names another Message-ID
     WRONG_MIC = "wrong_mic"
     POSITIVE = "positive"
@@ -43,19 +47,36 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptObservation:
-    """One attempt's end. `retry_after_ms` is None where no wait was told."""
+    """What was seen of one attempt when it ended.
+
+    Attributes:
+        wire_result: How far the attempt got.
+        status: HTTP status of the answer, 0 without one.
+        retry_after_ms: The answer's Retry-After in ms; None without one.
+        receipt: The receipt that came with the answer.
+        request_complete: Whether the last byte of the request had left when the answer came.
+        after_deadline: Whether the deadline of the message had passed when the answer was read.
+    """
 
     wire_result: WireResult
     status: int = 0
     retry_after_ms: float | None = None
     receipt: ReceiptStatus = ReceiptStatus.NOT_ASKED
-    request_complete: bool = True  # the last byte of the request had left when the answer came
-    after_deadline: bool = False  # the message's time was up when the answer was read
+    request_complete: bool = True
+    after_deadline: bool = False
 
 
 @dataclass(frozen=True, slots=True)
 class AttemptVerdict:
-    """`finished`: the partner's answer is the final one, whatever it says. `reason` is for people."""
+    """What an attempt proves.
+
+    Attributes:
+        outcome: The outcome that the engine acts on.
+        reason: Why, for operators.
+        is_final: Whether the partner's answer is the final one, whatever it says.
+        retry_after_ms: Retry-After (ms) that came with a rejection, 0 without one.
+        slots_exhausted: Whether all slots of this relay at the endpoint were taken.
+    """
 
     outcome: Outcome
     reason: str
@@ -67,7 +88,7 @@
 VERDICT_BY_WIRE_RESULT = {
     WireResult.NOT_SENT: AttemptVerdict(Outcome.NOT_SENT, "its last byte never left, by our own will or want"),
     WireResult.NO_CONNECTION: AttemptVerdict(Outcome.CONNECT_FAILED, "no connection was made"),
-    # RFC 9112, 8: an incomplete request can't be acted on. As a connection that was not made: nothing arrived.
+    # RFC 9112, 8: an incomplete request can't be acted on. So it counts as no connection: nothing arrived.
     WireResult.REQUEST_INCOMPLETE: AttemptVerdict(
         Outcome.CONNECT_FAILED, "ended before the request was whole: nothing can have run"
     ),
@@ -77,13 +98,13 @@
     WireResult.CANCELLED: AttemptVerdict(Outcome.CANCELLED, "cancelled: may have run"),
 }
 VERDICT_BY_RECEIPT = {
-    ReceiptStatus.NOT_ASKED: AttemptVerdict(Outcome.OK, "taken; no receipt was asked for", True),
-    ReceiptStatus.POSITIVE: AttemptVerdict(Outcome.OK, "receipt holds", True),
-    # An earlier attempt took effect, ours or that of a relay before us: delivered (RFC 4130, 7.5.4).
-    ReceiptStatus.DUPLICATE: AttemptVerdict(Outcome.OK, "processed before: duplicate-document", True),
-    # The destination is well and has said its last word on this message; it is handed on as it is.
-    ReceiptStatus.NEGATIVE: AttemptVerdict(Outcome.OK, "receipt says not processed", True),
-    # From here on nothing shows what was done with which bytes.
+    ReceiptStatus.NOT_ASKED: AttemptVerdict(Outcome.OK, "taken; no receipt was asked for", is_final=True),
+    ReceiptStatus.POSITIVE: AttemptVerdict(Outcome.OK, "receipt holds", is_final=True),
+    # An earlier attempt took effect, of this relay or of one before it: delivered (RFC 4130, 7.5.4).
+    ReceiptStatus.DUPLICATE: AttemptVerdict(Outcome.OK, "processed before: duplicate-document", is_final=True),
+    # The destination is healthy and has given its final answer on this message, which is passed on as it is.
+    ReceiptStatus.NEGATIVE: AttemptVerdict(Outcome.OK, "receipt says not processed", is_final=True),
+    # The rest proves nothing about what was done with which bytes.
     ReceiptStatus.MISSING: AttemptVerdict(Outcome.ERROR, "2xx without the receipt asked for: may have run"),
     ReceiptStatus.UNPROVEN: AttemptVerdict(Outcome.ERROR, "receipt not signed by the partner: may have run"),
     ReceiptStatus.OTHER_MESSAGE: AttemptVerdict(Outcome.ERROR, "receipt of another message: may have run"),
@@ -91,39 +112,56 @@
 }
 
 
-def judge_attempt(seen: AttemptObservation) -> AttemptVerdict:
-    """The row for what was seen. RFC 9110, 15: 503 and 429 say the request was not handled (15.6.4; RFC 6585, 4);
-    no other status says that nothing ran, so each of them leaves the effect open."""
-    if seen.wire_result is not WireResult.ANSWERED:
-        return VERDICT_BY_WIRE_RESULT[seen.wire_result]
-    if seen.status in (429, 503):
-        wait = min(max(seen.retry_after_ms or 0.0, 0.0), MAX_RETRY_AFTER_MS)
-        return AttemptVerdict(
-            Outcome.REJECTED, f"{seen.status}: refused" + (f", wait {wait:.0f} ms" if wait else ""), retry_after_ms=wait
-        )
-    if 200 <= seen.status < 300:
-        return VERDICT_BY_RECEIPT[seen.receipt]
-    if not seen.request_complete:
-        return AttemptVerdict(
-            Outcome.CONNECT_FAILED, f"{seen.status} before the request was whole: nothing can have run"
-        )
-    return AttemptVerdict(Outcome.ERROR, f"{seen.status}: may have run")
-
-
-def judge_endpoint_attempt(seen: AttemptObservation, claimed: int = 0, no_slot: bool = False) -> AttemptVerdict:
-    """The row for a call to an endpoint of the platform, whose page gives these rows. `claimed` is the status in a
-    first line whose rest is spoilt: 200 holds all the same, no other one does. `no_slot`: 503 told that all slots of
-    this relay were taken."""
-    if claimed == 200 or seen.wire_result is WireResult.ANSWERED and seen.status == 200:
-        if seen.after_deadline:  # the platform may not count it, and then an end is owed
-            return AttemptVerdict(Outcome.TIMEOUT, "200 once its time was up: may have run")
-        return AttemptVerdict(Outcome.OK, "200: delivered", True)
-    if seen.wire_result is not WireResult.ANSWERED:
-        return VERDICT_BY_WIRE_RESULT[seen.wire_result]
-    if seen.status == 503 and no_slot:
+def judge_attempt(observation: AttemptObservation) -> AttemptVerdict:
+    """Judge an attempt by the HTTP and AS2 standards.
+
+    RFC 9110, 15: 503 and 429 say that the request was not handled (15.6.4; RFC 6585, 4). No other status says that
+    nothing ran, so each of them leaves open whether there was an effect.
+    """
+    if observation.wire_result is not WireResult.ANSWERED:
+        return VERDICT_BY_WIRE_RESULT[observation.wire_result]
+    status = observation.status
+    if status in (STATUS_TOO_MANY_REQUESTS, STATUS_SERVICE_UNAVAILABLE):
+        return _rejected(status, observation.retry_after_ms)
+    if 200 <= status < 300:
+        return VERDICT_BY_RECEIPT[observation.receipt]
+    if not observation.request_complete:
+        return AttemptVerdict(Outcome.CONNECT_FAILED, f"{status} before the request was whole: nothing can have run")
+    return AttemptVerdict(Outcome.ERROR, f"{status}: may have run")
+
+
+def _rejected(status: int, retry_after_ms: float | None) -> AttemptVerdict:
+    wait_ms = min(max(retry_after_ms or 0.0, 0.0), MAX_RETRY_AFTER_MS)
+    reason = f"{status}: refused"
+    if wait_ms:
+        reason += f", wait {wait_ms:.0f} ms"
+    return AttemptVerdict(Outcome.REJECTED, reason, retry_after_ms=wait_ms)
+
+
+def judge_endpoint_attempt(observation: AttemptObservation, claimed: int = 0, no_slot: bool = False) -> AttemptVerdict:
+    """Judge an attempt at an endpoint of the platform, by the rows of the platform's contract.
+
+    Args:
+        observation: What was seen of the attempt.
+        claimed: Status in a status line that was followed by a malformed answer. 200 counts even so, no other does.
+        no_slot: Whether a 503 said that all slots of this relay were taken.
+    """
+    is_answered = observation.wire_result is WireResult.ANSWERED
+    if claimed == STATUS_OK or is_answered and observation.status == STATUS_OK:
+        return _platform_success(observation)
+    if not is_answered:
+        return VERDICT_BY_WIRE_RESULT[observation.wire_result]
+    if observation.status == STATUS_SERVICE_UNAVAILABLE and no_slot:
         return AttemptVerdict(Outcome.NOT_SENT, "503: all slots of this relay are taken", slots_exhausted=True)
-    if seen.status == 504:
+    if observation.status == STATUS_GATEWAY_TIMEOUT:
         return AttemptVerdict(Outcome.NOT_SENT, "504: had all its attempts; its end is owed")
-    if seen.status == 410:
-        return AttemptVerdict(Outcome.NOT_SENT, "410: it is over; nothing more is owed", True)
-    return judge_attempt(seen)
+    if observation.status == STATUS_GONE:
+        return AttemptVerdict(Outcome.NOT_SENT, "410: it is over; nothing more is owed", is_final=True)
+    return judge_attempt(observation)
+
+
+def _platform_success(observation: AttemptObservation) -> AttemptVerdict:
+    if observation.after_deadline:
+        # The platform may not count a late 200, and then a final notice is still due.
+        return AttemptVerdict(Outcome.TIMEOUT, "200 once its time was up: may have run")
+    return AttemptVerdict(Outcome.OK, "200: delivered", is_final=True)
--- a/linnetstile/engine/deduplication.py
+++ b/linnetstile/engine/deduplication.py
@@ -1,9 +1,11 @@
-"""A client that hands in an identifier again: what is it, and which answer is it owed?
+"""What a repeated submission of a client is, and which answer it gets.
 
-An identifier is the pair of sender and Message-ID (RFC 4130, 7.2: unique to the sender). While the message is open
-a repeat waits for the same final answer. After one that promises nothing more (delivered, failed) the stored answer
-is given again; after a refusal it is a new try, for a refusal says that coming again is harmless. The same
-identifier with other content is refused: two messages under one key would let a destination drop one as a repeat."""
+A submission is identified by its sender and Message-ID (RFC 4130, 7.2: unique to the sender). While the message is
+open a repeat waits for the same final answer. After an answer that promises nothing more (delivered, failed) a repeat
+gets the stored answer again. After a rejection it is a new submission, as a rejection says that a retry is harmless.
+The same identifier with other content is a conflict: two messages under one key would let a destination drop one as a
+repeat.
+"""
 
 from __future__ import annotations
 
@@ -11,31 +13,97 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 from enum import Enum
-from typing import Generic, TypeVar
+from typing import Generic, NamedTuple, TypeVar
 
-T = TypeVar("T")  # a message that is open
+T = TypeVar("T")  # an open message
 A = TypeVar("A")  # a final answer
 
 
 class SubmissionStatus(Enum):
+    """What a submission is in view of earlier ones."""
+
     NEW = "new"
-    OPEN = "open"
-    ANSWERED = "answered"
-    CONFLICT = "conflict"
+    OPEN = "open"  # a repeat of a message without a final answer
+    ANSWERED = "answered"  # a repeat of a message with a final answer
+    CONFLICT = "conflict"  # the identifier of another message
+
+
+class SubmissionKey(NamedTuple):
+    """What identifies a submission."""
+
+    sender: str
+    message_id: str
 
 
 @dataclass(slots=True)
 class KnownSubmission(Generic[T, A]):
+    """A submission that was accepted.
+
+    Attributes:
+        digest: Digest of the content.
+        message: The message while it is open; None once it has its final answer.
+        answer: The final answer, perhaps shortened.
+        expires_at: Time (ms) at which an answered submission is forgotten.
+    """
+
     digest: bytes
     message: T | None
     answer: A | None = None
     expires_at: float = 0.0
 
 
+class SubmissionLookup(NamedTuple, Generic[T, A]):
+    """Result of a lookup: the status, and the earlier submission unless the status is NEW."""
+
+    status: SubmissionStatus
+    submission: KnownSubmission[T, A] | None
+
+
+class AnswerStore(Generic[A]):
+    """Bounds the bytes of complete answers: the oldest ones are shortened first.
+
+    Invariant: `total_bytes` is the sum of `sizes`, the sizes of the answers that are still complete.
+    """
+
+    def __init__(self, max_bytes: float, size: Callable[[A], int]) -> None:
+        self.max_bytes = max_bytes
+        self.size = size
+        self.total_bytes = 0
+        self.sizes: OrderedDict[SubmissionKey, int] = OrderedDict()
+
+    def add(self, key: SubmissionKey, answer: A) -> None:
+        """Count a complete answer."""
+        size = self.size(answer)
+        self.sizes[key] = size
+        self.total_bytes += size
+
+    def discard(self, key: SubmissionKey) -> None:
+        """Stop counting an answer, if it is still counted."""
+        self.total_bytes -= self.sizes.pop(key, 0)
+        assert self.total_bytes >= 0, "more bytes of answers removed than added"
+
+    def pop_over_limit(self) -> SubmissionKey | None:
+        """Stop counting the oldest complete answer if the bytes are above the limit, and return its key."""
+        if self.total_bytes <= self.max_bytes:
+            return None
+        key, size = self.sizes.popitem(last=False)
+        self.total_bytes -= size
+        return key
+
+
 class SubmissionTable(Generic[T, A]):
-    """Holds answers for `keep_ms` after they were given, and at most `most` of them, the oldest given up first.
+    """The submissions that are open, and those answered within the retention time.
+
+    Open submissions are never forgotten. Answered ones are forgotten after `retention_ms`, or earlier, the oldest
+    first, where there are more than `max_answers`. The retention has to cover the longest deduplication window and a
+    client's patience, as what is forgotten counts as new.
 
-    `keep_ms` is to cover the longest key window and a client's patience: what is forgotten is new."""
+    Attributes:
+        known: All known submissions.
+        answered: Keys of the answered ones, the oldest answer first.
+        evicted_count: Answers that were forgotten before their time because there were too many.
+        shortened_count: Answers that were shortened because they had too many bytes.
+    """
 
     def __init__(
         self,
@@ -45,59 +113,73 @@
         size: Callable[[A], int] = lambda answer: 0,
         shorten: Callable[[A], A] = lambda answer: answer,
     ) -> None:
+        """Create an empty table.
+
+        Args:
+            retention_ms: Time (ms) for which an answer is kept.
+            max_answers: Most answers that are kept.
+            max_answer_bytes: Most bytes of complete answers; beyond them the oldest are shortened.
+            size: Gives the bytes of an answer.
+            shorten: Gives the short form of an answer, which is not counted.
+        """
         self.retention_ms = retention_ms
         self.max_answers = max_answers
-        self.max_answer_bytes = max_answer_bytes
-        self.size, self.shorten = size, shorten
-        self.answer_bytes = 0  # of the answers kept whole
-        self.full_answers: OrderedDict[tuple[str, str], int] = OrderedDict()
+        self.shorten = shorten
+        self.complete_answers = AnswerStore(max_answer_bytes, size)
         self.shortened_count = 0
-        self.known: dict[tuple[str, str], KnownSubmission[T, A]] = {}
-        self.answered: OrderedDict[tuple[str, str], None] = OrderedDict()
-        self.evicted_count = 0  # answers forgotten for want of room, before their time
-
-    def lookup(
-        self, now: float, sender: str, ident: str, digest: bytes
-    ) -> tuple[SubmissionStatus, KnownSubmission[T, A] | None]:
-        """What a message just handed in is; `open` must follow at once where it is NEW and taken."""
-        self._forget(now)
-        known = self.known.get((sender, ident))
-        if known is None:
-            return SubmissionStatus.NEW, None
-        if known.digest != digest:
-            return SubmissionStatus.CONFLICT, known
-        return (SubmissionStatus.OPEN if known.message is not None else SubmissionStatus.ANSWERED), known
-
-    def start(self, sender: str, ident: str, digest: bytes, message: T) -> None:
-        assert (sender, ident) not in self.known, "an identifier was taken twice"
-        self.known[sender, ident] = KnownSubmission(digest, message)
-
-    def forget_rejected(self, sender: str, ident: str) -> None:
-        del self.known[sender, ident]
-
-    def complete(self, now: float, sender: str, ident: str, answer: A) -> None:
-        """The final answer that repeats will get."""
-        known = self.known[sender, ident]
-        assert known.message is not None, "a second final answer"
-        known.message, known.answer, known.expires_at = None, answer, now + self.retention_ms
-        self.answered[sender, ident] = None
-        self.full_answers[sender, ident] = self.size(answer)
-        self.answer_bytes += self.full_answers[sender, ident]
-        # Big answers go first in part: that there was one, and which, is never forgotten before its time for bytes.
-        while self.answer_bytes > self.max_answer_bytes:
-            oldest, size = self.full_answers.popitem(last=False)
-            self.answer_bytes -= size
-            shortened = self.known[oldest]
-            if shortened.answer is not None:
-                shortened.answer = self.shorten(shortened.answer)
+        self.known: dict[SubmissionKey, KnownSubmission[T, A]] = {}
+        self.answered: OrderedDict[SubmissionKey, None] = OrderedDict()
+        self.evicted_count = 0
+
+    def lookup(self, now_ms: float, sender: str, message_id: str, digest: bytes) -> SubmissionLookup[T, A]:
+        """Return what a submission is; `start` has to follow at once where it is NEW and gets accepted."""
+        self._forget_expired(now_ms)
+        submission = self.known.get(SubmissionKey(sender, message_id))
+        if submission is None:
+            return SubmissionLookup(SubmissionStatus.NEW, None)
+        if submission.digest != digest:
+            return SubmissionLookup(SubmissionStatus.CONFLICT, submission)
+        if submission.message is not None:
+            return SubmissionLookup(SubmissionStatus.OPEN, submission)
+        return SubmissionLookup(SubmissionStatus.ANSWERED, submission)
+
+    def start(self, sender: str, message_id: str, digest: bytes, message: T) -> None:
+        """Record a new submission that was accepted."""
+        key = SubmissionKey(sender, message_id)
+        assert key not in self.known, "an identifier was accepted twice"
+        self.known[key] = KnownSubmission(digest, message)
+
+    def forget_rejected(self, sender: str, message_id: str) -> None:
+        """Forget a submission that was rejected after all, so that it may come again."""
+        del self.known[SubmissionKey(sender, message_id)]
+
+    def complete(self, now_ms: float, sender: str, message_id: str, answer: A) -> None:
+        """Record the final answer of an open submission, which repeats will get."""
+        key = SubmissionKey(sender, message_id)
+        submission = self.known[key]
+        assert submission.message is not None, "a second final answer"
+        submission.message = None
+        submission.answer = answer
+        submission.expires_at = now_ms + self.retention_ms
+        self.answered[key] = None
+        self.complete_answers.add(key, answer)
+        self._shorten_oldest()
+
+    def _shorten_oldest(self) -> None:
+        # Bytes alone never make the table forget early that there was an answer, and which: only its body goes.
+        while (key := self.complete_answers.pop_over_limit()) is not None:
+            submission = self.known[key]
+            if submission.answer is not None:
+                submission.answer = self.shorten(submission.answer)
             self.shortened_count += 1
 
-    def _forget(self, now: float) -> None:
+    def _forget_expired(self, now_ms: float) -> None:
         while self.answered:
             oldest = next(iter(self.answered))
-            late = self.known[oldest].expires_at <= now
-            if not late and len(self.answered) <= self.max_answers:
+            has_expired = self.known[oldest].expires_at <= now_ms
+            if not has_expired and len(self.answered) <= self.max_answers:
                 return
-            self.evicted_count += not late
-            del self.answered[oldest], self.known[oldest]
-            self.answer_bytes -= self.full_answers.pop(oldest, 0)
+            self.evicted_count += not has_expired
+            del self.answered[oldest]
+            del self.known[oldest]
+            self.complete_answers.discard(oldest)
--- a/linnetstile/engine/endpoint_index.py
+++ b/linnetstile/engine/endpoint_index.py
@@ -1,4 +1,4 @@
-"""A compact index of all endpoints that take new calls."""
+"""A compact index of all endpoints that take new requests. No I/O and no clock."""
 
 from __future__ import annotations
 
@@ -10,20 +10,42 @@
 
 
 class EndpointIndex:
-    """The endpoints that take new calls, by id and by destination: some 48 bytes each in columns, no object."""
+    """The endpoints that take new requests, by id and by destination.
+
+    They take some 48 bytes each, in columns and without an object. A row is an index into the columns; `Endpoint`
+    objects are made as they are asked for.
+
+    Invariant: a row is either in `free_rows` or in both hash tables.
+
+    Attributes:
+        ids: Column of the endpoints' ids.
+        destination_ids: Column of their destinations.
+        kinds: Column of the indexes of their destination kinds.
+        zones: Column of their zones.
+        rates: Column of their advertised rates.
+        free_rows: Rows that are not in use.
+        by_id: Rows by the hash of the id.
+        by_destination: Rows by the hash of the destination.
+        destination_count: Destinations that have an endpoint.
+    """
 
     def __init__(self) -> None:
-        self.ids, self.destination_ids, self.kinds, self.zones = array("q"), array("q"), array("I"), array("I")
+        self.ids = array("q")
+        self.destination_ids = array("q")
+        self.kinds = array("I")
+        self.zones = array("I")
         self.rates = array("d")
-        self.free_rows: list[int] = []  # rows
-        self.by_id, self.by_destination = LinearHashTable(self._id_hash), LinearHashTable(self._dest_hash)
-        self.destination_count = 0  # that have an endpoint
+        self.free_rows: list[int] = []
+        self.by_id = LinearHashTable(self._id_hash)
+        self.by_destination = LinearHashTable(self._dest_hash)
+        self.destination_count = 0
 
     def __len__(self) -> int:
+        """Return the number of endpoints."""
         return self.by_id.row_count
 
     def __iter__(self) -> Iterator[Endpoint]:
-        """All of them. Nothing may be put or taken out meanwhile."""
+        """Iterate over all endpoints. The index must not change meanwhile."""
         free = set(self.free_rows)
         return (self._entry(row) for row in range(len(self.ids)) if row not in free)
 
@@ -33,15 +55,13 @@
     def _dest_hash(self, row: int) -> int:
         return hash_integer(self.destination_ids[row])
 
-    def _row(self, ident: int) -> int | None:
-        return next((row for row in self.by_id.find(hash_integer(ident)) if self.ids[row] == ident), None)
+    def _row(self, endpoint_id: int) -> int | None:
+        rows = self.by_id.find(hash_integer(endpoint_id))
+        return next((row for row in rows if self.ids[row] == endpoint_id), None)
 
     def _rows(self, destination: int) -> list[int]:
-        return [
-            row
-            for row in self.by_destination.find(hash_integer(destination))
-            if self.destination_ids[row] == destination
-        ]
+        rows = self.by_destination.find(hash_integer(destination))
+        return [row for row in rows if self.destination_ids[row] == destination]
 
     def _entry(self, row: int) -> Endpoint:
         return Endpoint(
@@ -53,39 +73,51 @@
             self.rates[row],
         )
 
-    def get(self, ident: int) -> Endpoint | None:
-        row = self._row(ident)
+    def get(self, endpoint_id: int) -> Endpoint | None:
+        """Return an endpoint, or None if it is not in the index."""
+        row = self._row(endpoint_id)
         return None if row is None else self._entry(row)
 
     def endpoints_of(self, destination: int) -> list[Endpoint]:
-        """The endpoints of a destination, in the order of their ids."""
+        """Return the endpoints of a destination, in the order of their ids."""
         rows = self._rows(destination)
         if len(rows) > 1:
             rows.sort(key=self.ids.__getitem__)
         return [self._entry(row) for row in rows]
 
-    def put(self, entry: Endpoint) -> None:
-        """A new one, or what has changed of one."""
-        row = self._row(entry.id)
-        if row is not None and self.destination_ids[row] != entry.destination:
-            self.pop(entry.id)
+    def put(self, endpoint: Endpoint) -> None:
+        """Add an endpoint, or update the one with its id."""
+        row = self._row(endpoint.id)
+        if row is not None and self.destination_ids[row] != endpoint.destination:
+            self.pop(endpoint.id)
             row = None
         if row is None:
-            self.destination_count += not self._rows(entry.destination)
-            if not self.free_rows:
-                self.free_rows.append(len(self.ids))
-                for column in (self.ids, self.destination_ids, self.kinds, self.zones, self.rates):
-                    column.append(0)
-            row = self.free_rows.pop()
-            self.ids[row], self.destination_ids[row] = entry.id, entry.destination
-            self.by_id.add(row)
-            self.by_destination.add(row)
-        self.kinds[row], self.zones[row], self.rates[row] = entry.kind, entry.zone, entry.advertised_rate
-
-    def pop(self, ident: int) -> None:
-        """One that is in it."""
-        row = self._row(ident)
-        assert row is not None
+            row = self._insert(endpoint.id, endpoint.destination)
+        self.kinds[row] = endpoint.kind
+        self.zones[row] = endpoint.zone
+        self.rates[row] = endpoint.advertised_rate
+
+    def _insert(self, endpoint_id: int, destination: int) -> int:
+        """Put a new endpoint into a free row and into both tables, and return the row."""
+        self.destination_count += not self._rows(destination)
+        if not self.free_rows:
+            self._append_row()
+        row = self.free_rows.pop()
+        self.ids[row] = endpoint_id
+        self.destination_ids[row] = destination
+        self.by_id.add(row)
+        self.by_destination.add(row)
+        return row
+
+    def _append_row(self) -> None:
+        self.free_rows.append(len(self.ids))
+        for column in (self.ids, self.destination_ids, self.kinds, self.zones, self.rates):
+            column.append(0)
+
+    def pop(self, endpoint_id: int) -> None:
+        """Remove an endpoint that is in the index."""
+        row = self._row(endpoint_id)
+        assert row is not None, f"endpoint {endpoint_id} is not in the index"
         self.by_id.remove(row)
         self.by_destination.remove(row)
         self.free_rows.append(row)
--- a/linnetstile/engine/fair_share.py
+++ b/linnetstile/engine/fair_share.py
@@ -1,339 +1,373 @@
-"""Who may hold how much of one bounded room: weighted max-min shares in trees of parties, with borrowing.
+"""Who may reserve how much of one bounded capacity: weighted max-min fair shares in trees, with borrowing.
 
-A charge (bytes and one message) lies on one leaf of each tree it names: where it comes from, and where it goes. A party
-below its fair part is let in while there is room at all. Above it, a party borrows: only while a part of the room stays
-free for those who are owed some, and only while none of those waits. Nothing held is taken away again: what was lent
-comes back as it is released, and goes first to those below their part. docs/design/slow-peers.md weighs the rules.
+A reservation (bytes and one message) counts at one leaf of each tree: where it comes from, and where it goes. A
+claimant below its fair share is admitted while there is capacity at all. Above it, the claimant borrows: only while a
+part of the capacity stays free for those below their fair share, and only while none of those waits. Nothing reserved
+is taken away again: what was borrowed comes back as it is released, and goes first to those below their fair share.
+docs/design/slow-peers.md weighs the rules.
+
+No I/O and no clock: times (ms) come in.
 """
 
 from __future__ import annotations
 
-import itertools
 import math
-from collections import deque
 from collections.abc import Iterator, Sequence
-from dataclasses import dataclass, field
 from enum import Enum
-
-BORROWING_LIMIT = 0.75  # part of the room up to which borrowing goes: the rest is for those below their fair part
-OVERSIZED_FRACTION = 0.5  # one message at a time of more than half the room may borrow all but the last part
-RESERVE_FRACTION, SMALL_FRACTION = (
-    1 / 16,
-    1 / 1024,
-)  # the last part of the room takes only messages of at most so small a part of it
-BYTES, MESSAGES = 0, 1
-RELEASE_DECAY_MS = 5000.0  # how far back released room tells how fast room comes free
-MAX_VISITS, MAX_UNDERSERVED_CHECKED = (
-    256,
-    16,
-)  # parties looked at in one turn, and at each ask: bounds their time under attack
+from typing import NamedTuple
+
+from .request_rotation import RequestRotation
+from .share_tree import BYTES, MESSAGES, RESOURCES, AdmissionRequest, Reservation, ResourceAmount, ShareNode
+
+__all__ = [
+    "BORROWING_LIMIT",
+    "BYTES",
+    "MESSAGES",
+    "RESERVE_FRACTION",
+    "AdmissionDecision",
+    "AdmissionResult",
+    "FairShare",
+    "GrantResult",
+    "Reservation",
+    "ShareNode",
+]
+
+BORROWING_LIMIT = 0.75  # fraction of the capacity up to which it is lent: the rest is for those below their share
+OVERSIZED_FRACTION = 0.5  # one message at a time above this fraction may borrow all but the reserve
+RESERVE_FRACTION = 1 / 16  # the last part of the capacity, which only small messages may use
+SMALL_FRACTION = 1 / 1024  # a message up to this fraction of the capacity is small
+RELEASE_DECAY_MS = 5000.0  # time constant over which released bytes tell how fast capacity becomes free
+MIN_RELEASE_RATE = 1e-9  # bytes a ms; keeps the division by the rate finite
+MIN_RETRY_AFTER_MS = 1000.0
+# These two bound the time of one call under attack.
+MAX_VISITS = 256  # leaves looked at in one `grant_waiting`
+MAX_UNDERSERVED_CHECKED = 16  # waiting requests checked for being below their fair share, in each update
+
+DEFAULT_WEIGHT = 1.0
+SOURCE_TREE = "from"
+DESTINATION_TREE = "to"
+
+# Keys of `FairShare.counts`, which are labels of a metric.
+COUNT_GRANTED = "granted"
+COUNT_GRANTED_UNDER_PRESSURE = "under_pressure"
+COUNT_QUEUED = "waited"
+COUNT_EXPIRED = "expired"
+COUNT_TOO_LARGE = "never"
 
 
 class AdmissionDecision(Enum):
+    """What becomes of a request."""
+
     GRANTED = "yes"
     QUEUED = "wait"
-    TOO_LARGE = "never"  # more than the whole room
+    TOO_LARGE = "never"  # more than the whole capacity
 
 
-@dataclass(slots=True, eq=False)
-class ShareNode:
-    """One node. `active`: weight of the children that hold something or wait."""
+class AdmissionResult(NamedTuple):
+    """Answer to a request: the decision, and the reservation, which counts unless the request was too large."""
 
-    name: str
-    parent: ShareNode | None
-    weight: float = 1.0
-    used: list[float] = field(default_factory=lambda: [0.0, 0.0])
-    waiting: int = 0
-    reservations: int = 0  # on this leaf, not given back
-    active_weight: float = 0.0
-    children: dict[str, ShareNode] = field(default_factory=dict)
-    queue: deque[AdmissionRequest] = field(default_factory=deque)
-    usage_chain: tuple[list[float], ...] = ()  # what it and those above it hold
-
-    def __post_init__(self) -> None:
-        self.usage_chain = (self.used, *(self.parent.usage_chain if self.parent is not None else ()))
+    decision: AdmissionDecision
+    reservation: Reservation
 
-    @property
-    def idle(self) -> bool:
-        return not self.reservations and not self.children
 
-    def path(self) -> str:
-        """Names from the first level down; `-` where there is none."""
-        above = self.parent.path() if self.parent is not None else ""
-        return above + ("/" if above else "") + (self.name or "-" if self.parent is not None else "")
+class GrantResult(NamedTuple):
+    """Tokens of the waiting requests that were granted, and of those that have expired."""
 
+    granted: list[object]
+    expired: list[object]
 
-@dataclass(slots=True, eq=False)
-class Reservation:
-    """What one message holds, on a leaf of each tree."""
 
-    leaves: tuple[ShareNode, ...]
-    amount: list[float]
-    released: bool = False
+class ReleaseRate:
+    """Estimates how fast capacity becomes free, from released bytes that decay exponentially."""
 
+    def __init__(self) -> None:
+        self._released_bytes = 0.0
+        self._updated_at = 0.0
 
-@dataclass(slots=True, eq=False)
-class AdmissionRequest:
-    """A charge, or more of one, that waits for room until `until` (ms)."""
+    def record(self, now_ms: float, released_bytes: float) -> None:
+        """Take released bytes into the estimate."""
+        if now_ms > self._updated_at:
+            self._released_bytes *= math.exp((self._updated_at - now_ms) / RELEASE_DECAY_MS)
+            self._updated_at = now_ms
+        self._released_bytes += released_bytes
 
-    reservation: Reservation
-    amount: tuple[float, float]
-    expires_at: float
-    token: object
+    def bytes_per_ms(self, now_ms: float) -> float:
+        """Return the estimate as of now, which is always above 0."""
+        decay = math.exp(min(0.0, self._updated_at - now_ms) / RELEASE_DECAY_MS)
+        return max(self._released_bytes * decay / RELEASE_DECAY_MS, MIN_RELEASE_RATE)
 
 
 class FairShare:
-    """Room in (bytes, messages). `trees` names the trees that a charge lies on, the asking one first."""
-
-    def __init__(self, capacity: tuple[float, float], trees: tuple[str, ...] = ("from", "to")) -> None:
-        self.capacity = capacity
+    """Admission to a bounded capacity of bytes and messages.
+
+    Attributes:
+        capacity: The capacity.
+        trees: Root of each tree by name, the one by which requests queue first.
+        used: Bytes and messages that are reserved.
+        rotation: The requests that wait.
+        underserved: How many of the first waiting requests are below their fair share; while there are any, nothing
+            is lent.
+        oversized: The one reservation above `OVERSIZED_FRACTION`, if there is one.
+        counts: How many requests ended how, by label of the metric.
+    """
+
+    def __init__(self, capacity: tuple[float, float], trees: tuple[str, ...] = (SOURCE_TREE, DESTINATION_TREE)) -> None:
+        """Create a capacity of which nothing is reserved.
+
+        Args:
+            capacity: Bytes and messages.
+            trees: Names of the trees that each reservation counts in; requests queue by the first one.
+        """
+        self.capacity = ResourceAmount(*capacity)
         self.trees = {name: ShareNode("", None) for name in trees}
         self.used = [0.0, 0.0]
-        self.rotation: deque[ShareNode] = deque()  # leaves with a queue, in turn
-        self.underserved = 0  # asks that wait although below their fair part
-        self.oversized: Reservation | None = None  # the one message of more than half the room
-        self.counts = {"granted": 0, "under_pressure": 0, "waited": 0, "expired": 0, "never": 0}
-        self._weights: dict[tuple[str, str], float] = {}
-        self._released_bytes = 0.0  # bytes released, fading
-        self._released_at = 0.0
-
-    # -- parties -----------------------------------------------------------------------------------------
+        self.rotation = RequestRotation()
+        self.underserved = 0
+        self.oversized: Reservation | None = None
+        self.counts = {
+            COUNT_GRANTED: 0,
+            COUNT_GRANTED_UNDER_PRESSURE: 0,
+            COUNT_QUEUED: 0,
+            COUNT_EXPIRED: 0,
+            COUNT_TOO_LARGE: 0,
+        }
+        self._weights: dict[str, dict[str, float]] = {name: {} for name in trees}
+        self._release_rate = ReleaseRate()
+
+    # -- the trees ---------------------------------------------------------------------------------------
 
     def set_weight(self, tree: str, name: str, weight: float) -> None:
-        """Sets the weight of a first-level party, from now on."""
-        self._weights[tree, name] = weight
-        root = self.trees[tree]
-        party = root.children.get(name)
-        if party is not None:
-            root.active_weight += weight - party.weight
-            party.weight = weight
+        """Set the weight of a first-level node, from now on."""
+        self._weights[tree][name] = weight
+        node = self.trees[tree].children.get(name)
+        if node is not None:
+            node.set_weight(weight)
 
     def _leaf(self, tree: str, names: Sequence[str]) -> ShareNode:
-        party = self.trees[tree]
-        for depth, name in enumerate(names):
-            child = party.children.get(name)
+        """Return the leaf of a path, creating the nodes that it lacks."""
+        root = self.trees[tree]
+        node = root
+        for name in names:
+            child = node.children.get(name)
             if child is None:
-                child = ShareNode(name, party, self._weights.get((tree, name), 1.0) if depth == 0 else 1.0)
-                party.children[name] = child
-                party.active_weight += child.weight
-            party = child
-        return party
-
-    def _forget_idle(self, party: ShareNode) -> None:
-        """A party without a charge is forgotten: names from peers take no room for long."""
-        while party.parent is not None and party.idle:
-            del party.parent.children[party.name]
-            party.parent.active_weight -= party.weight
-            party = party.parent
+                weight = self._weights[tree].get(name, DEFAULT_WEIGHT) if node is root else DEFAULT_WEIGHT
+                child = node.add_child(name, weight)
+            node = child
+        return node
 
     def nodes(self) -> Iterator[tuple[str, ShareNode]]:
-        """Every party with the name of its tree; the roots, which are no party, are not among them."""
+        """Iterate over all nodes but the roots, each with the name of its tree."""
         for tree, root in self.trees.items():
-            stack = list(root.children.values())
-            while stack:
-                party = stack.pop()
-                yield tree, party
-                stack += party.children.values()
-
-    def fair_part(self, party: ShareNode, what: int) -> float:
-        """Its part of the room were all that are active now to use theirs."""
-        part = self.capacity[what]
-        while party.parent is not None:
-            part *= party.weight / max(party.parent.active_weight, party.weight)
-            party = party.parent
-        return part
-
-    # -- asking ------------------------------------------------------------------------------------------
+            for node in root.descendants():
+                yield tree, node
+
+    def fair_part(self, node: ShareNode, resource: int) -> float:
+        """Return the fair share of a node of one resource (`BYTES` or `MESSAGES`)."""
+        return node.fair_share_of(self.capacity[resource])
+
+    # -- requests ----------------------------------------------------------------------------------------
 
     def request(
-        self, now: float, paths: Sequence[Sequence[str]], size: float, wait_ms: float, token: object, messages: int = 1
-    ) -> tuple[AdmissionDecision, Reservation]:
-        """Room for one message of `size` bytes; with WAIT, `turn` tells the token later."""
+        self,
+        now_ms: float,
+        paths: Sequence[Sequence[str]],
+        size: float,
+        wait_ms: float,
+        token: object,
+        messages: int = 1,
+    ) -> AdmissionResult:
+        """Request capacity for a message.
+
+        Args:
+            now_ms: Present time (ms).
+            paths: Names from the first level to the leaf, in each tree.
+            size: Bytes.
+            wait_ms: How long (ms) the request may wait.
+            token: What `grant_waiting` returns where the decision is QUEUED.
+            messages: Messages that the reservation counts for.
+
+        Returns:
+            The decision and the reservation, which has to be released unless the decision is TOO_LARGE.
+        """
         leaves = tuple(self._leaf(tree, names) for tree, names in zip(self.trees, paths, strict=True))
-        charge = Reservation(leaves, [0.0, 0.0])
+        reservation = Reservation(leaves, [0.0, 0.0])
         for leaf in leaves:
             leaf.reservations += 1
-        if not self.rotation and self._has_slack((size, messages)):
-            self._apply(charge, (size, messages))
-            return AdmissionDecision.GRANTED, charge
-        say = self.extend(now, charge, size, wait_ms, token, messages)
-        if say is AdmissionDecision.TOO_LARGE:
-            charge.released = True
-            self._release_leaves(leaves)
-        return say, charge
+        amount = ResourceAmount(size, messages)
+        if not self.rotation and self._has_slack(amount):
+            self._grant(reservation, amount)
+            return AdmissionResult(AdmissionDecision.GRANTED, reservation)
+        decision = self.extend(now_ms, reservation, size, wait_ms, token, messages)
+        if decision is AdmissionDecision.TOO_LARGE:
+            reservation.released = True
+            self._leave(leaves)
+        return AdmissionResult(decision, reservation)
 
     def extend(
-        self, now: float, charge: Reservation, size: float, wait_ms: float, token: object, messages: int = 0
+        self,
+        now_ms: float,
+        reservation: Reservation,
+        size: float,
+        wait_ms: float,
+        token: object,
+        messages: int = 0,
     ) -> AdmissionDecision:
-        """More room for a message whose length was not told."""
-        assert not charge.released, "room for a charge that was given back"
-        more = (float(size), float(messages))
-        if charge.amount[BYTES] + size > (1 - RESERVE_FRACTION) * self.capacity[BYTES]:
-            self.counts["never"] += 1
+        """Request more capacity for a message whose length was not known; the arguments are those of `request`."""
+        assert not reservation.released, "capacity requested for a reservation that was released"
+        amount = ResourceAmount(float(size), float(messages))
+        if reservation.amount[BYTES] + size > (1 - RESERVE_FRACTION) * self.capacity[BYTES]:
+            self.counts[COUNT_TOO_LARGE] += 1
             return AdmissionDecision.TOO_LARGE
-        if not charge.leaves[0].queue and self._fits(charge, more):
-            self.counts["under_pressure"] += 1
-            self._apply(charge, more)
+        if not reservation.leaves[0].queue and self._fits(reservation, amount):
+            self.counts[COUNT_GRANTED_UNDER_PRESSURE] += 1
+            self._grant(reservation, amount)
             return AdmissionDecision.GRANTED
-        self.counts["waited"] += 1
-        leaf = charge.leaves[0]
-        if not leaf.queue:
-            self.rotation.append(leaf)
-        leaf.queue.append(AdmissionRequest(charge, more, now + wait_ms, token))
-        for party in charge.leaves:
-            party.waiting += 1
-        self._count_owed()
+        self.counts[COUNT_QUEUED] += 1
+        self.rotation.enqueue(AdmissionRequest(reservation, amount, now_ms + wait_ms, token))
+        self._count_underserved()
         return AdmissionDecision.QUEUED
 
-    def _fits(self, charge: Reservation, more: tuple[float, float]) -> bool:
-        if not self.rotation and self._has_slack(more):
+    # -- the rules ---------------------------------------------------------------------------------------
+
+    def _fits(self, reservation: Reservation, amount: ResourceAmount) -> bool:
+        """Whether an amount may be granted now."""
+        if not self.rotation and self._has_slack(amount):
             return True
-        # Guards small messages: bodies that came in while few were active may hold all else for a while.
-        small = charge.amount[BYTES] + more[BYTES] <= SMALL_FRACTION * self.capacity[BYTES]
-        if self.used[BYTES] + more[BYTES] > (1.0 if small else 1 - RESERVE_FRACTION) * self.capacity[BYTES]:
+        size = reservation.amount[BYTES] + amount[BYTES]
+        # The reserve guards small messages: bodies admitted while few claimants were active may use all the rest.
+        is_small = size <= SMALL_FRACTION * self.capacity[BYTES]
+        usable = 1.0 if is_small else 1 - RESERVE_FRACTION
+        if self.used[BYTES] + amount[BYTES] > usable * self.capacity[BYTES]:
             return False
-        borrowed = self._borrows(charge, more)
-        if not borrowed:
+        if not self._borrows(reservation, amount):
             return True
-        # One outsize message at a time may borrow nearly all: it could never come in beside others else.
-        outsize = charge.amount[BYTES] + more[BYTES] > OVERSIZED_FRACTION * self.capacity[BYTES] and self.oversized in (
-            None,
-            charge,
-        )
-        lent = 1.0 if outsize else BORROWING_LIMIT
-        return not self.underserved and all(
-            self.used[what] + more[what] <= lent * self.capacity[what] for what in (BYTES, MESSAGES)
+        return not self.underserved and self._is_within(self._borrowing_limit(reservation, size), amount)
+
+    def _has_slack(self, amount: ResourceAmount) -> bool:
+        """Whether anyone may borrow the amount while no request waits: the usual case, and the fast path."""
+        return self._is_within(BORROWING_LIMIT, amount)
+
+    def _is_within(self, fraction: float, amount: ResourceAmount) -> bool:
+        """Whether the use stays within a fraction of the capacity with this amount added."""
+        used = self.used
+        capacity = self.capacity
+        return (
+            used[BYTES] + amount[BYTES] <= fraction * capacity[BYTES]
+            and used[MESSAGES] + amount[MESSAGES] <= fraction * capacity[MESSAGES]
         )
 
-    def _has_slack(self, more: tuple[float, float]) -> bool:
-        """Room that anyone may borrow, as nobody waits: the usual case, and the quick way."""
-        pending, room = self.used, self.capacity
-        return pending[0] + more[0] <= BORROWING_LIMIT * room[0] and pending[1] + more[1] <= BORROWING_LIMIT * room[1]
-
-    def _borrows(self, charge: Reservation, more: tuple[float, float]) -> bool:
-        for leaf in charge.leaves:
-            party: ShareNode | None = leaf
-            while party is not None and party.parent is not None:
-                if any(party.used[what] + more[what] > self.fair_part(party, what) for what in (BYTES, MESSAGES)):
-                    return True
-                party = party.parent
-        return False
-
-    def _apply(self, charge: Reservation, more: Sequence[float], sign: int = 1) -> None:
-        if sign > 0:
-            self.counts["granted"] += 1
-            if charge.amount[BYTES] + more[BYTES] > OVERSIZED_FRACTION * self.capacity[BYTES]:
-                self.oversized = charge
-        elif self.oversized is charge:
+    def _borrowing_limit(self, reservation: Reservation, size: float) -> float:
+        """Return the fraction of the capacity up to which this reservation may borrow.
+
+        One oversized message at a time may borrow nearly all: it could never be admitted beside others otherwise.
+        """
+        is_oversized = size > OVERSIZED_FRACTION * self.capacity[BYTES]
+        is_only_one = self.oversized is None or self.oversized is reservation
+        return 1.0 if is_oversized and is_only_one else BORROWING_LIMIT
+
+    def _borrows(self, reservation: Reservation, amount: ResourceAmount) -> bool:
+        """Whether the amount would put one of the claimants above its fair share."""
+        return any(self._exceeds_share(node, amount) for leaf in reservation.leaves for node in leaf.lineage())
+
+    def _exceeds_share(self, node: ShareNode, amount: ResourceAmount) -> bool:
+        return any(node.used[resource] + amount[resource] > self.fair_part(node, resource) for resource in RESOURCES)
+
+    def _count_underserved(self) -> None:
+        requests = self.rotation.first_requests(MAX_UNDERSERVED_CHECKED)
+        self.underserved = sum(not self._borrows(request.reservation, request.amount) for request in requests)
+
+    # -- granting and releasing --------------------------------------------------------------------------
+
+    def _grant(self, reservation: Reservation, amount: ResourceAmount) -> None:
+        self.counts[COUNT_GRANTED] += 1
+        if reservation.amount[BYTES] + amount[BYTES] > OVERSIZED_FRACTION * self.capacity[BYTES]:
+            self.oversized = reservation
+        self._add_usage(reservation, amount[BYTES], amount[MESSAGES])
+
+    def _add_usage(self, reservation: Reservation, size: float, messages: float) -> None:
+        for usage in (reservation.amount, self.used):
+            usage[BYTES] += size
+            usage[MESSAGES] += messages
+        for leaf in reservation.leaves:
+            for usage in leaf.usage_chain:
+                usage[BYTES] += size
+                usage[MESSAGES] += messages
+
+    def release(self, now_ms: float, reservation: Reservation) -> None:
+        """Release a reservation, granted or still waiting; once for each of them."""
+        assert not reservation.released, "a reservation was released twice"
+        reservation.released = True
+        size = reservation.amount[BYTES]
+        messages = reservation.amount[MESSAGES]
+        self._release_rate.record(now_ms, size)
+        if self.oversized is reservation:
             self.oversized = None
-        size, messages = sign * more[0], sign * more[1]
-        for pending in (charge.amount, self.used):
-            pending[0] += size
-            pending[1] += messages
-        for leaf in charge.leaves:
-            for pending in leaf.usage_chain:
-                pending[0] += size
-                pending[1] += messages
-
-    def _count_owed(self) -> None:
-        """Whether one of the first in the ring is below its fair part: then nothing is lent."""
-        self.underserved = sum(
-            not self._borrows(leaf.queue[0].reservation, leaf.queue[0].amount)
-            for leaf in itertools.islice(self.rotation, MAX_UNDERSERVED_CHECKED)
-            if leaf.queue
-        )
+        self._add_usage(reservation, -size, -messages)
+        if self.rotation.discard(reservation):
+            self._count_underserved()
+        self._leave(reservation.leaves)
 
-    # -- giving back -------------------------------------------------------------------------------------
-
-    def release(self, now: float, charge: Reservation) -> None:
-        """Once for each charge, granted or still waiting."""
-        assert not charge.released, "room given back twice"
-        charge.released = True
-        if now > self._released_at:
-            self._released_bytes *= math.exp((self._released_at - now) / RELEASE_DECAY_MS)
-            self._released_at = now
-        self._released_bytes += charge.amount[BYTES]
-        self._apply(charge, list(charge.amount), -1)
-        if charge.leaves[0].queue:
-            self._dequeue(charge)
-        self._release_leaves(charge.leaves)
-
-    def _release_leaves(self, leaves: tuple[ShareNode, ...]) -> None:
+    @staticmethod
+    def _leave(leaves: tuple[ShareNode, ...]) -> None:
+        """Take a reservation off its leaves, and remove those that are idle then."""
         for leaf in leaves:
             leaf.reservations -= 1
-            self._forget_idle(leaf)
-
-    def _dequeue(self, charge: Reservation) -> None:
-        leaf = charge.leaves[0]
-        left = [ask for ask in leaf.queue if ask.reservation is not charge]
-        gone = len(leaf.queue) - len(left)
-        if gone:
-            leaf.queue = deque(left)
-            for party in charge.leaves:
-                party.waiting -= gone
-            if not left:
-                self.rotation.remove(leaf)
-            self._count_owed()
-
-    def grant_waiting(self, now: float) -> tuple[list[object], list[object]]:
-        """Tokens that have room now, and tokens whose wait is over. The parties take turns, one message each, so a
-        party with a thousand asks is served no more often than one with a single ask."""
-        good: list[object] = []
-        late: list[object] = []
-        unmoved = 0
+            leaf.remove_if_idle()
+
+    def grant_waiting(self, now_ms: float) -> GrantResult:
+        """Grant waiting requests that fit now, one for each claimant in turn, and give up those that have expired."""
+        result = GrantResult(granted=[], expired=[])
+        not_served_in_a_row = 0
         for _ in range(MAX_VISITS):
-            if not self.rotation or unmoved >= len(self.rotation):
+            if not self.rotation or not_served_in_a_row >= len(self.rotation):
                 break
-            leaf = self.rotation.popleft()
-            while leaf.queue and leaf.queue[0].expires_at <= now:
-                late.append(self._pop_request(leaf).token)
-                self.counts["expired"] += 1
+            leaf = self.rotation.take_leaf()
+            self._expire_requests(now_ms, leaf, result.expired)
             if leaf.queue and self._try_grant(leaf.queue[0]):
-                good.append(self._pop_request(leaf).token)
-                unmoved = 0
+                result.granted.append(self.rotation.pop_request(leaf).token)
+                not_served_in_a_row = 0
             else:
-                unmoved += 1
-            if leaf.queue:
-                self.rotation.append(leaf)
-        self._count_owed()
-        return good, late
-
-    def _try_grant(self, ask: AdmissionRequest) -> bool:
-        owed, self.underserved = self.underserved, self.underserved - (not self._borrows(ask.reservation, ask.amount))
-        if self._fits(ask.reservation, ask.amount):
-            self._apply(ask.reservation, ask.amount)
+                not_served_in_a_row += 1
+            self.rotation.return_leaf(leaf)
+        self._count_underserved()
+        return result
+
+    def _expire_requests(self, now_ms: float, leaf: ShareNode, expired: list[object]) -> None:
+        while leaf.queue and leaf.queue[0].expires_at <= now_ms:
+            expired.append(self.rotation.pop_request(leaf).token)
+            self.counts[COUNT_EXPIRED] += 1
+
+    def _try_grant(self, request: AdmissionRequest) -> bool:
+        """Grant a waiting request if it fits; it does not count as underserved while it is looked at."""
+        underserved_before = self.underserved
+        is_underserved = not self._borrows(request.reservation, request.amount)
+        self.underserved -= is_underserved
+        if self._fits(request.reservation, request.amount):
+            self._grant(request.reservation, request.amount)
             return True
-        self.underserved = owed
+        self.underserved = underserved_before
         return False
 
-    @staticmethod
-    def _pop_request(leaf: ShareNode) -> AdmissionRequest:
-        ask = leaf.queue.popleft()
-        for party in ask.reservation.leaves:
-            party.waiting -= 1
-        return ask
-
     def next_expiry(self) -> float | None:
-        """When the first wait ends, ms."""
-        return min((leaf.queue[0].expires_at for leaf in self.rotation if leaf.queue), default=None)
+        """Return the time (ms) at which the first waiting request expires; None without one."""
+        return self.rotation.next_expiry()
+
+    def retry_after_ms(self, now_ms: float, size: float, max_ms: float) -> float:
+        """Return when (ms from now) there may be capacity for more bytes, by how fast it became free lately.
 
-    def retry_after_ms(self, now: float, size: float, longest_ms: float) -> float:
-        """When there may be room for `size` more bytes, by how fast room came free of late: at least a second."""
-        fade = math.exp(min(0.0, self._released_at - now) / RELEASE_DECAY_MS)
-        speed = max(self._released_bytes * fade / RELEASE_DECAY_MS, 1e-9)  # bytes a ms
-        return min(max(1000.0, size / speed), max(1000.0, longest_ms))
+        Args:
+            now_ms: Present time (ms).
+            size: Bytes asked for.
+            max_ms: Longest time to return, though never below `MIN_RETRY_AFTER_MS`.
+        """
+        expected_ms = size / self._release_rate.bytes_per_ms(now_ms)
+        return min(max(MIN_RETRY_AFTER_MS, expected_ms), max(MIN_RETRY_AFTER_MS, max_ms))
 
     def verify_invariants(self) -> None:
-        """Asserts that the trees add up; for tests and a relay that checks itself."""
-        for party in (*self.trees.values(), *(party for _, party in self.nodes())):
-            if party.children:
-                for what in (BYTES, MESSAGES):
-                    below = sum(child.used[what] for child in party.children.values())
-                    assert abs(below - party.used[what]) < 1e-3, f"{party.path()}: {below} is not {party.used}"
-                weight = sum(child.weight for child in party.children.values())
-                assert abs(weight - party.active_weight) < 1e-6, f"weight below {party.path()}"
-            assert party.used[BYTES] > -1e-3 and party.waiting >= 0, party.path()
-            assert party.parent is None or not party.idle, f"{party.path()}: kept for nothing"
+        """Assert that the trees add up; for tests and for a relay that checks itself."""
         for root in self.trees.values():
-            assert abs(root.used[BYTES] - self.used[BYTES]) < 1e-3, "a tree lost a charge"
-        assert self.used[BYTES] <= self.capacity[BYTES] + 1e-3, "more held than there is room"
+            root.verify_invariants()
+            assert abs(root.used[BYTES] - self.used[BYTES]) < 1e-3, "a tree lost a reservation"
+        for _, node in self.nodes():
+            node.verify_invariants()
+        assert self.used[BYTES] <= self.capacity[BYTES] + 1e-3, "more reserved than there is capacity"
--- a/linnetstile/engine/gossip.py
+++ b/linnetstile/engine/gossip.py
@@ -1,268 +1,313 @@
-"""What a fresh relay takes from others, and how far it believes it. No I/O, no clock: ages and times come in.
-
-A claim is what one relay knows of one lane (a destination, or a route where routes are apart). It is believed by age
-and by agreement; docs/design/knowledge.md argues the figures:
-
-- Evidence of health fades by half each `HALF_MS`, the module's measure of late evidence; a claim under `LEAST` of
-  its weight is stale. Latency, which changes slowly, fades by `PACE_HALF_MS`.
-- Out, cold and waiting are cautions: one credible peer is enough, unless `CLEAR` others that know better contradict it.
-- A clearance is never taken: that a lane answers others only takes a caution's force away. The first own answer counts.
-- A told wait binds this relay where it was told to this relay (its own snapshot); told to another it is a caution.
-- Whoever learns of an outage takes the smallest part of the cold budget, that of one of all relays: it can't know how
-  many learned it besides, and all of them together must stay within the budget.
-- What this relay has seen itself since it started always wins; only lanes without own evidence are touched.
-- A peer that cautions of more than `ALARM` of what it knows, alone against others who know them too, is doubted as
-  a whole: one that is wrong on purpose, or whose own network is the trouble, must not stop a fleet.
+"""What a fresh relay takes over from others by gossip, and how far it trusts them. No I/O and no clock.
+
+A claim is what one relay knows of one route (a destination, or one endpoint of it where routes are separate). It is
+trusted by its age and by agreement; docs/design/knowledge.md argues the figures:
+
+- Evidence of health loses half its weight each `HEALTH_HALF_LIFE_MS`, latency, which changes slowly, each
+  `LATENCY_HALF_LIFE_MS`; below `MIN_EVIDENCE_WEIGHT` a claim is stale.
+- Outages, slow starts and Retry-After are cautions: one credible peer is enough, unless `CLEARANCE_QUORUM` others with
+  better knowledge contradict it.
+- The opposite is never taken over: that a route answers others only cancels a caution. The first own answer counts.
+- A Retry-After is binding if this relay received it (its own snapshot); received by another it is a caution.
+- A relay that learns of an outage takes the smallest part of the slow-start budget, that of one of all relays: it can't
+  know how many others learned of it, and all of them together have to stay within the budget.
+- What this relay has observed itself since it started always wins: only routes without own evidence are merged.
+- A peer that claims outages of more than `DISTRUST_THRESHOLD` of what it knows, contradicted by others who know these
+  routes too, is distrusted as a whole: one that lies, or whose own network is at fault, must not stop a fleet.
 """
 
 from __future__ import annotations
 
+from collections.abc import Mapping, Set
 from dataclasses import dataclass, replace
-
-HEALTH_HALF_LIFE_MS = (
-    10_000.0  # the module's FADE_MS: evidence of so long ago counts no more there, here it counts half
+from typing import NamedTuple
+
+from .route_claims import (
+    MIN_EVIDENCE_WEIGHT,
+    MIN_LATENCY_MS,
+    AttributedClaim,
+    ClaimSource,
+    RouteClaim,
+    RouteKey,
+    evidence_weight,
 )
-LATENCY_HALF_LIFE_MS = 600_000.0  # ten minutes: latency follows the load of a day and the releases of a partner
-MIN_EVIDENCE_WEIGHT = 0.25  # two halves: 20 s for health, 20 min for latency
-CLEARANCE_QUORUM = 2  # so many who have seen an answer since outweigh one who says out
-DISTRUST_THRESHOLD = 0.5  # part of a peer's lanes: above it, alone, it is doubted
-MAX_OUTAGE_MS = 3_600_000.0  # no outage is taken to have begun longer ago than an hour
-MAX_RETRY_AFTER_MS = 60_000.0  # a wait told to another binds no longer than a minute
-OWN_OBSERVATION_WINS = "own observation wins"
-PLAUSIBLE_LATENCY_MS = (0.1, 120_000.0)  # outside it a figure is an error
-
-
-@dataclass(frozen=True, slots=True)
-class RouteClaim:
-    """One relay's knowledge of one lane. Ages and lengths in ms; None = never, or not so.
-
-    Lanes are named by partner and route (an endpoint's id, or -1); `endpoints` says which ones it was learned from: an
-    id given to another partner since, or none in common, makes it a claim about somebody else."""
-
-    partner: str
-    route: int
-    endpoints: tuple[int, ...]
-    answered_age: float | None = None  # the latest answer
-    failed_age: float | None = None  # the latest failure that no limit explains
-    out_age: float | None = None  # the first failure of the outage that lasts
-    cold_age: float | None = None  # its return
-    wait_ms: float = 0.0  # left of a told wait
-    mean_ms: float = 0.0
-    dev_ms: float = 0.0
-    answers: int = 0
-    knowers: float = 1.0  # relays that may know of the outage, those told included
-    pace: float = 0.0  # calls a second that refusals hold it to now; 0 = none do
-
-    @property
-    def seen_age(self) -> float:
-        """Of the youngest piece of it."""
-        ages = [age for age in (self.answered_age, self.failed_age, self.cold_age) if age is not None]
-        return min(ages, default=float("inf"))
-
-    def aged(self, ms: float) -> RouteClaim:
-        """The same, so much later: ages travel and not times of day."""
 
-        def add(age: float | None) -> float | None:
-            return None if age is None else age + ms
-
-        return replace(
-            self,
-            answered_age=add(self.answered_age),
-            failed_age=add(self.failed_age),
-            out_age=add(self.out_age),
-            cold_age=add(self.cold_age),
-            wait_ms=max(0.0, self.wait_ms - ms),
-        )
-
-
-@dataclass(frozen=True, slots=True)
-class ClaimSource:
-    """Whose claims: a name, whether it is this relay's own snapshot, and the claims at their present age."""
-
-    name: str
-    own: bool
-    claims: tuple[RouteClaim, ...]
+__all__ = [
+    "OWN_OBSERVATION_WINS",
+    "ClaimSource",
+    "MergedRoute",
+    "RejectedClaim",
+    "RouteClaim",
+    "evidence_weight",
+    "lower_median",
+    "merge_claims",
+    "merge_connection_limits",
+]
+
+CLEARANCE_QUORUM = 2  # so many sources with an answer since then outweigh one that claims an outage
+DISTRUST_THRESHOLD = 0.5  # fraction of a peer's routes with claimed outages above which it may be distrusted
+MIN_OUTAGES_TO_DISTRUST = 2  # a peer that claims a single outage is not distrusted as a whole
+MAX_OUTAGE_MS = 3_600_000.0  # an outage is taken to have begun at most an hour ago
+MAX_RETRY_AFTER_MS = 60_000.0  # a Retry-After that another relay received binds for at most a minute
+MIN_LATENCY_ANSWERS = 3  # a latency from fewer answers is not taken over
+MERGED_LATENCY_ANSWERS = 3  # answers that a merged latency counts as: the next own ones soon outweigh it
+MIN_DEVIATION_FRACTION = 0.25  # of the mean: a merged latency is no more certain than that
+
+# Reasons of rejected claims, as operators see them.
+OWN_OBSERVATION_WINS = "own observation wins"
+UNKNOWN_ROUTE = "no such partner or route now"
+IMPLAUSIBLE = "ages or figures that can't be"
+OTHER_ENDPOINTS = "learned from endpoints that are not its own now"
+STALE_OUTAGE = "says out, too long ago"
+DISTRUSTED_SOURCE = "says most are out, others say not"
+CONTRADICTED_OUTAGE = "says out, others have had answers since"
 
 
 @dataclass(frozen=True, slots=True)
 class MergedRoute:
-    """What is taken for one lane, in the words of `Learned`."""
+    """What is taken over for one route, as in the event `GossipReceived`.
+
+    Attributes:
+        partner: The partner.
+        route: An endpoint's id where routes are separate, else -1.
+        outage_age_ms: Age of the outage; None without one.
+        slow_start_age_ms: Time since the route returned from an outage; None if it did not.
+        retry_after_ms: What is left of a Retry-After.
+        latency_mean_ms: Mean latency; 0 if none is taken over.
+        latency_deviation_ms: Deviation of the latency.
+        answers: How many answers the latency counts as.
+        aware_relays: Relays that may know of the outage.
+        rate: Requests a second to which rejections throttle the route; 0 if they do not.
+        sources: Names of the sources with claims of this route, for operators.
+        age_ms: Age of the youngest evidence.
+    """
 
     partner: str
     route: int
-    outage_age_ms: float | None = None  # since when it is out
-    slow_start_age_ms: float | None = None  # since when it is back
+    outage_age_ms: float | None = None
+    slow_start_age_ms: float | None = None
     retry_after_ms: float = 0.0
-    latency_mean_ms: float = 0.0  # 0 = not taken
+    latency_mean_ms: float = 0.0
     latency_deviation_ms: float = 0.0
     answers: int = 0
     aware_relays: float = 1.0
     rate: float = 0.0
-    sources: tuple[str, ...] = ()  # who spoke of this lane, for people
-    age_ms: float = 0.0  # of the youngest of it
+    sources: tuple[str, ...] = ()
+    age_ms: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
 class RejectedClaim:
-    """What was not taken, of whom, and why."""
+    """A claim, or a part of one, that was not taken over.
+
+    Attributes:
+        source: Name of its source.
+        partner: The partner that it is about.
+        reason: Why, for operators.
+    """
 
     source: str
     partner: str
     reason: str
 
 
-def evidence_weight(age: float | None, half: float = HEALTH_HALF_LIFE_MS) -> float:
-    """1 for now, half of it each `half` ms; 0 for never, and for ages that no clock can tell."""
-    if age is None or not age >= 0:
-        return 0.0
-    return float(0.5 ** min(age / half, 1000.0))
+class MergedLatency(NamedTuple):
+    """Latency (ms) that is taken over, and how many answers it counts as; all 0 if there is none."""
+
+    mean_ms: float
+    deviation_ms: float
+    answers: int
+
 
+class _WeightedLatency(NamedTuple):
+    """A claimed latency, ordered by its mean."""
 
-def claims_outage(claim: RouteClaim) -> bool:
-    """Says that the lane is out now."""
-    return claim.out_age is not None and (claim.answered_age is None or claim.answered_age >= claim.out_age)
+    mean_ms: float
+    deviation_ms: float
+    weight: float
 
 
-def is_plausible(claim: RouteClaim) -> bool:
-    ages = (claim.answered_age, claim.failed_age, claim.out_age, claim.cold_age)
-    figures = [*(age for age in ages if age is not None), claim.wait_ms, claim.dev_ms, claim.knowers, claim.pace]
-    return all(0 <= figure < float("inf") for figure in figures) and 0 <= claim.mean_ms <= PLAUSIBLE_LATENCY_MS[1]
+class _RouteHealth(NamedTuple):
+    """Ages (ms) of the claimed outages of a route that are credible, and of its claimed slow starts."""
+
+    outage_ages: list[float]
+    slow_start_ages: list[float]
 
 
 def distrusted_sources(sources: list[ClaimSource]) -> set[str]:
-    """Peers that cry alarm alone: most of what they know is out, and most of that is contradicted by others."""
-    found: set[str] = set()
-    for source in sources:
-        fresh = [claim for claim in source.claims if evidence_weight(claim.seen_age) >= MIN_EVIDENCE_WEIGHT]
-        alarms = [claim for claim in fresh if claims_outage(claim)]
-        if not fresh or len(alarms) <= DISTRUST_THRESHOLD * len(fresh) or len(alarms) < 2:
-            continue
-        denied = sum(
-            any(contradicts(other, claim) for peer in sources if peer.name != source.name for other in peer.claims)
-            for claim in alarms
-        )
-        if denied > len(alarms) / 2:
-            found.add(source.name)
-    return found
-
-
-def contradicts(other: RouteClaim, claim: RouteClaim) -> bool:
-    """Saw an answer of the same lane after the outage is said to have begun, and lately."""
-    same = (other.partner, other.route) == (claim.partner, claim.route)
-    return (
-        same
-        and other.answered_age is not None
-        and evidence_weight(other.answered_age) >= MIN_EVIDENCE_WEIGHT
-        and (claim.failed_age is None or other.answered_age < claim.failed_age)
-    )
+    """Return the names of sources that claim outages of most routes they know, mostly contradicted by others."""
+    return {source.name for source in sources if _is_distrusted(source, sources)}
+
+
+def _is_distrusted(source: ClaimSource, sources: list[ClaimSource]) -> bool:
+    fresh = [claim for claim in source.claims if claim.is_fresh]
+    outages = [claim for claim in fresh if claim.claims_outage]
+    if len(outages) <= DISTRUST_THRESHOLD * len(fresh) or len(outages) < MIN_OUTAGES_TO_DISTRUST:
+        return False
+    others = [peer for peer in sources if peer.name != source.name]
+    contradicted = sum(any(other.contradicts(outage) for peer in others for other in peer.claims) for outage in outages)
+    return contradicted > len(outages) / 2
 
 
 def merge_claims(
-    sources: list[ClaimSource], endpoints: dict[tuple[str, int], set[int]], seen: set[tuple[str, int]], relays: int
+    sources: list[ClaimSource],
+    endpoints: Mapping[tuple[str, int], set[int]],
+    observed: Set[tuple[str, int]],
+    relay_count: int,
 ) -> tuple[list[MergedRoute], list[RejectedClaim]]:
-    """What to take for each lane that exists (`endpoints`: its ids now) and was not `seen` by this relay itself."""
-    doubts: list[RejectedClaim] = []
-    alarmists = distrusted_sources(sources)
-    by_lane: dict[tuple[str, int], list[tuple[ClaimSource, RouteClaim]]] = {}
+    """Decide what to take over for each route.
+
+    Args:
+        sources: Claims by source.
+        endpoints: The routes that exist now, by partner and route, with the ids of their endpoints.
+        observed: Routes of which this relay has evidence of its own.
+        relay_count: Relays in the fleet.
+
+    Returns:
+        The routes with something to take over, in their order, and the claims that were rejected.
+    """
+    rejected: list[RejectedClaim] = []
+    distrusted = distrusted_sources(sources)
+    claims_by_route: dict[RouteKey, list[AttributedClaim]] = {}
     for source in sources:
         for claim in source.claims:
-            route = claim.partner, claim.route
-            if route not in endpoints:
-                doubts.append(RejectedClaim(source.name, claim.partner, "no such partner or route now"))
-            elif not is_plausible(claim):
-                doubts.append(RejectedClaim(source.name, claim.partner, "ages or figures that can't be"))
-            elif not endpoints[route] & set(claim.endpoints):
-                doubts.append(
-                    RejectedClaim(source.name, claim.partner, "learned from endpoints that are not its own now")
-                )
-            elif route in seen:
-                doubts.append(RejectedClaim(source.name, claim.partner, OWN_OBSERVATION_WINS))
+            key = claim.key
+            reason = _rejection_reason(key, claim, endpoints, observed)
+            if reason is None:
+                claims_by_route.setdefault(key, []).append(AttributedClaim(source, claim))
             else:
-                by_lane.setdefault(route, []).append((source, claim))
-    found = []
-    for route, claims in sorted(by_lane.items()):
-        lesson = merge_route(route, claims, alarmists, relays, doubts)
-        if lesson != MergedRoute(*route):
-            ages = [claim.seen_age for _, claim in claims]
-            found.append(replace(lesson, sources=tuple(source.name for source, _ in claims), age_ms=min(ages)))
-    return found, doubts
+                rejected.append(RejectedClaim(source.name, claim.partner, reason))
+    merged = []
+    for key, claims in sorted(claims_by_route.items()):
+        route = merge_route(key, claims, distrusted, relay_count, rejected)
+        if route != MergedRoute(key.partner, key.route):
+            names = tuple(source.name for source, _ in claims)
+            merged.append(replace(route, sources=names, age_ms=min(claim.seen_age for _, claim in claims)))
+    return merged, rejected
+
+
+def _rejection_reason(
+    key: RouteKey, claim: RouteClaim, endpoints: Mapping[tuple[str, int], set[int]], observed: Set[tuple[str, int]]
+) -> str | None:
+    """Return why a claim is rejected as a whole, or None."""
+    if key not in endpoints:
+        return UNKNOWN_ROUTE
+    if not claim.is_plausible:
+        return IMPLAUSIBLE
+    if not endpoints[key] & set(claim.endpoints):
+        return OTHER_ENDPOINTS
+    if key in observed:
+        return OWN_OBSERVATION_WINS
+    return None
 
 
 def merge_route(
-    route: tuple[str, int],
-    claims: list[tuple[ClaimSource, RouteClaim]],
-    alarmists: set[str],
-    relays: int,
-    doubts: list[RejectedClaim],
+    key: RouteKey,
+    claims: list[AttributedClaim],
+    distrusted: set[str],
+    relay_count: int,
+    rejected: list[RejectedClaim],
 ) -> MergedRoute:
-    """One lane: cautions by the rules above, latency as the weighted median of those who know it."""
-    outs, colds, waits = list[float](), list[float](), [0.0]
-    for source, claim in claims:
-        others = [other for peer, other in claims if peer.name != source.name]
-        if claim.wait_ms > 0:
-            # Told to this relay it binds to its end; told to another it is a caution, and bounded as one.
-            waits.append(claim.wait_ms if source.own else min(claim.wait_ms, MAX_RETRY_AFTER_MS))
-        if claims_outage(claim):
-            if evidence_weight(claim.failed_age) < MIN_EVIDENCE_WEIGHT:
-                doubts.append(RejectedClaim(source.name, route[0], "says out, too long ago"))
-            elif source.name in alarmists:
-                doubts.append(RejectedClaim(source.name, route[0], "says most are out, others say not"))
-            elif sum(contradicts(other, claim) for other in others) >= CLEARANCE_QUORUM:
-                doubts.append(RejectedClaim(source.name, route[0], "says out, others have had answers since"))
-            else:
-                outs.append(min(claim.out_age or 0.0, MAX_OUTAGE_MS))
-        elif claim.cold_age is not None:
-            colds.append(claim.cold_age)
-    mean, dev, answers = merge_latency(claims)
-    # An outage that one saw end while another saw it go on: it is back for somebody, so it is cold and not out.
-    back = min(colds, default=None)
-    since = max(outs, default=None)
-    if since is not None and back is not None and all(back < age for age in outs):
-        since = None
+    """Merge the claims of one route; outages that are not credible are added to `rejected`."""
+    health = _merge_health(claims, distrusted, rejected)
+    outage_age_ms = max(health.outage_ages, default=None)
+    slow_start_age_ms = min(health.slow_start_ages, default=None)
+    # Where one source saw the outage end while others saw it go on, the route is back for somebody: it is in slow
+    # start, and not out.
+    if slow_start_age_ms is not None and all(slow_start_age_ms < age for age in health.outage_ages):
+        outage_age_ms = None
+    has_caution = bool(health.outage_ages or health.slow_start_ages)
+    latency = merge_latency(claims)
     return MergedRoute(
-        *route,
-        since,
-        back if since is None else None,
-        max(waits),
-        mean,
-        dev,
-        answers,
-        float(relays) if outs or colds else 1.0,
-        lower_median(
-            [
-                claim.pace
-                for _, claim in claims
-                if claim.pace > 0 and evidence_weight(claim.seen_age) >= MIN_EVIDENCE_WEIGHT
-            ]
-        ),
+        key.partner,
+        key.route,
+        outage_age_ms=outage_age_ms,
+        slow_start_age_ms=slow_start_age_ms if outage_age_ms is None else None,
+        retry_after_ms=_merge_retry_after(claims),
+        latency_mean_ms=latency.mean_ms,
+        latency_deviation_ms=latency.deviation_ms,
+        answers=latency.answers,
+        aware_relays=float(relay_count) if has_caution else 1.0,
+        rate=_merge_rate(claims),
     )
 
 
-def lower_median(values: list[float]) -> float:
-    """The lower one in the middle, 0 of none: among three, one that is wrong, however far, decides nothing."""
-    return sorted(values)[(len(values) - 1) // 2] if values else 0.0
+def _merge_health(claims: list[AttributedClaim], distrusted: set[str], rejected: list[RejectedClaim]) -> _RouteHealth:
+    health = _RouteHealth(outage_ages=[], slow_start_ages=[])
+    for source, claim in claims:
+        if not claim.claims_outage:
+            if claim.cold_age is not None:
+                health.slow_start_ages.append(claim.cold_age)
+            continue
+        reason = _outage_rejection_reason(source, claim, claims, distrusted)
+        if reason is None:
+            health.outage_ages.append(min(claim.out_age or 0.0, MAX_OUTAGE_MS))
+        else:
+            rejected.append(RejectedClaim(source.name, claim.partner, reason))
+    return health
+
+
+def _outage_rejection_reason(
+    source: ClaimSource, claim: RouteClaim, claims: list[AttributedClaim], distrusted: set[str]
+) -> str | None:
+    """Return why a claimed outage is not credible, or None."""
+    if evidence_weight(claim.failed_age) < MIN_EVIDENCE_WEIGHT:
+        return STALE_OUTAGE
+    if source.name in distrusted:
+        return DISTRUSTED_SOURCE
+    others = [other for peer, other in claims if peer.name != source.name]
+    if sum(other.contradicts(claim) for other in others) >= CLEARANCE_QUORUM:
+        return CONTRADICTED_OUTAGE
+    return None
+
+
+def _merge_retry_after(claims: list[AttributedClaim]) -> float:
+    """Return the longest Retry-After (ms): one that this relay received in full, another one as a bounded caution."""
+    longest = 0.0
+    for source, claim in claims:
+        wait_ms = claim.wait_ms if source.own else min(claim.wait_ms, MAX_RETRY_AFTER_MS)
+        longest = max(longest, wait_ms)
+    return longest
+
+
+def _merge_rate(claims: list[AttributedClaim]) -> float:
+    return lower_median([claim.pace for _, claim in claims if claim.pace > 0 and claim.is_fresh])
+
+
+def merge_latency(claims: list[AttributedClaim]) -> MergedLatency:
+    """Return the weighted median of the claimed latencies: one that is wrong, however far, moves it by one place."""
+    latencies = sorted(
+        _WeightedLatency(claim.mean_ms, claim.dev_ms, claim.latency_weight)
+        for _, claim in claims
+        if claim.answers >= MIN_LATENCY_ANSWERS
+        and claim.mean_ms >= MIN_LATENCY_MS
+        and claim.latency_weight >= MIN_EVIDENCE_WEIGHT
+    )
+    total_weight = sum(latency.weight for latency in latencies)
+    weight_so_far = 0.0
+    for latency in latencies:
+        weight_so_far += latency.weight
+        if weight_so_far >= total_weight / 2:
+            deviation_ms = max(latency.deviation_ms, latency.mean_ms * MIN_DEVIATION_FRACTION)
+            return MergedLatency(latency.mean_ms, deviation_ms, MERGED_LATENCY_ANSWERS)
+    return MergedLatency(0.0, 0.0, 0)
 
 
 def merge_connection_limits(peers: list[dict[str, float]]) -> dict[str, float]:
-    """By kind: the part of answers that followed a missed connection, the middle of those who know the kind."""
+    """Merge how often answers of each destination kind followed a missed connection.
+
+    Args:
+        peers: For each peer, the fraction of such answers by the name of the kind.
+
+    Returns:
+        By kind, the lower median of the peers with a possible fraction for it.
+    """
     kinds = {kind for peer in peers for kind in peer}
     return {
         kind: lower_median([peer[kind] for peer in peers if 0 <= peer.get(kind, -1.0) <= 1]) for kind in sorted(kinds)
     }
 
 
-def merge_latency(claims: list[tuple[ClaimSource, RouteClaim]]) -> tuple[float, float, int]:
-    """Mean and deviation of the peer in the middle by weight: one that is wrong, however far, moves it by one place."""
-    known = sorted(
-        (claim.mean_ms, claim.dev_ms, evidence_weight(claim.answered_age, LATENCY_HALF_LIFE_MS))
-        for _, claim in claims
-        if claim.answers >= 3
-        and claim.mean_ms >= PLAUSIBLE_LATENCY_MS[0]
-        and evidence_weight(claim.answered_age, LATENCY_HALF_LIFE_MS) >= MIN_EVIDENCE_WEIGHT
-    )
-    total, passed = sum(each[2] for each in known), 0.0
-    for mean, dev, part in known:
-        passed += part
-        if passed >= total / 2:
-            return mean, max(dev, mean / 4), 3  # as after three answers: the next own ones soon outweigh it
-    return 0.0, 0.0, 0
+def lower_median(values: list[float]) -> float:
+    """Return the lower median, 0 without values: among three, one that is wrong, however far, decides nothing."""
+    return sorted(values)[(len(values) - 1) // 2] if values else 0.0
--- a/linnetstile/engine/membership.py
+++ b/linnetstile/engine/membership.py
@@ -1,9 +1,13 @@
-"""Which other relays there are, and whom to ask for what they know, when. No I/O; times in ms come in.
+"""Which other relays there are, and which of them to poll for gossip, and when.
 
-Peers come from settings and from what peers say of others. One that answers is alive; one that does not is
-suspected, and left after a while; hearsay never takes a peer off, and never makes one alive. Asks are few: a fresh
-relay asks up to `FIRST` peers, one at a time and spread by chance, so that a full restart of a fleet makes no storm;
-then one in each `ROUND_MS`. An empty answer (all are fresh) is an answer."""
+Peers come from the settings and from what peers advertise of others. A peer that answers is alive; one that does not
+is suspected, and has left after some failures. What peers say of others never removes a peer and never makes one alive.
+
+Polls are few: a fresh relay polls up to `BOOTSTRAP_PEERS` peers, one at a time and with jitter, so that a restart of a
+whole fleet makes no storm; then one in each `POLL_INTERVAL_MS`. An empty answer (all peers are fresh) is an answer.
+
+No I/O and no clock: times (ms) come in.
+"""
 
 from __future__ import annotations
 
@@ -11,18 +15,23 @@
 from dataclasses import dataclass
 from enum import Enum
 
-BOOTSTRAP_PEERS = 3  # peers that a fresh relay hears: one may be wrong, and two others outvote it
-FIRST_POLL_JITTER_MS = 500.0  # the first ask comes within so long, by chance: 300 relays at once are one ask a 2 ms
-BOOTSTRAP_GAP_MS = 150.0  # between the first asks, at least
-POLL_INTERVAL_MS = 10_000.0  # later asks: a delta of what changed
-MAX_FAILURES = 3  # unanswered asks in a row until a peer has left
-FIRST_BACKOFF_MS, MAX_BACKOFF_MS = 2_000.0, 60_000.0  # before a suspected one is asked again, doubling
+BOOTSTRAP_PEERS = 3  # peers that a fresh relay polls: one may be wrong, and two others outvote it
+FIRST_POLL_JITTER_MS = 500.0  # the first poll is spread over this time: 300 relays at once are one poll every 2 ms
+BOOTSTRAP_GAP_MS = 150.0  # least time between the first polls
+POLL_INTERVAL_MS = 10_000.0  # least time between later polls, each for what has changed
+MAX_INTERVAL_JITTER = 1.5  # the time between polls is longer by a random factor up to this
+MAX_FAILURES = 3  # unanswered polls in a row after which a peer has left
+FIRST_BACKOFF_MS = 2_000.0  # before a suspected peer is polled again; doubles with each failure
+MAX_BACKOFF_MS = 60_000.0
+MIN_BACKOFF_JITTER = 0.5  # a backoff is shortened by a random factor down to this
 MAX_PEERS = 1_000
-MAX_PEERS_PER_ANSWER = 32  # of the peers that one peer names, so many are taken up
+MAX_PEERS_PER_ANSWER = 32  # of the peers that one answer names, so many are taken up
 
 
 class PeerStatus(Enum):
-    UNKNOWN = "unknown"  # named, not yet heard of
+    """What is known of a peer."""
+
+    UNKNOWN = "unknown"  # named by settings or by a peer, and not polled yet
     ALIVE = "alive"
     SUSPECTED = "suspected"
     LEFT = "left"
@@ -30,83 +39,134 @@
 
 @dataclass(slots=True)
 class Peer:
+    """Another relay.
+
+    Attributes:
+        address: Where it is polled.
+        configured: Whether it is in the settings, so that it is never forgotten.
+        status: What is known of it.
+        failures: Unanswered polls in a row.
+        last_answer_at: Time (ms) of its last answer.
+        next_poll_at: Time (ms) before which it is not polled.
+        incarnation: Identifier of its process. A new one means that it knows nothing of what it knew before.
+    """
+
     address: str
-    configured: bool  # in the settings: never forgotten
+    configured: bool
     status: PeerStatus = PeerStatus.UNKNOWN
     failures: int = 0
     last_answer_at: float = float("-inf")
     next_poll_at: float = 0.0
-    incarnation: str = ""  # of its process: another one means that it knows nothing of before
+    incarnation: str = ""
 
+    @property
+    def is_unresponsive(self) -> bool:
+        """Whether its last poll was not answered."""
+        return self.status in (PeerStatus.SUSPECTED, PeerStatus.LEFT)
 
-class Membership:
-    """`due` names the peer to ask now, if any; tell it with `heard` or `missed` how that ended."""
+    def record_answer(self, now_ms: float, incarnation: str) -> None:
+        """Enter the ALIVE status; the peer may be polled again at once."""
+        self.status = PeerStatus.ALIVE
+        self.failures = 0
+        self.last_answer_at = now_ms
+        self.incarnation = incarnation
+        self.next_poll_at = now_ms
+
+    def record_failure(self) -> None:
+        """Enter the SUSPECTED status, or LEFT after too many failures in a row."""
+        self.failures += 1
+        self.status = PeerStatus.LEFT if self.failures >= MAX_FAILURES else PeerStatus.SUSPECTED
 
-    def __init__(self, own: str, listed: list[str], now: float, seed: int) -> None:
-        self.own = own
+
+class Membership:
+    """The peers of a relay and the schedule of its polls.
+
+    `next_peer` returns the peer to poll now, if any; `poll_answered` or `poll_failed` has to report how the poll ended
+    before there is another one.
+
+    Attributes:
+        own_address: Address of this relay, which is never a peer.
+        rng: Source of all jitter.
+        peers: All known peers by address.
+        polling: Address of the peer that is being polled.
+        answers: How many polls have been answered.
+        next_poll_at: Time (ms) before which no peer is polled.
+    """
+
+    def __init__(self, own_address: str, configured: list[str], now_ms: float, seed: int) -> None:
+        self.own_address = own_address
         self.rng = random.Random(seed)
         self.peers: dict[str, Peer] = {}
         self.polling: str | None = None
         self.answers = 0
-        self.next_poll_at = now + self.rng.uniform(0.0, FIRST_POLL_JITTER_MS)
-        for address in listed:
-            self._add(address, True)
+        self.next_poll_at = now_ms + self.rng.uniform(0.0, FIRST_POLL_JITTER_MS)
+        for address in configured:
+            self._add(address, configured=True)
 
-    def _add(self, address: str, listed: bool) -> None:
-        if address != self.own and address not in self.peers and len(self.peers) < MAX_PEERS:
-            self.peers[address] = Peer(address, listed)
+    def _add(self, address: str, configured: bool) -> None:
+        is_known = address == self.own_address or address in self.peers
+        if not is_known and len(self.peers) < MAX_PEERS:
+            self.peers[address] = Peer(address, configured)
 
     @property
     def is_bootstrapping(self) -> bool:
-        """Still hearing its first peers."""
+        """Whether the relay is still polling its first peers."""
         return self.answers < min(BOOTSTRAP_PEERS, len(self.peers))
 
-    def next_peer(self, now: float) -> str | None:
-        """Whom to ask now: never two at once, the least heard first, by chance among equals."""
-        if self.polling is not None or now < self.next_poll_at:
+    def next_peer(self, now_ms: float) -> str | None:
+        """Return the address of the peer to poll now.
+
+        There is never more than one poll at a time. Responsive peers come first, then the peer whose last answer is
+        the oldest, and a random one among equals.
+        """
+        if self.polling is not None or now_ms < self.next_poll_at:
             return None
-        able = [peer for peer in self.peers.values() if peer.next_poll_at <= now]
-        if not able:
+        candidates = [peer for peer in self.peers.values() if peer.next_poll_at <= now_ms]
+        if not candidates:
             return None
-        peer = min(
-            able,
-            key=lambda peer: (
-                peer.status in (PeerStatus.SUSPECTED, PeerStatus.LEFT),
-                peer.last_answer_at,
-                self.rng.random(),
-            ),
-        )
+        peer = min(candidates, key=self._poll_order)
         self.polling = peer.address
         return peer.address
 
-    def _ended(self, now: float) -> None:
+    def _poll_order(self, peer: Peer) -> tuple[bool, float, float]:
+        return peer.is_unresponsive, peer.last_answer_at, self.rng.random()
+
+    def _end_poll(self, now_ms: float) -> None:
         self.polling = None
-        gap = BOOTSTRAP_GAP_MS if self.is_bootstrapping else POLL_INTERVAL_MS
-        self.next_poll_at = now + gap * self.rng.uniform(1.0, 1.5)
+        gap_ms = BOOTSTRAP_GAP_MS if self.is_bootstrapping else POLL_INTERVAL_MS
+        self.next_poll_at = now_ms + gap_ms * self.rng.uniform(1.0, MAX_INTERVAL_JITTER)
+
+    def poll_answered(self, now_ms: float, address: str, incarnation: str, advertised: list[str]) -> bool:
+        """Record the answer of a peer.
+
+        Args:
+            now_ms: Present time (ms).
+            address: The peer.
+            incarnation: Identifier of the process that answered.
+            advertised: Addresses of the peers that it has had answers from.
 
-    def poll_answered(self, now: float, address: str, run: str, others: list[str]) -> bool:
-        """An answer came; True if that is another process than the last time: what it said before is void."""
+        Returns:
+            Whether another process answered than the last time, so that what the peer said before is void.
+        """
         peer = self.peers[address]
-        another = bool(peer.incarnation) and peer.incarnation != run
-        peer.status, peer.failures, peer.last_answer_at, peer.incarnation = PeerStatus.ALIVE, 0, now, run
-        peer.next_poll_at = now
+        has_restarted = bool(peer.incarnation) and peer.incarnation != incarnation
+        peer.record_answer(now_ms, incarnation)
         self.answers += 1
-        for other in others[:MAX_PEERS_PER_ANSWER]:
-            self._add(other, False)
-        self._ended(now)
-        return another
+        for other in advertised[:MAX_PEERS_PER_ANSWER]:
+            self._add(other, configured=False)
+        self._end_poll(now_ms)
+        return has_restarted
 
-    def poll_failed(self, now: float, address: str) -> None:
-        """No answer, or none that can be read."""
+    def poll_failed(self, now_ms: float, address: str) -> None:
+        """Record that a peer gave no answer, or none that can be read."""
         peer = self.peers[address]
-        peer.failures += 1
-        peer.status = PeerStatus.LEFT if peer.failures >= MAX_FAILURES else PeerStatus.SUSPECTED
-        pause = min(MAX_BACKOFF_MS, FIRST_BACKOFF_MS * 2 ** (peer.failures - 1))
-        peer.next_poll_at = now + pause * self.rng.uniform(0.5, 1.0)
+        peer.record_failure()
+        backoff_ms = min(MAX_BACKOFF_MS, FIRST_BACKOFF_MS * 2 ** (peer.failures - 1))
+        peer.next_poll_at = now_ms + backoff_ms * self.rng.uniform(MIN_BACKOFF_JITTER, 1.0)
         if peer.status is PeerStatus.LEFT and not peer.configured:
             del self.peers[address]
-        self._ended(now)
+        self._end_poll(now_ms)
 
     def alive_peers(self) -> list[str]:
-        """Those that this relay has heard itself: what it says to others of others."""
+        """Return the peers that have answered this relay itself: the ones that it advertises."""
         return [peer.address for peer in self.peers.values() if peer.status is PeerStatus.ALIVE]
--- a/linnetstile/engine/minimum_rate.py
+++ b/linnetstile/engine/minimum_rate.py
@@ -1,31 +1,55 @@
-"""The minimum transfer rate that a connection has to keep. Times (ms) and bytes come in as arguments."""
+"""The minimum transfer rate that a connection has to keep.
+
+No I/O and no clock: times (ms) and byte counts come in as arguments.
+"""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
+MS_PER_SECOND = 1000.0
+
 
 @dataclass(slots=True)
 class MinimumRateMeter:
-    """Least rate over a window that forgives: each second costs one second of patience, each `rate` bytes give one
-    back, up to `grace_ms`. A peer at the least rate lasts for ever, one that stops lasts `grace_ms`, one that runs
-    ahead saves nothing up beyond it. A rate of 0 asks for nothing."""
+    """Decide when a connection has been below its minimum rate for too long.
+
+    The meter is a leaky bucket of patience. Each ms that passes uses up one ms, and each `rate` bytes that move give
+    one second back. A peer at exactly the minimum rate lasts forever, a peer that stops lasts `grace_ms`, and a peer
+    that runs ahead saves nothing up beyond that.
 
-    rate: float  # bytes a second
+    Attributes:
+        rate: Minimum rate in bytes a second; 0 disables the meter.
+        grace_ms: Patience (ms) that a connection may use up before it is too slow.
+        patience_used_ms: Patience used up so far, never below 0.
+        last_tick_at: Time (ms) of the last tick. None while the clock is paused: this side has to act next, or nothing
+            is due.
+    """
+
+    rate: float
     grace_ms: float
-    patience_used_ms: float = 0.0  # ms of patience
-    last_tick_at: float | None = None  # None: the clock stands, since it is our turn or nothing is due
+    patience_used_ms: float = 0.0
+    last_tick_at: float | None = None
+
+    def tick(self, now_ms: float, moved_bytes: int) -> bool:
+        """Account for the bytes that moved since the last tick.
+
+        Args:
+            now_ms: Present time (ms).
+            moved_bytes: Bytes that moved since the last tick.
 
-    def tick(self, now: float, moved: int) -> bool:
-        """Counts bytes moved since the last tick; True if patience is over."""
+        Returns:
+            Whether the patience is used up, so that the connection should be closed.
+        """
         if self.rate <= 0:
             return False
         if self.last_tick_at is not None:
-            self.patience_used_ms += now - self.last_tick_at
-        self.last_tick_at = now
-        self.patience_used_ms = max(0.0, self.patience_used_ms - 1000.0 * moved / self.rate)
+            self.patience_used_ms += now_ms - self.last_tick_at
+        self.last_tick_at = now_ms
+        self.patience_used_ms = max(0.0, self.patience_used_ms - MS_PER_SECOND * moved_bytes / self.rate)
         return self.patience_used_ms > self.grace_ms
 
     def pause(self) -> None:
-        """The clock stands until the next tick, and what was spent is forgiven: another message begins."""
-        self.patience_used_ms, self.last_tick_at = 0.0, None
+        """Stop the clock until the next tick and restore full patience, as another message begins."""
+        self.patience_used_ms = 0.0
+        self.last_tick_at = None
--- a/linnetstile/engine/receipt_retry.py
+++ b/linnetstile/engine/receipt_retry.py
@@ -3,11 +3,23 @@
 from __future__ import annotations
 
 MAX_ATTEMPTS = 4
-FIRST_BACKOFF_MS = 500.0  # doubles: a receiver that restarts is back within seconds
-ATTEMPT_TIMEOUT_MS = 5000.0  # how long one post may take
+FIRST_BACKOFF_MS = 500.0  # doubles with each attempt: a receiver that restarts is back within seconds
+ATTEMPT_TIMEOUT_MS = 5000.0  # longest time that one post may take
 
 
-def next_attempt_ms(tries: int, delivered: bool) -> float | None:
-    """Pause in ms before the next post after `tries` of them; None = no further one. A receipt may be posted
-    twice: the client tells repeats by Original-Message-ID, and the answer is the same bytes each time."""
-    return None if delivered or tries >= MAX_ATTEMPTS else FIRST_BACKOFF_MS * 2 ** (tries - 1)
+def next_attempt_ms(attempts: int, delivered: bool) -> float | None:
+    """Return the backoff before the next post of a receipt.
+
+    A receipt may be posted twice: the client recognizes a repeat by its Original-Message-ID, and the bytes are the
+    same each time.
+
+    Args:
+        attempts: Posts made so far, at least 1.
+        delivered: Whether the last of them succeeded.
+
+    Returns:
+        The backoff (ms), or None where there is no further attempt.
+    """
+    if delivered or attempts >= MAX_ATTEMPTS:
+        return None
+    return float(FIRST_BACKOFF_MS * 2 ** (attempts - 1))
--- a/linnetstile/engine/resource_limits.py
+++ b/linnetstile/engine/resource_limits.py
@@ -1,78 +1,133 @@
-"""How a relay on the platform divides what it may use, and how long it waits for peers. No I/O and no clock."""
+"""How a relay on the platform divides its resources, and how long it waits for peers. No I/O and no clock."""
 
 from __future__ import annotations
 
 import random
 from collections import OrderedDict
 from dataclasses import dataclass
+from typing import NamedTuple
 
-REQUEST_TIMEOUT_S = (
-    1.5  # a request is complete, or its client gets an error: the platform owes bad clients one within 3 s
-)
-CLIENT_IDLE_TIMEOUT_S = (
-    2.0  # a connection without an open request is kept so long: the platform lets it be closed after 2 s
-)
-DISCOVERY_GRACE_S = 1.0  # a start waits so long for discovery's list before it makes do with the known one
-# But while a long list is coming in, so long: what it has not told yet would be refused as listed nowhere. The platform
-# wants nine of ten restarted relays ready within 10 s, and a process takes some 2 s to get here and to go on from here.
+
+class BackoffRange(NamedTuple):
+    """Bounds of an exponential backoff."""
+
+    first_ms: float
+    max_ms: float
+
+
+# Timeouts of clients' connections, in s.
+REQUEST_TIMEOUT_S = 1.5  # a request is complete by then or gets an error: the platform asks for one within 3 s
+CLIENT_IDLE_TIMEOUT_S = 2.0  # a connection without a request is kept for so long: the platform allows to close it then
+
+# Waits for discovery and for the platform, in s.
+DISCOVERY_GRACE_S = 1.0  # a start waits so long for discovery's list before it uses the cached one
+# While a long list is being read a start waits so long: endpoints that were not read yet would be rejected as unlisted.
+# The platform wants nine of ten restarted relays ready within 10 s, and a process takes some 2 s before and after this.
 LONG_LIST_GRACE_S = 6.0
-# One post of notices may take so long. The platform answers at once, and an end that is told in the last moment of its
-# message has 0.3 s to arrive: a connection that leads nowhere must leave time for another.
+# Timeout of one post of notices. The platform answers at once, and a notice sent at the very deadline of its message
+# has 0.3 s to arrive: a connection that leads nowhere has to leave time for another one.
 NOTICE_TIMEOUT_S = 0.2
-WATCH_CONNECT_TIMEOUT_S = 1.0  # a watch's connection may take so long to be made: its peer is on this machine
-WATCH_BACKOFF_MS = 50.0, 1000.0  # first and longest pause before a watch is opened anew
-NOTICE_BACKOFF_MS = 20.0, 500.0  # the same before notices are posted again
-MAX_ENDED_IDS = 20_000  # identifiers of messages that have ended: the same again is no new message
-MAX_UNLISTED_DESTINATIONS = (
-    20_000  # destinations without an endpoint that stay known: what comes for one is held until its deadline
-)
-JOURNAL_OVERHEAD_BYTES = 320  # bytes that a held message takes in the journal beside its body: fields and attempts
-MAX_BODY_BYTES = 64 * 1024  # bytes, the platform's bound on a body
-MAX_HEAD_BYTES = 16 * 1024  # bytes of a head
-MAX_DEADLINE_MULTIPLE = 4.0  # a time left beyond so many deadlines of its class is an error of the client
+WATCH_CONNECT_TIMEOUT_S = 1.0  # to open the connection of a watch: its peer is on this machine
+WATCH_BACKOFF_MS = BackoffRange(first_ms=50.0, max_ms=1000.0)  # before a watch is opened again
+NOTICE_BACKOFF_MS = BackoffRange(first_ms=20.0, max_ms=500.0)  # before notices are posted again
+
+# Bounds of memory, disk and input.
+MAX_ENDED_IDS = 20_000  # identifiers of ended messages that are remembered: the same one again is no new message
+# Destinations without an endpoint that stay known: messages for one of them are kept until their deadline.
+MAX_UNLISTED_DESTINATIONS = 20_000
+JOURNAL_OVERHEAD_BYTES = 320  # of a pending message in the journal besides its body: fields and attempts
+MAX_BODY_BYTES = 64 * 1024  # the platform's bound on a body
+MAX_HEAD_BYTES = 16 * 1024  # of the head of a request
+MAX_DEADLINE_MULTIPLE = 4.0  # remaining time beyond so many deadlines of its class is an error of the client
+
+# Division of the descriptors and of the disk.
+MIN_CLIENT_CONNECTIONS = 8
+RESERVED_DESCRIPTORS = 32  # for the journal, the log, discovery and notices
+IDLE_CONNECTIONS_PER_SLOT = 4  # connections to endpoints, idle ones included, for each in-flight slot
+CLIENT_DESCRIPTOR_DIVISOR = 4
+IDLE_DESCRIPTOR_DIVISOR = 4
+MESSAGE_DISK_DIVISOR = 4
+COMPACTION_DISK_DIVISOR = 2
+MAX_BACKOFF_DOUBLINGS = 16  # keeps the power finite; every backoff has reached its maximum before
 
 
 class SubmissionIds:
-    """Identifiers that were taken: all that are open, and the latest `most` that have ended."""
+    """Identifiers of submissions that were accepted: all open ones and the latest that have ended.
+
+    Attributes:
+        max_ended: How many ended ones are remembered.
+        open: Identifiers of messages without an end.
+        ended: Identifiers of ended messages, the oldest end first.
+    """
 
     def __init__(self, max_ended: int = MAX_ENDED_IDS) -> None:
         self.max_ended = max_ended
         self.open: set[str] = set()
         self.ended: OrderedDict[str, None] = OrderedDict()
 
-    def __contains__(self, ident: str) -> bool:
-        return ident in self.open or ident in self.ended
+    def __contains__(self, message_id: str) -> bool:
+        return message_id in self.open or message_id in self.ended
 
-    def add(self, ident: str) -> None:
-        self.open.add(ident)
+    def add(self, message_id: str) -> None:
+        """Record an accepted message."""
+        self.open.add(message_id)
 
-    def complete(self, ident: str) -> None:
-        self.open.discard(ident)
-        self.ended[ident] = None
+    def complete(self, message_id: str) -> None:
+        """Record that a message has ended, and forget the oldest end beyond the limit."""
+        self.open.discard(message_id)
+        self.ended[message_id] = None
         if len(self.ended) > self.max_ended:
             self.ended.popitem(last=False)
 
 
 @dataclass(frozen=True, slots=True)
 class ResourceLimits:
-    """Counts of descriptors, and bytes on disk."""
-
-    max_client_connections: int  # connections of clients
-    max_idle_connections: int  # connections to endpoints that are kept and carry nothing
-    max_message_bytes: int  # bytes of messages that are held: more is refused
-    compaction_bytes: int  # bytes of the journal from which on it is written anew
-
-
-def resource_limits(sockets: int, disk: float, slots: int) -> ResourceLimits:
-    """A quarter of the descriptors for clients and one for endpoints' idle connections. Clients have a third for
-    requests, kept connections counted: where a relay keeps more, those that want to hand in find none left. The
-    journal and its next version fit on the disk together."""
-    clients = max(8, min(sockets // 4, sockets - 4 * slots - 32))
-    return ResourceLimits(clients, max(slots, min(4 * slots, sockets // 4)), int(disk / 4), int(disk / 2))
-
-
-def backoff_ms(fails: int, pauses: tuple[float, float], rng: random.Random) -> float:
-    """Growing, jittered pause before discovery or the platform is asked again after `fails` failures in a row;
-    `pauses` are the first and the longest one."""
-    first, most = pauses
-    return float(min(most, first * 2 ** min(fails - 1, 16)) * rng.uniform(0.5, 1.0))
+    """What each part of a relay may use.
+
+    Attributes:
+        max_client_connections: Open connections of clients.
+        max_idle_connections: Idle connections to endpoints that are kept.
+        max_message_bytes: Bytes of pending messages in the journal; more are rejected.
+        compaction_bytes: Size of the journal from which on it is compacted.
+    """
+
+    max_client_connections: int
+    max_idle_connections: int
+    max_message_bytes: int
+    compaction_bytes: int
+
+
+def resource_limits(sockets: int, disk_bytes: float, slots: int) -> ResourceLimits:
+    """Divide the descriptors and the disk.
+
+    A quarter of the descriptors is for clients and a quarter for idle connections to endpoints. The platform gives
+    clients a third for requests, with keep-alive connections counted: where a relay keeps more of them open, clients
+    that want to submit find none left. The journal and its compacted version fit on the disk together.
+
+    Args:
+        sockets: Descriptors that the relay may open.
+        disk_bytes: Bytes that the relay may use on disk.
+        slots: In-flight slots.
+    """
+    descriptors_left = sockets - IDLE_CONNECTIONS_PER_SLOT * slots - RESERVED_DESCRIPTORS
+    client_connections = min(sockets // CLIENT_DESCRIPTOR_DIVISOR, descriptors_left)
+    idle_connections = min(IDLE_CONNECTIONS_PER_SLOT * slots, sockets // IDLE_DESCRIPTOR_DIVISOR)
+    return ResourceLimits(
+        max_client_connections=max(MIN_CLIENT_CONNECTIONS, client_connections),
+        max_idle_connections=max(slots, idle_connections),
+        max_message_bytes=int(disk_bytes / MESSAGE_DISK_DIVISOR),
+        compaction_bytes=int(disk_bytes / COMPACTION_DISK_DIVISOR),
+    )
+
+
+def backoff_ms(failures: int, backoff: BackoffRange, rng: random.Random) -> float:
+    """Return the backoff (ms) before discovery or the platform is called again: exponential, with jitter.
+
+    Args:
+        failures: Failures in a row, at least 1.
+        backoff: The first and the longest backoff.
+        rng: Source of the jitter; one number is drawn.
+    """
+    doublings = min(failures - 1, MAX_BACKOFF_DOUBLINGS)
+    longest = min(backoff.max_ms, backoff.first_ms * 2**doublings)
+    return float(longest * rng.uniform(0.5, 1.0))
--- /dev/null
+++ b/linnetstile/engine/route_claims.py
@@ -0,0 +1,138 @@
+"""What one relay claims to know of one route, and how much such a claim is worth by its age.
+
+No I/O and no clock: claims have ages instead of times, so that they can travel between relays.
+"""
+
+from __future__ import annotations
+
+from dataclasses import dataclass, replace
+from typing import NamedTuple
+
+# Evidence so old counts half here. In the engine a failure so long ago no longer counts at all.
+HEALTH_HALF_LIFE_MS = 10_000.0
+LATENCY_HALF_LIFE_MS = 600_000.0  # ten minutes: latency follows the load of a day and the releases of a partner
+MIN_EVIDENCE_WEIGHT = 0.25  # two half-lives, 20 s for health and 20 min for latency: below it evidence is stale
+MAX_HALF_LIVES = 1000.0  # keeps the power above 0 and defined for any age
+MIN_LATENCY_MS = 0.1  # a latency outside these bounds is an error
+MAX_LATENCY_MS = 120_000.0
+NEVER_AGE_MS = float("inf")
+
+
+class RouteKey(NamedTuple):
+    """What identifies a route: the partner, and an endpoint's id where routes are separate, else -1."""
+
+    partner: str
+    route: int
+
+
+@dataclass(frozen=True, slots=True)
+class RouteClaim:
+    """One relay's knowledge of one route. Ages and durations are in ms; an age of None means never, or not so."""
+
+    partner: str
+    route: int  # an endpoint's id where routes are separate, else -1
+    # The endpoints that it was learned from. Where none of them is the partner's now, or an id belongs to another
+    # partner since, the claim is about somebody else.
+    endpoints: tuple[int, ...]
+    answered_age: float | None = None  # of the latest answer
+    failed_age: float | None = None  # of the latest failure that no rate limit explains
+    out_age: float | None = None  # of the first failure of the present outage
+    cold_age: float | None = None  # since the route returned from an outage
+    wait_ms: float = 0.0  # what is left of a Retry-After
+    mean_ms: float = 0.0  # mean latency
+    dev_ms: float = 0.0  # deviation of the latency
+    answers: int = 0  # answers that the latency is from
+    knowers: float = 1.0  # relays that may know of the outage, those that were notified included
+    pace: float = 0.0  # requests a second to which rejections throttle it now; 0 = not throttled
+
+    @property
+    def key(self) -> RouteKey:
+        """The route that the claim is about."""
+        return RouteKey(self.partner, self.route)
+
+    @property
+    def seen_age(self) -> float:
+        """Age (ms) of the youngest evidence, infinite without any."""
+        ages = (self.answered_age, self.failed_age, self.cold_age)
+        return min((age for age in ages if age is not None), default=NEVER_AGE_MS)
+
+    @property
+    def is_fresh(self) -> bool:
+        """Whether the youngest evidence still counts."""
+        return evidence_weight(self.seen_age) >= MIN_EVIDENCE_WEIGHT
+
+    @property
+    def latency_weight(self) -> float:
+        """Weight of the latency, by the age of the latest answer."""
+        return evidence_weight(self.answered_age, LATENCY_HALF_LIFE_MS)
+
+    @property
+    def claims_outage(self) -> bool:
+        """Whether it says that the route is out now: no answer came since the outage began."""
+        if self.out_age is None:
+            return False
+        return self.answered_age is None or self.answered_age >= self.out_age
+
+    @property
+    def is_plausible(self) -> bool:
+        """Whether all ages and figures are in their possible ranges."""
+        ages = (self.answered_age, self.failed_age, self.out_age, self.cold_age)
+        figures = [*(age for age in ages if age is not None), self.wait_ms, self.dev_ms, self.knowers, self.pace]
+        if not all(0 <= figure < float("inf") for figure in figures):
+            return False
+        return 0 <= self.mean_ms <= MAX_LATENCY_MS
+
+    def contradicts(self, claim: RouteClaim) -> bool:
+        """Whether this claim has a recent answer of the same route after the latest failure of the other claim."""
+        if self.partner != claim.partner or self.route != claim.route:
+            return False
+        if self.answered_age is None or evidence_weight(self.answered_age) < MIN_EVIDENCE_WEIGHT:
+            return False
+        return claim.failed_age is None or self.answered_age < claim.failed_age
+
+    def aged(self, ms: float) -> RouteClaim:
+        """Return the claim as it is so much later."""
+
+        def older(age: float | None) -> float | None:
+            return None if age is None else age + ms
+
+        return replace(
+            self,
+            answered_age=older(self.answered_age),
+            failed_age=older(self.failed_age),
+            out_age=older(self.out_age),
+            cold_age=older(self.cold_age),
+            wait_ms=max(0.0, self.wait_ms - ms),
+        )
+
+
+@dataclass(frozen=True, slots=True)
+class ClaimSource:
+    """The claims of one relay.
+
+    Attributes:
+        name: Name of the source, for operators.
+        own: Whether it is this relay's own snapshot.
+        claims: The claims, with their ages as of now.
+    """
+
+    name: str
+    own: bool
+    claims: tuple[RouteClaim, ...]
+
+
+class AttributedClaim(NamedTuple):
+    """A claim and its source."""
+
+    source: ClaimSource
+    claim: RouteClaim
+
+
+def evidence_weight(age_ms: float | None, half_life_ms: float = HEALTH_HALF_LIFE_MS) -> float:
+    """Return the weight of evidence by its age: 1 for now, half of it after each half-life.
+
+    It is 0 for None, and for ages that no clock can tell (negative or not a number).
+    """
+    if age_ms is None or not age_ms >= 0:
+        return 0.0
+    return float(0.5 ** min(age_ms / half_life_ms, MAX_HALF_LIVES))
--- a/linnetstile/engine/routing.py
+++ b/linnetstile/engine/routing.py
@@ -9,7 +9,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Rule:
-    """Patterns as of a shell (`*`, `?`, `[...]`); names with regard to case, content types without."""
+    """Class and tenant of the messages that match four shell patterns (`*`, `?`, `[...]`).
+
+    Attributes:
+        class_index: Index of the message class in the settings.
+        tenant: Index of the tenant in the settings.
+        sender: Pattern of the AS2-From name, case-sensitive.
+        receiver: Pattern of the AS2-To name, case-sensitive.
+        subject: Pattern of the subject, case-sensitive.
+        content_type: Pattern of the content type, not case-sensitive.
+    """
 
     class_index: int
     tenant: int = 0
@@ -19,24 +28,47 @@
     content_type: str = "*"
 
 
+@dataclass(frozen=True, slots=True)
+class _CompiledRule:
+    """A rule and its patterns as regular expressions."""
+
+    rule: Rule
+    sender: re.Pattern[str]
+    receiver: re.Pattern[str]
+    subject: re.Pattern[str]
+    content_type: re.Pattern[str]
+
+    @classmethod
+    def compile(cls, rule: Rule) -> _CompiledRule:
+        return cls(
+            rule,
+            sender=re.compile(fnmatch.translate(rule.sender)),
+            receiver=re.compile(fnmatch.translate(rule.receiver)),
+            subject=re.compile(fnmatch.translate(rule.subject)),
+            content_type=re.compile(fnmatch.translate(rule.content_type), re.IGNORECASE),
+        )
+
+    def matches(self, sender: str, receiver: str, subject: str, content_type: str) -> bool:
+        return bool(
+            self.sender.match(sender)
+            and self.receiver.match(receiver)
+            and self.subject.match(subject)
+            and self.content_type.match(content_type)
+        )
+
+
 class Router:
-    def __init__(self, rules: tuple[Rule, ...]) -> None:
-        def pattern(text: str, flags: int = 0) -> re.Pattern[str]:
-            return re.compile(fnmatch.translate(text), flags)
+    """Find the rule of a message; the rules are tried in their order."""
 
-        self._rules = [
-            (pattern(r.sender), pattern(r.receiver), pattern(r.subject), pattern(r.content_type, re.IGNORECASE), r)
-            for r in rules
-        ]
+    def __init__(self, rules: tuple[Rule, ...]) -> None:
+        self._rules = [_CompiledRule.compile(rule) for rule in rules]
 
     def match(self, sender: str, receiver: str, subject: str, content_type: str) -> Rule | None:
-        """The first rule that all four fit; None is to become a refused answer, never silence."""
-        for by_sender, by_receiver, by_subject, by_type, rule in self._rules:
-            if (
-                by_sender.match(sender)
-                and by_receiver.match(receiver)
-                and by_subject.match(subject)
-                and by_type.match(content_type)
-            ):
-                return rule
+        """Return the first rule whose four patterns match.
+
+        None has to become a rejection, so that the client hears of it.
+        """
+        for compiled in self._rules:
+            if compiled.matches(sender, receiver, subject, content_type):
+                return compiled.rule
         return None
--- a/linnetstile/engine/slow_partners.py
+++ b/linnetstile/engine/slow_partners.py
@@ -1,100 +1,154 @@
-"""Which partners hold in-flight slots for long. Times (ms) come in as arguments."""
+"""Which partners occupy in-flight slots for unusually long.
+
+No I/O and no clock: times (ms) come in as arguments. docs/design/slow-peers.md weighs the rules.
+"""
 
 from __future__ import annotations
 
 import statistics
 from dataclasses import dataclass, field
 
-# An office enters the slow ones above ENTER times the usual slot time and leaves below LEAVE times it: between the two
-# nothing changes, so an office that stalls now and then is one or the other and doesn't flap.
-ENTRY_FACTOR, EXIT_FACTOR = 4.0, 2.0
-
-
-MIN_SLOW_MS = 400.0  # quicker than this is never slow, whatever the others do
-
-
-MIN_ATTEMPTS = 3.0  # attempts seen before anything is said
-
-
-SLOT_TIME_GAIN = 0.2  # of one attempt in the mean slot time
-
-
-MIN_STATE_MS = 5000.0  # slow for at least so long, and quick for as long before it is trusted again
-
-
-SLOW_PARTNER_WEIGHT = 0.25  # weight of a slow office in the shares
+# A partner becomes slow above `ENTRY_FACTOR` times the median slot time and recovers below `EXIT_FACTOR` times it.
+# Between the two nothing changes, so a partner that stalls now and then stays in one state and does not flap.
+ENTRY_FACTOR = 4.0
+EXIT_FACTOR = 2.0
+MIN_SLOW_MS = 400.0  # a partner with a shorter slot time is never slow, whatever the others do
+MIN_ATTEMPTS = 3.0  # attempts that have to be seen before a partner is judged
+SLOT_TIME_GAIN = 0.2  # weight of one attempt in the moving mean of the slot time
+MIN_STATE_MS = 5000.0  # least time in the slow state, and time of quick attempts before a partner has recovered
+SLOW_PARTNER_WEIGHT = 0.25  # weight of a slow partner in the fair shares
 
 
 @dataclass(slots=True)
 class Partner:
+    """Slot times and state of one partner.
+
+    Attributes:
+        name: Name of the partner.
+        mean_slot_ms: Moving mean of the slot time of an attempt.
+        attempts_seen: Attempts that have ended.
+        slow_since: Time (ms) at which the partner became slow; None while it is not slow.
+        recovered_since: Time (ms) since which a slow partner is below the exit bound; None while it is above.
+        times_slow: How often the partner has become slow.
+        reason: Why the state changed last, for operators.
+        in_flight: Start time (ms) of each attempt that has not ended, by token.
+    """
+
     name: str
-    mean_slot_ms: float = 0.0  # slot time of an attempt
+    mean_slot_ms: float = 0.0
     attempts_seen: float = 0.0
     slow_since: float | None = None
-    recovered_since: float | None = None  # below LEAVE since
+    recovered_since: float | None = None
     times_slow: int = 0
     reason: str = ""
-    in_flight: dict[int, float] = field(default_factory=dict)  # attempts under way: token -> begin
+    in_flight: dict[int, float] = field(default_factory=dict)
+
+    @property
+    def has_enough_ended_attempts(self) -> bool:
+        """Whether enough attempts have ended to take the mean slot time into the median."""
+        return self.attempts_seen >= MIN_ATTEMPTS
+
+    @property
+    def has_enough_attempts(self) -> bool:
+        """Whether enough attempts have ended or are in flight to judge the partner."""
+        return self.attempts_seen + len(self.in_flight) >= MIN_ATTEMPTS
+
+    def record_attempt(self, slot_ms: float) -> None:
+        """Take the slot time of an ended attempt into the mean; the first few attempts weigh the same."""
+        seen = self.attempts_seen + 1
+        gain = SLOT_TIME_GAIN if seen > 1 / SLOT_TIME_GAIN else 1 / seen
+        self.mean_slot_ms += gain * (slot_ms - self.mean_slot_ms)
+        self.attempts_seen = seen
+
+    def current_slot_ms(self, now_ms: float) -> float:
+        """Return the slot time (ms) as of now: an attempt in flight counts for as long as it has taken so far."""
+        longest = max((now_ms - started_at for started_at in self.in_flight.values()), default=0.0)
+        return max(self.mean_slot_ms, SLOT_TIME_GAIN * longest + (1 - SLOT_TIME_GAIN) * self.mean_slot_ms)
 
 
 class SlowPartnerDetector:
-    """Which offices hold slots for long. Evidence is slot time: of attempts that have ended, whatever came out, and of
-    those under way once they take longer than what is known. An office is trusted again by attempts that end quickly,
-    never by silence alone."""
+    """Detect partners that occupy in-flight slots for long.
+
+    The evidence is slot time: of attempts that have ended, whatever their outcome, and of attempts in flight once they
+    take longer than what is known.
+
+    Entry condition of the slow state: at least `MIN_ATTEMPTS` seen and a slot time above `ENTRY_FACTOR` times the
+    median. Exit condition: a slot time below `EXIT_FACTOR` times the median for `MIN_STATE_MS`. As the mean changes
+    only with attempts that end, a partner recovers by quick attempts and never by silence alone.
+    """
 
     def __init__(self) -> None:
         self.partners: dict[str, Partner] = {}
 
     def partner(self, name: str) -> Partner:
-        office = self.partners.get(name)
-        if office is None:
-            office = self.partners[name] = Partner(name)
-        return office
-
-    def attempt_started(self, now: float, name: str, token: int) -> None:
-        self.partner(name).in_flight[token] = now
-
-    def attempt_ended(self, now: float, name: str, token: int) -> None:
-        office = self.partner(name)
-        took = now - office.in_flight.pop(token, now)
-        seen = office.attempts_seen + 1
-        office.mean_slot_ms += (SLOT_TIME_GAIN if seen > 1 / SLOT_TIME_GAIN else 1 / seen) * (
-            took - office.mean_slot_ms
-        )
-        office.attempts_seen = seen
+        """Return the record of a partner, which is created at its first use."""
+        partner = self.partners.get(name)
+        if partner is None:
+            partner = self.partners[name] = Partner(name)
+        return partner
+
+    def attempt_started(self, now_ms: float, name: str, token: int) -> None:
+        """Record that an attempt occupies a slot from now on; `token` identifies it until it ends."""
+        self.partner(name).in_flight[token] = now_ms
+
+    def attempt_ended(self, now_ms: float, name: str, token: int) -> None:
+        """Record that an attempt has released its slot."""
+        partner = self.partner(name)
+        slot_ms = now_ms - partner.in_flight.pop(token, now_ms)
+        partner.record_attempt(slot_ms)
 
     def median_slot_ms(self) -> float:
-        """Median slot time over the offices that have been seen enough, those not slow first."""
-        means = [
-            o.mean_slot_ms for o in self.partners.values() if o.attempts_seen >= MIN_ATTEMPTS and o.slow_since is None
-        ]
-        means = means or [o.mean_slot_ms for o in self.partners.values() if o.attempts_seen >= MIN_ATTEMPTS]
+        """Return the median slot time (ms) of the partners that are not slow, or of all where all are slow."""
+        judged = [partner for partner in self.partners.values() if partner.has_enough_ended_attempts]
+        means = [partner.mean_slot_ms for partner in judged if partner.slow_since is None]
+        means = means or [partner.mean_slot_ms for partner in judged]
         return statistics.median(means) if means else 0.0
 
-    def slot_ms(self, now: float, office: Partner) -> float:
-        """Slot time as of now: attempts under way count for as long as they have been."""
-        longest = max((now - since for since in office.in_flight.values()), default=0.0)
-        return max(office.mean_slot_ms, SLOT_TIME_GAIN * longest + (1 - SLOT_TIME_GAIN) * office.mean_slot_ms)
-
-    def update(self, now: float) -> list[Partner]:
-        """The offices that have just become slow or are trusted again."""
-        usual, changed = self.median_slot_ms(), []
-        for office in self.partners.values():
-            took = self.slot_ms(now, office)
-            if office.slow_since is None:
-                if office.attempts_seen + len(office.in_flight) >= MIN_ATTEMPTS and took > max(
-                    MIN_SLOW_MS, ENTRY_FACTOR * usual
-                ):
-                    office.slow_since, office.recovered_since = now, None
-                    office.times_slow += 1
-                    office.reason = f"{took:.0f} ms of slot time an attempt, {usual:.0f} ms is usual"
-                    changed.append(office)
-            elif took > max(MIN_SLOW_MS, EXIT_FACTOR * usual):
-                office.recovered_since = None
-            elif office.recovered_since is None:
-                office.recovered_since = now
-            elif now - max(office.recovered_since, office.slow_since) >= MIN_STATE_MS:
-                office.slow_since = None
-                office.reason = f"{took:.0f} ms of slot time an attempt for {MIN_STATE_MS / 1000:.0f} s"
-                changed.append(office)
+    def slot_ms(self, now_ms: float, partner: Partner) -> float:
+        """Return the slot time (ms) of a partner as of now."""
+        return partner.current_slot_ms(now_ms)
+
+    def update(self, now_ms: float) -> list[Partner]:
+        """Apply the entry and exit conditions to all partners.
+
+        Returns:
+            The partners that have just become slow or have just recovered.
+        """
+        median = self.median_slot_ms()
+        changed = []
+        for partner in self.partners.values():
+            if partner.slow_since is None:
+                has_changed = self._enter_if_slow(now_ms, partner, median)
+            else:
+                has_changed = self._exit_if_recovered(now_ms, partner, median)
+            if has_changed:
+                changed.append(partner)
         return changed
+
+    @staticmethod
+    def _enter_if_slow(now_ms: float, partner: Partner, median: float) -> bool:
+        assert partner.slow_since is None, "the partner is slow already"
+        slot_ms = partner.current_slot_ms(now_ms)
+        if not partner.has_enough_attempts or slot_ms <= max(MIN_SLOW_MS, ENTRY_FACTOR * median):
+            return False
+        partner.slow_since = now_ms
+        partner.recovered_since = None
+        partner.times_slow += 1
+        partner.reason = f"{slot_ms:.0f} ms of slot time an attempt, {median:.0f} ms is usual"
+        return True
+
+    @staticmethod
+    def _exit_if_recovered(now_ms: float, partner: Partner, median: float) -> bool:
+        assert partner.slow_since is not None, "the partner is not slow"
+        slot_ms = partner.current_slot_ms(now_ms)
+        if slot_ms > max(MIN_SLOW_MS, EXIT_FACTOR * median):
+            partner.recovered_since = None
+            return False
+        if partner.recovered_since is None:
+            partner.recovered_since = now_ms
+            return False
+        if now_ms - max(partner.recovered_since, partner.slow_since) < MIN_STATE_MS:
+            return False
+        partner.slow_since = None
+        partner.reason = f"{slot_ms:.0f} ms of slot time an attempt for {MIN_STATE_MS / 1000:.0f} s"
+        return True
--- a/linnetstile/engine/watch_policy.py
+++ b/linnetstile/engine/watch_policy.py
@@ -1,90 +1,132 @@
-"""Which lists of discovery count, what a watch of it asks for, and how long it may be silent. No I/O and no clock:
-times (s) come in.
+"""Which endpoint lists of discovery count, what a watch asks for, and how long it may be silent.
 
-A change counts as told 6 s after discovery had it, or after the watch fell silent that should have told it, arrived or
-not. The worst chain of silences, in s since the last byte of a watch that then told nothing more:
+No I/O and no clock: times (s) come in.
+
+A change counts as notified 6 s after discovery had it, or after the watch that should have delivered it fell silent,
+whether it arrived or not. The worst chain of silences, in s since the last byte of a watch that then delivers nothing:
 
 | s    | what happens | bound |
 |------|--------------|-------|
 | 0    | its last byte | |
-| 2.60 | it is given up, an empty line being overdue | `QUIET_S` |
-| 2.65 | the next one is asked: it goes on from the version, as the one before was sound | `WATCH_MS`, 50 ms |
-| 3.65 | a) no head: it leads nowhere. A third one is asked for all at 3.75, a fourth at 4.95 | `FIRST_S`; 100, 200 ms |
-| 5.25 | b) a head, and then nothing: given up when an empty line is overdue since it was asked | `QUIET_S` |
-| 5.35 | the third asks for all: 0.65 s are left | 100 ms |
-
-So one failure more than the one that began it is made up for in time in each case, and two of the kind that says
-nothing at all; in b) for a list that comes within 0.65 s (some 30,000 endpoints): of a longer one the last entries are
-late there. Counting `QUIET_S` from the head in b) would end at 6.25 s where the head itself is late: too late."""
+| 2.60 | it is given up, an empty line being overdue | `WATCH_SILENCE_S` |
+| 2.65 | the next watch: it resumes from the version, as the one before was sound | `WATCH_BACKOFF_MS`, 50 ms |
+| 3.65 | a) no head. A third asks for the full list at 3.75, a fourth at 4.95 | `FIRST_ELEMENT_S`; 100, 200 ms |
+| 5.25 | b) a head, then nothing: given up when an empty line is overdue since the request | `WATCH_SILENCE_S` |
+| 5.35 | the third asks for the full list: 0.65 s are left | 100 ms |
+
+So each case makes up in time for one failure more than the one that began it, and for two failures of the kind that
+delivers nothing at all. In b) this holds for a list that arrives within 0.65 s (some 30,000 endpoints): the last
+entries of a longer one are late. Counting `WATCH_SILENCE_S` from the head in b) would end at 6.25 s where the head
+itself is late, which is too late.
+"""
 
 from __future__ import annotations
 
-WATCH_SILENCE_S = 2.6  # a watch is opened anew after so long a silence: an empty line comes every 2 s
-ELEMENT_STALL_S = 0.5  # or in the middle of something: what a change told counts from when it began
-FIRST_ELEMENT_S = 1.0  # or before anything of use came: discovery is down, or the connection leads nowhere
-# Endpoints that the module hears of in one event, and rows of the directory that one step of a sweep looks at: at some
-# 10 us and 0.1 us each, both stay below the few ms that a client notices, and a list of today's usual size is one step.
-ENTRIES_PER_EVENT, ROWS_PER_SWEEP = 256, 4096
-
-
-def watch_deadline(heard: float, useful: bool, begun: float | None, asked: float | None = None) -> float:
-    """Until when a watch is waited for: `heard` is when its last byte came, `useful` whether what its opening asks for
-    has come, `begun` since when something of it is incomplete: elements of a long list that come are progress, and it
-    begins anew with each. `asked` is when a watch was asked for that goes on from a version and of which no more than
-    its head has come: that shows that it leads somewhere, and it may have nothing to tell. Silence is bounded, and so
-    is what comes in drops."""
-    if begun is not None:
-        return min(heard + ELEMENT_STALL_S, begun + WATCH_SILENCE_S)
+WATCH_SILENCE_S = 2.6  # a watch is opened again after so long a silence: an empty line comes every 2 s
+ELEMENT_STALL_S = 0.5  # or in the middle of an element: the age of a change counts from when the element began
+FIRST_ELEMENT_S = 1.0  # or before anything useful came: discovery is down, or the connection leads nowhere
+# At some 10 us an endpoint and 0.1 us a row, a batch of each stays below the few ms that a client notices, and a list
+# of today's usual size is one batch.
+ENTRIES_PER_EVENT = 256  # endpoints that the engine gets in one event
+ROWS_PER_SWEEP = 4096  # rows of the directory that one step of a sweep looks at
+
+
+def watch_deadline(
+    last_byte_at: float, useful: bool, element_started_at: float | None, asked: float | None = None
+) -> float:
+    """Return how long to wait for a watch, as a time (s). It bounds silence, and also data that trickles.
+
+    Args:
+        last_byte_at: Time (s) of the last byte.
+        useful: Whether what the watch asked for at its opening has come.
+        element_started_at: Time (s) at which the element that is incomplete began, None between elements. The elements
+            of a long list are progress: the time starts again with each of them.
+        asked: Time (s) at which the watch was opened, where it resumes from a version and no more than its head has
+            come: it leads somewhere, and may have nothing to deliver. Else None.
+    """
+    if element_started_at is not None:
+        return min(last_byte_at + ELEMENT_STALL_S, element_started_at + WATCH_SILENCE_S)
     if not useful and asked is not None:
         return asked + WATCH_SILENCE_S
-    return heard + (WATCH_SILENCE_S if useful else FIRST_ELEMENT_S)
+    return last_byte_at + (WATCH_SILENCE_S if useful else FIRST_ELEMENT_S)
 
 
 class ResumePolicy:
-    """Whether the next watch asks for the whole list, or for what has changed since the version that is known. The
-    whole one at first, after a move of discovery, and after a watch that brought nothing of use, was unsound, told an
-    older list or was cut in the middle: only a whole list makes up for whatever such a one left out. And as long as the
-    whole list is small: asking for all then costs less than the doubt whether a watch with nothing to tell leads
-    anywhere."""
+    """Decides whether the next watch asks for the full list, or resumes from the known version.
+
+    It asks for the full list at first, after discovery has moved, and after a watch that delivered nothing useful, was
+    unsound, had an older list or ended in the middle of an element: only a full list makes up for whatever such a
+    watch left out. It also does while the full list is small: this costs less than the doubt whether a watch with
+    nothing to deliver leads anywhere.
+
+    Attributes:
+        is_current: Whether the known endpoints are what discovery had at the known version. Entered by
+            `full_list_read` alone.
+        is_small: Whether the last full list came in one piece.
+    """
 
     def __init__(self) -> None:
-        self.is_current = False  # what is known is what discovery had told at its version
+        self.is_current = False
         self.is_small = True
 
     def full_list_read(self, small: bool) -> None:
-        """A whole list has been read to its end; `small`: it came in one piece."""
-        self.is_current, self.is_small = True, small
+        """Record that a full list has been read to its end; `small` if it came in one piece."""
+        self.is_current = True
+        self.is_small = small
 
     def discovery_moved(self) -> None:
+        """Record that discovery has another address, whose versions may not continue the known ones."""
         self.is_current = False
 
-    def watch_ended(self, useful: bool, sound: bool, midway: bool) -> None:
-        """A watch is over, or could not be opened: `useful` if it told something, or was seen to lead somewhere;
-        `sound` if nothing of it was refused; `midway` if it ended in the middle of something."""
-        self.is_current = self.is_current and useful and sound and not midway
+    def watch_ended(self, useful: bool, sound: bool, in_element: bool) -> None:
+        """Record that a watch has ended, or could not be opened.
+
+        Args:
+            useful: Whether it delivered something, or was seen to lead somewhere.
+            sound: Whether nothing of it was rejected.
+            in_element: Whether it ended in the middle of an element.
+        """
+        self.is_current = self.is_current and useful and sound and not in_element
 
     def resume_version(self, newest: int | None) -> int | None:
-        """From which version on; None = all."""
+        """Return the version from which the next watch resumes; None for the full list."""
         return newest if self.is_current and not self.is_small else None
 
 
 class ListVersionGuard:
-    """Guards against a list older than the one in force: endpoints that have left would be called again."""
+    """Guards against a list older than the current one, which would bring back endpoints that have left.
+
+    Attributes:
+        newest: Version of the last list that was read to its end; None without one.
+        older_list_rejected: Whether the last full list was older and rejected.
+    """
 
     def __init__(self) -> None:
-        self.newest: int | None = None  # of the lists that were read to their end
-        self.older_list_rejected = False  # the latest whole list was older, and not taken
-
-    def accepts(self, version: int | None, whole: bool) -> bool:
-        """Whether a list counts, judged by its head. A whole one that is older counts the second time in a row:
-        discovery, asked again, says that it has begun anew, and what it had told before is no longer in force."""
-        older = version is not None and self.newest is not None and version < self.newest
-        if older and not (whole and self.older_list_rejected):
-            self.older_list_rejected = self.older_list_rejected or whole
-            return False
-        return True
+        self.newest: int | None = None
+        self.older_list_rejected = False
+
+    def accepts(self, version: int | None, is_full: bool) -> bool:
+        """Judge a list by its head.
+
+        An older full list is accepted the second time in a row: discovery, asked again, confirms that it has started
+        over, and its earlier lists are no longer valid.
+
+        Args:
+            version: Version of the list; None without one.
+            is_full: Whether it is a full list, not changes.
+        """
+        is_older = version is not None and self.newest is not None and version < self.newest
+        if not is_older or (is_full and self.older_list_rejected):
+            return True
+        self.older_list_rejected = self.older_list_rejected or is_full
+        return False
 
     def list_read(self, version: int | None) -> None:
-        """A list that counts has been read to its end. One that was cut tells nothing of what stood behind the cut."""
-        if version is not None:  # else nothing to judge it by
-            self.older_list_rejected, self.newest = False, version
+        """Record that an accepted list has been read to its end.
+
+        A list that was cut must not be recorded: it says nothing of what stood behind the cut.
+        """
+        if version is None:
+            return  # there is nothing to compare later lists with
+        self.older_list_rejected = False
+        self.newest = version
