--- a/linnetstile/engine/attempt_outcome.py
+++ b/linnetstile/engine/attempt_outcome.py
@@ -138,20 +138,23 @@
     return AttemptVerdict(Outcome.REJECTED, reason, retry_after_ms=wait_ms)
 
 
-def judge_endpoint_attempt(observation: AttemptObservation, claimed: int = 0, no_slot: bool = False) -> AttemptVerdict:
+def judge_endpoint_attempt(
+    observation: AttemptObservation, claimed_status: int = 0, slots_exhausted: bool = False
+) -> AttemptVerdict:
     """Judge an attempt at an endpoint of the platform, by the rows of the platform's contract.
 
     Args:
         observation: What was seen of the attempt.
-        claimed: Status in a status line that was followed by a malformed answer. 200 counts even so, no other does.
-        no_slot: Whether a 503 said that all slots of this relay were taken.
+        claimed_status: Status in a status line that was followed by a malformed answer. 200 counts even so, and no
+            other does.
+        slots_exhausted: Whether a 503 said that all slots of this relay were taken.
     """
     is_answered = observation.wire_result is WireResult.ANSWERED
-    if claimed == STATUS_OK or is_answered and observation.status == STATUS_OK:
+    if claimed_status == STATUS_OK or is_answered and observation.status == STATUS_OK:
         return _platform_success(observation)
     if not is_answered:
         return VERDICT_BY_WIRE_RESULT[observation.wire_result]
-    if observation.status == STATUS_SERVICE_UNAVAILABLE and no_slot:
+    if observation.status == STATUS_SERVICE_UNAVAILABLE and slots_exhausted:
         return AttemptVerdict(Outcome.NOT_SENT, "503: all slots of this relay are taken", slots_exhausted=True)
     if observation.status == STATUS_GATEWAY_TIMEOUT:
         return AttemptVerdict(Outcome.NOT_SENT, "504: had all its attempts; its end is owed")
--- a/linnetstile/engine/gossip.py
+++ b/linnetstile/engine/gossip.py
@@ -182,7 +182,9 @@
         route = merge_route(key, claims, distrusted, relay_count, rejected)
         if route != MergedRoute(key.partner, key.route):
             names = tuple(source.name for source, _ in claims)
-            merged.append(replace(route, sources=names, age_ms=min(claim.seen_age for _, claim in claims)))
+            merged.append(
+                replace(route, sources=names, age_ms=min(claim.latest_evidence_age_ms for _, claim in claims))
+            )
     return merged, rejected
 
 
--- a/linnetstile/engine/route_claims.py
+++ b/linnetstile/engine/route_claims.py
@@ -51,7 +51,7 @@
         return RouteKey(self.partner, self.route)
 
     @property
-    def seen_age(self) -> float:
+    def latest_evidence_age_ms(self) -> float:
         """Age (ms) of the youngest evidence, infinite without any."""
         ages = (self.answered_age, self.failed_age, self.cold_age)
         return min((age for age in ages if age is not None), default=NEVER_AGE_MS)
@@ -59,7 +59,7 @@
     @property
     def is_fresh(self) -> bool:
         """Whether the youngest evidence still counts."""
-        return evidence_weight(self.seen_age) >= MIN_EVIDENCE_WEIGHT
+        return evidence_weight(self.latest_evidence_age_ms) >= MIN_EVIDENCE_WEIGHT
 
     @property
     def latency_weight(self) -> float:
--- /dev/null
+++ b/tests/engine/test_attempt_outcome.py
@@ -0,0 +1,79 @@
+"""What the end of an attempt proves."""
+
+from __future__ import annotations
+
+import pytest
+from hypothesis import given
+from hypothesis import strategies as st
+
+from linnetstile.engine.attempt_outcome import (
+    MAX_RETRY_AFTER_MS,
+    AttemptObservation,
+    ReceiptStatus,
+    WireResult,
+    judge_attempt,
+)
+from linnetstile.engine.events import Outcome
+
+NEVER_COMPLETE = (WireResult.NOT_SENT, WireResult.NO_CONNECTION, WireResult.REQUEST_INCOMPLETE)
+
+
+def answered(
+    status: int, receipt: ReceiptStatus = ReceiptStatus.NOT_ASKED, request_complete: bool = True
+) -> AttemptObservation:
+    return AttemptObservation(WireResult.ANSWERED, status=status, receipt=receipt, request_complete=request_complete)
+
+
+ROWS = [
+    (AttemptObservation(WireResult.NOT_SENT), Outcome.NOT_SENT, False),
+    (AttemptObservation(WireResult.NO_CONNECTION), Outcome.CONNECT_FAILED, False),
+    (AttemptObservation(WireResult.CONNECTION_LOST), Outcome.RESET, False),
+    (AttemptObservation(WireResult.TIMED_OUT), Outcome.TIMEOUT, False),
+    (AttemptObservation(WireResult.MALFORMED), Outcome.RESET, False),
+    (AttemptObservation(WireResult.CANCELLED), Outcome.CANCELLED, False),
+    (AttemptObservation(WireResult.REQUEST_INCOMPLETE), Outcome.CONNECT_FAILED, False),  # nothing can have run
+    (answered(500, request_complete=False), Outcome.CONNECT_FAILED, False),
+    *((answered(status), Outcome.REJECTED, False) for status in (429, 503)),
+    *(
+        (answered(status), Outcome.ERROR, False)
+        for status in (301, 400, 401, 403, 404, 408, 409, 413, 415, 422, 500, 501, 502, 504)
+    ),
+    (answered(200, ReceiptStatus.NOT_ASKED), Outcome.OK, True),
+    (answered(200, ReceiptStatus.POSITIVE), Outcome.OK, True),
+    (answered(202, ReceiptStatus.POSITIVE), Outcome.OK, True),
+    (answered(200, ReceiptStatus.DUPLICATE), Outcome.OK, True),
+    (answered(200, ReceiptStatus.NEGATIVE), Outcome.OK, True),
+    (answered(200, ReceiptStatus.MISSING), Outcome.ERROR, False),
+    (answered(200, ReceiptStatus.UNPROVEN), Outcome.ERROR, False),
+    (answered(200, ReceiptStatus.OTHER_MESSAGE), Outcome.ERROR, False),
+    (answered(200, ReceiptStatus.WRONG_MIC), Outcome.ERROR, False),
+]
+
+
+@pytest.mark.parametrize(("observation", "outcome", "is_final"), ROWS)
+def test_observation_has_the_outcome_of_its_row(
+    observation: AttemptObservation, outcome: Outcome, is_final: bool
+) -> None:
+    verdict = judge_attempt(observation)
+    assert (verdict.outcome, verdict.is_final) == (outcome, is_final)
+    assert verdict.reason
+
+
+@given(
+    st.builds(
+        AttemptObservation,
+        wire_result=st.sampled_from(WireResult),
+        status=st.integers(200, 599),
+        retry_after_ms=st.one_of(st.none(), st.floats(-1e12, 1e12)),
+        receipt=st.sampled_from(ReceiptStatus),
+        request_complete=st.booleans(),
+    )
+)
+def test_only_proof_counts_as_proof(observation: AttemptObservation) -> None:
+    verdict = judge_attempt(observation)
+    if verdict.outcome.proves_no_effect:
+        was_never_complete = observation.wire_result in NEVER_COMPLETE or not observation.request_complete
+        assert was_never_complete or observation.status in (429, 503)
+    assert verdict.is_final == (verdict.outcome is Outcome.OK)
+    assert 0 <= verdict.retry_after_ms <= MAX_RETRY_AFTER_MS
+    assert verdict.retry_after_ms == 0 or verdict.outcome is Outcome.REJECTED
--- /dev/null
+++ b/tests/engine/test_connection_eviction.py
@@ -0,0 +1,43 @@
+"""Which connections a full listener closes first."""
+
+from __future__ import annotations
+
+from linnetstile.engine.connection_eviction import IdleConnection, connections_to_evict
+
+
+def idle(
+    token: str,
+    host: str,
+    rate: float,
+    since: float,
+    had_request: bool = False,
+    just_opened: bool = False,
+) -> IdleConnection[str]:
+    return IdleConnection(host, had_request, just_opened, rate, since, token)
+
+
+def test_connections_that_proved_nothing_are_evicted_first() -> None:
+    hosts = {"many": 90, "few": 2}
+    connections = [
+        idle("keep-alive of few", "few", 9.0, 0.0, had_request=True),
+        idle("keep-alive of many", "many", 9.0, 0.0, had_request=True),
+        idle("upload", "many", 10**6, 1.0),
+        idle("trickles", "many", 1.0, 5.0),
+        idle("silent", "many", 0.0, 7.0),
+        idle("silent for longer", "many", 0.0, 6.0),
+        idle("silent of few", "few", 0.0, 1.0),
+        idle("new", "many", 0.0, 8.0, just_opened=True),
+    ]
+    order = [connection.token for connection in connections_to_evict(hosts, connections, 10)[::-1]]
+    assert order == [
+        "silent for longer",
+        "silent",
+        "trickles",
+        "upload",
+        "silent of few",
+        "new",
+        "keep-alive of many",
+        "keep-alive of few",
+    ]
+    evicted = connections_to_evict(hosts, connections, 1)
+    assert [connection.token for connection in evicted] == ["silent for longer"]
--- a/tests/engine/test_gossip.py
+++ b/tests/engine/test_gossip.py
@@ -1,8 +1,7 @@
-"""What is believed of others: by age, by agreement, never against own evidence; and whom to ask when."""
+"""What a relay takes over from others: by age, by agreement, and never against own evidence."""
 
 from __future__ import annotations
 
-import random
 from typing import Any
 
 import pytest
@@ -21,24 +20,16 @@
     merge_claims,
     merge_connection_limits,
 )
-from linnetstile.engine.membership import (
-    BOOTSTRAP_GAP_MS,
-    BOOTSTRAP_PEERS,
-    FIRST_POLL_JITTER_MS,
-    MAX_PEERS,
-    Membership,
-    PeerStatus,
-)
 from tests.conftest import SAFE, UNSAFE, Driver, make_settings
 
-LANE = {("p", -1): {11, 12}}
+ROUTES: dict[tuple[str, int], set[int]] = {("p", -1): {11, 12}}
 
 
-def well(age: float = 100.0, mean: float = 100.0) -> RouteClaim:
+def healthy_claim(age: float = 100.0, mean: float = 100.0) -> RouteClaim:
     return RouteClaim("p", -1, (11, 12), answered_age=age, mean_ms=mean, dev_ms=30.0, answers=9)
 
 
-def down(age: float = 100.0, since: float = 3000.0) -> RouteClaim:
+def outage_claim(age: float = 100.0, since: float = 3000.0) -> RouteClaim:
     return RouteClaim(
         "p",
         -1,
@@ -53,65 +44,77 @@
     )
 
 
-def learn(*claims: RouteClaim, own: bool = False, relays: int = 10) -> tuple[MergedRoute | None, list[RejectedClaim]]:
+def merge(*claims: RouteClaim, own: bool = False, relays: int = 10) -> tuple[MergedRoute | None, list[RejectedClaim]]:
+    """Merge claims of one route, each from a peer of its own."""
     sources = [ClaimSource(f"peer{n}", own, (claim,)) for n, claim in enumerate(claims)]
-    found, doubts = merge_claims(sources, LANE, set(), relays)
-    return (found[0] if found else None), doubts
+    merged, rejected = merge_claims(sources, ROUTES, set(), relays)
+    return (merged[0] if merged else None), rejected
 
 
-def test_one_credible_peer_is_enough_for_a_caution_and_all_may_have_learned_it() -> None:
-    found, _ = learn(down())
-    assert found is not None and found.outage_age_ms == 3000 and found.aware_relays == 10.0
-    found, _ = learn(down(), well(50))
-    assert found is not None and found.outage_age_ms == 3000  # one contradiction is not agreement
+def test_one_credible_peer_is_enough_for_a_caution_and_all_relays_may_know_of_it() -> None:
+    route, _ = merge(outage_claim())
+    assert route is not None
+    assert route.outage_age_ms == 3000
+    assert route.aware_relays == 10.0
+    route, _ = merge(outage_claim(), healthy_claim(50))
+    assert route is not None
+    assert route.outage_age_ms == 3000  # one contradiction is not agreement
 
 
-def test_two_that_had_answers_since_outweigh_it() -> None:
-    found, doubts = learn(down(age=500), well(50), well(60))
-    assert found is not None and found.outage_age_ms is None and "answers since" in doubts[0].reason
-    found, _ = learn(down(age=50), well(500), well(600))  # they know less than it does
-    assert found is not None and found.outage_age_ms == 3000
+def test_two_peers_with_answers_since_outweigh_a_claimed_outage() -> None:
+    route, rejected = merge(outage_claim(age=500), healthy_claim(50), healthy_claim(60))
+    assert route is not None
+    assert route.outage_age_ms is None
+    assert "answers since" in rejected[0].reason
+    route, _ = merge(outage_claim(age=50), healthy_claim(500), healthy_claim(600))  # they know less than it does
+    assert route is not None
+    assert route.outage_age_ms == 3000
 
 
 @pytest.mark.parametrize(("age", "taken"), [(19_900, True), (20_100, False), (3_600_000, False)])
-def test_a_caution_fades(age: float, taken: bool) -> None:
-    found, doubts = learn(down(age, since=age + 100))
-    assert (found is not None and found.outage_age_ms is not None) == taken and bool(doubts) != taken
+def test_stale_outage_is_rejected(age: float, taken: bool) -> None:
+    route, rejected = merge(outage_claim(age, since=age + 100))
+    assert (route is not None and route.outage_age_ms is not None) == taken
+    assert bool(rejected) != taken
 
 
-def test_a_return_that_one_saw_makes_it_cold_and_not_out() -> None:
+def test_route_that_returned_for_one_peer_is_in_slow_start_and_not_out() -> None:
     back = RouteClaim("p", -1, (11,), answered_age=300, cold_age=900, answers=1, mean_ms=100, knowers=4.0)
-    found, _ = learn(down(age=1200, since=5000), back)
-    assert found is not None and (found.outage_age_ms, found.slow_start_age_ms, found.aware_relays) == (None, 900, 10.0)
+    route, _ = merge(outage_claim(age=1200, since=5000), back)
+    assert route is not None
+    assert (route.outage_age_ms, route.slow_start_age_ms, route.aware_relays) == (None, 900, 10.0)
 
 
-def test_waits_bind_where_they_were_told_and_caution_where_not() -> None:
-    long = RouteClaim("p", -1, (11,), wait_ms=500_000)
+def test_own_retry_after_binds_and_another_relays_is_bounded() -> None:
+    claim = RouteClaim("p", -1, (11,), wait_ms=500_000)
     for own, expected in [(True, 500_000), (False, 60_000)]:
-        found, _ = learn(long, own=own)
-        assert found is not None and found.retry_after_ms == expected
+        route, _ = merge(claim, own=own)
+        assert route is not None
+        assert route.retry_after_ms == expected
 
 
-def test_what_was_learned_from_others_endpoints_is_about_somebody_else() -> None:
+def test_claim_of_unknown_routes_or_endpoints_or_with_impossible_ages_is_rejected() -> None:
     for claim, reason in [
         (RouteClaim("p", -1, (99,), failed_age=1, out_age=1), "not its own"),
         (RouteClaim("q", -1, (11,), failed_age=1, out_age=1), "no such partner"),
         (RouteClaim("p", -1, (11,), failed_age=float("nan"), out_age=1), "can't be"),
         (RouteClaim("p", -1, (11,), failed_age=-5, out_age=1), "can't be"),
     ]:
-        found, doubts = learn(claim)
-        assert found is None and reason in doubts[0].reason
+        route, rejected = merge(claim)
+        assert route is None
+        assert reason in rejected[0].reason
 
 
 def test_own_observation_wins() -> None:
-    found, doubts = merge_claims([ClaimSource("a", False, (down(),))], LANE, {("p", -1)}, 10)
-    assert found == [] and doubts[0].reason == "own observation wins"
+    merged, rejected = merge_claims([ClaimSource("a", False, (outage_claim(),))], ROUTES, {("p", -1)}, 10)
+    assert merged == []
+    assert rejected[0].reason == "own observation wins"
 
 
-def test_a_peer_that_cries_alarm_alone_is_doubted_as_a_whole() -> None:
+def test_peer_that_claims_most_outages_alone_is_distrusted() -> None:
     routes = {(f"p{n}", -1): {n} for n in range(10)}
 
-    def all_(name: str, out: bool) -> ClaimSource:
+    def source_of_all_routes(name: str, out: bool) -> ClaimSource:
         return ClaimSource(
             name,
             False,
@@ -128,20 +131,27 @@
             ),
         )
 
-    found, doubts = merge_claims([all_("liar", True), all_("b", False)], routes, set(), 10)
-    assert not [each for each in found if each.outage_age_ms is not None] and {d.source for d in doubts} == {"liar"}
-    found, _ = merge_claims([all_("a", True), all_("b", True)], routes, set(), 10)
-    assert len([each for each in found if each.outage_age_ms is not None]) == 10  # nobody denies it: then it is so
-    found, _ = merge_claims([all_("alone", True)], routes, set(), 10)
-    assert len([each for each in found if each.outage_age_ms is not None]) == 10  # nobody else to ask: careful
+    merged, rejected = merge_claims(
+        [source_of_all_routes("liar", True), source_of_all_routes("b", False)], routes, set(), 10
+    )
+    assert not [route for route in merged if route.outage_age_ms is not None]
+    assert {claim.source for claim in rejected} == {"liar"}
+    merged, _ = merge_claims([source_of_all_routes("a", True), source_of_all_routes("b", True)], routes, set(), 10)
+    assert len([route for route in merged if route.outage_age_ms is not None]) == 10  # no other contradicts it
+    merged, _ = merge_claims([source_of_all_routes("alone", True)], routes, set(), 10)
+    assert (
+        len([route for route in merged if route.outage_age_ms is not None]) == 10
+    )  # there is no other to contradict it
 
 
-def test_one_wrong_latency_moves_it_by_one_place() -> None:
-    found, _ = learn(well(mean=100), well(mean=120), well(mean=100_000))
-    assert found is not None and found.latency_mean_ms == 120
-    found, _ = learn(well(mean=0.2), well(mean=120), well(mean=130))
-    assert found is not None and found.latency_mean_ms == 120
-    assert learn(well(age=2_000_000))[0] is None  # half an hour old
+def test_one_wrong_latency_moves_the_median_by_one_place() -> None:
+    route, _ = merge(healthy_claim(mean=100), healthy_claim(mean=120), healthy_claim(mean=100_000))
+    assert route is not None
+    assert route.latency_mean_ms == 120
+    route, _ = merge(healthy_claim(mean=0.2), healthy_claim(mean=120), healthy_claim(mean=130))
+    assert route is not None
+    assert route.latency_mean_ms == 120
+    assert merge(healthy_claim(age=2_000_000))[0] is None  # half an hour old
 
 
 ages = st.one_of(st.none(), st.floats(-10, 1e7), st.just(float("nan")), st.just(float("inf")))
@@ -169,30 +179,31 @@
     ),
     st.booleans(),
 )
-def test_nothing_that_peers_say_breaks_the_bounds(claims: list[RouteClaim], own: bool) -> None:
-    found, _ = learn(*claims, own=own, relays=7)
-    if found is not None:
-        assert found.outage_age_ms is None or 0 <= found.outage_age_ms <= 3_600_000
-        assert found.outage_age_ms is None or found.slow_start_age_ms is None
-        assert 0 <= found.retry_after_ms <= (1e12 if own else 60_000) and 1 <= found.aware_relays <= 7
-        assert 0 <= found.latency_mean_ms <= 120_000
-
-
-def test_a_pace_and_few_connections_come_from_the_one_in_the_middle() -> None:
-    def held(pace: float, age: float = 100.0) -> RouteClaim:
-        return RouteClaim("p", -1, (11,), answered_age=age, pace=pace)
-
-    for paces, expected in [((3.0,), 3.0), ((3.0, 0.001, 4.0), 3.0), ((3.0, 9e8, 4.0), 4.0), ((0.0, 0.0), 0.0)]:
-        found, _ = learn(*(held(pace) for pace in paces))
-        assert (found.rate if found else 0.0) == expected
-    assert learn(held(3.0, age=30_000))[0] is None  # the refusals were too long ago
+def test_merged_values_stay_within_bounds_for_any_claims(claims: list[RouteClaim], own: bool) -> None:
+    route, _ = merge(*claims, own=own, relays=7)
+    if route is not None:
+        assert route.outage_age_ms is None or 0 <= route.outage_age_ms <= 3_600_000
+        assert route.outage_age_ms is None or route.slow_start_age_ms is None
+        assert 0 <= route.retry_after_ms <= (1e12 if own else 60_000)
+        assert 1 <= route.aware_relays <= 7
+        assert 0 <= route.latency_mean_ms <= 120_000
+
+
+def test_rate_and_connection_limits_are_medians() -> None:
+    def throttled_claim(rate: float, age: float = 100.0) -> RouteClaim:
+        return RouteClaim("p", -1, (11,), answered_age=age, pace=rate)
+
+    for rates, expected in [((3.0,), 3.0), ((3.0, 0.001, 4.0), 3.0), ((3.0, 9e8, 4.0), 4.0), ((0.0, 0.0), 0.0)]:
+        route, _ = merge(*(throttled_claim(rate) for rate in rates))
+        assert (route.rate if route else 0.0) == expected
+    assert merge(throttled_claim(3.0, age=30_000))[0] is None  # the rejections were too long ago
     assert merge_connection_limits([{"a": 0.5, "b": 0.1}, {"a": 0.0}, {"a": 7.0}]) == {"a": 0.0, "b": 0.1}
 
 
-def test_a_learned_pace_holds_a_fresh_relay_until_its_own_refusals_or_answers_say_more() -> None:
+def test_merged_rate_throttles_a_fresh_relay() -> None:
     sends = []
-    for pace in (0.0, 1.0):
-        d = fresh(rate=pace)
+    for rate in (0.0, 1.0):
+        d = fresh(rate=rate)
         for _ in range(20):
             d.message(SAFE)
         d.pass_time(900)
@@ -205,11 +216,11 @@
     assert any(isinstance(act, CloseIdle) for act in d.answer(ident))
 
 
-def test_weight_knows_no_age_that_no_clock_can_tell() -> None:
+def test_impossible_ages_have_no_weight() -> None:
     assert [evidence_weight(age) for age in (None, -1.0, float("nan"), 0.0, 10_000.0)] == [0, 0, 0, 1, 0.5]
 
 
-# -- in the module ---------------------------------------------------------------------------------------
+# -- in the engine ---------------------------------------------------------------------------------------
 
 
 def fresh(relays: int = 4, **fact: Any) -> Driver:
@@ -220,7 +231,7 @@
     return d
 
 
-def test_a_fresh_relay_that_learned_of_an_outage_calls_at_a_trickle_and_returns_within_the_budget() -> None:
+def test_fresh_relay_that_learned_of_an_outage_sends_trials_within_the_slow_start_budget() -> None:
     sends = []
     facts: list[dict[str, Any]] = [{}, {"outage_age_ms": 4000.0, "aware_relays": 4.0}]
     for fact in facts:
@@ -236,18 +247,18 @@
     assert sends[1] <= 10
 
 
-def test_a_relay_that_believes_in_too_few_relays_takes_the_part_that_others_know_of() -> None:
+def test_larger_relay_count_of_others_is_taken_over() -> None:
     d = fresh(relays=4, outage_age_ms=4000.0, aware_relays=40.0)
-    assert recall_knowers(d) == 40.0
+    assert known_aware_relays(d) == 40.0
     d = fresh(relays=4)
-    assert recall_knowers(d) <= 4.0
+    assert known_aware_relays(d) <= 4.0
 
 
-def recall_knowers(d: Driver) -> float:
+def known_aware_relays(d: Driver) -> float:
     return d.relay._knowers(d.now, d.relay.routing_table.open(d.now, 1)[-1])
 
 
-def test_unsafe_messages_wait_where_others_say_out() -> None:
+def test_non_idempotent_messages_wait_where_others_claim_an_outage() -> None:
     d = fresh(outage_age_ms=4000.0, aware_relays=4.0)
     ident = d.message(UNSAFE)
     d.pass_time(4000, 20)
@@ -256,7 +267,7 @@
     assert ident in d.tries
 
 
-def test_a_learned_wait_binds() -> None:
+def test_merged_retry_after_binds() -> None:
     d = fresh(retry_after_ms=2000.0)
     ident = d.message(SAFE)
     d.pass_time(1990)
@@ -265,21 +276,21 @@
     assert ident in d.tries
 
 
-def test_own_evidence_is_not_overruled_and_hearsay_is_not_passed_on() -> None:
+def test_own_evidence_is_not_overruled_and_merged_claims_are_not_exported() -> None:
     d = fresh()
     d.warm_up()
     d.feed(GossipReceived((RouteFacts(1, outage_age_ms=100.0), RouteFacts(9, outage_age_ms=1.0))))
     assert not d.relay.routes[1][-1].ejected
     (claim,) = gossip_export.export_claims(d.relay, d.now, {1: "p"})
-    assert claim.answers > 3 and claim.out_age is None and claim.endpoints == (11,)
+    assert claim.answers > 3
+    assert claim.out_age is None
+    assert claim.endpoints == (11,)
     other = fresh(outage_age_ms=4000.0)
-    assert (
-        gossip_export.export_claims(other.relay, other.now, {1: "p"}) == []
-        and gossip_export.known_routes(other.relay, {1: "p"})[1] == set()
-    )
+    assert gossip_export.export_claims(other.relay, other.now, {1: "p"}) == []
+    assert gossip_export.known_routes(other.relay, {1: "p"})[1] == set()
 
 
-def test_relays_that_were_told_are_knowers() -> None:
+def test_notified_relays_count_as_aware() -> None:
     d = fresh(relays=50)
     d.warm_up()
     for _ in range(2):
@@ -291,66 +302,3 @@
     for _ in range(5):
         d.feed(GossipSent(((1, -1), (7, -1))))
     assert gossip_export.export_claims(d.relay, d.now, {1: "p"})[0].knowers == pytest.approx(before + 5)
-
-
-# -- membership ------------------------------------------------------------------------------------------
-
-
-def test_a_fresh_relay_hears_a_few_peers_one_at_a_time_then_seldom() -> None:
-    members, asks, now = Membership("a", ["a", *(f"p{n}" for n in range(20))], 0.0, 1), list[float](), 0.0
-    assert "a" not in members.peers
-    while now < 60_000:
-        peer = members.next_peer(now)
-        if peer:
-            asks.append(now)
-            assert members.next_peer(now) is None
-            members.poll_answered(now + 5, peer, "run", [])
-        now += 10
-    assert asks[0] <= FIRST_POLL_JITTER_MS + 10 and len([at for at in asks if at < 5000]) == BOOTSTRAP_PEERS
-    assert (
-        all(b - a >= BOOTSTRAP_GAP_MS for a, b in zip(asks, asks[1:], strict=False))
-        and len(asks) <= BOOTSTRAP_PEERS + 7
-    )
-
-
-def test_three_hundred_relays_at_once_make_no_storm() -> None:
-    """All fresh within the same moment, as after a restart of 95% within 23 s at the worst."""
-    names = [f"r{n}" for n in range(300)]
-    fleet = [Membership(name, names, 0.0, n) for n, name in enumerate(names)]
-    load: dict[str, int] = {}
-    worst = 0
-    for tick in range(0, 3000, 10):
-        window: dict[str, int] = {}
-        for member in fleet:
-            if peer := member.next_peer(float(tick)):
-                load[peer] = load.get(peer, 0) + 1
-                window[peer] = window.get(peer, 0) + 1
-                member.poll_answered(tick + 5.0, peer, "run", [])
-        worst = max(worst, *window.values(), 0)
-    assert sum(load.values()) == 300 * BOOTSTRAP_PEERS and max(load.values()) <= 15 and worst <= 5
-
-
-def test_standings_follow_what_was_heard_itself() -> None:
-    members = Membership("a", ["b"], 0.0, 1)
-    members.poll_answered(0, "b", "run1", ["c", "a"])
-    assert members.alive_peers() == ["b"] and members.peers["c"].status is PeerStatus.UNKNOWN
-    assert members.poll_answered(1, "b", "run2", []) and not members.poll_answered(2, "b", "run2", [])
-    members.poll_failed(3, "b")
-    assert members.peers["b"].status.value == "suspected" and members.alive_peers() == []
-    for _ in range(5):
-        members.poll_failed(4, "c") if "c" in members.peers else None
-    assert "c" not in members.peers  # hearsay that never answered is forgotten
-    for _ in range(5):
-        members.poll_failed(5, "b")
-    assert members.peers["b"].status is PeerStatus.LEFT  # listed: asked again, ever more seldom
-    members.poll_answered(6, "b", "run3", [f"x{n}" for n in range(5000)])
-    assert members.alive_peers() == ["b"] and len(members.peers) <= MAX_PEERS
-
-
-def test_peers_that_flap_are_asked_ever_more_seldom() -> None:
-    members, asks, rng = Membership("a", ["b"], 0.0, 1), 0, random.Random(1)
-    for now in range(0, 300_000, 50):
-        if peer := members.next_peer(now):
-            asks += 1
-            members.poll_answered(now, peer, "run", []) if rng.random() < 0.2 else members.poll_failed(now, peer)
-    assert asks < 45
--- a/tests/engine/test_linear_hash.py
+++ b/tests/engine/test_linear_hash.py
@@ -1,4 +1,4 @@
-"""Rows by hash, against a plain dict; a chain a step, however many rows there are."""
+"""Rows by hash, against a plain dict; one chain a step, however many rows there are."""
 
 from __future__ import annotations
 
@@ -10,47 +10,48 @@
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_finds_what_a_dict_finds(seed: int) -> None:
+def test_finds_the_same_rows_as_a_dict(seed: int) -> None:
     rng = random.Random(seed)
     keys: list[int] = []  # by row
-    chains = LinearHashTable(lambda row: hash_integer(keys[row]))
+    table = LinearHashTable(lambda row: hash_integer(keys[row]))
     rows: dict[int, int] = {}
-    free: list[int] = []
+    free_rows: list[int] = []
 
-    def found(key: int) -> list[int]:
-        return [row for row in chains.find(hash_integer(key)) if keys[row] == key]
+    def find(key: int) -> list[int]:
+        return [row for row in table.find(hash_integer(key)) if keys[row] == key]
 
     for _ in range(4000):
         key = rng.randrange(600) * (1024 if seed % 2 else 1)
         if key in rows and rng.random() < 0.6:
             row = rows.pop(key)
-            chains.remove(row)
-            free.append(row)
+            table.remove(row)
+            free_rows.append(row)
         elif key not in rows:
-            row = free.pop() if free else len(keys)
+            row = free_rows.pop() if free_rows else len(keys)
             keys[row : row + 1] = [key]
             rows[key] = row
-            chains.add(row)
-        assert found(key) == ([rows[key]] if key in rows else [])
-    assert chains.row_count == len(rows)
-    assert all(found(key) == [row] for key, row in rows.items())
+            table.add(row)
+        assert find(key) == ([rows[key]] if key in rows else [])
+    assert table.row_count == len(rows)
+    assert all(find(key) == [row] for key, row in rows.items())
 
 
-@pytest.mark.parametrize("step", (1, 2, 1000, 1024, 2**24))
-def test_chains_stay_short_and_a_step_small(step: int) -> None:
-    looked = 0
+@pytest.mark.parametrize("step", [1, 2, 1000, 1024, 2**24])
+def test_chains_and_steps_stay_short(step: int) -> None:
+    hashes_asked = 0
 
     def hash_of(row: int) -> int:
-        nonlocal looked
-        looked += 1
+        nonlocal hashes_asked
+        hashes_asked += 1
         return hash_integer(row * step)
 
-    chains = LinearHashTable(hash_of)
+    table = LinearHashTable(hash_of)
     most = 0
     for row in range(20_000):
-        before = looked
-        chains.add(row)
-        most = max(most, looked - before)
-    assert most < 30  # hashes asked for in one step: the rows of one chain, and the new one
-    lengths = [sum(1 for _ in chains.find(hash_integer(row * step))) for row in range(0, 20_000, 50)]
-    assert sum(lengths) / len(lengths) < 4 and max(lengths) < 20
+        before = hashes_asked
+        table.add(row)
+        most = max(most, hashes_asked - before)
+    assert most < 30  # the rows of one chain, and the new one
+    lengths = [sum(1 for _ in table.find(hash_integer(row * step))) for row in range(0, 20_000, 50)]
+    assert sum(lengths) / len(lengths) < 4
+    assert max(lengths) < 20
--- /dev/null
+++ b/tests/engine/test_membership.py
@@ -0,0 +1,90 @@
+"""Which peers a relay polls, when, and what it concludes from their answers."""
+
+from __future__ import annotations
+
+import random
+from itertools import pairwise
+
+from linnetstile.engine.membership import (
+    BOOTSTRAP_GAP_MS,
+    BOOTSTRAP_PEERS,
+    FIRST_POLL_JITTER_MS,
+    MAX_PEERS,
+    Membership,
+    PeerStatus,
+)
+
+
+def test_fresh_relay_polls_a_few_peers_one_at_a_time_and_then_seldom() -> None:
+    membership = Membership("a", ["a", *(f"p{n}" for n in range(20))], 0.0, 1)
+    polled_at: list[float] = []
+    now = 0.0
+    assert "a" not in membership.peers
+    while now < 60_000:
+        peer = membership.next_peer(now)
+        if peer:
+            polled_at.append(now)
+            assert membership.next_peer(now) is None
+            membership.poll_answered(now + 5, peer, "run", [])
+        now += 10
+    assert polled_at[0] <= FIRST_POLL_JITTER_MS + 10
+    assert len([at for at in polled_at if at < 5000]) == BOOTSTRAP_PEERS
+    assert all(later - earlier >= BOOTSTRAP_GAP_MS for earlier, later in pairwise(polled_at))
+    assert len(polled_at) <= BOOTSTRAP_PEERS + 7
+
+
+def test_three_hundred_relays_at_once_make_no_storm() -> None:
+    """All fresh within the same moment, as after a restart of 95% within 23 s at the worst."""
+    names = [f"r{n}" for n in range(300)]
+    fleet = [Membership(name, names, 0.0, seed) for seed, name in enumerate(names)]
+    polls: dict[str, int] = {}
+    most_at_once = 0
+    for tick in range(0, 3000, 10):
+        polls_at_once: dict[str, int] = {}
+        for membership in fleet:
+            if peer := membership.next_peer(float(tick)):
+                polls[peer] = polls.get(peer, 0) + 1
+                polls_at_once[peer] = polls_at_once.get(peer, 0) + 1
+                membership.poll_answered(tick + 5.0, peer, "run", [])
+        most_at_once = max(most_at_once, *polls_at_once.values(), 0)
+    assert sum(polls.values()) == 300 * BOOTSTRAP_PEERS
+    assert max(polls.values()) <= 15
+    assert most_at_once <= 5
+
+
+def test_status_follows_own_polls_alone() -> None:
+    membership = Membership("a", ["b"], 0.0, 1)
+    membership.poll_answered(0, "b", "run1", ["c", "a"])
+    assert membership.alive_peers() == ["b"]
+    assert membership.peers["c"].status is PeerStatus.UNKNOWN
+    assert membership.poll_answered(1, "b", "run2", [])
+    assert not membership.poll_answered(2, "b", "run2", [])
+    membership.poll_failed(3, "b")
+    assert membership.peers["b"].status.value == "suspected"
+    assert membership.alive_peers() == []
+    for _ in range(5):
+        if "c" in membership.peers:
+            membership.poll_failed(4, "c")
+    assert "c" not in membership.peers  # an advertised peer that never answered is forgotten
+    for _ in range(5):
+        membership.poll_failed(5, "b")
+    assert membership.peers["b"].status is PeerStatus.LEFT  # a configured one is polled again, ever more seldom
+    membership.poll_answered(6, "b", "run3", [f"x{n}" for n in range(5000)])
+    assert membership.alive_peers() == ["b"]
+    assert len(membership.peers) <= MAX_PEERS
+
+
+def test_flapping_peer_is_polled_ever_more_seldom() -> None:
+    membership = Membership("a", ["b"], 0.0, 1)
+    rng = random.Random(1)
+    polls = 0
+    for now in range(0, 300_000, 50):
+        peer = membership.next_peer(now)
+        if not peer:
+            continue
+        polls += 1
+        if rng.random() < 0.2:
+            membership.poll_answered(now, peer, "run", [])
+        else:
+            membership.poll_failed(now, peer)
+    assert polls < 45
--- /dev/null
+++ b/tests/engine/test_receipt_retry.py
@@ -0,0 +1,12 @@
+"""When the posts of a receipt end."""
+
+from __future__ import annotations
+
+from linnetstile.engine.receipt_retry import MAX_ATTEMPTS, next_attempt_ms
+
+
+def test_receipt_is_posted_until_it_is_delivered_or_has_had_its_attempts() -> None:
+    assert next_attempt_ms(1, delivered=True) is None
+    backoffs = [next_attempt_ms(attempts, delivered=False) for attempts in range(1, MAX_ATTEMPTS + 1)]
+    assert backoffs[-1] is None
+    assert backoffs[:-1] == sorted(backoff for backoff in backoffs if backoff)
--- a/tests/engine/test_resource_limits.py
+++ b/tests/engine/test_resource_limits.py
@@ -1,21 +1,24 @@
-"""Taken that were taken: what is open stays, however much it is."""
+"""Identifiers of submissions: open ones stay known, however many there are."""
+
+from __future__ import annotations
 
 from linnetstile.engine.resource_limits import MAX_ENDED_IDS, SubmissionIds
 
 
-def test_more_open_ones_than_are_remembered_are_all_known() -> None:
-    known = SubmissionIds()
-    for number in range(MAX_ENDED_IDS + 5):  # one more than `REMEMBERED` open ones never came to an end
-        known.add(str(number))
-    assert all(str(number) in known for number in range(MAX_ENDED_IDS + 5)) and not known.ended
+def test_all_open_identifiers_are_known_beyond_the_limit_of_ended_ones() -> None:
+    ids = SubmissionIds()
+    for number in range(MAX_ENDED_IDS + 5):  # none of them has ended
+        ids.add(str(number))
+    assert all(str(number) in ids for number in range(MAX_ENDED_IDS + 5))
+    assert not ids.ended
 
 
-def test_the_latest_that_have_ended_are_known() -> None:
-    known = SubmissionIds(3)
+def test_latest_ended_identifiers_are_known() -> None:
+    ids = SubmissionIds(max_ended=3)
     for number in range(9):
-        known.add(str(number))
+        ids.add(str(number))
     for number in range(5):
-        known.complete(str(number))
-    assert [number for number in range(9) if str(number) in known] == [2, 3, 4, 5, 6, 7, 8]
-    known.complete("3")  # a second end counts once
-    assert list(known.ended) == ["2", "3", "4"]
+        ids.complete(str(number))
+    assert [number for number in range(9) if str(number) in ids] == [2, 3, 4, 5, 6, 7, 8]
+    ids.complete("3")  # a second end counts once
+    assert list(ids.ended) == ["2", "3", "4"]
