--- a/linnetstile/engine/gossip.py
+++ b/linnetstile/engine/gossip.py
@@ -35,6 +35,7 @@
 __all__ = [
     "OWN_OBSERVATION_WINS",
     "ClaimSource",
+    "MergeResult",
     "MergedRoute",
     "RejectedClaim",
     "RouteClaim",
@@ -111,6 +112,13 @@
     reason: str
 
 
+class MergeResult(NamedTuple):
+    """The routes with something to take over, by partner and route, and the claims that were rejected."""
+
+    routes: list[MergedRoute]
+    rejected: list[RejectedClaim]
+
+
 class MergedLatency(NamedTuple):
     """Latency (ms) that is taken over, and how many answers it counts as; all 0 if there is none."""
 
@@ -154,7 +162,7 @@
     endpoints: Mapping[tuple[str, int], set[int]],
     observed: Set[tuple[str, int]],
     relay_count: int,
-) -> tuple[list[MergedRoute], list[RejectedClaim]]:
+) -> MergeResult:
     """Decide what to take over for each route.
 
     Args:
@@ -162,9 +170,6 @@
         endpoints: The routes that exist now, by partner and route, with the ids of their endpoints.
         observed: Routes of which this relay has evidence of its own.
         relay_count: Relays in the fleet.
-
-    Returns:
-        The routes with something to take over, in their order, and the claims that were rejected.
     """
     rejected: list[RejectedClaim] = []
     distrusted = distrusted_sources(sources)
@@ -185,7 +190,7 @@
             merged.append(
                 replace(route, sources=names, age_ms=min(claim.latest_evidence_age_ms for _, claim in claims))
             )
-    return merged, rejected
+    return MergeResult(merged, rejected)
 
 
 def _rejection_reason(
--- a/linnetstile/engine/request_rotation.py
+++ b/linnetstile/engine/request_rotation.py
@@ -43,6 +43,8 @@
     def discard(self, reservation: Reservation) -> bool:
         """Remove all requests of a reservation; whether there were any."""
         leaf = reservation.leaves[0]
+        if not leaf.queue:
+            return False
         remaining = [request for request in leaf.queue if request.reservation is not reservation]
         removed = len(leaf.queue) - len(remaining)
         if not removed:
