--- a/linnetstile/engine/__init__.py
+++ b/linnetstile/engine/__init__.py
@@ -1,1 +1,4 @@
-"""Floor 0: what is decided. Standard library only, no input or output; time comes in as an argument."""
+"""Floor 0: every decision of a relay. Standard library, no I/O, no clock; one `random.Random` that is passed in.
+
+All times are in ms on the host's clock unless a name or docstring says otherwise.
+"""
--- a/linnetstile/engine/actions.py
+++ b/linnetstile/engine/actions.py
@@ -1,4 +1,4 @@
-"""Actions that the decision engine asks its host to carry out."""
+"""Actions that the decision engine asks its host to carry out. Times in ms on the host's clock."""
 
 from __future__ import annotations
 
@@ -8,16 +8,31 @@
 
 @dataclass(frozen=True, slots=True)
 class Send:
+    """Start an attempt; several in a row with one endpoint and one kind may share a call.
+
+    Attributes:
+        id: The message.
+        endpoint: Where it goes.
+        timeout_at_ms: When the attempt is given up.
+        last_byte_delay_ms: Time for which its last byte is held back: a connection that ends before carried no call.
+        send_before_ms: Its last byte leaves by then or not at all; it then ends as NOT_SENT or CONNECT_FAILED.
+    """
+
     id: int
     endpoint: int
     timeout_at_ms: float
-    last_byte_delay_ms: float = 0.0  # its last byte is held back so long: a connection that ends before carried no call
-    send_before_ms: float = float("inf")  # its last byte leaves by then or not at all: NOT_SENT, or CONNECT_FAILED
+    last_byte_delay_ms: float = 0.0
+    send_before_ms: float = float("inf")
 
 
 @dataclass(frozen=True, slots=True)
 class Reject:
-    """Not delivered, and trying again is harmless."""
+    """Tell the client that its message is not delivered and that submitting it again is harmless.
+
+    Attributes:
+        id: The message.
+        retry_after_ms: When to submit it again; 0 = no advice.
+    """
 
     id: int
     retry_after_ms: float = 0.0
@@ -25,33 +40,42 @@
 
 @dataclass(frozen=True, slots=True)
 class Fail:
-    """Not delivered as far as known; promises nothing."""
+    """Tell the client that its message is not delivered as far as known; it may have run."""
 
     id: int
 
 
 @dataclass(frozen=True, slots=True)
 class Cancel:
+    """Cancel an attempt; its outcome stays unclear."""
+
     id: int
     attempt: int
 
 
 @dataclass(frozen=True, slots=True)
 class CancelIfUnsent:
-    """The reason to send this one is gone: its attempt ends as NOT_SENT if its last byte has not left, or goes on. A
-    connection can take a second to be made; where a call leaves at once, there is nothing to recall."""
+    """Cancel the attempt of a message if its last byte has not left; it then ends as NOT_SENT, else it goes on.
+
+    The reason to send it is gone. A connection may take a second to be made; where a call leaves at once, there is
+    nothing to cancel.
+    """
 
     id: int
 
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
+    """Report `TimerFired` after a time; replaces the timer that is set."""
+
     delay_ms: float
     token: int
 
 
 @dataclass(frozen=True, slots=True)
 class HealthCheck:
+    """Ask an endpoint whether it is healthy; reported as `HealthCheckEnded`."""
+
     endpoint: int
 
 
@@ -64,11 +88,13 @@
 
 @dataclass(frozen=True, slots=True)
 class WatchEndpoints:
-    """Ask discovery for the list and its changes from now on."""
+    """Ask discovery for the endpoint list and its changes from now on."""
 
 
 @dataclass(frozen=True, slots=True)
 class Log:
+    """Write a line for the operators."""
+
     text: str
 
 
--- a/linnetstile/engine/connection_scarcity.py
+++ b/linnetstile/engine/connection_scarcity.py
@@ -1,58 +1,66 @@
 """Whether the endpoints of a kind hold too few connections for all relays that keep one. No I/O and no clock.
 
-An endpoint that has all the connections it takes turns calls on new ones away with 503, which as well means above the
-limit, a full queue or shut (the platform's page, Relays to endpoints). Limits and queues turn away what comes on kept
-connections too, and may tell a wait: where most of what comes on new ones is turned away without one, and hardly
-anything on kept ones, connections are what is short, and each that a relay keeps idle is missing to the others."""
+An endpoint that has all the connections it accepts rejects calls on new ones with 503, which as well means above the
+limit, a full queue or shut. Limits and queues reject what comes on reused connections too, and may send a Retry-After:
+where most of what comes on new connections is rejected without one, and hardly anything on reused ones, connections are
+scarce, and each that a relay keeps idle is missing to the others.
+"""
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
 
 CALL_WEIGHT = 0.05  # weight of one call: what is known goes by some twenty of each sort
-SCARCITY_ENTRY, REUSED_MAX = (
-    0.6,
-    0.2,
-)  # above and below these parts of calls turned away on new and on kept ones, there is a shortage
-SCARCITY_EXIT = 0.1  # part of those on new connections below which there is no shortage any more
-PRIOR_CALLS = 1.0  # calls that count as met, and taken, before any was: one that is turned away shows nothing
+SCARCITY_ENTRY = 0.6  # part of calls rejected on new connections above which there is a scarcity,
+REUSED_MAX = 0.2  # if no more than this part is rejected on reused ones
+SCARCITY_EXIT = 0.1  # part of calls rejected on new connections below which it has ended
+PRIOR_CALLS = 1.0  # calls that count as accepted before any was made: a single rejection shows nothing
 
 
 @dataclass(slots=True)
 class RejectionRate:
-    """Calls, and those turned away, in which older ones weigh less and less."""
+    """Calls and rejections, in which older ones weigh less and less."""
 
     calls: float = 0.0
     rejected: float = 0.0
 
-    def add(self, refused: bool) -> None:
+    def add(self, is_rejected: bool) -> None:
+        """Count one call."""
         self.calls = self.calls * (1 - CALL_WEIGHT) + 1
-        self.rejected = self.rejected * (1 - CALL_WEIGHT) + refused
+        self.rejected = self.rejected * (1 - CALL_WEIGHT) + is_rejected
 
     @property
     def ratio(self) -> float:
+        """Part of the calls that were rejected."""
         return self.rejected / (self.calls + PRIOR_CALLS)
 
 
 @dataclass(slots=True)
 class ConnectionScarcity:
-    """What one relay has met at the endpoints of one kind; `short` from entry to exit, which lie apart."""
+    """What one relay has met at the endpoints of one kind.
+
+    Attributes:
+        new: Rejections on new connections.
+        reused: Rejections on reused connections.
+        is_scarce: Whether connections are scarce; entry and exit lie apart.
+    """
 
     new: RejectionRate = field(default_factory=RejectionRate)
     reused: RejectionRate = field(default_factory=RejectionRate)
     is_scarce: bool = False
 
-    def record(self, kept: bool, refused: bool, waits: bool) -> None:
-        """A call was answered: `refused`, and then with a told wait or without."""
-        if kept:
-            self.reused.add(refused)
+    def record(self, is_reused: bool, is_rejected: bool, has_retry_after: bool) -> None:
+        """Count an answered call."""
+        if is_reused:
+            self.reused.add(is_rejected)
+        else:
+            self.new.add(is_rejected and not has_retry_after)  # a Retry-After comes from a limit, not from this
+        ratio = self.new.ratio
+        if self.is_scarce:
+            self.is_scarce = ratio > SCARCITY_EXIT
         else:
-            self.new.add(refused and not waits)  # a told wait is a limit's, whatever the connection
-        part = self.new.ratio
-        self.is_scarce = (
-            part > SCARCITY_EXIT if self.is_scarce else part > SCARCITY_ENTRY and self.reused.ratio < REUSED_MAX
-        )
-
-    def explains_rejection(self, kept: bool, waits: bool) -> bool:
-        """Whether a refusal comes from the shortage, and says nothing of a limit."""
-        return self.is_scarce and not kept and not waits and self.reused.ratio < REUSED_MAX
+            self.is_scarce = ratio > SCARCITY_ENTRY and self.reused.ratio < REUSED_MAX
+
+    def explains_rejection(self, is_reused: bool, has_retry_after: bool) -> bool:
+        """Return whether a rejection comes from the scarcity, and says nothing of a limit."""
+        return self.is_scarce and not is_reused and not has_retry_after and self.reused.ratio < REUSED_MAX
--- a/linnetstile/engine/events.py
+++ b/linnetstile/engine/events.py
@@ -1,4 +1,4 @@
-"""Events that a host reports to the decision engine."""
+"""Events that a host reports to the decision engine. Times in ms."""
 
 from __future__ import annotations
 
@@ -21,11 +21,12 @@
 
     @property
     def proves_no_effect(self) -> bool:
+        """Whether the message has surely not run."""
         return self in (Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT)
 
 
 class EndpointStatus(Enum):
-    """What the list of endpoints says of one of them."""
+    """What the endpoint list says of an endpoint."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -33,36 +34,65 @@
 
 
 class ListKind(Enum):
-    CHANGES = "changes"
-    FULL = "whole"
-    CACHED = "cached"
-    FAILED = "failed"
+    """What an endpoint list holds."""
+
+    CHANGES = "changes"  # what has changed since the one before
+    FULL = "whole"  # all endpoints
+    CACHED = "cached"  # all endpoints as the relay last had them; may be old
+    FAILED = "failed"  # nothing: discovery did not answer
 
 
 @dataclass(frozen=True, slots=True)
 class Endpoint:
+    """One entry of the endpoint list.
+
+    Attributes:
+        id: Its number.
+        destination: The destination that it serves.
+        status: Whether it takes new calls.
+        kind: Index of the destination's kind in the settings.
+        zone: Index of its zone.
+        advertised_rate: Calls a second for its destination (or route); see `RateTrust`.
+    """
+
     id: int
     destination: int
     status: EndpointStatus
     kind: int = 0
     zone: int = 0
-    advertised_rate: float = 0.0  # listed calls a second for its destination (or route); see Rates
+    advertised_rate: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
 class EndpointList:
+    """An endpoint list, or changes to it, has arrived."""
+
     kind: ListKind
     endpoints: tuple[Endpoint, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
 class Message:
+    """A client has submitted a message.
+
+    Attributes:
+        id: Its number, never used before.
+        destination: Where it is to be delivered.
+        class_index: Its class in the settings.
+        remaining_ms: Time left until its deadline.
+        tenant: Index of its tenant in the settings.
+        ordering_key: Messages of a class in order that share it keep their order; 0 = none.
+        estimated_work_ms: Work at the destination, if the client says so.
+        is_retry: Whether its client marks it as submitted again after a rejection.
+        from_dead_relay: Whether a relay that died, or did not answer, had it before.
+    """
+
     id: int
     destination: int
     class_index: int
     remaining_ms: float
     tenant: int = 0
-    ordering_key: int = 0  # 0 = none
+    ordering_key: int = 0
     estimated_work_ms: float | None = None
     is_retry: bool = False
     from_dead_relay: bool = False
@@ -70,38 +100,67 @@
 
 @dataclass(frozen=True, slots=True)
 class MessageRecovered:
-    """A message that an earlier process of this relay had taken on and not ended. Ages are by the clock on the wall."""
+    """A restart has found a message that an earlier process accepted and did not end. Ages are by the wall clock.
+
+    Attributes:
+        message: The message; its time left is as of now.
+        age_ms: Time since it was submitted.
+        attempts: Attempts that were started.
+        unclear_age_ms: Time since the first attempt that may have run; None = none may have.
+        unclear_endpoint: Where that was.
+    """
 
-    message: Message  # its time left is as of now
-    age_ms: float  # since it was handed in
-    attempts: int = 0  # attempts that were begun
-    unclear_age_ms: float | None = None  # since the first attempt that may have run began; None = none may have
-    unclear_endpoint: Endpoint | None = None  # where that was
+    message: Message
+    age_ms: float
+    attempts: int = 0
+    unclear_age_ms: float | None = None
+    unclear_endpoint: Endpoint | None = None
 
 
 @dataclass(frozen=True, slots=True)
 class ShutdownStarted:
-    """This process ends: calls that are out then have an unclear outcome; what is held goes on in the next one."""
+    """This process ends: calls then in flight have an unclear outcome; pending messages go on in the next process.
+
+    Attributes:
+        within_ms: Time until its end.
+    """
 
     within_ms: float
 
 
 @dataclass(frozen=True, slots=True)
 class AttemptEnded:
+    """An attempt has its outcome.
+
+    Attributes:
+        id: The message.
+        attempt: Which of its attempts, counted from 0.
+        endpoint: Where it went.
+        outcome: How it ended.
+        latency_ms: Time from its start.
+        is_final: Whether the message has ended with it.
+        retry_after_ms: Retry-After that came with `Outcome.REJECTED`; 0 = none.
+        slots_exhausted: Whether `Outcome.NOT_SENT` says that all slots of the relay were taken.
+        load_report: Figures that the answer carried; the settings say which is which.
+        connection_reused: Whether it went out on a connection kept from an earlier call.
+    """
+
     id: int
     attempt: int
     endpoint: int
     outcome: Outcome
     latency_ms: float = 0.0
     is_final: bool = False
-    retry_after_ms: float = 0.0  # told with Outcome.FULL
-    slots_exhausted: bool = False  # with Outcome.NOT_SENT
+    retry_after_ms: float = 0.0
+    slots_exhausted: bool = False
     load_report: tuple[float, ...] = ()
-    connection_reused: bool = False  # it went out on a connection that had been kept from an earlier call
+    connection_reused: bool = False
 
 
 @dataclass(frozen=True, slots=True)
 class HealthCheckEnded:
+    """A health check has its outcome."""
+
     endpoint: int
     outcome: Outcome
     latency_ms: float = 0.0
@@ -110,43 +169,67 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientCancelled:
+    """The client has withdrawn its message."""
+
     id: int
 
 
 @dataclass(frozen=True, slots=True)
 class TimerFired:
+    """The timer that `SetTimer` set has fired."""
+
     token: int
 
 
 @dataclass(frozen=True, slots=True)
 class RouteFacts:
-    """What is known of a destination (or route: its endpoint's id, else -1) that this relay has not called itself."""
+    """What is known of a route that this relay has not called itself.
+
+    Attributes:
+        destination: The destination.
+        route: The endpoint's id where endpoints have routes of their own, else -1.
+        outage_age_ms: Time since its outage began; None = it is not down.
+        slow_start_age_ms: Time since it came back; None = it has not.
+        retry_after_ms: What is left of a Retry-After; 0 = nothing.
+        latency_mean_ms: Mean latency.
+        latency_deviation_ms: Mean deviation from it.
+        answers: The latency counts as after so many answers; 0 = it is not known.
+        aware_relays: Relays that may know of the outage.
+        rate: Calls a second to which rejections held a relay; 0 = none did.
+    """
 
     destination: int
     route: int = -1
-    outage_age_ms: float | None = None  # since when it is out
-    slow_start_age_ms: float | None = None  # since when it is back
-    retry_after_ms: float = 0.0  # left of a told wait
+    outage_age_ms: float | None = None
+    slow_start_age_ms: float | None = None
+    retry_after_ms: float = 0.0
     latency_mean_ms: float = 0.0
     latency_deviation_ms: float = 0.0
-    answers: int = 0  # the latency counts as after so many; 0 = not known
-    aware_relays: float = 1.0  # relays that may know of the outage
-    rate: float = 0.0  # calls a second that a relay was held to by refusals; 0 = none were
+    answers: int = 0
+    aware_relays: float = 1.0
+    rate: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
 class GossipReceived:
-    """From other relays or from before a restart, already weighed (knowledge.py)."""
+    """Other relays, or a snapshot from before a restart, say something of routes; already weighed by `gossip`.
+
+    Attributes:
+        facts: What they say of each route.
+        connection_limited: (kind, part of its answers that followed a failed connect).
+    """
 
     facts: tuple[RouteFacts, ...]
-    connection_limited: tuple[
-        tuple[int, float], ...
-    ] = ()  # kind -> part of its answers that followed a missed connection
+    connection_limited: tuple[tuple[int, float], ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
 class GossipSent:
-    """Another relay was told what this one knows of these (destination, route): it is a knower of their outages."""
+    """Another relay has been notified of what this one knows of these routes: it is aware of their outages.
+
+    Attributes:
+        routes: (destination, route id) of each.
+    """
 
     routes: tuple[tuple[int, int], ...]
 
--- a/linnetstile/engine/idle_routes.py
+++ b/linnetstile/engine/idle_routes.py
@@ -1,111 +1,152 @@
 """What a relay keeps of a destination that it is not using, and when that may be forgotten. No I/O, no clock.
 
-A lane is rich: some 2 kB with its endpoints. Of 120,000 destinations a relay uses a few thousand in a second, so that
-lanes beyond `IN_USE` that carry nothing are laid to rest, the one that was used longest ago first. What a rule still
-needs of a lane goes into one record of some 200 bytes, and is the same when it wakes: a told wait, an outage or a
-return from one, a limit that was met, the time in which a replaced endpoint counts as cold. A lane of which nothing
-binds any more keeps no record: the next one of its destination begins as one that was never seen does."""
+A route in use is rich: some 2 kB with its endpoints. Of 120,000 destinations a relay uses a few thousand in a second,
+so routes beyond `MAX_RESIDENT_ROUTES` that carry no message are evicted, the least recently used first. What a rule
+still needs of a route goes into one record of some 200 bytes and is the same when the route is restored: a Retry-After,
+an outage or a slow start, a limit that was met, the time in which a replaced endpoint counts as a return. A route of
+which nothing binds any more keeps no record: the next one of its destination begins like one that was never used.
+"""
 
 from __future__ import annotations
 
 import struct
 from collections.abc import Mapping
+from typing import NamedTuple
 
-from .route_state import DecayingCounter, RouteState
+from .route_state import (
+    EVIDENCE_TTL_MS,
+    DecayingCounter,
+    HealthState,
+    LatencyEstimate,
+    RateState,
+    RouteState,
+)
 from .time_points import NEVER
 
-# Above it lanes that carry nothing rest: some 4 MB. No relay with 1,024 destinations ever lays one to rest, and twice
-# as many in use make a turn that looks at all of them no dearer than twice.
+# Above it idle routes are evicted: some 4 MB. No relay with 1,024 destinations ever evicts one, and twice as many in
+# use make a turn that looks at all of them no dearer than twice.
 MAX_RESIDENT_ROUTES = 2048
-VISITS_PER_EVENT = (
-    2  # lanes and records looked at in a turn, for each event of it: at most one lane is made by an event
-)
+VISITS_PER_EVENT = 2  # routes and records looked at in a turn for each event of it: an event makes one route at most
 
-# Times to the ms, and what settings may make as large as they like.
-DOUBLE_FIELDS = (
-    "tokens_at",
-    "last_success_at",
-    "throttled_until",
-    "retry_after_until",
-    "failed_at",
-    "slow_start_since",
-    "endpoints_left_at",
-    "next_trial_at",
-    "fleet_rate",
-    "rate",
-    "tokens",
+# Fields of a record with their struct codes: doubles for times and for what settings may make as large as they like,
+# floats where six digits are enough.
+LATENCY_FIELDS = {
+    "mean_ms": "f",
+    "deviation_ms": "f",
+    "answers": "I",
+    "timeout_multiplier": "f",
+    "mean_call_ms": "f",
+}
+RATE_FIELDS = {
+    "fleet_rate": "d",
+    "own_rate": "d",
+    "tokens": "d",
+    "tokens_at": "d",
+    "initial_tokens": "f",
+    "is_advertised": "?",
+    "throttle_ms": "f",
+    "throttled_until": "d",
+}
+HEALTH_FIELDS = {
+    "last_success_at": "d",
+    "failure_score": "f",
+    "ejected": "?",
+    "failed_at": "d",
+    "last_failure_had_no_effect": "?",
+    "last_failure_was_connect": "?",
+    "slow_start_since": "d",
+    "endpoints_left_at": "d",
+    "aware_relays": "f",
+    "notified_relays": "f",
+    "from_gossip": "?",
+    "next_trial_at": "d",
+}
+ROUTE_FIELDS = {"max_batch": "I", "kind": "I", "retry_after_until": "d"}
+# Before the fields: until when the record binds, the route's id, `outage_since` (NEVER for none), total and time of the
+# answer counter, and whether the route had no endpoints.
+RECORD_HEAD = "dqddd?"
+RECORD = struct.Struct(
+    "<"
+    + RECORD_HEAD
+    + "".join([*LATENCY_FIELDS.values(), *RATE_FIELDS.values(), *HEALTH_FIELDS.values(), *ROUTE_FIELDS.values()])
 )
-# Six digits are enough for these.
-FLOAT_FIELDS = (
-    "latency_mean",
-    "latency_deviation",
-    "initial_tokens",
-    "mean_call_ms",
-    "timeout_multiplier",
-    "throttle_ms",
-    "failure_score",
-    "aware_relays",
-    "notified_relays",
-)
-COUNT_FIELDS = ("answers", "max_batch", "kind")
-FLAG_FIELDS = ("rate_advertised", "ejected", "last_failure_had_no_effect", "last_failure_was_connect", "from_gossip")
-# Until when it binds, a lane's route, `bad_since`, its flow, whether it had no endpoints, and the above.
-RECORD = struct.Struct(f"<dq3d?{len(DOUBLE_FIELDS)}d{len(FLOAT_FIELDS)}f{len(COUNT_FIELDS)}I{len(FLAG_FIELDS)}?")
-EXPIRY = struct.Struct("<d")
-PACKED_FIELDS = (*DOUBLE_FIELDS, *FLOAT_FIELDS, *COUNT_FIELDS, *FLAG_FIELDS)
-
-
-def binds_until(route: RouteState, bare: bool, fade_ms: float, cold_ms: float) -> float:
-    """Until when a rule may still need what is known of it: a told wait, a cold return, an outage that has not ended (a
-    return may come at any moment), a refusal or a failure of late; of a `bare` one, which has no endpoints, whether a
-    new one would still be taken for its return."""
-    until = max(route.retry_after_until, route.slow_start_since + cold_ms)
-    if bare:
-        return (
-            until
-            if route.outage_since is None
-            else max(until, route.endpoints_left_at + fade_ms, route.outage_since + fade_ms)
-        )
-    if route.outage_since is not None or route.ejected:
+EXPIRY = struct.Struct("<d")  # the first field of a record
+
+
+class RestoredRoutes(NamedTuple):
+    """Routes of one destination, restored from its record.
+
+    Attributes:
+        routes: By route id, without their endpoints.
+        without_endpoints: Ids of those that had no endpoints.
+    """
+
+    routes: dict[int, RouteState]
+    without_endpoints: set[int]
+
+
+def binds_until(route: RouteState, has_endpoints: bool, slow_start_ms: float) -> float:
+    """Return until when a rule may still need what is known of a route.
+
+    That is a Retry-After, a slow start, an outage that has not ended (a return may come at any moment), a rejection or
+    a failure of late; of a route without endpoints, whether a new endpoint would still count as its return.
+    """
+    health = route.health
+    until = max(route.retry_after_until, health.slow_start_since + slow_start_ms)
+    if not has_endpoints:
+        if health.outage_since is None:
+            return until
+        return max(until, health.endpoints_left_at + EVIDENCE_TTL_MS, health.outage_since + EVIDENCE_TTL_MS)
+    if health.outage_since is not None or health.ejected:
         return float("inf")
-    return max(until, route.throttled_until, route.failed_at + fade_ms)
+    return max(until, route.rate.throttled_until, health.failed_at + EVIDENCE_TTL_MS)
 
 
-def pack_routes(routes: Mapping[int, RouteState], now: float, fade_ms: float, cold_ms: float) -> bytes | None:
-    """What is to be kept of a destination, by route; empty = nothing; None: a call is out, and it may not rest."""
-    if any(lane.calls for lane in routes.values()):
+def pack_routes(routes: Mapping[int, RouteState], now: float, slow_start_ms: float) -> bytes | None:
+    """Return the record of a destination's routes; empty if nothing binds, None if a call is in flight."""
+    if any(route.calls for route in routes.values()):
         return None
-    kept = b""
-    for route, lane in routes.items():
-        bare = not lane.endpoints
-        until = binds_until(lane, bare, fade_ms, cold_ms)
+    record = b""
+    for route_id, route in routes.items():
+        until = binds_until(route, bool(route.endpoints), slow_start_ms)
         if now <= until:
-            kept += RECORD.pack(
-                until,
-                route,
-                NEVER if lane.outage_since is None else lane.outage_since,
-                lane.answer_counter.total,
-                lane.answer_counter.updated_at,
-                bare,
-                *(getattr(lane, name) for name in PACKED_FIELDS),
-            )
-    return kept
-
-
-def restore_routes(kept: bytes) -> tuple[dict[int, RouteState], set[int]]:
-    """The lanes of a destination as they went to rest, without their endpoints, and the routes that had none."""
-    routes: dict[int, RouteState] = {}
-    bare: set[int] = set()
-    for _, route, bad_since, events, at, left, *rest in RECORD.iter_unpack(kept):
-        told = dict(zip(PACKED_FIELDS, rest, strict=True))
-        routes[route] = RouteState(
-            **told, outage_since=None if bad_since == NEVER else bad_since, answer_counter=DecayingCounter(events, at)
-        )
-        if left:
-            bare.add(route)
-    return routes, bare
-
-
-def has_expired(kept: bytes, now: float) -> bool:
-    """Whether nothing of a record binds any more. What is kept of an outage never lapses while there are endpoints."""
-    return all(now > EXPIRY.unpack_from(kept, at)[0] for at in range(0, len(kept), RECORD.size))
+            record += _pack(route_id, route, until)
+    return record
+
+
+def _pack(route_id: int, route: RouteState, until: float) -> bytes:
+    health, counter = route.health, route.rate.answer_counter
+    return RECORD.pack(
+        until,
+        route_id,
+        NEVER if health.outage_since is None else health.outage_since,
+        counter.total,
+        counter.updated_at,
+        not route.endpoints,
+        *(getattr(route.latency, name) for name in LATENCY_FIELDS),
+        *(getattr(route.rate, name) for name in RATE_FIELDS),
+        *(getattr(health, name) for name in HEALTH_FIELDS),
+        *(getattr(route, name) for name in ROUTE_FIELDS),
+    )
+
+
+def restore_routes(record: bytes) -> RestoredRoutes:
+    """Return the routes of a destination as they were evicted, without their endpoints."""
+    restored = RestoredRoutes({}, set())
+    for _, route_id, outage_since, total, updated_at, had_no_endpoints, *values in RECORD.iter_unpack(record):
+        fields = iter(values)
+        latency = LatencyEstimate(**dict(zip(LATENCY_FIELDS, fields, strict=False)))
+        rate = RateState(**dict(zip(RATE_FIELDS, fields, strict=False)))
+        rate.answer_counter = DecayingCounter(total, updated_at)
+        health = HealthState(**dict(zip(HEALTH_FIELDS, fields, strict=False)))
+        health.outage_since = None if outage_since == NEVER else outage_since
+        others = dict(zip(ROUTE_FIELDS, fields, strict=True))
+        restored.routes[route_id] = RouteState(latency, rate, health, **others)
+        if had_no_endpoints:
+            restored.without_endpoints.add(route_id)
+    return restored
+
+
+def has_expired(record: bytes, now: float) -> bool:
+    """Return whether nothing of a record binds any more; an outage binds as long as there are endpoints."""
+    return all(now > EXPIRY.unpack_from(record, at)[0] for at in range(0, len(record), RECORD.size))
--- /dev/null
+++ b/linnetstile/engine/latency.py
@@ -0,0 +1,71 @@
+"""Latency estimates of single routes and of the whole fleet, and the time-outs that follow from them."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+from .route_state import LatencyEstimate
+
+# Latency and its mean deviation until destinations have answered.
+INITIAL_MEAN_MS = 500.0
+INITIAL_DEVIATION_MS = 250.0
+TIMEOUT_DEVIATIONS = 10.0  # a time-out lies so many mean deviations above the mean: latency has a long tail
+OVERDUE_DEVIATIONS = 4.0  # an answer is overdue so many mean deviations above the mean
+MAX_TIMEOUT_MULTIPLIER = 8.0  # time-outs double while calls time out (slow is not down), up to this factor
+FLEET_GAIN = 0.05  # weight of one answer in the estimate over all destinations
+MIN_ROUTE_GAIN = 0.15  # least weight of one answer in the estimate of its route; the first ones weigh more
+CALL_TIME_GAIN = 0.15  # weight of one call in the mean time that calls hold a slot
+
+
+def moving_average(mean: float, deviation: float, value: float, gain: float) -> tuple[float, float]:
+    """Return mean and mean deviation after one more value that weighs `gain`."""
+    return mean + gain * (value - mean), deviation + gain * (abs(value - mean) - deviation)
+
+
+def record_answer(estimate: LatencyEstimate, latency_ms: float) -> None:
+    """Count one answer; time-outs are no longer stretched."""
+    estimate.answers += 1
+    gain = max(MIN_ROUTE_GAIN, 1 / (estimate.answers + 1))
+    estimate.mean_ms, estimate.deviation_ms = moving_average(estimate.mean_ms, estimate.deviation_ms, latency_ms, gain)
+    estimate.timeout_multiplier = 1.0
+
+
+def record_timeout(estimate: LatencyEstimate) -> None:
+    """Give the next calls more time: a destination may be slow rather than down."""
+    estimate.timeout_multiplier = min(MAX_TIMEOUT_MULTIPLIER, estimate.timeout_multiplier * 2)
+
+
+def record_call_time(estimate: LatencyEstimate, took_ms: float) -> None:
+    """Count the time that one call held its slot, whatever its outcome."""
+    gain = CALL_TIME_GAIN if estimate.mean_call_ms else 1.0
+    estimate.mean_call_ms += gain * (took_ms - estimate.mean_call_ms)
+
+
+def overdue_after_ms(estimate: LatencyEstimate) -> float:
+    """Return the time after which an answer is overdue, before any multiplier."""
+    return estimate.mean_ms + OVERDUE_DEVIATIONS * estimate.deviation_ms
+
+
+def timeout_ms(estimate: LatencyEstimate) -> float:
+    """Return the time-out of a call, before any multiplier."""
+    return estimate.mean_ms + TIMEOUT_DEVIATIONS * estimate.deviation_ms
+
+
+@dataclass(slots=True)
+class FleetLatency:
+    """Latency over all destinations: what one that was not called yet is taken for.
+
+    Attributes:
+        mean_ms: Moving mean.
+        deviation_ms: Moving mean of the deviation from it.
+        mean_inverse: Moving mean of 1 / latency, in 1/ms: quick answers outweigh slow ones (harmonic mean).
+    """
+
+    mean_ms: float = INITIAL_MEAN_MS
+    deviation_ms: float = INITIAL_DEVIATION_MS
+    mean_inverse: float = 1 / INITIAL_MEAN_MS
+
+    def record_answer(self, latency_ms: float, tick_ms: float) -> None:
+        """Count one answer; latencies below the clock's tick count as one tick."""
+        self.mean_ms, self.deviation_ms = moving_average(self.mean_ms, self.deviation_ms, latency_ms, FLEET_GAIN)
+        self.mean_inverse += FLEET_GAIN * (1 / max(latency_ms, tick_ms) - self.mean_inverse)
--- a/linnetstile/engine/message_queues.py
+++ b/linnetstile/engine/message_queues.py
@@ -1,63 +1,85 @@
-"""The messages of a relay: by id, those that wait by destination, and those in order by key."""
+"""The messages of a relay: by id, those that wait by destination, those in order by key, and their deadlines."""
 
 from __future__ import annotations
 
 import heapq
+from collections.abc import Iterator
 
 from .pending_message import PendingMessage
 
 
 class MessageQueues:
-    """The messages held: by id, those that wait by destination, and those in order by key."""
+    """Owns all pending messages, and knows when a queue has to be looked at and when a message expires.
+
+    Attributes:
+        messages: All pending messages by id.
+        queues: Destination -> the messages that wait for it, by id, in the order in which they began to wait.
+        due_at: Destination -> when its queue is looked at again; 0 = in the next turn.
+        creation_order: Destination -> how many queues had been created before its own.
+        due_now: Destinations whose queue is looked at in the next turn.
+        due_heap: (time, destination) of looks to come, with some that no longer hold.
+        ordered_ids: Ordering key -> ids of its messages in the order of arrival.
+        expiry_heap: (time, message id) of expiries, with some that no longer hold.
+    """
 
     def __init__(self) -> None:
         self.messages: dict[int, PendingMessage] = {}
         self.queues: dict[int, dict[int, PendingMessage]] = {}
-        self.due_at: dict[int, float] = {}  # destination -> when its queue is looked at again; 0 = as soon as may be
-        self.creation_order: dict[int, int] = {}  # destination -> how many queues had been made before it
-        self.due_now: set[int] = set()  # destinations to be looked at as soon as may be
-        self.due_heap: list[tuple[float, int]] = []  # heap: looks to come, with such as no longer hold
-        self.queues_created = 0
+        self.due_at: dict[int, float] = {}
+        self.creation_order: dict[int, int] = {}
+        self.due_now: set[int] = set()
+        self.due_heap: list[tuple[float, int]] = []
         self.ordered_ids: dict[int, list[int]] = {}
+        self.expiry_heap: list[tuple[float, int]] = []
+        self._queues_created = 0
 
     def add(self, pending: PendingMessage) -> None:
+        """Take a message in; it waits only once it is enqueued."""
         self.messages[pending.message.id] = pending
         if pending.ordering_key:
             self.ordered_ids.setdefault(pending.ordering_key, []).append(pending.message.id)
 
     def enqueue(self, pending: PendingMessage) -> None:
+        """Let a message wait for a slot, until it is sent or its `latest_send_at` comes."""
+        self.schedule_expiry(pending.message.id, pending.latest_send_at)
         destination = pending.message.destination
         if destination not in self.queues:
-            self.queues[destination], self.creation_order[destination] = {}, self.queues_created
-            self.queues_created += 1
+            self.queues[destination] = {}
+            self.creation_order[destination] = self._queues_created
+            self._queues_created += 1
         self.queues[destination][pending.message.id] = pending
         self.schedule(destination)
 
     def dequeue(self, pending: PendingMessage) -> None:
+        """Take a message out of its queue, if it waits."""
         destination = pending.message.destination
         queue = self.queues.get(destination, {})
         queue.pop(pending.message.id, None)
         if not queue and destination in self.queues:
-            del self.queues[destination], self.creation_order[destination]
+            del self.queues[destination]
+            del self.creation_order[destination]
             self.due_at.pop(destination, None)
             self.due_now.discard(destination)
 
     def remove(self, pending: PendingMessage) -> None:
+        """Forget a message that has ended; the next one of its ordering key may go."""
         del self.messages[pending.message.id]
         self.dequeue(pending)
-        if pending.ordering_key:
-            line = self.ordered_ids[pending.ordering_key]
-            line.remove(pending.message.id)
-            if line:
-                self.schedule(self.messages[line[0]].message.destination)
-            else:
-                del self.ordered_ids[pending.ordering_key]
+        if not pending.ordering_key:
+            return
+        ids = self.ordered_ids[pending.ordering_key]
+        ids.remove(pending.message.id)
+        if ids:
+            self.schedule(self.messages[ids[0]].message.destination)
+        else:
+            del self.ordered_ids[pending.ordering_key]
 
     def blocks_successor(self, pending: PendingMessage) -> bool:
+        """Return whether other messages of its ordering key wait for its end."""
         return bool(pending.ordering_key) and len(self.ordered_ids[pending.ordering_key]) > 1
 
     def schedule(self, destination: int, at: float = 0.0) -> None:
-        """Its queue, if it has one, is to be looked at then."""
+        """Have the destination's queue, if it has one, looked at then; 0 = in the next turn."""
         if destination not in self.queues:
             return
         self.due_at[destination] = at
@@ -67,8 +89,18 @@
         else:
             self.due_now.add(destination)
 
+    def due_destinations(self, now: float) -> list[int]:
+        """Return the destinations to look at, the longest-standing queue first; costs what is due."""
+        self._advance(now)
+        return sorted(self.due_now, key=self.creation_order.__getitem__)
+
+    def next_due_at(self, now: float) -> float | None:
+        """Return when the next queue will be due, of those that are not due yet."""
+        self._advance(now)
+        return self.due_heap[0][0] if self.due_heap else None
+
     def _advance(self, now: float) -> None:
-        """Looks whose time has come, and heads of the heap that no longer hold."""
+        """Move looks whose time has come to `due_now`, and drop heads of the heap that no longer hold."""
         while self.due_heap:
             at, destination = self.due_heap[0]
             holds = self.due_at.get(destination) == at
@@ -78,12 +110,18 @@
             if holds:
                 self.due_now.add(destination)
 
-    def due_destinations(self, now: float) -> list[int]:
-        """The destinations to be looked at, those first whose queue has stood longest. Costs what is due."""
-        self._advance(now)
-        return sorted(self.due_now, key=self.creation_order.__getitem__)
+    def schedule_expiry(self, message_id: int, at: float) -> None:
+        """Have a message expire then, unless it has ended or is in flight."""
+        heapq.heappush(self.expiry_heap, (at, message_id))
 
-    def next_due_at(self, now: float) -> float | None:
-        """When the next one will be due, of those that are not yet."""
-        self._advance(now)
-        return self.due_heap[0][0] if self.due_heap else None
+    def pop_expired(self, now: float) -> Iterator[PendingMessage]:
+        """Yield the messages that can no longer be delivered in time; one in flight waits for its outcome."""
+        while self.expiry_heap and self.expiry_heap[0][0] <= now:
+            _, message_id = heapq.heappop(self.expiry_heap)
+            pending = self.messages.get(message_id)
+            if pending is not None and pending.call is None:
+                yield pending
+
+    def next_expiry_at(self) -> float | None:
+        """Return when the next message may expire."""
+        return self.expiry_heap[0][0] if self.expiry_heap else None
--- /dev/null
+++ b/linnetstile/engine/outlier_detection.py
@@ -0,0 +1,151 @@
+"""Outlier detection: which routes are taken as down, when they get trial calls, and when they are back.
+
+A failure score rises with each failure and falls with each answer. Above `EJECTION_THRESHOLD` a route is ejected
+(half-open): it gets single trial calls only, within this relay's share of the slow-start budget. The first answer that
+brings the score below the threshold ends the ejection and begins slow start.
+"""
+
+from __future__ import annotations
+
+import random
+
+from . import latency, slow_start
+from .events import AttemptEnded, Outcome
+from .pending_message import PendingMessage
+from .rate_limiter import MAX_LIMIT_SPAN_MS, RateLimiter
+from .route_state import EVIDENCE_TTL_MS, EndpointState, HealthState, RouteState
+from .settings import Settings
+from .time_points import NEVER
+
+FAILURE_WEIGHT = 0.3  # weight of one failure: two in a row make an outage
+EJECTION_THRESHOLD = 0.5  # failure score above which a route is ejected
+LONE_FAILURE_WEIGHT = EJECTION_THRESHOLD + 0.05  # weight of a failure that nothing contradicts: it ejects at once
+MAX_EJECTED_SCORE = 0.7  # an ejected route's score rises no higher: two answers bring it back
+TRUST_THRESHOLD = 0.25  # failure score below which a message that must not run twice may be risked again
+TRIAL_JITTER = (0.7, 1.3)  # trial calls of many relays do not come in step
+
+
+def is_suspected(route: RouteState, now: float) -> bool:
+    """Return whether a route is down, as far as can be seen.
+
+    That is if it is ejected, or if each of its endpoints owes an answer that is overdue and none came since: they
+    hang, are gone or slow.
+    """
+    health = route.health
+    if health.ejected or not route.calls:
+        return health.ejected
+    overdue = now - latency.overdue_after_ms(route.latency) * route.latency.timeout_multiplier
+    late = [call.endpoint for call in route.calls if health.last_success_at <= call.started_at < overdue]
+    return bool(late) and {endpoint.info.id for endpoint in late}.issuperset(route.endpoints)
+
+
+def is_trusted(route: RouteState) -> bool:
+    """Return whether a message that must not run twice may be risked on the route, as far as its failures go."""
+    return route.health.failure_score <= TRUST_THRESHOLD or route.health.last_failure_had_no_effect
+
+
+class OutlierDetector:
+    """Judges routes by the outcomes of their calls."""
+
+    def __init__(self, settings: Settings, rng: random.Random, rate_limiter: RateLimiter) -> None:
+        self.settings = settings
+        self.rng = rng
+        self.rate_limiter = rate_limiter
+
+    def record_success(self, now: float, route: RouteState) -> None:
+        """Lower the failure score; own evidence replaces what other relays said."""
+        health = route.health
+        if health.from_gossip:
+            health.from_gossip = False
+            health.failure_score = 0.0
+            health.failed_at = NEVER
+        health.last_success_at = now
+        health.failure_score = health.failure_score * (1 - FAILURE_WEIGHT)
+
+    def end_outage(self, now: float, route: RouteState) -> None:
+        """Note that the route answers; an ejected one whose score has fallen far enough begins slow start."""
+        health = route.health
+        if health.ejected and health.failure_score < EJECTION_THRESHOLD:
+            slow_start.begin_slow_start(now, route, self.settings.relay_count)
+        health.outage_since = None
+
+    def record_failure(self, now: float, endpoint: EndpointState, pending: PendingMessage, event: AttemptEnded) -> None:
+        """Raise the failure score, and eject the route if it is too high.
+
+        A rejection counts against the rate limit instead, unless its Retry-After is longer than a limit explains.
+        """
+        route = endpoint.route
+        is_shut = event.retry_after_ms > MAX_LIMIT_SPAN_MS
+        self._note_outage(route.health, pending, event.outcome)
+        if event.outcome is Outcome.REJECTED:
+            self.rate_limiter.record_rejection(now, route.rate)
+            if not is_shut:
+                return
+        else:
+            endpoint.class_failures[pending.message.class_index] = now
+            route.health.failed_at = now
+        if event.outcome is Outcome.TIMEOUT:
+            latency.record_timeout(route.latency)
+        is_alone = self._is_uncontradicted(now, route, pending, event.outcome)
+        self._raise_score(now, route, LONE_FAILURE_WEIGHT if is_alone or is_shut else FAILURE_WEIGHT)
+        if is_shut:  # the first calls after it are spread over what the route can take then
+            interval = self.rate_limiter.trial_interval_ms(route.retry_after_until, route)
+            route.health.next_trial_at = route.retry_after_until + interval * self.rng.random()
+
+    @staticmethod
+    def _note_outage(health: HealthState, pending: PendingMessage, outcome: Outcome) -> None:
+        if health.outage_since is None:  # another outage: no relay was notified of it
+            health.notified_relays = 0.0
+        health.from_gossip = False
+        health.start_outage(pending.sent_at)
+        health.last_failure_had_no_effect = outcome.proves_no_effect
+        health.last_failure_was_connect = outcome is Outcome.CONNECT_FAILED
+
+    @staticmethod
+    def _is_uncontradicted(now: float, route: RouteState, pending: PendingMessage, outcome: Outcome) -> bool:
+        """Return whether neither a recent answer nor an endpoint without failure vouches for the route.
+
+        Then one failure is an outage. Guards relays that call a route too seldom to see two failures in a row.
+        """
+        vouched_since = pending.sent_at if outcome is Outcome.CONNECT_FAILED else now - EVIDENCE_TTL_MS
+        if route.health.last_success_at > vouched_since:
+            return False
+        return all(endpoint.class_failures for endpoint in route.endpoints.values())
+
+    @staticmethod
+    def _raise_score(now: float, route: RouteState, weight: float) -> None:
+        health = route.health
+        health.failure_score += (1.0 - health.failure_score) * weight
+        if health.failure_score > EJECTION_THRESHOLD and route.endpoints:
+            if not health.ejected:
+                health.next_trial_at = now
+            health.ejected = True
+            health.failure_score = min(health.failure_score, MAX_EJECTED_SCORE)
+
+    def schedule_trial(self, now: float, route: RouteState) -> None:
+        """Set the time of the next trial call after one that goes out now: spread at random."""
+        interval = self.rate_limiter.trial_interval_ms(now, route)
+        route.health.next_trial_at = now + interval * self.rng.uniform(*TRIAL_JITTER)
+
+    def adopt_outage(self, now: float, route: RouteState, age_ms: float, aware_relays: float) -> None:
+        """Eject a route that others found down; weighs less than a failure of one's own."""
+        health = route.health
+        if not health.ejected:
+            health.outage_since = now - age_ms
+            health.notified_relays = aware_relays
+            # Drawn at random, as many relays may learn it at once.
+            health.next_trial_at = now + self.rate_limiter.trial_interval_ms(now, route) * self.rng.random()
+        health.ejected = True
+        health.from_gossip = True
+        # Half a failure's evidence: messages that must not run twice wait half as long, and one answer clears it.
+        health.failed_at = now - EVIDENCE_TTL_MS / 2
+        health.failure_score = LONE_FAILURE_WEIGHT
+
+    def adopt_slow_start(self, now: float, route: RouteState, age_ms: float, aware_relays: float) -> None:
+        """Begin slow start on a route that others saw come back `age_ms` ago."""
+        health = route.health
+        health.notified_relays = aware_relays
+        slow_start.begin_slow_start(now, route, self.settings.relay_count)
+        health.slow_start_since = now - age_ms
+        health.from_gossip = True
+        health.failure_score = 0.0
--- a/linnetstile/engine/pending_message.py
+++ b/linnetstile/engine/pending_message.py
@@ -15,40 +15,62 @@
 
 @dataclass(slots=True)
 class PendingMessage:
-    """One message, from its arrival until it has ended and nothing is out for it."""
+    """One message, from its arrival until it has ended and no call of it is in flight.
+
+    Attributes:
+        message: The message as the host submitted it.
+        message_class: Its class in the settings.
+        submitted_at: When its client first submitted it.
+        deadline: When it has to have its final answer.
+        priority_weight: Value of its delivery within the latency objective.
+        not_before: No attempt starts before.
+        accepted_at: When this relay accepted it.
+        latest_send_at: No attempt starts from here on.
+        attempts: Attempts that were started.
+        call: Its call in flight, if there is one.
+        sent_at: Start of its latest attempt.
+        first_unclear_at: Start of the first attempt that may have run; None = none may have.
+        unclear_endpoint: Where that was.
+        cancelled: Whether its client has withdrawn it.
+        recovered_untried: Whether a restart found it without an attempt: it is owed one.
+    """
 
     message: Message
     message_class: MessageClass
-    submitted_at: float  # when it was first handed in
+    submitted_at: float
     deadline: float
     priority_weight: float
-    not_before: float  # no try before
-    accepted_at: float  # when this relay took it on
-    latest_send_at: float = NEVER  # no try from here on
+    not_before: float
+    accepted_at: float
+    latest_send_at: float = NEVER
     attempts: int = 0
     call: InFlightCall | None = None
     sent_at: float = 0.0
-    first_unclear_at: float | None = None  # send of the first attempt that may have run
+    first_unclear_at: float | None = None
     unclear_endpoint: Endpoint | None = None
     cancelled: bool = False
-    recovered_untried: bool = False  # by a restart, which owes it a try
+    recovered_untried: bool = False
 
     @property
     def ordering_key(self) -> int:
         """The key whose order it keeps; 0 = none."""
         return self.message.ordering_key if self.message_class.in_order else 0
 
+    def start_attempt(self, now: float, call: InFlightCall) -> None:
+        """Note that an attempt has started."""
+        self.call = call
+        self.sent_at = now
+        self.attempts += 1
+
     def value_at(self, at: float, decay: ValueDecay) -> float:
-        late = at - self.submitted_at - self.message_class.latency_objective_ms
-        if late <= 0 or at >= self.deadline:
+        """Return the value of a delivery at a moment: full within the latency objective, then falling, 0 when late."""
+        message_class = self.message_class
+        objective_ms = message_class.latency_objective_ms
+        overrun_ms = at - self.submitted_at - objective_ms
+        if overrun_ms <= 0 or at >= self.deadline:
             return self.priority_weight if at < self.deadline else 0.0
+        late_fraction = message_class.late_value_fraction
         if decay is ValueDecay.HALF_LIFE:
-            return self.priority_weight * max(
-                self.message_class.late_value_fraction, float(0.5 ** (late / self.message_class.latency_objective_ms))
-            )
-        return self.priority_weight * (
-            1
-            - (1 - self.message_class.late_value_fraction)
-            * late
-            / (self.message_class.deadline_ms - self.message_class.latency_objective_ms)
-        )
+            return self.priority_weight * max(late_fraction, float(0.5 ** (overrun_ms / objective_ms)))
+        decay_ms = message_class.deadline_ms - objective_ms
+        return self.priority_weight * (1 - (1 - late_fraction) * overrun_ms / decay_ms)
--- /dev/null
+++ b/linnetstile/engine/route_factory.py
@@ -0,0 +1,89 @@
+"""Makes the state of routes and endpoints when they are listed, or when their destination comes into use."""
+
+from __future__ import annotations
+
+import random
+
+from . import slow_start
+from .events import Endpoint
+from .latency import INITIAL_DEVIATION_MS, INITIAL_MEAN_MS, FleetLatency
+from .message_queues import MessageQueues
+from .rate_limiter import RateLimiter
+from .route_state import EndpointState, LatencyEstimate, RouteState
+from .settings import Settings
+
+
+class RouteFactory:
+    """Adds endpoints to their routes, and makes routes that do not exist yet."""
+
+    def __init__(
+        self,
+        settings: Settings,
+        rng: random.Random,
+        queues: MessageQueues,
+        rate_limiter: RateLimiter,
+        fleet_latency: FleetLatency,
+    ) -> None:
+        self.settings = settings
+        self.rng = rng
+        self.queues = queues
+        self.rate_limiter = rate_limiter
+        self.fleet_latency = fleet_latency
+        self.first_list_at: float | None = None  # a destination that is not in use has been idle since then
+
+    def list_received(self, now: float) -> None:
+        """Note when the first list came."""
+        if self.first_list_at is None:
+            self.first_list_at = now
+
+    def attach(
+        self,
+        now: float,
+        info: Endpoint,
+        routes: dict[int, RouteState],
+        route_id: int,
+        endpoints: dict[int, EndpointState],
+        is_listed: bool,
+    ) -> None:
+        """Put an endpoint into its route.
+
+        Args:
+            now: Time in ms.
+            info: The endpoint's entry.
+            routes: The routes of its destination.
+            route_id: Which of them it belongs to; made if it does not exist.
+            endpoints: All endpoints in use.
+            is_listed: Whether it was listed just now; if not, its destination comes into use.
+        """
+        advertised_rate = self.rate_limiter.trusted_rate(info.advertised_rate)
+        route = routes.get(route_id)
+        if route is None:
+            route = routes[route_id] = self._new_route(now, info, advertised_rate, is_listed)
+        if is_listed:
+            self.rate_limiter.apply_advertised_rate(route.rate, advertised_rate)
+        endpoint = endpoints.get(info.id)
+        if endpoint is not None:
+            endpoint.info = info
+            return
+        if is_listed and not route.endpoints and route.health.outage_since is not None:
+            # Its endpoints were replaced after an outage: the new one has no full capacity yet.
+            slow_start.begin_slow_start(now, route, self.settings.relay_count)
+        endpoint = EndpointState(info, route, tie_breaker=self.rng.random())
+        route.endpoints[info.id] = endpoint
+        endpoints[info.id] = endpoint
+        self.queues.schedule(info.destination)
+
+    def _new_route(self, now: float, info: Endpoint, advertised_rate: float, is_listed: bool) -> RouteState:
+        # Of one that comes into use nothing is known: where others answer quickly, it may be a slow one.
+        if is_listed:
+            estimate = LatencyEstimate(self.fleet_latency.mean_ms, self.fleet_latency.deviation_ms)
+        else:
+            estimate = LatencyEstimate(INITIAL_MEAN_MS, INITIAL_DEVIATION_MS)
+        idle_since = now if is_listed or self.first_list_at is None else self.first_list_at
+        kinds = self.settings.kinds
+        return RouteState(
+            latency=estimate,
+            rate=self.rate_limiter.initial_state(advertised_rate, idle_since),
+            max_batch=kinds[info.kind].max_batch if info.kind < len(kinds) else 1,
+            kind=info.kind,
+        )
--- a/linnetstile/engine/route_state.py
+++ b/linnetstile/engine/route_state.py
@@ -1,86 +1,204 @@
-"""What a relay remembers of a route that is in use: its endpoints, calls, rate, health and latency."""
+"""What a relay remembers of a route that is in use: its endpoints, calls, latency, rate and health.
+
+A destination has one route, or one for each of its endpoints where the settings say so. Each record below is written
+by the module that its docstring names; others only read it.
+"""
 
 from __future__ import annotations
 
 import math
 from dataclasses import dataclass, field
 
-from .events import Endpoint
+from .events import Endpoint, Outcome
 from .pending_message import PendingMessage
 from .time_points import NEVER
 
+EVIDENCE_TTL_MS = 10000.0  # an answer or a failure of longer ago counts no more
+
 
 @dataclass(slots=True)
 class DecayingCounter:
-    """A count of events in which older ones weigh less and less."""
+    """A count of events in which older ones weigh exponentially less."""
 
     total: float = 0.0
     updated_at: float = 0.0
 
-    def count(self, now: float, fade_ms: float) -> float:
-        return self.total * math.exp((self.updated_at - now) / fade_ms)
+    def count(self, now: float, decay_ms: float) -> float:
+        """Return the count as of `now`; an event of `decay_ms` ago weighs 1/e."""
+        return self.total * math.exp((self.updated_at - now) / decay_ms)
+
+    def add(self, now: float, decay_ms: float) -> None:
+        """Count one event."""
+        self.total = self.count(now, decay_ms) + 1
+        self.updated_at = now
+
+
+@dataclass(slots=True)
+class LatencyEstimate:
+    """Latency of one route; written by `latency`, and by `gossip_import` where nothing is known yet.
+
+    Attributes:
+        mean_ms: Moving mean of the latency of answers.
+        deviation_ms: Moving mean of the deviation from it.
+        answers: Answers seen; the first ones weigh more.
+        timeout_multiplier: Factor on the time-out, above 1 while calls time out.
+        mean_call_ms: Moving mean of the time that a call holds its slot, whatever its outcome; 0 = none has ended.
+    """
+
+    mean_ms: float
+    deviation_ms: float
+    answers: int = 0
+    timeout_multiplier: float = 1.0
+    mean_call_ms: float = 0.0
+
+
+@dataclass(slots=True)
+class RateState:
+    """Rate of one route; written by `rate_limiter`, and by `slow_start` when a destination is back.
+
+    Attributes:
+        fleet_rate: Calls a second that all relays together may send.
+        own_rate: Calls a second that this relay may send, as learned.
+        tokens: Calls saved up.
+        tokens_at: When `tokens` was last brought up to date.
+        initial_tokens: Part of a call that a relay starts with where nothing else is saved up; drawn at random.
+        is_advertised: Whether `fleet_rate` comes from the list or a load report rather than from a guess.
+        answer_counter: Answers of this route.
+        throttle_ms: How long the latest rejection throttles the route.
+        throttled_until: When that ends.
+    """
+
+    fleet_rate: float
+    own_rate: float
+    tokens: float
+    tokens_at: float
+    initial_tokens: float = 0.0
+    is_advertised: bool = True
+    answer_counter: DecayingCounter = field(default_factory=DecayingCounter)
+    throttle_ms: float = 0.0
+    throttled_until: float = NEVER
+
+    def relax_throttle(self) -> None:
+        """Halve the time for which the next rejection will throttle."""
+        self.throttle_ms = self.throttle_ms / 2
+
+
+@dataclass(slots=True)
+class HealthState:
+    """Health of one route; written by `outlier_detection`, `slow_start` and `gossip_import`.
+
+    Attributes:
+        last_success_at: The latest answer.
+        failure_score: 0 for healthy to 1; rises with each failure and falls with each answer.
+        ejected: Whether the route is taken as down: it gets health checks by single trial calls only.
+        failed_at: The latest failure that no limit explains.
+        last_failure_had_no_effect: Whether the latest failure proved that the message had no effect.
+        last_failure_was_connect: Whether the latest failure was a connection that could not be made.
+        outage_since: Start of the first call that failed since the last answer; None = no outage.
+        slow_start_since: When the route came back after an outage.
+        endpoints_left_at: When its last endpoint left the list.
+        aware_relays: Relays that may know of the latest outage.
+        notified_relays: Relays that learned of it by gossip.
+        from_gossip: Whether its state is what other relays said, until this relay has called it itself.
+        next_trial_at: When an ejected route may get its next trial call.
+    """
+
+    last_success_at: float = NEVER
+    failure_score: float = 0.0
+    ejected: bool = False
+    failed_at: float = NEVER
+    last_failure_had_no_effect: bool = False
+    last_failure_was_connect: bool = False
+    outage_since: float | None = None
+    slow_start_since: float = NEVER
+    endpoints_left_at: float = NEVER
+    aware_relays: float = 1.0
+    notified_relays: float = 0.0
+    from_gossip: bool = False
+    next_trial_at: float = 0.0
 
-    def add(self, now: float, fade_ms: float) -> None:
-        self.total, self.updated_at = self.count(now, fade_ms) + 1, now
+    def start_outage(self, at: float) -> None:
+        """Note that an outage began, unless one lasts already."""
+        if self.outage_since is None:
+            self.outage_since = at
 
 
 @dataclass(slots=True)
 class EndpointState:
-    """One endpoint as this relay sees it."""
+    """One endpoint in use, as this relay sees it.
+
+    Attributes:
+        info: Its latest entry in the endpoint list.
+        route: The route that it belongs to.
+        in_flight: Calls that are in flight to it.
+        class_failures: By message class, the latest failure, if no call of that class was answered since.
+        idle_connections: When each idle connection to it was last used.
+        tie_breaker: Drawn at random: which of two equal endpoints is used first.
+        rejected_at: The latest rejection on a new connection, if none was accepted since.
+    """
 
     info: Endpoint
     route: RouteState
     in_flight: int = 0
-    class_failures: dict[int, float] = field(default_factory=dict)  # class -> latest failure, if none answered since
-    idle_connections: list[float] = field(default_factory=list)  # when each idle connection was last used
-    tie_breaker: float = 0.0  # drawn by chance: which of two alike is used first
-    rejected_at: float = NEVER  # latest refusal on a new connection, if none was taken since
+    class_failures: dict[int, float] = field(default_factory=dict)
+    idle_connections: list[float] = field(default_factory=list)
+    tie_breaker: float = 0.0
+    rejected_at: float = NEVER
+
+    def record_connection(self, now: float, outcome: Outcome) -> None:
+        """Note what a call left behind: an idle connection if it was answered; else the others are doubtful too."""
+        if outcome in (Outcome.OK, Outcome.ERROR, Outcome.REJECTED):
+            self.idle_connections = [*self.idle_connections, now]
+        else:
+            self.idle_connections = []
 
 
-@dataclass(slots=True, eq=False)  # told apart by identity: two calls may be alike
+@dataclass(slots=True, eq=False)  # compared by identity: two calls may be alike
 class InFlightCall:
-    """One call that is out, with one message or several."""
+    """One call without an outcome yet, with one message or several.
+
+    Attributes:
+        endpoint: Where it went.
+        started_at: When it was sent.
+        messages: Its messages.
+        unresolved: Messages without an outcome.
+        counted: Whether an outcome of it has counted as evidence; all its messages share one fate.
+    """
 
     endpoint: EndpointState
     started_at: float
-    messages: list[PendingMessage]  # its messages
-    unresolved: int  # those without an outcome
-    counted: bool = False  # an outcome of it was counted
+    messages: list[PendingMessage]
+    unresolved: int
+    counted: bool = False
+
+    def resolve_one(self) -> bool:
+        """Note the outcome of one message; return whether it is the first, which counts as evidence."""
+        is_first = not self.counted
+        self.counted = True
+        self.unresolved -= 1
+        return is_first
 
 
 @dataclass(slots=True)
 class RouteState:
-    """One destination (or route apart) while it is in use: pace, health, latency."""
-
-    latency_mean: float
-    latency_deviation: float
-    fleet_rate: float  # calls a second of all relays together
-    rate: float
-    tokens: float
-    tokens_at: float
-    max_batch: int = 1  # messages that one call takes
+    """One route while it is in use.
+
+    Attributes:
+        latency: Latency estimate.
+        rate: Rate limit.
+        health: Outlier detection.
+        max_batch: Messages that one call may carry.
+        kind: Index of the destination's kind in the settings.
+        retry_after_until: End of the latest Retry-After that a destination sent.
+        endpoints: Its endpoints by id.
+        calls: Its calls in flight.
+    """
+
+    latency: LatencyEstimate
+    rate: RateState
+    health: HealthState = field(default_factory=HealthState)
+    max_batch: int = 1
     kind: int = 0
-    initial_tokens: float = 0.0  # drawn by chance: part of a call saved up where nothing else is
+    retry_after_until: float = NEVER
     endpoints: dict[int, EndpointState] = field(default_factory=dict)
     calls: list[InFlightCall] = field(default_factory=list)
-    rate_advertised: bool = True  # the total comes from the list or a report, not from a guess
-    answer_counter: DecayingCounter = field(default_factory=DecayingCounter)  # answers
-    answers: int = 0
-    mean_call_ms: float = 0.0  # mean time of a call, whatever came of it; 0 = none has ended
-    last_success_at: float = NEVER
-    timeout_multiplier: float = 1.0  # of the time-out
-    throttle_ms: float = 0.0  # how long the latest refusal paces it
-    throttled_until: float = NEVER  # a refusal paces it until then
-    retry_after_until: float = NEVER
-    failure_score: float = 0.0
-    ejected: bool = False
-    failed_at: float = NEVER
-    last_failure_had_no_effect: bool = False  # the latest failure proved no effect
-    last_failure_was_connect: bool = False  # the latest failure was a connection that was not made
-    outage_since: float | None = None  # send of the first call that failed since the last answer
-    slow_start_since: float = NEVER
-    endpoints_left_at: float = NEVER  # when its last endpoint left
-    aware_relays: float = 1.0  # relays that may know of the latest outage
-    notified_relays: float = 0.0  # relays that this one told of it, or that were told before it
-    from_gossip: bool = False  # out or cold by what others say, until it is called
-    next_trial_at: float = 0.0
--- a/linnetstile/platform_relay/calls.py
+++ b/linnetstile/platform_relay/calls.py
@@ -8,7 +8,7 @@
 
 from ..codec import http1
 from ..engine.attempt_outcome import AttemptObservation, AttemptVerdict, judge_endpoint_attempt
-from ..engine.engine import KEPT
+from ..engine.connection_policy import IDLE_REUSE_FRACTION
 from ..engine.resource_limits import MAX_BODY_BYTES, MAX_HEAD_BYTES, ResourceLimits
 from ..net import client
 from .config import NodeSettings
@@ -41,7 +41,9 @@
     def __init__(self, settings: NodeSettings, bounds: ResourceLimits) -> None:
         module = settings.module
         self.names = settings.report
-        idle_s = module.idle_timeout_ms * KEPT / 1000 if module.idle_timeout_ms else 5.0  # the module counts on no more
+        idle_s = (
+            module.idle_timeout_ms * IDLE_REUSE_FRACTION / 1000 if module.idle_timeout_ms else 5.0
+        )  # the module counts on no more
         self.pool = client.Pool(
             module.connect_timeout_ms / 1000 or 1.5,
             idle_s,
--- a/linnetstile/platform_relay/process.py
+++ b/linnetstile/platform_relay/process.py
@@ -52,7 +52,7 @@
             bad=node.front.bad,
             calls=len(node.calls.pool.open),
             idle=node.calls.pool.resting,
-            sick=sum(route.ejected for route in routes),
+            sick=sum(route.health.ejected for route in routes),
             journal=node.journal.size,
             memory_mb=resource.getrusage(resource.RUSAGE_SELF).ru_maxrss >> 10,
             since={k: v - self.before.get(k, 0) for k, v in counts.items() if v != self.before.get(k, 0)},
--- a/linnetstile/testbed/scale/simulated_relay.py
+++ b/linnetstile/testbed/scale/simulated_relay.py
@@ -32,8 +32,9 @@
 from ...codec.objects import Objects, Part
 from ...emulators.discovery import chunk
 from ...engine import gossip_export
-from ...engine.engine import DeliveryEngine, is_suspected
+from ...engine.engine import DeliveryEngine
 from ...engine.gossip import RouteClaim
+from ...engine.outlier_detection import is_suspected
 from ...engine.resource_limits import WATCH_BACKOFF_MS, backoff_ms
 from ...engine.unknown_class import unknown_class
 from ...engine.watch_policy import watch_deadline
--- a/tests/engine/test_connection_scarcity.py
+++ b/tests/engine/test_connection_scarcity.py
@@ -100,7 +100,7 @@
             )
         )
         for _ in range(20 if short else 0):
-            d.relay.connection_scarcity[0].record(kept=False, refused=True, waits=False)
+            d.relay.connections.scarcity[0].record(is_reused=False, is_rejected=True, has_retry_after=False)
         answered(d, 1, Outcome.REJECTED)
         answered(d, 1)
         d.pass_time(5000)
@@ -119,14 +119,14 @@
         d.listed((11, 1))
         d.warm_up(1)
         for _ in range(20 if short else 0):
-            d.relay.connection_scarcity[0].record(kept=False, refused=True, waits=False)
+            d.relay.connections.scarcity[0].record(is_reused=False, is_rejected=True, has_retry_after=False)
         d.pass_time(late, 50)
         ident = d.message(SAFE)
         d.pass_time(20)
         send, route = d.out.pop(ident), d.relay.routes[1][-1]
-        before = route.rate
+        before = route.rate.own_rate
         d.feed(AttemptEnded(ident, 0, send.endpoint, Outcome.REJECTED, 5.0, False, wait, connection_reused=reused))
-        return route.rate / before
+        return route.rate.own_rate / before
 
     assert pace() == 1.0
     assert pace(short=False) < 1.0  # a limit's
--- a/tests/engine/test_destinations.py
+++ b/tests/engine/test_destinations.py
@@ -4,6 +4,7 @@
 
 import random
 import sys
+from collections.abc import Callable
 from typing import Any
 
 import pytest
@@ -28,7 +29,7 @@
     TimerFired,
 )
 from linnetstile.engine.message_queues import MessageQueues
-from linnetstile.engine.route_state import RouteState
+from linnetstile.engine.route_state import HealthState, LatencyEstimate, RateState, RouteState
 from linnetstile.engine.time_points import NEVER
 
 from ..conftest import SAFE, UNSAFE, Driver, make_settings
@@ -129,8 +130,8 @@
         (relay.routing_table.index, "_entry"),
         (relay.routing_table.index, "_id_hash"),
         (relay.routing_table.index, "_dest_hash"),
-        (relay.routing_table, "on_endpoint"),
-        (relay, "_pick"),
+        (relay.routing_table, "_attach"),
+        (relay.scheduler, "pick"),
     ):
         counted(owner, name)
     relay.handle(now, list(events))
@@ -271,10 +272,10 @@
     for rest in (True, False):
         idle_routes.MAX_RESIDENT_ROUTES = 0 if rest else 2048  # the fixture's patch is undone after the test
         d = failing(Outcome.CONNECT_FAILED)
-        assert d.relay.routing_table.known_routes(1)[-1][0].ejected
+        assert d.relay.routing_table.known_routes(1)[-1][0].health.ejected
         d.pass_time(pause, 50)
         if rest:
-            assert not d.relay.routes and d.relay.routing_table.known_routes(1)[-1][0].ejected
+            assert not d.relay.routes and d.relay.routing_table.known_routes(1)[-1][0].health.ejected
         back = len(d.sent)
         for _ in range(40):
             d.message(SAFE)
@@ -326,7 +327,7 @@
     assert bool(d.relay.routing_table.evicted) == (late < 10_000.0)  # of what has faded nothing is kept
     d.feed(changes(entry(12, 1)))
     route = d.relay.routing_table.open(d.now, 1)[-1]
-    assert (route.slow_start_since == d.now) == (late < 10_000.0) and set(route.endpoints) == {12}
+    assert (route.health.slow_start_since == d.now) == (late < 10_000.0) and set(route.endpoints) == {12}
 
 
 def test_a_change_while_a_call_is_out_meets_its_lane(rests: None) -> None:
@@ -361,7 +362,7 @@
     d.warm_up()
     quiet(d)
     d.feed(changes(entry(11, 1, rate=80.0)))
-    assert d.relay.routing_table.open(d.now, 1)[-1].fleet_rate == 80.0
+    assert d.relay.routing_table.open(d.now, 1)[-1].rate.fleet_rate == 80.0
 
 
 def test_what_was_learned_of_one_at_rest_binds(rests: None) -> None:
@@ -371,7 +372,7 @@
     quiet(d)
     d.feed(GossipSent(((1, -1),)))
     route, ends = d.relay.routing_table.known_routes(1)[-1]
-    assert route.ejected and route.from_gossip and route.notified_relays == 3.0 and ends == (11,)
+    assert route.health.ejected and route.health.from_gossip and route.health.notified_relays == 3.0 and ends == (11,)
     assert 99 not in d.relay.routes and 99 not in d.relay.routing_table.evicted
 
 
@@ -401,38 +402,70 @@
     start, idents = d.now, [d.message(SAFE) for _ in range(4)]
     d.pass_time(20)
     assert [at for at, _ in d.sent if at >= start] == [start]  # the others wait: it is cold
-    assert d.relay.routes[1][-1].slow_start_since == start and d.tries.get(idents[0]) == 1
+    assert d.relay.routes[1][-1].health.slow_start_since == start and d.tries.get(idents[0]) == 1
 
 
 # -- the record --------------------------------------------------------------------------------------------
 
 
-def test_a_record_is_what_the_lane_was() -> None:
+PACKED = {
+    "latency": idle_routes.LATENCY_FIELDS,
+    "rate": idle_routes.RATE_FIELDS,
+    "health": idle_routes.HEALTH_FIELDS,
+    "": idle_routes.ROUTE_FIELDS,
+}
+
+
+def make_route(fleet_rate: float, own_rate: float, tokens: float, **more: Any) -> RouteState:
+    latency, rate = LatencyEstimate(120.0, 30.0), RateState(fleet_rate, own_rate, tokens, 90.0)
+    return RouteState(latency, rate, HealthState(), **more)
+
+
+def record_of(route: RouteState, name: str) -> Any:
+    """The part of a route that holds the fields of this name; the route itself for ""."""
+    return getattr(route, name) if name else route
+
+
+def test_a_record_restores_each_field_of_a_route() -> None:
     rng = random.Random(2)
-    route = RouteState(120.0, 30.0, 50.5, 0.25, 1.5, 90.0)
-    for name in idle_routes.DOUBLE_FIELDS:
-        setattr(route, name, rng.uniform(0, 1e9))
-    for name in idle_routes.FLOAT_FIELDS:
-        setattr(route, name, rng.randrange(1000) / 8)
-    route.answers, route.max_batch, route.kind, route.outage_since = 7, 3, 70_000, None
-    route.ejected, route.from_gossip, route.retry_after_until = True, True, 1e12
-    route.answer_counter.add(5.0, 100.0)
-    routes, bare = idle_routes.restore_routes(idle_routes.pack_routes({4: route}, 10.0, 1.0, 1.0) or b"")
-    assert routes == {4: route} or all(
-        getattr(routes[4], name) == getattr(route, name) for name in idle_routes.PACKED_FIELDS
-    )
-    assert routes[4].outage_since is None and routes[4].answer_counter == route.answer_counter and bare == {4}
-    unknown = {field for field in RouteState.__slots__} - {
-        *idle_routes.PACKED_FIELDS,
-        "outage_since",
-        "answer_counter",
-        "endpoints",
-        "calls",
+    route = make_route(50.5, 0.25, 1.5)
+    values: dict[str, Callable[[], Any]] = {
+        "d": lambda: rng.uniform(0, 1e9),
+        "f": lambda: rng.randrange(1000) / 8,
+        "I": lambda: rng.randrange(70_001),
+        "?": lambda: rng.random() < 0.5,
+    }
+    for name, fields in PACKED.items():
+        for field, code in fields.items():
+            setattr(record_of(route, name), field, values[code]())
+    route.latency.answers, route.max_batch, route.kind, route.health.outage_since = 7, 3, 70_000, None
+    route.health.ejected, route.health.from_gossip, route.retry_after_until = True, True, 1e12
+    route.rate.answer_counter.add(5.0, 100.0)
+    routes, bare = idle_routes.restore_routes(idle_routes.pack_routes({4: route}, 10.0, 1.0) or b"")
+    assert routes == {4: route}
+    for name, fields in PACKED.items():
+        for field in fields:
+            assert getattr(record_of(routes[4], name), field) == getattr(record_of(route, name), field), field
+    assert routes[4].health.outage_since is None
+    assert routes[4].rate.answer_counter == route.rate.answer_counter
+    assert bare == {4}
+
+
+def test_a_record_leaves_out_no_field() -> None:
+    route = make_route(50.5, 0.25, 1.5)
+    stored_apart = {
+        "latency": set[str](),
+        "rate": {"answer_counter"},
+        "health": {"outage_since"},
+        "": {"latency", "rate", "health", "endpoints", "calls"},
     }
-    assert not unknown, "a field that a record leaves out"
+    for name, fields in PACKED.items():
+        assert set(type(record_of(route, name)).__slots__) == set(fields) | stored_apart[name]
 
 
 def test_a_record_takes_figures_as_large_as_settings_may_state() -> None:
-    route = RouteState(120.0, 30.0, 1e300, 1e300, 1e300, 90.0, retry_after_until=1e12, failed_at=NEVER)
-    routes, _ = idle_routes.restore_routes(idle_routes.pack_routes({-1: route}, 10.0, 1.0, 1.0) or b"")
-    assert routes[-1].fleet_rate == 1e300 and routes[-1].failed_at == NEVER
+    route = make_route(1e300, 1e300, 1e300, retry_after_until=1e12)
+    route.health.failed_at = NEVER
+    routes, _ = idle_routes.restore_routes(idle_routes.pack_routes({-1: route}, 10.0, 1.0) or b"")
+    assert routes[-1].rate.fleet_rate == 1e300
+    assert routes[-1].health.failed_at == NEVER
--- a/tests/engine/test_gossip.py
+++ b/tests/engine/test_gossip.py
@@ -29,6 +29,7 @@
     Membership,
     PeerStatus,
 )
+from linnetstile.engine.slow_start import count_aware_relays
 from tests.conftest import SAFE, UNSAFE, Driver, make_settings
 
 LANE = {("p", -1): {11, 12}}
@@ -244,7 +245,7 @@
 
 
 def recall_knowers(d: Driver) -> float:
-    return d.relay._knowers(d.now, d.relay.routing_table.open(d.now, 1)[-1])
+    return count_aware_relays(d.now, d.relay.routing_table.open(d.now, 1)[-1], d.settings.relay_count)
 
 
 def test_unsafe_messages_wait_where_others_say_out() -> None:
@@ -269,7 +270,7 @@
     d = fresh()
     d.warm_up()
     d.feed(GossipReceived((RouteFacts(1, outage_age_ms=100.0), RouteFacts(9, outage_age_ms=1.0))))
-    assert not d.relay.routes[1][-1].ejected
+    assert not d.relay.routes[1][-1].health.ejected
     (claim,) = gossip_export.export_claims(d.relay, d.now, {1: "p"})
     assert claim.answers > 3 and claim.out_age is None and claim.endpoints == (11,)
     other = fresh(outage_age_ms=4000.0)
--- a/tests/engine/test_platform.py
+++ b/tests/engine/test_platform.py
@@ -126,9 +126,9 @@
     driver = Driver()
     driver.listed((1, 1))
     driver.warm_up()
-    before = driver.relay.routes[1][-1].failure_score
+    before = driver.relay.routes[1][-1].health.failure_score
     reset(driver, driver.message(SAFE), took, reused)
-    assert (driver.relay.routes[1][-1].failure_score > before) == blamed
+    assert (driver.relay.routes[1][-1].health.failure_score > before) == blamed
 
 
 def test_last_byte_waits_for_unsafe_messages_only_and_only_while_closed_connections_are_met() -> None:
@@ -213,7 +213,7 @@
     changes = tuple(Endpoint(ident, 1 if ident < 3 else 2, EndpointStatus.DRAINING) for ident in (gone, 3))
     assert recalled(driver, driver.feed(EndpointList(ListKind.CHANGES, changes))) == [near[2], far]
     assert recalled(driver, driver.answer(far, Outcome.NOT_SENT)) == []
-    assert driver.relay.routes[2][-1].failed_at == NEVER  # a recalled call says nothing of its destination
+    assert driver.relay.routes[2][-1].health.failed_at == NEVER  # a recalled call says nothing of its destination
 
 
 def test_list_of_1024_that_loses_half_costs_no_more_than_some_lists_that_bring_them() -> None:
--- a/tests/faults/test_gossip.py
+++ b/tests/faults/test_gossip.py
@@ -88,13 +88,17 @@
             before = asyncio.create_task(rig.load("safe", 8, 2.0))
             await rig.until(2.0)
             old = rig.services[0]
-            assert old.relay.routes[0][-1].ejected
+            assert old.relay.routes[0][-1].health.ejected
             fresh = await rig.relay(knowledge=with_token(tmp_path) | {"peers": [old.address]})
             await asked(fresh)
             await asyncio.sleep(0.05)
             route = fresh.relay.routes[0][-1]
-            assert route.ejected and route.from_gossip and fresh.knowledge.taken["firma", -1]["out_ms"] > 1000
-            assert old.relay.routes[0][-1].notified_relays >= 1  # it is a knower now, and the old one counts it
+            assert (
+                route.health.ejected
+                and route.health.from_gossip
+                and fresh.knowledge.taken["firma", -1]["out_ms"] > 1000
+            )
+            assert old.relay.routes[0][-1].health.notified_relays >= 1  # it is a knower now, and the old one counts it
             assert fresh.knowledge.document()["claims"] == []  # nothing of its own to tell
             began = len(rig.rows("began"))
             task = asyncio.create_task(rig.load("safe", 20, 1.0, 3))
@@ -212,9 +216,9 @@
             fresh = await rig.relay(knowledge={"peers": [address]})
             await asked(fresh)
             await asyncio.sleep(0.05)
-            assert fresh.relay.routes[0][-1].ejected
+            assert fresh.relay.routes[0][-1].health.ejected
             assert kind(await rig.hand(rig.make("safe"), 1)) == "delivered"
-            assert not fresh.relay.routes[0][-1].ejected and fresh.relay.routes[0][-1].failure_score < 0.5
+            assert not fresh.relay.routes[0][-1].health.ejected and fresh.relay.routes[0][-1].health.failure_score < 0.5
             assert kind(await rig.hand(rig.make("unsafe"), 1)) == "delivered"
         listener.close()
         assert rig.broken() == []
@@ -274,7 +278,7 @@
             token = ("--token-file", str(tmp_path / "token"))
             shown = await command("show", service.address, *token)
             assert shown.returncode == 0 and "firma" in shown.stdout and "well" in shown.stdout
-            assert service.relay.routes[0][-1].notified_relays == 0
+            assert service.relay.routes[0][-1].health.notified_relays == 0
             kept = await command("export", service.address, str(tmp_path / "kept"), *token)
             assert kept.returncode == 0
             assert (await command("diff", str(tmp_path / "kept"), service.address, *token)).returncode == 0
@@ -329,7 +333,7 @@
             fresh = await rig.relay(knowledge={"peers": [address, old_address]})
             await asked(fresh, 2)
             await asyncio.sleep(0.05)
-            assert not any(route.ejected for route, _ in fresh.relay.routing_table.known_routes(0).values())
+            assert not any(route.health.ejected for route, _ in fresh.relay.routing_table.known_routes(0).values())
             reasons = {doubt.reason for doubt in fresh.knowledge.doubts}
             assert reasons == {"learned from endpoints that are not its own now", "says out, too long ago"}
             assert kind(await rig.hand(rig.make("unsafe"), 1)) == "delivered"
--- a/tests/platform_relay/test_crossings.py
+++ b/tests/platform_relay/test_crossings.py
@@ -163,7 +163,7 @@
         node.leave(node.loop.time() - (EXIT_MS - STOP_ADMITTING_MS) / 1000)
         node.leave()
         assert await ask(node, hand_in("m")) == 503  # it takes nothing on any more
-        assert node.relay.shutdown_at < node.turns.now + STOP_ADMITTING_MS
+        assert node.relay.retry_policy.shutdown_at < node.turns.now + STOP_ADMITTING_MS
         async with asyncio.timeout(STOP_ADMITTING_MS / 1000 + 0.2):
             await node.over.wait()
         assert STOP_ACCEPTING_MS < STOP_ADMITTING_MS
@@ -333,6 +333,21 @@
     return RAW | {"classes": classes, "orgs": [{"name": f"{name}-org", "quota-per-s": 9.0}], "zones": [f"{name}-zone"]}
 
 
+def containers(owner: object) -> set[int]:
+    """The identities of all dicts, lists and sets that an engine and the parts of its own hold."""
+    found: set[int] = set()
+    parts, known = [owner], {id(owner)}
+    while parts:
+        for value in vars(parts.pop()).values():
+            if isinstance(value, (dict, list, set)):
+                found.add(id(value))
+            elif type(value).__module__.startswith("linnetstile.engine") and hasattr(value, "__dict__"):
+                if id(value) not in known:
+                    known.add(id(value))
+                    parts.append(value)
+    return found
+
+
 def test_two_relays_of_two_customers_in_one_process_share_nothing(tmp_path: Path) -> None:
     async def story(world: World) -> None:
         where = await world.discovery()
@@ -353,11 +368,9 @@
             await until(partial(idle, nodes[name]))
         assert not world.notices and len(ids(world)) == 6
         assert nodes["a"].relay.settings.classes[0].effect is not nodes["b"].relay.settings.classes[0].effect
-        mine, theirs = (
-            {id(each) for each in vars(nodes[name].relay).values() if isinstance(each, (dict, list, set))}
-            for name in customers
-        )
-        assert mine and not mine & theirs
+        mine, theirs = (containers(nodes[name].relay) for name in customers)
+        assert mine
+        assert not mine & theirs
 
     play(tmp_path, story)
 
--- a/tests/platform_relay/test_once.py
+++ b/tests/platform_relay/test_once.py
@@ -176,7 +176,7 @@
         if self.connection == "new":
             first.calls.pool.close_idle(next(iter(first.calls.pool.idle)))
         elif self.connection == "held":
-            first.relay.stale_connection_ratio = (
+            first.relay.connections.stale_ratio = (
                 1.0  # many connections were met closed: the last byte of unsafe calls waits
             )
         desk.calls.clear()
--- a/tests/platform_relay/test_relay.py
+++ b/tests/platform_relay/test_relay.py
@@ -607,7 +607,7 @@
         await world.endpoint(2, serve=slowly)
         node = await world.node()
         for _ in range(20):
-            node.relay.connection_scarcity[0].record(kept=False, refused=True, waits=False)
+            node.relay.connections.scarcity[0].record(is_reused=False, is_rejected=True, has_retry_after=False)
         assert set(await asyncio.gather(*(ask(node, hand_in(f"m{n}", destination=2)) for n in range(4)))) == {202}
         await until(partial(idle, node))
         assert len(made) == 1 and not node.calls.pool.resting  # used on while something waited
--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -83,7 +83,7 @@
 
 
 def listing() -> bytes:
-    entries = simulator_adapter.ENTRY.pack(1, 8.0, 0.0, 0, 0, 57, 11) + simulator_adapter.ENTRY.pack(
+    entries = simulator_adapter.ENDPOINT.pack(1, 8.0, 0.0, 0, 0, 57, 11) + simulator_adapter.ENDPOINT.pack(
         1, 8.0, 0.0, 0, 0, 57, 12
     )
     return record(20, struct.pack("<BI", 0, 2) + entries) + b""
@@ -118,8 +118,8 @@
     events: dict[int, list[Event]] = {}
     rows = "020000000" + "1" + "0000803f00000000000000000000003900074a1203"
     rows += "01" + "0000c03f0000000000d4b740000000" + "3900f211902c"
-    host._take(20, b"\0" + bytes.fromhex(rows), events)
-    host._take(30, bytes.fromhex("0300000002290000000000000000"), events)
+    host._take(simulator_adapter.Record(20, b"\0" + bytes.fromhex(rows)), events)
+    host._take(simulator_adapter.Record(30, bytes.fromhex("0300000002290000000000000000")), events)
     assert events[3] == [
         EndpointList(
             ListKind.CACHED,
@@ -145,7 +145,7 @@
     ],
 )
 def test_documented_actions_are_encoded(action: Action, wire: str | None) -> None:
-    coded = simulator_adapter.encode(3, 0.0, action)
+    coded = simulator_adapter.encode(3, action)
     if wire is None:
         assert coded.hex() == "0a1400000003000000c4913a5d074a1203" + struct.pack("<d", 8512.25).hex()
     else:
@@ -154,7 +154,7 @@
 
 def test_debug_line_is_encoded() -> None:
     wire = "5a1700000005000000110074776f2073657276657273206b6e6f776e"
-    assert simulator_adapter.encode(5, 0.0, Log("two servers known")).hex() == wire
+    assert simulator_adapter.encode(5, Log("two servers known")).hex() == wire
 
 
 def conversation() -> bytes:
@@ -170,7 +170,7 @@
     )
 
 
-def replies(data: bytes) -> list[list[tuple[int, bytes]]]:
+def replies(data: bytes) -> list[list[simulator_adapter.Record]]:
     out, at = [], 0
     while at < len(data):
         size, count = struct.unpack_from("<II", data, at)
