--- a/tests/engine/test_gossip.py
+++ b/tests/engine/test_gossip.py
@@ -20,6 +20,7 @@
     merge_claims,
     merge_connection_limits,
 )
+from linnetstile.engine.slow_start import count_aware_relays
 from tests.conftest import SAFE, UNSAFE, Driver, make_settings
 
 ROUTES: dict[tuple[str, int], set[int]] = {("p", -1): {11, 12}}
@@ -255,7 +256,7 @@
 
 
 def known_aware_relays(d: Driver) -> float:
-    return d.relay._knowers(d.now, d.relay.routing_table.open(d.now, 1)[-1])
+    return count_aware_relays(d.now, d.relay.routing_table.open(d.now, 1)[-1], d.settings.relay_count)
 
 
 def test_non_idempotent_messages_wait_where_others_claim_an_outage() -> None:
@@ -280,7 +281,7 @@
     d = fresh()
     d.warm_up()
     d.feed(GossipReceived((RouteFacts(1, outage_age_ms=100.0), RouteFacts(9, outage_age_ms=1.0))))
-    assert not d.relay.routes[1][-1].ejected
+    assert not d.relay.routes[1][-1].health.ejected
     (claim,) = gossip_export.export_claims(d.relay, d.now, {1: "p"})
     assert claim.answers > 3
     assert claim.out_age is None
