--- a/tests/engine/test_destinations.py
+++ b/tests/engine/test_destinations.py
@@ -32,13 +32,15 @@
 from linnetstile.engine.route_state import HealthState, LatencyEstimate, RateState, RouteState
 from linnetstile.engine.time_points import NEVER
 
-from ..conftest import SAFE, UNSAFE, Driver, make_settings
+from ..conftest import IDEMPOTENT, NON_IDEMPOTENT, EngineHarness, make_settings
 
 READY, DRAINING, GONE = EndpointStatus.READY, EndpointStatus.DRAINING, EndpointStatus.GONE
 
 
-def entry(ident: int, destination: int, listing: EndpointStatus = READY, rate: float = 20.0, **more: Any) -> Endpoint:
-    return Endpoint(ident, destination, listing, advertised_rate=rate, **more)
+def entry(
+    identifier: int, destination: int, listing: EndpointStatus = READY, rate: float = 20.0, **more: Any
+) -> Endpoint:
+    return Endpoint(identifier, destination, listing, advertised_rate=rate, **more)
 
 
 def changes(*entries: Endpoint) -> EndpointList:
@@ -46,44 +48,46 @@
 
 
 @pytest.fixture
-def rests(monkeypatch: pytest.MonkeyPatch) -> None:
+def evict_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
     """Every lane that may rest does so in its next turn."""
     monkeypatch.setattr(idle_routes, "MAX_RESIDENT_ROUTES", 0)
 
 
-def quiet(d: Driver, destination: int = 1) -> None:
+def let_evict(harness: EngineHarness, destination: int = 1) -> None:
     """Turns pass until the destination is at rest."""
     for _ in range(200):
-        if destination not in d.relay.routes:
+        if destination not in harness.engine.routes:
             break
-        d.pass_time(20, 20)
-    assert destination not in d.relay.routes and not d.relay.endpoints
+        harness.advance(20, 20)
+    assert destination not in harness.engine.routes
+    assert not harness.engine.endpoints
 
 
 # -- the index ---------------------------------------------------------------------------------------------
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_index_is_what_a_dict_is(seed: int) -> None:
+def test_the_index_behaves_like_a_dict(seed: int) -> None:
     rng, index = random.Random(seed), EndpointIndex()
     model: dict[int, Endpoint] = {}
     for _ in range(3000):
-        ident = rng.randrange(1, 400) << (24 if seed else 0)
-        if ident in model and rng.random() < 0.4:
-            index.pop(ident)
-            del model[ident]
+        identifier = rng.randrange(1, 400) << (24 if seed else 0)
+        if identifier in model and rng.random() < 0.4:
+            index.pop(identifier)
+            del model[identifier]
         else:
             made = entry(
-                ident,
+                identifier,
                 rng.randrange(60),
                 rate=float(rng.randrange(9)),
                 kind=rng.randrange(3),
                 zone=rng.randrange(9),
             )
             index.put(made)
-            model[ident] = made
+            model[identifier] = made
         destination = rng.randrange(60)
-        assert index.get(ident) == model.get(ident) and len(index) == len(model)
+        assert index.get(identifier) == model.get(identifier)
+        assert len(index) == len(model)
         assert index.endpoints_of(destination) == sorted(
             (e for e in model.values() if e.destination == destination), key=lambda e: e.id
         )
@@ -91,10 +95,10 @@
     assert sorted(index, key=lambda e: e.id) == sorted(model.values(), key=lambda e: e.id)
 
 
-def test_index_keeps_no_object_for_an_endpoint() -> None:
+def test_the_index_keeps_no_object_for_an_endpoint() -> None:
     index = EndpointIndex()
-    for ident in range(20_000):
-        index.put(entry(ident, ident // 2))
+    for identifier in range(20_000):
+        index.put(entry(identifier, identifier // 2))
     columns = (
         index.ids,
         index.destination_ids,
@@ -112,7 +116,7 @@
 # -- work --------------------------------------------------------------------------------------------------
 
 
-def turns_work(relay: DeliveryEngine, monkeypatch: pytest.MonkeyPatch, now: float, *events: Event) -> int:
+def work_of_a_turn(relay: DeliveryEngine, monkeypatch: pytest.MonkeyPatch, now: float, *events: Event) -> int:
     """Rows of the index that a turn looks at, with the lanes that it makes and the queues that it looks at."""
     count = 0
 
@@ -147,17 +151,18 @@
         changes(entry(7, 7, rate=9.0)),
         changes(entry(10**6, 7)),
         changes(entry(7, 8)),
-        Message(1, 7, SAFE, 5000.0),
+        Message(1, 7, IDEMPOTENT, 5000.0),
         TimerFired(0),
     ],
 )
-def test_a_turn_costs_what_it_is_about(event: Event, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_turn_costs_in_proportion_to_its_event(event: Event, monkeypatch: pytest.MonkeyPatch) -> None:
     work = []
     for size in (64, 4096):
         relay = DeliveryEngine(make_settings(), 1)
-        relay.handle(0.0, [changes(*(entry(ident, ident) for ident in range(size)))])
-        assert not relay.routes and len(relay.routing_table.index) == size
-        work.append(turns_work(relay, monkeypatch, 10.0, event))
+        relay.handle(0.0, [changes(*(entry(identifier, identifier) for identifier in range(size)))])
+        assert not relay.routes
+        assert len(relay.routing_table.index) == size
+        work.append(work_of_a_turn(relay, monkeypatch, 10.0, event))
     assert work[1] <= work[0] + 4  # a longer chain of the index
 
 
@@ -165,16 +170,16 @@
     work = []
     for size in (8, 1000):
         relay = DeliveryEngine(make_settings(max_pending_messages=10_000), 1)
-        relay.handle(0.0, [changes(*(entry(ident, ident) for ident in range(size + 1)))])
-        relay.handle(1.0, [Message(number, number, SAFE, 1e4) for number in range(size)])
+        relay.handle(0.0, [changes(*(entry(identifier, identifier) for identifier in range(size + 1)))])
+        relay.handle(1.0, [Message(number, number, IDEMPOTENT, 1e4) for number in range(size)])
         for step in range(200):  # as many are out as there are slots: all are told to wait
-            for ident, held in list(relay.queues.messages.items()):
+            for identifier, held in list(relay.queues.messages.items()):
                 if held.call is not None:
                     relay.handle(
                         2.0 + step,
                         [
                             AttemptEnded(
-                                ident,
+                                identifier,
                                 held.attempts - 1,
                                 held.call.endpoint.info.id,
                                 Outcome.REJECTED,
@@ -186,13 +191,14 @@
                     )
             if not relay.in_flight and not relay.queues.due_now:
                 break
-        assert len(relay.queues.queues) == size and not relay.queues.due_now
+        assert len(relay.queues.queues) == size
+        assert not relay.queues.due_now
         at = relay.queues.due_heap[0][0]
-        work.append(turns_work(relay, monkeypatch, at - 1.0, TimerFired(0)))
+        work.append(work_of_a_turn(relay, monkeypatch, at - 1.0, TimerFired(0)))
     assert work == [0, 0]
 
 
-def test_board_gives_the_queues_that_are_due_in_the_order_they_were_made() -> None:
+def test_due_queues_come_in_the_order_of_their_creation() -> None:
     rng, board = random.Random(5), MessageQueues()
     model: dict[int, float] = {}
     for destination in rng.sample(range(50), 50):
@@ -209,200 +215,220 @@
             board.schedule(destination, model[destination])
 
 
-def test_at_most_so_many_lanes_are_kept_and_the_latest_used_stay() -> None:
+def test_resident_routes_are_bounded_and_the_most_recently_used_stay() -> None:
     relay = DeliveryEngine(make_settings(max_pending_messages=10**6), 1)
-    relay.handle(0.0, [changes(*(entry(ident, ident) for ident in range(3 * idle_routes.MAX_RESIDENT_ROUTES)))])
+    relay.handle(
+        0.0, [changes(*(entry(identifier, identifier) for identifier in range(3 * idle_routes.MAX_RESIDENT_ROUTES)))]
+    )
     for number in range(3 * idle_routes.MAX_RESIDENT_ROUTES):
         now = 1.0 + number
-        (send,) = [act for act in relay.handle(now, [Message(number, number, SAFE, 5000.0)]) if isinstance(act, Send)]
+        (send,) = [
+            action
+            for action in relay.handle(now, [Message(number, number, IDEMPOTENT, 5000.0)])
+            if isinstance(action, Send)
+        ]
         relay.handle(now + 0.5, [AttemptEnded(number, 0, send.endpoint, Outcome.OK, 0.5, True)])
-    assert len(relay.routes) <= idle_routes.MAX_RESIDENT_ROUTES + 2 and len(relay.endpoints) == len(relay.routes)
-    assert (
-        max(relay.routes) == 3 * idle_routes.MAX_RESIDENT_ROUTES - 1
-        and min(relay.routes) >= 2 * idle_routes.MAX_RESIDENT_ROUTES - 2
-    )
+    assert len(relay.routes) <= idle_routes.MAX_RESIDENT_ROUTES + 2
+    assert len(relay.endpoints) == len(relay.routes)
+    assert max(relay.routes) == 3 * idle_routes.MAX_RESIDENT_ROUTES - 1
+    assert min(relay.routes) >= 2 * idle_routes.MAX_RESIDENT_ROUTES - 2
     assert not relay.routing_table.evicted  # nothing of them binds
 
 
-def test_1024_destinations_in_use_are_never_laid_to_rest() -> None:
+def test_1024_destinations_in_use_are_never_evicted() -> None:
     relay = DeliveryEngine(make_settings(max_pending_messages=10**6), 1)
-    relay.handle(0.0, [changes(*(entry(ident, ident) for ident in range(1024)))])
+    relay.handle(0.0, [changes(*(entry(identifier, identifier) for identifier in range(1024)))])
     for number in range(1024):
-        relay.handle(1.0 + number, [Message(number, number, SAFE, 1e5)])
+        relay.handle(1.0 + number, [Message(number, number, IDEMPOTENT, 1e5)])
     assert len(relay.routes) == 1024
 
 
 # -- rules over rest ---------------------------------------------------------------------------------------
 
 
-def test_a_told_wait_binds_over_rest(rests: None) -> None:
-    d = Driver()
-    d.listed((11, 1))
-    ident = d.message(SAFE)
-    d.answer(ident, Outcome.REJECTED, wait=2000.0)
-    told = d.now
-    d.feed(ClientCancelled(ident))
-    quiet(d)
-    assert d.relay.routing_table.evicted
-    ident = d.message(SAFE)
-    d.pass_time(1950 - (d.now - told))
-    assert d.tries.get(ident) is None
-    d.pass_time(3000)
-    assert d.tries[ident] == 1 and d.last(ident)[0] >= told + 2000.0
-
-
-def failing(outcome: Outcome) -> Driver:
+def test_a_retry_after_outlasts_eviction(evict_at_once: None) -> None:
+    harness = EngineHarness()
+    harness.list_endpoints((11, 1))
+    identifier = harness.submit(IDEMPOTENT)
+    harness.end_attempt(identifier, Outcome.REJECTED, retry_after_ms=2000.0)
+    answer = harness.now
+    harness.handle(ClientCancelled(identifier))
+    let_evict(harness)
+    assert harness.engine.routing_table.evicted
+    identifier = harness.submit(IDEMPOTENT)
+    harness.advance(1950 - (harness.now - answer))
+    assert harness.attempts.get(identifier) is None
+    harness.advance(3000)
+    assert harness.attempts[identifier] == 1
+    assert harness.last_send(identifier)[0] >= answer + 2000.0
+
+
+def failing(outcome: Outcome) -> EngineHarness:
     """A destination that is well, and then answers three messages so."""
-    d = Driver()
-    d.listed((11, 1))
-    d.warm_up()
+    harness = EngineHarness()
+    harness.list_endpoints((11, 1))
+    harness.warm_up()
     for _ in range(3):
-        ident = d.message(SAFE)
-        while not d.tries.get(ident):
-            d.pass_time(50, 50)
-        d.answer(ident, outcome)
-        d.feed(ClientCancelled(ident))
-    return d
+        identifier = harness.submit(IDEMPOTENT)
+        while not harness.attempts.get(identifier):
+            harness.advance(50, 50)
+        harness.end_attempt(identifier, outcome)
+        harness.handle(ClientCancelled(identifier))
+    return harness
 
 
-@pytest.mark.parametrize("pause", (100.0, 60_000.0))
-def test_an_outage_is_known_over_rest_and_its_return_stays_within_the_budget(rests: None, pause: float) -> None:
+@pytest.mark.parametrize("pause", [100.0, 60_000.0])
+def test_an_outage_outlasts_eviction_and_its_return_stays_within_the_budget(evict_at_once: None, pause: float) -> None:
     """Out, then quiet for long, then back: its first answer is followed by the part of the cold budget that one has."""
     sent = []
     for rest in (True, False):
         idle_routes.MAX_RESIDENT_ROUTES = 0 if rest else 2048  # the fixture's patch is undone after the test
-        d = failing(Outcome.CONNECT_FAILED)
-        assert d.relay.routing_table.known_routes(1)[-1][0].health.ejected
-        d.pass_time(pause, 50)
+        harness = failing(Outcome.CONNECT_FAILED)
+        assert harness.engine.routing_table.known_routes(1)[-1][0].health.ejected
+        harness.advance(pause, 50)
         if rest:
-            assert not d.relay.routes and d.relay.routing_table.known_routes(1)[-1][0].health.ejected
-        back = len(d.sent)
+            assert not harness.engine.routes
+            assert harness.engine.routing_table.known_routes(1)[-1][0].health.ejected
+        back = len(harness.sends)
         for _ in range(40):
-            d.message(SAFE)
-            d.pass_time(50, 50)
-            for out in list(d.out):
-                d.answer(out)
-        sent.append(len(d.sent) - back)
+            harness.submit(IDEMPOTENT)
+            harness.advance(50, 50)
+            for out in list(harness.in_flight):
+                harness.end_attempt(out)
+        sent.append(len(harness.sends) - back)
     assert sent[0] <= sent[1] + 1  # no more than by one that never slept
 
 
-def test_unsafe_messages_wait_over_rest_for_a_destination_that_is_out(rests: None) -> None:
-    d = failing(Outcome.TIMEOUT)
-    failed = d.now
-    quiet(d)
-    ident = d.message(UNSAFE, left=20_000.0)
-    d.pass_time(9900 - (d.now - failed))
-    assert d.tries.get(ident) is None
+def test_non_idempotent_messages_wait_for_an_ejected_destination_over_eviction(evict_at_once: None) -> None:
+    harness = failing(Outcome.TIMEOUT)
+    failed = harness.now
+    let_evict(harness)
+    identifier = harness.submit(NON_IDEMPOTENT, remaining_ms=20_000.0)
+    harness.advance(9900 - (harness.now - failed))
+    assert harness.attempts.get(identifier) is None
 
 
-@pytest.mark.parametrize("listing", (DRAINING, GONE, None))
-def test_an_endpoint_removed_while_quiet_is_not_called(rests: None, listing: EndpointStatus | None) -> None:
-    d = Driver()
-    d.listed((11, 1), (12, 1), (21, 2))
-    d.warm_up()
-    quiet(d)
+@pytest.mark.parametrize("listing", [DRAINING, GONE, None])
+def test_an_endpoint_removed_while_evicted_is_not_called(evict_at_once: None, listing: EndpointStatus | None) -> None:
+    harness = EngineHarness()
+    harness.list_endpoints((11, 1), (12, 1), (21, 2))
+    harness.warm_up()
+    let_evict(harness)
     if listing is None:
-        d.feed(EndpointList(ListKind.FULL, (entry(12, 1), entry(21, 2))))
+        harness.handle(EndpointList(ListKind.FULL, (entry(12, 1), entry(21, 2))))
     else:
-        d.feed(changes(entry(11, 1, listing)))
-    before = len(d.sent)
+        harness.handle(changes(entry(11, 1, listing)))
+    before = len(harness.sends)
     for _ in range(8):
-        ident = d.message()
-        d.pass_time(100)
-        d.answer(ident)
-    assert {send.endpoint for _, send in d.sent[before:]} == {12}
+        identifier = harness.submit()
+        harness.advance(100)
+        harness.end_attempt(identifier)
+    assert {send.endpoint for _, send in harness.sends[before:]} == {12}
 
 
-@pytest.mark.parametrize("late", (3000.0, 30_000.0))
-def test_a_destination_replaced_while_quiet_is_cold_if_it_comes_back_late(rests: None, late: float) -> None:
+@pytest.mark.parametrize("late", [3000.0, 30_000.0])
+def test_a_destination_replaced_while_evicted_is_in_slow_start_if_it_comes_back_late(
+    evict_at_once: None, late: float
+) -> None:
     """As one in use: its last endpoint left, and another comes while that may still be its return."""
-    d = Driver()
-    d.listed((11, 1), (21, 2))
-    d.warm_up()
-    quiet(d)
-    d.feed(changes(entry(11, 1, GONE)))
-    quiet(d)
-    assert d.relay.routing_table.evicted
-    d.pass_time(late, 100)
-    assert bool(d.relay.routing_table.evicted) == (late < 10_000.0)  # of what has faded nothing is kept
-    d.feed(changes(entry(12, 1)))
-    route = d.relay.routing_table.open(d.now, 1)[-1]
-    assert (route.health.slow_start_since == d.now) == (late < 10_000.0) and set(route.endpoints) == {12}
-
-
-def test_a_change_while_a_call_is_out_meets_its_lane(rests: None) -> None:
-    d = Driver()
-    d.listed((11, 1))
-    ident = d.message(SAFE)
-    d.pass_time(100)
-    assert d.tries[ident] == 1 and 1 in d.relay.routes
-    actions = d.feed(changes(entry(11, 1, DRAINING)))
-    assert [act.id for act in actions if isinstance(act, CancelIfUnsent)] == [ident]
-    d.pass_time(100)
-    d.feed(changes(entry(12, 1)))
-    d.answer(ident, Outcome.TIMEOUT)
-    assert not d.relay.in_flight and not any(route.calls for route in d.relay.routing_table.open(d.now, 1).values())
-    d.pass_time(3000)
-    assert d.last(ident)[1].endpoint == 12 and d.tries[ident] == 2
-
-
-def test_a_message_for_what_is_listed_later_goes_then(rests: None) -> None:
-    d = Driver()
-    d.listed((21, 2))
-    ident = d.message(SAFE, destination=1)
-    d.pass_time(500)
-    assert d.tries.get(ident) is None
-    d.feed(changes(entry(11, 1)))
-    assert d.tries[ident] == 1
-
-
-def test_a_listed_rate_that_changes_while_quiet_is_in_force_when_it_is_used(rests: None) -> None:
-    d = Driver()
-    d.listed((11, 1))
-    d.warm_up()
-    quiet(d)
-    d.feed(changes(entry(11, 1, rate=80.0)))
-    assert d.relay.routing_table.open(d.now, 1)[-1].rate.fleet_rate == 80.0
-
-
-def test_what_was_learned_of_one_at_rest_binds(rests: None) -> None:
-    d = Driver()
-    d.listed((11, 1))
-    d.feed(GossipReceived((RouteFacts(1, outage_age_ms=500.0, aware_relays=2.0), RouteFacts(99, outage_age_ms=500.0))))
-    quiet(d)
-    d.feed(GossipSent(((1, -1),)))
-    route, ends = d.relay.routing_table.known_routes(1)[-1]
-    assert route.health.ejected and route.health.from_gossip and route.health.notified_relays == 3.0 and ends == (11,)
-    assert 99 not in d.relay.routes and 99 not in d.relay.routing_table.evicted
-
-
-def test_one_that_comes_into_use_has_time_though_others_answer_quickly() -> None:
+    harness = EngineHarness()
+    harness.list_endpoints((11, 1), (21, 2))
+    harness.warm_up()
+    let_evict(harness)
+    harness.handle(changes(entry(11, 1, GONE)))
+    let_evict(harness)
+    assert harness.engine.routing_table.evicted
+    harness.advance(late, 100)
+    assert bool(harness.engine.routing_table.evicted) == (late < 10_000.0)  # of what has faded nothing is kept
+    harness.handle(changes(entry(12, 1)))
+    route = harness.engine.routing_table.open(harness.now, 1)[-1]
+    assert (route.health.slow_start_since == harness.now) == (late < 10_000.0)
+    assert set(route.endpoints) == {12}
+
+
+def test_a_change_while_a_call_is_in_flight_meets_its_route(evict_at_once: None) -> None:
+    harness = EngineHarness()
+    harness.list_endpoints((11, 1))
+    identifier = harness.submit(IDEMPOTENT)
+    harness.advance(100)
+    assert harness.attempts[identifier] == 1
+    assert 1 in harness.engine.routes
+    actions = harness.handle(changes(entry(11, 1, DRAINING)))
+    assert [action.id for action in actions if isinstance(action, CancelIfUnsent)] == [identifier]
+    harness.advance(100)
+    harness.handle(changes(entry(12, 1)))
+    harness.end_attempt(identifier, Outcome.TIMEOUT)
+    assert not harness.engine.in_flight
+    assert not any(route.calls for route in harness.engine.routing_table.open(harness.now, 1).values())
+    harness.advance(3000)
+    assert harness.last_send(identifier)[1].endpoint == 12
+    assert harness.attempts[identifier] == 2
+
+
+def test_a_message_for_a_destination_listed_later_goes_then(evict_at_once: None) -> None:
+    harness = EngineHarness()
+    harness.list_endpoints((21, 2))
+    identifier = harness.submit(IDEMPOTENT, destination=1)
+    harness.advance(500)
+    assert harness.attempts.get(identifier) is None
+    harness.handle(changes(entry(11, 1)))
+    assert harness.attempts[identifier] == 1
+
+
+def test_an_advertised_rate_that_changes_while_evicted_holds_at_the_next_use(evict_at_once: None) -> None:
+    harness = EngineHarness()
+    harness.list_endpoints((11, 1))
+    harness.warm_up()
+    let_evict(harness)
+    harness.handle(changes(entry(11, 1, rate=80.0)))
+    assert harness.engine.routing_table.open(harness.now, 1)[-1].rate.fleet_rate == 80.0
+
+
+def test_gossip_about_an_evicted_destination_binds(evict_at_once: None) -> None:
+    harness = EngineHarness()
+    harness.list_endpoints((11, 1))
+    harness.handle(
+        GossipReceived((RouteFacts(1, outage_age_ms=500.0, aware_relays=2.0), RouteFacts(99, outage_age_ms=500.0)))
+    )
+    let_evict(harness)
+    harness.handle(GossipSent(((1, -1),)))
+    route, ends = harness.engine.routing_table.known_routes(1)[-1]
+    assert route.health.ejected
+    assert route.health.from_gossip
+    assert route.health.notified_relays == 3.0
+    assert ends == (11,)
+    assert 99 not in harness.engine.routes
+    assert 99 not in harness.engine.routing_table.evicted
+
+
+def test_a_new_destination_has_time_though_others_answer_quickly() -> None:
     """What a usual one answers in says nothing of it: its first call was given up after a tenth of the time before."""
     given = []
     for quick in (0, 40):
-        d = Driver()
-        d.listed((11, 1), (21, 2))
+        harness = EngineHarness()
+        harness.list_endpoints((11, 1), (21, 2))
         if quick:
-            d.warm_up(1, quick)
-        start, ident = d.now, d.message(SAFE, destination=2, left=9000.0)
-        given.append(d.last(ident)[1].timeout_at_ms - start)
+            harness.warm_up(1, quick)
+        start, identifier = harness.now, harness.submit(IDEMPOTENT, destination=2, remaining_ms=9000.0)
+        given.append(harness.last_send(identifier)[1].timeout_at_ms - start)
     assert given[0] == given[1] >= 2000.0
 
 
-@pytest.mark.parametrize("used", (True, False))
-def test_a_destination_replaced_at_once_while_quiet_has_its_first_call_at_once(used: bool) -> None:
+@pytest.mark.parametrize("used", [True, False])
+def test_a_destination_replaced_at_once_while_evicted_has_its_first_call_at_once(used: bool) -> None:
     """What was saved up while it was quiet counts, whether it had a lane or not: else the first message would wait for
     the cold budget of one relay of many, longer than its time."""
-    d = Driver(make_settings(relay_count=400))
-    d.listed((11, 1))
+    harness = EngineHarness(make_settings(relay_count=400))
+    harness.list_endpoints((11, 1))
     if used:
-        d.warm_up()
-    d.pass_time(30_000, 500)
-    d.feed(changes(entry(11, 1, GONE), entry(12, 1)))
-    start, idents = d.now, [d.message(SAFE) for _ in range(4)]
-    d.pass_time(20)
-    assert [at for at, _ in d.sent if at >= start] == [start]  # the others wait: it is cold
-    assert d.relay.routes[1][-1].health.slow_start_since == start and d.tries.get(idents[0]) == 1
+        harness.warm_up()
+    harness.advance(30_000, 500)
+    harness.handle(changes(entry(11, 1, GONE), entry(12, 1)))
+    start, idents = harness.now, [harness.submit(IDEMPOTENT) for _ in range(4)]
+    harness.advance(20)
+    assert [at for at, _ in harness.sends if at >= start] == [start]  # the others wait: it is cold
+    assert harness.engine.routes[1][-1].health.slow_start_since == start
+    assert harness.attempts.get(idents[0]) == 1
 
 
 # -- the record --------------------------------------------------------------------------------------------
--- a/tests/engine/test_gossip.py
+++ b/tests/engine/test_gossip.py
@@ -21,7 +21,7 @@
     merge_connection_limits,
 )
 from linnetstile.engine.slow_start import count_aware_relays
-from tests.conftest import SAFE, UNSAFE, Driver, make_settings
+from tests.conftest import IDEMPOTENT, NON_IDEMPOTENT, EngineHarness, make_settings
 
 ROUTES: dict[tuple[str, int], set[int]] = {("p", -1): {11, 12}}
 
@@ -204,17 +204,17 @@
 def test_merged_rate_throttles_a_fresh_relay() -> None:
     sends = []
     for rate in (0.0, 1.0):
-        d = fresh(rate=rate)
+        harness = fresh(rate=rate)
         for _ in range(20):
-            d.message(SAFE)
-        d.pass_time(900)
-        sends.append(len(d.sent))
+            harness.submit(IDEMPOTENT)
+        harness.advance(900)
+        sends.append(len(harness.sends))
     assert sends[1] < sends[0]
-    d = fresh()
-    d.feed(GossipReceived((), connection_limited=((0, 0.5),)))
-    ident = d.message(SAFE)
-    d.pass_time(50)
-    assert any(isinstance(act, CloseIdle) for act in d.answer(ident))
+    harness = fresh()
+    harness.handle(GossipReceived((), connection_limited=((0, 0.5),)))
+    message_id = harness.submit(IDEMPOTENT)
+    harness.advance(50)
+    assert any(isinstance(action, CloseIdle) for action in harness.end_attempt(message_id))
 
 
 def test_impossible_ages_have_no_weight() -> None:
@@ -224,82 +224,84 @@
 # -- in the engine ---------------------------------------------------------------------------------------
 
 
-def fresh(relays: int = 4, **fact: Any) -> Driver:
-    d = Driver(make_settings(relay_count=relays))
-    d.listed((11, 1))
+def fresh(relays: int = 4, **fact: Any) -> EngineHarness:
+    harness = EngineHarness(make_settings(relay_count=relays))
+    harness.list_endpoints((11, 1))
     if fact:
-        d.feed(GossipReceived((RouteFacts(1, **fact),)))
-    return d
+        harness.handle(GossipReceived((RouteFacts(1, **fact),)))
+    return harness
 
 
 def test_fresh_relay_that_learned_of_an_outage_sends_trials_within_the_slow_start_budget() -> None:
     sends = []
     facts: list[dict[str, Any]] = [{}, {"outage_age_ms": 4000.0, "aware_relays": 4.0}]
     for fact in facts:
-        d = fresh(**fact)
+        harness = fresh(**fact)
         for _ in range(30):
-            d.message(SAFE)
-            d.pass_time(100)
-            for ident in list(d.out):
-                d.answer(ident)
-        sends.append(len(d.sent))
+            harness.submit(IDEMPOTENT)
+            harness.advance(100)
+            for message_id in list(harness.in_flight):
+                harness.end_attempt(message_id)
+        sends.append(len(harness.sends))
     assert sends[0] == 30
     # 3 s of the cold budget (20 a second, a fifth, twice), shared by four: 6 calls, warming meanwhile.
     assert sends[1] <= 10
 
 
 def test_larger_relay_count_of_others_is_taken_over() -> None:
-    d = fresh(relays=4, outage_age_ms=4000.0, aware_relays=40.0)
-    assert known_aware_relays(d) == 40.0
-    d = fresh(relays=4)
-    assert known_aware_relays(d) <= 4.0
+    harness = fresh(relays=4, outage_age_ms=4000.0, aware_relays=40.0)
+    assert known_aware_relays(harness) == 40.0
+    harness = fresh(relays=4)
+    assert known_aware_relays(harness) <= 4.0
 
 
-def known_aware_relays(d: Driver) -> float:
-    return count_aware_relays(d.now, d.relay.routing_table.open(d.now, 1)[-1], d.settings.relay_count)
+def known_aware_relays(harness: EngineHarness) -> float:
+    return count_aware_relays(
+        harness.now, harness.engine.routing_table.open(harness.now, 1)[-1], harness.settings.relay_count
+    )
 
 
 def test_non_idempotent_messages_wait_where_others_claim_an_outage() -> None:
-    d = fresh(outage_age_ms=4000.0, aware_relays=4.0)
-    ident = d.message(UNSAFE)
-    d.pass_time(4000, 20)
-    assert ident not in d.tries
-    d.pass_time(3000, 20)
-    assert ident in d.tries
+    harness = fresh(outage_age_ms=4000.0, aware_relays=4.0)
+    message_id = harness.submit(NON_IDEMPOTENT)
+    harness.advance(4000, 20)
+    assert message_id not in harness.attempts
+    harness.advance(3000, 20)
+    assert message_id in harness.attempts
 
 
 def test_merged_retry_after_binds() -> None:
-    d = fresh(retry_after_ms=2000.0)
-    ident = d.message(SAFE)
-    d.pass_time(1990)
-    assert ident not in d.tries
-    d.pass_time(1000)
-    assert ident in d.tries
+    harness = fresh(retry_after_ms=2000.0)
+    message_id = harness.submit(IDEMPOTENT)
+    harness.advance(1990)
+    assert message_id not in harness.attempts
+    harness.advance(1000)
+    assert message_id in harness.attempts
 
 
 def test_own_evidence_is_not_overruled_and_merged_claims_are_not_exported() -> None:
-    d = fresh()
-    d.warm_up()
-    d.feed(GossipReceived((RouteFacts(1, outage_age_ms=100.0), RouteFacts(9, outage_age_ms=1.0))))
-    assert not d.relay.routes[1][-1].health.ejected
-    (claim,) = gossip_export.export_claims(d.relay, d.now, {1: "p"})
+    harness = fresh()
+    harness.warm_up()
+    harness.handle(GossipReceived((RouteFacts(1, outage_age_ms=100.0), RouteFacts(9, outage_age_ms=1.0))))
+    assert not harness.engine.routes[1][-1].health.ejected
+    (claim,) = gossip_export.export_claims(harness.engine, harness.now, {1: "p"})
     assert claim.answers > 3
     assert claim.out_age is None
     assert claim.endpoints == (11,)
     other = fresh(outage_age_ms=4000.0)
-    assert gossip_export.export_claims(other.relay, other.now, {1: "p"}) == []
-    assert gossip_export.known_routes(other.relay, {1: "p"})[1] == set()
+    assert gossip_export.export_claims(other.engine, other.now, {1: "p"}) == []
+    assert gossip_export.known_routes(other.engine, {1: "p"})[1] == set()
 
 
 def test_notified_relays_count_as_aware() -> None:
-    d = fresh(relays=50)
-    d.warm_up()
+    harness = fresh(relays=50)
+    harness.warm_up()
     for _ in range(2):
-        ident = d.message(SAFE)
-        d.pass_time(600, 20)
-        if ident in d.out:
-            d.answer(ident, Outcome.CONNECT_FAILED)
-    before = gossip_export.export_claims(d.relay, d.now, {1: "p"})[0].knowers
+        message_id = harness.submit(IDEMPOTENT)
+        harness.advance(600, 20)
+        if message_id in harness.in_flight:
+            harness.end_attempt(message_id, Outcome.CONNECT_FAILED)
+    before = gossip_export.export_claims(harness.engine, harness.now, {1: "p"})[0].knowers
     for _ in range(5):
-        d.feed(GossipSent(((1, -1), (7, -1))))
-    assert gossip_export.export_claims(d.relay, d.now, {1: "p"})[0].knowers == pytest.approx(before + 5)
+        harness.handle(GossipSent(((1, -1), (7, -1))))
+    assert gossip_export.export_claims(harness.engine, harness.now, {1: "p"})[0].knowers == pytest.approx(before + 5)
--- a/tests/engine/test_recovery_throttle.py
+++ b/tests/engine/test_recovery_throttle.py
@@ -5,7 +5,7 @@
 from linnetstile.engine.events import Message, MessageRecovered
 from linnetstile.engine.recovery_throttle import tokens_after_recovery
 
-from ..conftest import SAFE, Driver, make_settings
+from ..conftest import IDEMPOTENT, EngineHarness, make_settings
 
 
 def test_only_a_message_that_had_waited_without_an_attempt_takes_the_tokens() -> None:
@@ -15,25 +15,25 @@
     assert tokens_after_recovery(3.0, 0.4, 0, 900.0) == 3.0  # it came as the process before ended
 
 
-def restarted(seed: int, age: float) -> Driver:
+def restarted(seed: int, age: float) -> EngineHarness:
     """One of 200 relays that recovers six messages for a destination which takes 80 requests a second from all."""
-    driver = Driver(make_settings(relay_count=200), seed=seed)
-    driver.listed((11, 1), rate=80.0)
-    driver.feed(*(MessageRecovered(Message(ident, 1, SAFE, 8000.0), age) for ident in range(1, 7)))
-    driver.ids = 6
-    return driver
+    harness = EngineHarness(make_settings(relay_count=200), seed=seed)
+    harness.list_endpoints((11, 1), advertised_rate=80.0)
+    harness.handle(*(MessageRecovered(Message(message_id, 1, IDEMPOTENT, 8000.0), age) for message_id in range(1, 7)))
+    harness.last_id = 6
+    return harness
 
 
 def test_relays_that_restart_with_backlogs_do_not_send_them_in_one_burst() -> None:
     """Without the throttle each sends three at once: 600 in the first moment, where 80 a second are taken."""
     fleet = [restarted(seed, 5000.0) for seed in range(200)]
-    assert sum(len(driver.sent) for driver in fleet) <= 2
-    for driver in fleet:
-        driver.pass_time(2000, step=50.0)
-    sent_at = sorted(at for driver in fleet for at, _ in driver.sent)
+    assert sum(len(harness.sends) for harness in fleet) <= 2
+    for harness in fleet:
+        harness.advance(2000, step_ms=50.0)
+    sent_at = sorted(at for harness in fleet for at, _ in harness.sends)
     per_second = [sum(start <= at < start + 1000 for at in sent_at) for start in (1000, 2000)]
     assert all(60 <= count <= 140 for count in per_second), per_second  # an unpaced start is 100 a second
 
 
 def test_messages_that_had_just_come_use_the_tokens() -> None:
-    assert len(restarted(1, 900.0).sent) == 3
+    assert len(restarted(1, 900.0).sends) == 3
--- a/tests/engine/test_resource_limits.py
+++ b/tests/engine/test_resource_limits.py
@@ -6,19 +6,19 @@
 
 
 def test_all_open_identifiers_are_known_beyond_the_limit_of_ended_ones() -> None:
-    ids = SubmissionIds()
+    message_ids = SubmissionIds()
     for number in range(MAX_ENDED_IDS + 5):  # none of them has ended
-        ids.add(str(number))
-    assert all(str(number) in ids for number in range(MAX_ENDED_IDS + 5))
-    assert not ids.ended
+        message_ids.add(str(number))
+    assert all(str(number) in message_ids for number in range(MAX_ENDED_IDS + 5))
+    assert not message_ids.ended
 
 
 def test_latest_ended_identifiers_are_known() -> None:
-    ids = SubmissionIds(max_ended=3)
+    message_ids = SubmissionIds(max_ended=3)
     for number in range(9):
-        ids.add(str(number))
+        message_ids.add(str(number))
     for number in range(5):
-        ids.complete(str(number))
-    assert [number for number in range(9) if str(number) in ids] == [2, 3, 4, 5, 6, 7, 8]
-    ids.complete("3")  # a second end counts once
-    assert list(ids.ended) == ["2", "3", "4"]
+        message_ids.complete(str(number))
+    assert [number for number in range(9) if str(number) in message_ids] == [2, 3, 4, 5, 6, 7, 8]
+    message_ids.complete("3")  # a second end counts once
+    assert list(message_ids.ended) == ["2", "3", "4"]
--- a/tests/engine/test_send_order.py
+++ b/tests/engine/test_send_order.py
@@ -7,7 +7,7 @@
 from linnetstile.engine.send_order import expected_send_times, urgency
 from linnetstile.engine.settings import Effect, MessageClass, Tenant, ValueDecay
 
-from ..conftest import Driver, make_settings
+from ..conftest import EngineHarness, make_settings
 
 SLOW = MessageClass(
     "slow", Effect.IDEMPOTENT, latency_objective_ms=4000.0, deadline_ms=16000.0, late_value_fraction=0.5
@@ -22,9 +22,9 @@
 )
 
 
-def held(ident: int, message_class: MessageClass) -> PendingMessage:
+def pending(message_id: int, message_class: MessageClass) -> PendingMessage:
     return PendingMessage(
-        Message(ident, 1, 0, message_class.deadline_ms),
+        Message(message_id, 1, 0, message_class.deadline_ms),
         message_class,
         0.0,
         message_class.deadline_ms,
@@ -34,8 +34,8 @@
     )
 
 
-def test_the_turn_goes_by_what_is_sent_first() -> None:
-    queue = [held(1, SLOW), held(2, SLOW), held(3, QUICK), held(4, replace(SLOW, priority_weight=2.0))]
+def test_expected_send_times_follow_the_order_of_sending() -> None:
+    queue = [pending(1, SLOW), pending(2, SLOW), pending(3, QUICK), pending(4, replace(SLOW, priority_weight=2.0))]
     assert expected_send_times(queue, 1000.0, 500.0, ValueDecay.HALF_LIFE) == {
         3: 1500.0,
         4: 2000.0,
@@ -45,53 +45,63 @@
     assert expected_send_times([], 0.0, 500.0, ValueDecay.LINEAR) == {}
 
 
-def test_what_waiting_costs_most_comes_first_among_equal_worth() -> None:
+def test_among_equal_values_the_one_that_waiting_costs_most_comes_first() -> None:
     same = replace(QUICK, priority_weight=SLOW.priority_weight)
-    assert urgency(held(1, same), 1400.0, ValueDecay.HALF_LIFE) > urgency(held(2, SLOW), 1400.0, ValueDecay.HALF_LIFE)
+    assert urgency(pending(1, same), 1400.0, ValueDecay.HALF_LIFE) > urgency(
+        pending(2, SLOW), 1400.0, ValueDecay.HALF_LIFE
+    )
 
 
-def paced(**settings: object) -> Driver:
+def rate_limited(**settings: object) -> EngineHarness:
     """Destination 1 is paced at a call a second, and has been called."""
-    d = Driver(
+    harness = EngineHarness(
         make_settings(classes=(SLOW, QUICK), value_decay=ValueDecay.HALF_LIFE, clients_mark_retries=True, **settings)
     )
-    d.listed((11, 1), rate=2.0)
-    d.warm_up()
-    return d
-
-
-def test_a_message_that_goes_next_is_not_refused_for_the_length_of_its_queue() -> None:
-    d = paced(max_pending_messages=14)
-    slow = [d.message(0, left=16000.0) for _ in range(11)]
-    assert not set(slow) & set(d.ended) and len(d.relay.queues.queues[1]) > 8
-    quick = d.message(1, left=8000.0)  # the queue takes longer than this to drain, but this one is sent first
-    assert quick not in d.ended and len(set(slow) & set(d.ended)) == 1
-    d.pass_time(2500)
-    assert d.tries.get(quick) == 1
-
-
-def test_a_repeat_is_not_charged_to_its_tenant_again() -> None:
+    harness.list_endpoints((11, 1), advertised_rate=2.0)
+    harness.warm_up()
+    return harness
+
+
+def test_a_message_that_goes_next_is_not_shed_for_the_length_of_its_queue() -> None:
+    harness = rate_limited(max_pending_messages=14)
+    slow = [harness.submit(0, remaining_ms=16000.0) for _ in range(11)]
+    assert not set(slow) & set(harness.final_answers)
+    assert len(harness.engine.queues.queues[1]) > 8
+    quick = harness.submit(
+        1, remaining_ms=8000.0
+    )  # the queue takes longer than this to drain, but this one is sent first
+    assert quick not in harness.final_answers
+    assert len(set(slow) & set(harness.final_answers)) == 1
+    harness.advance(2500)
+    assert harness.attempts.get(quick) == 1
+
+
+def test_a_retry_is_not_charged_to_its_tenant_again() -> None:
     """Clients come again for what was refused, several times while destinations are shut: their first tries have been
     charged, and new messages of the tenant are inside its share still."""
     tenants = (Tenant("a", 4.0), Tenant("b", 4.0))
-    d = paced(max_pending_messages=100, tenants=tenants, over_quota_value_factor=0.1)
-    d.pass_time(3000)
+    harness = rate_limited(max_pending_messages=100, tenants=tenants, over_quota_value_factor=0.1)
+    harness.advance(3000)
     for again, dead in ((True, False), (False, True), (True, False), (True, False), (True, False)):
-        d.ids += 1
-        d.feed(Message(d.ids, 1, 0, 9000.0, 0, is_retry=again, from_dead_relay=dead))
-    new = d.message(0, left=16000.0)
-    assert d.relay.queues.messages[new].priority_weight == SLOW.priority_weight
-    more = [d.message(0, left=16000.0) for _ in range(4)]  # new ones are charged
-    assert [d.relay.queues.messages[ident].priority_weight for ident in more] == [1.0, 1.0, 1.0, 0.1]
+        harness.last_id += 1
+        harness.handle(Message(harness.last_id, 1, 0, 9000.0, 0, is_retry=again, from_dead_relay=dead))
+    new = harness.submit(0, remaining_ms=16000.0)
+    assert harness.engine.queues.messages[new].priority_weight == SLOW.priority_weight
+    more = [harness.submit(0, remaining_ms=16000.0) for _ in range(4)]  # new ones are charged
+    assert [harness.engine.queues.messages[message_id].priority_weight for message_id in more] == [1.0, 1.0, 1.0, 0.1]
 
 
-def test_a_share_of_less_than_half_a_message_a_second_is_a_share_still() -> None:
+def test_a_quota_of_less_than_half_a_message_a_second_still_admits_messages() -> None:
     """Of many relays each has a small part of it. Two seconds of that were saved up at most: less than one message, so
     that every message of the tenant counted as over its share."""
-    d = paced(max_pending_messages=100, relay_count=200, tenants=(Tenant("small", 40.0),), over_quota_value_factor=0.1)
-    d.pass_time(20_000, 1000)
-    worth = []
+    harness = rate_limited(
+        max_pending_messages=100, relay_count=200, tenants=(Tenant("small", 40.0),), over_quota_value_factor=0.1
+    )
+    harness.advance(20_000, 1000)
+    weights = []
     for _ in range(4):  # one in 5 s is inside a share of 0.2 a second
-        worth += [d.relay.queues.messages[d.message(0, left=16000.0)].priority_weight for _ in range(2)]
-        d.pass_time(5100, 100)
-    assert worth == [1.0, 0.1] * 4
+        weights += [
+            harness.engine.queues.messages[harness.submit(0, remaining_ms=16000.0)].priority_weight for _ in range(2)
+        ]
+        harness.advance(5100, 100)
+    assert weights == [1.0, 0.1] * 4
--- a/tests/test_machine.py
+++ b/tests/test_engine_invariants.py
@@ -33,8 +33,8 @@
     ValueDecay,
 )
 
-from .checker import Breach, Checker
 from .conftest import make_settings
+from .invariant_checker import InvariantChecker, RuleViolationError
 
 OUTCOMES = [o for o in Outcome if o is not Outcome.NOT_SENT]
 
@@ -75,21 +75,21 @@
 @given(setups(), st.integers(0, 2**32))
 def test_no_rule_breaks_under_legal_events(setup: Settings, seed: int) -> None:
     rng = random.Random(seed)
-    relay, watch, now = DeliveryEngine(setup, 5), Checker(setup), 500.0
+    relay, checker, now = DeliveryEngine(setup, 5), InvariantChecker(setup), 500.0
     out: dict[tuple[int, int], Send] = {}
     tries: dict[int, int] = {}
     timers: list[float] = []
     names = [(11, 1, 0), (12, 1, 1), (13, 2, 0)]
-    listed = [Endpoint(e, d, EndpointStatus.READY, 0, z, 20.0) for e, d, z in names]
+    listed = [Endpoint(e, harness, EndpointStatus.READY, 0, z, 20.0) for e, harness, z in names]
     events: list[Event] = [EndpointList(ListKind.CACHED, tuple(listed))]
-    ids, mood = 0, 0.2
+    message_ids, mood = 0, 0.2
     for step in range(160):
         for event in events:
-            watch.event(now, event)
+            checker.observe_event(now, event)
         for action in relay.handle(now, events):
-            watch.action(now, action)
+            checker.observe_action(now, action)
             if isinstance(action, Reject):
-                left = max(0.0, watch.seen[action.id].due - now)
+                left = max(0.0, checker.messages[action.id].deadline - now)
                 assert 0 <= action.retry_after_ms <= min(setup.max_retry_after_ms, left)
             if isinstance(action, Send):
                 number = tries.get(action.id, 0)
@@ -103,22 +103,22 @@
         timers = [t for t in timers if t > now]
         if step % 20 == 0:
             mood = rng.choice([0.0, 0.2, 0.9])
-        for (ident, number), send in list(out.items()):
+        for (message_id, number), send in list(out.items()):
             if now >= send.timeout_at_ms or rng.random() < 0.15:
                 outcome = rng.choice(OUTCOMES) if rng.random() < mood else Outcome.OK
                 outcome = Outcome.TIMEOUT if now >= send.timeout_at_ms else outcome
                 wait = rng.choice([0.0, 300.0]) if outcome is Outcome.REJECTED else 0.0
-                finished = outcome is Outcome.OK or watch.seen[ident].over
-                del out[ident, number]
+                finished = outcome is Outcome.OK or checker.messages[message_id].has_ended
+                del out[message_id, number]
                 report = (rng.random(), 20.0) if setup.load_report_fields else ()
                 events.append(
-                    AttemptEnded(ident, number, send.endpoint, outcome, 80.0, finished, wait, load_report=report)
+                    AttemptEnded(message_id, number, send.endpoint, outcome, 80.0, finished, wait, load_report=report)
                 )
         if rng.random() < 0.4 and step < 120:
-            ids += 1
+            message_ids += 1
             events.append(
                 Message(
-                    ids,
+                    message_ids,
                     rng.choice([1, 2, 3]),
                     rng.randrange(len(setup.classes)),
                     rng.choice([300.0, 2000.0, 4000.0]),
@@ -132,83 +132,87 @@
             state = rng.choice(list(EndpointStatus)) if kind is ListKind.CHANGES else EndpointStatus.READY
             entries = tuple(Endpoint(e.id, e.destination, state, 0, e.zone, e.advertised_rate) for e in part)
             events.append(EndpointList(kind, () if kind is ListKind.FAILED else entries))
-        if rng.random() < 0.02 and any(not seen.over for seen in watch.seen.values()):
-            ident = next(i for i, seen in watch.seen.items() if not seen.over)
-            events.append(ClientCancelled(ident))
-            watch.seen[ident].over = True
-        watch.end_of(now - 60.0)  # a step may be longer than the slack
+        if rng.random() < 0.02 and any(not seen.has_ended for seen in checker.messages.values()):
+            message_id = next(i for i, seen in checker.messages.items() if not seen.has_ended)
+            events.append(ClientCancelled(message_id))
+            checker.messages[message_id].has_ended = True
+        checker.check_deadlines(now - 60.0)  # a step may be longer than the slack
 
 
-def watched(**more: Any) -> Checker:
+def observed_checker(**more: Any) -> InvariantChecker:
     classes = (
         MessageClass("u", Effect.NON_IDEMPOTENT, 400.0, 4000.0),
         MessageClass("k", Effect.DEDUPLICATED, 400.0, 4000.0, 1.0, 0.0, 1000.0, DeduplicationScope.ZONE),
         MessageClass("o", Effect.IDEMPOTENT, 400.0, 4000.0, in_order=True),
     )
-    watch = Checker(make_settings(classes=classes, **more))
-    watch.event(
+    checker = InvariantChecker(make_settings(classes=classes, **more))
+    checker.observe_event(
         0.0,
         EndpointList(
             ListKind.CACHED, tuple(Endpoint(e, 1, EndpointStatus.READY, 0, z, 2.0) for e, z in ((11, 0), (12, 1)))
         ),
     )
-    for ident, class_ in enumerate([0, 1, 2, 2]):
-        watch.event(0.0, Message(ident, 1, class_, 4000.0, 0, 7))
-    return watch
+    for message_id, class_index in enumerate([0, 1, 2, 2]):
+        checker.observe_event(0.0, Message(message_id, 1, class_index, 4000.0, 0, 7))
+    return checker
 
 
-def ended(watch: Checker, ident: int, outcome: Outcome, at: float, wait: float = 0.0) -> None:
-    number = len(watch.seen[ident].attempts) - 1
-    watch.event(at, AttemptEnded(ident, number, 11, outcome, 1.0, outcome is Outcome.OK, wait))
+def observe_outcome(checker: InvariantChecker, message_id: int, outcome: Outcome, at: float, wait: float = 0.0) -> None:
+    number = len(checker.messages[message_id].attempts) - 1
+    checker.observe_event(at, AttemptEnded(message_id, number, 11, outcome, 1.0, outcome is Outcome.OK, wait))
 
 
-def test_checker_catches_a_breach_of_each_rule() -> None:
+def send_and_reject(checker: InvariantChecker, send: Send, at: float, times: int) -> None:
+    for _ in range(times):
+        checker.observe_action(at, send)
+        observe_outcome(checker, send.id, Outcome.REJECTED, at)
+
+
+def test_the_checker_catches_a_violation_of_each_rule() -> None:
     send = Send(0, 11, 4000.0)
-    watch = watched()
-    with pytest.raises(Breach, match="lost: no final"):
-        watch.end_of(4100.0)
-    watch.action(1.0, Fail(0))
-    with pytest.raises(Breach, match="lost: sent after"):
-        watch.action(2.0, send)
-    with pytest.raises(Breach, match="lost: a second"):
-        watch.action(2.0, Fail(0))
-    watch = watched()
-    watch.action(1.0, send)
-    with pytest.raises(Breach, match="twice: two attempts"):
-        watch.action(2.0, send)
-    ended(watch, 0, Outcome.TIMEOUT, 3.0)
-    with pytest.raises(Breach, match="twice: unsafe"):
-        watch.action(4.0, send)
-    with pytest.raises(Breach, match="twice: refused"):
-        watch.action(4.0, Reject(0))
-    watch.action(5.0, Send(1, 11, 4000.0))
-    ended(watch, 1, Outcome.RESET, 6.0)
-    with pytest.raises(Breach, match="twice: outside the key's zone"):
-        watch.action(7.0, Send(1, 12, 4000.0))
-    with pytest.raises(Breach, match="twice: outside the key's window"):
-        watch.action(1100.0, Send(1, 11, 4000.0))
-    with pytest.raises(Breach, match="order: an earlier"):
-        watch.action(8.0, Send(3, 11, 4000.0))
-    watch.action(8.0, Send(2, 11, 4000.0))
-    ended(watch, 2, Outcome.TIMEOUT, 8.5)
-    watch.event(8.5, ClientCancelled(2))
-    with pytest.raises(Breach, match="order: its key"):
-        watch.action(9.0, Send(3, 11, 4000.0))
-    watch = watched()
-    watch.action(1.0, send)
-    ended(watch, 0, Outcome.REJECTED, 2.0, wait=500.0)
-    with pytest.raises(Breach, match="wait"):
-        watch.action(400.0, send)
-    watch.event(500.0, EndpointList(ListKind.CHANGES, (Endpoint(11, 1, EndpointStatus.DRAINING),)))
-    with pytest.raises(Breach, match="drain"):
-        watch.action(800.0, send)
-    watch = watched(max_attempts=20)
+    checker = observed_checker()
+    with pytest.raises(RuleViolationError, match="lost: no final"):
+        checker.check_deadlines(4100.0)
+    checker.observe_action(1.0, Fail(0))
+    with pytest.raises(RuleViolationError, match="lost: sent after"):
+        checker.observe_action(2.0, send)
+    with pytest.raises(RuleViolationError, match="lost: a second"):
+        checker.observe_action(2.0, Fail(0))
+    checker = observed_checker()
+    checker.observe_action(1.0, send)
+    with pytest.raises(RuleViolationError, match="twice: two attempts"):
+        checker.observe_action(2.0, send)
+    observe_outcome(checker, 0, Outcome.TIMEOUT, 3.0)
+    with pytest.raises(RuleViolationError, match="twice: unsafe"):
+        checker.observe_action(4.0, send)
+    with pytest.raises(RuleViolationError, match="twice: refused"):
+        checker.observe_action(4.0, Reject(0))
+    checker.observe_action(5.0, Send(1, 11, 4000.0))
+    observe_outcome(checker, 1, Outcome.RESET, 6.0)
+    with pytest.raises(RuleViolationError, match="twice: outside the key's zone"):
+        checker.observe_action(7.0, Send(1, 12, 4000.0))
+    with pytest.raises(RuleViolationError, match="twice: outside the key's window"):
+        checker.observe_action(1100.0, Send(1, 11, 4000.0))
+    with pytest.raises(RuleViolationError, match="order: an earlier"):
+        checker.observe_action(8.0, Send(3, 11, 4000.0))
+    checker.observe_action(8.0, Send(2, 11, 4000.0))
+    observe_outcome(checker, 2, Outcome.TIMEOUT, 8.5)
+    checker.observe_event(8.5, ClientCancelled(2))
+    with pytest.raises(RuleViolationError, match="order: its key"):
+        checker.observe_action(9.0, Send(3, 11, 4000.0))
+    checker = observed_checker()
+    checker.observe_action(1.0, send)
+    observe_outcome(checker, 0, Outcome.REJECTED, 2.0, wait=500.0)
+    with pytest.raises(RuleViolationError, match="wait"):
+        checker.observe_action(400.0, send)
+    checker.observe_event(500.0, EndpointList(ListKind.CHANGES, (Endpoint(11, 1, EndpointStatus.DRAINING),)))
+    with pytest.raises(RuleViolationError, match="drain"):
+        checker.observe_action(800.0, send)
+    checker = observed_checker(max_attempts=20)
     for at in (1.0, 2.0, 3.0):
-        watch.action(at, send)
-        ended(watch, 0, Outcome.CONNECT_FAILED, at)
-    watch.action(4.0, Send(2, 11, 4000.0))
-    ended(watch, 2, Outcome.OK, 5.0)
-    with pytest.raises(Breach, match="failback"):
-        for _ in range(6):
-            watch.action(6.0, send)
-            ended(watch, 0, Outcome.REJECTED, 6.0)
+        checker.observe_action(at, send)
+        observe_outcome(checker, 0, Outcome.CONNECT_FAILED, at)
+    checker.observe_action(4.0, Send(2, 11, 4000.0))
+    observe_outcome(checker, 2, Outcome.OK, 5.0)
+    with pytest.raises(RuleViolationError, match="failback"):
+        send_and_reject(checker, send, at=6.0, times=6)
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -10,4 +10,5 @@
 def test_the_embedding_example_runs() -> None:
     code = README.read_text().split("```python\n")[1].split("```")[0]
     done = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, timeout=60, cwd=README.parent)
-    assert done.stderr == "" and done.stdout == "1 7\n"
+    assert done.stderr == ""
+    assert done.stdout == "1 7\n"
--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -183,17 +183,21 @@
 
 def test_conversation_with_a_child_process() -> None:
     done = run(conversation())
-    assert done.returncode == 0 and done.stderr == b""
+    assert done.returncode == 0
+    assert done.stderr == b""
     batches = replies(done.stdout)
-    assert len(batches) == 5 and batches[0] == []
+    assert len(batches) == 5
+    assert batches[0] == []
     sends = [struct.unpack("<IIId", body) for code, body in batches[2] if code == 10]
-    assert [send[:2] for send in sends] == [(3, 1)] and sends[0][2] in (11, 12)
+    assert [send[:2] for send in sends] == [(3, 1)]
+    assert sends[0][2] in (11, 12)
     assert any(code == 10 for code, _ in batches[3])
 
 
 def test_same_actions_whatever_the_hash_seed() -> None:
     first, second = run(conversation(), PYTHONHASHSEED="1"), run(conversation(), PYTHONHASHSEED="2")
-    assert first.stdout == second.stdout and len(first.stdout) > 100
+    assert first.stdout == second.stdout
+    assert len(first.stdout) > 100
 
 
 @pytest.mark.parametrize(
@@ -214,4 +218,7 @@
 def test_malformed_input_ends_with_one_plain_line(data: bytes, says: str) -> None:
     done = run(data)
     text = done.stderr.decode()
-    assert done.returncode == 1 and text.count("\n") == 1 and "Traceback" not in text and says in text
+    assert done.returncode == 1
+    assert text.count("\n") == 1
+    assert "Traceback" not in text
+    assert says in text
