--- a/linnetstile/codec/as2.py
+++ b/linnetstile/codec/as2.py
@@ -5,48 +5,77 @@
 import re
 from dataclasses import dataclass
 
-from .http1 import Headers
+from ..errors import ProtocolError
+from .headers import Headers
 
-NAME_MAX = 128  # RFC 4130, 6.2
-ID_MAX = 998
-ID = re.compile(r"<[\x21-\x3b\x3d\x3f-\x7e]+>\Z")
-QUOTED = re.compile(r'"(?:[\x20\x21\x23-\x5b\x5d-\x7e]|\\["\\])*"\Z')
-ATOM = re.compile(r"[\x21\x23-\x5b\x5d-\x7e]+\Z")
+NAME_MAX = 128  # characters of an AS2 name (RFC 4130, 6.2)
+ID_MAX = 998  # characters of a Message-ID: those of a line (RFC 2822, 2.1.1)
+DEFAULT_VERSION = "1.0"  # of a message without AS2-Version
 
+MESSAGE_ID = re.compile(r"<[\x21-\x3b\x3d\x3f-\x7e]+>\Z")
+QUOTED_NAME = re.compile(r'"(?:[\x20\x21\x23-\x5b\x5d-\x7e]|\\["\\])*"\Z')
+PLAIN_NAME = re.compile(r"[\x21\x23-\x5b\x5d-\x7e]+\Z")
+VERSION = re.compile(r"1\.\d{1,3}")  # RFC 4130, 6.1: any 1.x is accepted
+RECEIPT_URL = re.compile(r"https?://[\x21-\x7e]{1,2000}\Z")
+SINGLE_FIELDS = ("AS2-From", "AS2-To", "Message-ID", "AS2-Version", "Receipt-Delivery-Option")
 
-class As2Error(ValueError):
-    """An AS2 field is missing or malformed; the text names it."""
+
+class As2Error(ProtocolError):
+    """An AS2 field is missing or malformed; the message names it."""
+
+
+def _field_error(field: str, expected: str, found: str = "") -> As2Error:
+    return As2Error(f"{field}: expected {expected}", field=field, expected=expected, found=found)
 
 
 def name(text: str, field: str) -> str:
-    """An AS2 name, unquoted; names are compared so, with regard to case (RFC 4130, 6.2)."""
-    if QUOTED.match(text):
-        found = re.sub(r"\\(.)", r"\1", text[1:-1])
-    elif ATOM.match(text):
-        found = text
+    """Parse an AS2 name; names are compared unquoted, with regard to case (RFC 4130, 6.2).
+
+    Args:
+        text: The value as the field holds it.
+        field: Name of the field, for the error.
+
+    Raises:
+        As2Error: It is not a plain or quoted name of 1 to 128 characters.
+    """
+    if QUOTED_NAME.match(text):
+        plain = re.sub(r"\\(.)", r"\1", text[1:-1])
+    elif PLAIN_NAME.match(text):
+        plain = text
     else:
-        raise As2Error(f"{field}: expected an AS2 name, plain or in quotes")
-    if not 1 <= len(found) <= NAME_MAX:
-        raise As2Error(f"{field}: expected 1 to {NAME_MAX} characters")
-    return found
+        raise _field_error(field, "an AS2 name, plain or in quotes", text)
+    if not 1 <= len(plain) <= NAME_MAX:
+        raise _field_error(field, f"1 to {NAME_MAX} characters", text)
+    return plain
 
 
 def quoted(plain: str) -> str:
-    """A name as a field holds it."""
-    if ATOM.match(plain):
+    """Return a name as a field holds it: in quotes where needed."""
+    if PLAIN_NAME.match(plain):
         return plain
     return '"' + re.sub(r'(["\\])', r"\\\1", plain) + '"'
 
 
 def message_id(text: str, field: str = "Message-ID") -> str:
-    if not ID.match(text) or len(text) > ID_MAX:
-        raise As2Error(f"{field}: expected an identifier in angle brackets, at most {ID_MAX} characters")
+    """Check an identifier and return it as it is.
+
+    Raises:
+        As2Error: It is not in angle brackets, or too long.
+    """
+    if not MESSAGE_ID.match(text) or len(text) > ID_MAX:
+        raise _field_error(field, f"an identifier in angle brackets, at most {ID_MAX} characters", text)
     return text
 
 
 @dataclass(frozen=True, slots=True)
 class ReceiptWish:
-    """What the sender asks of the receipt (RFC 4130, 7.3)."""
+    """What the sender asks of the receipt (RFC 4130, 7.3).
+
+    Attributes:
+        signed: Whether it should be signed.
+        required: Whether that is a condition.
+        micalgs: Digest algorithms in order of preference, in lower case.
+    """
 
     signed: bool = False
     required: bool = False
@@ -54,52 +83,75 @@
 
 
 def receipt_wish(text: str) -> ReceiptWish:
-    """Disposition-Notification-Options: `name=importance, value, value; ...` (RFC 4130, 7.3)."""
-    signed, required, algs = False, False, tuple[str, ...]()
+    """Parse Disposition-Notification-Options: `name=importance, value, value; ...` (RFC 4130, 7.3).
+
+    Raises:
+        As2Error: A part does not follow that form.
+    """
+    signed = False
+    required = False
+    micalgs: tuple[str, ...] = ()
     for part in filter(None, (part.strip() for part in text.split(";"))):
-        key, equals, rest = part.partition("=")
-        values = [value.strip().lower() for value in rest.split(",")]
-        if not equals or values[0] not in ("required", "optional") or len(values) < 2:
-            raise As2Error("Disposition-Notification-Options: expected name=required|optional, value")
-        if key.strip().lower() == "signed-receipt-protocol":
-            signed, required = "pkcs7-signature" in values[1:], values[0] == "required"
-        elif key.strip().lower() == "signed-receipt-micalg":
-            algs = tuple(values[1:])
-    return ReceiptWish(signed, required, algs)
+        option, equals, rest = part.partition("=")
+        importance, *values = (value.strip().lower() for value in rest.split(","))
+        if not equals or importance not in ("required", "optional") or not values:
+            raise _field_error("Disposition-Notification-Options", "name=required|optional, value", part)
+        option = option.strip().lower()
+        if option == "signed-receipt-protocol":
+            signed = "pkcs7-signature" in values
+            required = importance == "required"
+        elif option == "signed-receipt-micalg":
+            micalgs = tuple(values)
+    return ReceiptWish(signed, required, micalgs)
 
 
 @dataclass(frozen=True, slots=True)
 class Head:
-    """The fields of one AS2 message."""
+    """The fields of one AS2 message.
+
+    Attributes:
+        sender: AS2-From, unquoted.
+        receiver: AS2-To, unquoted.
+        id: Message-ID with its angle brackets.
+        version: AS2-Version.
+        subject: Subject.
+        notify: Disposition-Notification-To; empty if no receipt is asked for.
+        wish: What the receipt should be like.
+        reply_to: Receipt-Delivery-Option: the URL for an asynchronous receipt; empty for a synchronous one.
+    """
 
     sender: str
     receiver: str
     id: str
     version: str = "1.2"
     subject: str = ""
-    notify: str = ""  # Disposition-Notification-To; empty = no receipt is asked for
+    notify: str = ""
     wish: ReceiptWish = ReceiptWish()
-    reply_to: str = ""  # Receipt-Delivery-Option: a URL for an asynchronous receipt
+    reply_to: str = ""
 
     @classmethod
     def of(cls, headers: Headers) -> Head:
-        """Reads the fields; raises `As2Error` with the field's name and what was expected."""
-        for field in ("AS2-From", "AS2-To", "Message-ID", "AS2-Version", "Receipt-Delivery-Option"):
+        """Parse the header fields of a message.
+
+        Raises:
+            As2Error: A field is missing, malformed or repeated; it says the field's name and what was expected.
+        """
+        for field in SINGLE_FIELDS:
             if len(headers.all(field)) > 1:
-                raise As2Error(f"{field}: expected once")
-        version = headers.get("as2-version", "1.0")
-        if not re.fullmatch(r"1\.\d{1,3}", version):  # RFC 4130, 6.1: any 1.x is taken
-            raise As2Error("AS2-Version: expected 1.x")
-        reply = headers.get("receipt-delivery-option")
-        if reply and not re.match(r"https?://[\x21-\x7e]{1,2000}\Z", reply):
-            raise As2Error("Receipt-Delivery-Option: expected an http or https URL")
+                raise _field_error(field, "once", ", ".join(headers.all(field)))
+        version = headers.get("as2-version", DEFAULT_VERSION)
+        if not VERSION.fullmatch(version):
+            raise _field_error("AS2-Version", "1.x", version)
+        reply_to = headers.get("receipt-delivery-option")
+        if reply_to and not RECEIPT_URL.match(reply_to):
+            raise _field_error("Receipt-Delivery-Option", "an http or https URL", reply_to)
         return cls(
-            name(headers.get("as2-from"), "AS2-From"),
-            name(headers.get("as2-to"), "AS2-To"),
-            message_id(headers.get("message-id")),
-            version,
-            headers.get("subject"),
-            headers.get("disposition-notification-to"),
-            receipt_wish(headers.get("disposition-notification-options")),
-            reply,
+            sender=name(headers.get("as2-from"), "AS2-From"),
+            receiver=name(headers.get("as2-to"), "AS2-To"),
+            id=message_id(headers.get("message-id")),
+            version=version,
+            subject=headers.get("subject"),
+            notify=headers.get("disposition-notification-to"),
+            wish=receipt_wish(headers.get("disposition-notification-options")),
+            reply_to=reply_to,
         )
--- a/linnetstile/codec/cms.py
+++ b/linnetstile/codec/cms.py
@@ -1,6 +1,8 @@
 """Signed, encrypted and compressed MIME (RFC 5652, 8551, 1847, 3274, 5402), on cryptography and asn1crypto.
 
-Entities are bytes with their MIME headers. The heavy libraries are imported where first used."""
+Entities are bytes with their MIME headers. The heavy libraries are imported where first used, so that a process that
+needs none of this starts quickly.
+"""
 
 from __future__ import annotations
 
@@ -10,6 +12,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING, Any
 
+from ..errors import ProtocolError
 from . import mime
 
 if TYPE_CHECKING:
@@ -17,7 +20,14 @@
     from cryptography.hazmat.primitives.asymmetric.rsa import RSAPrivateKey
     from cryptography.x509 import Certificate
 
-INFLATED_MAX = 256 * 1024 * 1024
+INFLATED_MAX = 256 * 1024 * 1024  # bytes of decompressed data
+MAX_LAYERS = 4  # of signature, compression and encryption around a content
+COMMON_NAME_MAX = 64  # characters (RFC 5280, A.1)
+RSA_KEY_BITS = 2048
+RSA_PUBLIC_EXPONENT = 65537
+SET_OF_TAG = b"\x31"
+
+# Names of hashlib by the names of micalg parameters (RFC 3851 and RFC 5751).
 DIGESTS = {
     "sha1": "sha1",
     "sha-1": "sha1",
@@ -30,7 +40,7 @@
 }
 
 
-class CmsError(ValueError):
+class CmsError(ProtocolError):
     """A signature does not hold, or a CMS object can't be read."""
 
 
@@ -43,13 +53,25 @@
 
 
 def digest(data: bytes, micalg: str) -> bytes:
-    if micalg.lower() not in DIGESTS:
-        raise CmsError("a digest algorithm that is not known")
-    return hashlib.new(DIGESTS[micalg.lower()], data).digest()
+    """Return the digest of `data`.
+
+    Raises:
+        CmsError: The algorithm is not known.
+    """
+    algorithm = DIGESTS.get(micalg.lower())
+    if algorithm is None:
+        raise CmsError("a digest algorithm that is not known", field="micalg", found=micalg)
+    return hashlib.new(algorithm, data).digest()
 
 
 def make_identity(common_name: str, days: int = 3650, rsa: bool = False) -> Identity:
-    """A self-signed certificate with a new key (P-256, or RSA 2048 for decryption)."""
+    """Make a self-signed certificate with a new key.
+
+    Args:
+        common_name: Common name of subject and issuer; cut to 64 characters.
+        days: How long it is valid, from a day ago on.
+        rsa: Whether the key is RSA 2048, which decryption needs; P-256 otherwise.
+    """
     import datetime
 
     from cryptography import x509
@@ -57,23 +79,35 @@
     from cryptography.hazmat.primitives.asymmetric import ec
     from cryptography.hazmat.primitives.asymmetric import rsa as rsa_keys
 
-    key = rsa_keys.generate_private_key(65537, 2048) if rsa else ec.generate_private_key(ec.SECP256R1())
-    subject = x509.Name([x509.NameAttribute(x509.NameOID.COMMON_NAME, common_name[:64])])
+    key: RSAPrivateKey | EllipticCurvePrivateKey
+    if rsa:
+        key = rsa_keys.generate_private_key(RSA_PUBLIC_EXPONENT, RSA_KEY_BITS)
+    else:
+        key = ec.generate_private_key(ec.SECP256R1())
+    subject = x509.Name([x509.NameAttribute(x509.NameOID.COMMON_NAME, common_name[:COMMON_NAME_MAX])])
     start = datetime.datetime.now(datetime.UTC) - datetime.timedelta(days=1)
-    made = x509.CertificateBuilder().subject_name(subject).issuer_name(subject).public_key(key.public_key())
-    made = made.serial_number(x509.random_serial_number()).not_valid_before(start)
-    return Identity(made.not_valid_after(start + datetime.timedelta(days=days)).sign(key, hashes.SHA256()), key)
+    builder = (
+        x509.CertificateBuilder()
+        .subject_name(subject)
+        .issuer_name(subject)
+        .public_key(key.public_key())
+        .serial_number(x509.random_serial_number())
+        .not_valid_before(start)
+        .not_valid_after(start + datetime.timedelta(days=days))
+    )
+    return Identity(builder.sign(key, hashes.SHA256()), key)
 
 
 def save(identity: Identity) -> bytes:
-    """PEM: the key, then the certificate."""
-    from cryptography.hazmat.primitives import serialization as s
+    """Encode an identity as PEM: the key, then the certificate."""
+    from cryptography.hazmat.primitives.serialization import Encoding, NoEncryption, PrivateFormat
 
-    pem = identity.key.private_bytes(s.Encoding.PEM, s.PrivateFormat.PKCS8, s.NoEncryption())
-    return pem + identity.certificate.public_bytes(s.Encoding.PEM)
+    key_pem = identity.key.private_bytes(Encoding.PEM, PrivateFormat.PKCS8, NoEncryption())
+    return key_pem + identity.certificate.public_bytes(Encoding.PEM)
 
 
 def load(pem: bytes) -> Identity:
+    """Read an identity from PEM that has the key and the certificate; raises `ValueError` where it has not."""
     from cryptography import x509
     from cryptography.hazmat.primitives.serialization import load_pem_private_key
 
@@ -82,13 +116,23 @@
 
 
 def load_certificate(pem: bytes) -> Certificate:
+    """Read a certificate from PEM; raises `ValueError` where there is none."""
     from cryptography import x509
 
     return x509.load_pem_x509_certificate(pem)
 
 
 def sign(content: bytes, by: Identity, micalg: str = "sha-256") -> tuple[str, bytes]:
-    """Content type and body of a multipart/signed over an entity with a detached signature (RFC 8551, 3.5.3)."""
+    """Sign an entity with a detached signature (RFC 8551, 3.5.3).
+
+    Args:
+        content: The entity with its MIME headers.
+        by: Who signs.
+        micalg: `sha-256`, `sha-384` or `sha-512`.
+
+    Returns:
+        Content type and body of the multipart/signed.
+    """
     from cryptography.hazmat.primitives import hashes, serialization
     from cryptography.hazmat.primitives.serialization import pkcs7
 
@@ -100,93 +144,147 @@
         .add_signer(by.certificate, by.key, algorithm)
         .sign(serialization.Encoding.DER, [pkcs7.PKCS7Options.DetachedSignature, pkcs7.PKCS7Options.Binary])
     )
-    part = (
+    signature_part = (
         b'Content-Type: application/pkcs7-signature; name="smime.p7s"\r\n'
         b"Content-Transfer-Encoding: base64\r\n\r\n" + base64.encodebytes(der).replace(b"\n", b"\r\n").rstrip()
     )
-    return mime.multipart("signed", [content, part], {"protocol": "application/pkcs7-signature", "micalg": micalg})
+    params = {"protocol": "application/pkcs7-signature", "micalg": micalg}
+    return mime.multipart("signed", [content, signature_part], params)
 
 
 def signed_content(content_type: str, body: bytes) -> tuple[bytes, bytes]:
-    """The signed entity and the DER signature of a multipart/signed; nothing is verified."""
-    kind = mime.content_type(content_type)
-    if kind.name != "multipart/signed":
-        raise CmsError("not a multipart/signed")
-    found = mime.parts(body, kind.params.get("boundary", ""))
-    if len(found) != 2:
-        raise CmsError("a multipart/signed without two parts")
-    return found[0], mime.entity(found[1]).decoded()
+    """Take a multipart/signed apart; nothing is verified.
+
+    Returns:
+        The signed entity and the DER signature.
+
+    Raises:
+        CmsError: It is not a multipart/signed of two parts.
+        MimeError: Its parts or the signature's headers can't be read.
+    """
+    media_type = mime.content_type(content_type)
+    if media_type.name != "multipart/signed":
+        raise CmsError("not a multipart/signed", field="Content-Type", expected="multipart/signed", found=content_type)
+    parts = mime.parts(body, media_type.params.get("boundary", ""))
+    if len(parts) != 2:
+        raise CmsError("a multipart/signed without two parts", expected="2 parts", found=str(len(parts)))
+    return parts[0], mime.entity(parts[1]).decoded()
 
 
 def verify(content: bytes, der: bytes, certificate: Certificate, sha1: bool = False) -> str:
-    """Checks a detached signature by the holder of `certificate` (RFC 5652, 5.4 to 5.6). Returns the digest
-    algorithm; raises `CmsError`. The certificate is trusted as such: partners exchange them beforehand."""
-    from asn1crypto import cms
+    """Check a detached signature by the holder of `certificate` (RFC 5652, 5.4 to 5.6).
+
+    The certificate is trusted as such: partners exchange them beforehand.
+
+    Args:
+        content: The signed entity, byte for byte.
+        der: The signature.
+        certificate: Whose signature it should be.
+        sha1: Whether signatures over SHA-1 are accepted.
+
+    Returns:
+        The digest algorithm.
+
+    Raises:
+        CmsError: The signature does not hold or can't be read.
+    """
     from cryptography.exceptions import InvalidSignature
-    from cryptography.hazmat.primitives import hashes
-    from cryptography.hazmat.primitives.asymmetric import ec, padding, rsa
 
     try:
-        info = cms.ContentInfo.load(der, strict=True)
-        if info["content_type"].native != "signed_data":
-            raise CmsError("not signed data")
-        signers = info["content"]["signer_infos"]
+        signed_data = _load_content(der, "signed_data", "not signed data")
+        signers = signed_data["signer_infos"]
         if len(signers) != 1:
-            raise CmsError("not one signer")
+            raise CmsError("not one signer", expected="1 signer", found=str(len(signers)))
         signer = signers[0]
         algorithm = signer["digest_algorithm"]["algorithm"].native
         if algorithm not in DIGESTS.values() or algorithm == "sha1" and not sha1:
-            raise CmsError(f"digest {algorithm} is not allowed")
-        signed, attributes = content, signer["signed_attrs"]
-        if len(attributes):
-            values = {item["type"].native: item["values"] for item in attributes}
-            told = values["message_digest"][0].native
-            if told != hashlib.new(algorithm, content).digest():
-                raise CmsError("the content is not what was signed")
-            if values["content_type"][0].native != info["content"]["encap_content_info"]["content_type"].native:
-                raise CmsError("the content type is not what was signed")
-            signed = b"\x31" + attributes.dump()[1:]  # as a SET OF, its own tag (RFC 5652, 5.4)
-        key = certificate.public_key()
-        kinds: Any = {"sha1": hashes.SHA1, "sha256": hashes.SHA256, "sha384": hashes.SHA384, "sha512": hashes.SHA512}
-        chosen = kinds[algorithm]()
-        signature = signer["signature"].native
-        if isinstance(key, rsa.RSAPublicKey):
-            if signer["signature_algorithm"].signature_algo != "rsassa_pkcs1v15":
-                raise CmsError("a signature scheme that is not known")
-            key.verify(signature, signed, padding.PKCS1v15(), chosen)
-        elif isinstance(key, ec.EllipticCurvePublicKey):
-            key.verify(signature, signed, ec.ECDSA(chosen))
-        else:
-            raise CmsError("a key type that is not known")
+            raise CmsError(f"digest {algorithm} is not allowed", field="digest_algorithm", found=str(algorithm))
+        signed_bytes = _signed_bytes(content, signed_data, signer["signed_attrs"], algorithm)
+        _verify_with_key(certificate.public_key(), signer, signed_bytes, algorithm)
         return str(algorithm)
+    except CmsError:
+        raise
     except InvalidSignature as error:
         raise CmsError("the signature does not hold") from error
     except (ValueError, KeyError, TypeError, IndexError, AttributeError) as error:
-        raise error if isinstance(error, CmsError) else CmsError("a signature that can't be read") from error
+        raise CmsError("a signature that can't be read") from error
+
+
+def _load_content(der: bytes, content_type: str, otherwise: str) -> Any:
+    """Return the content of a ContentInfo of the type asked for; raises `CmsError(otherwise)` for others."""
+    from asn1crypto import cms
+
+    info = cms.ContentInfo.load(der, strict=True)
+    found = info["content_type"].native
+    if found != content_type:
+        raise CmsError(otherwise, field="content_type", expected=content_type, found=str(found))
+    return info["content"]
+
+
+def _signed_bytes(content: bytes, signed_data: Any, attributes: Any, algorithm: str) -> bytes:
+    """Return what the signature is over: the signed attributes, which hold the digest of the content, if any."""
+    if not len(attributes):
+        return content
+    values = {attribute["type"].native: attribute["values"] for attribute in attributes}
+    if values["message_digest"][0].native != hashlib.new(algorithm, content).digest():
+        raise CmsError("the content is not what was signed", field="message_digest")
+    if values["content_type"][0].native != signed_data["encap_content_info"]["content_type"].native:
+        raise CmsError("the content type is not what was signed", field="content_type")
+    attributes_der: bytes = attributes.dump()
+    return SET_OF_TAG + attributes_der[1:]  # as a SET OF, its own tag (RFC 5652, 5.4)
+
+
+def _verify_with_key(key: Any, signer: Any, signed_bytes: bytes, algorithm: str) -> None:
+    from cryptography.hazmat.primitives import hashes
+    from cryptography.hazmat.primitives.asymmetric import ec, padding, rsa
+
+    hash_types: Any = {"sha1": hashes.SHA1, "sha256": hashes.SHA256, "sha384": hashes.SHA384, "sha512": hashes.SHA512}
+    chosen_hash = hash_types[algorithm]()
+    signature = signer["signature"].native
+    if isinstance(key, rsa.RSAPublicKey):
+        scheme = signer["signature_algorithm"].signature_algo
+        if scheme != "rsassa_pkcs1v15":
+            raise CmsError("a signature scheme that is not known", expected="rsassa_pkcs1v15", found=str(scheme))
+        key.verify(signature, signed_bytes, padding.PKCS1v15(), chosen_hash)
+    elif isinstance(key, ec.EllipticCurvePublicKey):
+        key.verify(signature, signed_bytes, ec.ECDSA(chosen_hash))
+    else:
+        raise CmsError("a key type that is not known", expected="RSA or EC", found=type(key).__name__)
 
 
 def encrypt(content: bytes, to: Certificate) -> tuple[str, bytes]:
+    """Encrypt an entity for the holder of a certificate with an RSA key; return content type and DER body."""
     from cryptography.hazmat.primitives import serialization
     from cryptography.hazmat.primitives.ciphers import algorithms
     from cryptography.hazmat.primitives.serialization import pkcs7
 
-    builder = pkcs7.PKCS7EnvelopeBuilder().set_data(content).add_recipient(to)
-    builder = builder.set_content_encryption_algorithm(algorithms.AES128)
+    builder = (
+        pkcs7.PKCS7EnvelopeBuilder()
+        .set_data(content)
+        .add_recipient(to)
+        .set_content_encryption_algorithm(algorithms.AES128)
+    )
     der = builder.encrypt(serialization.Encoding.DER, [pkcs7.PKCS7Options.Binary])
     return 'application/pkcs7-mime; smime-type=enveloped-data; name="smime.p7m"', der
 
 
 def decrypt(der: bytes, by: Identity) -> bytes:
+    """Decrypt an enveloped entity.
+
+    Raises:
+        CmsError: It is not for this key, or can't be read.
+    """
     from cryptography.hazmat.primitives.serialization import pkcs7
 
     try:
+        # The stub asks for an RSA key; the library raises TypeError for another one.
         return pkcs7.pkcs7_decrypt_der(der, by.certificate, by.key, [])  # type: ignore[arg-type]
     except (ValueError, TypeError) as error:
         raise CmsError("an enveloped message that can't be opened") from error
 
 
 def compress(content: bytes) -> tuple[str, bytes]:
-    """RFC 3274 with the media type of RFC 5402."""
+    """Compress an entity (RFC 3274); return content type (RFC 5402) and DER body."""
     from asn1crypto import cms
 
     der = cms.ContentInfo(
@@ -203,43 +301,61 @@
 
 
 def decompress(der: bytes, most: int = INFLATED_MAX) -> bytes:
-    """Bounded by `most` bytes, as a few bytes can swell to gigabytes."""
-    from asn1crypto import cms
+    """Decompress an entity; bounded by `most` bytes, as a few bytes can swell to gigabytes.
 
+    Raises:
+        CmsError: It is not compressed data, is cut short, can't be read or holds more than `most` bytes.
+    """
     try:
-        info = cms.ContentInfo.load(der, strict=True)
-        if info["content_type"].native != "compressed_data":
-            raise CmsError("not compressed data")
+        compressed_data = _load_content(der, "compressed_data", "not compressed data")
         inflater = zlib.decompressobj()
-        data = inflater.decompress(info["content"]["encap_content_info"]["content"].native, most)
-        if inflater.unconsumed_tail or not inflater.eof:
-            raise CmsError(f"compressed data that is cut short or holds more than {most} bytes")
-        return data
+        data = inflater.decompress(compressed_data["encap_content_info"]["content"].native, most)
+    except CmsError:
+        raise
     except (ValueError, KeyError, TypeError, zlib.error) as error:
-        raise error if isinstance(error, CmsError) else CmsError("compressed data that can't be read") from error
+        raise CmsError("compressed data that can't be read") from error
+    if inflater.unconsumed_tail or not inflater.eof:
+        raise CmsError(
+            f"compressed data that is cut short or holds more than {most} bytes", expected=f"<= {most} bytes"
+        )
+    return data
 
 
 def opened(content_type: str, encoding: str, body: bytes, key: Identity | None) -> tuple[bytes | None, bool]:
-    """What a receipt's digest is taken over (RFC 4130, 7.3.1; RFC 5402, 5), and whether it is of a plain body.
+    """Return what a receipt's digest is taken over (RFC 4130, 7.3.1; RFC 5402, 5), and whether that is a plain body.
 
     Signed: the signed entity. Compressed or encrypted only: the entity inside. Plain: the body without headers.
-    None where that is closed to whoever lacks the key, or beyond four layers."""
-    raw, plain, entity = body, True, b""
-    kind, coding = content_type, encoding
-    for _ in range(4):
-        media = mime.content_type(kind)
-        if media.name == "multipart/signed":
-            return signed_content(kind, raw)[0], False
-        if media.name != "application/pkcs7-mime":
-            return (mime.decode(raw, coding), True) if plain else (entity, False)
-        smime, der = media.params.get("smime-type", "").lower(), mime.decode(raw, coding)
-        if smime == "compressed-data":
+    None where that is closed to whoever lacks the key, or beyond four layers.
+
+    Args:
+        content_type: Content-Type of the message.
+        encoding: Its Content-Transfer-Encoding; may be empty.
+        body: Its body.
+        key: What decrypts it; None if there is no key.
+
+    Raises:
+        CmsError: A layer can't be read.
+        MimeError: A layer can't be read.
+    """
+    entity = b""  # what the last layer held
+    is_plain = True
+    for _ in range(MAX_LAYERS):
+        media_type = mime.content_type(content_type)
+        if media_type.name == "multipart/signed":
+            return signed_content(content_type, body)[0], False
+        if media_type.name != "application/pkcs7-mime":
+            return (mime.decode(body, encoding), True) if is_plain else (entity, False)
+        smime_type = media_type.params.get("smime-type", "").lower()
+        der = mime.decode(body, encoding)
+        if smime_type == "compressed-data":
             entity = decompress(der)
-        elif smime == "enveloped-data" and key is not None:
+        elif smime_type == "enveloped-data" and key is not None:
             entity = decrypt(der, key)
         else:
             return None, False
         inner = mime.entity(entity)
-        kind, coding = inner.headers.get("content-type", "text/plain"), inner.headers.get("content-transfer-encoding")
-        raw, plain = inner.body, False
+        content_type = inner.headers.get("content-type", mime.DEFAULT_CONTENT_TYPE)
+        encoding = inner.headers.get("content-transfer-encoding")
+        body = inner.body
+        is_plain = False
     return None, False
--- a/linnetstile/codec/http1.py
+++ b/linnetstile/codec/http1.py
@@ -1,23 +1,35 @@
 """HTTP/1.1 messages (RFC 9110, RFC 9112) as a state machine: bytes in, events out, the same for any split.
 
-What is ambiguous is refused and not repaired, since two readings of one message are how requests are smuggled
-(RFC 9112, 11.2). Every error is a `ProtocolError` that tells the status to answer; the connection then closes.
+What is ambiguous is rejected and not repaired, since two readings of one message are how requests are smuggled
+(RFC 9112, 11.2). Every error is a `ProtocolError` with the status to answer; the connection then closes.
 """
 
 from __future__ import annotations
 
 import re
-from collections.abc import Iterable, Iterator
+from collections.abc import Iterable
 from dataclasses import dataclass, field
 from typing import Union
 
-TOKEN = re.compile(r"[!#$%&'*+\-.^_`|~0-9A-Za-z]+\Z")  # RFC 9110, 5.6.2
-TARGET = re.compile(r"[\x21-\x7e]+\Z")
-FORBIDDEN = re.compile(r"[\x00-\x08\x0a-\x1f\x7f]")  # in a value: controls other than tab
+from .. import errors
+from .headers import FORBIDDEN_IN_VALUE, KNOWN_FIELD_NAMES, TOKEN, is_field_name
+from .headers import Headers as Headers
+
+REQUEST_TARGET = re.compile(r"[\x21-\x7e]+\Z")
+HTTP_VERSION = re.compile(r"HTTP/\d\.\d")
+SUPPORTED_VERSIONS = ("HTTP/1.0", "HTTP/1.1")
+STATUS_CODE = re.compile(r"[1-5]\d\d")
+CONTENT_LENGTH = re.compile(r"[0-9]{1,18}")
 BARE_LF = re.compile(rb"(?<!\r)\n")
-CLAIM = re.compile(rb"HTTP/1\.[01] ([2-5]\d\d)(?:[ \r]|\Z)")
-CHUNK = re.compile(rb"([0-9A-Fa-f]{1,15})[ \t]*(;[\t\x20-\x7e\x80-\xff]*)?\Z")  # RFC 9112, 7.1
-REASONS = {
+FINAL_STATUS_LINE = re.compile(rb"HTTP/1\.[01] ([2-5]\d\d)(?:[ \r]|\Z)")
+CHUNK_SIZE_LINE = re.compile(rb"([0-9A-Fa-f]{1,15})[ \t]*(;[\t\x20-\x7e\x80-\xff]*)?\Z")  # RFC 9112, 7.1
+
+CHUNKED = -1  # body length of a message in chunks
+STATUS_LINE_PREFIX_BYTES = 32  # more than `FINAL_STATUS_LINE` needs
+UNLIMITED_EVENTS = 1 << 30
+CARRIAGE_RETURN = 13
+
+REASON_PHRASES = {
     100: "Continue",
     200: "OK",
     202: "Accepted",
@@ -38,70 +50,38 @@
     503: "Service Unavailable",
     505: "HTTP Version Not Supported",
 }
+UNKNOWN_REASON_PHRASE = "Status"
 
 
-# Names that are proper tokens, with their lower case: most messages have the same few. Bounded: peers choose names.
-_NAMES: dict[str, str] = {}
-_NAMES_MOST = 1024
-
-
-def _proper(name: str) -> bool:
-    if not TOKEN.match(name):
-        return False
-    if len(_NAMES) < _NAMES_MOST and len(name) <= 64:
-        _NAMES[name] = name.lower()
-    return True
+class ProtocolError(errors.ProtocolError):
+    """The peer's bytes are not HTTP/1.1 as this codec accepts it.
 
+    Attributes:
+        status: The status to answer; 0 where no answer is possible.
+        text: The message, for the answer and the log.
+    """
 
-class ProtocolError(Exception):
-    """The peer's bytes are not HTTP/1.1 as this codec takes it."""
-
-    def __init__(self, status: int, text: str) -> None:
-        super().__init__(text)
+    def __init__(self, status: int, text: str, *, field: str = "", expected: str = "", found: str = "") -> None:
+        super().__init__(text, field=field, expected=expected, found=found)
         self.status = status
         self.text = text
 
 
-class Headers:
-    """Header fields in their order; names compare without regard to case, values are kept as they came."""
-
-    def __init__(self, fields: Iterable[tuple[str, str]] = ()) -> None:
-        self.fields = list(fields)
-        self._index: dict[str, list[str]] = {}
-        for name, value in self.fields:
-            lower = _NAMES.get(name) or name.lower()
-            if lower in self._index:
-                self._index[lower].append(value)
-            else:
-                self._index[lower] = [value]
-
-    def get(self, name: str, default: str = "") -> str:
-        values = self._index.get(name.lower())
-        return values[0] if values else default
-
-    def all(self, name: str) -> list[str]:
-        return self._index.get(name.lower(), [])
-
-    def tokens(self, name: str) -> list[str]:
-        """The members of a comma-separated field, in lower case (RFC 9110, 5.6.1)."""
-        return [part.strip().lower() for value in self.all(name) for part in value.split(",") if part.strip()]
-
-    def __contains__(self, name: str) -> bool:
-        return name.lower() in self._index
-
-    def __iter__(self) -> Iterator[tuple[str, str]]:
-        return iter(self.fields)
-
-    def __eq__(self, other: object) -> bool:
-        return isinstance(other, Headers) and self.fields == other.fields
-
-    def __repr__(self) -> str:
-        return f"Headers({self.fields!r})"
+class UnsendableMessageError(errors.LinnetstileError, ValueError):
+    """A message of our own would not be valid HTTP, for example a header field that would split it."""
 
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """Bounds in bytes (and fields) on what a peer may send."""
+    """Bounds on what a peer may send.
+
+    Attributes:
+        line: Bytes of the first line, and of one header line.
+        head: Bytes of the first line and all header lines; of all trailer lines as well.
+        fields: Number of header fields.
+        body: Bytes of a body.
+        chunk_line: Bytes of the line that begins a chunk.
+    """
 
     line: int = 16_384
     head: int = 65_536
@@ -112,6 +92,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Request:
+    """The head of a request.
+
+    Attributes:
+        method: The method as it came.
+        target: The request target as it came.
+        version: Major and minor version of HTTP.
+        headers: The header fields.
+        keep_alive: Whether the connection persists after this message (RFC 9112, 9.3).
+        expects_continue: Whether the client waits for `100 Continue` before it sends the body.
+    """
+
     method: str
     target: str
     version: tuple[int, int]
@@ -122,6 +113,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Response:
+    """The head of a final response; interim responses (1xx) are skipped.
+
+    Attributes:
+        status: The status code.
+        reason: The reason phrase; may be empty.
+        version: Major and minor version of HTTP.
+        headers: The header fields.
+        keep_alive: Whether the connection persists after this message (RFC 9112, 9.3).
+    """
+
     status: int
     reason: str
     version: tuple[int, int]
@@ -131,12 +132,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Data:
+    """A piece of the body, without the framing of its chunks."""
+
     data: bytes
 
 
 @dataclass(frozen=True, slots=True)
 class End:
-    """The message is complete; trailers are told, never merged into the headers (RFC 9110, 6.5.1)."""
+    """The message is complete; trailers are reported here and never merged into the headers (RFC 9110, 6.5.1)."""
 
     trailers: Headers = field(default_factory=Headers)
 
@@ -144,30 +147,32 @@
 Event = Union[Request, Response, Data, End]
 
 
-def _fields(lines: list[bytes], limits: Limits) -> Headers:
+def _parse_fields(lines: list[bytes], limits: Limits) -> Headers:
     if len(lines) > limits.fields:
-        raise ProtocolError(431, f"more than {limits.fields} header fields")
-    found: list[tuple[str, str]] = []
+        raise ProtocolError(
+            431, f"more than {limits.fields} header fields", expected=f"<= {limits.fields}", found=str(len(lines))
+        )
+    fields: list[tuple[str, str]] = []
     for line in lines:
         if len(line) > limits.line:
-            raise ProtocolError(431, f"a header line of more than {limits.line} bytes")
+            raise ProtocolError(431, f"a header line of more than {limits.line} bytes", found=str(len(line)))
         name, colon, value = line.decode("latin-1").partition(":")
         if name[:1] in (" ", "\t"):
             raise ProtocolError(400, "a folded header line")
-        if not colon or name not in _NAMES and not _proper(name):
-            raise ProtocolError(400, "a header line without a proper name before its colon")
+        if not colon or name not in KNOWN_FIELD_NAMES and not is_field_name(name):
+            raise ProtocolError(400, "a header line without a proper name before its colon", found=name)
         value = value.strip(" \t")
-        if not value.isprintable() and FORBIDDEN.search(value):  # the first is quick, the second right
-            raise ProtocolError(400, f"a control character in the value of {name}")
-        found.append((name, value))
-    return Headers(found)
+        if not value.isprintable() and FORBIDDEN_IN_VALUE.search(value):  # the first is quick, the second exact
+            raise ProtocolError(400, f"a control character in the value of {name}", field=name, found=value)
+        fields.append((name, value))
+    return Headers(fields)
 
 
-def _version(text: str) -> tuple[int, int]:
-    if not re.fullmatch(r"HTTP/\d\.\d", text):
-        raise ProtocolError(400, "no HTTP version in the first line")
-    if text not in ("HTTP/1.0", "HTTP/1.1"):
-        raise ProtocolError(505, f"{text} is not spoken here")
+def _parse_version(text: str) -> tuple[int, int]:
+    if not HTTP_VERSION.fullmatch(text):
+        raise ProtocolError(400, "no HTTP version in the first line", expected="HTTP/1.1", found=text)
+    if text not in SUPPORTED_VERSIONS:
+        raise ProtocolError(505, f"{text} is not spoken here", expected=" or ".join(SUPPORTED_VERSIONS), found=text)
     return 1, int(text[-1])
 
 
@@ -176,271 +181,348 @@
     return "close" not in options and (version == (1, 1) or "keep-alive" in options)
 
 
+def _is_bodiless(method: str, status: int) -> bool:
+    return method == "HEAD" or status in (204, 304)
+
+
 class Parser:
-    """Reads a run of messages of one connection. `feed` bytes, `eof` once the peer has closed.
+    """Reads the messages of one connection: `feed` it bytes, call `eof` once the peer has closed.
+
+    A client parser must be told of each request with `expect`, as the method says whether a body follows. Each state
+    is a method that consumes from the buffer, appends events and returns whether another step may be made.
 
-    A client parser must be told of each request with `expect`, as the method says whether a body follows."""
+    Attributes:
+        client: Whether responses are read; requests otherwise.
+        limits: Bounds on what the peer may send.
+        methods: Methods of the requests whose responses are still to come, in order.
+        failed: The fault that ended the reading; None while there is none.
+    """
 
     def __init__(self, client: bool = False, limits: Limits | None = None) -> None:
         self.client = client
         self.limits = limits or Limits()
         self.methods: list[str] = []
         self.failed: ProtocolError | None = None
-        self._first = b""  # of the latest final response that was begun
-        self._buf = bytearray()
-        self._state = self._head
-        self._scanned = 0
-        self._left = 0
-        self._total = 0
-        self._skipped = False
+        self._status_line_prefix = b""  # of the latest final response that was begun
+        self._buffer = bytearray()
+        self._state = self._read_head
+        self._scanned_bytes = 0  # of the buffer, in which no end of a block was found
+        self._remaining_bytes = 0  # of the body or the chunk
+        self._total_body_bytes = 0
+        self._skipped_empty_line = False
 
     def expect(self, method: str) -> None:
+        """Announce the response to a request that was sent with this method."""
         self.methods.append(method)
 
     @property
     def idle(self) -> bool:
-        """Between two messages, with no byte of the next."""
-        return self._state == self._head and not self._buf
+        """Whether the stream stands between two messages, with no byte of the next."""
+        return self._state == self._read_head and not self._buffer
 
     @property
     def buffered(self) -> int:
-        """Bytes held that have not become an event yet."""
-        return len(self._buf)
+        """Number of bytes held that have not become an event yet."""
+        return len(self._buffer)
 
     @property
     def midway(self) -> bool:
-        """Some of a head, a chunk or its size has come, and not all of it."""
-        return bool(self._buf) or self._state == self._chunk_data
+        """Whether some of a head, a chunk or its size has come, and not all of it."""
+        return bool(self._buffer) or self._state == self._read_chunk_data
 
-    def _beginning(self) -> bytes:
-        """What the next response begins with, where its head is not complete."""
-        return bytes(self._buf[:32]) if self.client and self._state == self._head else b""
+    def _incomplete_status_line(self) -> bytes:
+        """Return what the next response begins with, where its head is not complete."""
+        if self.client and self._state == self._read_head:
+            return bytes(self._buffer[:STATUS_LINE_PREFIX_BYTES])
+        return b""
 
     @property
     def claimed(self) -> int:
-        """The status in the first line of a response whose rest has not come or can't be read; 0 = none so far. Only
-        for peers that mean that line whatever follows it."""
-        found = CLAIM.match(self._first or self._beginning())
-        return int(found[1]) if found else 0
-
-    def feed(self, data: bytes | memoryview, most: int = 1 << 30) -> list[Event]:
-        """The events that these bytes complete; raises `ProtocolError` for good from the first fault on. With `most`
-        it stops after about so many: `feed(b"")` goes on, which bounds the time that one peer's bytes take."""
+        """The status in the first line of a response whose rest has not come or can't be read; 0 = none so far.
+
+        Only for peers that mean that line whatever follows it.
+        """
+        match = FINAL_STATUS_LINE.match(self._status_line_prefix or self._incomplete_status_line())
+        return int(match[1]) if match else 0
+
+    def feed(self, data: bytes | memoryview, most: int = UNLIMITED_EVENTS) -> list[Event]:
+        """Return the events that these bytes complete.
+
+        Args:
+            data: The next bytes of the stream.
+            most: Number of events after which about to stop, which bounds the time that one peer's bytes take;
+                `feed(b"")` goes on.
+
+        Raises:
+            ProtocolError: For good from the first fault on; events before the fault are returned first.
+        """
         if self.failed:
             raise self.failed
-        self._buf += data
+        self._buffer += data
         events: list[Event] = []
         try:
             while len(events) < most and self._state(events):
                 pass
         except ProtocolError as error:
             self.failed = error
-            self._first = self._first or self._beginning()
-            self._buf.clear()
+            self._status_line_prefix = self._status_line_prefix or self._incomplete_status_line()
+            self._buffer.clear()
             if not events:
                 raise
         return events
 
     def eof(self) -> list[Event]:
-        """What the end of the stream completes; an unfinished message is an error."""
+        """Return what the end of the stream completes.
+
+        Raises:
+            ProtocolError: The stream ended inside a message, or an earlier fault.
+        """
         if self.failed:
             raise self.failed
-        if self._state == self._until_close:
-            self._state = self._head
+        if self._state == self._read_until_close:
+            self._state = self._read_head
             return [End()]
         if not self.idle:
             raise ProtocolError(400, "the connection ended inside a message")
         return []
 
-    # -- states: each returns whether another step may be made ----------------------------------------------
-
-    def _block(self, limit: int) -> list[bytes] | None:
-        """The lines up to the next empty line; None while that has not come."""
-        buf = self._buf
-        end = buf.find(b"\r\n\r\n", max(0, self._scanned - 3))
-        stop = min(limit, end + 4 if end >= 0 else len(buf))
-        bare = (
-            buf.count(b"\n", 0, stop) != buf.count(b"\r\n", 0, stop)
-            if end >= 0
-            else (BARE_LF.search(buf, max(0, self._scanned - 1), stop) and BARE_LF.search(buf, 0, stop))
-        )
-        if bare:
+    # -- the head of a message -------------------------------------------------------------------------------
+
+    def _take_block(self, limit: int) -> list[bytes] | None:
+        """Remove the lines up to the next empty line from the buffer; None while that has not come."""
+        buffer = self._buffer
+        end = buffer.find(b"\r\n\r\n", max(0, self._scanned_bytes - 3))
+        if self._has_bare_line_feed(end, limit):
             raise ProtocolError(400, "a line feed without a carriage return")
-        self._scanned = len(buf)
-        if (end < 0 and len(buf) >= limit) or end + 4 > limit:
-            raise ProtocolError(431, f"a head of more than {limit} bytes")
+        self._scanned_bytes = len(buffer)
+        if (end < 0 and len(buffer) >= limit) or end + 4 > limit:
+            raise ProtocolError(431, f"a head of more than {limit} bytes", expected=f"<= {limit} bytes")
         if end < 0:
             return None
-        block = bytes(buf[:end])
-        del buf[: end + 4]
-        self._scanned = 0
+        block = bytes(buffer[:end])
+        del buffer[: end + 4]
+        self._scanned_bytes = 0
         lines = block.split(b"\r\n")
         if block.count(b"\r") != len(lines) - 1:
             raise ProtocolError(400, "a carriage return without a line feed")
         return lines
 
-    def _head(self, events: list[Event]) -> bool:
-        if not self.client and not self._skipped and self._buf[:1] == b"\r":
-            if len(self._buf) < 2:
+    def _has_bare_line_feed(self, end: int, limit: int) -> bool:
+        """Tell whether a line feed stands alone before `end`, or in all that came where `end` is negative."""
+        buffer = self._buffer
+        if end >= 0:
+            stop = min(limit, end + 4)
+            return buffer.count(b"\n", 0, stop) != buffer.count(b"\r\n", 0, stop)
+        stop = min(limit, len(buffer))
+        if not BARE_LF.search(buffer, max(0, self._scanned_bytes - 1), stop):
+            return False
+        # A search from the middle does not see the carriage return just before it: this one decides.
+        return BARE_LF.search(buffer, 0, stop) is not None
+
+    def _read_head(self, events: list[Event]) -> bool:
+        if not self.client and not self._skipped_empty_line and self._buffer[:1] == b"\r":
+            if len(self._buffer) < 2:
                 return False
-            if self._buf[:2] == b"\r\n":  # one empty line before a request is forgiven (RFC 9112, 2.2)
-                del self._buf[:2]
-                self._skipped, self._scanned = True, 0
-        if not self._buf:
+            if self._buffer[:2] == b"\r\n":  # one empty line before a request is allowed (RFC 9112, 2.2)
+                del self._buffer[:2]
+                self._skipped_empty_line = True
+                self._scanned_bytes = 0
+        if not self._buffer:
             return False
-        lines = self._block(self.limits.head)
+        lines = self._take_block(self.limits.head)
         if lines is None:
             return False
-        self._skipped, self._total = False, 0
+        self._skipped_empty_line = False
+        self._total_body_bytes = 0
         if len(lines[0]) > self.limits.line:
-            raise ProtocolError(431, f"a first line of more than {self.limits.line} bytes")
-        first = lines[0].decode("latin-1")
-        self._first = lines[0][:32] if self.client else b""
-        return self._response(first, lines, events) if self.client else self._request(first, lines, events)
-
-    def _request(self, first: str, lines: list[bytes], events: list[Event]) -> bool:
-        parts = first.split(" ")
-        if len(parts) != 3 or not TOKEN.match(parts[0]) or not TARGET.match(parts[1]):
-            raise ProtocolError(400, "a request line that is not METHOD TARGET VERSION")
-        version, headers = _version(parts[2]), _fields(lines[1:], self.limits)
-        if len(headers.all("host")) != 1 and (version == (1, 1) or headers.all("host")):
-            raise ProtocolError(400, "not one Host field")  # RFC 9112, 3.2
-        expects = headers.tokens("expect")
-        if expects and expects != ["100-continue"]:
-            raise ProtocolError(417, "an expectation other than 100-continue")
-        framing = self._framing(version, headers)
+            raise ProtocolError(431, f"a first line of more than {self.limits.line} bytes", found=str(len(lines[0])))
+        first_line = lines[0].decode("latin-1")
+        if self.client:
+            self._status_line_prefix = lines[0][:STATUS_LINE_PREFIX_BYTES]
+            return self._read_response(first_line, lines, events)
+        self._status_line_prefix = b""
+        return self._read_request(first_line, lines, events)
+
+    def _read_request(self, first_line: str, lines: list[bytes], events: list[Event]) -> bool:
+        parts = first_line.split(" ")
+        if len(parts) != 3 or not TOKEN.match(parts[0]) or not REQUEST_TARGET.match(parts[1]):
+            raise ProtocolError(400, "a request line that is not METHOD TARGET VERSION", found=first_line)
+        method, target, version_text = parts
+        version = _parse_version(version_text)
+        headers = _parse_fields(lines[1:], self.limits)
+        hosts = headers.all("host")
+        if len(hosts) != 1 and (version == (1, 1) or hosts):  # RFC 9112, 3.2
+            raise ProtocolError(400, "not one Host field", field="Host", expected="1 field", found=str(len(hosts)))
+        expectations = headers.tokens("expect")
+        if expectations and expectations != ["100-continue"]:
+            raise ProtocolError(
+                417,
+                "an expectation other than 100-continue",
+                field="Expect",
+                expected="100-continue",
+                found=", ".join(expectations),
+            )
+        length = self._body_length(version, headers)
         events.append(
             Request(
-                parts[0], parts[1], version, headers, _persists(version, headers), bool(expects) and version == (1, 1)
+                method=method,
+                target=target,
+                version=version,
+                headers=headers,
+                keep_alive=_persists(version, headers),
+                expects_continue=bool(expectations) and version == (1, 1),
             )
         )
-        return self._body(framing if framing is not None else 0)
-
-    def _response(self, first: str, lines: list[bytes], events: list[Event]) -> bool:
-        parts = first.split(" ", 2)
-        if len(parts) < 2 or not re.fullmatch(r"[1-5]\d\d", parts[1]):
-            raise ProtocolError(400, "a status line that is not VERSION STATUS REASON")
-        status, reason = int(parts[1]), parts[2] if len(parts) > 2 else ""
-        version, headers = _version(parts[0]), _fields(lines[1:], self.limits)
-        if FORBIDDEN.search(reason):
-            raise ProtocolError(400, "a control character in the reason")
+        return self._begin_body(length if length is not None else 0)
+
+    def _read_response(self, first_line: str, lines: list[bytes], events: list[Event]) -> bool:
+        parts = first_line.split(" ", 2)
+        if len(parts) < 2 or not STATUS_CODE.fullmatch(parts[1]):
+            raise ProtocolError(400, "a status line that is not VERSION STATUS REASON", found=first_line)
+        status = int(parts[1])
+        reason = parts[2] if len(parts) > 2 else ""
+        version = _parse_version(parts[0])
+        headers = _parse_fields(lines[1:], self.limits)
+        if FORBIDDEN_IN_VALUE.search(reason):
+            raise ProtocolError(400, "a control character in the reason", found=reason)
         if not self.methods:
-            raise ProtocolError(400, "a response that nobody asked for")
+            raise ProtocolError(400, "a response that nobody asked for", found=first_line)
         if 100 <= status < 200:
-            self._first = b""
+            self._status_line_prefix = b""
             return True  # interim: the final one follows (RFC 9110, 15.2); an upgrade was never asked for
         method = self.methods.pop(0)
-        framing = self._framing(version, headers)
-        bare = method == "HEAD" or status in (204, 304)
-        keep = _persists(version, headers) and (bare or framing is not None)
-        events.append(Response(status, reason, version, headers, keep))
-        if bare:
-            return self._body(0)
-        if framing is None:
-            self._state = self._until_close
+        length = self._body_length(version, headers)
+        bodiless = _is_bodiless(method, status)
+        keep_alive = _persists(version, headers) and (bodiless or length is not None)
+        events.append(Response(status, reason, version, headers, keep_alive))
+        if bodiless:
+            return self._begin_body(0)
+        if length is None:
+            self._state = self._read_until_close
             return True
-        return self._body(framing)
+        return self._begin_body(length)
 
-    def _framing(self, version: tuple[int, int], headers: Headers) -> int | None:
-        """Length of the body; -1 = chunked; None = not told (RFC 9112, 6.3)."""
+    def _body_length(self, version: tuple[int, int], headers: Headers) -> int | None:
+        """Return the length of the body in bytes, `CHUNKED`, or None if nothing says it (RFC 9112, 6.3)."""
         lengths = headers.all("content-length")
         if "transfer-encoding" in headers:
             if lengths:
-                raise ProtocolError(400, "both Content-Length and Transfer-Encoding")
+                raise ProtocolError(400, "both Content-Length and Transfer-Encoding", field="Content-Length")
             if version == (1, 0):
-                raise ProtocolError(400, "Transfer-Encoding in HTTP/1.0")
-            if headers.tokens("transfer-encoding") != ["chunked"]:
-                raise ProtocolError(501, "a transfer coding other than chunked")
-            return -1
+                raise ProtocolError(400, "Transfer-Encoding in HTTP/1.0", field="Transfer-Encoding")
+            codings = headers.tokens("transfer-encoding")
+            if codings != ["chunked"]:
+                raise ProtocolError(
+                    501,
+                    "a transfer coding other than chunked",
+                    field="Transfer-Encoding",
+                    expected="chunked",
+                    found=", ".join(codings),
+                )
+            return CHUNKED
         if not lengths:
             return None
-        if len(lengths) > 1 or not re.fullmatch(r"[0-9]{1,18}", lengths[0]):
-            raise ProtocolError(400, "not one plain Content-Length")
-        if int(lengths[0]) > self.limits.body:
-            raise ProtocolError(413, f"a body of more than {self.limits.body} bytes")
-        return int(lengths[0])
-
-    def _body(self, length: int) -> bool:
-        self._left = length
-        self._state = self._chunk_size if length < 0 else self._fixed
+        if len(lengths) > 1 or not CONTENT_LENGTH.fullmatch(lengths[0]):
+            raise ProtocolError(400, "not one plain Content-Length", field="Content-Length", found=", ".join(lengths))
+        length = int(lengths[0])
+        if length > self.limits.body:
+            raise self._body_too_large(length)
+        return length
+
+    # -- the body of a message -------------------------------------------------------------------------------
+
+    def _body_too_large(self, length: int) -> ProtocolError:
+        limit = self.limits.body
+        return ProtocolError(
+            413, f"a body of more than {limit} bytes", expected=f"<= {limit} bytes", found=f"{length} bytes"
+        )
+
+    def _begin_body(self, length: int) -> bool:
+        self._remaining_bytes = length
+        self._state = self._read_chunk_size if length == CHUNKED else self._read_fixed_body
         return True
 
-    def _take(self, events: list[Event]) -> None:
-        size = min(self._left, len(self._buf))
-        if size == len(self._buf):
-            if size:
-                events.append(Data(bytes(self._buf)))
-                self._buf.clear()
-                self._left -= size
+    def _take_data(self, events: list[Event]) -> None:
+        """Move what the buffer has of the body or chunk into an event."""
+        size = min(self._remaining_bytes, len(self._buffer))
+        if not size:
             return
-        if size:
-            with memoryview(self._buf) as view:
+        if size == len(self._buffer):
+            events.append(Data(bytes(self._buffer)))
+            self._buffer.clear()
+        else:
+            with memoryview(self._buffer) as view:
                 events.append(Data(bytes(view[:size])))
-            del self._buf[:size]
-            self._left -= size
+            del self._buffer[:size]
+        self._remaining_bytes -= size
 
-    def _finish(self, events: list[Event], trailers: Headers) -> bool:
+    def _end_message(self, events: list[Event], trailers: Headers) -> bool:
         events.append(End(trailers))
-        self._first = b""
-        self._state, self._scanned = self._head, 0
+        self._status_line_prefix = b""
+        self._state = self._read_head
+        self._scanned_bytes = 0
         return True
 
-    def _fixed(self, events: list[Event]) -> bool:
-        self._take(events)
-        return self._left == 0 and self._finish(events, Headers())
+    def _read_fixed_body(self, events: list[Event]) -> bool:
+        self._take_data(events)
+        return self._remaining_bytes == 0 and self._end_message(events, Headers())
 
-    def _until_close(self, events: list[Event]) -> bool:
-        self._total += len(self._buf)
-        if self._total > self.limits.body:
-            raise ProtocolError(413, f"a body of more than {self.limits.body} bytes")
-        self._left = len(self._buf)
-        self._take(events)
+    def _read_until_close(self, events: list[Event]) -> bool:
+        self._total_body_bytes += len(self._buffer)
+        if self._total_body_bytes > self.limits.body:
+            raise self._body_too_large(self._total_body_bytes)
+        self._remaining_bytes = len(self._buffer)
+        self._take_data(events)
         return False
 
-    def _chunk_size(self, events: list[Event]) -> bool:
-        end = self._buf.find(b"\n", 0, self.limits.chunk_line)
+    def _read_chunk_size(self, events: list[Event]) -> bool:
+        limit = self.limits.chunk_line
+        end = self._buffer.find(b"\n", 0, limit)
         if end < 0:
-            if len(self._buf) >= self.limits.chunk_line:
-                raise ProtocolError(400, f"a chunk line of more than {self.limits.chunk_line} bytes")
+            if len(self._buffer) >= limit:
+                raise ProtocolError(400, f"a chunk line of more than {limit} bytes", expected=f"<= {limit} bytes")
             return False
-        found = CHUNK.match(self._buf[: end - 1]) if end and self._buf[end - 1] == 13 else None
-        if not found:
+        ends_in_crlf = end > 0 and self._buffer[end - 1] == CARRIAGE_RETURN
+        match = CHUNK_SIZE_LINE.match(self._buffer[: end - 1]) if ends_in_crlf else None
+        if not match:
             raise ProtocolError(400, "a chunk size that is not a hexadecimal number")
-        del self._buf[: end + 1]
-        self._left = int(found[1], 16)
-        self._total += self._left
-        if self._total > self.limits.body:
-            raise ProtocolError(413, f"a body of more than {self.limits.body} bytes")
-        self._state = self._chunk_data if self._left else self._trailers
+        del self._buffer[: end + 1]
+        self._remaining_bytes = int(match[1], 16)
+        self._total_body_bytes += self._remaining_bytes
+        if self._total_body_bytes > self.limits.body:
+            raise self._body_too_large(self._total_body_bytes)
+        self._state = self._read_chunk_data if self._remaining_bytes else self._read_trailers
         return True
 
-    def _chunk_data(self, events: list[Event]) -> bool:
-        self._take(events)
-        if self._left or not self._buf:
+    def _read_chunk_data(self, events: list[Event]) -> bool:
+        self._take_data(events)
+        if self._remaining_bytes or not self._buffer:
             return False
-        if self._buf[:2] != b"\r\n"[: len(self._buf)]:
+        if self._buffer[:2] != b"\r\n"[: len(self._buffer)]:
             raise ProtocolError(400, "a chunk that does not end where its size says")
-        if len(self._buf) < 2:
+        if len(self._buffer) < 2:
             return False
-        del self._buf[:2]
-        self._state = self._chunk_size
+        del self._buffer[:2]
+        self._state = self._read_chunk_size
         return True
 
-    def _trailers(self, events: list[Event]) -> bool:
-        if self._buf[:2] == b"\r\n":
-            del self._buf[:2]
-            return self._finish(events, Headers())
-        if self._buf == b"\r":
+    def _read_trailers(self, events: list[Event]) -> bool:
+        if self._buffer[:2] == b"\r\n":
+            del self._buffer[:2]
+            return self._end_message(events, Headers())
+        if self._buffer == b"\r":
             return False
-        lines = self._block(self.limits.head)
-        return lines is not None and self._finish(events, _fields(lines, self.limits))
+        lines = self._take_block(self.limits.head)
+        return lines is not None and self._end_message(events, _parse_fields(lines, self.limits))
 
 
-def _head(first: str, headers: Iterable[tuple[str, str]]) -> bytes:
-    lines = [first]
+def _encode_head(first_line: str, headers: Iterable[tuple[str, str]]) -> bytes:
+    lines = [first_line]
     for name, value in headers:
-        if name not in _NAMES and not _proper(name) or not value.isprintable() and FORBIDDEN.search(value):
-            raise ValueError(f"header field {name!r} can't be sent")  # guards against splitting by our own hand
+        invalid_name = name not in KNOWN_FIELD_NAMES and not is_field_name(name)
+        if invalid_name or not value.isprintable() and FORBIDDEN_IN_VALUE.search(value):
+            # Guards against a message of our own that a value from elsewhere would split in two.
+            raise UnsendableMessageError(f"header field {name!r} can't be sent", field=name, found=value)
         lines.append(f"{name}: {value}")
     return ("\r\n".join(lines) + "\r\n\r\n").encode("latin-1")
 
@@ -448,25 +530,53 @@
 def request_parts(
     method: str, target: str, headers: Iterable[tuple[str, str]], body: bytes = b""
 ) -> tuple[bytes, bytes]:
-    """Head and body of a request with its length, the body as it is; `headers` must not tell a length."""
-    if not TOKEN.match(method) or not TARGET.match(target):
-        raise ValueError(f"{method!r} {target!r} can't be sent")
-    return _head(f"{method} {target} HTTP/1.1", [*headers, ("Content-Length", str(len(body)))]), body
+    """Encode a request with its Content-Length.
+
+    Args:
+        method: A token.
+        target: The request target, in visible ASCII.
+        headers: The header fields, without a Content-Length.
+        body: The body; returned as it is.
+
+    Returns:
+        Head and body.
+
+    Raises:
+        UnsendableMessageError: The method, target or a header field would not be valid.
+    """
+    if not TOKEN.match(method) or not REQUEST_TARGET.match(target):
+        raise UnsendableMessageError(f"{method!r} {target!r} can't be sent")
+    fields = [*headers, ("Content-Length", str(len(body)))]
+    return _encode_head(f"{method} {target} HTTP/1.1", fields), body
 
 
 def request(method: str, target: str, headers: Iterable[tuple[str, str]], body: bytes = b"") -> bytes:
-    """The same in one piece."""
+    """Encode a request as `request_parts` does, in one piece."""
     return b"".join(request_parts(method, target, headers, body))
 
 
 def response_parts(
     status: int, headers: Iterable[tuple[str, str]], body: bytes = b"", head_only: bool = False
 ) -> tuple[bytes, bytes]:
-    """Head and body of a response with its length; for HEAD the body is counted and left out (RFC 9110, 9.3.2)."""
+    """Encode a response with its Content-Length.
+
+    Args:
+        status: The status code.
+        headers: The header fields, without a Content-Length.
+        body: The body; returned as it is.
+        head_only: Whether this answers HEAD: the body is counted and left out (RFC 9110, 9.3.2).
+
+    Returns:
+        Head and body.
+
+    Raises:
+        UnsendableMessageError: A header field would not be valid.
+    """
     fields = [*headers] if status == 204 else [*headers, ("Content-Length", str(len(body)))]
-    return _head(f"HTTP/1.1 {status} {REASONS.get(status, 'Status')}", fields), b"" if head_only else body
+    first_line = f"HTTP/1.1 {status} {REASON_PHRASES.get(status, UNKNOWN_REASON_PHRASE)}"
+    return _encode_head(first_line, fields), b"" if head_only else body
 
 
 def response(status: int, headers: Iterable[tuple[str, str]], body: bytes = b"", head_only: bool = False) -> bytes:
-    """The same in one piece."""
+    """Encode a response as `response_parts` does, in one piece."""
     return b"".join(response_parts(status, headers, body, head_only))
--- a/linnetstile/codec/mdn.py
+++ b/linnetstile/codec/mdn.py
@@ -6,19 +6,33 @@
 import re
 from dataclasses import dataclass
 
+from ..errors import LinnetstileError, ProtocolError
 from . import as2, mime
+from .headers import Headers
 
 DISPOSITION = re.compile(r"([\w-]+)/([\w-]+)\s*;\s*([\w-]+)\s*(?:/\s*([\w-]+)\s*(?::\s*(.*))?)?\Z")
-MIC = re.compile(r"([A-Za-z0-9+/=]{4,128})\s*,\s*([A-Za-z0-9-]{3,16})\Z")
+RECEIVED_MIC = re.compile(r"([A-Za-z0-9+/=]{4,128})\s*,\s*([A-Za-z0-9-]{3,16})\Z")
+DEFAULT_TEXT = "The message was processed."
 
 
-class MdnError(ValueError):
+class MdnError(ProtocolError):
     """Not a disposition notification that can be read."""
 
 
 @dataclass(frozen=True, slots=True)
 class Mdn:
-    """One receipt. `kind` is processed or failed, `modifier` error, warning, failure or empty."""
+    """One receipt.
+
+    Attributes:
+        original_id: Message-ID of the message it is for.
+        recipient: AS2 name of who received that, as the field holds it.
+        kind: `processed` or `failed`.
+        modifier: `error`, `warning`, `failure` or empty.
+        detail: What the modifier says, such as `authentication-failed`.
+        mic: Digest of the content as it was received; empty if there is none.
+        micalg: Algorithm of the digest, in lower case.
+        text: For human readers.
+    """
 
     original_id: str
     recipient: str
@@ -31,58 +45,90 @@
 
     @property
     def positive(self) -> bool:
+        """Whether the message was processed."""
         return self.kind == "processed" and self.modifier in ("", "warning")
 
     @property
     def duplicate(self) -> bool:
+        """Whether the receiver had the message before (RFC 4130, 7.5.4)."""
         return self.modifier in ("warning", "error") and "duplicate-document" in self.detail.lower()
 
     def build(self) -> tuple[str, bytes]:
-        """Content type and body of the multipart/report."""
-        disposition = f"automatic-action/MDN-sent-automatically; {self.kind}"
-        if self.modifier:
-            disposition += f"/{self.modifier}" + (f": {self.detail}" if self.detail else "")
+        """Return content type and body of the multipart/report."""
+        text = (self.text or DEFAULT_TEXT).replace("\n", "\r\n")
+        human_part = b"Content-Type: text/plain; charset=utf-8\r\n\r\n" + text.encode() + b"\r\n"
+        machine_head = "Content-Type: message/disposition-notification\r\n\r\n"
+        machine_part = (machine_head + "\r\n".join(self._field_lines()) + "\r\n").encode()
+        return mime.multipart("report", [human_part, machine_part], {"report-type": "disposition-notification"})
+
+    def _field_lines(self) -> list[str]:
+        recipient = as2.quoted(self.recipient)
         lines = [
             "Reporting-UA: linnetstile",
-            f"Original-Recipient: rfc822; {as2.quoted(self.recipient)}",
-            f"Final-Recipient: rfc822; {as2.quoted(self.recipient)}",
+            f"Original-Recipient: rfc822; {recipient}",
+            f"Final-Recipient: rfc822; {recipient}",
             f"Original-Message-ID: {self.original_id}",
-            f"Disposition: {disposition}",
+            f"Disposition: {self._disposition()}",
         ]
         if self.mic:
             lines.append(f"Received-Content-MIC: {base64.b64encode(self.mic).decode()}, {self.micalg}")
-        text = (self.text or "The message was processed.").replace("\n", "\r\n")
-        human = b"Content-Type: text/plain; charset=utf-8\r\n\r\n" + text.encode() + b"\r\n"
-        machine = ("Content-Type: message/disposition-notification\r\n\r\n" + "\r\n".join(lines) + "\r\n").encode()
-        return mime.multipart("report", [human, machine], {"report-type": "disposition-notification"})
+        return lines
+
+    def _disposition(self) -> str:
+        disposition = f"automatic-action/MDN-sent-automatically; {self.kind}"
+        if self.modifier:
+            disposition += f"/{self.modifier}"
+            if self.detail:
+                disposition += f": {self.detail}"
+        return disposition
 
 
 def parse(content_type: str, body: bytes) -> Mdn:
-    """Reads a multipart/report that holds a disposition notification; raises `MdnError`."""
+    """Parse a multipart/report that holds a disposition notification.
+
+    Raises:
+        MdnError: It is none, or can't be read.
+    """
     try:
-        kind = mime.content_type(content_type)
-        if kind.name != "multipart/report":
-            raise MdnError("not a multipart/report")
-        found = [mime.entity(part) for part in mime.parts(body, kind.params.get("boundary", ""))]
-        machine = [part for part in found if part.type.name == "message/disposition-notification"]
-        if len(machine) != 1:
-            raise MdnError("not one message/disposition-notification")
-        fields = mime.entity(machine[0].decoded().strip(b"\r\n") + b"\r\n\r\n").headers
-        text = found[0].decoded().decode("utf-8", "replace").strip() if found[0] is not machine[0] else ""
-        disposition = DISPOSITION.match(fields.get("disposition"))
-        if not disposition:
-            raise MdnError("no readable Disposition")
-        mic = MIC.match(fields.get("received-content-mic"))
-        recipient = fields.get("final-recipient").rpartition(";")[2].strip()
-        return Mdn(
-            as2.message_id(fields.get("original-message-id"), "Original-Message-ID"),
-            recipient,
-            disposition[3].lower(),
-            (disposition[4] or "").lower(),
-            (disposition[5] or "").strip(),
-            base64.b64decode(mic[1]) if mic else b"",
-            mic[2].lower() if mic else "",
-            text,
+        return _parse_report(content_type, body)
+    except MdnError:
+        raise
+    except LinnetstileError as error:
+        raise MdnError(str(error), field=error.field, expected=error.expected, found=error.found) from error
+    except ValueError as error:
+        raise MdnError(str(error)) from error
+
+
+def _parse_report(content_type: str, body: bytes) -> Mdn:
+    media_type = mime.content_type(content_type)
+    if media_type.name != "multipart/report":
+        raise MdnError(
+            "not a multipart/report", field="Content-Type", expected="multipart/report", found=media_type.name
         )
-    except (mime.MimeError, as2.As2Error, ValueError) as error:
-        raise error if isinstance(error, MdnError) else MdnError(str(error)) from error
+    entities = [mime.entity(part) for part in mime.parts(body, media_type.params.get("boundary", ""))]
+    notifications = [part for part in entities if part.type.name == "message/disposition-notification"]
+    if len(notifications) != 1:
+        raise MdnError("not one message/disposition-notification", expected="1 part", found=str(len(notifications)))
+    notification = notifications[0]
+    fields = mime.entity(notification.decoded().strip(b"\r\n") + b"\r\n\r\n").headers
+    first = entities[0]
+    text = first.decoded().decode("utf-8", "replace").strip() if first is not notification else ""
+    return _parse_notification(fields, text)
+
+
+def _parse_notification(fields: Headers, text: str) -> Mdn:
+    disposition_text = fields.get("disposition")
+    disposition = DISPOSITION.match(disposition_text)
+    if not disposition:
+        raise MdnError("no readable Disposition", field="Disposition", found=disposition_text)
+    mic = RECEIVED_MIC.match(fields.get("received-content-mic"))
+    return Mdn(
+        original_id=as2.message_id(fields.get("original-message-id"), "Original-Message-ID"),
+        recipient=fields.get("final-recipient").rpartition(";")[2].strip(),
+        kind=disposition[3].lower(),
+        modifier=(disposition[4] or "").lower(),
+        detail=(disposition[5] or "").strip(),
+        mic=base64.b64decode(mic[1]) if mic else b"",
+        micalg=mic[2].lower() if mic else "",
+        text=text,
+    )
--- a/linnetstile/codec/mime.py
+++ b/linnetstile/codec/mime.py
@@ -10,55 +10,94 @@
 import secrets
 from dataclasses import dataclass
 
-from .http1 import Headers
+from ..errors import ProtocolError
+from .headers import Headers
+
+PARTS_MAX = 32  # parts of a multipart
+HEAD_MAX = 32_768  # bytes of the header lines of an entity
+CONTENT_TYPES_CACHED = 512  # most messages of a client have the same one
+BOUNDARY_RANDOM_BYTES = 12
+DEFAULT_CONTENT_TYPE = "text/plain"  # RFC 2045, 5.2
+LINE_FEED = 10
 
-PARTS_MAX = 32
-HEAD_MAX = 32_768
 BOUNDARY = re.compile(r"[0-9A-Za-z'()+_,\-./:=? ]{0,69}[0-9A-Za-z'()+_,\-./:=?]\Z")  # RFC 2046, 5.1.1
 PARAMETER = re.compile(r'\s*;\s*([^\s=;"]+)\s*=\s*("(?:[^"\\]|\\.)*"|[^\s;"]*)')
 
 
-class MimeError(ValueError):
-    """Not a MIME entity as this codec takes it."""
+class MimeError(ProtocolError):
+    """Not a MIME entity as this codec accepts it."""
 
 
 @dataclass(frozen=True, slots=True)
 class ContentType:
-    """A media type in lower case with its parameters, names in lower case (RFC 2045, 5.1)."""
+    """A media type with its parameters (RFC 2045, 5.1).
+
+    Attributes:
+        name: Type and subtype in lower case, such as `multipart/signed`.
+        params: Values by name; names in lower case, values unquoted.
+    """
 
     name: str
     params: dict[str, str]
 
 
-@functools.lru_cache(maxsize=512)  # most messages of a client have the same one
+@functools.lru_cache(maxsize=CONTENT_TYPES_CACHED)
 def content_type(text: str) -> ContentType:
-    name = text.split(";", 1)[0].strip().lower()
-    rest, at, params = text[len(text.split(";", 1)[0]) :], 0, dict[str, str]()
-    while found := PARAMETER.match(rest, at):
-        value = found[2]
-        params.setdefault(found[1].lower(), re.sub(r"\\(.)", r"\1", value[1:-1]) if value[:1] == '"' else value)
-        at = found.end()
-    if "/" not in name or rest[at:].strip(" \t;"):
-        raise MimeError("a content type that can't be read")
+    """Parse the value of a Content-Type field.
+
+    Raises:
+        MimeError: It has no subtype, or parameters that can't be read.
+    """
+    media_type = text.split(";", 1)[0]
+    name = media_type.strip().lower()
+    rest = text[len(media_type) :]
+    params: dict[str, str] = {}
+    position = 0
+    while match := PARAMETER.match(rest, position):
+        value = match[2]
+        params.setdefault(match[1].lower(), _unquote(value) if value[:1] == '"' else value)
+        position = match.end()
+    if "/" not in name or rest[position:].strip(" \t;"):
+        raise MimeError(
+            "a content type that can't be read", field="Content-Type", expected="type/subtype; name=value", found=text
+        )
     return ContentType(name, params)
 
 
+def _unquote(quoted: str) -> str:
+    return re.sub(r"\\(.)", r"\1", quoted[1:-1])
+
+
 @dataclass(frozen=True, slots=True)
 class Entity:
+    """Header fields and body of a MIME entity.
+
+    Attributes:
+        headers: The fields, unfolded.
+        body: The bytes behind the empty line, with their transfer encoding.
+        raw: The whole entity as it came.
+    """
+
     headers: Headers
     body: bytes
     raw: bytes
 
     @property
     def type(self) -> ContentType:
-        return content_type(self.headers.get("content-type", "text/plain"))
+        """The media type; raises `MimeError` if it can't be read."""
+        return content_type(self.headers.get("content-type", DEFAULT_CONTENT_TYPE))
 
     def decoded(self) -> bytes:
+        """Return the body without its transfer encoding; raises `MimeError` if that can't be undone."""
         return decode(self.body, self.headers.get("content-transfer-encoding"))
 
 
 def decode(body: bytes, encoding: str) -> bytes:
-    """Undoes a content transfer encoding (RFC 2045, 6)."""
+    """Undo a content transfer encoding (RFC 2045, 6).
+
+    Raises:
+        MimeError: The encoding is not known, or the body does not follow it.
+    """
     encoding = encoding.strip().lower()
     if encoding == "base64":
         try:
@@ -69,57 +108,86 @@
         return quopri.decodestring(body)
     if encoding in ("", "7bit", "8bit", "binary"):
         return body
-    raise MimeError("a content transfer encoding that is not known")
+    raise MimeError("a content transfer encoding that is not known", field="Content-Transfer-Encoding", found=encoding)
 
 
 def entity(raw: bytes) -> Entity:
-    """Reads an entity: header lines (folding undone), an empty line, the body. Takes CRLF and LF ends."""
+    """Parse an entity: header lines (folding undone), an empty line, the body; lines may end in CRLF or LF.
+
+    Raises:
+        MimeError: The headers do not end, or one has no name.
+    """
     if raw[:2] == b"\r\n" or raw[:1] == b"\n":
         return Entity(Headers(), raw[2 if raw[:1] == b"\r" else 1 :], raw)
-    ends = [(raw.find(mark, 0, HEAD_MAX), len(mark)) for mark in (b"\r\n\r\n", b"\n\n")]
-    found = min((pair for pair in ends if pair[0] >= 0), default=None)
-    if found is None:
+    ends = [(raw.find(separator, 0, HEAD_MAX), len(separator)) for separator in (b"\r\n\r\n", b"\n\n")]
+    head_end = min((end for end in ends if end[0] >= 0), default=None)
+    if head_end is None:
         raise MimeError(f"no end of the headers within {HEAD_MAX} bytes")
-    text = re.sub(r"\r?\n[ \t]+", " ", raw[: found[0]].decode("latin-1"))
+    head_length, separator_length = head_end
+    fields = _parse_fields(raw[:head_length].decode("latin-1"))
+    return Entity(Headers(fields), raw[head_length + separator_length :], raw)
+
+
+def _parse_fields(head: str) -> list[tuple[str, str]]:
+    unfolded = re.sub(r"\r?\n[ \t]+", " ", head)
     fields = []
-    for line in text.splitlines():
+    for line in unfolded.splitlines():
         name, colon, value = line.partition(":")
         if not colon or not name.strip():
-            raise MimeError("a header line without a name")
+            raise MimeError("a header line without a name", expected="name: value", found=line)
         fields.append((name.strip(), value.strip()))
-    return Entity(Headers(fields), raw[found[0] + found[1] :], raw)
+    return fields
 
 
 def parts(body: bytes, boundary: str) -> list[bytes]:
-    """The raw parts of a multipart body: the line end before a delimiter belongs to that (RFC 2046, 5.1.1)."""
+    """Split a multipart body into its raw parts.
+
+    The line end before a delimiter belongs to that (RFC 2046, 5.1.1).
+
+    Raises:
+        MimeError: The boundary is not valid, there are too many parts, or the last delimiter is missing.
+    """
     if not BOUNDARY.match(boundary):
-        raise MimeError("no proper boundary")
+        raise MimeError("no proper boundary", field="boundary", found=boundary)
     # Found by plain search: a pattern for each boundary would be compiled anew for each message (1.3 ms of 4.7).
-    mark, found, start, at = b"--" + boundary.encode("latin-1"), list[bytes](), -1, 0
-    while (hit := body.find(mark, at)) >= 0:
-        at = hit + len(mark)
-        if hit and body[hit - 1] != 10:
+    delimiter = b"--" + boundary.encode("latin-1")
+    found: list[bytes] = []
+    part_start = -1  # negative: before the first delimiter
+    position = 0
+    while (hit := body.find(delimiter, position)) >= 0:
+        position = hit + len(delimiter)
+        if hit and body[hit - 1] != LINE_FEED:
             continue  # not at the start of a line
-        last = body[at : at + 2] == b"--"
-        end = body.find(b"\n", at)
-        rest = body[at + 2 * last : end if end >= 0 else len(body)]
-        if rest.strip(b" \t\r") or (end < 0 and not last):
+        is_last = body[position : position + 2] == b"--"
+        line_end = body.find(b"\n", position)
+        rest_of_line = body[position + 2 * is_last : line_end if line_end >= 0 else len(body)]
+        if rest_of_line.strip(b" \t\r") or (line_end < 0 and not is_last):
             continue  # a longer boundary that begins like this one
-        if start >= 0:
-            stop = hit - (2 if body[hit - 2 : hit] == b"\r\n" else 1)
-            found.append(body[start : max(start, stop)])
-        if last:
+        if part_start >= 0:
+            part_end = hit - (2 if body[hit - 2 : hit] == b"\r\n" else 1)
+            found.append(body[part_start : max(part_start, part_end)])
+        if is_last:
             return found
         if len(found) >= PARTS_MAX:
-            raise MimeError(f"more than {PARTS_MAX} parts")
-        start = at = end + 1
-    raise MimeError("the last delimiter of a multipart is missing")
+            raise MimeError(f"more than {PARTS_MAX} parts", expected=f"<= {PARTS_MAX}")
+        part_start = line_end + 1
+        position = part_start
+    raise MimeError("the last delimiter of a multipart is missing", expected=f"--{boundary}--")
 
 
 def multipart(kind: str, bodies: list[bytes], params: dict[str, str]) -> tuple[str, bytes]:
-    """Content type and body of a multipart of raw parts."""
-    boundary = "=_" + secrets.token_hex(12)
+    """Join raw parts to a multipart.
+
+    Args:
+        kind: The subtype, such as `signed`.
+        bodies: The parts with their headers.
+        params: Parameters of the content type besides the boundary.
+
+    Returns:
+        Content type and body.
+    """
+    boundary = "=_" + secrets.token_hex(BOUNDARY_RANDOM_BYTES)
     extra = "".join(f'; {name}="{value}"' for name, value in params.items())
-    mark = f"--{boundary}".encode()
-    body = b"".join(mark + b"\r\n" + part + b"\r\n" for part in bodies) + mark + b"--\r\n"
+    delimiter = f"--{boundary}".encode()
+    body = b"".join(delimiter + b"\r\n" + part + b"\r\n" for part in bodies) + delimiter + b"--\r\n"
     return f'multipart/{kind}; boundary="{boundary}"{extra}', body
--- a/linnetstile/codec/objects.py
+++ b/linnetstile/codec/objects.py
@@ -1,4 +1,8 @@
-"""A run of JSON texts (RFC 8259) in a byte stream: bytes in, values out, the same for any split, lines or none."""
+"""Incremental reader of a stream of JSON texts (RFC 8259): bytes in, values out, the same for any split.
+
+The texts may be separated by blanks, line ends or nothing. Memory is bounded: an object that is longer than the reader
+may hold can come in parts, a run of array elements each.
+"""
 
 from __future__ import annotations
 
@@ -7,241 +11,336 @@
 from dataclasses import dataclass
 from typing import Any, NoReturn
 
-VISIBLE = re.compile(rb"[^ \t\r\n]")
-OUTSIDE = re.compile(rb'["{}\[\]]')
-BETWEEN = re.compile(rb'["{}\[\],]')  # the same among the elements of an array
-INSIDE = re.compile(rb'["\\\x00-\x1f]')
-DEEPEST = 32  # levels: a list of endpoints has three
-STEP = 64 * 1024  # bytes: a longer object comes in parts, if it may; and the most of one element of it
-PIECE = 16 * 1024  # bytes that are looked at in one go
-QUICK = 2 * 1024  # bytes from which on elements are read together: one by one costs ten times as much
+from ..errors import ProtocolError
+
+NOT_BLANK = re.compile(rb"[^ \t\r\n]")
+STRUCTURE = re.compile(rb'["{}\[\]]')  # what counts outside of strings
+ELEMENT_STRUCTURE = re.compile(rb'["{}\[\],]')  # the same among the elements of an array
+STRING_STRUCTURE = re.compile(rb'["\\\x00-\x1f]')  # what counts inside of strings
+DEEPEST = 32  # levels of nesting: a list of endpoints has three
+STEP = 64 * 1024  # bytes: a longer object comes in parts, if it may; also the limit of one element of it
+PIECE = 16 * 1024  # bytes that are scanned in one go
+QUICK = 2 * 1024  # bytes from which on elements are parsed together: one by one costs ten times as much
+ARRAY_KEY_SLACK = 64  # bytes for quotes, colon and blanks around the key of the array
+OBJECT_DEPTH = 1  # inside the object that comes in parts
+ELEMENT_DEPTH = 2  # inside its array
+MIN_ELEMENT_DEPTH = 3  # of an element that is an object or array itself
+
+
+class JsonStreamError(ProtocolError):
+    """The stream is not JSON as this reader accepts it."""
+
+
+def _reject_constant(text: str) -> NoReturn:
+    raise JsonStreamError(f"{text} is no JSON", expected="a JSON number", found=text)  # json accepts NaN and Infinity
+
 
+_DECODER = json.JSONDecoder(parse_constant=_reject_constant)
 
-def _number(text: str) -> NoReturn:
-    raise ValueError(f"{text} is no JSON")  # the library takes NaN and Infinity
 
+def _parse(text: bytes | bytearray) -> Any:
+    """Parse one JSON text, in UTF-8 alone: `json.loads` guesses at other encodings by the first bytes.
 
-DECODER = json.JSONDecoder(parse_constant=_number)
+    Raises:
+        ValueError: It is not JSON, or not UTF-8.
+        RecursionError: It is nested too deeply.
+    """
+    return _DECODER.decode(text.decode("utf-8", "surrogatepass"))
 
 
-def _read(text: bytes | bytearray) -> Any:
-    """Raises ValueError, RecursionError. In UTF-8 alone: the library guesses at others by what a text begins with."""
-    return DECODER.decode(text.decode("utf-8", "surrogatepass"))
+def _as_stream_error(error: Exception) -> JsonStreamError:
+    """Return a new error without a traceback, which would keep the buffers alive that its frames refer to."""
+    if isinstance(error, JsonStreamError):
+        return JsonStreamError(str(error), field=error.field, expected=error.expected, found=error.found)
+    return JsonStreamError(str(error))
 
 
 @dataclass(frozen=True, slots=True)
 class Part:
-    """Elements, in order, of the array of an object that is too long to come whole."""
+    """A run of array elements, in order, of an object that is too long to come whole.
 
-    head: dict[str, Any]  # the members before the array: the same in each part
+    Attributes:
+        head: The members before the array: the same in each part.
+        elements: The next elements of the array; none in the last part.
+        first: Whether this is the first part of the object.
+        last: Whether the object is complete and valid.
+    """
+
+    head: dict[str, Any]
     elements: list[Any]
     first: bool
-    last: bool  # the object is complete, and sound
+    last: bool
 
 
 class Objects:
-    """Cuts objects and arrays out of a stream; what stands between them may only be blank. `most` bounds the bytes of
-    one. Raises ValueError for good from the first fault on: nothing says where the next value begins.
+    """Cuts objects and arrays out of a stream; only blanks may stand between them.
 
     Objects of more than `step` bytes whose member `array` is an array that begins within these come as `Part`s instead,
     as long as the members `before` stand before it: what they say of the rest has to be known first. Their elements are
     bounded by `step` each, and `most` bounds what stands behind the array, so that memory is bounded however long it
-    is. An element comes once the comma or bracket behind it has come, and none that stands behind a fault."""
+    is. An element comes once the comma or bracket behind it has come, and none that stands behind a fault.
+
+    Attributes:
+        most: Bytes that one value may have.
+        array: Key of the array that may come in parts; empty if there is none.
+        before: Keys of the members that have to stand before the array.
+        step: Bytes from which on an object comes in parts.
+        failed: The fault that ended the reading, since nothing says where the next value begins; None while there is
+            none.
+    """
 
     def __init__(self, most: int, array: str = "", before: tuple[str, ...] = (), step: int = STEP) -> None:
-        self.most, self.array, self.before, self.step = most, array, before, step
-        self.failed: ValueError | None = None
-        self._opens = re.compile(rb'"%s"[ \t\r\n]*:[ \t\r\n]*\[\Z' % array.encode())
-        self._buf = bytearray()
-        self._at = 0  # read up to here
+        self.most = most
+        self.array = array
+        self.before = before
+        self.step = step
+        self.failed: JsonStreamError | None = None
+        self._array_opening = re.compile(rb'"%s"[ \t\r\n]*:[ \t\r\n]*\[\Z' % array.encode())
+        self._buffer = bytearray()
+        # The scan of the value or element that the buffer begins with.
+        self._position = 0  # scanned up to here
         self._depth = 0
-        self._quoted = False
-        self._elements = 0  # where those of the array begin; 0: it has not been met
-        self._long = False  # longer than a step, and not in parts so far
-        self._head: dict[str, Any] | None = None  # of the object that comes in parts
-        self._inside = False  # its array has not ended
-        self._told = self._some = False  # a part of it was handed out; its array has elements
-        self._single = False  # elements are read one by one until more bytes come
+        self._in_string = False
+        self._elements_start = 0  # where those of the array begin; 0: it has not been met
+        self._exceeds_step = False  # longer than a step, and not in parts so far
+        # The object that comes in parts.
+        self._head: dict[str, Any] | None = None  # its members before the array; None: no object comes in parts
+        self._in_array = False
+        self._part_returned = False
+        self._array_has_elements = False
+        self._one_by_one = False  # elements are parsed alone until more bytes come
 
     @property
     def part(self) -> bool:
-        """A value has begun and is not complete."""
-        return bool(self._buf) or self._head is not None
+        """Whether a value has begun and is not complete."""
+        return bool(self._buffer) or self._head is not None
 
     def feed(self, data: bytes) -> list[Any]:
-        """The values, and parts of values, that these bytes complete. A fault behind the last of them is raised by the
-        next call."""
+        """Return the values, and parts of values, that these bytes complete.
+
+        Raises:
+            JsonStreamError: For good from the first fault on; a fault behind a value is raised by the next call.
+        """
         if self.failed:
             raise self.failed
-        found: list[Any] = []
+        values: list[Any] = []
         try:
-            for at in range(0, len(data), PIECE):
-                self._buf += data[at : at + PIECE]
-                self._single = False
-                while self._next(found):
+            for start in range(0, len(data), PIECE):
+                self._buffer += data[start : start + PIECE]
+                self._one_by_one = False
+                while self._advance(values):
                     pass
         except (ValueError, RecursionError) as error:  # UnicodeDecodeError and JSONDecodeError are ValueErrors
-            self.failed = ValueError(str(error))
-            self._buf.clear()
+            self.failed = _as_stream_error(error)
+            self._buffer.clear()
             self._head = None
-            if not found:
+            if not values:
                 raise self.failed from error
-        return found
+        return values
 
-    def _next(self, found: list[Any]) -> bool:
-        """One step; whether there may be another one."""
+    def _advance(self, values: list[Any]) -> bool:
+        """Take one step; return whether there may be another one."""
         if self._head is not None:
-            return self._go_on(self._head, found)
-        end = self._end(0, len(self._buf) if self._long else self.step)
-        if end is None and not self._long and len(self._buf) > self.step:
-            self._long = True
-            self._parts()
+            return self._advance_in_parts(self._head, values)
+        end = self._find_end(0, len(self._buffer) if self._exceeds_step else self.step)
+        if end is None and not self._exceeds_step and len(self._buffer) > self.step:
+            self._exceeds_step = True
+            self._begin_parts()
             return True
-        self._bound(end)
+        self._check_size(end)
         if end is None:
             return False
-        found.append(_read(self._buf[:end]))
-        self._cut(end)
+        values.append(_parse(self._buffer[:end]))
+        self._discard(end)
         return True
 
-    def _cut(self, end: int) -> None:
-        """What stands before is done with."""
-        del self._buf[:end]
-        self._at = self._depth = self._elements = 0
-        self._long = False
+    def _discard(self, end: int) -> None:
+        """Drop what stands before `end` and begin another scan."""
+        del self._buffer[:end]
+        self._position = 0
+        self._depth = 0
+        self._elements_start = 0
+        self._exceeds_step = False
+
+    def _check_size(self, end: int | None) -> None:
+        size = end or len(self._buffer)
+        if size > self.most:
+            raise JsonStreamError(
+                f"a value of more than {self.most} bytes", expected=f"<= {self.most} bytes", found=f"{size} bytes"
+            )
+
+    # -- the scan for the end of a value ---------------------------------------------------------------------
 
-    def _bound(self, end: int | None) -> None:
-        if (end or len(self._buf)) > self.most:
-            raise ValueError(f"a value of more than {self.most} bytes")
+    def _find_end(self, depth: int, stop: int) -> int | None:
+        """Find where the value ends that the buffer begins with.
 
-    def _end(self, depth: int, stop: int) -> int | None:
-        """Where the value that the buffer begins with ends; None while that has not come, or lies behind `stop`. With
-        `depth` the buffer begins inside so many levels."""
+        Args:
+            depth: Levels of nesting that the buffer begins in.
+            stop: Where the scan stops.
+
+        Returns:
+            The end; None while it has not come, or lies behind `stop`.
+        """
         if not self._depth:
             if not depth:
-                first = VISIBLE.search(self._buf)
-                if first and first[0] not in b"{[":
-                    raise ValueError("neither an object nor an array")
-                del self._buf[: first.start() if first else len(self._buf)]
+                self._skip_blanks()
             self._depth = depth
-        while found := (INSIDE if self._quoted else OUTSIDE).search(self._buf, self._at, stop):
-            sign = found[0]
-            if not self._pass(sign, found.end()):
+        while match := (STRING_STRUCTURE if self._in_string else STRUCTURE).search(self._buffer, self._position, stop):
+            sign = match[0]
+            if not self._count(sign, match.end()):
                 return None
-            if self._quoted or sign == b'"':
+            if self._in_string or sign == b'"':
                 continue
-            if sign == b"[" and self._depth == 2 and not self._elements and self.array and self._buf[:1] == b"{":
-                near = self._buf[max(0, self._at - len(self.array) - 64) : self._at]
-                self._elements = self._at if self._opens.search(near) else 0
+            if sign == b"[" and self._depth == ELEMENT_DEPTH and not self._elements_start and self.array:
+                self._note_array_start()
             if not self._depth:
-                return self._at
-        self._at = max(self._at, min(stop, len(self._buf)))
+                return self._position
+        self._position = max(self._position, min(stop, len(self._buffer)))
         return None
 
-    def _pass(self, sign: bytes, end: int) -> bool:
-        """Counts one sign, which ends at `end`. False: what it escapes has not come."""
+    def _skip_blanks(self) -> None:
+        first = NOT_BLANK.search(self._buffer)
+        if first and first[0] not in b"{[":
+            raise JsonStreamError("neither an object nor an array", expected="{ or [", found=repr(first[0]))
+        del self._buffer[: first.start() if first else len(self._buffer)]
+
+    def _note_array_start(self) -> None:
+        """Remember that the array begins here, if the bracket just scanned opens it."""
+        if self._buffer[:1] != b"{":
+            return
+        near = self._buffer[max(0, self._position - len(self.array) - ARRAY_KEY_SLACK) : self._position]
+        if self._array_opening.search(near):
+            self._elements_start = self._position
+
+    def _count(self, sign: bytes, end: int) -> bool:
+        """Count one sign, which ends at `end`; return False if what it escapes has not come."""
         if sign == b'"':
-            self._quoted = not self._quoted
+            self._in_string = not self._in_string
         elif sign == b"\\":
-            if end == len(self._buf):
-                self._at = end - 1
+            if end == len(self._buffer):
+                self._position = end - 1
                 return False
             end += 1
-        elif self._quoted:
-            raise ValueError("a control character in a string")
+        elif self._in_string:
+            raise JsonStreamError("a control character in a string", found=repr(sign))
         elif sign in b"{[":
             self._depth += 1
             if self._depth > DEEPEST:
-                raise ValueError(f"more than {DEEPEST} levels")
+                raise JsonStreamError(f"more than {DEEPEST} levels", expected=f"<= {DEEPEST} levels")
         elif sign in b"}]":
             self._depth -= 1
-        self._at = end
+        self._position = end
         return True
 
-    # -- objects that come in parts ------------------------------------------------------------------------
-
-    def _parts(self) -> None:
-        """The object that the buffer begins with comes in parts from now on, if it may."""
-        head = _read(self._buf[: self._elements] + b"]}") if self._elements else {}
-        if head.get(self.array) == [] and all(name in head for name in self.before):
-            del head[self.array]
-            self._head, self._inside, self._told, self._some, self._quoted = head, True, False, False, False
-            self._cut(self._elements)
-
-    def _go_on(self, head: dict[str, Any], found: list[Any]) -> bool:
-        if self._inside:
-            elements: list[Any] = []
-            try:
-                while self._inside and self._take(elements):
-                    pass
-            finally:  # what stands before a fault is told first
-                if elements:
-                    found.append(Part(head, elements, not self._told, False))
-                    self._told = True
-            if self._inside:
+    # -- objects that come in parts --------------------------------------------------------------------------
+
+    def _begin_parts(self) -> None:
+        """Let the object that the buffer begins with come in parts from now on, if it may."""
+        head = _parse(self._buffer[: self._elements_start] + b"]}") if self._elements_start else {}
+        if head.get(self.array) != [] or not all(key in head for key in self.before):
+            return
+        del head[self.array]
+        self._head = head
+        self._in_array = True
+        self._part_returned = False
+        self._array_has_elements = False
+        self._in_string = False
+        self._discard(self._elements_start)
+
+    def _advance_in_parts(self, head: dict[str, Any], values: list[Any]) -> bool:
+        if self._in_array:
+            self._read_elements(head, values)
+            if self._in_array:
                 return False
-        end = self._end(1, len(self._buf))
-        self._bound(end)
+        return self._read_members_after_array(head, values)
+
+    def _read_elements(self, head: dict[str, Any], values: list[Any]) -> None:
+        elements: list[Any] = []
+        try:
+            while self._in_array and self._take_elements(elements):
+                pass
+        finally:  # what stands before a fault is returned first
+            if elements:
+                values.append(Part(head, elements, first=not self._part_returned, last=False))
+                self._part_returned = True
+
+    def _read_members_after_array(self, head: dict[str, Any], values: list[Any]) -> bool:
+        end = self._find_end(OBJECT_DEPTH, len(self._buffer))
+        self._check_size(end)
         if end is None:
             return False
-        rest = _read(b'{"":0' + self._buf[:end])
-        if twice := [name for name in rest if name == self.array or name in head]:
-            raise ValueError(f"{twice[0]}: told twice")
-        found.append(Part(head, [], not self._told, True))
+        rest = _parse(b'{"":0' + self._buffer[:end])
+        if repeated := [key for key in rest if key == self.array or key in head]:
+            raise JsonStreamError(f"{repeated[0]}: told twice", field=repeated[0], expected="one such member")
+        values.append(Part(head, [], first=not self._part_returned, last=True))
         self._head = None
-        self._cut(end)
+        self._discard(end)
         return True
 
-    def _take(self, elements: list[Any]) -> bool:
-        """The next elements of the array; False while they have not come."""
-        if not self._at and not self._single and len(self._buf) >= QUICK:
-            if self._together(elements):
+    def _take_elements(self, elements: list[Any]) -> bool:
+        """Append the next elements of the array; return False while they have not come."""
+        if not self._position and not self._one_by_one and len(self._buffer) >= QUICK:
+            if self._take_several(elements):
                 return True
-            self._single = True
-        end = self._separator()
-        if (end or len(self._buf) + 1) - 1 > self.step:
-            raise ValueError(f"{self.array}: an element of more than {self.step} bytes")
+            self._one_by_one = True
+        end = self._find_separator()
+        size = len(self._buffer) if end is None else end - 1
+        if size > self.step:
+            raise JsonStreamError(
+                f"{self.array}: an element of more than {self.step} bytes",
+                field=self.array,
+                expected=f"<= {self.step} bytes",
+                found=f"{size} bytes",
+            )
         if end is None:
             return False
-        text, ends = self._buf[: end - 1], self._buf[end - 1 : end] == b"]"
-        if self._some or not ends or VISIBLE.search(text):
-            elements.append(_read(text))
-        self._some, self._inside = True, not ends
-        self._cut(end)
-        return not ends
-
-    def _together(self, elements: list[Any]) -> bool:
-        """All elements up to the last that surely ends in the buffer, read in one go: what parses up to there is what
-        was meant. False: they are to be read one by one, for a fault, or a comma that stands inside one of them."""
-        end = self._buf.rfind(b"},", 0, self.step + 1) + 1
+        text = self._buffer[: end - 1]
+        is_last = self._buffer[end - 1 : end] == b"]"
+        if self._array_has_elements or not is_last or NOT_BLANK.search(text):
+            elements.append(_parse(text))
+        self._array_has_elements = True
+        self._in_array = not is_last
+        self._discard(end)
+        return not is_last
+
+    def _take_several(self, elements: list[Any]) -> bool:
+        """Append all elements up to the last that surely ends in the buffer, parsed in one go.
+
+        What parses up to there is what was meant.
+
+        Returns:
+            False if they have to be parsed one by one, for a fault, or a comma that stands inside one of them.
+        """
+        end = self._buffer.rfind(b"},", 0, self.step + 1) + 1
         if not end:
             return False
-        text = self._buf[:end]
+        text = self._buffer[:end]
         try:
-            several = _read(b"[" + text + b"]")
+            several = _parse(b"[" + text + b"]")
         except (ValueError, RecursionError):
             return False
-        inner = text.count(b"{") + text.count(b"[") - sum(isinstance(each, (dict, list)) for each in several)
-        if inner > DEEPEST - 3:  # one of them may be too deep
+        nested = text.count(b"{") + text.count(b"[") - sum(isinstance(element, (dict, list)) for element in several)
+        if nested > DEEPEST - MIN_ELEMENT_DEPTH:  # one of them may be too deep
             return False
         elements += several
-        self._some = True
-        self._cut(end + 1)
+        self._array_has_elements = True
+        self._discard(end + 1)
         return True
 
-    def _separator(self) -> int | None:
-        """Behind the comma or bracket that ends the element that the buffer begins with; None while that has not
-        come."""
-        self._depth = self._depth or 2
-        while found := (INSIDE if self._quoted else BETWEEN if self._depth == 2 else OUTSIDE).search(
-            self._buf, self._at
-        ):
-            sign = found[0]
-            if not self._pass(sign, found.end()):
+    def _find_separator(self) -> int | None:
+        """Return the end of the comma or bracket behind the first element; None while that has not come."""
+        self._depth = self._depth or ELEMENT_DEPTH
+        while match := (
+            STRING_STRUCTURE if self._in_string else ELEMENT_STRUCTURE if self._depth == ELEMENT_DEPTH else STRUCTURE
+        ).search(self._buffer, self._position):
+            sign = match[0]
+            if not self._count(sign, match.end()):
                 return None
-            if not self._quoted and (self._depth == 1 or sign == b"," and self._depth == 2):
+            if self._in_string:
+                continue
+            if self._depth == OBJECT_DEPTH or sign == b"," and self._depth == ELEMENT_DEPTH:
                 if sign == b"}":
-                    raise ValueError(f"{self.array}: ends with a brace")
-                return self._at
-        self._at = len(self._buf)
+                    raise JsonStreamError(f"{self.array}: ends with a brace", field=self.array, expected="]", found="}")
+                return self._position
+        self._position = len(self._buffer)
         return None
--- a/tests/codec/test_objects.py
+++ b/tests/codec/test_objects.py
@@ -219,7 +219,7 @@
         for at in range(0, len(stream), piece):
             for part in reader.feed(stream[at : at + piece]):
                 count += len(part.elements)
-            held = max(held, len(reader._buf))
+            held = max(held, len(reader._buffer))
         assert count == size and held <= 2 * STEP and not reader.part
         return time.process_time() - began
 
@@ -230,14 +230,14 @@
 
 def test_long_element_in_drops_is_looked_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
     looked = 0
-    together = Objects._together
+    take_several = Objects._take_several
 
     def counted(self: Objects, elements: list[Any]) -> bool:
         nonlocal looked
-        looked += len(self._buf)
-        return together(self, elements)
+        looked += len(self._buffer)
+        return take_several(self, elements)
 
-    monkeypatch.setattr(Objects, "_together", counted)
+    monkeypatch.setattr(Objects, "_take_several", counted)
     element = b'{"a":[' + b'{"b":1},' * 6000 + b"0]}"
     stream = b'{"version":1,"full":true,"servers":[' + b",".join([b"{}"] * 30_000) + b"," + element + b",{}]}"
     for step in (16, 1024):
