--- a/tests/codec/test_as2.py
+++ b/tests/codec/test_as2.py
@@ -1,4 +1,4 @@
-"""MIME, AS2 fields, receipts, signatures: what is made can be read back, and nothing else raises but its own error."""
+"""MIME, AS2 fields, receipts, signatures: what is made can be read back, and no error is raised but their own."""
 
 from __future__ import annotations
 
@@ -23,12 +23,13 @@
     ("text", "plain"),
     [("abc", "abc"), ('"a b"', "a b"), ('"a\\"b\\\\"', 'a"b\\'), ("x" * 128, "x" * 128), ("Firma#1", "Firma#1")],
 )
-def test_names(text: str, plain: str) -> None:
-    assert as2.name(text, "AS2-From") == plain and as2.name(as2.quoted(plain), "AS2-To") == plain
+def test_name_is_unquoted_and_quoted_again(text: str, plain: str) -> None:
+    assert as2.name(text, "AS2-From") == plain
+    assert as2.name(as2.quoted(plain), "AS2-To") == plain
 
 
 @pytest.mark.parametrize("text", ["", "a b", '"', '""', "x" * 129, '"a"b"', "a\\b", "é", '"' + "x" * 129 + '"'])
-def test_what_is_no_name_is_refused_with_its_field(text: str) -> None:
+def test_invalid_name_is_rejected_with_its_field(text: str) -> None:
     with pytest.raises(as2.As2Error, match="AS2-From: expected"):
         as2.name(text, "AS2-From")
 
@@ -50,14 +51,14 @@
         ("Message-ID", "<" + "x" * 1000 + ">"),
     ],
 )
-def test_a_bad_field_is_named(field: str, value: str) -> None:
+def test_error_names_the_invalid_field(field: str, value: str) -> None:
     with pytest.raises(as2.As2Error, match=field):
         as2.Head.of(Headers([*{**BASE, field: value}.items()]))
     with pytest.raises(as2.As2Error, match="AS2-To: expected once"):
         as2.Head.of(Headers([*BASE.items(), ("AS2-To", "c")]))
 
 
-def test_the_wish_for_a_receipt_is_read() -> None:
+def test_receipt_options_are_parsed() -> None:
     wish = as2.receipt_wish(
         "signed-receipt-protocol=optional, pkcs7-signature; signed-receipt-micalg=optional, SHA-256, sha1"
     )
@@ -73,7 +74,7 @@
         mdn.Mdn("<1@a>", "b", "failed", "failure", "unsupported format"),
     ],
 )
-def test_receipts_read_back(found: mdn.Mdn) -> None:
+def test_receipt_is_read_back(found: mdn.Mdn) -> None:
     kind, body = found.build()
     read = mdn.parse(kind, body)
     assert (read.original_id, read.kind, read.modifier, read.detail, read.mic, read.micalg) == (
@@ -88,7 +89,7 @@
     assert as2.name(read.recipient, "Final-Recipient") == found.recipient
 
 
-def test_a_receipt_in_base64_with_bare_line_feeds_is_read() -> None:
+def test_receipt_in_base64_with_bare_line_feeds_is_read() -> None:
     import base64
 
     inner = base64.encodebytes(
@@ -103,19 +104,20 @@
 
 
 @pytest.mark.parametrize("micalg", ["sha-256", "sha-384", "sha-512"])
-def test_a_signature_holds_for_its_bytes_and_its_signer_only(micalg: str) -> None:
+def test_signature_holds_for_its_bytes_and_its_signer_only(micalg: str) -> None:
     content = b"Content-Type: text/plain\r\n\r\nhello\r\n"
     for signer in (ALICE, OPENER):
         kind, body = cms.sign(content, signer, micalg)
         got, der = cms.signed_content(kind, body)
-        assert got == content and cms.verify(got, der, signer.certificate) == cms.DIGESTS[micalg]
+        assert got == content
+        assert cms.verify(got, der, signer.certificate) == cms.DIGESTS[micalg]
         with pytest.raises(cms.CmsError):
             cms.verify(got + b" ", der, signer.certificate)
         with pytest.raises(cms.CmsError):
             cms.verify(got, der, MALLORY.certificate)
 
 
-def test_sha1_is_read_only_where_allowed() -> None:
+def test_sha1_is_accepted_only_where_allowed() -> None:
     from asn1crypto import cms as asn1
 
     kind, body = cms.sign(b"x", OPENER)
@@ -132,7 +134,7 @@
 @pytest.mark.parametrize("sign", [False, True])
 @pytest.mark.parametrize("compress", [False, True])
 @pytest.mark.parametrize("encrypt", [False, True])
-def test_any_mix_opens_to_what_the_receipt_is_over(sign: bool, compress: bool, encrypt: bool) -> None:
+def test_any_mix_of_layers_opens_to_what_the_receipt_is_over(sign: bool, compress: bool, encrypt: bool) -> None:
     made = messages.make(
         "a",
         "b",
@@ -150,7 +152,7 @@
     assert closed == (None if encrypt else made.opened)
 
 
-def test_a_compression_bomb_is_refused() -> None:
+def test_compression_bomb_is_rejected() -> None:
     from asn1crypto import cms as asn1
 
     der = asn1.ContentInfo(
@@ -174,7 +176,7 @@
     return Headers([("Content-Type", kind)]), body
 
 
-def test_what_a_client_finds_in_a_receipt() -> None:
+def test_client_judges_a_receipt() -> None:
     made = messages.make("a", "b", "<1@a>", "s", b"hello")
     good = mdn.Mdn("<1@a>", "b", mic=cms.digest(b"hello", "sha-256"), micalg="sha-256")
     for found, signer, expected in [
@@ -194,7 +196,7 @@
 
 @settings(max_examples=200)
 @given(st.data())
-def test_no_mutation_raises_anything_but_its_own_error(data: st.DataObject) -> None:
+def test_mutated_receipt_raises_only_errors_of_the_codec(data: st.DataObject) -> None:
     kind, body = FIXED
     raw = bytearray(body)
     for _ in range(data.draw(st.integers(1, 6))):
@@ -225,6 +227,6 @@
     ),
     st.sampled_from(["", "base64", "quoted-printable", "odd"]),
 )
-def test_any_bytes_are_opened_or_refused(body: bytes, kind: str, encoding: str) -> None:
+def test_any_bytes_are_opened_or_rejected(body: bytes, kind: str, encoding: str) -> None:
     with contextlib.suppress(cms.CmsError, mime.MimeError):
         cms.opened(kind, encoding, body.replace(b"|", b"\r\n--B\r\n"), OPENER)
--- a/tests/codec/test_http1.py
+++ b/tests/codec/test_http1.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1: tables of bytes, the same verdict for any split, and no exception but the protocol error."""
+"""HTTP/1.1: tables of bytes, the same events for any split, and no exception but the protocol error."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 HOST = b"Host: a\r\n"
 
 
-def run(
+def read_all(
     data: bytes, cuts: list[int] | None = None, client: bool = False, methods: tuple[str, ...] = ()
 ) -> tuple[list[http1.Event], int]:
-    """Events with neighbouring data joined, and the status of the error (0 = none)."""
+    """Return the events, with neighbouring data joined, and the status of the error (0 = none)."""
     parser = http1.Parser(client, LIMITS)
     for method in methods:
         parser.expect(method)
@@ -35,7 +35,7 @@
     return joined, parser.failed.status if parser.failed else 0
 
 
-GOOD = [
+VALID_REQUESTS = [
     (b"GET /x HTTP/1.1\r\n" + HOST + b"\r\n", b""),
     (b"\r\nPOST / HTTP/1.1\r\n" + HOST + b"Content-Length: 3\r\n\r\nabc", b"abc"),
     (
@@ -48,7 +48,7 @@
     (b"POST / HTTP/1.0\r\nContent-Length: 1\r\n\r\nz", b"z"),
     (b"OPTIONS * HTTP/1.1\r\nHOST:a\r\nUpgrade: h2c\r\nConnection: upgrade\r\n\r\n", b""),
 ]
-BAD = [
+INVALID_HEADERS = [
     (400, HOST + b"Content-Length: 3\r\nTransfer-Encoding: chunked\r\n"),
     (400, HOST + b"Content-Length: 3\r\nContent-Length: 4\r\n"),
     (400, HOST + b"Content-Length: 3, 3\r\n"),
@@ -75,7 +75,7 @@
     (431, HOST + b"X: y\r\n" * 9),
     (431, HOST + (b"X: " + b"a" * 100 + b"\r\n") * 5),
 ]
-FIRST = [
+INVALID_REQUEST_LINES = [
     (400, b"GET  / HTTP/1.1"),
     (400, b"GET /"),
     (400, b"G(T / HTTP/1.1"),
@@ -86,7 +86,7 @@
     (400, b"GET / HTTP/1.1 "),
     (431, b"GET /" + b"a" * 250 + b" HTTP/1.1"),
 ]
-CHUNKS = [
+INVALID_CHUNKS = [
     (400, b"g\r\n"),
     (400, b"\r\n"),
     (400, b"-1\r\n"),
@@ -103,46 +103,53 @@
 ]
 
 
-@pytest.mark.parametrize(("data", "body"), GOOD)
-def test_what_is_well_formed_is_read_the_same_for_any_split(data: bytes, body: bytes) -> None:
-    whole, status = run(data)
-    assert status == 0 and isinstance(whole[0], http1.Request) and isinstance(whole[-1], http1.End)
+@pytest.mark.parametrize(("data", "body"), VALID_REQUESTS)
+def test_valid_request_is_read_the_same_for_any_split(data: bytes, body: bytes) -> None:
+    whole, status = read_all(data)
+    assert status == 0
+    assert isinstance(whole[0], http1.Request)
+    assert isinstance(whole[-1], http1.End)
     assert b"".join(event.data for event in whole if isinstance(event, http1.Data)) == body
-    assert run(data, list(range(len(data)))) == (whole, 0)
+    assert read_all(data, list(range(len(data)))) == (whole, 0)
 
 
 @pytest.mark.parametrize(
     ("status", "data"),
     [
-        *((status, b"POST / HTTP/1.1\r\n" + lines + b"\r\n") for status, lines in BAD),
-        *((status, first + b"\r\n" + HOST + b"\r\n") for status, first in FIRST),
+        *((status, b"POST / HTTP/1.1\r\n" + lines + b"\r\n") for status, lines in INVALID_HEADERS),
+        *((status, first + b"\r\n" + HOST + b"\r\n") for status, first in INVALID_REQUEST_LINES),
         *(
             (status, b"POST / HTTP/1.1\r\n" + HOST + b"Transfer-Encoding: chunked\r\n\r\n" + rest)
-            for status, rest in CHUNKS
+            for status, rest in INVALID_CHUNKS
         ),
     ],
 )
-def test_what_is_ambiguous_or_too_large_is_refused_with_its_status(status: int, data: bytes) -> None:
-    assert run(data)[1] == status
-    assert run(data, list(range(len(data))))[1] == status
+def test_ambiguous_or_too_large_request_is_rejected_with_its_status(status: int, data: bytes) -> None:
+    assert read_all(data)[1] == status
+    assert read_all(data, list(range(len(data))))[1] == status
 
 
-def test_transfer_encoding_in_http_1_0_is_refused() -> None:
-    assert run(b"POST / HTTP/1.0\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n")[1] == 400
+def test_transfer_encoding_in_http_1_0_is_rejected() -> None:
+    assert read_all(b"POST / HTTP/1.0\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n")[1] == 400
 
 
-def test_a_head_without_end_is_cut_off_at_its_limit() -> None:
+def test_head_without_end_is_rejected_at_its_limit() -> None:
     parser = http1.Parser(limits=LIMITS)
-    with pytest.raises(http1.ProtocolError) as caught:
+
+    def feed_without_end() -> None:
         for _ in range(10_000):
             parser.feed(b"GET /" + b"a" * 50)
             assert parser.buffered <= LIMITS.head + 55
-    assert caught.value.status == 431 and parser.buffered == 0
 
+    with pytest.raises(http1.ProtocolError) as caught:
+        feed_without_end()
+    assert caught.value.status == 431
+    assert parser.buffered == 0
 
-def test_pipelined_requests_come_out_in_order() -> None:
+
+def test_pipelined_requests_are_read_in_order() -> None:
     one = b"POST /%d HTTP/1.1\r\n" + HOST + b"Content-Length: 1\r\n\r\nx"
-    events, _ = run(b"".join(one % n for n in range(5)))
+    events, _ = read_all(b"".join(one % n for n in range(5)))
     assert [event.target for event in events if isinstance(event, http1.Request)] == [f"/{n}" for n in range(5)]
 
 
@@ -158,21 +165,27 @@
 
 
 @pytest.mark.parametrize(("data", "method", "status", "body", "keep"), RESPONSES)
-def test_responses(data: bytes, method: str, status: int, body: bytes, keep: bool) -> None:
+def test_response_is_read_the_same_for_any_split(
+    data: bytes, method: str, status: int, body: bytes, keep: bool
+) -> None:
     for cuts in ([], list(range(len(data)))):
-        events, error = run(data, cuts, True, (method,))
+        events, error = read_all(data, cuts, True, (method,))
         head = events[0]
-        assert error == 0 and isinstance(head, http1.Response) and isinstance(events[-1], http1.End)
+        assert error == 0
+        assert isinstance(head, http1.Response)
+        assert isinstance(events[-1], http1.End)
         assert (head.status, head.keep_alive) == (status, keep)
         assert b"".join(event.data for event in events if isinstance(event, http1.Data)) == body
 
 
-def test_a_response_without_a_length_lasts_until_the_end_of_the_stream() -> None:
+def test_response_without_a_length_lasts_until_the_end_of_the_stream() -> None:
     parser = http1.Parser(True, LIMITS)
     parser.expect("POST")
     events = parser.feed(b"HTTP/1.1 200 OK\r\n\r\nabc")
-    assert isinstance(events[0], http1.Response) and not events[0].keep_alive
-    assert events[1:] == [http1.Data(b"abc")] and parser.eof() == [http1.End()]
+    assert isinstance(events[0], http1.Response)
+    assert not events[0].keep_alive
+    assert events[1:] == [http1.Data(b"abc")]
+    assert parser.eof() == [http1.End()]
 
 
 @pytest.mark.parametrize(
@@ -185,15 +198,15 @@
         b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n",
     ],
 )
-def test_what_is_no_response_is_an_error(data: bytes) -> None:
-    assert run(data, [], True, ("POST",))[1] == 400
+def test_invalid_response_is_an_error(data: bytes) -> None:
+    assert read_all(data, [], True, ("POST",))[1] == 400
 
 
-def test_an_answer_that_nobody_asked_for_is_an_error() -> None:
-    assert run(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", [], True)[1] == 400
+def test_response_without_a_request_is_an_error() -> None:
+    assert read_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", [], True)[1] == 400
 
 
-def test_an_end_inside_a_message_is_an_error() -> None:
+def test_end_of_stream_inside_a_message_is_an_error() -> None:
     parser = http1.Parser(True, LIMITS)
     parser.expect("POST")
     parser.feed(b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nabc")
@@ -202,17 +215,22 @@
 
 
 @pytest.mark.parametrize("field", [("X", "a\r\nY: b"), ("X\r\nY", "b"), ("X", "a\nb"), ("", "a")])
-def test_our_own_fields_can_not_split_a_message(field: tuple[str, str]) -> None:
-    with pytest.raises(ValueError):
+def test_header_field_that_would_split_a_message_is_not_sent(field: tuple[str, str]) -> None:
+    with pytest.raises(http1.UnsendableMessageError, match="can't be sent"):
         http1.request("POST", "/", [field])
 
 
 @settings(max_examples=300)
 @given(
-    st.sampled_from([*(data for data, _ in GOOD), *(b"POST / HTTP/1.1\r\n" + lines + b"\r\n" for _, lines in BAD)]),
+    st.sampled_from(
+        [
+            *(data for data, _ in VALID_REQUESTS),
+            *(b"POST / HTTP/1.1\r\n" + lines + b"\r\n" for _, lines in INVALID_HEADERS),
+        ]
+    ),
     st.data(),
 )
-def test_any_split_and_any_mutation_end_the_same_way(seed: bytes, data: st.DataObject) -> None:
+def test_mutated_request_is_read_the_same_for_any_split(seed: bytes, data: st.DataObject) -> None:
     raw = bytearray(seed * 2)
     for _ in range(data.draw(st.integers(0, 4))):
         at = data.draw(st.integers(0, len(raw) - 1))
@@ -223,7 +241,7 @@
             raw[at:at] = data.draw(st.binary(max_size=6))
         else:
             del raw[at : at + data.draw(st.integers(1, 5))]
-    whole = run(bytes(raw))
+    whole = read_all(bytes(raw))
     cuts = data.draw(st.lists(st.integers(0, len(raw)), max_size=8))
-    assert run(bytes(raw), cuts) == whole
-    assert run(bytes(raw), cuts, client=True, methods=("POST", "GET"))[1] in (0, 400, 413, 431, 501, 505)
+    assert read_all(bytes(raw), cuts) == whole
+    assert read_all(bytes(raw), cuts, client=True, methods=("POST", "GET"))[1] in (0, 400, 413, 431, 501, 505)
--- a/tests/codec/test_objects.py
+++ b/tests/codec/test_objects.py
@@ -1,4 +1,4 @@
-"""JSON texts out of a stream: the same values for any split, one error for what can't be read."""
+"""JSON values out of a stream: the same for any split, one error for what can't be read."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from hypothesis import strategies as st
 
 from linnetstile.codec import objects
-from linnetstile.codec.objects import DEEPEST, STEP, Objects, Part
+from linnetstile.codec.objects import DEEPEST, STEP, JsonStreamError, Objects, Part
 
 TEXT = st.text(st.characters(codec="utf-8"), max_size=4)
 JSON = st.recursive(
@@ -24,7 +24,7 @@
 
 
 @given(VALUES, st.sampled_from([None, 1, "\t"]), st.sampled_from(["", "\n", "\r\n\r\n \t"]), st.data())
-def test_values_come_out_whole_wherever_the_stream_is_cut_and_however_they_are_indented(
+def test_values_are_the_same_for_any_split_and_any_indentation(
     values: list[Any], indent: int | None, between: str, data: st.DataObject
 ) -> None:
     stream = "".join(
@@ -34,7 +34,8 @@
     reader, found = Objects(1 << 20), []
     for begin, end in zip([0, *cuts], [*cuts, len(stream)], strict=True):
         found += reader.feed(stream[begin:end])
-    assert found == values and not reader.part
+    assert found == values
+    assert not reader.part
 
 
 @pytest.mark.parametrize(
@@ -57,21 +58,27 @@
     ],
 )
 @pytest.mark.parametrize("step", [1, 1 << 20])
-def test_what_is_no_json_is_one_error_for_good(stream: bytes, step: int) -> None:
-    reader, before = Objects(1000), 0
-    with pytest.raises(ValueError):
+def test_invalid_stream_raises_for_good(stream: bytes, step: int) -> None:
+    reader = Objects(1000)
+    values: list[Any] = []
+
+    def feed_all() -> None:
         for at in range(0, len(stream), step):
-            before += len(reader.feed(stream[at : at + step]))
+            values.extend(reader.feed(stream[at : at + step]))
         reader.feed(b"")
-    assert before <= 1 and not reader.part
-    with pytest.raises(ValueError):
+
+    with pytest.raises(JsonStreamError):
+        feed_all()
+    assert len(values) <= 1
+    assert not reader.part
+    with pytest.raises(JsonStreamError):
         reader.feed(b"{}")
 
 
-def test_values_before_a_fault_are_told_first() -> None:
+def test_values_before_a_fault_are_returned_first() -> None:
     reader = Objects(1000)
     assert reader.feed(b'{"a": 1}\n{"b": 2}oops') == [{"a": 1}, {"b": 2}]
-    with pytest.raises(ValueError):
+    with pytest.raises(JsonStreamError):
         reader.feed(b"")
 
 
@@ -80,8 +87,8 @@
 NAMES = ("version", "full")
 
 
-def fed(stream: bytes, cuts: Iterable[int], step: int = 64, most: int = 2000) -> list[Any]:
-    """What comes out, parts joined to one each, and the fault, if any, as text."""
+def read_all(stream: bytes, cuts: Iterable[int], step: int = 64, most: int = 2000) -> list[Any]:
+    """Return the values, the parts of each object joined, and then the type of the fault or `Objects.part`."""
     reader = Objects(most, "servers", NAMES, step)
     cuts = [*cuts]
     found: list[Any] = []
@@ -94,7 +101,8 @@
                     assert "servers" not in value.head
                     found.append([dict(value.head), list(value.elements), value.last])
                 else:
-                    assert found[-1][0] == value.head and not found[-1][2]
+                    assert found[-1][0] == value.head
+                    assert not found[-1][2]
                     found[-1][1] += value.elements
                     found[-1][2] = value.last
         reader.feed(b"")
@@ -109,7 +117,7 @@
 
 @pytest.mark.parametrize("indent", [None, 0, 3])
 @pytest.mark.parametrize("elements", [ELEMENTS * 2, [{"id": number} for number in range(20)], ["y" * 140, {}, 3]])
-def test_long_object_comes_in_parts_that_are_the_same_wherever_it_is_cut(
+def test_long_object_comes_in_parts_that_are_the_same_for_any_split(
     indent: int | None, elements: list[Any], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(objects, "QUICK", 24)
@@ -120,10 +128,10 @@
     parted = [{"version": 7, "full": True}, elements, True]
     expected = [parted, short, parted, False]
     for cut in range(len(stream) + 1):
-        assert fed(stream, [cut], 160) == expected, cut
+        assert read_all(stream, [cut], 160) == expected, cut
     for step in (1, 2, 3, 7, 31):
-        assert fed(stream, range(step, len(stream), step), 160) == expected, step
-    assert fed(stream, [], step=len(stream)) == [told, short, told, False]
+        assert read_all(stream, range(step, len(stream), step), 160) == expected, step
+    assert read_all(stream, [], step=len(stream)) == [told, short, told, False]
 
 
 @pytest.mark.parametrize(
@@ -139,7 +147,7 @@
         b' {"full":0 , "version":{"servers":[[]]},"servers" : [ %s ] } ',
     ],
 )
-def test_object_whose_array_is_not_the_one_or_comes_too_early_comes_whole(text: bytes) -> None:
+def test_object_with_another_or_too_early_array_comes_whole(text: bytes) -> None:
     stream = text % (b'{"id":1},' * 20 + b"{}")
     told = json.loads(stream)
     parted = (
@@ -150,8 +158,8 @@
     )
     expected = [[{name: told[name] for name in NAMES}, told["servers"], True], False] if parted else [told, False]
     for cut in range(len(stream) + 1):
-        assert fed(stream, [cut]) == expected, cut
-    assert fed(stream, range(1, len(stream))) == expected
+        assert read_all(stream, [cut]) == expected, cut
+    assert read_all(stream, range(1, len(stream))) == expected
 
 
 SOUND = b'{"version":1,"full":true,"servers":[' + b'{"id":1},' * 20
@@ -183,29 +191,33 @@
 
 @pytest.mark.parametrize("fault", FAULTS, ids=repr)
 @pytest.mark.parametrize("quick", [24, 1 << 20])
-def test_fault_in_a_long_array_ends_it_behind_the_elements_before_it(
+def test_elements_before_a_fault_in_a_long_array_are_returned_first(
     fault: bytes, quick: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(objects, "QUICK", quick)
     stream = SOUND + fault + b"\n{}"
-    expected = fed(stream, range(1, len(stream)))
-    assert expected[-2:] == ["fault", ValueError] and len(expected) == 3
+    expected = read_all(stream, range(1, len(stream)))
+    assert expected[-2:] == ["fault", JsonStreamError]
+    assert len(expected) == 3
     head, elements, last = expected[0]
-    assert head == {"version": 1, "full": True} and elements[:20] == [{"id": 1}] * 20 and not last
+    assert head == {"version": 1, "full": True}
+    assert elements[:20] == [{"id": 1}] * 20
+    assert not last
     assert elements[20:] in ([], [{}])
     for cut in range(len(stream) + 1):
-        assert fed(stream, [cut]) == expected, cut
+        assert read_all(stream, [cut]) == expected, cut
 
 
-def test_part_is_told_as_long_as_a_long_object_is_not_complete() -> None:
+def test_long_object_counts_as_incomplete_until_its_end() -> None:
     reader = Objects(1000, "servers", NAMES, 64)
     assert reader.feed(SOUND)[0].elements == [{"id": 1}] * 20
     assert reader.part  # though no byte of it is held
     (last,) = reader.feed(b"{}]}")[-1:]
-    assert last.last and not reader.part
+    assert last.last
+    assert not reader.part
 
 
-def test_long_object_is_held_in_no_more_than_a_step_and_its_cost_follows_its_length() -> None:
+def test_long_object_is_read_in_bounded_memory_and_linear_time() -> None:
     """Element by element in drops, and whole: the bytes that are held, and the time against half the length."""
 
     def read(size: int, piece: int) -> float:
@@ -220,7 +232,9 @@
             for part in reader.feed(stream[at : at + piece]):
                 count += len(part.elements)
             held = max(held, len(reader._buffer))
-        assert count == size and held <= 2 * STEP and not reader.part
+        assert count == size
+        assert held <= 2 * STEP
+        assert not reader.part
         return time.process_time() - began
 
     for piece in (7, 16 * 1024):
@@ -228,7 +242,7 @@
         assert long < 10 * short, piece  # 4 times where it is linear, 16 where it looks again at what it has seen
 
 
-def test_long_element_in_drops_is_looked_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_long_element_in_small_pieces_is_not_parsed_again_and_again(monkeypatch: pytest.MonkeyPatch) -> None:
     looked = 0
     take_several = Objects._take_several
 
@@ -245,4 +259,5 @@
         reader = Objects(1 << 20, "servers", NAMES)
         for at in range(0, len(stream), step):
             reader.feed(stream[at : at + step])
-        assert not reader.part and looked < 3 * len(stream)
+        assert not reader.part
+        assert looked < 3 * len(stream)
--- a/tests/config/test_files.py
+++ b/tests/config/test_files.py
@@ -33,7 +33,9 @@
 def test_a_good_file_becomes_the_modules_settings(tmp_path: Path) -> None:
     found = load(write(tmp_path, GOOD), RelaySettings)
     module = found.module()
-    assert module.classes[0].name == "a" and module.max_in_flight == 8 and module.polls_for_list
+    assert module.classes[0].name == "a"
+    assert module.max_in_flight == 8
+    assert module.polls_for_list
     assert found.router_rules()[0].sender == "x*"
 
 
@@ -64,7 +66,8 @@
     with pytest.raises(SettingsError) as caught:
         load(write(tmp_path, GOOD | change), RelaySettings)
     (line,) = caught.value.lines
-    assert line.startswith(f"{tmp_path / 'relay.yaml'}: {path}") and expected in line
+    assert line.startswith(f"{tmp_path / 'relay.yaml'}: {path}")
+    assert expected in line
 
 
 def test_all_faults_are_told_at_once(tmp_path: Path) -> None:
@@ -110,18 +113,24 @@
 
 def test_exit_codes_and_one_clear_line(tmp_path: Path) -> None:
     bad = command("relay", str(write(tmp_path, GOOD | {"relays": 0})))
-    assert bad.returncode == 2 and bad.stderr.count("\n") == 1 and "relays = 0" in bad.stderr
+    assert bad.returncode == 2
+    assert bad.stderr.count("\n") == 1
+    assert "relays = 0" in bad.stderr
     assert command("relay", str(write(tmp_path, GOOD)), "--check").returncode == 0
     assert command("relay", str(tmp_path / "none.yaml")).returncode == 2
     assert command("check", str(tmp_path)).returncode == 2
     missing = GOOD | {"identity": {"pem": str(tmp_path / "none.pem")}}
     gone = command("relay", str(write(tmp_path, missing)))
-    assert gone.returncode == 3 and "can't start" in gone.stderr and "none.pem" in gone.stderr
+    assert gone.returncode == 3
+    assert "can't start" in gone.stderr
+    assert "none.pem" in gone.stderr
     (tmp_path / "m").write_text("x")
     sent = command("send", str(tmp_path / "m"), "--to", "127.0.0.1:1", "--from", "a", "--partner", "b")
-    assert sent.returncode == 3 and "no_connection" in sent.stderr
+    assert sent.returncode == 3
+    assert "no_connection" in sent.stderr
     sent = command("send", str(tmp_path / "m"), "--to", "10.0.0.1:1", "--from", "a", "--partner", "b")
-    assert sent.returncode == 2 and "loopback" in sent.stderr
+    assert sent.returncode == 2
+    assert "loopback" in sent.stderr
 
 
 def test_help_imports_nothing_heavy() -> None:
--- a/tests/storage/test_snapshot.py
+++ b/tests/storage/test_snapshot.py
@@ -18,7 +18,10 @@
     snapshot.write(path, {"a": 1})
     snapshot.write(path, {"a": 2})
     payload, age = snapshot.read(path)
-    assert payload == {"a": 2} and age is not None and 0 <= age < 5000 and list(tmp_path.iterdir()) == [path]
+    assert payload == {"a": 2}
+    assert age is not None
+    assert 0 <= age < 5000
+    assert list(tmp_path.iterdir()) == [path]
 
 
 @pytest.mark.parametrize(
@@ -31,7 +34,8 @@
     fields = json.loads(head) | {"boot": boot, "wall_s": time.time() + wall}
     (tmp_path / "s").write_bytes(json.dumps(fields).encode() + b"\n" + body)
     age = snapshot.read(tmp_path / "s")[1]
-    assert (age is not None) == known and (age is None or 59_000 < age < 65_000)
+    assert (age is not None) == known
+    assert age is None or 59_000 < age < 65_000
 
 
 @given(st.integers(0, 400), st.integers(0, 255))
@@ -63,6 +67,7 @@
         path.write_bytes(data)
         with pytest.raises(snapshot.SnapshotError, match=text):
             snapshot.read(path)
-    assert snapshot.set_aside(path) == tmp_path / "s.bad" and not path.exists()
+    assert snapshot.set_aside(path) == tmp_path / "s.bad"
+    assert not path.exists()
     with pytest.raises(FileNotFoundError):
         snapshot.read(path)
