--- a/linnetstile/storage/__init__.py
+++ b/linnetstile/storage/__init__.py
@@ -1,1 +1,1 @@
-"""Floor 2: files that outlive the process."""
+"""Floor 2: durable files, which outlive the process."""
--- a/linnetstile/storage/snapshot.py
+++ b/linnetstile/storage/snapshot.py
@@ -1,7 +1,10 @@
-"""One document on disk: replaced as a whole, with a checksum, and the means to tell its age after a restart.
+"""One document on disk: replaced as a whole, with a checksum, and with the means to compute its age after a restart.
 
-The age is told by the clock that runs on while the machine sleeps, if it is the same boot; else by the wall clock, and
-not at all where that has gone back. Ages travel, not times of day."""
+The age is computed by the clock that runs on while the machine sleeps, if it is the same boot; else by the wall clock,
+and not at all where that has gone back. Ages are what readers use, not times of day.
+
+The file is one line of JSON, the header, and the document as JSON behind it.
+"""
 
 from __future__ import annotations
 
@@ -10,18 +13,35 @@
 import os
 import time
 from pathlib import Path
-from typing import Any
+from typing import Any, NamedTuple
+
+from ..errors import JournalError
 
 FORMAT = 1
-SIZE_MAX = 64 * 1024 * 1024
+MAGIC = "snapshot"  # value of the header's first field, "linnetstile"
+SIZE_MAX = 64 * 1024 * 1024  # bytes of a file
+DIGEST_BYTES = 16
 BOOT_ID = Path("/proc/sys/kernel/random/boot_id")
 
 
-class SnapshotError(Exception):
-    """A snapshot can't be used; the text says which file and why."""
+class SnapshotError(JournalError):
+    """A snapshot can't be used; the message says which file and why."""
+
+
+class Snapshot(NamedTuple):
+    """A document that was read.
+
+    Attributes:
+        payload: The document.
+        age_ms: Milliseconds since it was written; None if no clock can tell.
+    """
+
+    payload: dict[str, Any]
+    age_ms: float | None
 
 
-def _boot() -> str:
+def _boot_id() -> str:
+    """Return what differs from boot to boot; empty where the system does not say it."""
     try:
         return BOOT_ID.read_text(encoding="ascii").strip()
     except OSError:
@@ -29,77 +49,131 @@
 
 
 def _since_boot_s() -> float:
+    """Return the seconds since the boot, with those that the machine slept where the system counts them."""
     return time.clock_gettime(time.CLOCK_BOOTTIME) if hasattr(time, "CLOCK_BOOTTIME") else time.monotonic()
 
 
+def _digest(body: bytes) -> str:
+    return hashlib.blake2b(body, digest_size=DIGEST_BYTES).hexdigest()
+
+
 def encode(payload: dict[str, Any]) -> bytes:
+    """Encode a document, written now.
+
+    Args:
+        payload: The document; JSON values alone.
+
+    Raises:
+        ValueError: It has a float that is not finite.
+    """
     body = json.dumps(payload, separators=(",", ":"), allow_nan=False).encode()
-    head = {
-        "linnetstile": "snapshot",
+    header = {
+        "linnetstile": MAGIC,
         "format": FORMAT,
         "bytes": len(body),
-        "boot": _boot(),
+        "boot": _boot_id(),
         "since_boot_s": _since_boot_s(),
         "wall_s": time.time(),
-        "blake2b": hashlib.blake2b(body, digest_size=16).hexdigest(),
+        "blake2b": _digest(body),
     }
-    return json.dumps(head).encode() + b"\n" + body
+    return json.dumps(header).encode() + b"\n" + body
 
 
 def write(path: Path, payload: dict[str, Any]) -> None:
-    """Replaces the file: after a crash at any moment the old or the new one is there. Raises `OSError`."""
-    fresh = path.with_name(path.name + ".new")
-    with fresh.open("wb") as file:
+    """Replace the file: after a crash at any moment the old or the new one is there.
+
+    Raises:
+        OSError: It can't be written.
+    """
+    temporary = path.with_name(path.name + ".new")
+    with temporary.open("wb") as file:
         file.write(encode(payload))
         file.flush()
         os.fsync(file.fileno())
-    os.replace(fresh, path)
-    folder = os.open(path.parent, os.O_RDONLY)
+    os.replace(temporary, path)
+    _sync_directory(path.parent)
+
+
+def _sync_directory(path: Path) -> None:
+    """Make the names in a directory durable."""
+    descriptor = os.open(path, os.O_RDONLY)
     try:
-        os.fsync(folder)
+        os.fsync(descriptor)
     finally:
-        os.close(folder)
+        os.close(descriptor)
+
+
+def read(path: Path) -> Snapshot:
+    """Read a document and its age.
+
+    Raises:
+        FileNotFoundError: There is no file.
+        SnapshotError: The file can't be read, is another program's or another format, or its checksum does not hold.
+        ValueError: The document is not JSON, although its checksum holds.
+    """
+    header_line, newline, body = _read_bytes(path).partition(b"\n")
+    if not newline:
+        raise _foreign_file_error(path)
+    header = _parse_header(path, header_line)
+    if len(body) != header.get("bytes") or _digest(body) != header.get("blake2b"):
+        raise SnapshotError(
+            f"{path}: torn or changed: its checksum does not hold",
+            field="blake2b",
+            expected=str(header.get("blake2b")),
+            found=_digest(body),
+        )
+    payload = json.loads(body)
+    if not isinstance(payload, dict):
+        raise SnapshotError(f"{path}: expected an object", expected="an object", found=type(payload).__name__)
+    return Snapshot(payload, _age_ms(header))
 
 
-def read(path: Path) -> tuple[dict[str, Any], float | None]:
-    """The document and its age in ms (None: no clock can tell). Raises `SnapshotError`; `FileNotFoundError` if none."""
+def _read_bytes(path: Path) -> bytes:
+    """Return the bytes of a file, or the first `SIZE_MAX` and one more, whose checksum then does not hold."""
     try:
         with path.open("rb") as file:
-            data = file.read(SIZE_MAX + 1)
+            return file.read(SIZE_MAX + 1)
     except FileNotFoundError:
         raise
     except OSError as error:
         raise SnapshotError(f"{path}: can't be read: {error.strerror}") from error
-    first, newline, body = data.partition(b"\n")
-    try:
-        head = json.loads(first)
-        if not newline or not isinstance(head, dict) or head.get("linnetstile") != "snapshot":
-            raise ValueError
-    except (ValueError, RecursionError) as error:
-        raise SnapshotError(f"{path}: not a snapshot of this program") from error
-    if head.get("format") != FORMAT:
-        raise SnapshotError(f"{path}: format {head.get('format')!r}, expected {FORMAT}")
-    if len(body) != head.get("bytes") or hashlib.blake2b(body, digest_size=16).hexdigest() != head.get("blake2b"):
-        raise SnapshotError(f"{path}: torn or changed: its checksum does not hold")
-    payload = json.loads(body)
-    if not isinstance(payload, dict):
-        raise SnapshotError(f"{path}: expected an object")
-    return payload, _age_ms(head)
 
 
-def _age_ms(head: dict[str, Any]) -> float | None:
+def _foreign_file_error(path: Path) -> SnapshotError:
+    return SnapshotError(f"{path}: not a snapshot of this program", expected="a header line of JSON")
+
+
+def _parse_header(path: Path, line: bytes) -> dict[str, Any]:
+    try:
+        header = json.loads(line)
+    except (ValueError, RecursionError) as error:
+        raise _foreign_file_error(path) from error
+    if not isinstance(header, dict) or header.get("linnetstile") != MAGIC:
+        raise _foreign_file_error(path)
+    found_format = header.get("format")
+    if found_format != FORMAT:
+        raise SnapshotError(
+            f"{path}: format {found_format!r}, expected {FORMAT}",
+            field="format",
+            expected=str(FORMAT),
+            found=repr(found_format),
+        )
+    return header
+
+
+def _age_ms(header: dict[str, Any]) -> float | None:
     try:
-        if head["boot"] and head["boot"] == _boot():
-            age = _since_boot_s() - float(head["since_boot_s"])
+        if header["boot"] and header["boot"] == _boot_id():
+            age_s = _since_boot_s() - float(header["since_boot_s"])
         else:
-            age = time.time() - float(head["wall_s"])
+            age_s = time.time() - float(header["wall_s"])
     except (KeyError, TypeError, ValueError):
         return None
-    return age * 1000 if age >= 0 else None
+    return age_s * 1000 if age_s >= 0 else None
 
 
 def set_aside(path: Path) -> Path:
-    """Keeps a file that can't be used for a look, under a name that nothing reads."""
+    """Move a file that can't be used to a name that nothing reads, for a look; return that."""
     aside = path.with_name(f"{path.name}.bad")
     os.replace(path, aside)
     return aside
--- a/tests/storage/test_snapshot.py
+++ b/tests/storage/test_snapshot.py
@@ -1,19 +1,25 @@
-"""A snapshot is the old or the new one, never half of one; and its age is told or it is not."""
+"""A snapshot is the old or the new one, never half of one; its age is right or not known; old files stay readable."""
 
 from __future__ import annotations
 
 import json
 import time
 from pathlib import Path
+from typing import Any
 
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
 
+from linnetstile import errors
+from linnetstile.as2_relay import gossip
 from linnetstile.storage import snapshot
 
+# Written by the program of commit ea85c36, with the boot id and the clocks that its header has.
+RECORDED = Path(__file__).parent.parent / "data" / "snapshots" / "gossip-ea85c36.snapshot"
 
-def test_it_is_read_back_with_its_age(tmp_path: Path) -> None:
+
+def test_document_is_read_back_with_its_age(tmp_path: Path) -> None:
     path = tmp_path / "s"
     snapshot.write(path, {"a": 1})
     snapshot.write(path, {"a": 2})
@@ -27,19 +33,27 @@
 @pytest.mark.parametrize(
     ("boot", "wall", "known"), [("another", -60.0, True), ("another", 60.0, False), ("", -60.0, True)]
 )
-def test_after_another_boot_the_wall_clock_counts_unless_it_went_back(
+def test_age_after_another_boot_is_by_the_wall_clock_unless_that_went_back(
     tmp_path: Path, boot: str, wall: float, known: bool
 ) -> None:
-    head, _, body = snapshot.encode({"a": 1}).partition(b"\n")
-    fields = json.loads(head) | {"boot": boot, "wall_s": time.time() + wall}
+    header, _, body = snapshot.encode({"a": 1}).partition(b"\n")
+    fields = json.loads(header) | {"boot": boot, "wall_s": time.time() + wall}
     (tmp_path / "s").write_bytes(json.dumps(fields).encode() + b"\n" + body)
     age = snapshot.read(tmp_path / "s")[1]
     assert (age is not None) == known
     assert age is None or 59_000 < age < 65_000
 
 
+def read_or_error(path: Path) -> tuple[dict[str, Any] | None, str]:
+    """Return the document, or the message of the `SnapshotError`."""
+    try:
+        return snapshot.read(path).payload, ""
+    except snapshot.SnapshotError as error:
+        return None, str(error)
+
+
 @given(st.integers(0, 400), st.integers(0, 255))
-def test_any_byte_that_flips_or_is_missing_is_noticed(at: int, byte: int) -> None:
+def test_changed_or_missing_byte_is_detected(at: int, byte: int) -> None:
     import tempfile
 
     data = snapshot.encode({"claims": ["x" * 50, 1.5]})
@@ -50,13 +64,14 @@
             path.write_bytes(changed)
             if changed == data:
                 continue
-            try:
-                assert snapshot.read(path)[0] == {"claims": ["x" * 50, 1.5]}  # a byte of the clocks in its head
-            except snapshot.SnapshotError as error:
-                assert str(path) in str(error)
+            payload, message = read_or_error(path)
+            if message:
+                assert str(path) in message
+            else:
+                assert payload == {"claims": ["x" * 50, 1.5]}  # a byte of the clocks in its header
 
 
-def test_foreign_files_are_named_and_set_aside(tmp_path: Path) -> None:
+def test_foreign_file_is_named_and_set_aside(tmp_path: Path) -> None:
     path = tmp_path / "s"
     for data, text in [
         (b"", "not a snapshot"),
@@ -71,3 +86,38 @@
     assert not path.exists()
     with pytest.raises(FileNotFoundError):
         snapshot.read(path)
+
+
+def test_snapshot_error_is_a_journal_error_with_expected_and_found(tmp_path: Path) -> None:
+    path = tmp_path / "s"
+    path.write_bytes(snapshot.encode({}).replace(b'"format": 1', b'"format": 2'))
+    with pytest.raises(errors.JournalError) as caught:
+        snapshot.read(path)
+    assert (caught.value.field, caught.value.expected, caught.value.found) == ("format", "1", "2")
+
+
+@pytest.fixture
+def recorded_clocks(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    """Let the boot id and the clocks be those of the recorded file."""
+    header = json.loads(RECORDED.read_bytes().partition(b"\n")[0])
+    boot_id = tmp_path / "boot_id"
+    boot_id.write_text(header["boot"] + "\n")
+    monkeypatch.setattr(snapshot, "BOOT_ID", boot_id)
+    monkeypatch.setattr(snapshot, "_since_boot_s", lambda: header["since_boot_s"])
+    monkeypatch.setattr(time, "time", lambda: header["wall_s"])
+
+
+def test_recorded_snapshot_of_an_earlier_release_is_read() -> None:
+    payload, age_ms = snapshot.read(RECORDED)
+    assert [claim["partner"] for claim in payload["claims"]] == ["firma", "Müller & Söhne"]
+    assert payload["few_connections"] == {"firma": 0.25}
+    assert age_ms is None or age_ms > 0  # not of this boot: None as long as the wall clock is before its time
+    gossip.parse(payload)
+
+
+@pytest.mark.usefixtures("recorded_clocks")
+def test_same_document_is_written_with_the_bytes_of_an_earlier_release(tmp_path: Path) -> None:
+    payload, age_ms = snapshot.read(RECORDED)
+    assert age_ms == 0
+    snapshot.write(tmp_path / "s", payload)
+    assert (tmp_path / "s").read_bytes() == RECORDED.read_bytes()
