--- /dev/null
+++ b/linnetstile/config/addresses.py
@@ -0,0 +1,62 @@
+"""Addresses and URLs in settings; this program listens on loopback and calls loopback alone."""
+
+from __future__ import annotations
+
+import ipaddress
+import urllib.parse
+from typing import Annotated
+
+from pydantic import AfterValidator
+
+PORT_MAX = 65535
+
+
+def loopback(text: str) -> str:
+    """Check an address that this program may listen on or call: `127.x.y.z:port` or `[::1]:port`.
+
+    Returns:
+        The address as it is.
+
+    Raises:
+        ValueError: It is another one, or no address.
+    """
+    host, colon, port = text.rpartition(":")
+    try:
+        is_loopback = ipaddress.ip_address(host.strip("[]")).is_loopback
+    except ValueError:
+        is_loopback = False
+    if not colon or not is_loopback or not port.isdigit() or not 0 <= int(port) <= PORT_MAX:
+        raise ValueError("expected a loopback address and port, such as 127.0.0.1:4080")
+    return text
+
+
+def split(address: str) -> tuple[str, int]:
+    """Return host and port of an address."""
+    host, _, port = address.rpartition(":")
+    return host.strip("[]"), int(port)
+
+
+def loopback_url(text: str, schemes: tuple[str, ...] = ("http",)) -> str:
+    """Check a URL on a loopback address and return it as it is.
+
+    Args:
+        text: The URL.
+        schemes: The schemes it may have.
+
+    Raises:
+        ValueError: It has another scheme or address, a user or a fragment.
+    """
+    parts = urllib.parse.urlsplit(text)
+    if parts.scheme not in schemes or parts.username or parts.fragment:
+        raise ValueError(f"expected a URL such as {schemes[-1]}://127.0.0.1:4090/as2")
+    loopback(parts.netloc)
+    return text
+
+
+def _partner_url(text: str) -> str:
+    return loopback_url(text, ("http", "https"))
+
+
+Address = Annotated[str, AfterValidator(loopback)]
+PartnerUrl = Annotated[str, AfterValidator(_partner_url)]
+Url = Annotated[str, AfterValidator(loopback_url)]
--- a/linnetstile/config/files.py
+++ b/linnetstile/config/files.py
@@ -1,15 +1,22 @@
-"""Reads a YAML file into a model. All faults are told at once: file, path in it, value, what was expected."""
+"""Reads a YAML file into a model and reports all faults at once: file, path in it, value, what was expected."""
 
 from __future__ import annotations
 
 import pathlib
+from collections.abc import Iterable
+from dataclasses import dataclass
 from typing import Any, TypeVar
 
 import yaml
 from pydantic import BaseModel, ConfigDict, ValidationError
 
+from ..errors import ConfigError
+
 M = TypeVar("M", bound="Strict")
-SIZE_MAX = 4 * 1024 * 1024
+SIZE_MAX = 4 * 1024 * 1024  # bytes of a settings file
+SHOWN_VALUE_MAX = 80  # characters of a value in a message
+ELLIPSIS = "..."
+WHOLE_FILE = "(whole file)"
 
 
 class Strict(BaseModel):
@@ -18,45 +25,93 @@
     model_config = ConfigDict(extra="forbid", frozen=True)
 
 
-class SettingsError(Exception):
-    """A settings file can't be used; `lines` has a line for each fault."""
+@dataclass(frozen=True, slots=True)
+class Fault:
+    """One fault in a settings file.
+
+    Attributes:
+        field: Path of the key in the file, joined by dots.
+        expected: What would have been valid.
+        found: The value as it is shown; empty if there is none, or it is a mapping.
+    """
+
+    field: str
+    expected: str
+    found: str = ""
+
+    def line(self, file: str) -> str:
+        """Return the line that reports the fault."""
+        value = f" = {self.found}" if self.found else ""
+        return f"{file}: {self.field}{value}: {self.expected}"
+
+
+class SettingsError(ConfigError):
+    """A settings file can't be used.
 
-    def __init__(self, lines: list[str]) -> None:
-        super().__init__("\n".join(lines))
+    Attributes:
+        lines: A line for each fault. `field`, `expected` and `found` are those of the first one, where they are known.
+    """
+
+    def __init__(self, lines: list[str], *, field: str = "", expected: str = "", found: str = "") -> None:
+        super().__init__("\n".join(lines), field=field, expected=expected, found=found)
         self.lines = lines
 
+    @classmethod
+    def from_faults(cls, faults: Iterable[Fault], file: str) -> SettingsError:
+        """Make the error of a file that has these faults, at least one."""
+        first, *others = faults
+        lines = [fault.line(file) for fault in (first, *others)]
+        return cls(lines, field=first.field, expected=first.expected, found=first.found)
 
-def _value(value: Any) -> str:
-    text = repr(value)
-    return text if len(text) <= 80 else text[:77] + "..."
+
+def faults_of(error: ValidationError) -> list[Fault]:
+    """Return the faults that validation found, in its order."""
+    return [_fault(details) for details in error.errors(include_url=False)]
 
 
-def faults(error: ValidationError, file: str) -> list[str]:
-    lines = []
-    for fault in error.errors(include_url=False):
-        path = ".".join(str(step) for step in fault["loc"]) or "(whole file)"
-        whole = fault["type"] == "missing" or isinstance(fault["input"], dict)
-        given = "" if whole else f" = {_value(fault['input'])}"
-        expected = fault["msg"].removeprefix("Value error, ")
-        lines.append(f"{file}: {path}{given}: {expected}")
-    return lines
+def _fault(details: Any) -> Fault:
+    # A missing key has no value, and the value of a mapping with a fault is too long to be of help.
+    shows_value = details["type"] != "missing" and not isinstance(details["input"], dict)
+    return Fault(
+        field=".".join(str(step) for step in details["loc"]) or WHOLE_FILE,
+        expected=details["msg"].removeprefix("Value error, "),
+        found=_shown(details["input"]) if shows_value else "",
+    )
+
+
+def _shown(value: Any) -> str:
+    text = repr(value)
+    return text if len(text) <= SHOWN_VALUE_MAX else text[: SHOWN_VALUE_MAX - len(ELLIPSIS)] + ELLIPSIS
 
 
 def load(path: pathlib.Path, model: type[M]) -> M:
-    """Raises `SettingsError`."""
+    """Read and validate a file.
+
+    Raises:
+        SettingsError: The file can't be read, is not YAML in UTF-8, or does not fit the model.
+    """
+    raw = _read_yaml(path)
+    try:
+        return model.model_validate(raw if raw is not None else {})
+    except ValidationError as error:
+        raise SettingsError.from_faults(faults_of(error), str(path)) from error
+
+
+def _read_yaml(path: pathlib.Path) -> Any:
     try:
         if path.stat().st_size > SIZE_MAX:
-            raise SettingsError([f"{path}: expected at most {SIZE_MAX} bytes"])
-        raw = yaml.safe_load(path.read_text(encoding="utf-8"))
+            raise SettingsError([f"{path}: expected at most {SIZE_MAX} bytes"], expected=f"<= {SIZE_MAX} bytes")
+        return yaml.safe_load(path.read_text(encoding="utf-8"))
     except OSError as error:
         raise SettingsError([f"{path}: can't be read: {error.strerror}"]) from error
     except UnicodeDecodeError as error:
-        raise SettingsError([f"{path}: expected text in UTF-8, byte {error.start} is not"]) from error
+        message = f"{path}: expected text in UTF-8, byte {error.start} is not"
+        raise SettingsError([message], expected="text in UTF-8") from error
     except yaml.YAMLError as error:
-        mark = getattr(error, "problem_mark", None)
-        where = f"line {mark.line + 1}, column {mark.column + 1}" if mark else "somewhere"
-        raise SettingsError([f"{path}: {where}: not YAML: {getattr(error, 'problem', error)}"]) from error
-    try:
-        return model.model_validate(raw if raw is not None else {})
-    except ValidationError as error:
-        raise SettingsError(faults(error, str(path))) from error
+        message = f"{path}: {_yaml_position(error)}: not YAML: {getattr(error, 'problem', error)}"
+        raise SettingsError([message], expected="YAML") from error
+
+
+def _yaml_position(error: yaml.YAMLError) -> str:
+    mark = getattr(error, "problem_mark", None)
+    return f"line {mark.line + 1}, column {mark.column + 1}" if mark else "somewhere"
--- /dev/null
+++ b/linnetstile/config/sections.py
@@ -0,0 +1,172 @@
+"""The sections of a relay's settings file. Times are in ms unless the name ends in `_s`; docs/operate has each key."""
+
+from __future__ import annotations
+
+from pathlib import Path
+from typing import Annotated, Literal
+
+from pydantic import Field, model_validator
+
+from ..engine.fair_share import RESERVE_FRACTION
+from .addresses import Address
+from .files import Strict
+from .numbers import Count, Fraction, NotNegative, Positive, PositiveFraction
+
+HEAD_ALLOWANCE_BYTES = 16_384  # of a message besides its body, when one must fit into `hold_bytes`
+
+
+class ClassSettings(Strict):
+    """A class of messages: what a repeat does to them, and what their time is worth."""
+
+    effect: Literal["safe", "keyed", "unsafe"]
+    aim_ms: Positive
+    deadline_ms: Positive
+    worth: NotNegative = 1.0
+    late_share: Fraction = 0.0
+    key_window_ms: NotNegative = 0.0
+    key_scope: Literal["all", "zone", "endpoint"] = "all"
+    in_order: bool = False
+
+    @model_validator(mode="after")
+    def _check_times(self) -> ClassSettings:
+        if self.aim_ms > self.deadline_ms:
+            raise ValueError("expected aim_ms to be at most deadline_ms")
+        if self.effect == "keyed" and not self.key_window_ms:
+            raise ValueError("expected key_window_ms above 0 for a keyed class")
+        return self
+
+
+class KindSettings(Strict):
+    """A kind of destinations."""
+
+    batch: Literal[1] = 1  # AS2 carries one message in a request
+    routes_apart: bool = False
+
+
+class RuleSettings(Strict):
+    """Which messages belong to a class and tenant: patterns as of a shell, the first rule that matches counts."""
+
+    class_: str = Field(alias="class")
+    tenant: str | None = None
+    sender: str = Field("*", alias="from")
+    receiver: str = Field("*", alias="to")
+    subject: str = "*"
+    content_type: str = "*"
+
+
+class PartnerTlsSettings(Strict):
+    """TLS with a partner whose URL is https."""
+
+    authorities: Path  # PEM: who signs the partner's certificate, or that certificate itself
+    name: str | None = Field(None, min_length=1, max_length=253)  # that it must show, if not the host of its URL
+    certificate: Path | None = None  # the relay's own, where the partner asks for one
+    key: Path | None = None
+
+
+class PartnerSettings(Strict):
+    """What is agreed with one partner."""
+
+    certificate: Path | None = None  # PEM; receipts must be signed by its key where a signature was asked for
+    receipts: Literal["sync", "async"] = "sync"
+    tls: PartnerTlsSettings | None = None
+
+
+class SafetySettings(Strict):
+    """The safety limits of the engine."""
+
+    answer_slack_ms: NotNegative = 20.0
+    drain_grace_ms: NotNegative = 250.0
+    cold_share: PositiveFraction = 0.2
+    cold_ms: NotNegative = 10_000.0
+    fall_multiple: Positive = 2.0
+    fall_ms: Positive = 1500.0
+    ask_within_ms: Positive = 10_000.0
+    key_rest_ms: NotNegative = 100.0
+
+
+class GoalSettings(Strict):
+    """Weights of the score that the engine works for."""
+
+    whole: NotNegative = 1.0
+    worst_window: NotNegative = 0.0
+    worst_class: NotNegative = 0.0
+    worst_tenant: NotNegative = 0.0
+
+
+class ZoneSettings(Strict):
+    """A zone that partners are in."""
+
+    fee: NotNegative = 0.0
+
+
+class TenantSettings(Strict):
+    """A tenant whose messages share the relay."""
+
+    quota_per_s: Positive
+    weight: Annotated[float, Field(gt=0, le=1000)] = 1.0  # of its share of the capacity, against other tenants
+
+
+class LimitSettings(Strict):
+    """Bounds on memory, connections and time."""
+
+    slots: Count
+    hold: Count
+    attempts: Annotated[int, Field(ge=1, le=64)] = 6
+    body_bytes: Annotated[int, Field(ge=1024, le=1 << 30)] = 16 * 1024 * 1024
+    head_bytes: Annotated[int, Field(ge=1024, le=1 << 20)] = 16_384
+    connections: Count = 4096
+    connect_timeout_ms: Positive = 3000.0
+    idle_ms: Positive = 15_000.0
+    head_ms: Positive = 10_000.0
+    hold_bytes: Annotated[int, Field(ge=1 << 16, le=1 << 40)] = 128 * 1024 * 1024
+    room_wait_ms: NotNegative = 2000.0
+    receipt_bytes: Annotated[int, Field(ge=4096, le=1 << 26)] = 256 * 1024
+    remember_bytes: Annotated[int, Field(ge=1 << 16, le=1 << 40)] = 64 * 1024 * 1024
+    body_rate: NotNegative = 1024.0  # minimum rates, bytes a second; 0 = none: a client's body
+    answer_rate: NotNegative = 1024.0  # a client reading its response
+    request_rate: NotNegative = 1024.0  # a partner reading a request
+    response_rate: NotNegative = 1024.0  # a partner's response, from its first byte on
+    stall_ms: Positive = 5000.0  # of standing still that the minimum rates forgive
+    self_check_ms: NotNegative = 0.0  # asserts that nothing leaks, so often; 0 = never
+    remember_ms: Positive = 600_000.0
+    remember: Count = 100_000
+    longest_advice_ms: NotNegative = 30_000.0
+    stop_ms: NotNegative | None = None  # None: until the last pending message has had its time
+
+    @model_validator(mode="after")
+    def _check_capacity(self) -> LimitSettings:
+        if self.hold_bytes * (1 - RESERVE_FRACTION) < self.body_bytes + HEAD_ALLOWANCE_BYTES:
+            raise ValueError("expected hold_bytes to be at least 16/15 of body_bytes and 17476 more: one must fit")
+        return self
+
+
+class TlsSettings(Strict):
+    """TLS of the listener. Files are read again when they change."""
+
+    certificate: Path  # PEM, the chain behind it
+    key: Path | None = None  # if not in the same file
+    client_authorities: Path | None = None  # PEM: who signs the clients' certificates
+    need_client: bool = False  # no handshake without one
+
+    @model_validator(mode="after")
+    def _check_authorities(self) -> TlsSettings:
+        if self.need_client and self.client_authorities is None:
+            raise ValueError("expected client_authorities where need_client is set")
+        return self
+
+
+class IdentitySettings(Strict):
+    """Who the relay is in its own receipts."""
+
+    as2_name: str = Field("linnetstile", min_length=1, max_length=128)
+    pem: Path | None = None  # key and certificate that sign them
+
+
+class KnowledgeSettings(Strict):
+    """Learning by gossip from other relays and from before a restart; nothing of it happens unless it is set."""
+
+    token_file: Path | None = None  # what relays show each other; without it nobody is notified of anything
+    peers: list[Address] = Field([], max_length=1000)
+    address: Address | None = None  # how peers reach this relay, if not as it listens
+    snapshot: Path | None = None
+    snapshot_every_ms: Annotated[float, Field(ge=200, le=600_000)] = 2000.0
--- a/tests/config/test_files.py
+++ b/tests/config/test_files.py
@@ -1,4 +1,4 @@
-"""Settings: every fault with file, path, value and what was expected; exit codes; a quick --help."""
+"""Settings files: every fault with file, path, value and what was expected; exit codes; a quick --help."""
 
 from __future__ import annotations
 
@@ -12,10 +12,11 @@
 
 from linnetstile.config.files import SettingsError, load
 from linnetstile.config.relay import RelaySettings
+from linnetstile.errors import ConfigError
 from linnetstile.testbed.day import Day
 
 ROOT = Path(__file__).parent.parent.parent
-GOOD: dict[str, Any] = {
+VALID_SETTINGS: dict[str, Any] = {
     "name": "r1",
     "register": "http://127.0.0.1:4090",
     "limits": {"slots": 8, "hold": 100},
@@ -30,13 +31,13 @@
     return path
 
 
-def test_a_good_file_becomes_the_modules_settings(tmp_path: Path) -> None:
-    found = load(write(tmp_path, GOOD), RelaySettings)
-    module = found.module()
-    assert module.classes[0].name == "a"
-    assert module.max_in_flight == 8
-    assert module.polls_for_list
-    assert found.router_rules()[0].sender == "x*"
+def test_valid_file_becomes_the_settings_of_the_engine(tmp_path: Path) -> None:
+    relay = load(write(tmp_path, VALID_SETTINGS), RelaySettings)
+    engine = relay.module()
+    assert engine.classes[0].name == "a"
+    assert engine.max_in_flight == 8
+    assert engine.polls_for_list
+    assert relay.router_rules()[0].sender == "x*"
 
 
 @pytest.mark.parametrize(
@@ -60,19 +61,19 @@
         ({"safety": {"cold_share": float("nan")}}, "safety.cold_share = nan", "Input should be"),
     ],
 )
-def test_a_fault_names_file_path_value_and_what_was_expected(
+def test_fault_names_file_path_value_and_what_was_expected(
     tmp_path: Path, change: dict[str, Any], path: str, expected: str
 ) -> None:
     with pytest.raises(SettingsError) as caught:
-        load(write(tmp_path, GOOD | change), RelaySettings)
+        load(write(tmp_path, VALID_SETTINGS | change), RelaySettings)
     (line,) = caught.value.lines
     assert line.startswith(f"{tmp_path / 'relay.yaml'}: {path}")
     assert expected in line
 
 
-def test_all_faults_are_told_at_once(tmp_path: Path) -> None:
+def test_all_faults_are_reported_at_once(tmp_path: Path) -> None:
     with pytest.raises(SettingsError) as caught:
-        load(write(tmp_path, GOOD | {"listen": "x", "relays": 0, "rates": "some"}), RelaySettings)
+        load(write(tmp_path, VALID_SETTINGS | {"listen": "x", "relays": 0, "rates": "some"}), RelaySettings)
     assert len(caught.value.lines) == 3
 
 
@@ -85,7 +86,7 @@
         ("a: !!python/object:os.system x", "not YAML"),
     ],
 )
-def test_what_is_not_a_settings_file(tmp_path: Path, text: str, expected: str) -> None:
+def test_file_that_holds_no_settings_is_rejected(tmp_path: Path, text: str, expected: str) -> None:
     with pytest.raises(SettingsError, match=expected):
         load(write(tmp_path, text), RelaySettings)
     (tmp_path / "relay.yaml").write_bytes(b"\xff\xfe")
@@ -93,42 +94,52 @@
         load(tmp_path / "relay.yaml", RelaySettings)
 
 
+def test_error_is_a_config_error_with_the_first_fault(tmp_path: Path) -> None:
+    with pytest.raises(ConfigError) as caught:
+        load(write(tmp_path, VALID_SETTINGS | {"relays": 0, "rates": "some"}), RelaySettings)
+    error = caught.value
+    assert isinstance(error, SettingsError)
+    assert str(error) == "\n".join(error.lines)
+    assert (error.field, error.found) == ("relays", "0")
+    assert "greater than or equal to 1" in error.expected
+
+
 @pytest.mark.parametrize("day", sorted((ROOT / "days").glob("*.yaml")), ids=lambda path: path.stem)
 def test_shipped_days_are_valid(day: Path) -> None:
     assert load(day, Day).relays >= 1
 
 
-def test_a_day_with_a_trouble_for_nobody_is_refused(tmp_path: Path) -> None:
+def test_day_with_a_fault_at_no_partner_is_rejected(tmp_path: Path) -> None:
     data = yaml.safe_load((ROOT / "days" / "two-troubles.yaml").read_text())
     data["faults"][0]["partners"] = ["nobody"]
     with pytest.raises(SettingsError, match="faults.0.partners: 'nobody' fits no partner"):
         load(write(tmp_path, data), Day)
 
 
-def command(*args: str) -> subprocess.CompletedProcess[str]:
+def run_command(*args: str) -> subprocess.CompletedProcess[str]:
     return subprocess.run(
         [sys.executable, "-m", "linnetstile.cli.main", *args], capture_output=True, text=True, timeout=60
     )
 
 
-def test_exit_codes_and_one_clear_line(tmp_path: Path) -> None:
-    bad = command("relay", str(write(tmp_path, GOOD | {"relays": 0})))
-    assert bad.returncode == 2
-    assert bad.stderr.count("\n") == 1
-    assert "relays = 0" in bad.stderr
-    assert command("relay", str(write(tmp_path, GOOD)), "--check").returncode == 0
-    assert command("relay", str(tmp_path / "none.yaml")).returncode == 2
-    assert command("check", str(tmp_path)).returncode == 2
-    missing = GOOD | {"identity": {"pem": str(tmp_path / "none.pem")}}
-    gone = command("relay", str(write(tmp_path, missing)))
+def test_exit_code_and_message_of_the_command_line(tmp_path: Path) -> None:
+    invalid = run_command("relay", str(write(tmp_path, VALID_SETTINGS | {"relays": 0})))
+    assert invalid.returncode == 2
+    assert invalid.stderr.count("\n") == 1
+    assert "relays = 0" in invalid.stderr
+    assert run_command("relay", str(write(tmp_path, VALID_SETTINGS)), "--check").returncode == 0
+    assert run_command("relay", str(tmp_path / "none.yaml")).returncode == 2
+    assert run_command("check", str(tmp_path)).returncode == 2
+    missing = VALID_SETTINGS | {"identity": {"pem": str(tmp_path / "none.pem")}}
+    gone = run_command("relay", str(write(tmp_path, missing)))
     assert gone.returncode == 3
     assert "can't start" in gone.stderr
     assert "none.pem" in gone.stderr
     (tmp_path / "m").write_text("x")
-    sent = command("send", str(tmp_path / "m"), "--to", "127.0.0.1:1", "--from", "a", "--partner", "b")
+    sent = run_command("send", str(tmp_path / "m"), "--to", "127.0.0.1:1", "--from", "a", "--partner", "b")
     assert sent.returncode == 3
     assert "no_connection" in sent.stderr
-    sent = command("send", str(tmp_path / "m"), "--to", "10.0.0.1:1", "--from", "a", "--partner", "b")
+    sent = run_command("send", str(tmp_path / "m"), "--to", "10.0.0.1:1", "--from", "a", "--partner", "b")
     assert sent.returncode == 2
     assert "loopback" in sent.stderr
 
@@ -140,4 +151,5 @@
         "sys.exit(str(heavy) if heavy else 0)"
     )
     done = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, timeout=60)
-    assert done.returncode == 0 and "Play a day" in done.stdout, done.stderr
+    assert done.returncode == 0, done.stderr
+    assert "Play a day" in done.stdout, done.stderr
