--- a/linnetstile/config/files.py
+++ b/linnetstile/config/files.py
@@ -12,7 +12,6 @@
 
 from ..errors import ConfigError
 
-M = TypeVar("M", bound="Strict")
 SIZE_MAX = 4 * 1024 * 1024  # bytes of a settings file
 SHOWN_VALUE_MAX = 80  # characters of a value in a message
 ELLIPSIS = "..."
@@ -25,6 +24,9 @@
     model_config = ConfigDict(extra="forbid", frozen=True)
 
 
+M = TypeVar("M", bound=Strict)
+
+
 @dataclass(frozen=True, slots=True)
 class Fault:
     """One fault in a settings file.
--- a/tests/codec/test_objects.py
+++ b/tests/codec/test_objects.py
@@ -212,8 +212,9 @@
     reader = Objects(1000, "servers", NAMES, 64)
     assert reader.feed(SOUND)[0].elements == [{"id": 1}] * 20
     assert reader.part  # though no byte of it is held
-    (last,) = reader.feed(b"{}]}")[-1:]
-    assert last.last
+    last_part = reader.feed(b"{}]}")[-1]
+    assert isinstance(last_part, Part)
+    assert last_part.last
     assert not reader.part
 
 
