--- a/linnetstile/codec/as2.py
+++ b/linnetstile/codec/as2.py
@@ -8,8 +8,8 @@
 from ..errors import ProtocolError
 from .headers import Headers
 
-NAME_MAX = 128  # characters of an AS2 name (RFC 4130, 6.2)
-ID_MAX = 998  # characters of a Message-ID: those of a line (RFC 2822, 2.1.1)
+MAX_NAME_LENGTH = 128  # characters of an AS2 name (RFC 4130, 6.2)
+MAX_MESSAGE_ID_LENGTH = 998  # characters of a Message-ID: those of a line (RFC 2822, 2.1.1)
 DEFAULT_VERSION = "1.0"  # of a message without AS2-Version
 
 MESSAGE_ID = re.compile(r"<[\x21-\x3b\x3d\x3f-\x7e]+>\Z")
@@ -44,8 +44,8 @@
         plain = text
     else:
         raise _field_error(field, "an AS2 name, plain or in quotes", text)
-    if not 1 <= len(plain) <= NAME_MAX:
-        raise _field_error(field, f"1 to {NAME_MAX} characters", text)
+    if not 1 <= len(plain) <= MAX_NAME_LENGTH:
+        raise _field_error(field, f"1 to {MAX_NAME_LENGTH} characters", text)
     return plain
 
 
@@ -62,13 +62,13 @@
     Raises:
         As2Error: It is not in angle brackets, or too long.
     """
-    if not MESSAGE_ID.match(text) or len(text) > ID_MAX:
-        raise _field_error(field, f"an identifier in angle brackets, at most {ID_MAX} characters", text)
+    if not MESSAGE_ID.match(text) or len(text) > MAX_MESSAGE_ID_LENGTH:
+        raise _field_error(field, f"an identifier in angle brackets, at most {MAX_MESSAGE_ID_LENGTH} characters", text)
     return text
 
 
 @dataclass(frozen=True, slots=True)
-class ReceiptWish:
+class ReceiptOptions:
     """What the sender asks of the receipt (RFC 4130, 7.3).
 
     Attributes:
@@ -82,7 +82,7 @@
     micalgs: tuple[str, ...] = ()
 
 
-def receipt_wish(text: str) -> ReceiptWish:
+def parse_receipt_options(text: str) -> ReceiptOptions:
     """Parse Disposition-Notification-Options: `name=importance, value, value; ...` (RFC 4130, 7.3).
 
     Raises:
@@ -102,7 +102,7 @@
             required = importance == "required"
         elif option == "signed-receipt-micalg":
             micalgs = tuple(values)
-    return ReceiptWish(signed, required, micalgs)
+    return ReceiptOptions(signed, required, micalgs)
 
 
 @dataclass(frozen=True, slots=True)
@@ -126,7 +126,7 @@
     version: str = "1.2"
     subject: str = ""
     notify: str = ""
-    wish: ReceiptWish = ReceiptWish()
+    wish: ReceiptOptions = ReceiptOptions()
     reply_to: str = ""
 
     @classmethod
@@ -152,6 +152,6 @@
             version=version,
             subject=headers.get("subject"),
             notify=headers.get("disposition-notification-to"),
-            wish=receipt_wish(headers.get("disposition-notification-options")),
+            wish=parse_receipt_options(headers.get("disposition-notification-options")),
             reply_to=reply_to,
         )
--- a/linnetstile/codec/cms.py
+++ b/linnetstile/codec/cms.py
@@ -20,15 +20,15 @@
     from cryptography.hazmat.primitives.asymmetric.rsa import RSAPrivateKey
     from cryptography.x509 import Certificate
 
-INFLATED_MAX = 256 * 1024 * 1024  # bytes of decompressed data
+MAX_DECOMPRESSED_BYTES = 256 * 1024 * 1024  # bytes of decompressed data
 MAX_LAYERS = 4  # of signature, compression and encryption around a content
-COMMON_NAME_MAX = 64  # characters (RFC 5280, A.1)
+MAX_COMMON_NAME_LENGTH = 64  # characters (RFC 5280, A.1)
 RSA_KEY_BITS = 2048
 RSA_PUBLIC_EXPONENT = 65537
 SET_OF_TAG = b"\x31"
 
 # Names of hashlib by the names of micalg parameters (RFC 3851 and RFC 5751).
-DIGESTS = {
+HASH_NAMES = {
     "sha1": "sha1",
     "sha-1": "sha1",
     "sha256": "sha256",
@@ -58,7 +58,7 @@
     Raises:
         CmsError: The algorithm is not known.
     """
-    algorithm = DIGESTS.get(micalg.lower())
+    algorithm = HASH_NAMES.get(micalg.lower())
     if algorithm is None:
         raise CmsError("a digest algorithm that is not known", field="micalg", found=micalg)
     return hashlib.new(algorithm, data).digest()
@@ -84,7 +84,7 @@
         key = rsa_keys.generate_private_key(RSA_PUBLIC_EXPONENT, RSA_KEY_BITS)
     else:
         key = ec.generate_private_key(ec.SECP256R1())
-    subject = x509.Name([x509.NameAttribute(x509.NameOID.COMMON_NAME, common_name[:COMMON_NAME_MAX])])
+    subject = x509.Name([x509.NameAttribute(x509.NameOID.COMMON_NAME, common_name[:MAX_COMMON_NAME_LENGTH])])
     start = datetime.datetime.now(datetime.UTC) - datetime.timedelta(days=1)
     builder = (
         x509.CertificateBuilder()
@@ -122,12 +122,12 @@
     return x509.load_pem_x509_certificate(pem)
 
 
-def sign(content: bytes, by: Identity, micalg: str = "sha-256") -> tuple[str, bytes]:
+def sign(content: bytes, signer: Identity, micalg: str = "sha-256") -> tuple[str, bytes]:
     """Sign an entity with a detached signature (RFC 8551, 3.5.3).
 
     Args:
         content: The entity with its MIME headers.
-        by: Who signs.
+        signer: Who signs.
         micalg: `sha-256`, `sha-384` or `sha-512`.
 
     Returns:
@@ -137,11 +137,11 @@
     from cryptography.hazmat.primitives.serialization import pkcs7
 
     algorithms: Any = {"sha256": hashes.SHA256(), "sha384": hashes.SHA384(), "sha512": hashes.SHA512()}
-    algorithm = algorithms[DIGESTS[micalg]]
+    algorithm = algorithms[HASH_NAMES[micalg]]
     der = (
         pkcs7.PKCS7SignatureBuilder()
         .set_data(content)
-        .add_signer(by.certificate, by.key, algorithm)
+        .add_signer(signer.certificate, signer.key, algorithm)
         .sign(serialization.Encoding.DER, [pkcs7.PKCS7Options.DetachedSignature, pkcs7.PKCS7Options.Binary])
     )
     signature_part = (
@@ -165,13 +165,13 @@
     media_type = mime.content_type(content_type)
     if media_type.name != "multipart/signed":
         raise CmsError("not a multipart/signed", field="Content-Type", expected="multipart/signed", found=content_type)
-    parts = mime.parts(body, media_type.params.get("boundary", ""))
+    parts = mime.split_multipart(body, media_type.params.get("boundary", ""))
     if len(parts) != 2:
         raise CmsError("a multipart/signed without two parts", expected="2 parts", found=str(len(parts)))
     return parts[0], mime.entity(parts[1]).decoded()
 
 
-def verify(content: bytes, der: bytes, certificate: Certificate, sha1: bool = False) -> str:
+def verify(content: bytes, der: bytes, certificate: Certificate, allow_sha1: bool = False) -> str:
     """Check a detached signature by the holder of `certificate` (RFC 5652, 5.4 to 5.6).
 
     The certificate is trusted as such: partners exchange them beforehand.
@@ -180,7 +180,7 @@
         content: The signed entity, byte for byte.
         der: The signature.
         certificate: Whose signature it should be.
-        sha1: Whether signatures over SHA-1 are accepted.
+        allow_sha1: Whether signatures over SHA-1 are accepted.
 
     Returns:
         The digest algorithm.
@@ -197,7 +197,7 @@
             raise CmsError("not one signer", expected="1 signer", found=str(len(signers)))
         signer = signers[0]
         algorithm = signer["digest_algorithm"]["algorithm"].native
-        if algorithm not in DIGESTS.values() or algorithm == "sha1" and not sha1:
+        if algorithm not in HASH_NAMES.values() or algorithm == "sha1" and not allow_sha1:
             raise CmsError(f"digest {algorithm} is not allowed", field="digest_algorithm", found=str(algorithm))
         signed_bytes = _signed_bytes(content, signed_data, signer["signed_attrs"], algorithm)
         _verify_with_key(certificate.public_key(), signer, signed_bytes, algorithm)
@@ -252,7 +252,7 @@
         raise CmsError("a key type that is not known", expected="RSA or EC", found=type(key).__name__)
 
 
-def encrypt(content: bytes, to: Certificate) -> tuple[str, bytes]:
+def encrypt(content: bytes, recipient: Certificate) -> tuple[str, bytes]:
     """Encrypt an entity for the holder of a certificate with an RSA key; return content type and DER body."""
     from cryptography.hazmat.primitives import serialization
     from cryptography.hazmat.primitives.ciphers import algorithms
@@ -261,14 +261,14 @@
     builder = (
         pkcs7.PKCS7EnvelopeBuilder()
         .set_data(content)
-        .add_recipient(to)
+        .add_recipient(recipient)
         .set_content_encryption_algorithm(algorithms.AES128)
     )
     der = builder.encrypt(serialization.Encoding.DER, [pkcs7.PKCS7Options.Binary])
     return 'application/pkcs7-mime; smime-type=enveloped-data; name="smime.p7m"', der
 
 
-def decrypt(der: bytes, by: Identity) -> bytes:
+def decrypt(der: bytes, identity: Identity) -> bytes:
     """Decrypt an enveloped entity.
 
     Raises:
@@ -278,7 +278,7 @@
 
     try:
         # The stub asks for an RSA key; the library raises TypeError for another one.
-        return pkcs7.pkcs7_decrypt_der(der, by.certificate, by.key, [])  # type: ignore[arg-type]
+        return pkcs7.pkcs7_decrypt_der(der, identity.certificate, identity.key, [])  # type: ignore[arg-type]
     except (ValueError, TypeError) as error:
         raise CmsError("an enveloped message that can't be opened") from error
 
@@ -300,23 +300,23 @@
     return 'application/pkcs7-mime; smime-type=compressed-data; name="smime.p7z"', bytes(der)
 
 
-def decompress(der: bytes, most: int = INFLATED_MAX) -> bytes:
-    """Decompress an entity; bounded by `most` bytes, as a few bytes can swell to gigabytes.
+def decompress(der: bytes, max_bytes: int = MAX_DECOMPRESSED_BYTES) -> bytes:
+    """Decompress an entity; bounded by `max_bytes`, as a few bytes can swell to gigabytes.
 
     Raises:
-        CmsError: It is not compressed data, is cut short, can't be read or holds more than `most` bytes.
+        CmsError: It is not compressed data, is cut short, can't be read or holds more than `max_bytes`.
     """
     try:
         compressed_data = _load_content(der, "compressed_data", "not compressed data")
         inflater = zlib.decompressobj()
-        data = inflater.decompress(compressed_data["encap_content_info"]["content"].native, most)
+        data = inflater.decompress(compressed_data["encap_content_info"]["content"].native, max_bytes)
     except CmsError:
         raise
     except (ValueError, KeyError, TypeError, zlib.error) as error:
         raise CmsError("compressed data that can't be read") from error
     if inflater.unconsumed_tail or not inflater.eof:
         raise CmsError(
-            f"compressed data that is cut short or holds more than {most} bytes", expected=f"<= {most} bytes"
+            f"compressed data that is cut short or holds more than {max_bytes} bytes", expected=f"<= {max_bytes} bytes"
         )
     return data
 
--- a/linnetstile/codec/http1.py
+++ b/linnetstile/codec/http1.py
@@ -194,14 +194,14 @@
     Attributes:
         client: Whether responses are read; requests otherwise.
         limits: Bounds on what the peer may send.
-        methods: Methods of the requests whose responses are still to come, in order.
+        awaited_methods: Methods of the requests whose responses are still to come, in order.
         failed: The fault that ended the reading; None while there is none.
     """
 
     def __init__(self, client: bool = False, limits: Limits | None = None) -> None:
         self.client = client
         self.limits = limits or Limits()
-        self.methods: list[str] = []
+        self.awaited_methods: list[str] = []
         self.failed: ProtocolError | None = None
         self._status_line_prefix = b""  # of the latest final response that was begun
         self._buffer = bytearray()
@@ -213,7 +213,7 @@
 
     def expect(self, method: str) -> None:
         """Announce the response to a request that was sent with this method."""
-        self.methods.append(method)
+        self.awaited_methods.append(method)
 
     @property
     def idle(self) -> bool:
@@ -245,12 +245,12 @@
         match = FINAL_STATUS_LINE.match(self._status_line_prefix or self._incomplete_status_line())
         return int(match[1]) if match else 0
 
-    def feed(self, data: bytes | memoryview, most: int = UNLIMITED_EVENTS) -> list[Event]:
+    def feed(self, data: bytes | memoryview, max_events: int = UNLIMITED_EVENTS) -> list[Event]:
         """Return the events that these bytes complete.
 
         Args:
             data: The next bytes of the stream.
-            most: Number of events after which about to stop, which bounds the time that one peer's bytes take;
+            max_events: Number of events after which about to stop, which bounds the time that one peer's bytes take;
                 `feed(b"")` goes on.
 
         Raises:
@@ -261,7 +261,7 @@
         self._buffer += data
         events: list[Event] = []
         try:
-            while len(events) < most and self._state(events):
+            while len(events) < max_events and self._state(events):
                 pass
         except ProtocolError as error:
             self.failed = error
@@ -385,12 +385,12 @@
         headers = _parse_fields(lines[1:], self.limits)
         if FORBIDDEN_IN_VALUE.search(reason):
             raise ProtocolError(400, "a control character in the reason", found=reason)
-        if not self.methods:
+        if not self.awaited_methods:
             raise ProtocolError(400, "a response that nobody asked for", found=first_line)
         if 100 <= status < 200:
             self._status_line_prefix = b""
             return True  # interim: the final one follows (RFC 9110, 15.2); an upgrade was never asked for
-        method = self.methods.pop(0)
+        method = self.awaited_methods.pop(0)
         length = self._body_length(version, headers)
         bodiless = _is_bodiless(method, status)
         keep_alive = _persists(version, headers) and (bodiless or length is not None)
--- a/linnetstile/codec/mdn.py
+++ b/linnetstile/codec/mdn.py
@@ -105,8 +105,8 @@
         raise MdnError(
             "not a multipart/report", field="Content-Type", expected="multipart/report", found=media_type.name
         )
-    entities = [mime.entity(part) for part in mime.parts(body, media_type.params.get("boundary", ""))]
-    notifications = [part for part in entities if part.type.name == "message/disposition-notification"]
+    entities = [mime.entity(part) for part in mime.split_multipart(body, media_type.params.get("boundary", ""))]
+    notifications = [part for part in entities if part.content_type.name == "message/disposition-notification"]
     if len(notifications) != 1:
         raise MdnError("not one message/disposition-notification", expected="1 part", found=str(len(notifications)))
     notification = notifications[0]
--- a/linnetstile/codec/mime.py
+++ b/linnetstile/codec/mime.py
@@ -13,8 +13,8 @@
 from ..errors import ProtocolError
 from .headers import Headers
 
-PARTS_MAX = 32  # parts of a multipart
-HEAD_MAX = 32_768  # bytes of the header lines of an entity
+MAX_PARTS = 32  # parts of a multipart
+MAX_HEAD_BYTES = 32_768  # bytes of the header lines of an entity
 CONTENT_TYPES_CACHED = 512  # most messages of a client have the same one
 BOUNDARY_RANDOM_BYTES = 12
 DEFAULT_CONTENT_TYPE = "text/plain"  # RFC 2045, 5.2
@@ -83,7 +83,7 @@
     raw: bytes
 
     @property
-    def type(self) -> ContentType:
+    def content_type(self) -> ContentType:
         """The media type; raises `MimeError` if it can't be read."""
         return content_type(self.headers.get("content-type", DEFAULT_CONTENT_TYPE))
 
@@ -119,10 +119,10 @@
     """
     if raw[:2] == b"\r\n" or raw[:1] == b"\n":
         return Entity(Headers(), raw[2 if raw[:1] == b"\r" else 1 :], raw)
-    ends = [(raw.find(separator, 0, HEAD_MAX), len(separator)) for separator in (b"\r\n\r\n", b"\n\n")]
+    ends = [(raw.find(separator, 0, MAX_HEAD_BYTES), len(separator)) for separator in (b"\r\n\r\n", b"\n\n")]
     head_end = min((end for end in ends if end[0] >= 0), default=None)
     if head_end is None:
-        raise MimeError(f"no end of the headers within {HEAD_MAX} bytes")
+        raise MimeError(f"no end of the headers within {MAX_HEAD_BYTES} bytes")
     head_length, separator_length = head_end
     fields = _parse_fields(raw[:head_length].decode("latin-1"))
     return Entity(Headers(fields), raw[head_length + separator_length :], raw)
@@ -139,7 +139,7 @@
     return fields
 
 
-def parts(body: bytes, boundary: str) -> list[bytes]:
+def split_multipart(body: bytes, boundary: str) -> list[bytes]:
     """Split a multipart body into its raw parts.
 
     The line end before a delimiter belongs to that (RFC 2046, 5.1.1).
@@ -168,8 +168,8 @@
             found.append(body[part_start : max(part_start, part_end)])
         if is_last:
             return found
-        if len(found) >= PARTS_MAX:
-            raise MimeError(f"more than {PARTS_MAX} parts", expected=f"<= {PARTS_MAX}")
+        if len(found) >= MAX_PARTS:
+            raise MimeError(f"more than {MAX_PARTS} parts", expected=f"<= {MAX_PARTS}")
         part_start = line_end + 1
         position = part_start
     raise MimeError("the last delimiter of a multipart is missing", expected=f"--{boundary}--")
--- a/linnetstile/codec/objects.py
+++ b/linnetstile/codec/objects.py
@@ -17,10 +17,10 @@
 STRUCTURE = re.compile(rb'["{}\[\]]')  # what counts outside of strings
 ELEMENT_STRUCTURE = re.compile(rb'["{}\[\],]')  # the same among the elements of an array
 STRING_STRUCTURE = re.compile(rb'["\\\x00-\x1f]')  # what counts inside of strings
-DEEPEST = 32  # levels of nesting: a list of endpoints has three
-STEP = 64 * 1024  # bytes: a longer object comes in parts, if it may; also the limit of one element of it
-PIECE = 16 * 1024  # bytes that are scanned in one go
-QUICK = 2 * 1024  # bytes from which on elements are parsed together: one by one costs ten times as much
+MAX_DEPTH = 32  # levels of nesting: a list of endpoints has three
+DEFAULT_STEP_BYTES = 64 * 1024  # bytes: a longer object comes in parts, if it may; also the limit of one element of it
+SCAN_BYTES = 16 * 1024  # bytes that are scanned in one go
+BATCH_PARSE_BYTES = 2 * 1024  # bytes from which on elements are parsed together: one by one costs ten times as much
 ARRAY_KEY_SLACK = 64  # bytes for quotes, colon and blanks around the key of the array
 OBJECT_DEPTH = 1  # inside the object that comes in parts
 ELEMENT_DEPTH = 2  # inside its array
@@ -75,27 +75,34 @@
 class Objects:
     """Cuts objects and arrays out of a stream; only blanks may stand between them.
 
-    Objects of more than `step` bytes whose member `array` is an array that begins within these come as `Part`s instead,
-    as long as the members `before` stand before it: what they say of the rest has to be known first. Their elements are
-    bounded by `step` each, and `most` bounds what stands behind the array, so that memory is bounded however long it
-    is. An element comes once the comma or bracket behind it has come, and none that stands behind a fault.
+    Objects of more than `step_bytes` come as `Part`s instead if their member `array_key` is an array that begins within
+    these bytes, behind the members `required_keys`: what those say of the rest has to be known first. The elements are
+    bounded by `step_bytes` each, and `max_value_bytes` bounds what stands behind the array, so that memory is bounded
+    however long the object is. An element comes once the comma or bracket behind it has come, and none that stands
+    behind a fault.
 
     Attributes:
-        most: Bytes that one value may have.
-        array: Key of the array that may come in parts; empty if there is none.
-        before: Keys of the members that have to stand before the array.
-        step: Bytes from which on an object comes in parts.
+        max_value_bytes: Bytes that one value may have.
+        array_key: Key of the array that may come in parts; empty if there is none.
+        required_keys: Keys of the members that have to stand before the array.
+        step_bytes: Bytes from which on an object comes in parts.
         failed: The fault that ended the reading, since nothing says where the next value begins; None while there is
             none.
     """
 
-    def __init__(self, most: int, array: str = "", before: tuple[str, ...] = (), step: int = STEP) -> None:
-        self.most = most
-        self.array = array
-        self.before = before
-        self.step = step
+    def __init__(
+        self,
+        max_value_bytes: int,
+        array_key: str = "",
+        required_keys: tuple[str, ...] = (),
+        step_bytes: int = DEFAULT_STEP_BYTES,
+    ) -> None:
+        self.max_value_bytes = max_value_bytes
+        self.array_key = array_key
+        self.required_keys = required_keys
+        self.step_bytes = step_bytes
         self.failed: JsonStreamError | None = None
-        self._array_opening = re.compile(rb'"%s"[ \t\r\n]*:[ \t\r\n]*\[\Z' % array.encode())
+        self._array_opening = re.compile(rb'"%s"[ \t\r\n]*:[ \t\r\n]*\[\Z' % array_key.encode())
         self._buffer = bytearray()
         # The scan of the value or element that the buffer begins with.
         self._position = 0  # scanned up to here
@@ -125,8 +132,8 @@
             raise self.failed
         values: list[Any] = []
         try:
-            for start in range(0, len(data), PIECE):
-                self._buffer += data[start : start + PIECE]
+            for start in range(0, len(data), SCAN_BYTES):
+                self._buffer += data[start : start + SCAN_BYTES]
                 self._one_by_one = False
                 while self._advance(values):
                     pass
@@ -142,8 +149,8 @@
         """Take one step; return whether there may be another one."""
         if self._head is not None:
             return self._advance_in_parts(self._head, values)
-        end = self._find_end(0, len(self._buffer) if self._exceeds_step else self.step)
-        if end is None and not self._exceeds_step and len(self._buffer) > self.step:
+        end = self._find_end(0, len(self._buffer) if self._exceeds_step else self.step_bytes)
+        if end is None and not self._exceeds_step and len(self._buffer) > self.step_bytes:
             self._exceeds_step = True
             self._begin_parts()
             return True
@@ -164,9 +171,11 @@
 
     def _check_size(self, end: int | None) -> None:
         size = end or len(self._buffer)
-        if size > self.most:
+        if size > self.max_value_bytes:
             raise JsonStreamError(
-                f"a value of more than {self.most} bytes", expected=f"<= {self.most} bytes", found=f"{size} bytes"
+                f"a value of more than {self.max_value_bytes} bytes",
+                expected=f"<= {self.max_value_bytes} bytes",
+                found=f"{size} bytes",
             )
 
     # -- the scan for the end of a value ---------------------------------------------------------------------
@@ -191,7 +200,7 @@
                 return None
             if self._in_string or sign == b'"':
                 continue
-            if sign == b"[" and self._depth == ELEMENT_DEPTH and not self._elements_start and self.array:
+            if sign == b"[" and self._depth == ELEMENT_DEPTH and not self._elements_start and self.array_key:
                 self._note_array_start()
             if not self._depth:
                 return self._position
@@ -208,7 +217,7 @@
         """Remember that the array begins here, if the bracket just scanned opens it."""
         if self._buffer[:1] != b"{":
             return
-        near = self._buffer[max(0, self._position - len(self.array) - ARRAY_KEY_SLACK) : self._position]
+        near = self._buffer[max(0, self._position - len(self.array_key) - ARRAY_KEY_SLACK) : self._position]
         if self._array_opening.search(near):
             self._elements_start = self._position
 
@@ -225,8 +234,8 @@
             raise JsonStreamError("a control character in a string", found=repr(sign))
         elif sign in b"{[":
             self._depth += 1
-            if self._depth > DEEPEST:
-                raise JsonStreamError(f"more than {DEEPEST} levels", expected=f"<= {DEEPEST} levels")
+            if self._depth > MAX_DEPTH:
+                raise JsonStreamError(f"more than {MAX_DEPTH} levels", expected=f"<= {MAX_DEPTH} levels")
         elif sign in b"}]":
             self._depth -= 1
         self._position = end
@@ -237,9 +246,9 @@
     def _begin_parts(self) -> None:
         """Let the object that the buffer begins with come in parts from now on, if it may."""
         head = _parse(self._buffer[: self._elements_start] + b"]}") if self._elements_start else {}
-        if head.get(self.array) != [] or not all(key in head for key in self.before):
+        if head.get(self.array_key) != [] or not all(key in head for key in self.required_keys):
             return
-        del head[self.array]
+        del head[self.array_key]
         self._head = head
         self._in_array = True
         self._part_returned = False
@@ -270,7 +279,7 @@
         if end is None:
             return False
         rest = _parse(b'{"":0' + self._buffer[:end])
-        if repeated := [key for key in rest if key == self.array or key in head]:
+        if repeated := [key for key in rest if key == self.array_key or key in head]:
             raise JsonStreamError(f"{repeated[0]}: told twice", field=repeated[0], expected="one such member")
         values.append(Part(head, [], first=not self._part_returned, last=True))
         self._head = None
@@ -279,17 +288,17 @@
 
     def _take_elements(self, elements: list[Any]) -> bool:
         """Append the next elements of the array; return False while they have not come."""
-        if not self._position and not self._one_by_one and len(self._buffer) >= QUICK:
+        if not self._position and not self._one_by_one and len(self._buffer) >= BATCH_PARSE_BYTES:
             if self._take_several(elements):
                 return True
             self._one_by_one = True
         end = self._find_separator()
         size = len(self._buffer) if end is None else end - 1
-        if size > self.step:
+        if size > self.step_bytes:
             raise JsonStreamError(
-                f"{self.array}: an element of more than {self.step} bytes",
-                field=self.array,
-                expected=f"<= {self.step} bytes",
+                f"{self.array_key}: an element of more than {self.step_bytes} bytes",
+                field=self.array_key,
+                expected=f"<= {self.step_bytes} bytes",
                 found=f"{size} bytes",
             )
         if end is None:
@@ -311,7 +320,7 @@
         Returns:
             False if they have to be parsed one by one, for a fault, or a comma that stands inside one of them.
         """
-        end = self._buffer.rfind(b"},", 0, self.step + 1) + 1
+        end = self._buffer.rfind(b"},", 0, self.step_bytes + 1) + 1
         if not end:
             return False
         text = self._buffer[:end]
@@ -320,7 +329,7 @@
         except (ValueError, RecursionError):
             return False
         nested = text.count(b"{") + text.count(b"[") - sum(isinstance(element, (dict, list)) for element in several)
-        if nested > DEEPEST - MIN_ELEMENT_DEPTH:  # one of them may be too deep
+        if nested > MAX_DEPTH - MIN_ELEMENT_DEPTH:  # one of them may be too deep
             return False
         elements += several
         self._array_has_elements = True
@@ -340,7 +349,9 @@
                 continue
             if self._depth == OBJECT_DEPTH or sign == b"," and self._depth == ELEMENT_DEPTH:
                 if sign == b"}":
-                    raise JsonStreamError(f"{self.array}: ends with a brace", field=self.array, expected="]", found="}")
+                    raise JsonStreamError(
+                        f"{self.array_key}: ends with a brace", field=self.array_key, expected="]", found="}"
+                    )
                 return self._position
         self._position = len(self._buffer)
         return None
--- a/linnetstile/config/addresses.py
+++ b/linnetstile/config/addresses.py
@@ -8,7 +8,7 @@
 
 from pydantic import AfterValidator
 
-PORT_MAX = 65535
+MAX_PORT = 65535
 
 
 def loopback(text: str) -> str:
@@ -25,7 +25,7 @@
         is_loopback = ipaddress.ip_address(host.strip("[]")).is_loopback
     except ValueError:
         is_loopback = False
-    if not colon or not is_loopback or not port.isdigit() or not 0 <= int(port) <= PORT_MAX:
+    if not colon or not is_loopback or not port.isdigit() or not 0 <= int(port) <= MAX_PORT:
         raise ValueError("expected a loopback address and port, such as 127.0.0.1:4080")
     return text
 
@@ -59,4 +59,4 @@
 
 Address = Annotated[str, AfterValidator(loopback)]
 PartnerUrl = Annotated[str, AfterValidator(_partner_url)]
-Url = Annotated[str, AfterValidator(loopback_url)]
+LoopbackUrl = Annotated[str, AfterValidator(loopback_url)]
--- a/linnetstile/config/files.py
+++ b/linnetstile/config/files.py
@@ -12,8 +12,8 @@
 
 from ..errors import ConfigError
 
-SIZE_MAX = 4 * 1024 * 1024  # bytes of a settings file
-SHOWN_VALUE_MAX = 80  # characters of a value in a message
+MAX_FILE_BYTES = 4 * 1024 * 1024  # bytes of a settings file
+MAX_SHOWN_VALUE_LENGTH = 80  # characters of a value in a message
 ELLIPSIS = "..."
 WHOLE_FILE = "(whole file)"
 
@@ -83,7 +83,7 @@
 
 def _shown(value: Any) -> str:
     text = repr(value)
-    return text if len(text) <= SHOWN_VALUE_MAX else text[: SHOWN_VALUE_MAX - len(ELLIPSIS)] + ELLIPSIS
+    return text if len(text) <= MAX_SHOWN_VALUE_LENGTH else text[: MAX_SHOWN_VALUE_LENGTH - len(ELLIPSIS)] + ELLIPSIS
 
 
 def load(path: pathlib.Path, model: type[M]) -> M:
@@ -101,8 +101,10 @@
 
 def _read_yaml(path: pathlib.Path) -> Any:
     try:
-        if path.stat().st_size > SIZE_MAX:
-            raise SettingsError([f"{path}: expected at most {SIZE_MAX} bytes"], expected=f"<= {SIZE_MAX} bytes")
+        if path.stat().st_size > MAX_FILE_BYTES:
+            raise SettingsError(
+                [f"{path}: expected at most {MAX_FILE_BYTES} bytes"], expected=f"<= {MAX_FILE_BYTES} bytes"
+            )
         return yaml.safe_load(path.read_text(encoding="utf-8"))
     except OSError as error:
         raise SettingsError([f"{path}: can't be read: {error.strerror}"]) from error
--- a/linnetstile/config/relay.py
+++ b/linnetstile/config/relay.py
@@ -10,7 +10,7 @@
 from ..engine.routing import Rule
 from ..engine.settings import Settings
 from . import engine_mapping
-from .addresses import Address, PartnerUrl, Url, loopback, loopback_url, split
+from .addresses import Address, LoopbackUrl, PartnerUrl, loopback, loopback_url, split
 from .files import Strict
 from .numbers import Count, Fraction, NotNegative
 from .sections import (
@@ -61,7 +61,7 @@
 
     name: str = Field(pattern=r"^[A-Za-z0-9._-]{1,64}$")
     listen: Address = "127.0.0.1:0"
-    register_url: Url = Field(alias="register")
+    register_url: LoopbackUrl = Field(alias="register")
     relays: Count = 1
     zone: str | None = None
     identity: IdentitySettings = IdentitySettings()
--- a/linnetstile/storage/snapshot.py
+++ b/linnetstile/storage/snapshot.py
@@ -19,7 +19,7 @@
 
 FORMAT = 1
 MAGIC = "snapshot"  # value of the header's first field, "linnetstile"
-SIZE_MAX = 64 * 1024 * 1024  # bytes of a file
+MAX_FILE_BYTES = 64 * 1024 * 1024  # bytes of a file
 DIGEST_BYTES = 16
 BOOT_ID = Path("/proc/sys/kernel/random/boot_id")
 
@@ -129,10 +129,10 @@
 
 
 def _read_bytes(path: Path) -> bytes:
-    """Return the bytes of a file, or the first `SIZE_MAX` and one more, whose checksum then does not hold."""
+    """Return the bytes of a file, or the first `MAX_FILE_BYTES` and one more, whose checksum then does not hold."""
     try:
         with path.open("rb") as file:
-            return file.read(SIZE_MAX + 1)
+            return file.read(MAX_FILE_BYTES + 1)
     except FileNotFoundError:
         raise
     except OSError as error:
--- a/tests/codec/test_as2.py
+++ b/tests/codec/test_as2.py
@@ -59,10 +59,10 @@
 
 
 def test_receipt_options_are_parsed() -> None:
-    wish = as2.receipt_wish(
+    wish = as2.parse_receipt_options(
         "signed-receipt-protocol=optional, pkcs7-signature; signed-receipt-micalg=optional, SHA-256, sha1"
     )
-    assert wish == as2.ReceiptWish(True, False, ("sha-256", "sha1"))
+    assert wish == as2.ReceiptOptions(True, False, ("sha-256", "sha1"))
 
 
 @pytest.mark.parametrize(
@@ -110,7 +110,7 @@
         kind, body = cms.sign(content, signer, micalg)
         got, der = cms.signed_content(kind, body)
         assert got == content
-        assert cms.verify(got, der, signer.certificate) == cms.DIGESTS[micalg]
+        assert cms.verify(got, der, signer.certificate) == cms.HASH_NAMES[micalg]
         with pytest.raises(cms.CmsError):
             cms.verify(got + b" ", der, signer.certificate)
         with pytest.raises(cms.CmsError):
@@ -128,7 +128,7 @@
     with pytest.raises(cms.CmsError, match="sha1 is not allowed"):
         cms.verify(b"x", info.dump(force=True), OPENER.certificate)
     with pytest.raises(cms.CmsError, match="not what was signed"):  # allowed, and then judged by its digest
-        cms.verify(b"x", info.dump(force=True), OPENER.certificate, sha1=True)
+        cms.verify(b"x", info.dump(force=True), OPENER.certificate, allow_sha1=True)
 
 
 @pytest.mark.parametrize("sign", [False, True])
--- a/tests/codec/test_objects.py
+++ b/tests/codec/test_objects.py
@@ -12,7 +12,7 @@
 from hypothesis import strategies as st
 
 from linnetstile.codec import objects
-from linnetstile.codec.objects import DEEPEST, STEP, JsonStreamError, Objects, Part
+from linnetstile.codec.objects import DEFAULT_STEP_BYTES, MAX_DEPTH, JsonStreamError, Objects, Part
 
 TEXT = st.text(st.characters(codec="utf-8"), max_size=4)
 JSON = st.recursive(
@@ -52,7 +52,7 @@
         b'["\\q"]',
         b'["\xff"]',
         b"[" * 40,
-        b'{"a": ' * (DEEPEST + 1),
+        b'{"a": ' * (MAX_DEPTH + 1),
         b"[1]]",
         b'["' + b"a" * 2000,
     ],
@@ -120,7 +120,7 @@
 def test_long_object_comes_in_parts_that_are_the_same_for_any_split(
     indent: int | None, elements: list[Any], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(objects, "QUICK", 24)
+    monkeypatch.setattr(objects, "BATCH_PARSE_BYTES", 24)
     told = {"version": 7, "full": True, "servers": elements}
     short = {"version": 8, "full": False, "servers": [{}]}
     stream = b"\n".join(json.dumps(each, indent=indent).encode() for each in (told, short, told)) + b"\n"
@@ -194,7 +194,7 @@
 def test_elements_before_a_fault_in_a_long_array_are_returned_first(
     fault: bytes, quick: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(objects, "QUICK", quick)
+    monkeypatch.setattr(objects, "BATCH_PARSE_BYTES", quick)
     stream = SOUND + fault + b"\n{}"
     expected = read_all(stream, range(1, len(stream)))
     assert expected[-2:] == ["fault", JsonStreamError]
@@ -234,7 +234,7 @@
                 count += len(part.elements)
             held = max(held, len(reader._buffer))
         assert count == size
-        assert held <= 2 * STEP
+        assert held <= 2 * DEFAULT_STEP_BYTES
         assert not reader.part
         return time.process_time() - began
 
