--- a/linnetstile/codec/http1.py
+++ b/linnetstile/codec/http1.py
@@ -188,8 +188,8 @@
 class Parser:
     """Reads the messages of one connection: `feed` it bytes, call `eof` once the peer has closed.
 
-    A client parser must be told of each request with `expect`, as the method says whether a body follows. Each state
-    is a method that consumes from the buffer, appends events and returns whether another step may be made.
+    A client parser must be told of each request with `expect`, as the method says whether a body follows.
+    Each state is a method that consumes from the buffer, appends events and returns whether another step may be made.
 
     Attributes:
         client: Whether responses are read; requests otherwise.
--- a/linnetstile/codec/objects.py
+++ b/linnetstile/codec/objects.py
@@ -75,11 +75,11 @@
 class Objects:
     """Cuts objects and arrays out of a stream; only blanks may stand between them.
 
-    Objects of more than `step_bytes` come as `Part`s instead if their member `array_key` is an array that begins within
-    these bytes, behind the members `required_keys`: what those say of the rest has to be known first. The elements are
-    bounded by `step_bytes` each, and `max_value_bytes` bounds what stands behind the array, so that memory is bounded
-    however long the object is. An element comes once the comma or bracket behind it has come, and none that stands
-    behind a fault.
+    Objects of more than `step_bytes` come as `Part`s instead if their member `array_key` is an array that begins
+    within these bytes, behind the members `required_keys`: what those say of the rest has to be known first. The
+    elements are bounded by `step_bytes` each, and `max_value_bytes` bounds what stands behind the array, so that memory
+    is bounded however long the object is. An element comes once the comma or bracket behind it has come, and none that
+    stands behind a fault.
 
     Attributes:
         max_value_bytes: Bytes that one value may have.
