--- /dev/null
+++ b/linnetstile/net/client_call.py
@@ -0,0 +1,98 @@
+"""One request on its way to a peer: what is sent where, how it can be ended, and how it ended."""
+
+from __future__ import annotations
+
+import asyncio
+import math
+from collections.abc import Callable
+from dataclasses import dataclass, replace
+from typing import TYPE_CHECKING
+
+from ..codec import http1
+from ..engine.attempt_outcome import WireResult
+from .tls_context import Keys
+
+if TYPE_CHECKING:
+    from .client_connection import ClientConnection
+
+# Host and port, or the path of a local socket. The third part of a longer one tells peers apart that use one address
+# one after the other: a connection to the one that has gone is never used for its successor.
+Address = tuple[str, int] | tuple[str, int, int] | str
+# The bytes of a request: in one piece, or its head and its body.
+RequestBytes = bytes | tuple[bytes, bytes]
+# The TLS context to connect with, and the name that the peer's certificate is to show.
+TlsParameters = tuple[Keys, str]
+
+
+def shown(address: Address) -> str:
+    """Return the address as `HOST:PORT`, or the path of a local socket."""
+    return address if isinstance(address, str) else f"{address[0]}:{address[1]}"
+
+
+@dataclass(frozen=True, slots=True)
+class Answer:
+    """How a call ended."""
+
+    sight: WireResult
+    head: http1.Response | None = None  # only where the call was answered
+    body: bytes = b""
+    # The last byte of the request had left this process, so that the peer may have had all of it.
+    whole: bool = True
+    # The status in the first line of a response whose rest has not come or can't be read; 0 = none can be read.
+    claimed: int = 0
+    reused: bool = False  # it went out on a connection kept from an earlier call
+
+
+class Call:
+    """One request on its way. Its callback is called once, never from within `Pool.call`."""
+
+    def __init__(self, done: Callable[[Answer], None]) -> None:
+        self.done: Callable[[Answer], None] | None = done
+        self.connection: ClientConnection | None = None
+        self.connecting: asyncio.Task[None] | None = None
+        self.reused_connection = False
+        self.last_byte_delay_s = 0.0
+        self.send_before = math.inf  # loop time, s
+        self.timer: asyncio.TimerHandle | None = None
+
+    def finish(self, answer: Answer) -> None:
+        """Tell the caller, if it still waits, how the call ended."""
+        done, self.done = self.done, None
+        if self.timer:
+            self.timer.cancel()
+        if done:
+            done(replace(answer, reused=True) if self.reused_connection else answer)
+
+    def forget(self) -> None:
+        """Call nobody back; the connection may still end its exchange in order and be kept."""
+        self.done = None
+
+    def abort(self, sight: WireResult) -> None:
+        """End the call now, with this result unless the request can't have been sent."""
+        self._end(self._unsent_result() or sight)
+
+    def recall(self) -> None:
+        """End the call as not sent if the peer can't have had all of the request; else change nothing."""
+        if self.done is not None and self._unsent_result():
+            self._end(WireResult.NOT_SENT)
+
+    def _unsent_result(self) -> WireResult | None:
+        """What an end proves as long as the last byte has not left; None once it has.
+
+        The rest of the request goes with the connection, and the peer never had all of it.
+        """
+        if self.connecting:
+            return WireResult.NO_CONNECTION
+        return WireResult.REQUEST_INCOMPLETE if self.connection is not None and self.connection.partial else None
+
+    def _end(self, result: WireResult) -> None:
+        """Close the connection too: one on which a request is out can't be kept."""
+        if self.connecting:
+            self.connecting.cancel()
+        connection, self.connection = self.connection, None
+        claimed = 0
+        if connection:
+            connection.call = None
+            claimed = connection.parser.claimed
+            connection.transport.abort()
+        self.finish(Answer(result, claimed=claimed))
--- /dev/null
+++ b/linnetstile/net/client_connection.py
@@ -0,0 +1,177 @@
+"""One connection of the client pool: one request at a time, with its response."""
+
+from __future__ import annotations
+
+import asyncio
+import math
+from typing import TYPE_CHECKING
+
+from ..codec import http1
+from ..engine.attempt_outcome import WireResult
+from .client_call import Address, Answer, Call, RequestBytes
+from .connection import BufferedConnection
+
+if TYPE_CHECKING:
+    from .client_pool import Pool
+
+# What is left of a response that counts already may take so long, or its connection is closed.
+RESPONSE_TAIL_TIMEOUT_S = 1.0
+
+
+class ClientConnection(BufferedConnection):
+    """A connection to a peer, in use by one call or idle in its pool."""
+
+    def __init__(self, pool: Pool, address: Address) -> None:
+        self.pool = pool
+        self.address = address
+        self.parser = http1.Parser(client=True, limits=pool.limits)
+        self.call: Call | None = None
+        self.head: http1.Response | None = None
+        self.body_pieces: list[bytes] = []
+        self.idle_since = 0.0  # loop time, s
+        self.withheld_end = b""  # the last byte of a request, while it is held back
+        self.began = pool.loop.time()  # of the call
+        self.start_rate_meters(pool.rates.response, pool.rates.request, pool.rates.grace_s)
+
+    def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Enter the pool's set of open connections. Called by asyncio."""
+        super().connection_made(transport)
+        self.pool.open.add(self)
+
+    @property
+    def partial(self) -> bool:
+        """Whether a byte of the request has not left this process.
+
+        RFC 9112, 8: what is not complete can't be acted on, and an AS2 message has its digest over all of it.
+        """
+        return self.write_paused or self.queued > 0 or bool(self.withheld_end)
+
+    def abort_if_unsolicited_input(self) -> bool:
+        """Close an idle connection whose peer has sent something, or has closed it.
+
+        Guards the next request against the rest of a response that brought too much, and against a connection that its
+        peer has closed.
+
+        Returns:
+            Whether it was closed.
+        """
+        if self.speaks:
+            self.transport.abort()
+            return True
+        return False
+
+    def send(self, call: Call, method: str, data: RequestBytes) -> bool:
+        """Send the request of a call.
+
+        Returns:
+            False if not a byte left: the connection had ended, or the first write met that it has, or it is too late.
+        """
+        if self.dead or self.pool.loop.time() > call.send_before:
+            return False
+        self.call, call.connection = call, self
+        self.began = self.pool.loop.time()
+        self.came = self.metered_read_bytes = 0
+        self.read_meter.pause()
+        self.parser.expect(method)
+        if call.last_byte_delay_s > 0:
+            self._put_all_but_last_byte(call, data)
+        else:
+            self.put(data) if isinstance(data, bytes) else self.put(*data)
+        if self.transport.is_closing():  # the first write, into an empty buffer, failed as a whole
+            self.call = call.connection = None
+            return False
+        if self.partial and call.send_before < math.inf:
+            self.pool.loop.call_at(call.send_before, self._abort_if_partial, call)
+        return True
+
+    def _put_all_but_last_byte(self, call: Call, data: RequestBytes) -> None:
+        joined = data if isinstance(data, bytes) else b"".join(data)
+        self.withheld_end = joined[-1:]
+        self.put(joined[:-1])
+        self.pool.loop.call_later(call.last_byte_delay_s, self._put_last_byte, call)
+
+    def _put_last_byte(self, call: Call) -> None:
+        if self.call is call and self.withheld_end:
+            withheld_end, self.withheld_end = self.withheld_end, b""
+            self.put(withheld_end)
+
+    def _abort_if_partial(self, call: Call) -> None:
+        """What has not left by now must not: a peer that reads on, or a network that is back, would have all of it."""
+        if self.call is call and self.partial:
+            call.abort(WireResult.REQUEST_INCOMPLETE)
+
+    def violated_rate(self, now_ms: float) -> str:
+        """Tick the rate meters; return the name of the minimum rate that the peer is below, or an empty string."""
+        if self.call is None:
+            return ""
+        written = self.take_written_bytes()
+        if self.partial:
+            return "request_rate" if self.write_meter.tick(now_ms, written) else ""
+        self.write_meter.pause()
+        read = self.take_read_bytes()
+        # Until the first byte of a response a peer works, and its time is the caller's to bound.
+        return "response_rate" if self.came and self.read_meter.tick(now_ms, read) else ""
+
+    def received(self, data: memoryview) -> None:
+        """Take bytes of a response."""
+        self.came += len(data)
+        if self.call is None:  # bytes that answer nothing: such a connection can't be trusted with a request
+            self.transport.abort()
+            return
+        try:
+            events = self.parser.feed(data)
+        except http1.ProtocolError:
+            events = []
+        self._handle_events(events)
+        call = self.call
+        if call is None:
+            return
+        if self.pool.eager and call.done is not None and self.parser.claimed == 200:
+            # Its first line is true whatever follows: the peer's slot is free, and so is ours. The rest is only read to
+            # see whether the connection can be used again.
+            call.finish(Answer(WireResult.ANSWERED, self.head, b"", not self.partial, 200))
+            call.timer = self.pool.loop.call_later(RESPONSE_TAIL_TIMEOUT_S, call.abort, WireResult.TIMED_OUT)
+        if self.parser.failed:
+            call.abort(WireResult.MALFORMED)
+
+    def _handle_events(self, events: list[http1.Event]) -> None:
+        for event in events:
+            if isinstance(event, http1.Response):
+                self.head = event
+            elif isinstance(event, http1.Data):
+                self.body_pieces.append(event.data)
+            elif isinstance(event, http1.End):
+                self._finish_response()
+
+    def _finish_response(self) -> None:
+        call, head, body = self.call, self.head, b"".join(self.body_pieces)
+        self.call = self.head = None
+        self.body_pieces.clear()
+        assert call is not None
+        assert head is not None
+        call.connection = None
+        partial = self.partial  # a response that came before the request was out
+        if head.keep_alive and self.parser.idle and not self.parser.failed and not partial and not self.dead:
+            self.pool.keep(self)
+        else:
+            self.transport.abort() if partial else self.transport.close()
+        call.finish(Answer(WireResult.ANSWERED, head, body, not partial))
+
+    def eof_received(self) -> None:
+        """End a response that has no length with its connection. Called by asyncio."""
+        if self.call is not None and not self.parser.failed:
+            try:
+                self._handle_events(self.parser.eof())
+            except http1.ProtocolError:
+                return
+
+    def connection_lost(self, exc: Exception | None) -> None:
+        """Leave the pool, and end the call that was out. Called by asyncio."""
+        partial = self.partial
+        super().connection_lost(exc)
+        self.pool.drop(self)
+        call, self.call = self.call, None
+        if call is not None:
+            call.connection = None
+            result = WireResult.REQUEST_INCOMPLETE if partial else WireResult.CONNECTION_LOST
+            call.finish(Answer(result, claimed=self.parser.claimed))
--- a/linnetstile/net/connection.py
+++ b/linnetstile/net/connection.py
@@ -4,111 +4,144 @@
 
 import asyncio
 import select
+import socket
 from asyncio.trsock import TransportSocket
 from collections import deque
-from socket import socket as Socket
 from typing import Protocol, cast
 
 from ..engine.minimum_rate import MinimumRateMeter
+from .receive_buffer import LARGE_BUFFER, SMALL_BUFFER
 
-# One buffer for all connections of a process: a selector loop fills it and hands it over within one callback, so it
-# is never in use twice. A buffer for each of 10,000 connections would hold 640 MB for nothing.
-_SHARED = memoryview(bytearray(64 * 1024))
-# What a peer that was granted no room may have us read in one go: bounds what half-read requests hold.
-_SMALL = _SHARED[: 16 * 1024]
-SLICE = 128 * 1024  # handed to the transport in one go: it copies what the kernel does not take
+# Handed to the transport in one go: it copies what the kernel does not take.
+WRITE_SLICE_BYTES = 128 * 1024
 
 
 class Transport(Protocol):
-    """What a wire needs of a transport: asyncio's, or TLS over one."""
+    """What a `BufferedConnection` needs of a transport: asyncio's own, or TLS over one.
 
-    def write(self, data: bytes | bytearray | memoryview) -> None: ...
-    def write_eof(self) -> None: ...
-    def can_write_eof(self) -> bool: ...
-    def close(self) -> None: ...
-    def abort(self) -> None: ...
-    def is_closing(self) -> bool: ...
-    def pause_reading(self) -> None: ...
-    def resume_reading(self) -> None: ...
-    def get_write_buffer_size(self) -> int: ...
-    def set_write_buffer_limits(self, high: int | None = None, low: int | None = None) -> None: ...
-    def get_extra_info(self, name: str, default: object = None) -> object: ...
+    The methods have the meaning that `asyncio.Transport` gives them.
+    """
+
+    def write(self, data: bytes | bytearray | memoryview) -> None:
+        """Write bytes; what the kernel does not take is buffered."""
+
+    def write_eof(self) -> None:
+        """Close the write side after what was written."""
+
+    def can_write_eof(self) -> bool:
+        """Whether `write_eof` is supported."""
+
+    def close(self) -> None:
+        """Close after the buffered bytes have been written."""
+
+    def abort(self) -> None:
+        """Close now; buffered bytes are lost."""
+
+    def is_closing(self) -> bool:
+        """Whether `close` or `abort` was called, or the connection was lost."""
+
+    def pause_reading(self) -> None:
+        """Read nothing from the kernel until `resume_reading`."""
+
+    def resume_reading(self) -> None:
+        """Read on after `pause_reading`."""
+
+    def get_write_buffer_size(self) -> int:
+        """Bytes that the kernel has not taken."""
+
+    def set_write_buffer_limits(self, high: int | None = None, low: int | None = None) -> None:
+        """Set when the protocol's `pause_writing` and `resume_writing` are called."""
+
+    def get_extra_info(self, name: str, default: object = None) -> object:
+        """Information about the connection, by the names that asyncio documents."""
 
 
 class BufferedConnection(asyncio.BufferedProtocol):
-    """Reads into the shared buffer and calls `received` with a view that is valid during the call only. Writes with
-    `put`: what the kernel does not take waits here, uncopied, so that `unsent` is exact to a slice."""
+    """A connection that reads into the shared buffer and knows which bytes have not left this process.
+
+    `received` is called with a view that is valid during the call only. What the kernel does not take of the written
+    bytes waits here, uncopied, so that the count of unsent bytes is exact to a slice.
+    """
 
     transport: Transport
-    lost = False
+    lost = False  # the loop has told the end of the connection
     hungry = False  # reads by whole buffers
-    blocked = False  # the kernel has not taken all that the transport was given
-    ending = False  # closes once all has been written
-
-    def metered(self, rate_in: float, rate_out: float, grace_s: float) -> None:
-        """Least rates in bytes a second (0 = none asked for) at which the peer is to send and to read."""
-        self.meter_in, self.meter_out = (
-            MinimumRateMeter(rate_in, grace_s * 1000),
-            MinimumRateMeter(rate_out, grace_s * 1000),
-        )
-        self.came = self.counted = 0  # bytes received, and those of them that the meter has seen
-        self.left = 0  # bytes that had left at the last look
-
-    def came_in(self) -> int:
-        """Bytes received since the last look."""
-        came, self.counted = self.came - self.counted, self.came
-        return came
-
-    def went_out(self) -> int:
-        """Bytes that the kernel took since the last look."""
-        left = self.given - self.unsent
-        went, self.left = left - self.left, left
-        return went
+    write_paused = False  # the kernel has not taken all that the transport was given
+    closing_when_written = False  # closes once all has been written
+
+    def start_rate_meters(self, read_rate: float, write_rate: float, grace_s: float) -> None:
+        """Set the minimum rates that the peer has to keep.
+
+        Args:
+            read_rate: Bytes a second at which the peer has to send; 0 = none.
+            write_rate: Bytes a second at which the peer has to read; 0 = none.
+            grace_s: The stall in seconds that both rates forgive.
+        """
+        self.read_meter = MinimumRateMeter(read_rate, grace_s * 1000)
+        self.write_meter = MinimumRateMeter(write_rate, grace_s * 1000)
+        self.came = 0  # bytes received
+        self.metered_read_bytes = 0  # those of them that the meter has seen
+        self.metered_written_bytes = 0  # bytes that had left when the meter last looked
+
+    def take_read_bytes(self) -> int:
+        """Return the bytes received since the last call."""
+        count, self.metered_read_bytes = self.came - self.metered_read_bytes, self.came
+        return count
+
+    def take_written_bytes(self) -> int:
+        """Return the bytes that the kernel took since the last call."""
+        written = self.submitted_bytes - self.unsent
+        count, self.metered_written_bytes = written - self.metered_written_bytes, written
+        return count
 
     @property
     def patience(self) -> float:
-        """What the least rates have left of the stall that they forgive: 1 = all, 0 = about to be let go."""
-        return 1 - max(self.meter_in.patience_used_ms, self.meter_out.patience_used_ms) / self.meter_in.grace_ms
+        """What the minimum rates have left of the stall that they forgive: 1 = all, 0 = about to be closed."""
+        return 1 - max(self.read_meter.patience_used_ms, self.write_meter.patience_used_ms) / self.read_meter.grace_ms
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Start with an empty write queue. Called by asyncio."""
         self.transport = cast(Transport, transport)
-        # Told at once when the kernel takes no more, and when it has taken the last byte.
+        # We are called at once when the kernel takes no more, and when it has taken the last byte.
         self.transport.set_write_buffer_limits(high=0)
-        self.queue: deque[memoryview] = deque()
-        self.queued = 0
-        self.given = 0  # bytes put since the connection began
+        self.write_queue: deque[memoryview] = deque()
+        self.queued = 0  # bytes in the write queue
+        self.submitted_bytes = 0  # bytes written since the connection began, whether they have left or not
 
     def get_buffer(self, sizehint: int) -> memoryview:
-        return _SHARED if self.hungry else _SMALL
+        """Return the buffer that the next bytes are read into. Called by asyncio."""
+        return LARGE_BUFFER if self.hungry else SMALL_BUFFER
 
     def buffer_updated(self, nbytes: int) -> None:
-        self.received(_SHARED[:nbytes])
+        """Hand on the bytes that were read into the buffer. Called by asyncio."""
+        self.received(LARGE_BUFFER[:nbytes])
 
     def received(self, data: memoryview) -> None:
+        """Take bytes that have arrived. The view is valid during the call only."""
         raise NotImplementedError
 
     def put(self, head: bytes, body: bytes = b"") -> None:
-        """Writes both in order; a big body is neither joined to its head nor copied here."""
+        """Write both in order; a large body is neither joined to its head nor copied here."""
         if self.lost:
             return
         size = len(head) + len(body)
-        self.given += size
-        if size <= SLICE and not self.queued and not self.blocked:
+        self.submitted_bytes += size
+        if size <= WRITE_SLICE_BYTES and not self.write_queue and not self.write_paused:
             self.transport.write(head + body)
             return
-        self.queue.extend(memoryview(piece) for piece in (head, body) if piece)
+        self.write_queue.extend(memoryview(piece) for piece in (head, body) if piece)
         self.queued += size
-        self._pump()
-
-    def _pump(self) -> None:
-        while self.queue and not self.blocked and not self.dead:
-            piece = self.queue.popleft()
-            if len(piece) > SLICE:
-                self.queue.appendleft(piece[SLICE:])
-                piece = piece[:SLICE]
+        self._write_queued()
+
+    def _write_queued(self) -> None:
+        while self.write_queue and not self.write_paused and not self.dead:
+            piece = self.write_queue.popleft()
+            if len(piece) > WRITE_SLICE_BYTES:
+                self.write_queue.appendleft(piece[WRITE_SLICE_BYTES:])
+                piece = piece[:WRITE_SLICE_BYTES]
             self.queued -= len(piece)
             self.transport.write(piece)
-        if self.ending and not self.queue and not self.dead:
+        if self.closing_when_written and not self.write_queue and not self.dead:
             self.transport.close()
 
     @property
@@ -117,42 +150,49 @@
         return self.queued + self.transport.get_write_buffer_size()
 
     def pause_writing(self) -> None:
-        self.blocked = True
+        """Queue further bytes here: the kernel takes no more. Called by asyncio."""
+        self.write_paused = True
 
     def resume_writing(self) -> None:
-        self.blocked = False
-        self._pump()
-
-    def end(self) -> None:
-        """Closes once what was put has been written."""
-        self.ending = True
-        if not self.queue and not self.dead:
+        """Write what is queued: the kernel has taken the last byte. Called by asyncio."""
+        self.write_paused = False
+        self._write_queued()
+
+    def close_when_written(self) -> None:
+        """Close once all that was written has left."""
+        self.closing_when_written = True
+        if not self.write_queue and not self.dead:
             self.transport.close()
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """Drop what is queued: the connection has ended. Called by asyncio."""
         self.lost = True
-        self.queue.clear()
+        self.write_queue.clear()
 
     @property
     def dead(self) -> bool:
+        """Whether the connection has ended or is being closed: nothing more can be written."""
         return self.lost or self.transport.is_closing()
 
     @property
     def speaks(self) -> bool:
-        """The kernel holds bytes, or the end, of this connection that nobody has read. What is closed over unread bytes
-        is reset, and what was written before may go with it."""
-        socket = self.transport.get_extra_info("socket")
-        fd = socket.fileno() if isinstance(socket, (Socket, TransportSocket)) else -1
-        if fd < 0:
+        """Whether the kernel holds bytes, or the end, of this connection that nobody has read.
+
+        What is closed over unread bytes is reset, and what was written before may go with it.
+        """
+        endpoint = self.transport.get_extra_info("socket")
+        descriptor = endpoint.fileno() if isinstance(endpoint, (socket.socket, TransportSocket)) else -1
+        if descriptor < 0:
             return False
         poll = select.poll()
-        poll.register(fd, select.POLLIN)
+        poll.register(descriptor, select.POLLIN)
         return bool(poll.poll(0))
 
     def peer(self) -> str:
+        """Return the peer's address as `HOST:PORT`, or `?` for a local socket."""
         name = self.transport.get_extra_info("peername")
         return f"{name[0]}:{name[1]}" if isinstance(name, tuple) else "?"
 
-    def host(self) -> str:
-        """The peer's address without its port: what bounds by client go by before it has told a name."""
+    def peer_host(self) -> str:
+        """Return the peer's address without its port: limits by client use it until the client has told a name."""
         return self.peer().rpartition(":")[0]
--- /dev/null
+++ b/linnetstile/net/connection_registry.py
@@ -0,0 +1,107 @@
+"""The open connections of a listener, and which of them gives way when there is no place for a new one."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Callable
+
+from ..engine.connection_eviction import IdleConnection, connections_to_evict
+from .server_connection import Connection
+
+# A connection has so long to show what it is for before it gives way like the others.
+NEW_CONNECTION_GRACE_S = 0.5
+# How long a ranking holds: one look at all connections serves many new ones.
+RANKING_VALID_S = 0.25
+
+
+class ConnectionRegistry:
+    """Counts open connections, in all and by host, and makes room among them."""
+
+    def __init__(
+        self,
+        loop: asyncio.AbstractEventLoop,
+        max_connections: int,
+        candidates_per_ranking: int,
+        on_evict: Callable[[Connection], None],
+    ) -> None:
+        """Start empty.
+
+        Args:
+            loop: Gives the time.
+            max_connections: Connections that may be open.
+            candidates_per_ranking: How many connections one ranking chooses.
+            on_evict: Called before a connection is closed for another one.
+        """
+        self.connections: set[Connection] = set()
+        self._loop = loop
+        self._max_connections = max_connections
+        self._candidates_per_ranking = candidates_per_ranking
+        self._on_evict = on_evict
+        self._count_by_host: dict[str, int] = {}
+        self._candidates: list[tuple[str, Connection]] = []  # hosts and connections; the last gives way first
+        self._ranked_at = 0.0  # loop time, s
+
+    def add(self, connection: Connection) -> None:
+        """Count a new connection."""
+        self.connections.add(connection)
+        self._count_by_host[connection.where] = self._count_by_host.get(connection.where, 0) + 1
+
+    def remove(self, connection: Connection) -> None:
+        """Count a connection no more, if it was counted."""
+        if connection in self.connections:
+            self.connections.remove(connection)
+            self._count_by_host[connection.where] -= 1
+            if not self._count_by_host[connection.where]:
+                del self._count_by_host[connection.where]
+
+    def make_room_for(self, connection: Connection) -> bool:
+        """Close, where all places are taken, one connection without an obligation; return whether there is a place.
+
+        So half-open connections don't keep others out.
+        """
+        if len(self.connections) < self._max_connections:
+            return True
+        if not self._candidates or self._loop.time() > self._ranked_at + RANKING_VALID_S:
+            self._rank()
+        while self._candidates:
+            host, candidate = self._candidates.pop()
+            if not self._may_evict(candidate):
+                continue
+            crowds_out = self._count_by_host.get(connection.where, 0) > self._count_by_host.get(host, 0) + 1
+            if crowds_out and candidate.had_complete_request:
+                break  # a host may not crowd out another host's connections
+            self._evict(candidate)
+            return True
+        return False
+
+    def _may_evict(self, candidate: Connection) -> bool:
+        """Whether a connection still is as it was when it was ranked."""
+        if candidate.dead or candidate.has_obligation or candidate not in self.connections:
+            return False
+        next_request_arrived = candidate.had_complete_request and candidate.speaks
+        return not next_request_arrived
+
+    def _evict(self, connection: Connection) -> None:
+        self._on_evict(connection)
+        connection.transport.abort()
+        # Now, and not when the loop tells of its end: the new connection counts already.
+        self.remove(connection)
+        connection.release_incomplete()
+
+    def _rank(self) -> None:
+        """Choose the connections that give way next, and their order."""
+        now = self._ranked_at = self._loop.time()
+        idle = [
+            IdleConnection(
+                each.where,
+                each.had_complete_request,
+                now - each.opened < NEW_CONNECTION_GRACE_S,
+                each.came / (now - each.opened + 1),
+                each.since,
+                each,
+            )
+            for each in self.connections
+            if not each.has_obligation and not each.dead
+        ]
+        ranked = connections_to_evict(self._count_by_host, idle, self._candidates_per_ranking)
+        self._candidates = [(place.host, place.token) for place in ranked]
--- /dev/null
+++ b/linnetstile/net/tls_context.py
@@ -0,0 +1,116 @@
+"""TLS contexts made of key and certificate files, which may change while they are in service."""
+
+from __future__ import annotations
+
+import os
+import ssl
+from pathlib import Path
+
+from ..errors import ConfigError
+
+
+class TlsError(ConfigError):
+    """Keys or certificates that can't be used; the message says which file and why."""
+
+
+class Keys:
+    """A TLS context made of files, made anew when they change.
+
+    Attributes:
+        context: The latest good context. Connections that were made with an earlier one keep theirs.
+    """
+
+    def __init__(
+        self,
+        server: bool,
+        certificate: Path | None = None,
+        key: Path | None = None,
+        authorities: Path | None = None,
+        need_client: bool = False,
+    ) -> None:
+        """Read the files.
+
+        Args:
+            server: Whether the context is for the side that accepts connections.
+            certificate: Our certificate chain (PEM); None = we show none.
+            key: Its private key (PEM); None = the key stands in the certificate's file.
+            authorities: Certificates (PEM) that the peer's one is verified with; a client needs them.
+            need_client: Whether a server refuses clients that show no certificate.
+
+        Raises:
+            TlsError: A file can't be used.
+        """
+        self.server = server
+        self.certificate = certificate
+        self.key = key
+        self.authorities = authorities
+        self.need_client = need_client
+        self.files_version = self._read_files_version()
+        self.context = self._make_context()
+
+    def reload(self) -> bool:
+        """Make a new context if a file has changed.
+
+        A file that could not be used is not read again until it changes.
+
+        Returns:
+            Whether there is a new context.
+
+        Raises:
+            TlsError: A changed file can't be used; the context stays as it was.
+        """
+        version = self._read_files_version()
+        if version == self.files_version:
+            return False
+        self.files_version = version
+        self.context = self._make_context()
+        return True
+
+    def _read_files_version(self) -> tuple[object, ...]:
+        """What tells one state of the files from another: time, inode and size of each, or why it can't be read."""
+        versions: list[object] = []
+        for path in (self.certificate, self.key, self.authorities):
+            try:
+                found = os.stat(path) if path else None
+                versions.append((found.st_mtime_ns, found.st_ino, found.st_size) if found else None)
+            except OSError as error:
+                versions.append(error.errno)
+        return tuple(versions)
+
+    def _make_context(self) -> ssl.SSLContext:
+        context = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER if self.server else ssl.PROTOCOL_TLS_CLIENT)
+        context.minimum_version = ssl.TLSVersion.TLSv1_2
+        path = self.certificate  # the file that is being read, for the message of an error
+        try:
+            if self.certificate is not None:
+                _check_validity(self.certificate)
+                context.load_cert_chain(self.certificate, self.key, password=lambda: b"")
+            path = self.authorities
+            if self.authorities is not None:
+                context.load_verify_locations(self.authorities)
+            elif not self.server:
+                raise TlsError("no authorities to verify the peer with")
+        except OSError as error:  # ssl.SSLError is one
+            reason = error.reason if isinstance(error, ssl.SSLError) and error.reason else error.strerror or str(error)
+            raise TlsError(f"{path}: can't be used: {reason}") from error
+        if self.server and self.authorities is not None:
+            context.verify_mode = ssl.CERT_REQUIRED if self.need_client else ssl.CERT_OPTIONAL
+        return context
+
+
+def _check_validity(path: Path) -> None:
+    """Raise `TlsError` for a certificate out of its time: OpenSSL loads it, and every peer then refuses it."""
+    # Not at the top of the module: the relay on the platform has no certificates and runs without these.
+    import datetime
+
+    from cryptography import x509
+
+    try:
+        certificate = x509.load_pem_x509_certificate(path.read_bytes())
+    except ValueError as error:
+        raise TlsError(f"{path}: expected a certificate in PEM") from error
+    now = datetime.datetime.now(datetime.UTC)
+    if now > certificate.not_valid_after_utc:
+        raise TlsError(f"{path}: the certificate has expired on {certificate.not_valid_after_utc:%Y-%m-%d}")
+    if now < certificate.not_valid_before_utc:
+        raise TlsError(f"{path}: the certificate is valid only from {certificate.not_valid_before_utc:%Y-%m-%d}")
--- a/tests/net/test_client.py
+++ b/tests/net/test_client.py
@@ -165,7 +165,7 @@
         conn = await pool._open(where, None)
         late: asyncio.Future[client.Answer] = pool.loop.create_future()
         attempt = client.Call(late.set_result)
-        attempt.begin_by = pool.loop.time() - 0.001
+        attempt.send_before = pool.loop.time() - 0.001
         assert not conn.send(attempt, "POST", REQUEST) and not conn.dead
         assert (await call(pool, where, begin_s=-0.001)).sight is WireResult.NOT_SENT
         await asyncio.sleep(0.05)
