--- a/linnetstile/net/client_call.py
+++ b/linnetstile/net/client_call.py
@@ -67,9 +67,9 @@
         """Call nobody back; the connection may still end its exchange in order and be kept."""
         self.done = None
 
-    def abort(self, sight: WireResult) -> None:
+    def abort(self, result: WireResult) -> None:
         """End the call now, with this result unless the request can't have been sent."""
-        self._end(self._unsent_result() or sight)
+        self._end(self._unsent_result() or result)
 
     def recall(self) -> None:
         """End the call as not sent if the peer can't have had all of the request; else change nothing."""
@@ -90,9 +90,9 @@
         if self.connecting:
             self.connecting.cancel()
         connection, self.connection = self.connection, None
-        claimed = 0
+        claimed_status = 0
         if connection:
             connection.call = None
-            claimed = connection.parser.claimed
+            claimed_status = connection.parser.claimed
             connection.transport.abort()
-        self.finish(Answer(result, claimed=claimed))
+        self.finish(Answer(result, claimed=claimed_status))
--- a/linnetstile/net/client_connection.py
+++ b/linnetstile/net/client_connection.py
@@ -150,12 +150,12 @@
         assert call is not None
         assert head is not None
         call.connection = None
-        partial = self.partial  # a response that came before the request was out
-        if head.keep_alive and self.parser.idle and not self.parser.failed and not partial and not self.dead:
+        request_incomplete = self.partial  # a response that came before the request was out
+        if head.keep_alive and self.parser.idle and not self.parser.failed and not request_incomplete and not self.dead:
             self.pool.keep(self)
         else:
-            self.transport.abort() if partial else self.transport.close()
-        call.finish(Answer(WireResult.ANSWERED, head, body, not partial))
+            self.transport.abort() if request_incomplete else self.transport.close()
+        call.finish(Answer(WireResult.ANSWERED, head, body, not request_incomplete))
 
     def eof_received(self) -> None:
         """End a response that has no length with its connection. Called by asyncio."""
@@ -167,11 +167,11 @@
 
     def connection_lost(self, exc: Exception | None) -> None:
         """Leave the pool, and end the call that was out. Called by asyncio."""
-        partial = self.partial
+        request_incomplete = self.partial
         super().connection_lost(exc)
         self.pool.drop(self)
         call, self.call = self.call, None
         if call is not None:
             call.connection = None
-            result = WireResult.REQUEST_INCOMPLETE if partial else WireResult.CONNECTION_LOST
+            result = WireResult.REQUEST_INCOMPLETE if request_incomplete else WireResult.CONNECTION_LOST
             call.finish(Answer(result, claimed=self.parser.claimed))
--- a/linnetstile/net/client_pool.py
+++ b/linnetstile/net/client_pool.py
@@ -61,10 +61,10 @@
             most_idle: Idle connections that are kept at most; the oldest is closed first.
         """
         self.eager = eager
-        self.most_idle = most_idle
+        self.max_idle = most_idle
         self.loop = asyncio.get_running_loop()
-        self.connect_s = connect_s
-        self.idle_s = idle_s
+        self.connect_timeout_s = connect_s
+        self.idle_timeout_s = idle_s
         self.limits = limits or http1.Limits()
         self.rates = rates or Rates()
         self.on_slow = on_slow or (lambda connection, limit: None)
@@ -128,7 +128,7 @@
         failure = WireResult.NO_CONNECTION
         connection: ClientConnection | None = None
         try:
-            async with asyncio.timeout(min(self.connect_s, call.send_before - self.loop.time())):
+            async with asyncio.timeout(min(self.connect_timeout_s, call.send_before - self.loop.time())):
                 try:
                     connection = await self._open(address, secure)
                 except OSError as error:
@@ -197,7 +197,7 @@
         connection.idle_since = self.loop.time()
         self.idle.setdefault(connection.address, []).append(connection)
         self.resting += 1
-        if self.resting > self.most_idle:
+        if self.resting > self.max_idle:
             oldest = min((idle[0] for idle in self.idle.values() if idle), key=lambda each: each.idle_since)
             self.drop(oldest)
             oldest.transport.close()
@@ -226,7 +226,7 @@
         self._sweep_timer = self.loop.call_later(self._sweep_interval_s, self._sweep)
 
     def _close_long_idle(self) -> None:
-        oldest_kept = self.loop.time() - self.idle_s
+        oldest_kept = self.loop.time() - self.idle_timeout_s
         for connection in [each for idle in self.idle.values() for each in idle if each.idle_since < oldest_kept]:
             self.drop(connection)
             connection.transport.close()
