--- a/tests/net/test_client.py
+++ b/tests/net/test_client.py
@@ -1,4 +1,4 @@
-"""The pool: kept connections are looked at before use; a byte that is held back keeps a request unfinished."""
+"""The client pool: idle connections are checked before reuse; a delayed last byte keeps a request incomplete."""
 
 from __future__ import annotations
 
@@ -12,48 +12,50 @@
 from linnetstile.engine.attempt_outcome import WireResult
 from linnetstile.net import client
 
-OK = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
+RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
 REQUEST = http1.request("POST", "/", [("Host", "x")], b"body")
 
 
-class Peer:
-    """Gives `answers` in turn, a whole request each; counts connections and whole requests."""
+class ScriptedPeer:
+    """Answers each complete request with 200; counts connections and complete requests."""
 
     def __init__(self) -> None:
-        self.connections = self.whole = 0
-        self.came: list[bytes] = []
+        self.connections = self.complete_requests = 0
+        self.received_pieces: list[bytes] = []
         self.reset_on_bytes = False
-        self.extra: list[bytes] = []
+        self.extra_bytes: list[bytes] = []  # written after each response in turn
         self.writers: list[asyncio.StreamWriter] = []
-        self.reads: asyncio.Event | None = None  # nothing is read before
+        self.may_read: asyncio.Event | None = None  # nothing is read before
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.connections += 1
         self.writers.append(writer)
-        if self.reads is not None:
-            await self.reads.wait()
+        if self.may_read is not None:
+            await self.may_read.wait()
         data = b""
         while piece := await reader.read(1000):
             data += piece
-            self.came.append(piece)
+            self.received_pieces.append(piece)
             if self.reset_on_bytes:
                 writer.transport.abort()
                 return
             if data.endswith(b"body"):
-                self.whole += 1
+                self.complete_requests += 1
                 data = b""
-                writer.write(OK + (self.extra.pop(0) if self.extra else b""))
+                writer.write(RESPONSE + (self.extra_bytes.pop(0) if self.extra_bytes else b""))
         writer.close()
 
 
-def play(story: Callable[[Peer, client.Pool, client.Address], Awaitable[None]], most_idle: int = 100) -> None:
+def run_scenario(
+    scenario: Callable[[ScriptedPeer, client.Pool, client.Address], Awaitable[None]], most_idle: int = 100
+) -> None:
     async def run() -> None:
-        peer = Peer()
+        peer = ScriptedPeer()
         server = await asyncio.start_server(peer.serve, "127.0.0.1", 0)
         pool = client.Pool(eager=True, most_idle=most_idle)
         host, port = server.sockets[0].getsockname()[:2]
         try:
-            await story(peer, pool, (host, port, 1))
+            await scenario(peer, pool, (host, port, 1))
         finally:
             pool.close()
             for writer in peer.writers:
@@ -64,132 +66,144 @@
     asyncio.run(run())
 
 
-async def call(
-    pool: client.Pool, where: client.Address, hold_s: float = 0.0, begin_s: float = 9.0, data: bytes = REQUEST
+async def send_request(
+    pool: client.Pool,
+    address: client.Address,
+    last_byte_delay_s: float = 0.0,
+    send_within_s: float = 9.0,
+    data: bytes = REQUEST,
 ) -> client.Answer:
     answered: asyncio.Future[client.Answer] = asyncio.get_running_loop().create_future()
     pool.call(
-        where,
+        address,
         "POST",
         data,
         answered.set_result,
         pool.loop.time() + 3,
-        hold_s=hold_s,
-        begin_by=pool.loop.time() + begin_s,
+        hold_s=last_byte_delay_s,
+        begin_by=pool.loop.time() + send_within_s,
     )
     return await answered
 
 
-def test_held_back_byte_comes_late_and_makes_the_request_whole() -> None:
-    async def story(peer: Peer, pool: client.Pool, where: client.Address) -> None:
-        answer = await call(pool, where, 0.05)
-        assert answer.sight is WireResult.ANSWERED and peer.came == [REQUEST[:-1], REQUEST[-1:]]
-        assert (await call(pool, where, 0.05)).reused and peer.connections == 1
+def test_delayed_last_byte_completes_the_request() -> None:
+    async def scenario(peer: ScriptedPeer, pool: client.Pool, address: client.Address) -> None:
+        answer = await send_request(pool, address, 0.05)
+        assert answer.sight is WireResult.ANSWERED
+        assert peer.received_pieces == [REQUEST[:-1], REQUEST[-1:]]
+        assert (await send_request(pool, address, 0.05)).reused
+        assert peer.connections == 1
 
-    play(story)
+    run_scenario(scenario)
 
 
-def test_connection_that_ends_before_the_last_byte_proves_that_nothing_ran() -> None:
-    async def story(peer: Peer, pool: client.Pool, where: client.Address) -> None:
+def test_connection_that_ends_before_the_last_byte_leaves_the_request_incomplete() -> None:
+    async def scenario(peer: ScriptedPeer, pool: client.Pool, address: client.Address) -> None:
         peer.reset_on_bytes = True
-        assert (await call(pool, where, 0.5)).sight is WireResult.REQUEST_INCOMPLETE and peer.whole == 0
-        assert (await call(pool, where)).sight is WireResult.CONNECTION_LOST  # without it the end proves nothing
+        assert (await send_request(pool, address, 0.5)).sight is WireResult.REQUEST_INCOMPLETE
+        assert peer.complete_requests == 0
+        # Without the delay the end proves nothing.
+        assert (await send_request(pool, address)).sight is WireResult.CONNECTION_LOST
 
-    play(story)
+    run_scenario(scenario)
 
 
-def test_kept_connection_that_was_closed_or_speaks_is_not_used() -> None:
-    async def story(peer: Peer, pool: client.Pool, where: client.Address) -> None:
-        await call(pool, where)
-        (conn,) = pool.idle[where]
-        peer.writers[0].write(OK)  # as an answer to a request that is still to come
-        conn.transport.pause_reading()
+def test_idle_connection_with_unread_input_is_not_reused() -> None:
+    async def scenario(peer: ScriptedPeer, pool: client.Pool, address: client.Address) -> None:
+        await send_request(pool, address)
+        (connection,) = pool.idle[address]
+        peer.writers[0].write(RESPONSE)  # as an answer to a request that is still to come
+        connection.transport.pause_reading()
         await asyncio.sleep(0.05)
-        answer = await call(pool, where)
-        assert answer.sight is WireResult.ANSWERED and not answer.reused
-        assert peer.connections == 2 and peer.whole == 2
+        answer = await send_request(pool, address)
+        assert answer.sight is WireResult.ANSWERED
+        assert not answer.reused
+        assert peer.connections == 2
+        assert peer.complete_requests == 2
 
-    play(story)
+    run_scenario(scenario)
 
 
-def test_answer_with_more_behind_it_ends_its_connection() -> None:
-    async def story(peer: Peer, pool: client.Pool, where: client.Address) -> None:
-        for extra in (OK, b"\x00noise", b"\r\n"):
-            peer.extra = [extra]
-            assert (await call(pool, where)).sight is WireResult.ANSWERED
-            assert not pool.idle.get(where)
+def test_bytes_after_a_response_end_the_connection() -> None:
+    async def scenario(peer: ScriptedPeer, pool: client.Pool, address: client.Address) -> None:
+        for extra in (RESPONSE, b"\x00noise", b"\r\n"):
+            peer.extra_bytes = [extra]
+            assert (await send_request(pool, address)).sight is WireResult.ANSWERED
+            assert not pool.idle.get(address)
         assert peer.connections == 3
 
-    play(story)
+    run_scenario(scenario)
 
 
-def test_no_more_idle_connections_are_kept_than_told_and_none_for_a_successor() -> None:
-    async def story(peer: Peer, pool: client.Pool, where: client.Address) -> None:
-        await asyncio.gather(*(call(pool, where) for _ in range(5)))
-        assert pool.resting == len(pool.idle[where]) == 2
-        other = (str(where[0]), int(where[1]), 3)
-        both = [asyncio.ensure_future(call(pool, where, 0.2)) for _ in range(2)]  # an address with none idle
-        answers = await asyncio.gather(*(call(pool, other) for _ in range(4)), *both)
+def test_idle_connections_are_limited_and_not_reused_for_a_successor_of_the_peer() -> None:
+    async def scenario(peer: ScriptedPeer, pool: client.Pool, address: client.Address) -> None:
+        await asyncio.gather(*(send_request(pool, address) for _ in range(5)))
+        assert pool.resting == len(pool.idle[address]) == 2
+        other = (str(address[0]), int(address[1]), 3)
+        both = [asyncio.ensure_future(send_request(pool, address, 0.2)) for _ in range(2)]  # an address with none idle
+        answers = await asyncio.gather(*(send_request(pool, other) for _ in range(4)), *both)
         assert {answer.sight for answer in answers} == {WireResult.ANSWERED}
         assert pool.resting == sum(map(len, pool.idle.values())) == 2
-        successor = (str(where[0]), int(where[1]), 2)
-        assert not (await call(pool, successor)).reused
+        successor = (str(address[0]), int(address[1]), 2)
+        assert not (await send_request(pool, successor)).reused
         pool.close_idle(successor)
         assert pool.resting == sum(map(len, pool.idle.values()))
 
-    play(story, most_idle=2)
+    run_scenario(scenario, most_idle=2)
 
 
-@pytest.mark.parametrize(("makes_s", "sight"), [(0.0, WireResult.ANSWERED), (0.6, WireResult.NOT_SENT)])
-def test_connection_that_comes_up_too_late_carries_nothing(
-    makes_s: float, sight: WireResult, monkeypatch: pytest.MonkeyPatch
+@pytest.mark.parametrize(("connect_delay_s", "result"), [(0.0, WireResult.ANSWERED), (0.6, WireResult.NOT_SENT)])
+def test_connection_made_too_late_sends_nothing(
+    connect_delay_s: float, result: WireResult, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    opens = client.Pool._open
+    open_connection = client.Pool._open
 
-    async def slow(pool: client.Pool, *where: Any) -> client.ClientConnection:
-        await asyncio.sleep(makes_s)
-        return await opens(pool, *where)
+    async def open_slowly(pool: client.Pool, *address: Any) -> client.ClientConnection:
+        await asyncio.sleep(connect_delay_s)
+        return await open_connection(pool, *address)
 
-    monkeypatch.setattr(client.Pool, "_open", slow)
+    monkeypatch.setattr(client.Pool, "_open", open_slowly)
 
-    async def story(peer: Peer, pool: client.Pool, where: client.Address) -> None:
-        assert (await call(pool, where, begin_s=0.3)).sight is sight
-        await asyncio.sleep(makes_s)
-        assert peer.whole == (sight is WireResult.ANSWERED)
+    async def scenario(peer: ScriptedPeer, pool: client.Pool, address: client.Address) -> None:
+        assert (await send_request(pool, address, send_within_s=0.3)).sight is result
+        await asyncio.sleep(connect_delay_s)
+        assert peer.complete_requests == (result is WireResult.ANSWERED)
 
-    play(story)
+    run_scenario(scenario)
 
 
-def test_connection_that_came_up_in_the_last_moment_waits_for_another_call() -> None:
-    async def story(peer: Peer, pool: client.Pool, where: client.Address) -> None:
-        conn = await pool._open(where, None)
-        late: asyncio.Future[client.Answer] = pool.loop.create_future()
-        attempt = client.Call(late.set_result)
-        attempt.send_before = pool.loop.time() - 0.001
-        assert not conn.send(attempt, "POST", REQUEST) and not conn.dead
-        assert (await call(pool, where, begin_s=-0.001)).sight is WireResult.NOT_SENT
+def test_connection_made_at_the_last_moment_stays_open_for_another_call() -> None:
+    async def scenario(peer: ScriptedPeer, pool: client.Pool, address: client.Address) -> None:
+        connection = await pool._open(address, None)
+        answered: asyncio.Future[client.Answer] = pool.loop.create_future()
+        call = client.Call(answered.set_result)
+        call.send_before = pool.loop.time() - 0.001
+        assert not connection.send(call, "POST", REQUEST)
+        assert not connection.dead
+        assert (await send_request(pool, address, send_within_s=-0.001)).sight is WireResult.NOT_SENT
         await asyncio.sleep(0.05)
-        assert peer.whole == 0 and not peer.came
+        assert peer.complete_requests == 0
+        assert not peer.received_pieces
 
-    play(story)
+    run_scenario(scenario)
 
 
-@pytest.mark.parametrize("hold_s", [0.0, 5.0])
-def test_last_byte_that_has_not_left_in_time_never_leaves(hold_s: float) -> None:
-    big = REQUEST if hold_s else http1.request("POST", "/", [("Host", "x")], bytes(16_000_000) + b"body")
+@pytest.mark.parametrize("last_byte_delay_s", [0.0, 5.0])
+def test_last_byte_that_has_not_left_in_time_is_never_sent(last_byte_delay_s: float) -> None:
+    data = REQUEST if last_byte_delay_s else http1.request("POST", "/", [("Host", "x")], bytes(16_000_000) + b"body")
 
-    async def story(peer: Peer, pool: client.Pool, where: client.Address) -> None:
-        peer.reads = asyncio.Event()
-        assert (await call(pool, where, hold_s, 0.2, big)).sight is WireResult.REQUEST_INCOMPLETE
-        peer.reads.set()
+    async def scenario(peer: ScriptedPeer, pool: client.Pool, address: client.Address) -> None:
+        peer.may_read = asyncio.Event()
+        assert (await send_request(pool, address, last_byte_delay_s, 0.2, data)).sight is WireResult.REQUEST_INCOMPLETE
+        peer.may_read.set()
         await asyncio.sleep(0.1)
-        assert peer.whole == 0
+        assert peer.complete_requests == 0
 
-    play(story)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize(
-    ("stage", "sight"),
+    ("stage", "result"),
     [
         ("connecting", WireResult.NOT_SENT),
         ("held", WireResult.NOT_SENT),
@@ -197,20 +211,20 @@
         ("out", WireResult.ANSWERED),
     ],
 )
-def test_recalled_call_is_not_sent_as_long_as_its_last_byte_has_not_left(stage: str, sight: WireResult) -> None:
-    big = REQUEST if stage != "blocked" else http1.request("POST", "/", [("Host", "x")], bytes(16_000_000) + b"body")
+def test_cancelled_call_is_not_sent_unless_its_last_byte_has_left(stage: str, result: WireResult) -> None:
+    data = REQUEST if stage != "blocked" else http1.request("POST", "/", [("Host", "x")], bytes(16_000_000) + b"body")
 
-    async def story(peer: Peer, pool: client.Pool, where: client.Address) -> None:
-        peer.reads = asyncio.Event()
+    async def scenario(peer: ScriptedPeer, pool: client.Pool, address: client.Address) -> None:
+        peer.may_read = asyncio.Event()
         answered: asyncio.Future[client.Answer] = pool.loop.create_future()
-        one = pool.call(where, "POST", big, answered.set_result, hold_s=0.3 if stage == "held" else 0.0)
+        call = pool.call(address, "POST", data, answered.set_result, hold_s=0.3 if stage == "held" else 0.0)
         if stage != "connecting":
             await asyncio.sleep(0.1)
-        one.recall()
-        peer.reads.set()
-        assert (await answered).sight is sight
+        call.recall()
+        peer.may_read.set()
+        assert (await answered).sight is result
         await asyncio.sleep(0.3)
-        assert peer.whole == (stage == "out")
-        one.recall()  # one that has ended stays as it is
+        assert peer.complete_requests == (stage == "out")
+        call.recall()  # a call that has ended stays as it is
 
-    play(story)
+    run_scenario(scenario)
