--- a/linnetstile/net/client_pool.py
+++ b/linnetstile/net/client_pool.py
@@ -110,7 +110,7 @@
             connection = idle.pop()
             self.resting -= 1
             # Under TLS there may be records that are not for us.
-            if connection.dead or secure is None and connection.abort_if_unsolicited_input():
+            if connection.dead or (secure is None and connection.abort_if_unsolicited_input()):
                 continue
             if connection.send(call, method, data):
                 self.counts["reused"] += 1
--- a/linnetstile/net/server_connection.py
+++ b/linnetstile/net/server_connection.py
@@ -77,7 +77,7 @@
         self.peer_half_closed = True
         if self.response_pending and self.current is not None and self.current.on_gone:
             self.current.on_gone()
-        return self.response_pending or self.unsent > 0 and self.linger_started_at is None
+        return self.response_pending or (self.unsent > 0 and self.linger_started_at is None)
 
     def connection_lost(self, exc: Exception | None) -> None:
         """Leave the server's connections, and tell the owner of a request. Called by asyncio."""
@@ -122,10 +122,8 @@
         while not (
             self.closing
             or self.waiting_for_capacity
-            or self.read
-            and self.current
-            or self.write_paused
-            and self.response_backlogged
+            or (self.read and self.current)
+            or (self.write_paused and self.response_backlogged)
         ):
             if not self.pending:
                 if not self.parser.buffered or self.parser.failed:
@@ -161,8 +159,7 @@
         events_waiting = len(self.pending) + self.parser.buffered // BYTES_PER_EVENT
         pause = (
             self.waiting_for_capacity
-            or self.write_paused
-            and self.response_backlogged
+            or (self.write_paused and self.response_backlogged)
             or events_waiting > self.server.bounds.pipelined
         )
         if pause != self.reading_paused and not self.dead:
@@ -244,7 +241,7 @@
 
     def reject_incomplete(self, text: str) -> None:
         """Answer 503 to a request that has begun and is not complete; nothing if not a byte of it has come."""
-        if self.parser.idle and self.current is None or self.skipping_body:
+        if (self.parser.idle and self.current is None) or self.skipping_body:
             return
         self._reject_never_taken(503, text)
 
@@ -308,4 +305,4 @@
     @property
     def had_complete_request(self) -> bool:
         """Whether a request of it was complete once."""
-        return self.requests > 1 or self.requests == 1 and (self.current is None or self.read)
+        return self.requests > 1 or (self.requests == 1 and (self.current is None or self.read))
