--- a/linnetstile/net/client_call.py
+++ b/linnetstile/net/client_call.py
@@ -55,13 +55,13 @@
         self.send_before = math.inf  # loop time, s
         self.timer: asyncio.TimerHandle | None = None
 
-    def finish(self, answer: Answer) -> None:
+    def finish(self, result: Answer) -> None:
         """Tell the caller, if it still waits, how the call ended."""
         done, self.done = self.done, None
         if self.timer:
             self.timer.cancel()
         if done:
-            done(replace(answer, reused=True) if self.reused_connection else answer)
+            done(replace(result, reused=True) if self.reused_connection else result)
 
     def forget(self) -> None:
         """Call nobody back; the connection may still end its exchange in order and be kept."""
--- a/linnetstile/net/client_connection.py
+++ b/linnetstile/net/client_connection.py
@@ -30,7 +30,7 @@
         self.body_pieces: list[bytes] = []
         self.idle_since = 0.0  # loop time, s
         self.withheld_end = b""  # the last byte of a request, while it is held back
-        self.began = pool.loop.time()  # of the call
+        self.began = pool.loop.time()  # loop time, s, at which the current or last call was sent
         self.start_rate_meters(pool.rates.response, pool.rates.request, pool.rates.grace_s)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
--- a/linnetstile/net/client_pool.py
+++ b/linnetstile/net/client_pool.py
@@ -69,7 +69,7 @@
         self.rates = rates or Rates()
         self.on_slow = on_slow or (lambda connection, limit: None)
         self.idle: dict[Address, list[ClientConnection]] = {}
-        self.resting = 0  # idle connections
+        self.resting = 0
         self.open: set[ClientConnection] = set()
         self.counts = {"connects": 0, "reused": 0, "failed": 0, "no_descriptors": 0}
         has_rates = self.rates.request or self.rates.response
@@ -96,8 +96,8 @@
             done: Called once with the end of the call, never from within this method.
             until: Loop time (s) at which the call times out; None = never.
             secure: Makes new connections with TLS.
-            hold_s: Time in seconds that the last byte is held back for: a connection that ends before then, as one does
-                that had been closed, had no request.
+            hold_s: Time in seconds that the last byte is held back for. A connection that ends before
+                then, as one does that had been closed, had no request.
             begin_by: Loop time (s) by which the request has left or does not leave at all, however long a connection
                 takes to be made.
         """
--- a/linnetstile/net/request_context.py
+++ b/linnetstile/net/request_context.py
@@ -25,16 +25,16 @@
     on_gone: Callable[[], None] | None  # called if the client leaves before it was answered
     length: int | None  # of the body in bytes; None = chunked, and not known
     room: int  # bytes of the body that capacity was granted for
-    charge: object  # the reservation of whoever granted capacity; given back by the server's `release`
+    charge: object  # what was recorded with the capacity granted; given back by the server's `release`
     until: float | None  # loop time from which on it is too late for the body to be complete
     sink: Callable[[bytes], object] | None  # gets each piece of the body as it comes
     who: object  # what the owner of the server has read from the head already
 
-    def __init__(self, conn: Connection, head: http1.Request, began: float) -> None:
-        self.conn = conn
+    def __init__(self, connection: Connection, head: http1.Request, started_at: float) -> None:
+        self.conn = connection
         self.head = head
         self.body = b""
-        self.began = began
+        self.began = started_at
         self.answered = False
         self.on_gone = None
         chunked = "transfer-encoding" in head.headers
--- a/linnetstile/net/response_writer.py
+++ b/linnetstile/net/response_writer.py
@@ -73,7 +73,7 @@
         linger: Whether the peer may send on for a while: closing on unread bytes resets the connection, and the
             response might never be read.
     """
-    connection.closing = True
+    connection.finished = True
     connection.pending.clear()
     if connection.dead:
         return
--- a/linnetstile/net/server_connection.py
+++ b/linnetstile/net/server_connection.py
@@ -34,17 +34,18 @@
         self.parser = http1.Parser(limits=server.http_limits)
         self.pending: deque[http1.Event] = deque()  # parsed, and not handled yet
         self.current: RequestContext | None = None
-        self.read = False  # the current request is complete
+        self.read = False  # its body has been read to its end
         self.skipping_body = False  # the current request was answered before its body was read
         self.waiting_for_capacity = False  # its body is not read on before `resume_body`
         self.body_pieces: list[bytes] = []
         self.body_size = 0  # bytes of the pieces
         self.requests = 0  # begun on this connection
-        self.opened = self.since = server.loop.time()  # since: the start of the current head, or of being idle
+        self.opened = server.loop.time()
+        self.since = self.opened  # the start of the current head, or of being idle
         self.reading_paused = False  # back-pressure: nothing is read from the kernel
         self.processing_scheduled = False
         self.peer_half_closed = False
-        self.closing = False  # the last response was written
+        self.finished = False  # the last response was written; what still comes is dropped
         self.linger_started_at: float | None = None  # loop time, s
         self.discarded_bytes = 0  # that came after the last response
         self.tls: Tls | None = None
@@ -101,7 +102,7 @@
         self.came += len(data)
         if self.parser.idle:
             self.since = self.server.loop.time()
-        if self.closing:
+        if self.finished:
             discard_input(self, len(data))
             return
         self._parse(data)
@@ -120,7 +121,7 @@
             return
         requests_begun = 0
         while not (
-            self.closing
+            self.finished
             or self.waiting_for_capacity
             or (self.read and self.current)
             or (self.write_paused and self.response_backlogged)
@@ -142,7 +143,7 @@
                 self._add_body_data(event.data)
             elif isinstance(event, http1.End):
                 self._end_request()
-        if not self.pending and self.parser.failed and not self.closing and not self.response_pending:
+        if not self.pending and self.parser.failed and not self.finished and not self.response_pending:
             self._reject_malformed(self.parser.failed)
         self._apply_back_pressure()
 
@@ -154,7 +155,7 @@
 
     def _apply_back_pressure(self) -> None:
         """Read on, or not: what waits behind this connection's own request, response or capacity is not taken in."""
-        if self.closing:
+        if self.finished:
             return
         events_waiting = len(self.pending) + self.parser.buffered // BYTES_PER_EVENT
         pause = (
@@ -283,7 +284,7 @@
         """What this connection is at."""
         if self.tls is not None and not self.tls.handshake_done:
             return connection_phase.HANDSHAKE
-        if self.linger_started_at is not None or self.closing:
+        if self.linger_started_at is not None or self.finished:
             return connection_phase.CLOSING
         if self.waiting_for_capacity:
             return connection_phase.WAITING_FOR_CAPACITY
