--- a/linnetstile/cli/standin.py
+++ b/linnetstile/cli/standin.py
@@ -63,13 +63,14 @@
 @click.argument("file", type=FILE)
 def client(file: Path) -> None:
     """Clients that hand messages in by a script drawn from a seed; ends when all are answered."""
-    from ..emulators.client import ClientSpec, ClientStand
+    from ..emulators.client import ClientEmulator
+    from ..emulators.client_settings import ClientSpec
 
     spec = settings(file, ClientSpec)
 
     async def run() -> None:
-        stand = ClientStand(spec)
-        click.echo(json.dumps({"messages": len(stand.plans)}))
+        stand = ClientEmulator(spec)
+        click.echo(json.dumps({"messages": len(stand.script)}))
         await stand.run()
 
     asyncio.run(run())
--- a/linnetstile/emulators/client.py
+++ b/linnetstile/emulators/client.py
@@ -1,301 +1,287 @@
-"""Client stand-in: case programs that hand messages in, wait, heed advice, hand in again, and read receipts.
+"""Client emulator: programs that submit messages, wait, follow Retry-After, submit again, and read receipts.
 
-What it does is drawn from its seed before the run starts; only what answers make it do depends on those."""
+What it does is drawn from its seed before the run starts; only what answers make it do depends on those.
+"""
 
 from __future__ import annotations
 
 import asyncio
+import contextlib
 import hashlib
 import random
 from dataclasses import dataclass
-from pathlib import Path
-from typing import Literal
-
-from pydantic import Field
 
 from ..codec import cms, http1
-from ..config.files import Strict
-from ..config.relay import Address, split
+from ..config.relay import split
 from ..engine.attempt_outcome import WireResult
 from ..net import client, server
 from . import messages
+from .client_script import PlannedMessage, draw_script
+from .client_settings import ClassSpec, ClientSpec
 from .record import Recorder, now_ms
+from .traffic_events import (
+    MessageSubmitted,
+    StrayReceipt,
+    SubmissionAccepted,
+    SubmissionAnswered,
+    SubmissionLost,
+)
+
+CONNECT_TIMEOUT_S = 1.0
+# It waits a little longer than the relay may: an answer that comes late is to be seen as late.
+PATIENCE_BEYOND_DEADLINE_S = 3.0
+RETRY_AFTER_LOSS_S = (0.36, 1.9)  # range of the backoff after a submission without an answer
+LAST_ANSWER_DELAY_S = 0.3  # what may still come once all messages have ended
+CONTENT_UNIT_BYTES = 15
+RELAY_ANSWERS = ("failed", "refused")  # kinds of answer that the relay signs itself
+NOT_SUBMITTED = (WireResult.NO_CONNECTION, WireResult.NOT_SENT)
 
 
-class RelaySpec(Strict):
-    name: str
-    address: Address
-
-
-class FlowSpec(Strict):
-    """Messages of one class from one sender to one partner."""
-
-    sender: str
-    receiver: str
-    cls: str
-    subject: str
-    per_s: float = Field(gt=0)
-
-
-class Surge(Strict):
-    at_s: float = Field(ge=0)
-    for_s: float = Field(gt=0)
-    times: float = Field(gt=0)
-    receivers: list[str] = []  # none = all
-
-
-class ClassSpec(Strict):
-    effect: Literal["safe", "keyed", "unsafe"]
-    deadline_ms: float
-
-
-class ClientSpec(Strict):
-    seed: int = 1
-    t0_ms: float | None = None
-    seconds: float = Field(gt=0)
-    record: Path | None = None
-    relays: list[RelaySpec] = Field(min_length=1)
-    classes: dict[str, ClassSpec]
-    flows: list[FlowSpec] = Field(min_length=1)
-    surges: list[Surge] = []
-    senders_pem: dict[str, Path] = {}
-    partners_pem: dict[str, Path] = {}
-    relay_pem: Path | None = None
-    signed: float = Field(0.3, ge=0, le=1)
-    compressed: float = Field(0.1, ge=0, le=1)
-    receipts: float = Field(0.9, ge=0, le=1)  # share that asks for a receipt, signed
-    asynchronous: float = Field(0.0, ge=0, le=1)  # of those, to a receipt address
-    repeats: float = Field(0.02, ge=0, le=1)  # handed in twice to the same relay
-    bytes: int = Field(600, ge=1)
-    tries: int = Field(3, ge=1)
-    back_ms: tuple[float, float] = (300.0, 900.0)  # pause before another hand-in, at least
-
-
-@dataclass(slots=True)
-class Plan:
-    """One message as drawn before the run."""
-
-    at_s: float
-    flow: FlowSpec
-    number: int
-    signed: bool
-    compressed: bool
-    receipt: bool
-    asynchronous: bool
-    repeat_after: float | None
+@dataclass(slots=True, eq=False)
+class OpenMessage:
+    """A message and how far it has come.
+
+    Attributes:
+        plan: The message as drawn.
+        message: The message as built.
+        created_ms: When it was first submitted.
+        submissions: Submissions that reached a relay, without the repeats of the script.
+        relay: Number of the relay that got it last.
+        is_done: Whether it has its final answer, or is given up.
+    """
+
+    plan: PlannedMessage
+    message: messages.Made
+    created_ms: float
+    submissions: int = 0
+    relay: int = -1
+    is_done: bool = False
+
+    @property
+    def message_id(self) -> str:
+        """The Message-ID."""
+        return self.message.head.id
+
+    @property
+    def latest_submission(self) -> str:
+        """The identifier of its latest submission."""
+        return f"{self.plan.number}.{self.submissions}"
+
+
+@dataclass(frozen=True, slots=True)
+class Submission:
+    """One submission of a message: to which relay, under which identifier, and whether it is the scripted repeat."""
+
+    item: OpenMessage
     relay: int
+    identifier: str
+    is_repeat: bool
 
 
-def draw(spec: ClientSpec) -> list[Plan]:
-    """The script of a run: the same for the same seed."""
-    rng, plans = random.Random(spec.seed), list[Plan]()
-    for flow in spec.flows:
-        at = 0.0
-        while True:
-            times = 1.0
-            for surge in spec.surges:
-                if surge.at_s <= at < surge.at_s + surge.for_s and (
-                    not surge.receivers or flow.receiver in surge.receivers
-                ):
-                    times *= surge.times
-            at += rng.expovariate(flow.per_s * times)
-            if at >= spec.seconds:
-                break
-            receipt = rng.random() < spec.receipts
-            plans.append(
-                Plan(
-                    at,
-                    flow,
-                    0,
-                    rng.random() < spec.signed,
-                    rng.random() < spec.compressed,
-                    receipt,
-                    receipt and rng.random() < spec.asynchronous,
-                    rng.uniform(0.01, 3.0) if rng.random() < spec.repeats else None,
-                    rng.randrange(len(spec.relays)),
-                )
-            )
-    plans.sort(key=lambda plan: plan.at_s)
-    for number, plan in enumerate(plans):
-        plan.number = number
-    return plans
-
-
-@dataclass(slots=True, eq=False)
-class Open:
-    plan: Plan
-    made: messages.Made
-    first: float
-    tries: int = 0
-    relay: int = -1  # where it was handed in last
-    over: bool = False
+class ClientEmulator:
+    """Plays the script of one process.
 
+    Attributes:
+        spec: Its settings.
+        record: Where its traffic goes.
+        script: What it submits.
+    """
 
-class ClientStand:
     def __init__(self, spec: ClientSpec) -> None:
         self.spec = spec
         self.record = Recorder(spec.record)
-        self.rng = random.Random(spec.seed + 1)
-        self.plans = draw(spec)
-        self.loop = asyncio.get_running_loop()
-        self.t0 = spec.t0_ms if spec.t0_ms is not None else now_ms()
-        self.pool = client.Pool(connect_s=1.0)
-        self.keys = {name: cms.load(path.read_bytes()) for name, path in spec.senders_pem.items()}
-        self.partners = {name: cms.load_certificate(p.read_bytes()) for name, p in spec.partners_pem.items()}
-        self.relay = cms.load_certificate(spec.relay_pem.read_bytes()) if spec.relay_pem else None
-        self.server = server.Server(self._receipt)
-        self.port = 0
-        self.open: dict[int, Open] = {}
-        self.left = len(self.plans)
-        self.done = asyncio.Event()
-        self.tag = f"{spec.seed:x}.{int(self.t0):x}"
+        self.script = draw_script(spec)
+        self._rng = random.Random(spec.seed + 1)
+        self._loop = asyncio.get_running_loop()
+        self._start_ms = spec.t0_ms if spec.t0_ms is not None else now_ms()
+        self._pool = client.Pool(connect_s=CONNECT_TIMEOUT_S)
+        self._identities = {name: cms.load(path.read_bytes()) for name, path in spec.senders_pem.items()}
+        self._partners = {name: cms.load_certificate(path.read_bytes()) for name, path in spec.partners_pem.items()}
+        self._relay = cms.load_certificate(spec.relay_pem.read_bytes()) if spec.relay_pem else None
+        self._server = server.Server(self._receipt_arrived)
+        self._port = 0
+        self._items: dict[int, OpenMessage] = {}
+        self._unfinished = len(self.script)
+        self._done = asyncio.Event()
+        self._run_tag = f"{spec.seed:x}.{int(self._start_ms):x}"
 
     async def run(self, wait_s: float = 40.0) -> None:
-        """Plays the script, then waits for open answers, `wait_s` at most."""
-        self.port = await self.server.start()
-        for plan in self.plans:
-            self.loop.call_at(self.t0 / 1000 + plan.at_s, self._begin, plan)
-        end = self.t0 / 1000 + self.spec.seconds + wait_s
-        try:
-            async with asyncio.timeout_at(end):
-                if self.plans:
-                    await self.done.wait()
-        except TimeoutError:
-            pass
-        self.server.close()
-        self.pool.close()
+        """Play the script, then wait for open answers, `wait_s` at most."""
+        self._port = await self._server.start()
+        for plan in self.script:
+            self._loop.call_at(self._start_ms / 1000 + plan.at_s, self._begin, plan)
+        end_s = self._start_ms / 1000 + self.spec.seconds + wait_s
+        with contextlib.suppress(TimeoutError):
+            async with asyncio.timeout_at(end_s):
+                if self.script:
+                    await self._done.wait()
+        self._server.close()
+        self._pool.close()
         self.record.flush()
 
-    def _begin(self, plan: Plan) -> None:
-        spec, flow = self.spec, plan.flow
-        ident = f"<{plan.number}.{self.tag}@{flow.sender}>"
-        reply = f"http://127.0.0.1:{self.port}/r/{plan.number}" if plan.asynchronous else ""
-        made = messages.make(
+    # -- submissions -----------------------------------------------------------------------------------------
+
+    def _begin(self, plan: PlannedMessage) -> None:
+        item = OpenMessage(plan, self._build(plan), now_ms())
+        self._items[plan.number] = item
+        self._submit(item, plan.relay)
+        # A receipt in a request of its own can't be told apart from that to a repeat: those are not repeated.
+        if plan.repeat_after_s is not None and not plan.asynchronous:
+            self._loop.call_later(plan.repeat_after_s, self._repeat, item, plan.relay)
+
+    def _build(self, plan: PlannedMessage) -> messages.Made:
+        flow = plan.flow
+        content_unit = f"ISA*{plan.number:010d}*".encode()
+        return messages.make(
             flow.sender,
             flow.receiver,
-            ident,
+            f"<{plan.number}.{self._run_tag}@{flow.sender}>",
             flow.subject,
-            f"ISA*{plan.number:010d}*".encode() * (spec.bytes // 15 + 1),
-            sign_by=self.keys.get(flow.sender) if plan.signed else None,
+            content_unit * (self.spec.bytes // CONTENT_UNIT_BYTES + 1),
+            sign_by=self._identities.get(flow.sender) if plan.signed else None,
             compress=plan.compressed,
             receipt=plan.receipt,
-            reply_to=reply,
+            reply_to=f"http://127.0.0.1:{self._port}/r/{plan.number}" if plan.asynchronous else "",
         )
-        self.open[plan.number] = Open(plan, made, now_ms())
-        self._hand_in(self.open[plan.number], plan.relay)
-        # An answer that comes on its own can't be told apart from that to a repeat: those are not repeated.
-        if plan.repeat_after is not None and not plan.asynchronous:
-            self.loop.call_later(plan.repeat_after, self._repeat, self.open[plan.number], plan.relay)
-
-    def _repeat(self, item: Open, relay: int) -> None:
-        """The same message once more, while it may be open or after its end."""
+
+    def _class(self, item: OpenMessage) -> ClassSpec:
+        return self.spec.classes[item.plan.flow.message_class]
+
+    def _patience_s(self, item: OpenMessage) -> float:
+        return self._class(item).deadline_ms / 1000 + PATIENCE_BEYOND_DEADLINE_S
+
+    def _repeat(self, item: OpenMessage, relay: int) -> None:
+        """Submit the same message once more, while it may be open or after its end."""
         # Only where it is: at two relays at once, an unsafe message would be the client's own second effect.
-        if item.tries == 1 and item.relay == relay:
-            self._hand_in(item, relay, again=True)
+        if item.submissions == 1 and item.relay == relay:
+            self._submit(item, relay, is_repeat=True)
 
-    def _hand_in(self, item: Open, relay: int, again: bool = False) -> None:
-        spec, plan = self.spec, item.plan
-        item.tries += not again
+    def _submit(self, item: OpenMessage, relay: int, is_repeat: bool = False) -> None:
+        item.submissions += not is_repeat
         item.relay = relay
-        to = spec.relays[relay % len(spec.relays)]
-        message_class = spec.classes[plan.flow.cls]
-        mark = f"{plan.number}.{item.tries}{'r' if again else ''}"
-        self.record(
-            "hand",
-            hand=mark,
-            mid=item.made.head.id,
-            relay=to.name,
-            cls=plan.flow.cls,
-            again=again,
-            sender=plan.flow.sender,
-            receiver=plan.flow.receiver,
-            wait="post" if plan.asynchronous else "",
+        submission = Submission(item, relay, item.latest_submission + ("r" if is_repeat else ""), is_repeat)
+        target = self.spec.relays[relay % len(self.spec.relays)]
+        self._record_submission(submission, target.name)
+        fields = [("Host", target.address), *item.message.headers]
+        data = http1.request("POST", "/as2", fields, item.message.body)
+        timeout_at_s = self._loop.time() + self._patience_s(item)
+        self._pool.call(
+            split(target.address), "POST", data, lambda answer: self._answered(submission, answer), timeout_at_s
         )
-        address = split(to.address)
-        data = http1.request("POST", "/as2", [("Host", to.address), *item.made.headers], item.made.body)
-        # It waits a little longer than the relay may: an answer that comes late is to be seen as late.
-        until = self.loop.time() + message_class.deadline_ms / 1000 + 3.0
-        self.pool.call(address, "POST", data, lambda answer: self._answered(item, relay, mark, again, answer), until)
-
-    def _answered(self, item: Open, relay: int, mark: str, again: bool, answer: client.Answer) -> None:
-        mid = item.made.head.id
-        if answer.head is None:
-            self.record("lost", hand=mark, mid=mid, sight=answer.sight.value)
-            if not again:
-                nothing_left = answer.sight in (WireResult.NO_CONNECTION, WireResult.NOT_SENT)
-                may = nothing_left or self.spec.classes[item.plan.flow.cls].effect != "unsafe"
-                self._later(item, relay + 1, self.rng.uniform(0.36, 1.9), may, free=nothing_left)
-            return
-        if answer.head.status == 202 and item.plan.asynchronous:
-            self.record("taken", hand=mark, mid=mid)
-            left = self.spec.classes[item.plan.flow.cls].deadline_ms / 1000 + 3.0
-            self.loop.call_later(left, self._no_receipt, item, relay, mark)
-            return
-        self._final(item, relay, mark, again, answer.head.status, answer.head.headers, answer.body)
 
-    def _no_receipt(self, item: Open, relay: int, mark: str) -> None:
-        """The relay took it and no receipt came in its time."""
-        if not item.over and mark == f"{item.plan.number}.{item.tries}":
-            self.record("lost", hand=mark, mid=item.made.head.id, sight=WireResult.TIMED_OUT.value)
-            may = self.spec.classes[item.plan.flow.cls].effect != "unsafe"
-            self._later(item, relay + 1, self.rng.uniform(0.36, 1.9), may)
+    def _record_submission(self, submission: Submission, relay: str) -> None:
+        plan = submission.item.plan
+        self.record.write(
+            MessageSubmitted(
+                submission=submission.identifier,
+                message_id=submission.item.message_id,
+                relay=relay,
+                message_class=plan.flow.message_class,
+                is_repeat=submission.is_repeat,
+                sender=plan.flow.sender,
+                receiver=plan.flow.receiver,
+                answer_by="post" if plan.asynchronous else "",
+            )
+        )
 
-    def _final(
-        self, item: Open, relay: int, mark: str, again: bool, status: int, headers: http1.Headers, body: bytes
-    ) -> None:
+    # -- answers ---------------------------------------------------------------------------------------------
+
+    def _answered(self, submission: Submission, answer: client.Answer) -> None:
+        item = submission.item
+        if answer.head is None:
+            self._lost(submission, answer.sight)
+        elif answer.head.status == 202 and item.plan.asynchronous:
+            self.record.write(SubmissionAccepted(submission=submission.identifier, message_id=item.message_id))
+            self._loop.call_later(self._patience_s(item), self._receipt_overdue, submission)
+        else:
+            self._final_answer(submission, answer.head.status, answer.head.headers, answer.body)
+
+    def _record_lost(self, submission: Submission, wire_result: WireResult) -> None:
+        self.record.write(
+            SubmissionLost(
+                submission=submission.identifier,
+                message_id=submission.item.message_id,
+                wire_result=wire_result.value,
+            )
+        )
+
+    def _lost(self, submission: Submission, wire_result: WireResult) -> None:
+        self._record_lost(submission, wire_result)
+        if submission.is_repeat:
+            return
+        reached_nobody = wire_result in NOT_SUBMITTED
+        may_retry = reached_nobody or self._class(submission.item).may_repeat
+        backoff_s = self._rng.uniform(*RETRY_AFTER_LOSS_S)
+        self._retry_later(submission, backoff_s, may_retry=may_retry, reached_nobody=reached_nobody)
+
+    def _receipt_overdue(self, submission: Submission) -> None:
+        """The relay accepted it and no receipt came in its time."""
+        item = submission.item
+        if not item.is_done and submission.identifier == item.latest_submission:
+            self._record_lost(submission, WireResult.TIMED_OUT)
+            backoff_s = self._rng.uniform(*RETRY_AFTER_LOSS_S)
+            self._retry_later(submission, backoff_s, may_retry=self._class(item).may_repeat)
+
+    def _final_answer(self, submission: Submission, status: int, headers: http1.Headers, body: bytes) -> None:
+        item = submission.item
         kind = headers.get("linnetstile-answer")
-        signer = self.relay if kind in ("failed", "refused") else self.partners.get(item.plan.flow.receiver)
-        receipt = "none"
-        if status == 200 and item.plan.receipt:
-            receipt = messages.check(item.made, headers, body, signer)[0].value
-        self.record(
-            "final",
-            hand=mark,
-            mid=item.made.head.id,
-            kind=kind,
-            status=status,
-            receipt=receipt,
-            digest=hashlib.blake2b(body, digest_size=8).hexdigest(),
+        self.record.write(
+            SubmissionAnswered(
+                submission=submission.identifier,
+                message_id=item.message_id,
+                kind=kind,
+                status=status,
+                receipt=self._receipt_status(item, kind, status, headers, body),
+                digest=hashlib.blake2b(body, digest_size=8).hexdigest(),
+            )
         )
-        if again:
+        if submission.is_repeat:
             return
         if kind != "refused":
-            self._end(item)
+            self._finish(item)
             return
-        stay = float(headers.get("retry-after", "0")) * 1000
-        self._later(item, relay + 1, max(stay, self.rng.uniform(*self.spec.back_ms)) / 1000, status == 503)
-
-    def _later(self, item: Open, relay: int, seconds: float, may: bool, free: bool = False) -> None:
-        """Another hand-in, if it may be one and time is left; one that reached nobody is no try."""
-        item.tries -= free
-        age = (now_ms() - item.first) / 1000 + seconds
-        if not may or item.tries >= self.spec.tries or age * 1000 > self.spec.classes[item.plan.flow.cls].deadline_ms:
-            self._end(item)
+        retry_after_ms = float(headers.get("retry-after", "0")) * 1000
+        backoff_ms = max(retry_after_ms, self._rng.uniform(*self.spec.back_ms))
+        self._retry_later(submission, backoff_ms / 1000, may_retry=status == 503)
+
+    def _receipt_status(self, item: OpenMessage, kind: str, status: int, headers: http1.Headers, body: bytes) -> str:
+        if status != 200 or not item.plan.receipt:
+            return "none"
+        signer = self._relay if kind in RELAY_ANSWERS else self._partners.get(item.plan.flow.receiver)
+        return messages.check(item.message, headers, body, signer).status.value
+
+    def _retry_later(
+        self, submission: Submission, backoff_s: float, *, may_retry: bool, reached_nobody: bool = False
+    ) -> None:
+        """Submit to the next relay after a backoff, if that is allowed and time is left.
+
+        A submission that reached nobody does not count.
+        """
+        item = submission.item
+        item.submissions -= reached_nobody
+        age_ms = ((now_ms() - item.created_ms) / 1000 + backoff_s) * 1000
+        is_exhausted = item.submissions >= self.spec.tries or age_ms > self._class(item).deadline_ms
+        if not may_retry or is_exhausted:
+            self._finish(item)
         else:
-            self.loop.call_later(seconds, self._hand_in, item, relay)
-
-    def _end(self, item: Open) -> None:
-        if not item.over:
-            item.over = True
-            self.left -= 1
-            if self.left == 0:
-                self.loop.call_later(0.3, self.done.set)
-
-    def _receipt(self, exchange: server.RequestContext) -> None:
-        """An answer that comes on its own."""
-        number = exchange.head.target.rpartition("/")[2]
-        item = self.open.get(int(number)) if number.isdigit() else None
+            self._loop.call_later(backoff_s, self._submit, item, submission.relay + 1)
+
+    def _finish(self, item: OpenMessage) -> None:
+        if not item.is_done:
+            item.is_done = True
+            self._unfinished -= 1
+            if self._unfinished == 0:
+                self._loop.call_later(LAST_ANSWER_DELAY_S, self._done.set)
+
+    def _receipt_arrived(self, exchange: server.RequestContext) -> None:
+        """A receipt came in a request of its own."""
+        head = exchange.head
+        number = head.target.rpartition("/")[2]
+        item = self._items.get(int(number)) if number.isdigit() else None
         exchange.reply(200)
         if item is None:
-            self.record("stray", target=exchange.head.target[:100])
-        else:
-            mark = f"{item.plan.number}.{item.tries}"
-            self._final(
-                item,
-                item.plan.relay,
-                mark,
-                item.over,
-                200 if exchange.head.headers.get("linnetstile-answer") != "refused" else 503,
-                exchange.head.headers,
-                exchange.body,
-            )
+            self.record.write(StrayReceipt(target=head.target[:100]))
+            return
+        submission = Submission(item, item.plan.relay, item.latest_submission, is_repeat=item.is_done)
+        status = 503 if head.headers.get("linnetstile-answer") == "refused" else 200
+        self._final_answer(submission, status, head.headers, exchange.body)
--- a/linnetstile/emulators/discovery.py
+++ b/linnetstile/emulators/discovery.py
@@ -1,10 +1,11 @@
-"""Stand-in of the platform's discovery: the whole list, watches that stay open, notices.
+"""Emulator of the platform's discovery: the full list, watches that stay open, notices.
 
-    GET /api/targets                     the whole list, as one JSON object
+    GET /api/targets                     the full list, as one JSON object
     GET /api/targets?follow=1[&since=V]  a watch: chunks of JSON lines, an empty one every two seconds
     POST /v2/finals                      notices, one JSON object a line: 204
 
-What it tells comes from a `Source`; faults are `silent` (it says nothing, watches stay open) and `drop`."""
+Lists and changes come from a `Source`; faults are `silent` (it sends nothing, watches stay open) and `drop`.
+"""
 
 from __future__ import annotations
 
@@ -12,115 +13,160 @@
 import json
 import urllib.parse
 from collections.abc import Callable
-from typing import Any, Protocol
+from dataclasses import dataclass
+from typing import Protocol
 
-EMPTY_S = 2.0
-HEAD_MOST = 16 * 1024  # bytes
+HEARTBEAT_INTERVAL_S = 2.0  # between two empty lines of a watch
+MAX_HEAD_BYTES = 16 * 1024
+SILENCE_POLL_S = 0.05
+READ_BYTES = 1024
 
 
 class Source(Protocol):
-    """Lines of JSON, each with its line feed."""
+    """Where the lists and changes come from: lines of JSON, each with its line feed."""
 
-    def whole(self) -> bytes: ...
+    def whole(self) -> bytes:
+        """Return the full list."""
+        ...
 
     def since(self, version: int) -> bytes | None:
-        """The changes after a version; None where that is not known any more."""
+        """Return the changes after a version; None where that is not known any more."""
         ...
 
 
 def chunk(data: bytes) -> bytes:
+    """Return data as one chunk of an HTTP body (RFC 9112, 7.1)."""
     return b"%x\r\n%s\r\n" % (len(data), data)
 
 
+@dataclass(frozen=True, slots=True)
+class _Request:
+    method: str
+    path: str
+    query: dict[str, str]
+    target: str
+    body: bytes
+
+
+async def _read_request(reader: asyncio.StreamReader) -> _Request:
+    head = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1").split("\r\n")
+    fields = {name.lower(): value.strip() for name, _, value in (line.partition(":") for line in head[1:])}
+    body = await reader.readexactly(int(fields.get("content-length") or 0))
+    method, target, _ = head[0].split(" ", 2)
+    url = urllib.parse.urlsplit(target)
+    return _Request(method, url.path, dict(urllib.parse.parse_qsl(url.query)), target, body)
+
+
 class DiscoveryStand:
+    """Serves lists, watches and notices on loopback.
+
+    Attributes:
+        source: Where lists and changes come from.
+        silent: Whether it sends nothing; watches stay open.
+        asked: Targets of the requests for lists and watches, in their order.
+        sent: Bytes of lists and changes so far.
+        notices: How each message ended, by its reference.
+        on_notice: Is called with reference and result of each notice.
+        watches: Connections with an open watch.
+    """
+
     def __init__(self, source: Source) -> None:
         self.source = source
         self.silent = False
-        self.asked: list[str] = []  # targets, in their order
-        self.sent = 0  # bytes of lists and changes
-        self.notices: dict[str, str] = {}  # message -> how it ended
+        self.asked: list[str] = []
+        self.sent = 0
+        self.notices: dict[str, str] = {}
         self.on_notice: Callable[[str, str], None] = lambda ref, result: None
         self.watches: set[asyncio.StreamWriter] = set()
-        self.open: set[asyncio.StreamWriter] = set()
-        self.server: asyncio.Server | None = None
+        self._connections: set[asyncio.StreamWriter] = set()
+        self._server: asyncio.Server | None = None
 
     async def start(self) -> int:
-        """Listens on a free port of loopback; returns it."""
-        self.server = await asyncio.start_server(self._serve, "127.0.0.1", 0, limit=HEAD_MOST)
-        return int(self.server.sockets[0].getsockname()[1])
+        """Listen on a free port of loopback; return it."""
+        self._server = await asyncio.start_server(self._serve, "127.0.0.1", 0, limit=MAX_HEAD_BYTES)
+        return int(self._server.sockets[0].getsockname()[1])
 
     def tell(self, line: bytes) -> None:
-        """A change goes to every open watch."""
+        """Send a change to every open watch."""
         if not self.silent:
             for writer in self.watches:
                 self._write(writer, chunk(line))
 
     def drop(self) -> None:
-        """All watches break."""
+        """Break all watches."""
         for writer in list(self.watches):
             writer.transport.abort()
         self.watches.clear()
 
     def close(self) -> None:
-        for writer in list(self.open):
+        """End the listener and all connections."""
+        for writer in list(self._connections):
             writer.transport.abort()
-        if self.server:
-            self.server.close()
+        if self._server:
+            self._server.close()
 
     def _write(self, writer: asyncio.StreamWriter, data: bytes) -> None:
         self.sent += len(data)
         writer.write(data)
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        self.open.add(writer)
+        self._connections.add(writer)
         try:
             while True:
-                head = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1").split("\r\n")
-                fields = {name.lower(): value.strip() for name, _, value in (line.partition(":") for line in head[1:])}
-                body = await reader.readexactly(int(fields.get("content-length") or 0))
-                method, target, _ = head[0].split(" ", 2)
-                if not await self._answer(reader, writer, method, target, body):
+                request = await _read_request(reader)
+                if not await self._answer(reader, writer, request):
                     return
         except (asyncio.IncompleteReadError, asyncio.LimitOverrunError, ConnectionError, ValueError):
             pass
         finally:
             self.watches.discard(writer)
-            self.open.discard(writer)
+            self._connections.discard(writer)
             writer.close()
 
-    async def _answer(
-        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, method: str, target: str, body: bytes
-    ) -> bool:
-        """False: the connection is of no more use."""
-        parts = urllib.parse.urlsplit(target)
-        if method == "POST" and parts.path == "/v2/finals":
-            for line in body.splitlines():
-                notice: dict[str, Any] = json.loads(line)
-                self.notices[str(notice["ref"])] = str(notice["result"])
-                self.on_notice(str(notice["ref"]), str(notice["result"]))
+    async def _answer(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, request: _Request) -> bool:
+        """Answer one request; return whether the connection is of further use."""
+        if request.method == "POST" and request.path == "/v2/finals":
+            self._take_notices(request.body)
             writer.write(b"HTTP/1.1 204 No Content\r\n\r\n")
             return True
-        if method != "GET" or parts.path != "/api/targets":
+        if request.method != "GET" or request.path != "/api/targets":
             writer.write(b"HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n")
             return True
-        self.asked.append(target)
-        while self.silent:
-            await asyncio.sleep(0.05)
-        query = dict(urllib.parse.parse_qsl(parts.query))
-        if query.get("follow") != "1":
+        self.asked.append(request.target)
+        while self.silent:  # noqa: ASYNC110 - a test sets the flag directly, and half a heartbeat of delay is fine
+            await asyncio.sleep(SILENCE_POLL_S)
+        if request.query.get("follow") != "1":
             line = self.source.whole()
             self._write(writer, b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(line), line))
             return True
-        text = query.get("since", "")
-        told = self.source.since(int(text)) if text.isdigit() else None
+        self._open_watch(writer, request.query.get("since", ""))
+        await self._keep_watch(reader, writer)
+        return False
+
+    def _take_notices(self, body: bytes) -> None:
+        for line in body.splitlines():
+            notice = json.loads(line)
+            ref, result = str(notice["ref"]), str(notice["result"])
+            self.notices[ref] = result
+            self.on_notice(ref, result)
+
+    def _open_watch(self, writer: asyncio.StreamWriter, since: str) -> None:
+        """Send what the watch has to start from; from then on it gets what `tell` sends.
+
+        Nothing is awaited in between, so that no change is lost.
+        """
+        changes = self.source.since(int(since)) if since.isdigit() else None
         writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-        for line in (self.source.whole() if told is None else told).splitlines(True):
+        for line in (self.source.whole() if changes is None else changes).splitlines(True):
             self._write(writer, chunk(line))
-        self.watches.add(writer)  # from here on it gets what `tell` says; nothing was awaited in between
+        self.watches.add(writer)
+
+    async def _keep_watch(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Send heartbeats until the watcher closes."""
         while True:
             try:
-                if not await asyncio.wait_for(reader.read(1024), EMPTY_S):
-                    return False
+                if not await asyncio.wait_for(reader.read(READ_BYTES), HEARTBEAT_INTERVAL_S):
+                    return
             except TimeoutError:
                 if not self.silent:
                     writer.write(chunk(b"\n"))
--- a/linnetstile/emulators/messages.py
+++ b/linnetstile/emulators/messages.py
@@ -1,30 +1,49 @@
-"""Makes AS2 messages as a client's program would: plain, signed, encrypted, compressed, or a mix."""
+"""Builds AS2 messages as a client's program would, and checks the receipts for them."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
+from typing import NamedTuple
 
 from ..codec import as2, cms, mdn, mime
 from ..codec.http1 import Headers
 from ..engine.attempt_outcome import ReceiptStatus
 
-Field = tuple[str, str]
+HeaderField = tuple[str, str]  # name, value
 
 
 @dataclass(frozen=True, slots=True)
 class Made:
-    """A message ready to be posted, and what its receipt must hold."""
+    """A message ready to be posted.
+
+    Attributes:
+        head: Its AS2 fields.
+        headers: All header fields.
+        body: The body of the request.
+        opened: The content that the digest in its receipt is over.
+    """
 
     head: as2.Head
-    headers: list[Field]
+    headers: list[HeaderField]
     body: bytes
-    opened: bytes  # what the receipt's digest is over
+    opened: bytes
+
+
+class ReceiptCheck(NamedTuple):
+    """What a receipt proves, and the receipt itself where one could be read."""
+
+    status: ReceiptStatus
+    receipt: mdn.Mdn | None
+
+
+def _binary_entity(content_type: str, content: bytes) -> bytes:
+    return f"Content-Type: {content_type}\r\nContent-Transfer-Encoding: binary\r\n\r\n".encode() + content
 
 
 def make(
     sender: str,
     receiver: str,
-    ident: str,
+    message_id: str,
     subject: str,
     content: bytes,
     *,
@@ -37,65 +56,96 @@
     reply_to: str = "",
     micalg: str = "sha-256",
 ) -> Made:
-    """One message. Compression goes first, then the signature, then encryption (RFC 5402, 2; RFC 8551, 3.7)."""
-    entity = f"Content-Type: {content_type}\r\nContent-Transfer-Encoding: binary\r\n\r\n".encode() + content
-    kind, body, opened = content_type, content, content
+    """Build one message: plain, compressed, signed, encrypted, or a mix.
+
+    Compression goes first, then the signature, then encryption (RFC 5402, 2; RFC 8551, 3.7).
+
+    Args:
+        sender: AS2 name of the sender.
+        receiver: AS2 name of the partner.
+        message_id: The Message-ID, with its angle brackets.
+        subject: The Subject.
+        content: The business document.
+        content_type: Its media type.
+        sign_by: Signs the message if given.
+        encrypt_to: Certificate to encrypt for, if given.
+        compress: Whether to compress.
+        receipt: Whether to ask for a receipt.
+        signed_receipt: Whether it has to be signed.
+        reply_to: URL for an asynchronous receipt; empty = on the connection.
+        micalg: Digest algorithm of the signature and of the receipt.
+    """
+    entity = _binary_entity(content_type, content)
+    body_type, body, opened = content_type, content, content
     if compress:
-        kind, body = cms.compress(entity)
+        body_type, body = cms.compress(entity)
         opened = entity
-        entity = f"Content-Type: {kind}\r\nContent-Transfer-Encoding: binary\r\n\r\n".encode() + body
+        entity = _binary_entity(body_type, body)
     if sign_by is not None:
         opened = entity
-        kind, body = cms.sign(entity, sign_by, micalg)
-        entity = f"Content-Type: {kind}\r\n\r\n".encode() + body
+        body_type, body = cms.sign(entity, sign_by, micalg)
+        entity = f"Content-Type: {body_type}\r\n\r\n".encode() + body
     if encrypt_to is not None:
         if sign_by is None and not compress:
             opened = entity
-        kind, body = cms.encrypt(entity, encrypt_to)  # type: ignore[arg-type]
-    headers: list[Field] = [
+        body_type, body = cms.encrypt(entity, encrypt_to)  # type: ignore[arg-type]
+    headers: list[HeaderField] = [
         ("AS2-Version", "1.2"),
         ("AS2-From", as2.quoted(sender)),
         ("AS2-To", as2.quoted(receiver)),
-        ("Message-ID", ident),
+        ("Message-ID", message_id),
         ("Subject", subject),
         ("MIME-Version", "1.0"),
-        ("Content-Type", kind),
+        ("Content-Type", body_type),
     ]
     if receipt:
-        headers.append(("Disposition-Notification-To", sender))
-        if signed_receipt:
-            headers.append(
-                (
-                    "Disposition-Notification-Options",
-                    f"signed-receipt-protocol=required, pkcs7-signature; signed-receipt-micalg=required, {micalg}",
-                )
-            )
+        headers += _receipt_request(sender, micalg if signed_receipt else None)
     if reply_to:
         headers.append(("Receipt-Delivery-Option", reply_to))
     return Made(as2.Head.of(Headers(headers)), headers, body, opened)
 
 
-def check(made: Made, headers: Headers, body: bytes, signer: object | None) -> tuple[ReceiptStatus, mdn.Mdn | None]:
-    """What a client's own program finds in a receipt; `signer` is the certificate of who should have signed it."""
-    kind, content, proven = headers.get("content-type"), body, not made.head.wish.signed
+def _receipt_request(sender: str, signed_with: str | None) -> list[HeaderField]:
+    fields = [("Disposition-Notification-To", sender)]
+    if signed_with is not None:
+        options = f"signed-receipt-protocol=required, pkcs7-signature; signed-receipt-micalg=required, {signed_with}"
+        fields.append(("Disposition-Notification-Options", options))
+    return fields
+
+
+def check(made: Made, headers: Headers, body: bytes, signer: object | None) -> ReceiptCheck:
+    """Find out what a receipt proves to the program of the client.
+
+    Args:
+        made: The message that it should be for.
+        headers: The header fields of the answer.
+        body: The body of the answer.
+        signer: The certificate of who should have signed it.
+    """
+    content_type, content, proven = headers.get("content-type"), body, not made.head.wish.signed
     try:
-        if mime.content_type(kind).name == "multipart/signed":
-            signed, signature = cms.signed_content(kind, content)
+        if mime.content_type(content_type).name == "multipart/signed":
+            signed, signature = cms.signed_content(content_type, content)
             if signer is not None:
                 cms.verify(signed, signature, signer)  # type: ignore[arg-type]
                 proven = True
             inner = mime.entity(signed)
-            kind, content = inner.headers.get("content-type"), inner.decoded()
-        found = mdn.parse(kind, content)
+            content_type, content = inner.headers.get("content-type"), inner.decoded()
+        receipt = mdn.parse(content_type, content)
     except cms.CmsError:
-        return ReceiptStatus.UNPROVEN, None
+        return ReceiptCheck(ReceiptStatus.UNPROVEN, None)
     except (mime.MimeError, mdn.MdnError):
-        return ReceiptStatus.MISSING, None
-    if found.original_id != made.head.id:
-        return ReceiptStatus.OTHER_MESSAGE, found
+        return ReceiptCheck(ReceiptStatus.MISSING, None)
+    return ReceiptCheck(_receipt_status(made, receipt, proven), receipt)
+
+
+def _receipt_status(made: Made, receipt: mdn.Mdn, proven: bool) -> ReceiptStatus:
+    if receipt.original_id != made.head.id:
+        return ReceiptStatus.OTHER_MESSAGE
     if not proven:
-        return ReceiptStatus.UNPROVEN, found
-    if not found.positive:
-        return ReceiptStatus.NEGATIVE, found
-    right = not found.mic or cms.digest(made.opened, found.micalg) == found.mic
-    return (ReceiptStatus.POSITIVE if right else ReceiptStatus.WRONG_MIC), found
+        return ReceiptStatus.UNPROVEN
+    if not receipt.positive:
+        return ReceiptStatus.NEGATIVE
+    if receipt.mic and cms.digest(made.opened, receipt.micalg) != receipt.mic:
+        return ReceiptStatus.WRONG_MIC
+    return ReceiptStatus.POSITIVE
--- /dev/null
+++ b/linnetstile/emulators/partner_environment.py
@@ -0,0 +1,52 @@
+"""What all partners of one emulator process share."""
+
+from __future__ import annotations
+
+import fnmatch
+import random
+from collections.abc import Iterator
+
+from ..codec import cms
+from ..net import client
+from .faults import Fault
+from .partner_settings import PartnersSpec
+from .record import Recorder, now_ms
+
+
+class PartnerEnvironment:
+    """Clock of the script, source of chance, traffic record, faults and outgoing connections.
+
+    Attributes:
+        spec: The settings of the process.
+        rng: All draws of the process come from it, in the order of the calls.
+        record: Where its traffic goes.
+        t0: Start of the script, ms of the clock of the run.
+        pool: Connections for asynchronous receipts.
+        forger: The identity that signs forged receipts; None if no fault asks for one.
+    """
+
+    def __init__(self, spec: PartnersSpec) -> None:
+        self.spec = spec
+        self.rng = random.Random(spec.seed)
+        self.record = Recorder(spec.record)
+        self.t0 = spec.t0_ms if spec.t0_ms is not None else now_ms()
+        self.pool = client.Pool()
+        has_forgery = any(fault.kind == "forged_receipt" for fault in spec.faults)
+        self.forger = cms.make_identity("nobody") if has_forgery else None
+
+    def seconds(self) -> float:
+        """Return the time since the start of the script in s; negative before it."""
+        return (now_ms() - self.t0) / 1000
+
+    def active_faults(self, partner: str, endpoint: int, elapsed_s: float) -> Iterator[Fault]:
+        """Yield the faults that are on for an endpoint at a time, in the order of the script."""
+        for fault in self.spec.faults:
+            if fault.is_active(elapsed_s) and fault.affects(partner, endpoint):
+                yield fault
+
+    def fault_of_call(self, partner: str, endpoint: int, subject: str) -> Fault | None:
+        """Draw the fault that one call meets: the first in the order of the script, or None."""
+        for fault in self.active_faults(partner, endpoint, self.seconds()):
+            if fnmatch.fnmatchcase(subject, fault.subject) and self.rng.random() < fault.share:
+                return fault
+        return None
--- a/linnetstile/emulators/record.py
+++ b/linnetstile/emulators/record.py
@@ -1,49 +1,72 @@
-"""The traffic record: JSON lines of what a stand-in saw on its sockets. Times are monotonic ms of this machine,
-one clock for all processes of a run (Linux: CLOCK_MONOTONIC)."""
+"""The traffic record: JSON lines of what an emulator saw on its sockets, with times of the clock of the run.
+
+The typed events and the names of their JSON fields are in `traffic_events.py`.
+"""
 
 from __future__ import annotations
 
 import json
-import time
 from collections.abc import Iterator
 from pathlib import Path
 from typing import Any
 
+from ..errors import LinnetstileError
+from .clock import now_ms as now_ms
+from .traffic_events import TrafficEvent
+
+WRITE_BUFFER_BYTES = 1 << 16
 
-def now_ms() -> float:
-    return time.monotonic() * 1000
+
+class RecordError(LinnetstileError):
+    """A record cannot be read."""
 
 
 class Recorder:
+    """Appends the events of one emulator to a file, or drops them where no file is named."""
+
     def __init__(self, path: Path | None) -> None:
-        self._file = path.open("a", buffering=1 << 16, encoding="utf-8") if path else None
+        self._file = path.open("a", buffering=WRITE_BUFFER_BYTES, encoding="utf-8") if path else None
 
-    def __call__(self, ev: str, **more: Any) -> None:
+    def __call__(self, event: str, **fields: Any) -> None:
+        """Write one row by its JSON names; `t` is now unless given."""
         if self._file:
-            more.setdefault("t", round(now_ms(), 2))
-            self._file.write(json.dumps({"ev": ev, **more}, separators=(",", ":")) + "\n")
+            fields.setdefault("t", round(now_ms(), 2))
+            self._file.write(json.dumps({"ev": event, **fields}, separators=(",", ":")) + "\n")
+
+    def write(self, event: TrafficEvent) -> None:
+        """Write one typed event."""
+        if self._file:
+            self(event.EVENT, **event.to_row())
 
     def flush(self) -> None:
+        """Hand everything written so far to the file system."""
         if self._file:
             self._file.flush()
 
 
-class RecordError(Exception):
-    """A record can't be read."""
+def _parse_row(line: str) -> dict[str, Any]:
+    row = json.loads(line)
+    if not isinstance(row, dict) or not isinstance(row.get("ev"), str):
+        raise ValueError("expected an object with ev")
+    return row
 
 
 def read(path: Path) -> Iterator[dict[str, Any]]:
-    """The lines of one record; a torn last line is passed over, any other is an error."""
+    """Yield the rows of one record.
+
+    A torn last line is passed over: its writer was killed.
+
+    Raises:
+        RecordError: Any other line is not a row.
+    """
     lines = path.read_text(encoding="utf-8").split("\n")
-    for n, line in enumerate(lines, 1):
+    for number, line in enumerate(lines, 1):
         if not line:
             continue
         try:
-            row = json.loads(line)
-            if not isinstance(row, dict) or not isinstance(row.get("ev"), str):
-                raise ValueError("expected an object with ev")
+            row = _parse_row(line)
         except ValueError as error:
-            if n == len(lines):
+            if number == len(lines):
                 return
-            raise RecordError(f"{path}: line {n}: {error}") from error
+            raise RecordError(f"{path}: line {number}: {error}") from error
         yield row
--- a/linnetstile/emulators/registry.py
+++ b/linnetstile/emulators/registry.py
@@ -1,4 +1,4 @@
-"""Register stand-in: the whole list and a watch on changes over HTTP, with lag, failures and stale answers.
+"""Registry emulator: the full list and a watch on changes over HTTP, with lag, failures and stale answers.
 
 GET /list                           {"version": 7, "entries": [...]}
 GET /changes?since=5&wait_ms=10000  the entries changed since then; 410 where it no longer knows them
@@ -9,6 +9,7 @@
 import asyncio
 import json
 import urllib.parse
+from dataclasses import dataclass
 from pathlib import Path
 from typing import Any, Literal
 
@@ -17,6 +18,17 @@
 from ..config.files import Strict
 from ..net import server
 from .record import Recorder, now_ms
+from .traffic_events import ListSent
+
+Entry = dict[str, Any]  # as JSON: id, partner, url, status and more
+
+IDLE_TIMEOUT_S = 120.0
+STALE_RETRY_S = 0.2  # how often a change that is kept back tries again
+SLOW_ANSWER_S = 3.0
+MAX_POLL_MS = 60_000
+INVALID_LIST = b'{"version": "seven", "entries": 5'
+
+RegistryFaultKind = Literal["fail", "stale", "slow", "garbage"]
 
 
 class Change(Strict):
@@ -25,123 +37,172 @@
     at_s: float = Field(ge=0)
     id: int
     status: Literal["ready", "draining", "gone"]
-    entry: dict[str, Any] | None = None  # the whole entry, for an added one
+    entry: Entry | None = None  # the full entry, for an added one
+
 
+class RegistryFault(Strict):
+    """One fault of the registry: from `at_s` for `for_s`, counted from the start of the run."""
 
-class Trouble(Strict):
-    kind: Literal["fail", "stale", "slow", "garbage"]
+    kind: RegistryFaultKind
     at_s: float = Field(ge=0)
     for_s: float = Field(gt=0)
 
+    def is_active(self, elapsed_s: float) -> bool:
+        """Whether it is on, so long after the start of the run."""
+        return self.at_s <= elapsed_s < self.at_s + self.for_s
+
 
 class RegisterSpec(Strict):
+    """The settings file of the registry emulator."""
+
     port: int = 0
-    t0_ms: float | None = None
+    t0_ms: float | None = None  # start of the script by the clock of the run; None = now
     record: Path | None = None
     lag_ms: float = Field(1000.0, ge=0)
     keep: int = Field(1000, ge=1)  # changes it remembers
-    entries: list[dict[str, Any]] = []
+    entries: list[Entry] = []
     changes: list[Change] = []
-    troubles: list[Trouble] = []
+    troubles: list[RegistryFault] = []
+
+
+@dataclass(frozen=True, slots=True)
+class _LoggedChange:
+    version: int
+    endpoint: int
+
+
+@dataclass(frozen=True, slots=True, eq=False)
+class _Poll:
+    """A request that waits for a change."""
+
+    exchange: server.RequestContext
+    since: int
+
+
+def _can_be_answered(exchange: server.RequestContext) -> bool:
+    return not exchange.answered and not exchange.conn.dead
 
 
 class RegisterStand:
+    """Serves the list of endpoints.
+
+    Attributes:
+        spec: Its settings.
+        record: Where its traffic goes.
+        t0: Start of the script, ms of the clock of the run.
+        version: Version of the list.
+        entries: The list, by endpoint id.
+        port: Where it listens, once it does.
+    """
+
     def __init__(self, spec: RegisterSpec) -> None:
         self.spec = spec
         self.record = Recorder(spec.record)
         self.t0 = spec.t0_ms if spec.t0_ms is not None else now_ms()
         self.version = 1
-        self.entries = {entry["id"]: dict(entry) for entry in spec.entries}
-        self.log: list[tuple[int, int]] = []  # version, id
-        self.waiting: list[tuple[server.RequestContext, int]] = []
-        self.held: list[Change] = []  # kept back while it is stale
-        self.server: server.Server | None = None
+        self.entries: dict[int, Entry] = {entry["id"]: dict(entry) for entry in spec.entries}
         self.port = spec.port
+        self._changes: list[_LoggedChange] = []
+        self._polls: list[_Poll] = []
+        self._server: server.Server | None = None
 
     async def start(self) -> int:
-        self.server = server.Server(self._request, bounds=server.Bounds(idle_s=120.0))
-        self.port = await self.server.start(port=self.spec.port)
-        self.plan()
+        """Listen; return the port."""
+        self._server = server.Server(self._request_arrived, bounds=server.Bounds(idle_s=IDLE_TIMEOUT_S))
+        self.port = await self._server.start(port=self.spec.port)
+        self._schedule_changes()
         return self.port
 
-    def plan(self) -> None:
-        """Sets the timers of all changes, from `t0` on."""
+    def _schedule_changes(self) -> None:
         loop = asyncio.get_running_loop()
         for change in self.spec.changes:
-            after = change.at_s + self.spec.lag_ms / 1000 - (now_ms() - self.t0) / 1000
-            loop.call_later(max(0.0, after), self.change, change)
+            delay_s = change.at_s + self.spec.lag_ms / 1000 - self._elapsed_s()
+            loop.call_later(max(0.0, delay_s), self.change, change)
+
+    def _elapsed_s(self) -> float:
+        return (now_ms() - self.t0) / 1000
 
-    def trouble(self) -> str:
-        at = (now_ms() - self.t0) / 1000
-        return next((t.kind for t in self.spec.troubles if t.at_s <= at < t.at_s + t.for_s), "")
+    def _fault(self) -> RegistryFaultKind | None:
+        elapsed_s = self._elapsed_s()
+        return next((fault.kind for fault in self.spec.troubles if fault.is_active(elapsed_s)), None)
 
     def change(self, change: Change) -> None:
-        """Makes it known now, or once the register is no longer stale."""
-        if self.trouble() == "stale":
-            asyncio.get_running_loop().call_later(0.2, self.change, change)
+        """Apply a change now, or once the registry is no longer stale."""
+        if self._fault() == "stale":
+            asyncio.get_running_loop().call_later(STALE_RETRY_S, self.change, change)
             return
         self.version += 1
         self.entries.setdefault(change.id, {}).update(change.entry or {"id": change.id}, status=change.status)
-        self.log = [*self.log, (self.version, change.id)][-self.spec.keep :]
-        waiting, self.waiting = self.waiting, []
-        for exchange, since in waiting:
-            self._changes(exchange, since)
+        self._changes = [*self._changes, _LoggedChange(self.version, change.id)][-self.spec.keep :]
+        polls, self._polls = self._polls, []
+        for poll in polls:
+            self._send_changes(poll.exchange, poll.since)
 
-    def _send(self, exchange: server.RequestContext, entries: list[dict[str, Any]], whole: bool = False) -> None:
-        if exchange.answered or exchange.conn.dead:
-            return
-        relay = exchange.head.headers.get("via").removeprefix("1.1 ")
-        self.record(
-            "told",
-            relay=relay,
-            version=self.version,
-            whole=whole,
-            states={str(entry["id"]): entry["status"] for entry in entries},
-        )
-        body = json.dumps({"version": self.version, "entries": entries}).encode()
-        exchange.reply(200, [("Content-Type", "application/json")], body)
-
-    def _changes(self, exchange: server.RequestContext, since: int) -> None:
-        ids = dict.fromkeys(ident for version, ident in self.log if version > since)
-        self._send(exchange, [self.entries[ident] for ident in ids])
+    # -- requests --------------------------------------------------------------------------------------------
 
-    def _request(self, exchange: server.RequestContext) -> None:
-        parts = urllib.parse.urlsplit(exchange.head.target)
-        query = dict(urllib.parse.parse_qsl(parts.query))
-        trouble, loop = self.trouble(), asyncio.get_running_loop()
-        if trouble == "fail":
+    def _request_arrived(self, exchange: server.RequestContext) -> None:
+        fault = self._fault()
+        if fault == "fail":
             exchange.reply(500, [], b"register failed\n")
-        elif trouble == "garbage":
-            exchange.reply(200, [], b'{"version": "seven", "entries": 5')
-        elif trouble == "slow":
-            loop.call_later(3.0, self._route, exchange, parts.path, query)
+        elif fault == "garbage":
+            exchange.reply(200, [], INVALID_LIST)
+        elif fault == "slow":
+            asyncio.get_running_loop().call_later(SLOW_ANSWER_S, self._answer, exchange)
         else:
-            self._route(exchange, parts.path, query)
+            self._answer(exchange)
 
-    def _route(self, exchange: server.RequestContext, path: str, query: dict[str, str]) -> None:
-        if exchange.answered or exchange.conn.dead:
-            return
-        if path.endswith("/list"):
-            self._send(exchange, [e for e in self.entries.values() if e["status"] != "gone"], True)
+    def _answer(self, exchange: server.RequestContext) -> None:
+        if not _can_be_answered(exchange):
             return
+        url = urllib.parse.urlsplit(exchange.head.target)
+        if url.path.endswith("/list"):
+            self._send_full_list(exchange)
+        else:
+            query = dict(urllib.parse.parse_qsl(url.query))
+            self._answer_poll(exchange, query)
+
+    def _answer_poll(self, exchange: server.RequestContext, query: dict[str, str]) -> None:
         since = int(query.get("since", "-1"))
-        oldest = self.log[0][0] if self.log else self.version + 1
-        if since > self.version or since < oldest - 1 and since != self.version:
+        oldest = self._changes[0].version if self._changes else self.version + 1
+        is_forgotten = since < oldest - 1 and since != self.version
+        if since > self.version or is_forgotten:
             exchange.reply(410)
         elif since < self.version:
-            self._changes(exchange, since)
+            self._send_changes(exchange, since)
         else:
-            self.waiting.append((exchange, since))
-            asyncio.get_running_loop().call_later(
-                min(60_000, int(query.get("wait_ms", "0"))) / 1000, self._over, exchange, since
-            )
-
-    def _over(self, exchange: server.RequestContext, since: int) -> None:
-        if (exchange, since) in self.waiting:
-            self.waiting.remove((exchange, since))
-            self._changes(exchange, since)
+            poll = _Poll(exchange, since)
+            self._polls.append(poll)
+            wait_ms = min(MAX_POLL_MS, int(query.get("wait_ms", "0")))
+            asyncio.get_running_loop().call_later(wait_ms / 1000, self._end_poll, poll)
+
+    def _end_poll(self, poll: _Poll) -> None:
+        if poll in self._polls:
+            self._polls.remove(poll)
+            self._send_changes(poll.exchange, poll.since)
+
+    def _send_full_list(self, exchange: server.RequestContext) -> None:
+        listed = [entry for entry in self.entries.values() if entry["status"] != "gone"]
+        self._send(exchange, listed, is_full=True)
+
+    def _send_changes(self, exchange: server.RequestContext, since: int) -> None:
+        endpoints = dict.fromkeys(change.endpoint for change in self._changes if change.version > since)
+        self._send(exchange, [self.entries[endpoint] for endpoint in endpoints], is_full=False)
+
+    def _send(self, exchange: server.RequestContext, entries: list[Entry], is_full: bool) -> None:
+        if not _can_be_answered(exchange):
+            return
+        sent = ListSent(
+            relay=exchange.head.headers.get("via").removeprefix("1.1 "),
+            version=self.version,
+            is_full=is_full,
+            statuses={str(entry["id"]): entry["status"] for entry in entries},
+        )
+        self.record.write(sent)
+        body = json.dumps({"version": self.version, "entries": entries}).encode()
+        exchange.reply(200, [("Content-Type", "application/json")], body)
 
     def close(self) -> None:
-        if self.server:
-            self.server.close()
+        """End the listener and flush the record."""
+        if self._server:
+            self._server.close()
         self.record.flush()
--- /dev/null
+++ b/linnetstile/emulators/slow_reading.py
@@ -0,0 +1,32 @@
+"""Reads the body of a request slowly, so that its sender meets a full socket buffer."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Callable
+
+from ..net import server
+
+
+def read_slowly(exchange: server.RequestContext, bytes_per_s: int, is_on: Callable[[], bool]) -> None:
+    """Read the body at a rate for as long as `is_on`.
+
+    What the kernels of both ends buffer is full soon enough.
+    """
+    connection, loop = exchange.conn, asyncio.get_running_loop()
+    connection.hungry = False
+    receive = connection.received
+
+    def resume() -> None:
+        if not connection.dead:
+            connection.transport.resume_reading()
+
+    def receive_slowly(data: memoryview) -> None:
+        receive(data)
+        if connection.current is not exchange:  # the next requests of the connection are read at full speed
+            connection.received = receive  # type: ignore[method-assign]
+        elif not connection.read and is_on():
+            connection.transport.pause_reading()
+            loop.call_later(len(data) / bytes_per_s, resume)
+
+    connection.received = receive_slowly  # type: ignore[method-assign]
--- a/linnetstile/testbed/day.py
+++ b/linnetstile/testbed/day.py
@@ -9,7 +9,7 @@
 
 from ..config.files import Strict
 from ..config.relay import ClassSettings, SafetySettings
-from ..emulators.script import Fault
+from ..emulators.faults import Fault
 
 
 class DayClass(ClassSettings):
--- a/linnetstile/testbed/play.py
+++ b/linnetstile/testbed/play.py
@@ -16,7 +16,7 @@
 
 from ..codec import cms
 from ..emulators.record import now_ms
-from ..emulators.script import named
+from ..emulators.faults import matches_any as named
 from .day import Day
 
 START_S = 20.0  # how long a process may take to tell its address
--- a/tests/testbed/test_play.py
+++ b/tests/testbed/test_play.py
@@ -10,7 +10,8 @@
 
 import yaml
 
-from linnetstile.emulators.client import ClientSpec, draw
+from linnetstile.emulators.client_script import draw_script
+from linnetstile.emulators.client_settings import ClientSpec
 from linnetstile.testbed.day import Day
 
 DAY: dict[str, Any] = {
@@ -79,8 +80,8 @@
             "surges": [{"at_s": 1, "for_s": 1, "times": 4, "receivers": ["p"]}],
         }
     )
-    one, two = draw(spec), draw(spec)
-    assert one == two != draw(spec.model_copy(update={"seed": 4}))
+    one, two = draw_script(spec), draw_script(spec)
+    assert one == two != draw_script(spec.model_copy(update={"seed": 4}))
     early, surge = ([p for p in one if at <= p.at_s < at + 1] for at in (0, 1))
     assert len(surge) > 2 * len(early)
 
