--- a/linnetstile/cli/check.py
+++ b/linnetstile/cli/check.py
@@ -1,76 +1,83 @@
-"""linnetstile check"""
+"""The sub-command `linnetstile check`: checks the record of a run."""
 
 from __future__ import annotations
 
 import json
 import sys
 from pathlib import Path
-from typing import Any
 
 import click
 
 from ..emulators.record import RecordError
-from ..testbed.rule_checker import Verdict, check
-from .common import die
+from ..testbed.rule_checker import CheckedRun, Verdict, check
+from ..testbed.run_figures import RunFigures
+from .common import ExitCode, die
 
+MAX_FINDINGS_SHOWN = 5  # of each rule
 
-def table(verdicts: list[Verdict], figures: dict[str, Any]) -> str:
-    """The verdict for people."""
+HELP = """Judge the RECORD of a run (a folder that `play` wrote) by the six rules and by one attempt at a time.
+
+Only what the stand-ins saw on their sockets and wrote into their ledgers counts, never a relay's own log.
+Exit code 0: every rule kept; 1: one broken; 2: the record can't be read.
+"""
+
+
+def _verdict_lines(verdicts: list[Verdict]) -> list[str]:
     lines = [f"{'rule':<9} {'verdict':<8} {'looked at':>9}  {'broken':>6}  what it asks"]
-    for v in verdicts:
-        lines.append(f"{v.rule:<9} {'BROKEN' if v.broken else 'kept':<8} {v.looked_at:>9}  {v.broken:>6}  {v.text}")
-        lines += [f"{'':<9} - {text}" for text in v.findings[:5]]
-    answers = ", ".join(f"{count} {kind}" for kind, count in figures["by_answer"].items())
-    worth = ", ".join(f"{name} {part:.3f}" for name, part in figures["worth"].items())
-    lines += [
-        "",
-        f"{figures['messages']} messages: {answers}; {figures['attempts']} attempts, "
-        f"{figures['refused_attempts']} of them refused",
-        f"worth delivered of worth asked for: {figures['worth_all']:.3f} ({worth})",
-        f"unsafe messages that took effect twice: {figures['unsafe_effects_twice']}",
+    for verdict in verdicts:
+        word = "BROKEN" if verdict.broken else "kept"
+        lines.append(f"{verdict.rule:<9} {word:<8} {verdict.looked_at:>9}  {verdict.broken:>6}  {verdict.text}")
+        lines += [f"{'':<9} - {text}" for text in verdict.findings[:MAX_FINDINGS_SHOWN]]
+    return lines
+
+
+def _figure_lines(figures: RunFigures) -> list[str]:
+    answers = ", ".join(f"{count} {kind}" for kind, count in figures.by_answer.items())
+    worth = ", ".join(f"{name} {part:.3f}" for name, part in figures.worth.items())
+    return [
+        f"{figures.messages} messages: {answers}; {figures.attempts} attempts, "
+        f"{figures.refused_attempts} of them refused",
+        f"worth delivered of worth asked for: {figures.worth_all:.3f} ({worth})",
+        f"unsafe messages that took effect twice: {figures.unsafe_effects_twice}",
     ]
-    broken = sum(bool(v.broken) for v in verdicts)
-    lines += ["", "Every rule was kept." if not broken else f"{broken} rule(s) broken."]
+
+
+def format_text(checked: CheckedRun) -> str:
+    """Return the verdicts and figures for people."""
+    broken = sum(bool(verdict.broken) for verdict in checked.verdicts)
+    conclusion = "Every rule was kept." if not broken else f"{broken} rule(s) broken."
+    lines = [*_verdict_lines(checked.verdicts), "", *_figure_lines(checked.figures), "", conclusion]
     return "\n".join(lines)
 
 
-def show(folder: Path, as_json: bool) -> int:
-    """Judges and prints; returns the exit code."""
+def format_json(checked: CheckedRun) -> str:
+    """Return the verdicts and figures for scripts."""
+    rules = [
+        {
+            "rule": verdict.rule,
+            "kept": not verdict.broken,
+            "looked_at": verdict.looked_at,
+            "broken": verdict.broken,
+            "findings": verdict.findings,
+        }
+        for verdict in checked.verdicts
+    ]
+    return json.dumps({"rules": rules, **checked.figures.to_json()}, indent=1)
+
+
+def check_and_show(folder: Path, as_json: bool) -> ExitCode:
+    """Check the run in a folder and print what was found; return the exit code."""
     try:
-        verdicts, figures = check(folder)
+        checked = check(folder)
     except RecordError as error:
-        die(2, str(error))
-    if as_json:
-        click.echo(
-            json.dumps(
-                {
-                    "rules": [
-                        {
-                            "rule": v.rule,
-                            "kept": not v.broken,
-                            "looked_at": v.looked_at,
-                            "broken": v.broken,
-                            "findings": v.findings,
-                        }
-                        for v in verdicts
-                    ],
-                    **figures,
-                },
-                indent=1,
-            )
-        )
-    else:
-        click.echo(table(verdicts, figures))
-    return int(any(v.broken for v in verdicts))
-
-
-@click.command()
+        die(ExitCode.BAD_INPUT, str(error))
+    click.echo(format_json(checked) if as_json else format_text(checked))
+    return ExitCode.NO if any(verdict.broken for verdict in checked.verdicts) else ExitCode.OK
+
+
+@click.command(help=HELP)
 @click.argument("record", type=click.Path(exists=True, file_okay=False, path_type=Path))
 @click.option("--json", "as_json", is_flag=True, help="For scripts.")
 def command(record: Path, as_json: bool) -> None:
-    """Judge the RECORD of a run (a folder that `play` wrote) by the six rules and by one attempt at a time.
-
-    Only what the stand-ins saw on their sockets and wrote into their ledgers counts, never a relay's own log.
-    Exit code 0: every rule kept; 1: one broken; 2: the record can't be read.
-    """
-    sys.exit(show(record, as_json))
+    """Check the record of a run by the rules."""
+    sys.exit(check_and_show(record, as_json))
--- a/linnetstile/cli/main.py
+++ b/linnetstile/cli/main.py
@@ -1,7 +1,8 @@
 """The command `linnetstile`. Sub-commands are imported when called: `--help` stays quick.
 
 Exit codes: 0 well; 1 the answer is no (a rule broken, a message not delivered); 2 bad arguments, settings or
-records; 3 could not start; 4 stopped with messages unanswered."""
+records; 3 could not start; 4 stopped with messages unanswered.
+"""
 
 from __future__ import annotations
 
@@ -19,37 +20,43 @@
     "send": "Hand one AS2 message in and show its answer.",
     "standin": "Run a stand-in: partner, register or client.",
 }
+HELP = """linnetstile takes AS2 messages and carries them to partners that nobody here controls.
 
+\b
+A first look:   linnetstile play days/two-troubles.yaml
+One relay:      linnetstile relay relay.yaml
+Its answers:    linnetstile send --to 127.0.0.1:4080 --from a --partner b FILE
+
+Exit codes: 0 well; 1 the answer is no; 2 bad arguments, settings or records; 3 could not start;
+4 stopped with messages unanswered.
+"""
+
+
+class LazyGroup(click.Group):
+    """A group that imports a sub-command when it is called, and shows the list without importing any."""
 
-class Lazy(click.Group):
     def list_commands(self, ctx: click.Context) -> list[str]:
+        """Return the names in the order of the help text."""
         return list(COMMANDS)
 
     def get_command(self, ctx: click.Context, name: str) -> click.Command | None:
+        """Import a sub-command; None if there is none of this name."""
         if name not in COMMANDS:
             return None
-        found = importlib.import_module(f"linnetstile.cli.{name}").command
-        assert isinstance(found, click.Command)
-        return found
+        command = importlib.import_module(f"linnetstile.cli.{name}").command
+        assert isinstance(command, click.Command)
+        return command
 
     def format_commands(self, ctx: click.Context, formatter: click.HelpFormatter) -> None:
+        """Write the list of sub-commands."""
         with formatter.section("Commands"):
             formatter.write_dl(list(COMMANDS.items()))
 
 
-@click.command(cls=Lazy, context_settings={"help_option_names": ["-h", "--help"]})
+@click.command(cls=LazyGroup, context_settings={"help_option_names": ["-h", "--help"]}, help=HELP)
 @click.version_option(package_name="linnetstile")
 def main() -> None:
-    """linnetstile takes AS2 messages and carries them to partners that nobody here controls.
-
-    \b
-    A first look:   linnetstile play days/two-troubles.yaml
-    One relay:      linnetstile relay relay.yaml
-    Its answers:    linnetstile send --to 127.0.0.1:4080 --from a --partner b FILE
-
-    Exit codes: 0 well; 1 the answer is no; 2 bad arguments, settings or records; 3 could not start;
-    4 stopped with messages unanswered.
-    """
+    """Run the sub-command that the arguments name."""
 
 
 if __name__ == "__main__":
--- a/linnetstile/cli/play.py
+++ b/linnetstile/cli/play.py
@@ -1,4 +1,4 @@
-"""linnetstile play"""
+"""The sub-command `linnetstile play`: plays a day and checks it."""
 
 from __future__ import annotations
 
@@ -8,10 +8,16 @@
 
 import click
 
-from .common import FILE, die, settings
+from .common import FILE, ExitCode, die, load_settings
 
+HELP = """Play DAY (YAML): register, partners, relays and clients run as processes of their own on loopback, troubles
+come by the clock, and the record of their sockets is judged. It ends by itself.
 
-@click.command()
+Exit code 0: every rule kept; 1: one broken; 2: a bad file; 3: a process did not start or ended by itself.
+"""
+
+
+@click.command(help=HELP)
 @click.argument("day", type=FILE)
 @click.option(
     "--record",
@@ -21,24 +27,21 @@
 @click.option("--seed", type=int, help="Another draw of the same day.")
 @click.option("--json", "as_json", is_flag=True, help="The verdict for scripts.")
 def command(day: Path, record: Path | None, seed: int | None, as_json: bool) -> None:
-    """Play DAY (YAML): register, partners, relays and clients run as processes of their own on loopback, troubles
-    come by the clock, and the record of their sockets is judged. It ends by itself.
-
-    Exit code 0: every rule kept; 1: one broken; 2: a bad file; 3: a process did not start or ended by itself.
-    """
+    """Play a day through real relays and check its record."""
     from ..testbed.day import Day
-    from ..testbed.play import PlayError, play
-    from .check import show
+    from ..testbed.play import play
+    from ..testbed.processes import PlayError
+    from .check import check_and_show
 
-    found = settings(day, Day)
+    script = load_settings(day, Day)
     if seed is not None:
-        found = found.model_copy(update={"seed": seed})
-    folder = record or Path(tempfile.mkdtemp(prefix=f"linnetstile-{found.name}-"))
+        script = script.model_copy(update={"seed": seed})
+    folder = record or Path(tempfile.mkdtemp(prefix=f"linnetstile-{script.name}-"))
     if folder.exists() and any(folder.iterdir()):
-        die(2, f"{folder}: expected a new or empty folder")
+        die(ExitCode.BAD_INPUT, f"{folder}: expected a new or empty folder")
     try:
-        play(found, folder, lambda text: click.echo(text, err=True))
+        play(script, folder, lambda text: click.echo(text, err=True))
     except PlayError as error:
-        die(3, f"linnetstile play: {error}")
+        die(ExitCode.NOT_STARTED, f"linnetstile play: {error}")
     click.echo(f"record: {folder}\n", err=True)
-    sys.exit(show(folder, as_json))
+    sys.exit(check_and_show(folder, as_json))
--- a/linnetstile/cli/relay.py
+++ b/linnetstile/cli/relay.py
@@ -1,4 +1,4 @@
-"""linnetstile relay"""
+"""The sub-command `linnetstile relay`: runs one relay."""
 
 from __future__ import annotations
 
@@ -8,10 +8,17 @@
 
 import click
 
-from .common import FILE, die, settings
+from .common import FILE, ExitCode, die, load_settings
 
+HELP = """Run one relay with the settings in FILE (YAML).
 
-@click.command()
+Once it listens, one JSON line with its address goes to standard output; the log goes to standard error. SIGTERM:
+it takes no more, answers what it holds and ends (0), or ends when limits.stop_ms has passed (4). A second
+SIGTERM ends it at once.
+"""
+
+
+@click.command(help=HELP)
 @click.argument("file", type=FILE)
 @click.option(
     "--log-level", type=click.Choice(["debug", "info", "warning", "error"]), default="info", show_default=True
@@ -23,22 +30,17 @@
     help="Write the line with the address here too, once it listens.",
 )
 def command(file: Path, log_level: str, check: bool, ready_file: Path | None) -> None:
-    """Run one relay with the settings in FILE (YAML).
-
-    Once it listens, one JSON line with its address goes to standard output; the log goes to standard error. SIGTERM:
-    it takes no more, answers what it holds and ends (0), or ends when limits.stop_ms has passed (4). A second
-    SIGTERM ends it at once.
-    """
+    """Run one relay until it is told to stop, or validate its settings."""
     from ..as2_relay.process import check_files, run
     from ..config.relay import RelaySettings
     from ..telemetry.log import logger
 
-    found = settings(file, RelaySettings)
+    relay = load_settings(file, RelaySettings)
     if check:
         try:
-            check_files(found)
+            check_files(relay)
         except (OSError, ValueError) as error:
-            die(2, f"{file}: {error}")
+            die(ExitCode.BAD_INPUT, f"{file}: {error}")
         click.echo(f"{file}: good")
         return
-    sys.exit(asyncio.run(run(found, logger(log_level, relay=found.name), ready_file)))
+    sys.exit(asyncio.run(run(relay, logger(log_level, relay=relay.name), ready_file)))
--- a/linnetstile/cli/scale.py
+++ b/linnetstile/cli/scale.py
@@ -1,33 +1,30 @@
-"""linnetstile scale"""
+"""The sub-command `linnetstile scale`: plays a fleet at size."""
 
 from __future__ import annotations
 
 import sys
 import tempfile
+from collections.abc import Callable
 from pathlib import Path
-from typing import Any
+from typing import Any, NoReturn
 
 import click
 
 from ..testbed.scale.world_model import RANGES, SCENES, OptionError, Sizes
-from .common import die
+from .common import ExitCode, die, is_new_or_empty
 
+SIGNAL_BASE = 128  # the exit code of a run that a signal ended is this and its number
+SIGINT = 2
 
-def whole(ctx: click.Context, param: click.Parameter, value: str) -> int:
-    """A whole number; anything else is told in one line."""
-    name = param.name or ""
-    if not value.removeprefix("-").isdecimal():
-        least, most = RANGES[name]
-        die(
-            2,
-            "linnetstile scale: "
-            + str(OptionError(name.replace("_", "-"), f"a whole number from {least} to {most}", value)),
-        )
-    return int(value)
-
+HELP = """Play a fleet at size: hollow relays (the shipped code on a simulated clock) beside a few real processes.
+Loopback only; it ends by itself. The report (scale.json, scale.txt, plots) goes to the folder, its text to standard
+output.
 
+Exit code 0: played, and hollow and real did the same; 1: they did not; 2: a bad option; 3: a process of the run did
+not start or ended by itself; 128 and the signal's number: ended.
+"""
 DEFAULT = Sizes()
-HELP = {
+SIZE_HELP = {
     "seed": "Draw of world and chance.",
     "relays": "Relays of the fleet.",
     "destinations": "Destinations listed.",
@@ -48,48 +45,64 @@
 }
 
 
-def _options(function: Any) -> Any:
-    for name, text in reversed(HELP.items()):
-        function = click.option(
+def _fail(code: int, what: object) -> NoReturn:
+    die(code, f"linnetstile scale: {what}")
+
+
+def parse_size(ctx: click.Context, param: click.Parameter, value: str) -> int:
+    """Return a whole number; end with one line about anything else."""
+    name = param.name or ""
+    if not value.removeprefix("-").isdecimal():
+        least, most = RANGES[name]
+        _fail(ExitCode.BAD_INPUT, OptionError(name.replace("_", "-"), f"a whole number from {least} to {most}", value))
+    return int(value)
+
+
+def _size_options(function: Callable[..., None]) -> Callable[..., None]:
+    """Add an option for each size, in the order of their help texts."""
+    for name, text in reversed(SIZE_HELP.items()):
+        add_option = click.option(
             f"--{name.replace('_', '-')}",
             name,
             metavar="N",
             default=str(getattr(DEFAULT, name)),
             show_default=True,
             help=text,
-            callback=whole,
-        )(function)
+            callback=parse_size,
+        )
+        function = add_option(function)
     return function
 
 
-@click.command()
-@_options
+@click.command(help=HELP)
+@_size_options
 @click.option("--scenes", default=",".join(SCENES), show_default=True, help="Scenes, in this order.")
 @click.option("--out", type=click.Path(path_type=Path), help="Folder of the report, new or empty.")
-def command(scenes: str, out: Path | None, **sizes: int) -> None:
-    """Play a fleet at size: hollow relays (the shipped code on a simulated clock) beside a few real processes. Loopback
-    only; it ends by itself. The report (scale.json, scale.txt, plots) goes to the folder, its text to standard output.
-
-    Exit code 0: played, and hollow and real did the same; 1: they did not; 2: a bad option; 3: a process of the run did
-    not start or ended by itself; 128 and the signal's number: ended.
-    """
-    from ..testbed.scale.run import Ended, Failed, NotStarted, run
-
-    found = Sizes(**sizes, scenes=tuple(each for each in scenes.split(",") if each))
+def command(scenes: str, out: Path | None, **numbers: int) -> None:
+    """Play a fleet at size and show the report."""
+    sizes = Sizes(**numbers, scenes=tuple(scene for scene in scenes.split(",") if scene))
     try:
-        found.check()
+        sizes.check()
     except OptionError as error:
-        die(2, f"linnetstile scale: {error}")
+        _fail(ExitCode.BAD_INPUT, error)
     folder = out or Path(tempfile.mkdtemp(prefix="linnetstile-scale-"))
-    if folder.exists() and (not folder.is_dir() or any(folder.iterdir())):
-        die(2, f"linnetstile scale: --out: expected a new or empty folder, found {str(folder)!r}")
+    if not is_new_or_empty(folder):
+        _fail(ExitCode.BAD_INPUT, f"--out: expected a new or empty folder, found {str(folder)!r}")
+    report = _run(sizes, folder)
+    click.echo((folder / "scale.txt").read_text(encoding="utf-8"), nl=False)
+    click.echo(f"report: {folder}", err=True)
+    is_same = report["compared"] is None or report["compared"]["agrees"]
+    sys.exit(ExitCode.OK if is_same else ExitCode.NO)
+
+
+def _run(sizes: Sizes, folder: Path) -> dict[str, Any]:
+    """Play the fleet; return the report, or end with an error."""
+    from ..testbed.scale.run import Ended, Failed, NotStarted, run
+
     try:
-        told = run(found, folder, lambda line: click.echo(line, err=True))
+        return run(sizes, folder, lambda line: click.echo(line, err=True))
     except (Failed, NotStarted, OSError) as error:
-        die(3, f"linnetstile scale: {error}")
+        die(ExitCode.NOT_STARTED, f"linnetstile scale: {error}")
     except KeyboardInterrupt as error:
-        number = error.args[0] if isinstance(error, Ended) else 2
-        die(128 + number, "linnetstile scale: ended; no report")
-    click.echo((folder / "scale.txt").read_text(encoding="utf-8"), nl=False)
-    click.echo(f"report: {folder}", err=True)
-    sys.exit(0 if told["compared"] is None or told["compared"]["agrees"] else 1)
+        number = error.args[0] if isinstance(error, Ended) else SIGINT
+        die(SIGNAL_BASE + number, "linnetstile scale: ended; no report")
--- a/linnetstile/cli/show.py
+++ b/linnetstile/cli/show.py
@@ -1,159 +1,174 @@
-"""linnetstile show connections|queues|slow|metrics"""
+"""The sub-command `linnetstile show connections|queues|slow|metrics`: what a running relay holds."""
 
 from __future__ import annotations
 
 import asyncio
 import json
+from collections.abc import Sequence
 from pathlib import Path
 from typing import Any
 
 import click
 
-from .common import die
+from .common import ExitCode, die
 
+TIMEOUT_S = 5.0
+MAX_COLUMN_WIDTH = 44
+DEFAULT_ROWS = 40
 
-@click.group()
+SOCKET = click.argument("socket", type=click.Path(path_type=Path))
+JSON = click.option("--json", "as_json", is_flag=True, help="As it came.")
+ROWS = click.option("--rows", default=DEFAULT_ROWS, show_default=True)
+
+# Titles of the columns -> keys of the rows.
+CONNECTION_COLUMNS = {
+    "side": "side",
+    "peer": "peer",
+    "phase": "phase",
+    "for s": "phase_s",
+    "read": "read",
+    "unsent": "unsent",
+    "patience": "patience",
+    "sender": "sender",
+    "partner": "partner",
+    "message": "message",
+}
+TENANT_COLUMNS = {
+    "tree": "tree",
+    "party": "party",
+    "bytes": "bytes",
+    "fair": "fair_bytes",
+    "messages": "messages",
+    "of": "fair_messages",
+    "waiting": "waiting",
+    "weight": "weight",
+}
+QUEUE_COLUMNS = {"partner": "partner", "queued": "queued", "out": "out"}
+SLOW_COLUMNS = {
+    "partner": "partner",
+    "slow for s": "slow_s",
+    "slot ms": "slot_ms",
+    "out": "out",
+    "times": "entered",
+    "why": "why",
+}
+
+
+@click.group(help="What a running relay holds, read from its admin socket (the `admin` setting).")
 def command() -> None:
-    """What a running relay holds, read from its admin socket (the `admin` setting)."""
+    """Show what a running relay holds."""
 
 
 def fetch(socket: Path, target: str) -> bytes:
-    """The answer of a relay's admin socket."""
+    """Return the answer of a relay's admin socket, or end with an error."""
     from ..codec import http1
     from ..net import client
 
     data = http1.request("GET", f"/{target}", [("Host", "admin")])
-    answer = asyncio.run(client.once(str(socket), "GET", data, 5.0))
+    answer = asyncio.run(client.once(str(socket), "GET", data, TIMEOUT_S))
     if answer.head is None:
-        die(3, f"{socket}: no relay answers there: {answer.sight.value}")
+        die(ExitCode.NOT_STARTED, f"{socket}: no relay answers there: {answer.sight.value}")
     if answer.head.status != 200:
-        die(1, f"{socket}: {answer.head.status}: {answer.body.decode(errors='replace').strip()}")
+        die(ExitCode.NO, f"{socket}: {answer.head.status}: {answer.body.decode(errors='replace').strip()}")
     return answer.body
 
 
-SOCKET = click.argument("socket", type=click.Path(path_type=Path))
-JSON = click.option("--json", "as_json", is_flag=True, help="As it came.")
+def fetch_document(socket: Path, target: str, as_json: bool) -> dict[str, Any] | None:
+    """Return a JSON document of the admin socket; print it as it came and return None if `as_json`."""
+    body = fetch(socket, target)
+    if as_json:
+        click.echo(body.decode())
+        return None
+    document: dict[str, Any] = json.loads(body)
+    return document
 
 
-def clean(text: Any) -> str:
-    """Guards the terminal against control characters in names that peers chose."""
-    return "".join(c if c.isprintable() else "?" for c in str(text))
+def _printable(value: object) -> str:
+    """Guard the terminal against control characters in names that peers chose."""
+    return "".join(character if character.isprintable() else "?" for character in str(value))
 
 
-def table(rows: list[dict[str, Any]], columns: dict[str, str], most: int) -> None:
-    """Columns as `{title: key}`, as wide as their widest."""
+def print_table(rows: Sequence[dict[str, Any]], columns: dict[str, str], max_rows: int) -> None:
+    """Print columns as wide as their widest cell.
+
+    Args:
+        rows: The rows of the document.
+        columns: Title and key of each column.
+        max_rows: Rows to print.
+    """
     if not rows:
         click.echo("none")
         return
-    cells = [list(columns)] + [
-        [clean("-" if row[key] is None else row[key]) for key in columns.values()] for row in rows[:most]
-    ]
-    widths = [min(44, max(len(line[n]) for line in cells)) for n in range(len(columns))]
-    for line in cells:
-        click.echo("  ".join(cell[:44].ljust(width) for cell, width in zip(line, widths, strict=True)).rstrip())
+    lines = [list(columns)]
+    for row in rows[:max_rows]:
+        lines.append([_printable("-" if row[key] is None else row[key]) for key in columns.values()])
+    widths = [min(MAX_COLUMN_WIDTH, max(len(line[n]) for line in lines)) for n in range(len(columns))]
+    for line in lines:
+        cells = [cell[:MAX_COLUMN_WIDTH].ljust(width) for cell, width in zip(line, widths, strict=True)]
+        click.echo("  ".join(cells).rstrip())
 
 
-def document(socket: Path, what: str, as_json: bool) -> dict[str, Any] | None:
-    body = fetch(socket, what)
-    if as_json:
-        click.echo(body.decode())
-        return None
-    found: dict[str, Any] = json.loads(body)
-    return found
+CONNECTIONS_HELP = (
+    "Each connection: who, at what, for how long. Patience is what its least rate has left of limits.stall_ms."
+)
 
 
-@command.command()
+@command.command(help=CONNECTIONS_HELP)
 @SOCKET
 @JSON
 @click.option("--phase", help="Only those at this phase.")
-@click.option("--rows", default=40, show_default=True)
+@ROWS
 def connections(socket: Path, as_json: bool, phase: str | None, rows: int) -> None:
-    """Each connection: who, at what, for how long. Patience is what its least rate has left of limits.stall_ms."""
-    found = document(socket, "connections", as_json)
-    if found is None:
+    """Show the connections."""
+    document = fetch_document(socket, "connections", as_json)
+    if document is None:
         return
-    counts = ", ".join(f"{name} {count}" for name, count in found["phases"].items()) or "none"
-    click.echo(f"{found['relay']}: {found['total']} connections (clients at most {found['bound']}): {counts}")
-    table(
-        [row for row in found["rows"] if phase in (None, row["phase"])],
-        {
-            "side": "side",
-            "peer": "peer",
-            "phase": "phase",
-            "for s": "phase_s",
-            "read": "read",
-            "unsent": "unsent",
-            "patience": "patience",
-            "sender": "sender",
-            "partner": "partner",
-            "message": "message",
-        },
-        rows,
-    )
+    counts = ", ".join(f"{name} {count}" for name, count in document["phases"].items()) or "none"
+    click.echo(f"{document['relay']}: {document['total']} connections (clients at most {document['bound']}): {counts}")
+    shown = [row for row in document["rows"] if phase in (None, row["phase"])]
+    print_table(shown, CONNECTION_COLUMNS, rows)
 
 
-@command.command()
+@command.command(help="Who holds how much of the room and what the fair part is, and what waits for each partner.")
 @SOCKET
 @JSON
-@click.option("--rows", default=40, show_default=True)
+@ROWS
 def queues(socket: Path, as_json: bool, rows: int) -> None:
-    """Who holds how much of the room and what the fair part is, and what waits for each partner."""
-    found = document(socket, "queues", as_json)
-    if found is None:
+    """Show the capacity in use and the queues."""
+    document = fetch_document(socket, "queues", as_json)
+    if document is None:
         return
-    room = found["room"]
+    capacity = document["room"]
     click.echo(
-        f"{found['relay']}: {room['held_bytes']} of {room['bytes']} bytes, {room['held_messages']} of "
-        f"{room['messages']} messages, {room['slots_out']} of {room['slots']} slots; "
-        f"{room['waiting']} requests wait for room"
-    )
-    table(
-        found["parties"],
-        {
-            "tree": "tree",
-            "party": "party",
-            "bytes": "bytes",
-            "fair": "fair_bytes",
-            "messages": "messages",
-            "of": "fair_messages",
-            "waiting": "waiting",
-            "weight": "weight",
-        },
-        rows,
+        f"{document['relay']}: {capacity['held_bytes']} of {capacity['bytes']} bytes, "
+        f"{capacity['held_messages']} of {capacity['messages']} messages, "
+        f"{capacity['slots_out']} of {capacity['slots']} slots; "
+        f"{capacity['waiting']} requests wait for room"
     )
+    print_table(document["parties"], TENANT_COLUMNS, rows)
     click.echo()
-    table(found["partners"], {"partner": "partner", "queued": "queued", "out": "out"}, rows)
+    print_table(document["partners"], QUEUE_COLUMNS, rows)
 
 
-@command.command()
+@command.command(help="Partners by slot time, the slow ones first, and why they count as slow.")
 @SOCKET
 @JSON
-@click.option("--rows", default=40, show_default=True)
+@ROWS
 def slow(socket: Path, as_json: bool, rows: int) -> None:
-    """Partners by slot time, the slow ones first, and why they count as slow."""
-    found = document(socket, "slow", as_json)
-    if found is None:
+    """Show the slow partners."""
+    document = fetch_document(socket, "slow", as_json)
+    if document is None:
         return
-    count = sum(row["slow_s"] is not None for row in found["rows"])
+    count = sum(row["slow_s"] is not None for row in document["rows"])
     click.echo(
-        f"{found['relay']}: {count} of {found['total']} partners slow; {found['usual_ms']} ms of slot time are usual"
-    )
-    table(
-        found["rows"],
-        {
-            "partner": "partner",
-            "slow for s": "slow_s",
-            "slot ms": "slot_ms",
-            "out": "out",
-            "times": "entered",
-            "why": "why",
-        },
-        rows,
+        f"{document['relay']}: {count} of {document['total']} partners slow; "
+        f"{document['usual_ms']} ms of slot time are usual"
     )
+    print_table(document["rows"], SLOW_COLUMNS, rows)
 
 
-@command.command()
+@command.command(help="The page that a scraper reads, in the Prometheus text format.")
 @SOCKET
 def metrics(socket: Path) -> None:
-    """The page that a scraper reads, in the Prometheus text format."""
+    """Show the metrics."""
     click.echo(fetch(socket, "metrics").decode(), nl=False)
--- a/linnetstile/cli/standin.py
+++ b/linnetstile/cli/standin.py
@@ -1,4 +1,4 @@
-"""linnetstile standin partner|register|client"""
+"""The sub-command `linnetstile standin partner|register|client`: runs an emulator."""
 
 from __future__ import annotations
 
@@ -9,68 +9,69 @@
 
 import click
 
-from .common import FILE, settings
+from .common import FILE, load_settings
 
 
-@click.group()
+@click.group(help="Run a stand-in from a spec file (YAML). Each tells its ports in one JSON line and ends on SIGTERM.")
 def command() -> None:
-    """Run a stand-in from a spec file (YAML). Each tells its ports in one JSON line and ends on SIGTERM."""
+    """Run an emulator from its settings file."""
 
 
 async def _until_stopped() -> None:
+    """Wait for SIGTERM or SIGINT."""
     stop = asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
         asyncio.get_running_loop().add_signal_handler(number, stop.set)
     await stop.wait()
 
 
-@command.command()
+@command.command(help="Partners with endpoints, limits, an effects ledger and scripted faults.")
 @click.argument("file", type=FILE)
 def partner(file: Path) -> None:
-    """Partners with endpoints, limits, an effects ledger and scripted faults."""
+    """Run the partner emulator."""
     from ..emulators.partner import PartnersSpec, Stand
 
-    spec = settings(file, PartnersSpec)
+    spec = load_settings(file, PartnersSpec)
 
     async def run() -> None:
-        stand = Stand(spec)
-        click.echo(json.dumps({"ports": await stand.start()}))
+        emulator = Stand(spec)
+        click.echo(json.dumps({"ports": await emulator.start()}))
         await _until_stopped()
-        stand.close()
+        emulator.close()
         await asyncio.sleep(0)  # what the end of its connections shows goes into the record
 
     asyncio.run(run())
 
 
-@command.command()
+@command.command(help="The partner register: a whole list and a watch on changes.")
 @click.argument("file", type=FILE)
 def register(file: Path) -> None:
-    """The partner register: a whole list and a watch on changes."""
+    """Run the registry emulator."""
     from ..emulators.registry import RegisterSpec, RegisterStand
 
-    spec = settings(file, RegisterSpec)
+    spec = load_settings(file, RegisterSpec)
 
     async def run() -> None:
-        stand = RegisterStand(spec)
-        click.echo(json.dumps({"port": await stand.start()}))
+        emulator = RegisterStand(spec)
+        click.echo(json.dumps({"port": await emulator.start()}))
         await _until_stopped()
-        stand.close()
+        emulator.close()
 
     asyncio.run(run())
 
 
-@command.command()
+@command.command(help="Clients that hand messages in by a script drawn from a seed; ends when all are answered.")
 @click.argument("file", type=FILE)
 def client(file: Path) -> None:
-    """Clients that hand messages in by a script drawn from a seed; ends when all are answered."""
+    """Run the client emulator until its script has ended."""
     from ..emulators.client import ClientEmulator
     from ..emulators.client_settings import ClientSpec
 
-    spec = settings(file, ClientSpec)
+    spec = load_settings(file, ClientSpec)
 
     async def run() -> None:
-        stand = ClientEmulator(spec)
-        click.echo(json.dumps({"messages": len(stand.script)}))
-        await stand.run()
+        emulator = ClientEmulator(spec)
+        click.echo(json.dumps({"messages": len(emulator.script)}))
+        await emulator.run()
 
     asyncio.run(run())
--- a/linnetstile/emulators/client.py
+++ b/linnetstile/emulators/client.py
@@ -34,7 +34,6 @@
 LAST_ANSWER_DELAY_S = 0.3  # what may still come once all messages have ended
 CONTENT_UNIT_BYTES = 15
 RELAY_ANSWERS = ("failed", "refused")  # kinds of answer that the relay signs itself
-NOT_SUBMITTED = (WireResult.NO_CONNECTION, WireResult.NOT_SENT)
 
 
 @dataclass(slots=True, eq=False)
@@ -83,13 +82,13 @@
 
     Attributes:
         spec: Its settings.
-        record: Where its traffic goes.
+        recorder: Where its traffic goes.
         script: What it submits.
     """
 
     def __init__(self, spec: ClientSpec) -> None:
         self.spec = spec
-        self.record = Recorder(spec.record)
+        self.recorder = Recorder(spec.record)
         self.script = draw_script(spec)
         self._rng = random.Random(spec.seed + 1)
         self._loop = asyncio.get_running_loop()
@@ -117,7 +116,7 @@
                     await self._done.wait()
         self._server.close()
         self._pool.close()
-        self.record.flush()
+        self.recorder.flush()
 
     # -- submissions -----------------------------------------------------------------------------------------
 
@@ -171,7 +170,7 @@
 
     def _record_submission(self, submission: Submission, relay: str) -> None:
         plan = submission.item.plan
-        self.record.write(
+        self.recorder.write(
             MessageSubmitted(
                 submission=submission.identifier,
                 message_id=submission.item.message_id,
@@ -191,28 +190,27 @@
         if answer.head is None:
             self._lost(submission, answer.sight)
         elif answer.head.status == 202 and item.plan.asynchronous:
-            self.record.write(SubmissionAccepted(submission=submission.identifier, message_id=item.message_id))
+            self.recorder.write(SubmissionAccepted(submission=submission.identifier, message_id=item.message_id))
             self._loop.call_later(self._patience_s(item), self._receipt_overdue, submission)
         else:
             self._final_answer(submission, answer.head.status, answer.head.headers, answer.body)
 
-    def _record_lost(self, submission: Submission, wire_result: WireResult) -> None:
-        self.record.write(
-            SubmissionLost(
-                submission=submission.identifier,
-                message_id=submission.item.message_id,
-                wire_result=wire_result.value,
-            )
+    def _record_lost(self, submission: Submission, wire_result: WireResult) -> SubmissionLost:
+        lost = SubmissionLost(
+            submission=submission.identifier,
+            message_id=submission.item.message_id,
+            wire_result=wire_result.value,
         )
+        self.recorder.write(lost)
+        return lost
 
     def _lost(self, submission: Submission, wire_result: WireResult) -> None:
-        self._record_lost(submission, wire_result)
+        lost = self._record_lost(submission, wire_result)
         if submission.is_repeat:
             return
-        reached_nobody = wire_result in NOT_SUBMITTED
-        may_retry = reached_nobody or self._class(submission.item).may_repeat
+        may_retry = lost.reached_nobody or self._class(submission.item).may_repeat
         backoff_s = self._rng.uniform(*RETRY_AFTER_LOSS_S)
-        self._retry_later(submission, backoff_s, may_retry=may_retry, reached_nobody=reached_nobody)
+        self._retry_later(submission, backoff_s, may_retry=may_retry, reached_nobody=lost.reached_nobody)
 
     def _receipt_overdue(self, submission: Submission) -> None:
         """The relay accepted it and no receipt came in its time."""
@@ -225,7 +223,7 @@
     def _final_answer(self, submission: Submission, status: int, headers: http1.Headers, body: bytes) -> None:
         item = submission.item
         kind = headers.get("linnetstile-answer")
-        self.record.write(
+        self.recorder.write(
             SubmissionAnswered(
                 submission=submission.identifier,
                 message_id=item.message_id,
@@ -280,7 +278,7 @@
         item = self._items.get(int(number)) if number.isdigit() else None
         exchange.reply(200)
         if item is None:
-            self.record.write(StrayReceipt(target=head.target[:100]))
+            self.recorder.write(StrayReceipt(target=head.target[:100]))
             return
         submission = Submission(item, item.plan.relay, item.latest_submission, is_repeat=item.is_done)
         status = 503 if head.headers.get("linnetstile-answer") == "refused" else 200
--- a/linnetstile/emulators/discovery.py
+++ b/linnetstile/emulators/discovery.py
@@ -4,7 +4,7 @@
     GET /api/targets?follow=1[&since=V]  a watch: chunks of JSON lines, an empty one every two seconds
     POST /v2/finals                      notices, one JSON object a line: 204
 
-Lists and changes come from a `Source`; faults are `silent` (it sends nothing, watches stay open) and `drop`.
+Lists and changes come from a `Source`. It can fall silent (watches stay open) and break all watches.
 """
 
 from __future__ import annotations
@@ -151,7 +151,7 @@
             self.on_notice(ref, result)
 
     def _open_watch(self, writer: asyncio.StreamWriter, since: str) -> None:
-        """Send what the watch has to start from; from then on it gets what `tell` sends.
+        """Send what the watch has to start from; from then on it gets every change.
 
         Nothing is awaited in between, so that no change is lost.
         """
--- a/linnetstile/emulators/traffic_events.py
+++ b/linnetstile/emulators/traffic_events.py
@@ -5,6 +5,7 @@
 from dataclasses import MISSING, dataclass, field, fields
 from typing import Any, ClassVar, NamedTuple, Self
 
+from ..engine.attempt_outcome import WireResult
 from .clock import now_ms
 
 # Attributes whose JSON name differs; all others are written under their own name.
@@ -232,6 +233,11 @@
     message_id: str
     wire_result: str
 
+    @property
+    def reached_nobody(self) -> bool:
+        """Whether no relay can have got any of it."""
+        return self.wire_result in (WireResult.NO_CONNECTION.value, WireResult.NOT_SENT.value)
+
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class SubmissionAccepted(TrafficEvent):
--- a/linnetstile/testbed/__init__.py
+++ b/linnetstile/testbed/__init__.py
@@ -1,1 +1,1 @@
-"""Floor 4: days played through real relays, and the judge of their records."""
+"""Floor 4: days played through real relays, and the rule checker of their records."""
--- /dev/null
+++ b/linnetstile/testbed/message_rules.py
@@ -0,0 +1,205 @@
+"""The rules about messages: answers, effects, attempts at once, order."""
+
+from __future__ import annotations
+
+from collections import defaultdict
+from itertools import pairwise
+
+from ..emulators.traffic_events import MessageSubmitted, SubmissionAnswered, SubmissionLost
+from ..engine.attempt_outcome import ReceiptStatus
+from ..engine.settings import Effect, MessageClass
+from .attempts import TRANSIT_MS, AttemptRecord, MessageAtProcess
+from .recorded_traffic import RecordedTraffic, SubmissionEnd
+from .verdict import Verdict
+
+CLIENT_SLACK_MS = 250.0  # a client's own delay in reading an answer, on a machine that runs the whole fleet
+KILL_LEAD_MS = 50  # a relay may have been killed so long before a submission reached it
+ANSWERS_WITHOUT_PROMISE = ("refused", "conflict")  # a later answer may differ from these
+VALID_RECEIPTS = (
+    "none",
+    ReceiptStatus.POSITIVE.value,
+    ReceiptStatus.DUPLICATE.value,
+    ReceiptStatus.NEGATIVE.value,
+)
+
+
+# -- answers -------------------------------------------------------------------------------------------------
+
+
+class AnswerRule:
+    """Every accepted message gets one final answer, in time, and the same whenever it is asked for."""
+
+    def __init__(self, traffic: RecordedTraffic) -> None:
+        self._traffic = traffic
+        self._verdict = Verdict("answers", "every taken message gets one final answer, in time")
+        self._first_answers: dict[MessageAtProcess, SubmissionAnswered] = {}
+        self._messages_with_effect = {message.message_id for message in traffic.effects}
+
+    def check(self) -> Verdict:
+        """Look at each submission."""
+        for submission in self._traffic.submissions.values():
+            self._verdict.looked_at += 1
+            ends = self._traffic.ends.get(submission.submission, [])
+            first = ends[0] if ends else None
+            if first is None or isinstance(first, SubmissionLost):
+                self._check_missing(submission, first)
+                continue
+            self._check_number_and_time(submission, ends)
+            if first.kind not in ANSWERS_WITHOUT_PROMISE:
+                self._check_answer(submission, first)
+        return self._verdict
+
+    def _limit_ms(self, submission: MessageSubmitted) -> float:
+        return self._traffic.facts.classes[submission.message_class].deadline_ms + CLIENT_SLACK_MS
+
+    def _check_missing(self, submission: MessageSubmitted, lost: SubmissionLost | None) -> None:
+        if lost is not None and lost.reached_nobody:
+            return
+        end_ms = lost.at_ms if lost else submission.at_ms + self._limit_ms(submission)
+        processes = self._traffic.facts.processes
+        if not processes.was_killed(submission.relay, submission.at_ms - KILL_LEAD_MS, end_ms):
+            how = f"connection {lost.wire_result}" if lost else "none"
+            self._verdict.breach(f"{submission.message_id} handed to {submission.relay}: no final answer ({how})")
+
+    def _check_number_and_time(self, submission: MessageSubmitted, ends: list[SubmissionEnd]) -> None:
+        what = f"{submission.message_id} handed to {submission.relay}"
+        if len(ends) > 1 and not submission.answer_by:
+            self._verdict.breach(f"{what}: {len(ends)} final answers")
+        limit_ms = self._limit_ms(submission)
+        latency_ms = ends[0].at_ms - submission.at_ms
+        if latency_ms > limit_ms:
+            self._verdict.breach(f"{what}: answered {latency_ms - limit_ms:.0f} ms too late")
+
+    def _check_answer(self, submission: MessageSubmitted, answer: SubmissionAnswered) -> None:
+        message_id = submission.message_id
+        first = self._first_answers.setdefault(self._traffic.message_at_process(submission), answer)
+        if (first.kind, first.digest) != (answer.kind, answer.digest):
+            self._verdict.breach(f"{message_id} handed to {submission.relay} again: {answer.kind} after {first.kind}")
+        if answer.receipt not in VALID_RECEIPTS:
+            self._verdict.breach(f"{message_id}: the receipt handed on is {answer.receipt}")
+        if answer.kind == "delivered" and message_id not in self._messages_with_effect:
+            self._verdict.breach(f"{message_id}: delivered, but no partner's ledger has it")
+
+
+# -- effects -------------------------------------------------------------------------------------------------
+
+
+class EffectRule:
+    """Nothing takes effect twice, and nothing is repeated or refused that may have run."""
+
+    def __init__(self, traffic: RecordedTraffic) -> None:
+        self._traffic = traffic
+        self._verdict = Verdict("effects", "no effect twice, nothing repeated or refused that may have run")
+        self._refused_at_ms = self._refusals()
+
+    def _refusals(self) -> dict[MessageAtProcess, float]:
+        submissions = self._traffic.submissions
+        return {
+            self._traffic.message_at_process(submissions[identifier]): ends[0].at_ms
+            for identifier, ends in self._traffic.ends.items()
+            if identifier in submissions and isinstance(ends[0], SubmissionAnswered) and ends[0].kind == "refused"
+        }
+
+    def check(self) -> Verdict:
+        """Look at each message at each relay process."""
+        for message, attempts in self._traffic.attempts.items():
+            self._verdict.looked_at += 1
+            message_class = self._traffic.class_of(message.message_id)
+            if message_class is not None and message_class.effect is not Effect.IDEMPOTENT:
+                self._check_message(message, attempts, message_class)
+        return self._verdict
+
+    def _check_message(
+        self, message: MessageAtProcess, attempts: list[AttemptRecord], message_class: MessageClass
+    ) -> None:
+        effects = len(self._traffic.effects.get(message, []))
+        if effects > 1:
+            self._verdict.breach(f"{message.message_id}: took effect {effects} times by {message.process}")
+        unclear = [attempt for attempt in attempts if not attempt.proves_no_effect]
+        for attempt in attempts:
+            self._check_repeat(message, attempt, unclear, message_class)
+        # A refusal promises that coming again is harmless: only after attempts that are known not to have run.
+        refused_at_ms = self._refused_at_ms.get(message)
+        if refused_at_ms is not None and any(attempt.start_ms < refused_at_ms for attempt in unclear):
+            self._verdict.breach(f"{message.message_id}: {message.process} refused it though it may have run")
+
+    def _check_repeat(
+        self,
+        message: MessageAtProcess,
+        attempt: AttemptRecord,
+        unclear: list[AttemptRecord],
+        message_class: MessageClass,
+    ) -> None:
+        earlier = [other for other in unclear if other.start_ms < attempt.start_ms]
+        if not earlier:
+            return
+        what = f"{message.message_id}: {message.process} sent it again"
+        since_first_ms = attempt.start_ms - earlier[0].start_ms
+        if message_class.effect is Effect.NON_IDEMPOTENT:
+            self._verdict.breach(f"{what} though it may have run")
+        elif since_first_ms > message_class.deduplication_window_ms + TRANSIT_MS:
+            self._verdict.breach(f"{what} {since_first_ms:.0f} ms after the first risk")
+
+
+# -- attempts ------------------------------------------------------------------------------------------------
+
+
+def check_one_attempt(traffic: RecordedTraffic) -> Verdict:
+    """Check that a relay process has one attempt of a message in flight, and no more than allowed in all."""
+    verdict = Verdict("one-out", "never two attempts of a message at once, nor more than allowed")
+    for message, attempts in traffic.attempts.items():
+        verdict.looked_at += 1
+        for earlier, later in pairwise(attempts):
+            if _overlaps(earlier, later):
+                verdict.breach(
+                    f"{message.message_id}: {message.process} had two attempts out, "
+                    f"at {earlier.endpoint} and {later.endpoint}"
+                )
+        # A refused message comes again as a new one, with its own attempts.
+        rounds = max(1, traffic.submission_counts[message.message_id])
+        if len(attempts) > traffic.facts.max_attempts * rounds:
+            verdict.breach(f"{message.message_id}: {message.process} made {len(attempts)} attempts")
+    return verdict
+
+
+def _overlaps(earlier: AttemptRecord, later: AttemptRecord) -> bool:
+    is_end_unseen = earlier.reads_slowly and not earlier.status
+    return later.start_ms < earlier.end_ms - TRANSIT_MS and not is_end_unseen
+
+
+# -- order ---------------------------------------------------------------------------------------------------
+
+
+def check_order(traffic: RecordedTraffic) -> Verdict:
+    """Check that a message of an ordered class is sent after the end of the one before it."""
+    verdict = Verdict("order", "order is kept where a class asks for it")
+    for process, submissions in _ordered_submissions(traffic):
+        for earlier, later in pairwise(submissions):
+            verdict.looked_at += 1
+            if _is_sent_before_end(traffic, process, earlier, later):
+                verdict.breach(f"{later.message_id}: {process} sent it while {earlier.message_id} was open")
+    return verdict
+
+
+def _ordered_submissions(traffic: RecordedTraffic) -> list[tuple[str, list[MessageSubmitted]]]:
+    """Return the submissions that keep an order, by relay process, sender and receiver."""
+    queues: dict[tuple[str, str, str], list[MessageSubmitted]] = defaultdict(list)
+    for submission in traffic.submissions.values():
+        if traffic.facts.classes[submission.message_class].in_order and not submission.is_repeat:
+            process = traffic.process_of(submission)
+            queues[process, submission.sender, submission.receiver].append(submission)
+    for queue in queues.values():
+        queue.sort(key=lambda submission: submission.at_ms)
+    return [(process, queue) for (process, _, _), queue in queues.items()]
+
+
+def _is_sent_before_end(
+    traffic: RecordedTraffic, process: str, earlier: MessageSubmitted, later: MessageSubmitted
+) -> bool:
+    ends = traffic.ends.get(earlier.submission, [])
+    attempts = traffic.attempts.get(MessageAtProcess(later.message_id, process), [])
+    sent = [attempt for attempt in attempts if attempt.start_ms >= later.at_ms]
+    if not ends or not sent:
+        return False
+    has_order = earlier.at_ms + TRANSIT_MS < later.at_ms
+    return has_order and sent[0].start_ms < ends[0].at_ms - TRANSIT_MS
--- /dev/null
+++ b/linnetstile/testbed/partner_rules.py
@@ -0,0 +1,205 @@
+"""The rules about partners: drained endpoints, returns from an outage, Retry-After."""
+
+from __future__ import annotations
+
+import bisect
+from collections import defaultdict
+from dataclasses import dataclass
+
+from ..emulators.partner_limits import QUEUED_BEYOND_BUDGET
+from .attempts import TRANSIT_MS, AttemptRecord
+from .recorded_traffic import RecordedTraffic
+from .slow_start_budget import slow_start_call_budget
+from .verdict import Verdict
+
+# A return is overloaded by relays that knew of the outage if so many of its calls came from them.
+AWARE_NUMERATOR, AWARE_DENOMINATOR = 2, 3
+
+
+# -- drains --------------------------------------------------------------------------------------------------
+
+
+@dataclass(frozen=True, slots=True)
+class _Notice:
+    """What a relay process was sent about an endpoint."""
+
+    at_ms: float
+    is_ready: bool
+
+
+class DrainRule:
+    """Nothing new goes to an endpoint once its grace has passed."""
+
+    def __init__(self, traffic: RecordedTraffic) -> None:
+        self._traffic = traffic
+        self._verdict = Verdict("drains", "nothing new to an endpoint after its grace")
+        self._grace_ms = traffic.facts.safety.drain_grace_ms + TRANSIT_MS
+        self._notices = self._collect_notices()
+
+    def _collect_notices(self) -> dict[tuple[str, int], list[_Notice]]:
+        """Return what each relay process was sent about each endpoint, in the order of the times."""
+        notices: dict[tuple[str, int], list[_Notice]] = defaultdict(list)
+        known: dict[str, set[int]] = defaultdict(set)
+        for sent in self._traffic.lists:
+            process = self._traffic.process_of(sent)
+            statuses = {int(endpoint): status for endpoint, status in sent.statuses.items()}
+            if sent.is_full:
+                statuses |= dict.fromkeys(known[process] - statuses.keys(), "gone")
+            known[process] |= statuses.keys()
+            for endpoint, status in statuses.items():
+                notices[process, endpoint].append(_Notice(sent.at_ms, status == "ready"))
+        return notices
+
+    def check(self) -> Verdict:
+        """Look at each attempt."""
+        for message, attempts in self._traffic.attempts.items():
+            for attempt in attempts:
+                self._verdict.looked_at += 1
+                stopped = self._stopped_by(message.process, attempt)
+                if stopped is not None:
+                    late_ms = attempt.start_ms - stopped.at_ms
+                    self._verdict.breach(
+                        f"{message.message_id}: {message.process} sent to {attempt.endpoint} "
+                        f"{late_ms:.0f} ms after it was told to stop"
+                    )
+        return self._verdict
+
+    def _stopped_by(self, process: str, attempt: AttemptRecord) -> _Notice | None:
+        """Return the notice that forbids an attempt; None if it is allowed."""
+        notices = self._notices.get((process, attempt.endpoint), [])
+        times = [notice.at_ms for notice in notices]
+        latest = bisect.bisect_right(times, attempt.start_ms - self._grace_ms) - 1
+        if latest < 0 or notices[latest].is_ready:
+            return None
+        since = [notice for notice in notices[latest + 1 :] if notice.at_ms <= attempt.start_ms]
+        return None if any(notice.is_ready for notice in since) else notices[latest]
+
+
+# -- returns -------------------------------------------------------------------------------------------------
+
+
+@dataclass(frozen=True, slots=True)
+class _Outage:
+    partner: str
+    kind: str
+    start_ms: float
+    end_ms: float
+
+
+class ReturnRule:
+    """A partner that returns is not overloaded by relays that knew of its outage."""
+
+    def __init__(self, traffic: RecordedTraffic) -> None:
+        self._traffic = traffic
+        self._verdict = Verdict("returns", "a returning partner is not pushed over by relays that knew")
+
+    def check(self) -> Verdict:
+        """Look at each return."""
+        calls: dict[str, list[AttemptRecord]] = defaultdict(list)
+        for attempts in self._traffic.attempts.values():
+            for attempt in attempts:
+                calls[attempt.partner].append(attempt)
+        for outage in self._outages():
+            self._verdict.looked_at += 1
+            self._check_return(outage, sorted(calls[outage.partner], key=lambda call: call.start_ms))
+        return self._verdict
+
+    def _outages(self) -> list[_Outage]:
+        outages = []
+        start_ms: dict[str, float] = {}
+        for event in self._traffic.outages:
+            if event.is_on:
+                start_ms[event.partner] = event.at_ms
+            else:
+                began_ms = start_ms.get(event.partner, event.at_ms)
+                outages.append(_Outage(event.partner, event.kind, began_ms, event.at_ms))
+        return outages
+
+    def _check_return(self, outage: _Outage, calls: list[AttemptRecord]) -> None:
+        """Look at the window before each call of the slow start; the first breach is enough."""
+        rate_per_s = self._traffic.facts.partner(outage.partner).rate_per_s
+        if not rate_per_s:
+            return
+        safety = self._traffic.facts.safety
+        aware = self._aware_processes(outage, calls)
+        slow_start_end_ms = outage.end_ms + safety.slow_start_ms
+        slow_start = [call for call in calls if outage.end_ms < call.start_ms <= slow_start_end_ms]
+        for position, last in enumerate(slow_start):
+            window_start_ms = last.start_ms - safety.overload_window_ms
+            window = [call for call in slow_start[: position + 1] if call.start_ms > window_start_ms]
+            allowed = QUEUED_BEYOND_BUDGET + self._budget(rate_per_s, last.start_ms - outage.end_ms)
+            from_aware = sum(call.process in aware for call in window)
+            if len(window) > allowed and from_aware >= len(window) * AWARE_NUMERATOR / AWARE_DENOMINATOR:
+                self._verdict.breach(
+                    f"{outage.partner}: {len(window)} calls in {safety.overload_window_ms:.0f} ms, "
+                    f"{last.start_ms - outage.end_ms:.0f} ms after its return; {allowed:.1f} were allowed"
+                )
+                return
+
+    def _budget(self, rate_per_s: float, since_return_ms: float) -> float:
+        safety = self._traffic.facts.safety
+        return slow_start_call_budget(
+            rate_per_s,
+            since_return_ms,
+            safety.slow_start_fraction,
+            safety.slow_start_ms,
+            safety.overload_multiple,
+            safety.overload_window_ms,
+        )
+
+    @staticmethod
+    def _aware_processes(outage: _Outage, calls: list[AttemptRecord]) -> set[str]:
+        """Return the relay processes that met the outage."""
+        if outage.kind == "crash":  # a closed port leaves no trace at the partner: every relay is taken to have met it
+            return {call.process for call in calls}
+        return {call.process for call in calls if outage.start_ms <= call.start_ms < outage.end_ms}
+
+
+# -- Retry-After ---------------------------------------------------------------------------------------------
+
+
+@dataclass(frozen=True, slots=True)
+class _RetryAfter:
+    """A wait that a partner advertised."""
+
+    at_ms: float
+    wait_ms: float
+
+    def forbids(self, at_ms: float) -> bool:
+        return self.at_ms + TRANSIT_MS < at_ms < self.at_ms + self.wait_ms
+
+
+class RetryAfterRule:
+    """A relay process waits as long as the partner, or its endpoint, asked for."""
+
+    def __init__(self, traffic: RecordedTraffic) -> None:
+        self._traffic = traffic
+        self._verdict = Verdict("waits", "told waits are heeded")
+        self._waits: dict[tuple[str, str], list[_RetryAfter]] = defaultdict(list)
+        for answer in traffic.call_answers:
+            if answer.retry_after_ms:
+                route = self._route(answer.partner, answer.endpoint)
+                wait = _RetryAfter(answer.at_ms, answer.retry_after_ms)
+                self._waits[traffic.process_of(answer), route].append(wait)
+
+    def _route(self, partner: str, endpoint: int) -> str:
+        """Return what a wait holds for: the partner, or one endpoint where each has limits of its own."""
+        return f"{partner}/{endpoint}" if self._traffic.facts.partner(partner).separate_routes else partner
+
+    def check(self) -> Verdict:
+        """Look at each attempt."""
+        for message, attempts in self._traffic.attempts.items():
+            for attempt in attempts:
+                self._verdict.looked_at += 1
+                self._check_attempt(message.message_id, message.process, attempt)
+        return self._verdict
+
+    def _check_attempt(self, message_id: str, process: str, attempt: AttemptRecord) -> None:
+        waits = self._waits.get((process, self._route(attempt.partner, attempt.endpoint)), [])
+        broken = next((wait for wait in waits if wait.forbids(attempt.start_ms)), None)
+        if broken is not None:
+            early_ms = broken.at_ms + broken.wait_ms - attempt.start_ms
+            self._verdict.breach(
+                f"{message_id}: {process} called {attempt.partner} {early_ms:.0f} ms before "
+                f"the end of a told wait of {broken.wait_ms:.0f} ms"
+            )
--- /dev/null
+++ b/linnetstile/testbed/processes.py
@@ -0,0 +1,124 @@
+"""The child processes of a run: started, asked for their ready line, ended."""
+
+from __future__ import annotations
+
+import asyncio
+import contextlib
+import json
+import signal
+import sys
+from dataclasses import dataclass, field, replace
+from pathlib import Path
+from typing import Any
+
+from ..emulators.record import now_ms
+from ..errors import LinnetstileError
+from .relay_lifetime import ProcessEnd, RelayLifetime
+
+READY_TIMEOUT_S = 20.0  # how long a process may take to print its ready line
+END_TIMEOUT_S = 30.0
+LOG_TAIL_CHARACTERS = 400  # of the log that an error message quotes
+
+
+class PlayError(LinnetstileError):
+    """A process of the run did not start or ended by itself."""
+
+
+@dataclass(slots=True, eq=False)
+class ManagedProcess:
+    """A child process.
+
+    Attributes:
+        name: Its name in the run.
+        child: The process.
+        ready: The JSON object that it printed once it was ready.
+    """
+
+    name: str
+    child: asyncio.subprocess.Process
+    ready: dict[str, Any] = field(default_factory=dict)
+
+    @property
+    def address(self) -> str:
+        """Where a relay listens."""
+        return str(self.ready["listening"])
+
+    @property
+    def has_ended(self) -> bool:
+        """Whether the process is gone."""
+        return self.child.returncode is not None
+
+
+class ProcessGroup:
+    """All child processes of a run, and when each of them ran.
+
+    Attributes:
+        lifetimes: The processes by name, in the order of their starts.
+    """
+
+    def __init__(self, folder: Path) -> None:
+        self._folder = folder
+        self._running: list[ManagedProcess] = []
+        self.lifetimes: dict[str, list[RelayLifetime]] = {}
+
+    def log_file(self, name: str) -> Path:
+        """Return where the standard error of a process goes."""
+        return self._folder / f"{name}.log"
+
+    async def start(self, name: str, *arguments: str) -> ManagedProcess:
+        """Start `linnetstile ARGUMENTS` and wait for its ready line.
+
+        Raises:
+            PlayError: It did not print one in time.
+        """
+        with self.log_file(name).open("ab") as log:
+            child = await asyncio.create_subprocess_exec(
+                sys.executable,
+                "-m",
+                "linnetstile.cli.main",
+                *arguments,
+                stdin=asyncio.subprocess.DEVNULL,
+                stdout=asyncio.subprocess.PIPE,
+                stderr=log,
+            )
+        process = ManagedProcess(name, child)
+        self._running.append(process)
+        process.ready = await self._read_ready_line(process)
+        self.lifetimes.setdefault(name, []).append(RelayLifetime(now_ms()))
+        return process
+
+    async def _read_ready_line(self, process: ManagedProcess) -> dict[str, Any]:
+        assert process.child.stdout is not None
+        try:
+            line = await asyncio.wait_for(process.child.stdout.readline(), READY_TIMEOUT_S)
+            ready: dict[str, Any] = json.loads(line)
+        except (TimeoutError, ValueError) as error:
+            tail = self.log_file(process.name).read_text(errors="replace")[-LOG_TAIL_CHARACTERS:]
+            raise PlayError(f"{process.name} did not start: {tail.strip() or error}") from error
+        return ready
+
+    def check_running(self, process: ManagedProcess) -> None:
+        """Raise if a process ended by itself.
+
+        Raises:
+            PlayError: It did.
+        """
+        if process.has_ended:
+            raise PlayError(f"{process.name} ended by itself; see {self.log_file(process.name)}")
+
+    async def end(self, process: ManagedProcess, how: ProcessEnd) -> None:
+        """End a process of this run by its own handle, and wait until it is gone."""
+        if not process.has_ended:
+            with contextlib.suppress(ProcessLookupError):
+                process.child.send_signal(signal.SIGKILL if how is ProcessEnd.KILLED else signal.SIGTERM)
+        if lifetimes := self.lifetimes.get(process.name):
+            lifetimes[-1] = replace(lifetimes[-1], end_ms=now_ms(), end=how)
+        with contextlib.suppress(TimeoutError):
+            await asyncio.wait_for(process.child.wait(), END_TIMEOUT_S)
+        if process in self._running:
+            self._running.remove(process)
+
+    async def kill_all(self) -> None:
+        """Kill what still runs."""
+        for process in list(self._running):
+            await self.end(process, ProcessEnd.KILLED)
--- /dev/null
+++ b/linnetstile/testbed/recorded_traffic.py
@@ -0,0 +1,106 @@
+"""The traffic of a run as the rules look at it: submissions, their answers, attempts and effects."""
+
+from __future__ import annotations
+
+from collections import Counter, defaultdict
+from collections.abc import Sequence
+from typing import Any, TypeVar
+
+from ..emulators.traffic_events import (
+    CallAnswered,
+    CallBegan,
+    CallClosed,
+    CallCut,
+    CallEvent,
+    EffectApplied,
+    ListSent,
+    MessageSubmitted,
+    OutageChanged,
+    SubmissionAnswered,
+    SubmissionLost,
+    TrafficEvent,
+)
+from ..engine.settings import MessageClass
+from .attempts import MessageAtProcess, collect_attempts
+from .run_facts import RunFacts
+
+Row = dict[str, Any]  # of the record, as JSON
+SubmissionEnd = SubmissionAnswered | SubmissionLost
+E = TypeVar("E", bound=TrafficEvent)
+
+# What the rules look at; all other rows are passed over.
+PARTNER_EVENTS: dict[str, type[TrafficEvent]] = {
+    event.EVENT: event for event in (CallBegan, CallCut, CallClosed, CallAnswered, EffectApplied, OutageChanged)
+}
+CLIENT_EVENTS: dict[str, type[TrafficEvent]] = {
+    event.EVENT: event for event in (MessageSubmitted, SubmissionAnswered, SubmissionLost)
+}
+REGISTRY_EVENTS: dict[str, type[TrafficEvent]] = {ListSent.EVENT: ListSent}
+
+
+def _events(rows: Sequence[Row], kinds: dict[str, type[TrafficEvent]]) -> list[TrafficEvent]:
+    return [kinds[row["ev"]].from_row(row) for row in rows if row["ev"] in kinds]
+
+
+def _of_kind(events: Sequence[TrafficEvent], kind: type[E]) -> list[E]:
+    return [event for event in events if isinstance(event, kind)]
+
+
+class RecordedTraffic:
+    """Everything that was recorded in a run, typed and sorted out.
+
+    Attributes:
+        facts: What holds for the run as a whole.
+        submissions: Submissions by their identifiers.
+        ends: What ended each submission, in the order of the times.
+        submission_counts: Submissions of each message.
+        attempts: Attempts by message and relay process.
+        effects: The ledgers of all partners, by message and relay process.
+        call_answers: Answers of the partners.
+        outages: Begins and ends of outages of whole partners.
+        lists: Lists and changes that the registry sent.
+    """
+
+    def __init__(self, facts: Row, partners: Sequence[Row], clients: Sequence[Row], registry: Sequence[Row]) -> None:
+        """Sort the rows of a record out.
+
+        Args:
+            facts: The content of `run.json`.
+            partners: Rows of the partner emulator, in the order of the times, as all rows.
+            clients: Rows of the client emulator.
+            registry: Rows of the registry emulator.
+
+        Raises:
+            KeyError: A field is missing.
+            ValueError: A field has no valid value.
+        """
+        self.facts = RunFacts.from_json(facts)
+        client_events = _events(clients, CLIENT_EVENTS)
+        self.submissions = {each.submission: each for each in _of_kind(client_events, MessageSubmitted)}
+        self.submission_counts = Counter(each.message_id for each in self.submissions.values())
+        self._class_names = {each.message_id: each.message_class for each in self.submissions.values()}
+        self.ends: dict[str, list[SubmissionEnd]] = defaultdict(list)
+        for event in client_events:
+            if isinstance(event, (SubmissionAnswered, SubmissionLost)):
+                self.ends[event.submission].append(event)
+
+        partner_events = _events(partners, PARTNER_EVENTS)
+        self.attempts = collect_attempts(_of_kind(partner_events, CallEvent), self.facts.processes)
+        self.effects: dict[MessageAtProcess, list[EffectApplied]] = defaultdict(list)
+        for effect in _of_kind(partner_events, EffectApplied):
+            self.effects[self.message_at_process(effect)].append(effect)
+        self.call_answers = _of_kind(partner_events, CallAnswered)
+        self.outages = _of_kind(partner_events, OutageChanged)
+        self.lists = _of_kind(_events(registry, REGISTRY_EVENTS), ListSent)
+
+    def process_of(self, event: CallEvent | MessageSubmitted | ListSent) -> str:
+        """Return the relay process that an event is about."""
+        return self.facts.processes.process_at(event.relay, event.at_ms)
+
+    def message_at_process(self, event: CallEvent | MessageSubmitted) -> MessageAtProcess:
+        """Return the message of an event, as its relay process knows it."""
+        return MessageAtProcess(event.message_id, self.process_of(event))
+
+    def class_of(self, message_id: str) -> MessageClass | None:
+        """Return the class of a message; None if no client submitted it."""
+        return self.facts.classes.get(self._class_names.get(message_id, ""))
--- a/tests/emulators/test_discovery.py
+++ b/tests/emulators/test_discovery.py
@@ -13,7 +13,7 @@
 from linnetstile.platform_relay.discovery import Watch
 
 
-class Lines:
+class ListSource:
     """Three versions; the whole list is known at each, changes only after the first."""
 
     def __init__(self) -> None:
@@ -33,18 +33,18 @@
         return b"".join(self.line(n, False) for n in range(version + 1, self.version + 1)) if version else None
 
 
-async def until(done: Callable[[], object]) -> None:
+async def wait_until(done: Callable[[], object]) -> None:
     async with asyncio.timeout(8.0):
-        while not done():
+        while not done():  # noqa: ASYNC110 - the conditions are plain attributes, without an event to wait for
             await asyncio.sleep(0.005)
 
 
-async def get(port: int, target: str, most: int) -> bytes:
+async def read_response(port: int, target: str, versions: int) -> bytes:
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
     writer.write(f"GET {target} HTTP/1.1\r\n\r\n".encode())
     data = b""
     async with asyncio.timeout(3.0):
-        while data.count(b"version") < most:
+        while data.count(b"version") < versions:
             data += await reader.read(65536)
     writer.close()
     return data
@@ -52,29 +52,31 @@
 
 def test_a_watch_hears_the_list_and_changes_and_comes_again_when_it_breaks() -> None:
     async def run() -> None:
-        lines, heard = Lines(), list[EndpointList]()
-        stand = DiscoveryStand(lines)
-        port = await stand.start()
+        source, updates = ListSource(), list[EndpointList]()
+        emulator = DiscoveryStand(source)
+        port = await emulator.start()
         directory = Directory(("k",), ("z",))
-        watch = Watch(directory, ("127.0.0.1", port), heard.append, random.Random(1))
+        watch = Watch(directory, ("127.0.0.1", port), updates.append, random.Random(1))
         watch.start()
         try:
-            await until(watch.first.is_set)
-            heard.clear()
-            lines.version = 2
-            stand.tell(lines.line(2, False))
-            await until(lambda: heard)
-            assert [entry.destination for event in heard for entry in event.endpoints] == [2]
-            assert directory.knows(1) and directory.knows(2) and len(directory) == 2
-            stand.drop()
-            await until(lambda: len(stand.asked) == 2 and stand.watches)
-            stand.silent = True  # it says nothing more: the watch gives up, and what it opens anew gets no answer
-            await until(lambda: len(stand.asked) >= 4)
-            lines.version, stand.silent = 3, False
-            await until(lambda: directory.knows(3))
+            await wait_until(watch.first.is_set)
+            updates.clear()
+            source.version = 2
+            emulator.tell(source.line(2, False))
+            await wait_until(lambda: updates)
+            assert [entry.destination for event in updates for entry in event.endpoints] == [2]
+            assert directory.knows(1)
+            assert directory.knows(2)
+            assert len(directory) == 2
+            emulator.drop()
+            await wait_until(lambda: len(emulator.asked) == 2 and emulator.watches)
+            emulator.silent = True  # it says nothing more: the watch gives up, and what it opens anew gets no answer
+            await wait_until(lambda: len(emulator.asked) >= 4)
+            source.version, emulator.silent = 3, False
+            await wait_until(lambda: directory.knows(3))
         finally:
             watch.close()
-            stand.close()
+            emulator.close()
             await asyncio.sleep(0.05)
 
     asyncio.run(run())
@@ -82,16 +84,18 @@
 
 def test_changes_after_a_version_the_whole_list_and_notices() -> None:
     async def run() -> None:
-        lines, ended = Lines(), list[tuple[str, str]]()
-        lines.version = 3
-        stand = DiscoveryStand(lines)
-        stand.on_notice = lambda ref, result: ended.append((ref, result))
-        port = await stand.start()
+        source, ended = ListSource(), list[tuple[str, str]]()
+        source.version = 3
+        emulator = DiscoveryStand(source)
+        emulator.on_notice = lambda ref, result: ended.append((ref, result))
+        port = await emulator.start()
         try:
-            data = await get(port, "/api/targets?follow=1&since=1", 2)
-            assert b'"version": 2' in data and b'"version": 3' in data and b'"full": true' not in data
-            assert b'"full": true' in await get(port, "/api/targets?follow=1&since=0", 1)
-            assert lines.whole() in await get(port, "/api/targets", 1)
+            data = await read_response(port, "/api/targets?follow=1&since=1", 2)
+            assert b'"version": 2' in data
+            assert b'"version": 3' in data
+            assert b'"full": true' not in data
+            assert b'"full": true' in await read_response(port, "/api/targets?follow=1&since=0", 1)
+            assert source.whole() in await read_response(port, "/api/targets", 1)
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
             body = b'{"ref":"a","result":"dead"}\n{"ref":"b","result":"bounced"}\n'
             writer.write(b"POST /v2/finals HTTP/1.1\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body))
@@ -99,7 +103,7 @@
             assert ended == [("a", "dead"), ("b", "bounced")]
             writer.close()
         finally:
-            stand.close()
+            emulator.close()
             await asyncio.sleep(0.05)
 
     asyncio.run(run())
--- a/tests/testbed/test_play.py
+++ b/tests/testbed/test_play.py
@@ -57,16 +57,18 @@
 
 
 def test_a_short_day_is_played_judged_and_cleaned_up(tmp_path: Path) -> None:
-    done = play(tmp_path, DAY)
-    assert done.returncode == 0, done.stdout + done.stderr
-    verdict = json.loads(done.stdout)
-    assert all(rule["kept"] for rule in verdict["rules"]) and verdict["messages"] > 60
+    result = play(tmp_path, DAY)
+    assert result.returncode == 0, result.stdout + result.stderr
+    verdict = json.loads(result.stdout)
+    assert all(rule["kept"] for rule in verdict["rules"])
+    assert verdict["messages"] > 60
     assert verdict["by_answer"]["delivered"] > 0.7 * verdict["messages"]
     facts = json.loads((tmp_path / "record" / "run.json").read_text())
     assert [life[2] for life in facts["relays"]["r2"]] == ["killed", "stopped"]
     assert "knowledge_snapshot_read" in (tmp_path / "record" / "r2.log").read_text()
     again = play(tmp_path, DAY)
-    assert again.returncode == 2 and "expected a new or empty folder" in again.stderr
+    assert again.returncode == 2
+    assert "expected a new or empty folder" in again.stderr
 
 
 def test_the_same_seed_draws_the_same_script() -> None:
