--- a/linnetstile/platform_relay/config.py
+++ b/linnetstile/platform_relay/config.py
@@ -14,7 +14,7 @@
 from ..config import platform
 
 Address = tuple[str, int]
-HOST = re.compile(r"[0-9A-Za-z_][0-9A-Za-z_.-]{0,252}\Z")
+HOST_PATTERN = re.compile(r"[0-9A-Za-z_][0-9A-Za-z_.-]{0,252}\Z")
 
 
 class ConfigError(ValueError):
@@ -29,22 +29,22 @@
 
 
 @dataclass(frozen=True, slots=True)
-class NodeSettings:
+class RelaySettings:
     name: str
     listen: Address
     discovery: Address
     state: Path
     seed: int
     limits: Limits
-    known: dict[str, Any]  # in discovery's form; may be old
-    module: Settings
+    known_list: dict[str, Any]  # in discovery's form; may be old
+    engine_settings: Settings
     zones: tuple[str, ...]
-    report: tuple[str, ...] = ()  # names in a load report, in the module's order
+    load_report_fields: tuple[str, ...] = ()  # names in a load report, in the module's order
 
 
-def address(text: object, where: str) -> Address:
+def parse_address(text: object, where: str) -> Address:
     host, colon, port = str(text).rpartition(":")
-    good = colon and HOST.match(host) and port.isascii() and port.isdigit() and len(port) < 6
+    good = colon and HOST_PATTERN.match(host) and port.isascii() and port.isdigit() and len(port) < 6
     if not good or int(port) > 65535:
         raise ConfigError(f"{where}: expected HOST:PORT, found {text!r}")
     return host, int(port)
@@ -64,7 +64,7 @@
     return float(value)
 
 
-def load(environ: Mapping[str, str]) -> NodeSettings:
+def load(environ: Mapping[str, str]) -> RelaySettings:
     """Reads and checks all of it. Raises ConfigError."""
     path = environ.get("GW_CONFIG", "")
     if not path:
@@ -81,7 +81,7 @@
         raise ConfigError(f"{path}: {error}") from None
 
 
-def _settings(raw: Any, environ: Mapping[str, str]) -> NodeSettings:
+def _settings(raw: Any, environ: Mapping[str, str]) -> RelaySettings:
     if not isinstance(raw, dict):
         raise ConfigError("expected an object")
     for field in ("limits", "known", "settings"):
@@ -106,10 +106,10 @@
         module = one_a_call(platform.settings_from(settings))
     except platform.SettingsError as error:
         raise ConfigError(f"settings: {error}") from error
-    return NodeSettings(
+    return RelaySettings(
         str(raw.get("name") or environ.get("GW_NAME", "relay")),
-        address(raw.get("listen") or environ.get("GW_LISTEN"), "listen"),
-        address(raw.get("discovery") or environ.get("GW_DISCOVERY"), "discovery"),
+        parse_address(raw.get("listen") or environ.get("GW_LISTEN"), "listen"),
+        parse_address(raw.get("discovery") or environ.get("GW_DISCOVERY"), "discovery"),
         Path(state),
         seed,
         Limits(
--- a/linnetstile/platform_relay/calls.py
+++ b/linnetstile/platform_relay/endpoint_client.py
@@ -11,13 +11,13 @@
 from ..engine.engine import KEPT
 from ..engine.resource_limits import MAX_BODY_BYTES, MAX_HEAD_BYTES, ResourceLimits
 from ..net import client
-from .config import NodeSettings
+from .config import RelaySettings
 from .directory import EndpointAddress
 
-Done = Callable[[AttemptVerdict, tuple[float, ...], bool], None]  # the last: its connection was a kept one
+AttemptCallback = Callable[[AttemptVerdict, tuple[float, ...], bool], None]  # the last: its connection was a kept one
 
 
-def wait_ms(headers: http1.Headers) -> float | None:
+def parse_retry_after_ms(headers: http1.Headers) -> float | None:
     """Retry-After of an endpoint: seconds, whole or decimal."""
     try:
         value = float(headers.get("retry-after")) * 1000
@@ -26,7 +26,7 @@
     return value if math.isfinite(value) else None
 
 
-def report(headers: http1.Headers, names: tuple[str, ...]) -> tuple[float, ...]:
+def parse_load_report(headers: http1.Headers, names: tuple[str, ...]) -> tuple[float, ...]:
     """The load report in the order of the settings; empty if there is none that can be read."""
     text = headers.get("x-backend-load") if names else ""
     try:
@@ -37,10 +37,10 @@
     return values if all(map(math.isfinite, values)) else ()
 
 
-class Calls:
-    def __init__(self, settings: NodeSettings, bounds: ResourceLimits) -> None:
-        module = settings.module
-        self.names = settings.report
+class EndpointClient:
+    def __init__(self, settings: RelaySettings, bounds: ResourceLimits) -> None:
+        module = settings.engine_settings
+        self.load_report_fields = settings.load_report_fields
         idle_s = module.idle_timeout_ms * KEPT / 1000 if module.idle_timeout_ms else 5.0  # the module counts on no more
         self.pool = client.Pool(
             module.connect_timeout_ms / 1000 or 1.5,
@@ -59,7 +59,7 @@
         hold_ms: float,
         begin_ms: float,
         due_ms: float,
-        done: Done,
+        done: AttemptCallback,
     ) -> client.Call:
         """Begins one attempt that is given up after `left_ms`, its last byte held back for `hold_ms` and not
         written after `begin_ms` from now; `done` is called once, and not from within. The message's time is up in
@@ -73,19 +73,19 @@
             seen = AttemptObservation(
                 answer.sight,
                 head.status if head else 0,
-                wait_ms(head.headers) if head else None,
+                parse_retry_after_ms(head.headers) if head else None,
                 request_complete=answer.whole,
                 after_deadline=self.pool.loop.time() >= due,
             )
             no_slot = head is not None and head.headers.get("slots-taken") == "1"
             done(
                 judge_endpoint_attempt(seen, answer.claimed, no_slot),
-                report(head.headers, self.names) if head else (),
+                parse_load_report(head.headers, self.load_report_fields) if head else (),
                 answer.reused,
             )
 
         return self.pool.call(
-            (place.host, place.port, place.number),
+            (place.host, place.port, place.id),
             "POST",
             http1.request_parts("POST", "/events", headers, body),
             ended,
@@ -95,7 +95,7 @@
         )
 
     def close_idle(self, place: EndpointAddress) -> None:
-        self.pool.close_idle((place.host, place.port, place.number))
+        self.pool.close_idle((place.host, place.port, place.id))
 
     def close(self) -> None:
         self.pool.close()
--- a/linnetstile/platform_relay/journal.py
+++ b/linnetstile/platform_relay/journal.py
@@ -143,37 +143,37 @@
     """`add` records, then `flush`: what was added before a flush that returned True outlives the process."""
 
     folder: Path
-    most: int  # bytes of the file from which on it is written anew
+    compaction_bytes: int  # bytes of the file from which on it is written anew
     size: int = 0
-    live: int = 0  # bytes of the messages held
+    message_bytes: int = 0  # bytes of the messages held
     failed: int = 0  # writes that failed
-    damaged: int = 0  # bytes that an earlier process left and that could not be read
+    damaged_bytes: int = 0  # bytes that an earlier process left and that could not be read
     error: str = ""
-    _file: int = -1
-    _added: list[bytes] = field(default_factory=list)
+    _descriptor: int = -1
+    _unwritten: list[bytes] = field(default_factory=list)
 
     def open(self) -> dict[int, JournaledMessage]:
         """Reads what an earlier process left and goes on from there. Raises OSError."""
         path = self.folder / "journal"
         (self.folder / "journal.new").unlink(missing_ok=True)
-        kept, self.damaged = replay(path.read_bytes()) if path.exists() else ({}, 0)
+        kept, self.damaged_bytes = replay(path.read_bytes()) if path.exists() else ({}, 0)
         self.rewrite(kept.values())
-        if self._file < 0:  # no room for another: this one goes on, and is rewritten as soon as there is
-            self._file = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_APPEND | os.O_CLOEXEC, 0o600)
-            self.size = self.most + 1
+        if self._descriptor < 0:  # no room for another: this one goes on, and is rewritten as soon as there is
+            self._descriptor = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_APPEND | os.O_CLOEXEC, 0o600)
+            self.size = self.compaction_bytes + 1
         return kept
 
     def add(self, record: bytes) -> None:
-        self._added.append(record)
+        self._unwritten.append(record)
 
     def flush(self) -> bool:
         """One write for all that was added; False if the disk would not take it, and then nothing of it counts. What
         had happened all the same, as ends and notices do, is only in memory then: the file is to be written anew."""
-        if not self._added:
+        if not self._unwritten:
             return True
-        data, self._added = b"".join(self._added), []
+        data, self._unwritten = b"".join(self._unwritten), []
         try:
-            done = os.write(self._file, data)
+            done = os.write(self._descriptor, data)
             if done == len(data):
                 self.size += done
                 return True
@@ -182,8 +182,8 @@
             self.error = error.strerror or repr(error)
         self.failed += 1
         with contextlib.suppress(OSError):  # half a record is no promise: reading would only have to search past it
-            os.ftruncate(self._file, min(self.size, os.fstat(self._file).st_size))
-        self.size = self.most + 1
+            os.ftruncate(self._descriptor, min(self.size, os.fstat(self._descriptor).st_size))
+        self.size = self.compaction_bytes + 1
         return False
 
     @staticmethod
@@ -192,8 +192,8 @@
         return len(each.body) + JOURNAL_OVERHEAD_BYTES
 
     @property
-    def full(self) -> bool:
-        return self.size > self.most
+    def needs_rewrite(self) -> bool:
+        return self.size > self.compaction_bytes
 
     def rewrite(self, kept: Iterable[JournaledMessage]) -> None:
         """Writes what is owed into a new file, which takes the place of the old one as a whole or not at all."""
@@ -213,11 +213,11 @@
             self.failed += 1
             self.error = error.strerror or str(error)
             return
-        if self._file >= 0:
-            os.close(self._file)
-        self._file, self.size = file, len(data)
+        if self._descriptor >= 0:
+            os.close(self._descriptor)
+        self._descriptor, self.size = file, len(data)
 
     def close(self) -> None:
-        if self._file >= 0:
-            os.close(self._file)
-            self._file = -1
+        if self._descriptor >= 0:
+            os.close(self._descriptor)
+            self._descriptor = -1
--- a/linnetstile/platform_relay/notices.py
+++ b/linnetstile/platform_relay/notices.py
@@ -20,68 +20,68 @@
 
     def __init__(self, where: Address, done: Callable[[list[int]], None], rng: random.Random) -> None:
         self.loop = asyncio.get_running_loop()
-        self.where, self.done, self.rng = where, done, rng
+        self.address, self.on_delivered, self.rng = where, done, rng
         self.pool = client.Pool(NOTICE_TIMEOUT_S, 30.0)
-        self.owed: dict[int, bytes] = {}
-        self.posting: list[int] = []
-        self.fails = 0
-        self.one_by_one = False  # a post was refused as unreadable: the notice at fault is found alone
-        self.refused = self.posted = 0
+        self.pending: dict[int, bytes] = {}
+        self.in_flight: list[int] = []
+        self.failures = 0
+        self.sends_singly = False  # a post was refused as unreadable: the notice at fault is found alone
+        self.rejected_count = self.delivered_count = 0
         self.timer: asyncio.TimerHandle | None = None
 
     def post(self, number: int, notice: dict[str, Any]) -> None:
-        self.owed[number] = json.dumps(notice, separators=(",", ":")).encode() + b"\n"
-        if not self.posting and self.timer is None:
-            self.timer = self.loop.call_later(0, self._go)
+        self.pending[number] = json.dumps(notice, separators=(",", ":")).encode() + b"\n"
+        if not self.in_flight and self.timer is None:
+            self.timer = self.loop.call_later(0, self._send)
 
     def move(self, where: Address) -> None:
         """Another address is in force: the next post goes there, one that waits goes now."""
-        self.pool.close_idle(self.where)
-        self.where, self.fails = where, 0
+        self.pool.close_idle(self.address)
+        self.address, self.failures = where, 0
         if self.timer is not None:
             self.timer.cancel()
-            self.timer = self.loop.call_later(0, self._go)
+            self.timer = self.loop.call_later(0, self._send)
 
-    def _go(self) -> None:
+    def _send(self) -> None:
         self.timer = None
         size = 0
-        for number, line in self.owed.items():
+        for number, line in self.pending.items():
             size += len(line)
-            if self.posting and (size > MAX_BODY_BYTES or self.one_by_one):
+            if self.in_flight and (size > MAX_BODY_BYTES or self.sends_singly):
                 break
-            self.posting.append(number)
-        if not self.posting:
+            self.in_flight.append(number)
+        if not self.in_flight:
             return
-        body = b"".join(self.owed[number] for number in self.posting)
-        headers = [("Host", f"{self.where[0]}:{self.where[1]}"), ("Content-Type", "application/x-ndjson")]
+        body = b"".join(self.pending[number] for number in self.in_flight)
+        headers = [("Host", f"{self.address[0]}:{self.address[1]}"), ("Content-Type", "application/x-ndjson")]
         self.pool.call(
-            self.where,
+            self.address,
             "POST",
             http1.request("POST", "/v2/finals", headers, body),
-            self._answered,
+            self._on_answer,
             self.loop.time() + NOTICE_TIMEOUT_S,
         )
 
-    def _answered(self, answer: client.Answer) -> None:
-        posted, self.posting = self.posting, []
+    def _on_answer(self, answer: client.Answer) -> None:
+        posted, self.in_flight = self.in_flight, []
         status = answer.head.status if answer.sight is WireResult.ANSWERED and answer.head else 0
         if 200 <= status < 300 or status == 400 and len(posted) == 1:
-            self.fails = 0
-            self.refused += status == 400
-            self.posted += status != 400
+            self.failures = 0
+            self.rejected_count += status == 400
+            self.delivered_count += status != 400
             for number in posted:
-                del self.owed[number]
-            self.done(posted)
+                del self.pending[number]
+            self.on_delivered(posted)
         else:
-            self.one_by_one = status == 400
-            self.fails += 1
-        if not self.owed:
-            self.one_by_one = False
+            self.sends_singly = status == 400
+            self.failures += 1
+        if not self.pending:
+            self.sends_singly = False
             return
         pause = (
-            backoff_ms(self.fails, NOTICE_BACKOFF_MS, self.rng) / 1000 if self.fails and not self.one_by_one else 0.0
+            backoff_ms(self.failures, NOTICE_BACKOFF_MS, self.rng) / 1000 if self.failures and not self.sends_singly else 0.0
         )
-        self.timer = self.loop.call_later(pause, self._go)
+        self.timer = self.loop.call_later(pause, self._send)
 
     def close(self) -> None:
         if self.timer:
--- a/linnetstile/platform_relay/process.py
+++ b/linnetstile/platform_relay/process.py
@@ -14,7 +14,7 @@
 from .config import ConfigError, load
 from .relay import PlatformRelay
 
-STATS_S = 5.0
+STATS_INTERVAL_S = 5.0
 
 
 def log(event: str, **fields: object) -> None:
@@ -26,60 +26,60 @@
         pass
 
 
-class Stats:
+class StatsReporter:
     """What the relay believes, every few seconds: to hold against the traffic."""
 
-    def __init__(self, node: PlatformRelay) -> None:
-        self.node = node
-        self.cpu = time.process_time()
-        self.before: dict[str, int] = {}
-        self.due = node.loop.time() + STATS_S
-        node.loop.call_at(self.due, self._tell)
+    def __init__(self, relay: PlatformRelay) -> None:
+        self.relay = relay
+        self.last_cpu_s = time.process_time()
+        self.last_counts: dict[str, int] = {}
+        self.due_at = relay.loop.time() + STATS_INTERVAL_S
+        relay.loop.call_at(self.due_at, self._tell)
 
     def _tell(self) -> None:
-        node = self.node
-        cpu, late = time.process_time(), node.loop.time() - self.due
-        counts = dict(node.counts)
-        routes = [route for routes in node.relay.routes.values() for route in routes.values()]
+        relay = self.relay
+        cpu, late = time.process_time(), relay.loop.time() - self.due_at
+        counts = dict(relay.counts)
+        routes = [route for routes in relay.engine.routes.values() for route in routes.values()]
         log(
             "stats",
-            cpu=round(cpu - self.cpu, 2),
+            cpu=round(cpu - self.last_cpu_s, 2),
             late_ms=round(late * 1000, 1),
-            held=len(node.carried),
-            busy=node.relay.in_flight,
-            notices=len(node.owed),
-            clients=len(node.front.server.open),
-            bad=node.front.bad,
-            calls=len(node.calls.pool.open),
-            idle=node.calls.pool.resting,
+            held=len(relay.accepted),
+            busy=relay.engine.in_flight,
+            notices=len(relay.pending_notices),
+            clients=len(relay.frontend.server.open),
+            bad=relay.frontend.bad_requests,
+            calls=len(relay.endpoint_client.pool.open),
+            idle=relay.endpoint_client.pool.resting,
             sick=sum(route.ejected for route in routes),
-            journal=node.journal.size,
+            journal=relay.journal.size,
             memory_mb=resource.getrusage(resource.RUSAGE_SELF).ru_maxrss >> 10,
-            since={k: v - self.before.get(k, 0) for k, v in counts.items() if v != self.before.get(k, 0)},
+            since={k: v - self.last_counts.get(k, 0) for k, v in counts.items() if v != self.last_counts.get(k, 0)},
             watch={
-                "opened": node.watch.opened,
-                "garbled": node.watch.spoilt,
-                "skipped": node.directory.skipped,
-                "endpoints": len(node.directory),
+                "opened": relay.watch.watches_opened,
+                "garbled": relay.watch.lists_rejected,
+                "skipped": relay.directory.skipped_entries,
+                "endpoints": len(relay.directory),
             },
-            front=node.front.server.counts,
-            pool=node.calls.pool.counts,
+            front=relay.frontend.server.counts,
+            pool=relay.endpoint_client.pool.counts,
         )
-        self.cpu, self.before = cpu, counts
-        self.due = node.loop.time() + STATS_S
-        node.loop.call_at(self.due, self._tell)
+        self.last_cpu_s, self.last_counts = cpu, counts
+        self.due_at = relay.loop.time() + STATS_INTERVAL_S
+        relay.loop.call_at(self.due_at, self._tell)
 
 
-def reload(node: PlatformRelay) -> None:
+def reload(relay: PlatformRelay) -> None:
     """SIGHUP: the configuration file is read again; one that can't be used leaves all as it was."""
     try:
         settings = load(os.environ)
     except ConfigError as error:
         log("config_refused", why=str(error))
         return
-    if settings.discovery != node.watch.where:
-        node.move(settings.discovery)
-    if settings.module != node.s.module or settings.listen != node.s.listen:
+    if settings.discovery != relay.watch.address:
+        relay.move_discovery(settings.discovery)
+    if settings.engine_settings != relay.settings.engine_settings or settings.listen != relay.settings.listen:
         log("config_waits", why="settings and listen take effect at the next start")
 
 
@@ -98,9 +98,9 @@
         print(f"linnetstile node: {error}", file=sys.stderr)
         return 2
     try:
-        node = PlatformRelay(settings, log)
+        relay = PlatformRelay(settings, log)
         del settings  # it holds the known list, which the relay lets go of
-        await node.start()
+        await relay.start()
     except OSError as error:
         print(f"linnetstile node: can't start: {error}", file=sys.stderr)
         return 3
@@ -109,19 +109,19 @@
         lambda _, told: log("fault", why=told.get("message", ""), error=repr(told.get("exception")))
     )
     for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, node.leave)
-    loop.add_signal_handler(signal.SIGHUP, reload, node)
+        loop.add_signal_handler(number, relay.begin_shutdown)
+    loop.add_signal_handler(signal.SIGHUP, reload, relay)
     if signal.SIGHUP in pending:
-        reload(node)
+        reload(relay)
     told = [pending[number] for number in (signal.SIGTERM, signal.SIGINT) if number in pending]
     if told:
-        node.leave(min(told))  # the platform's time to the kill counts from there
+        relay.begin_shutdown(min(told))  # the platform's time to the kill counts from there
     gc.collect()
     gc.freeze()  # what a start made stays: collections look at what came since
-    Stats(node)
-    await node.over.wait()
-    log("ends", held=len(node.carried), notices=len(node.owed))
-    node.close()
+    StatsReporter(relay)
+    await relay.stopped.wait()
+    log("ends", held=len(relay.accepted), notices=len(relay.pending_notices))
+    relay.close()
     await asyncio.sleep(0)
     return 0
 
--- a/linnetstile/platform_relay/relay.py
+++ b/linnetstile/platform_relay/relay.py
@@ -34,11 +34,11 @@
 from ..net import client, server
 from ..net.engine_loop import EngineLoop
 from . import journal
-from .calls import Calls
-from .config import Address, NodeSettings
+from .endpoint_client import EndpointClient
+from .config import Address, RelaySettings
 from .directory import Directory, EndpointAddress, InvalidListError
 from .discovery import Watch
-from .http_frontend import HttpFrontend, Submission, answer
+from .http_frontend import HttpFrontend, Submission, reply
 from .journal import Journal, JournaledMessage
 from .notices import NoticeSender
 
@@ -88,40 +88,40 @@
 class PlatformRelay:
     """Start with `start`, end with `leave`; `over` is set when the process may end."""
 
-    def __init__(self, settings: NodeSettings, log: Callable[..., None]) -> None:
-        self.s, self.log = settings, log
+    def __init__(self, settings: RelaySettings, log: Callable[..., None]) -> None:
+        self.settings, self.log = settings, log
         self.loop = asyncio.get_running_loop()
         self.rng = random.Random(settings.seed)
-        module = settings.module
-        self.bounds = resource_limits(settings.limits.sockets, settings.limits.disk_mb * 1e6, module.max_in_flight)
-        self.relay = DeliveryEngine(
+        module = settings.engine_settings
+        self.limits = resource_limits(settings.limits.sockets, settings.limits.disk_mb * 1e6, module.max_in_flight)
+        self.engine = DeliveryEngine(
             replace(module, classes=(*module.classes, unknown_class(module.classes))), settings.seed
         )
         self.directory = Directory(tuple(kind.name for kind in module.kinds), settings.zones)
-        self.journal = Journal(settings.state, self.bounds.compaction_bytes)
+        self.journal = Journal(settings.state, self.limits.compaction_bytes)
         self.watch = Watch(self.directory, settings.discovery, self._listed, self.rng, log)
-        self.finals = NoticeSender(settings.discovery, self._noticed, self.rng)
-        self.calls = Calls(settings, self.bounds)
-        self.front = HttpFrontend(module, self.bounds, self._take, lambda: self.ready)
-        self.carried: dict[int, AcceptedMessage] = {}
-        self.owed: dict[int, JournaledMessage] = {}  # notices
+        self.notice_sender = NoticeSender(settings.discovery, self._noticed, self.rng)
+        self.endpoint_client = EndpointClient(settings, self.limits)
+        self.frontend = HttpFrontend(module, self.limits, self._take, lambda: self.ready)
+        self.accepted: dict[int, AcceptedMessage] = {}
+        self.pending_notices: dict[int, JournaledMessage] = {}  # notices
         self.behind: dict[int, Send] = {}  # by order: goes once the platform has the end of the one before
         self.idents = SubmissionIds()
-        self.turns = EngineLoop(self.relay, self._turn)
-        self._tell = self.turns.post
+        self.engine_loop = EngineLoop(self.engine, self._turn)
+        self._tell = self.engine_loop.post
         self.fresh: list[AcceptedMessage] = []  # handed in since the last turn
         self.last = 0
         self.ready = False
         self.left: float | None = None  # loop time, s, of the signal to end
-        self.over = asyncio.Event()
+        self.stopped = asyncio.Event()
         self.counts: dict[str, int] = {}
 
     async def start(self) -> None:
         """Reads what is owed, listens, hears of the endpoints. Raises OSError."""
-        self.s.state.mkdir(parents=True, exist_ok=True)
+        self.settings.state.mkdir(parents=True, exist_ok=True)
         kept = self.journal.open()
         self._known()
-        await self.front.start(*self.s.listen)
+        await self.frontend.start(*self.settings.listen)
         self.watch.start()
         if not await self._settled():  # what is owed goes on once the list is there: a known one may be old
             self.log("discovery_silent", known=len(self.directory))
@@ -129,18 +129,18 @@
         self.ready = True
         self.log(
             "ready",
-            listening=client.shown(self.s.listen),
+            listening=client.shown(self.settings.listen),
             endpoints=len(self.directory),
-            resumed=len(self.carried),
-            notices=len(self.owed),
-            damaged=self.journal.damaged,
+            resumed=len(self.accepted),
+            notices=len(self.pending_notices),
+            damaged=self.journal.damaged_bytes,
         )
 
     async def _settled(self) -> bool:
         """Whether discovery has told its list, as long as that may be waited for."""
         began = self.loop.time()
         while not self.watch.first.is_set():
-            most = LONG_LIST_GRACE_S if self.watch.reading else DISCOVERY_GRACE_S
+            most = LONG_LIST_GRACE_S if self.watch.is_reading_list else DISCOVERY_GRACE_S
             left = began + most - self.loop.time()
             if left <= 0:
                 return False
@@ -150,22 +150,22 @@
 
     def _known(self) -> None:
         with contextlib.suppress(InvalidListError):  # the platform knows none
-            self._listed(self.directory.take(self.s.known, cached=True))
-        self.s = replace(self.s, known={})  # as text it takes ten times the room of the directory
+            self._listed(self.directory.take(self.settings.known_list, cached=True))
+        self.settings = replace(self.settings, known_list={})  # as text it takes ten times the room of the directory
 
     def _resume(self, kept: dict[int, JournaledMessage]) -> None:
         """What an earlier process left: messages go to the module, notices to the platform."""
-        unix, names = unix_ms(), self.front.reader
+        unix, names = unix_ms(), self.frontend.reader
         for ident, each in kept.items():
             self.last = max(self.last, ident)
             if each.notice is not None:
-                self.owed[ident] = each
-                self.finals.post(ident, each.notice)
+                self.pending_notices[ident] = each
+                self.notice_sender.post(ident, each.notice)
                 continue
             fields = each.fields
-            carried = self.carried[ident] = AcceptedMessage(each)
+            carried = self.accepted[ident] = AcceptedMessage(each)
             self.idents.add(carried.ident)
-            self.journal.live += self.journal.weight(each)
+            self.journal.message_bytes += self.journal.weight(each)
             # The settings may have changed since: names go by what they are now, and what has none charges nobody.
             class_ = names.classes.get(fields["class"], len(names.classes))
             tenant = names.tenants.get(fields["tenant"], len(names.tenants))
@@ -191,7 +191,7 @@
 
     @property
     def now(self) -> float:
-        return self.turns.now
+        return self.engine_loop.now
 
     def count(self, what: str) -> None:
         self.counts[what] = self.counts.get(what, 0) + 1
@@ -210,10 +210,10 @@
         self._send_all(sends)
         for action in actions:  # what has just gone out may be on a connection that was idle
             if isinstance(action, CloseIdle) and (place := self.directory.place(action.endpoint)):
-                self.calls.close_idle(place)
+                self.endpoint_client.close_idle(place)
         self.journal.flush()
-        if self.journal.full:
-            self.journal.rewrite([*(carried.kept for carried in self.carried.values()), *self.owed.values()])
+        if self.journal.needs_rewrite:
+            self.journal.rewrite([*(carried.kept for carried in self.accepted.values()), *self.pending_notices.values()])
 
     def _act(self, action: Action) -> None:
         match action:
@@ -222,12 +222,12 @@
             case Fail(ident):
                 self._over(ident, False, 0.0)
             case Cancel(ident, number):
-                attempt = self.carried[ident].attempt if ident in self.carried else None
+                attempt = self.accepted[ident].attempt if ident in self.accepted else None
                 if attempt and attempt.number == number and attempt.call:
                     attempt.call.abort(WireResult.CANCELLED)
             case CancelIfUnsent(ident):
-                if ident in self.carried:
-                    self._recall(self.carried[ident])
+                if ident in self.accepted:
+                    self._recall(self.accepted[ident])
             case Log(text):
                 self.log("module", text=text)
 
@@ -241,14 +241,14 @@
 
     def _over(self, ident: int, refused: bool, stay_ms: float) -> None:
         """The module has given it up: its client is told, or the platform where the client has its answer already."""
-        carried = self.carried[ident]
+        carried = self.accepted[ident]
         self.count("refused" if refused else "failed")
         if carried.exchange is not None:
-            answer(
+            reply(
                 carried.exchange,
                 503 if refused else 500,
                 "refused" if refused else "failed",
-                close=self.front.closing,
+                close=self.frontend.is_closing,
                 wait_ms=stay_ms,
             )
             carried.exchange = None
@@ -260,19 +260,19 @@
         self._final(ident, notice)
 
     def _final(self, ident: int, notice: dict[str, object]) -> None:
-        order = self.carried[ident].order
+        order = self.accepted[ident].order
         self._forget(ident)
-        self.owed[ident] = JournaledMessage(ident, {}, b"", notice=notice, order=order)
+        self.pending_notices[ident] = JournaledMessage(ident, {}, b"", notice=notice, order=order)
         self.journal.add(journal.owed(ident, notice, order))
-        self.finals.post(ident, notice)
+        self.notice_sender.post(ident, notice)
 
     def _forget(self, ident: int) -> None:
-        carried = self.carried.pop(ident)
+        carried = self.accepted.pop(ident)
         self.idents.complete(carried.ident)
-        self.journal.live -= self.journal.weight(carried.kept)
+        self.journal.message_bytes -= self.journal.weight(carried.kept)
 
     def _noticed(self, numbers: list[int]) -> None:
-        orders = {self.owed.pop(number).order for number in numbers}
+        orders = {self.pending_notices.pop(number).order for number in numbers}
         for number in numbers:
             self.journal.add(journal.ended(number))
         self.journal.flush()
@@ -282,44 +282,44 @@
         self._tell(event)
         for entry in event.endpoints:
             if entry.status is not EndpointStatus.READY and (place := self.directory.place(entry.id)):
-                self.calls.close_idle(place)
+                self.endpoint_client.close_idle(place)
 
     # -- intake ----------------------------------------------------------------------------------------------
 
     def _take(self, exchange: server.RequestContext, hand: Submission) -> None:
         """A message that could be read: refused here only where the module could not judge it."""
-        left = hand.left_ms - (self.loop.time() - exchange.began) * 1000
-        if not self.ready or self.front.closing:
-            answer(exchange, 503, "refused: this relay is not taking messages on", close=True)
-        elif hand.ident in self.idents:
+        left = hand.remaining_ms - (self.loop.time() - exchange.began) * 1000
+        if not self.ready or self.frontend.is_closing:
+            reply(exchange, 503, "refused: this relay is not taking messages on", close=True)
+        elif hand.submission_id in self.idents:
             self.count("known")
-            answer(exchange, 409, "X-Correlation-Id: was handed in before", close=True)
+            reply(exchange, 409, "X-Correlation-Id: was handed in before", close=True)
         elif not self.directory.knows(hand.destination):
             self.count("nowhere")
-            answer(exchange, 503, "refused: no such destination is listed")
-        elif self.journal.live + len(exchange.body) > self.bounds.max_message_bytes:
+            reply(exchange, 503, "refused: no such destination is listed")
+        elif self.journal.message_bytes + len(exchange.body) > self.limits.max_message_bytes:
             self.count("no_room")
-            answer(exchange, 503, "refused: no room to keep it")
+            reply(exchange, 503, "refused: no room to keep it")
         elif left <= 0:
             self.count("late")
-            answer(exchange, 503, "refused: its time is up")
+            reply(exchange, 503, "refused: its time is up")
         else:
             self._carry(exchange, hand, left)
 
     def _carry(self, exchange: server.RequestContext, hand: Submission, left: float) -> None:
         self.last += 1
-        unix, module = unix_ms(), self.s.module
-        tenant = module.tenants[hand.tenant].name if module.tenants else ""
-        message_class = module.classes[hand.class_]
-        order = order_number(hand.order, hand.key, message_class)
+        unix, module = unix_ms(), self.settings.engine_settings
+        tenant = module.tenants[hand.tenant_index].name if module.tenants else ""
+        message_class = module.classes[hand.class_index]
+        order = order_number(hand.ordering_key, hand.idempotency_key, message_class)
         kept = JournaledMessage(
             self.last,
             {
-                "ident": hand.ident,
+                "ident": hand.submission_id,
                 "class": message_class.name,
                 "tenant": tenant,
                 "dest": hand.destination,
-                "key": hand.key,
+                "key": hand.idempotency_key,
                 "order": order,
                 "taken": round(unix, 1),
                 "due": round(unix + left, 1),
@@ -328,20 +328,20 @@
         )
         carried = AcceptedMessage(kept, exchange)
         exchange.body = b""
-        self.carried[self.last] = carried
-        self.journal.live += self.journal.weight(kept)
-        self.idents.add(hand.ident)
+        self.accepted[self.last] = carried
+        self.journal.message_bytes += self.journal.weight(kept)
+        self.idents.add(hand.submission_id)
         self.fresh.append(carried)
         self._tell(
             Message(
                 self.last,
                 hand.destination,
-                hand.class_,
+                hand.class_index,
                 left,
-                hand.tenant,
+                hand.tenant_index,
                 order,
-                is_retry=hand.again,
-                from_dead_relay=hand.from_dead,
+                is_retry=hand.is_retry,
+                from_dead_relay=hand.from_dead_relay,
             )
         )
 
@@ -355,8 +355,8 @@
             assert exchange is not None
             if not written:
                 self.count("not_written")
-                answer(exchange, 503, "refused: it can't be kept")
-            elif answer(exchange, 202, close=self.front.closing):
+                reply(exchange, 503, "refused: it can't be kept")
+            elif reply(exchange, 202, close=self.frontend.is_closing):
                 self.count("taken")
                 continue
             else:
@@ -371,11 +371,11 @@
         begun: list[tuple[Send, AcceptedMessage, Attempt]] = []
         unix = unix_ms()
         for send in sends:
-            carried, place = self.carried.get(send.id), self.directory.place(send.endpoint)
+            carried, place = self.accepted.get(send.id), self.directory.place(send.endpoint)
             if carried is None or place is None:  # withdrawn in this turn, or the endpoint has just gone
                 self._not_sent(send, carried.kept.tries if carried else 0)
                 continue
-            if carried.order and any(notice.order == carried.order for notice in self.owed.values()):
+            if carried.order and any(notice.order == carried.order for notice in self.pending_notices.values()):
                 # The end of the one before is on its way: this call must not overtake it.
                 self.behind[carried.order] = send
                 continue
@@ -399,7 +399,7 @@
             fields = [("X-Correlation-Id", carried.ident)]
             if carried.key:
                 fields.append(("Idempotency-Key", carried.key))
-            attempt.call = self.calls.send(
+            attempt.call = self.endpoint_client.send(
                 attempt.place,
                 fields,
                 carried.kept.body,
@@ -450,18 +450,18 @@
 
     # -- signals ---------------------------------------------------------------------------------------------
 
-    def move(self, discovery: Address) -> None:
+    def move_discovery(self, discovery: Address) -> None:
         """Discovery answers at another address from now on."""
         self.log("discovery_moves", to=client.shown(discovery))
         self.watch.move(discovery)
-        self.finals.move(discovery)
+        self.notice_sender.move(discovery)
 
-    def leave(self, since: float | None = None) -> None:
+    def begin_shutdown(self, since: float | None = None) -> None:
         """SIGTERM, which came at the loop time `since`, now if not told: see decisions/leaving.py. A second one changes
         nothing."""
         if self.left is None:
             self.left = self.loop.time() if since is None else since
-            self.log("leaving", held=len(self.carried))
+            self.log("leaving", held=len(self.accepted))
             self._tell(ShutdownStarted(max(0.0, graceful_shutdown.EXIT_MS - (self.loop.time() - self.left) * 1000)))
             self._leaving()
 
@@ -469,23 +469,23 @@
         assert self.left is not None
         since = (self.loop.time() - self.left) * 1000
         now = graceful_shutdown.shutdown_phase(
-            since, since >= graceful_shutdown.EXIT_MS and self.front.server.unread
+            since, since >= graceful_shutdown.EXIT_MS and self.frontend.server.unread
         )  # a look at each connection
         if not now.admits:
-            self.front.turn_away()
+            self.frontend.stop_admitting()
         if not now.accepts:
-            self.front.deaf()
+            self.frontend.stop_accepting()
         if now.exits:
-            self.over.set()
+            self.stopped.set()
             return
         self.loop.call_later(0.05 if now.accepts else 0.01, self._leaving)
 
     def close(self) -> None:
         """Ends every connection; what is owed is in the journal."""
-        self.turns.close()  # what ends with the process is judged by the next one, from the journal
+        self.engine_loop.close()  # what ends with the process is judged by the next one, from the journal
         self.journal.flush()
         self.watch.close()
-        self.finals.close()
-        self.front.server.close()
-        self.calls.close()
+        self.notice_sender.close()
+        self.frontend.server.close()
+        self.endpoint_client.close()
         self.journal.close()
--- a/tests/platform_relay/test_once.py
+++ b/tests/platform_relay/test_at_most_once.py
@@ -22,11 +22,11 @@
 from linnetstile.platform_relay.journal import Journal
 from linnetstile.platform_relay.relay import PlatformRelay
 
-from .world import OK, World, ask, hand_in, read, until
+from .world import OK_RESPONSE, RelayTestbed, request_status, submission, read_http, wait_until
 
 REFUSED = b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"
 WINDOW_S = 4.0  # of the class "order" in the world's settings
-LEFT = "2500m"
+TIME_LEFT = "2500m"
 
 
 @dataclass(frozen=True)
@@ -60,47 +60,47 @@
 
 
 @dataclass
-class Came:
+class ReceivedCall:
     """One call whose last byte came."""
 
-    ident: str
+    submission_id: str
     body: bytes
-    at: float
-    ran: bool = True  # it may have
-    over: float | None = None  # answered, or its connection gone
+    received_at: float
+    may_have_run: bool = True  # it may have
+    ended_at: float | None = None  # answered, or its connection gone
     delivered: bool = False
 
 
 @dataclass
-class Desk:
+class FaultyEndpoint:
     faults: list[Fault] = field(default_factory=list)
-    calls: list[Came] = field(default_factory=list)
+    calls: list[ReceivedCall] = field(default_factory=list)
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         if self.faults and self.faults[0].stage == "accepted":
-            await self.end(self.faults.pop(0), reader, writer)
+            await self.carry_out(self.faults.pop(0), reader, writer)
             return
         clock = asyncio.get_running_loop().time
         while await reader.read(1):
-            fault = self.faults.pop(0) if self.faults else Fault("said", "", OK)
+            fault = self.faults.pop(0) if self.faults else Fault("said", "", OK_RESPONSE)
             if fault.stage == "part":
                 await reader.read(60)
-                await self.end(fault, reader, writer)
+                await self.carry_out(fault, reader, writer)
                 return
-            _, fields, body = await read(reader)
-            call = Came(fields["x-correlation-id"], body, clock(), fault.said != REFUSED)
+            _, fields, body = await read_http(reader)
+            call = ReceivedCall(fields["x-correlation-id"], body, clock(), fault.said != REFUSED)
             self.calls.append(call)
             call.delivered = fault.said.startswith(b"HTTP/1.1 200 ")
             try:
                 writer.write(fault.said)
                 if fault.how:
-                    await self.end(fault, reader, writer)
+                    await self.carry_out(fault, reader, writer)
                     return
             finally:
-                call.over = clock()
+                call.ended_at = clock()
 
     @staticmethod
-    async def end(fault: Fault, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def carry_out(fault: Fault, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         if fault.how == "reset":
             connection = writer.get_extra_info("socket")
             connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
@@ -111,140 +111,140 @@
             while await reader.read(1000):  # until the relay gives it up
                 pass
             if fault.how == "late":
-                writer.write(OK)
+                writer.write(OK_RESPONSE)
 
 
-def breaches(class_: str, calls: list[Came], notices: list[tuple[str, str]], one_life: bool) -> list[str]:
+def rule_breaches(class_: str, calls: list[ReceivedCall], notices: list[tuple[str, str]], one_life: bool) -> list[str]:
     """What the rules forbid, in what came to the endpoint and to the platform."""
     found = []
     for body in {call.body for call in calls}:
         mine = [call for call in calls if call.body == body]
-        ran = next((call for call in mine if call.ran), None)
+        ran = next((call for call in mine if call.may_have_run), None)
         if one_life:
             found += [
-                f"two calls of {one.ident} at once"
+                f"two calls of {one.submission_id} at once"
                 for one, other in zip(mine, mine[1:], strict=False)
-                if one.over is None or other.at < one.over
+                if one.ended_at is None or other.received_at < one.ended_at
             ]
         if ran is None:
             continue
         for call in mine[mine.index(ran) + 1 :]:
-            if class_ == "pay" or class_ == "order" and call.at > ran.at + WINDOW_S:
-                found.append(f"{call.ident} was sent again {call.at - ran.at:.3f} s after it may have run")
-        if class_ != "state" and (ran.ident, "bounced") in notices:
-            found.append(f"{ran.ident} may have run and was told as harmless to hand in again")
+            if class_ == "pay" or class_ == "order" and call.received_at > ran.received_at + WINDOW_S:
+                found.append(f"{call.submission_id} was sent again {call.received_at - ran.received_at:.3f} s after it may have run")
+        if class_ != "state" and (ran.submission_id, "bounced") in notices:
+            found.append(f"{ran.submission_id} may have run and was told as harmless to hand in again")
     return found
 
 
-class Story:
+class Scenario:
     """One message, one fault, and all that may follow."""
 
     def __init__(self, folder: Path, fault: Fault, connection: str, class_: str, full: bool) -> None:
         self.folder, self.fault, self.connection, self.class_, self.full = folder, fault, connection, class_, full
-        self.world, self.desk = World(folder / "first"), Desk()
-        self.kills: list[tuple[Path, int, int]] = []  # the folder, and calls and notices before the next write
-        self.watched: Path | None = None
+        self.testbed, self.endpoint = RelayTestbed(folder / "first"), FaultyEndpoint()
+        self.snapshots: list[tuple[Path, int, int]] = []  # the folder, and calls and notices before the next write
+        self.watched_folder: Path | None = None
 
     def __str__(self) -> str:
         return f"{self.fault} {self.connection} {self.class_} {'full' if self.full else ''}"
 
-    def wrote(self, folder: Path) -> None:
+    def journal_written(self, folder: Path) -> None:
         """After each write: what a kill before the next one leaves."""
-        if folder == self.watched:
-            self.seen()
-            self.kills.append((self.folder / f"kill-{len(self.kills)}", 0, 0))
-            shutil.copytree(folder, self.kills[-1][0])
+        if folder == self.watched_folder:
+            self.update_last_snapshot()
+            self.snapshots.append((self.folder / f"kill-{len(self.snapshots)}", 0, 0))
+            shutil.copytree(folder, self.snapshots[-1][0])
 
-    def seen(self) -> None:
-        if self.kills:
-            self.kills[-1] = self.kills[-1][0], len(self.desk.calls), len(self.world.notices)
+    def update_last_snapshot(self) -> None:
+        if self.snapshots:
+            self.snapshots[-1] = self.snapshots[-1][0], len(self.endpoint.calls), len(self.testbed.notices)
 
-    async def tell(self) -> list[str]:
+    async def run(self) -> list[str]:
         try:
-            return await self._tell()
+            return await self._run()
         finally:
-            self.world.close()
+            self.testbed.close()
 
-    async def _tell(self) -> list[str]:
-        world, desk = self.world, self.desk
-        await world.endpoint(1, serve=desk.serve)
-        where = await world.discovery()
-        first = await world.node(where)
+    async def _run(self) -> list[str]:
+        testbed, desk = self.testbed, self.endpoint
+        await testbed.add_endpoint(1, serve=desk.serve)
+        discovery_address = await testbed.start_discovery()
+        first = await testbed.start_relay(discovery_address)
         for number in range(6):  # so that the destination is known: its time-outs are short
-            assert await ask(first, hand_in(f"w{number}", body=b"warm")) == 202
-            await until(lambda: not first.carried)
+            assert await request_status(first, submission(f"w{number}", body=b"warm")) == 202
+            await wait_until(lambda: not first.accepted)
         if self.connection == "new":
-            first.calls.pool.close_idle(next(iter(first.calls.pool.idle)))
+            first.endpoint_client.pool.close_idle(next(iter(first.endpoint_client.pool.idle)))
         elif self.connection == "held":
-            first.relay.stale_connection_ratio = (
+            first.engine.stale_connection_ratio = (
                 1.0  # many connections were met closed: the last byte of unsafe calls waits
             )
         desk.calls.clear()
         desk.faults = [self.fault] + [Fault("said", "", REFUSED)] * (8 if self.full else 0)
-        self.watched = world.state
-        assert await ask(first, hand_in("m", self.class_, left=LEFT)) == 202
-        await self.come_again(first, where, "again")
-        self.watched = None
-        self.seen()
-        found = breaches(self.class_, desk.calls, self.notices, True)
-        found += self.without_end("m") if self.fault.how != "late" else []
-        lives = desk.calls, world.notices
-        for folder, calls, notice_count in self.kills:
-            desk.calls, world.notices = lives[0][:calls], lives[1][:notice_count]
-            world.state, desk.faults = folder, []
-            second = await world.node(where)
-            await self.come_again(second, where, folder.name)
-            found += [f"{folder.name}: {each}" for each in breaches(self.class_, desk.calls, self.notices, False)]
+        self.watched_folder = testbed.state
+        assert await request_status(first, submission("m", self.class_, left=TIME_LEFT)) == 202
+        await self.wait_for_end(first, discovery_address, "again")
+        self.watched_folder = None
+        self.update_last_snapshot()
+        found = rule_breaches(self.class_, desk.calls, self.notices, True)
+        found += self.missing_end("m") if self.fault.how != "late" else []
+        lives = desk.calls, testbed.notices
+        for folder, calls, notice_count in self.snapshots:
+            desk.calls, testbed.notices = lives[0][:calls], lives[1][:notice_count]
+            testbed.state, desk.faults = folder, []
+            second = await testbed.start_relay(discovery_address)
+            await self.wait_for_end(second, discovery_address, folder.name)
+            found += [f"{folder.name}: {each}" for each in rule_breaches(self.class_, desk.calls, self.notices, False)]
         return [f"{self}: {each}" for each in found]
 
     @property
     def notices(self) -> list[tuple[str, str]]:
-        return [(notice["ref"], notice["result"]) for notice in self.world.notices]
+        return [(notice["ref"], notice["result"]) for notice in self.testbed.notices]
 
-    def without_end(self, ident: str) -> list[str]:
-        told = sum(ref == ident for ref, _ in self.notices)
-        done = any(call.delivered for call in self.desk.calls if call.ident == ident)
-        return [] if told + done == 1 else [f"{ident} was told {told} times and delivered {done}"]
+    def missing_end(self, submission_id: str) -> list[str]:
+        told = sum(ref == submission_id for ref, _ in self.notices)
+        done = any(call.delivered for call in self.endpoint.calls if call.submission_id == submission_id)
+        return [] if told + done == 1 else [f"{submission_id} was told {run_scenarios} times and delivered {done}"]
 
-    async def come_again(self, node: PlatformRelay, where: tuple[str, int], name: str) -> None:
+    async def wait_for_end(self, relay: PlatformRelay, discovery_address: tuple[str, int], name: str) -> None:
         """Waits for the end of all that a relay holds; a client that was refused hands it in at another one."""
-        await until(lambda: not node.carried and not node.owed, 8.0)
-        if ("m", "bounced") in self.notices and all(call.ident == "m" for call in self.desk.calls):
-            self.desk.faults, self.world.state = [], self.folder / f"{name}-other"
-            other = await self.world.node(where)
-            assert await ask(other, hand_in(name, self.class_, left=LEFT)) == 202
-            await until(lambda: not other.carried and not other.owed, 8.0)
+        await wait_until(lambda: not relay.accepted and not relay.pending_notices, 8.0)
+        if ("m", "bounced") in self.notices and all(call.submission_id == "m" for call in self.endpoint.calls):
+            self.endpoint.faults, self.testbed.state = [], self.folder / f"{name}-other"
+            other = await self.testbed.start_relay(discovery_address)
+            assert await request_status(other, submission(name, self.class_, left=TIME_LEFT)) == 202
+            await wait_until(lambda: not other.accepted and not other.pending_notices, 8.0)
 
 
-async def told(stories: list[Story]) -> list[str]:
+async def run_scenarios(stories: list[Scenario]) -> list[str]:
     turns = asyncio.Semaphore(24)
 
-    async def one(story: Story) -> list[str]:
+    async def one(scenario: Scenario) -> list[str]:
         async with turns:
-            return await story.tell()
+            return await scenario.run()
 
     found = await asyncio.gather(*map(one, stories))
     await asyncio.sleep(0)
     return [each for some in found for each in some]
 
 
-def all_of(folder: Path, monkeypatch: pytest.MonkeyPatch, keep: Callable[[Story], bool]) -> list[Story]:
+def scenarios(folder: Path, monkeypatch: pytest.MonkeyPatch, keep: Callable[[Scenario], bool]) -> list[Scenario]:
     flush = Journal.flush
     stories = [
-        Story(folder / f"{number}-{connection}-{class_}-{full}", fault, connection, class_, full)
+        Scenario(folder / f"{number}-{connection}-{class_}-{full}", fault, connection, class_, full)
         for number, fault in enumerate(FAULTS)
         for connection in ("new", "kept", "held")
         for class_ in ("pay", "order", "state")
         for full in (False, True)
         if (connection == "held") <= (class_ == "pay") and (fault.stage == "accepted") <= (connection != "kept")
     ]
-    kept = [story for story in stories if keep(story)]
-    homes = {story.world.state: story for story in kept}
+    kept = [scenario for scenario in stories if keep(scenario)]
+    homes = {scenario.testbed.state: scenario for scenario in kept}
 
     def flushed(journal: Journal) -> bool:
         size, done = journal.size, flush(journal)
         if journal.size != size and journal.folder in homes:
-            homes[journal.folder].wrote(journal.folder)
+            homes[journal.folder].journal_written(journal.folder)
         return done
 
     monkeypatch.setattr(Journal, "flush", flushed)
@@ -258,9 +258,9 @@
 def test_nothing_runs_twice_wherever_a_call_ends_and_whenever_the_relay_is_killed(
     tmp_path: Path, class_: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    stories = all_of(tmp_path, monkeypatch, lambda story: story.class_ == class_)
-    assert asyncio.run(told(stories)) == [], "breaches"
-    assert min(len(story.kills) for story in stories) >= 3  # taken, attempted, ended
+    stories = scenarios(tmp_path, monkeypatch, lambda scenario: scenario.class_ == class_)
+    assert asyncio.run(run_scenarios(stories)) == [], "breaches"
+    assert min(len(scenario.snapshots) for scenario in stories) >= 3  # taken, attempted, ended
 
 
 @pytest.mark.parametrize("sight", [WireResult.CONNECTION_LOST, WireResult.TIMED_OUT, WireResult.MALFORMED])
@@ -272,14 +272,14 @@
         sight,
         attempt_outcome.VERDICT_BY_WIRE_RESULT[WireResult.REQUEST_INCOMPLETE],
     )
-    stories = all_of(
+    stories = scenarios(
         tmp_path,
         monkeypatch,
-        lambda story: (
-            story.class_ == "pay"
-            and story.connection == "new"
-            and story.fault.stage in ("whole", "said")
-            and not story.full
+        lambda scenario: (
+            scenario.class_ == "pay"
+            and scenario.connection == "new"
+            and scenario.fault.stage in ("whole", "said")
+            and not scenario.full
         ),
     )
-    assert any("sent again" in breach for breach in asyncio.run(told(stories)))
+    assert any("sent again" in breach for breach in asyncio.run(run_scenarios(stories)))
--- a/tests/platform_relay/test_directory.py
+++ b/tests/platform_relay/test_directory.py
@@ -125,19 +125,19 @@
                     del view[each.id]
         found = places(directory)
         assert found.keys() == model.lives.keys() and len(directory) == len(found)
-        assert view == {number: directory.entry(number) for number in directory}
+        assert view == {number: directory.endpoint(number) for number in directory}
         for name, place in found.items():
             life = model.lives[name]
-            listed = view[place.number]
+            listed = view[place.id]
             assert f"{place.host}:{place.port}" == life["addr"] and place.destination == life["cell"]
             assert (listed.kind, listed.zone, listed.advertised_rate) == (
                 {"k": 0, "l": 1}.get(life["kind"], 2),
                 {"y": 0, "z": 1}.get(life["zone"], 2),
                 life["weight"],
             )
-            assert place.zone == listed.zone and directory.number(name) == place.number
+            assert place.zone == listed.zone and directory.number(name) == place.id
             assert (listed.status is EndpointStatus.DRAINING) == (life["state"] == "DRAINING")
-            assert lives.setdefault(place.number, name) == name, "a number is used twice"
+            assert lives.setdefault(place.id, name) == name, "a number is used twice"
         assert all(directory.place(number) is None for number in lives.keys() - set(directory))
         assert {cell for cell in range(6) if directory.knows(cell)} == model.known
 
@@ -165,14 +165,14 @@
 
 def test_change_touches_the_rows_that_it_names(monkeypatch: pytest.MonkeyPatch) -> None:
     looked = 0
-    name = module._name
+    name = module._record_name
 
     def counted(record: bytes) -> bytes:
         nonlocal looked
         looked += 1
         return name(record)
 
-    monkeypatch.setattr(module, "_name", counted)
+    monkeypatch.setattr(module, "_record_name", counted)
     work = {}
     for size in (100, 10_000):
         directory = Directory(KINDS, ZONES)
@@ -211,13 +211,13 @@
     servers = [*fleet(2500), *(entry(f"n-{number}", cell=7) for number in range(2500))]
     servers[10] = entry("s-10", "DRAINING")
     reading, steps = piecewise(directory, servers, 500, 6, upto=upto)
-    assert not reading.over and directory.versions.newest == 5
+    assert not reading.over and directory.version_guard.newest == 5
     assert len(directory) == 5000 + max(0, upto - 2500)
-    drained = directory.entry(directory.number("s-10"))
+    drained = directory.endpoint(directory.number("s-10"))
     assert drained and (drained.status is EndpointStatus.DRAINING) == (upto > 10)
     assert not any(each.status is EndpointStatus.GONE for each in flat(steps))
     piecewise(directory, servers, 500, 6)
-    assert places(directory).keys() == {each["id"] for each in servers} and directory.versions.newest == 6
+    assert places(directory).keys() == {each["id"] for each in servers} and directory.version_guard.newest == 6
 
 
 def test_older_list_is_refused_at_its_head_before_any_entry() -> None:
@@ -228,9 +228,9 @@
             directory.begin({"version": 4, "full": full})
     # Told twice: discovery has begun anew. It is in force as it is read, and newest once it has been.
     reading, _ = piecewise(directory, [entry("n")], 1, 3, upto=1)
-    assert not reading.over and directory.versions.newest == 5 and len(directory) == 4
+    assert not reading.over and directory.version_guard.newest == 5 and len(directory) == 4
     piecewise(directory, [entry("n")], 1, 3)
-    assert directory.versions.newest == 3 and [*places(directory)] == ["n"]
+    assert directory.version_guard.newest == 3 and [*places(directory)] == ["n"]
 
 
 def test_broken_entries_of_a_long_list_leave_theirs_as_they_were_and_the_first_is_named() -> None:
@@ -241,8 +241,8 @@
     servers[1235] = 7
     servers[4000] = entry("s-4000", addr="nowhere")
     reading, steps = piecewise(directory, servers, 500, 2)
-    assert (reading.skipped, reading.entries, directory.skipped) == (3, 5000, 3)
-    assert reading.fault.startswith("servers[1234]: cell: expected a whole number from 0") and len(reading.fault) < 200
+    assert (reading.entries_skipped, reading.entries_read, directory.skipped_entries) == (3, 5000, 3)
+    assert reading.first_fault.startswith("servers[1234]: cell: expected a whole number from 0") and len(reading.first_fault) < 200
     assert [each.destination for each in flat(steps)] == [235] and len(directory) == 4999  # the one that has no name
 
 
@@ -258,7 +258,7 @@
 )
 def test_fault_names_the_field_and_what_was_expected(raw: Any, why: str) -> None:
     reading, _ = piecewise(Directory(KINDS, ZONES), [entry("a"), raw], 1)
-    assert reading.fault == f"servers[1]: {why}"
+    assert reading.first_fault == f"servers[1]: {why}"
 
 
 def test_endpoint_whose_destination_changes_is_another_one_as_is_one_that_takes_a_name_or_an_address() -> None:
@@ -298,7 +298,7 @@
     directory = Directory(KINDS, ZONES)
     event = directory.take(told(*fleet(600), version=50), cached=True)
     assert event.kind is ListKind.CACHED and len(event.endpoints) == 600
-    assert directory.versions.newest is None
+    assert directory.version_guard.newest is None
     assert not directory.take(told(*fleet(600), version=3)).endpoints
 
 
@@ -309,7 +309,7 @@
         destinations.add(number)
     for number in range(6):
         destinations.remove(number)
-    assert len(destinations) == 6 and not destinations.left
+    assert len(destinations) == 6 and not destinations.recently_unlisted
     for number in (5, 4, 3, 2, 1):
         destinations.remove(number)
     assert [number in destinations for number in range(7)] == [True, True, True, True, False, False, False]
@@ -317,7 +317,7 @@
     destinations.remove(3)  # the latest one to leave now
     destinations.add(9)
     destinations.remove(9)
-    assert list(destinations.left) == [1, 3, 9] and 0 in destinations and len(destinations.numbers) == 6
+    assert list(destinations.recently_unlisted) == [1, 3, 9] and 0 in destinations and len(destinations.ids) == 6
 
 
 def test_more_kinds_zones_and_longer_names_than_most_have() -> None:
@@ -325,8 +325,8 @@
     directory = Directory(many, ("z",))
     long = "n" * 250 + "ü"
     directory.take(told(entry(long, kind="k69999", addr="h" * 200 + ".example:1"), entry("b", kind="k300")))
-    place, listed = directory.place(1), directory.entry(1)
+    place, listed = directory.place(1), directory.endpoint(1)
     assert place and listed and (place.name, place.host, place.port) == (long, "h" * 200 + ".example", 1)
     assert listed.kind == 69_999
-    two = directory.entry(2)
+    two = directory.endpoint(2)
     assert two and two.kind == 300 and directory.number(long) == 1 and not directory.number("\ud800")
--- a/tests/platform_relay/test_discovery.py
+++ b/tests/platform_relay/test_discovery.py
@@ -25,7 +25,7 @@
 from linnetstile.platform_relay.directory import Directory, EndpointAddress, InvalidListError
 from linnetstile.platform_relay.discovery import Watch
 
-from .world import until
+from .world import wait_until
 
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
@@ -46,7 +46,7 @@
     return b"%x\r\n%s\r\n" % (len(data), data)
 
 
-class Told:
+class DiscoveryEmulator:
     """Discovery: holds entries, tells them to each watch, which then does as `script` says: bytes before its list, or
     in its place, and whether the list follows."""
 
@@ -105,13 +105,13 @@
 class Rig:
     """A watch, and the module's view as the events make it."""
 
-    def __init__(self, told: Told, where: tuple[str, int]) -> None:
+    def __init__(self, told: DiscoveryEmulator, discovery_address: tuple[str, int]) -> None:
         self.told = told
         self.directory = Directory(("k",), ("z",))
         self.view: dict[int, Endpoint] = {}
         self.events: list[EndpointList] = []
         self.logged: list[tuple[str, dict[str, Any]]] = []
-        self.watch = Watch(self.directory, where, self.hear, random.Random(1), self.log)
+        self.watch = Watch(self.directory, discovery_address, self.hear, random.Random(1), self.log)
         self.watch.start()
 
     def log(self, event: str, **fields: Any) -> None:
@@ -127,12 +127,12 @@
 
     def agrees(self) -> bool:
         mine = {
-            place.name: (discovery_state(self.view.get(place.number)), place.destination)
+            place.name: (discovery_state(self.view.get(place.id)), place.destination)
             for place in places(self.directory)
         }
         return mine == {
             name: (each["state"], each["cell"]) for name, each in self.told.entries.items()
-        } and self.view == {number: self.directory.entry(number) for number in self.directory}
+        } and self.view == {number: self.directory.endpoint(number) for number in self.directory}
 
 
 def places(directory: Directory) -> list[EndpointAddress]:
@@ -144,10 +144,10 @@
 
 
 def play(
-    story: Callable[[Told, Rig], Any], *script: tuple[bytes, bool], indent: int | None = None, more: int = 0
+    scenario: Callable[[DiscoveryEmulator, Rig], Any], *script: tuple[bytes, bool], indent: int | None = None, more: int = 0
 ) -> None:
     async def run() -> None:
-        told = Told()
+        told = DiscoveryEmulator()
         told.script, told.indent = list(script), indent
         told.entries = {"a": entry("a"), "b": entry("b", cell=2)}
         told.entries |= {
@@ -155,7 +155,7 @@
         }
         rig = Rig(told, await told.start())
         try:
-            await story(told, rig)
+            await scenario(told, rig)
         finally:
             rig.watch.close()
             told.close()
@@ -167,13 +167,13 @@
 @pytest.mark.parametrize("indent", [None, 0, 2])
 @pytest.mark.parametrize("step", [1, 7, 4000])
 def test_list_is_read_however_it_is_indented_and_cut(indent: int | None, step: int) -> None:
-    async def story(told: Told, rig: Rig) -> None:
-        await until(rig.agrees)
+    async def story(told: DiscoveryEmulator, rig: Rig) -> None:
+        await wait_until(rig.agrees)
         stream = told.change(entry("a", "DRAINING")) + b"\n" + told.change(entry("c", cell=3), entry("b", "DELETED"))
         for at in range(0, len(stream), step):  # changes in chunks that begin and end anywhere, several in one
             told.watches[0].write(chunk(stream[at : at + step]))
-        await until(rig.agrees)
-        assert len(told.watches) == 1 and not rig.watch.spoilt
+        await wait_until(rig.agrees)
+        assert len(told.watches) == 1 and not rig.watch.lists_rejected
 
     play(story, indent=indent)
 
@@ -205,11 +205,11 @@
 
 @pytest.mark.parametrize("said", SILENT + SPOILT)
 def test_watch_that_stops_or_is_spoilt_anywhere_is_opened_anew_and_asks_for_all(said: bytes) -> None:
-    async def story(told: Told, rig: Rig) -> None:
-        await until(rig.agrees, 4.0)
+    async def story(told: DiscoveryEmulator, rig: Rig) -> None:
+        await wait_until(rig.agrees, 4.0)
         assert len(told.watches) == 3 and set(told.asked) == {"/api/targets?follow=1"}
         told.watches[2].write(chunk(told.change(entry("a", "DELETED"))))
-        await until(rig.agrees)
+        await wait_until(rig.agrees)
 
     play(story, (said, False), (said, False))
 
@@ -218,11 +218,11 @@
 def test_watch_that_falls_silent_later_loses_no_change(rest: bytes, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(watch_policy, "WATCH_SILENCE_S", 0.4)
 
-    async def story(told: Told, rig: Rig) -> None:
-        await until(rig.agrees)
+    async def story(told: DiscoveryEmulator, rig: Rig) -> None:
+        await wait_until(rig.agrees)
         told.watches[0].write(rest)
         told.change(entry("a", "DRAINING"), entry("b", "DELETED"), entry("c", cell=3))  # never told on that watch
-        await until(rig.agrees, 2.0)
+        await wait_until(rig.agrees, 2.0)
 
     play(story)
 
@@ -231,8 +231,8 @@
     monkeypatch.setattr(watch_policy, "WATCH_SILENCE_S", 0.3)
     monkeypatch.setattr(discovery, "ELEMENT_STALL_S", 0.02)
 
-    async def story(told: Told, rig: Rig) -> None:
-        await until(rig.agrees)
+    async def story(told: DiscoveryEmulator, rig: Rig) -> None:
+        await wait_until(rig.agrees)
         for _ in range(8):
             told.watches[0].write(chunk(b"\n"))
             await asyncio.sleep(0.1)
@@ -242,32 +242,32 @@
 
 
 def test_watch_of_the_address_before_a_move_is_heard_no_more() -> None:
-    async def story(told: Told, rig: Rig) -> None:
-        await until(rig.agrees)
+    async def story(told: DiscoveryEmulator, rig: Rig) -> None:
+        await wait_until(rig.agrees)
         before, told.watches = told.watches[0], []
         rig.watch.move(await told.start())
         before.write(chunk(b'{"version":99,"full":true,"servers":[]}\n'))  # it is on its way as the move begins
-        await until(lambda: told.watches and rig.agrees())
+        await wait_until(lambda: told.watches and rig.agrees())
         told.watches[-1].write(chunk(told.change(entry("c", cell=3))))
-        await until(rig.agrees)
+        await wait_until(rig.agrees)
 
     play(story)
 
 
 def test_older_list_is_not_taken_unless_discovery_says_it_twice() -> None:
-    async def story(told: Told, rig: Rig) -> None:
-        await until(rig.agrees)
+    async def story(told: DiscoveryEmulator, rig: Rig) -> None:
+        await wait_until(rig.agrees)
         told.watches[0].write(chunk(told.change(entry("b", "DELETED"))))
-        await until(rig.agrees)
+        await wait_until(rig.agrees)
         older = json.dumps({"version": 40, "full": True, "servers": [entry("a"), entry("b", cell=2)]}).encode()
         told.script = [(HEAD + chunk(older), False)]
         told.watches[0].close()
-        await until(lambda: len(told.watches) == 3)
+        await wait_until(lambda: len(told.watches) == 3)
         assert not rig.directory.number("b")  # also between the two
-        await until(rig.agrees)
+        await wait_until(rig.agrees)
         told.version, told.entries = 3, {"d": entry("d", cell=4)}  # it has begun anew
         told.watches[-1].close()
-        await until(rig.agrees)
+        await wait_until(rig.agrees)
         assert len(told.watches) == 5
 
     play(story)
@@ -341,7 +341,7 @@
 def test_entry_that_can_not_be_read_is_left_out_alone(odd: Any, whole: bool) -> None:
     directory = Directory(("k",), ("z",))
     event = directory.take({"version": 1, "full": whole, "servers": [entry("a"), odd, entry("b")]})
-    assert [place.name for place in places(directory)] == ["a", "b"] and directory.skipped == 1
+    assert [place.name for place in places(directory)] == ["a", "b"] and directory.skipped_entries == 1
     assert [each.id for each in event.endpoints] == list(directory)
 
 
@@ -356,7 +356,7 @@
     directory.take({"full": True, "servers": [entry("a"), entry("b"), entry("c")]})
     event = directory.take({"full": True, "servers": [{"id": "a", "state": "DRAINING"}, entry("b", "?"), entry("c")]})
     assert [(each.id, each.status) for each in event.endpoints] == [(1, EndpointStatus.DRAINING)]  # all that changes
-    assert [place.name for place in places(directory)] == ["a", "b", "c"] and directory.skipped == 1
+    assert [place.name for place in places(directory)] == ["a", "b", "c"] and directory.skipped_entries == 1
     event = directory.take({"servers": [{"id": "a", "state": "DELETED"}, {"id": "z", "state": "DELETED"}]})
     assert [(each.id, each.status) for each in event.endpoints] == [(1, EndpointStatus.GONE)]
     assert list(directory) == [2, 3]
@@ -371,12 +371,12 @@
     directory.take({"full": True, "servers": [entry("a")]})
     event = directory.take({"full": whole, "servers": servers})
     (place,) = places(directory)
-    assert place.number != 1 and place.destination == 2
+    assert place.id != 1 and place.destination == 2
     assert {each.id: each.status for each in event.endpoints} == {
         1: EndpointStatus.GONE,
-        place.number: EndpointStatus.READY,
+        place.id: EndpointStatus.READY,
     }
-    assert directory.place(1) is None and directory.entry(1) is None
+    assert directory.place(1) is None and directory.endpoint(1) is None
 
 
 def test_last_word_on_an_endpoint_counts() -> None:
@@ -400,7 +400,7 @@
 LONG = 5000  # endpoints: some 600 KB
 
 
-def opened(told: Told, number: int) -> Callable[[], bool]:
+def opened(told: DiscoveryEmulator, number: int) -> Callable[[], bool]:
     return lambda: len(told.watches) == number
 
 
@@ -409,22 +409,22 @@
 
 @pytest.mark.parametrize("indent", [None, 2])
 def test_long_list_is_told_in_bounded_events_and_a_watch_goes_on_from_its_version(indent: int | None) -> None:
-    async def story(told: Told, rig: Rig) -> None:
-        await until(rig.agrees)
-        await until(rig.watch.first.is_set)
+    async def story(told: DiscoveryEmulator, rig: Rig) -> None:
+        await wait_until(rig.agrees)
+        await wait_until(rig.watch.first.is_set)
         assert len(rig.events) > LONG / ENTRIES_PER_EVENT and not rig.logged
         rig.events.clear()
         told.watches[0].write(chunk(told.change(entry("a", "DRAINING"), entry("s-7", "DELETED"))))
-        await until(rig.agrees)
+        await wait_until(rig.agrees)
         assert [len(event.endpoints) for event in rig.events] == [2]
         told.watches[0].close()
-        await until(opened(told, 2))  # it has nothing to tell
+        await wait_until(opened(told, 2))  # it has nothing to tell
         told.watches[1].write(chunk(b"\n"))
-        await until(lambda: rig.watch.stream and rig.watch.stream.useful and rig.watch.opened == 2)
+        await wait_until(lambda: rig.watch.connection and rig.watch.connection.is_useful and rig.watch.watches_opened == 2)
         told.changed = [entry("b", "DELETED"), entry("new", cell=9)]
         told.change(*told.changed)
         told.watches[1].close()
-        await until(rig.agrees)
+        await wait_until(rig.agrees)
         assert told.asked == [ALL, f"{ALL}&since=41", f"{ALL}&since=41"]
         assert sum(len(event.endpoints) for event in rig.events) == 4 and not rig.logged
 
@@ -434,17 +434,17 @@
 def test_watch_that_goes_on_from_a_version_may_be_told_the_whole_list_and_one_that_changes_nothing_tells_nothing() -> (
     None
 ):
-    async def story(told: Told, rig: Rig) -> None:
-        await until(lambda: rig.agrees() and rig.watch.first.is_set())
+    async def story(told: DiscoveryEmulator, rig: Rig) -> None:
+        await wait_until(lambda: rig.agrees() and rig.watch.first.is_set())
         told.forgets = True
         rig.events.clear()
         told.version = 47
         told.watches[0].close()
-        await until(lambda: rig.directory.versions.newest == 47)
+        await wait_until(lambda: rig.directory.version_guard.newest == 47)
         assert not rig.events and rig.agrees()
         told.change(entry("s-9", "DELETED"), entry("new", cell=9))
         told.watches[1].close()
-        await until(rig.agrees)
+        await wait_until(rig.agrees)
         assert told.asked == [ALL, f"{ALL}&since=40", f"{ALL}&since=47"]
         assert sum(len(event.endpoints) for event in rig.events) == 2
 
@@ -452,10 +452,10 @@
 
 
 def test_short_list_is_asked_for_whole_each_time() -> None:
-    async def story(told: Told, rig: Rig) -> None:
+    async def story(told: DiscoveryEmulator, rig: Rig) -> None:
         for number in (1, 2, 3):
-            await until(opened(told, number))
-            await until(lambda: rig.watch.stream and rig.watch.stream.useful and rig.agrees())
+            await wait_until(opened(told, number))
+            await wait_until(lambda: rig.watch.connection and rig.watch.connection.is_useful and rig.agrees())
             told.watches[-1].close()
         assert {*told.asked} == {ALL}
 
@@ -499,42 +499,42 @@
 ) -> None:
     """Each is told in one line, and asked for whole after growing pauses."""
 
-    async def story(told: Told, rig: Rig) -> None:
-        await until(lambda: rig.agrees() and rig.watch.first.is_set())
+    async def story(told: DiscoveryEmulator, rig: Rig) -> None:
+        await wait_until(lambda: rig.agrees() and rig.watch.first.is_set())
         before = dict(told.entries)
         told.forgets = since
         told.change(entry("s-1", "DRAINING"), entry("s-2", "DELETED"), entry("s-3", cell=77), entry("a", "DELETED"))
         told.script = [(HEAD + said(told.whole()), False)] * 3
         told.watches[0].close()
         for again in (1, 2, 3):
-            await until(opened(told, 1 + again))
+            await wait_until(opened(told, 1 + again))
             if closes:
                 await asyncio.sleep(0.2)  # the kernel has it
                 told.watches[-1].close()
             if again < 3:
-                await until(opened(told, 2 + again))
-                assert rig.directory.versions.newest == 40
+                await wait_until(opened(told, 2 + again))
+                assert rig.directory.version_guard.newest == 40
                 mine = {place.name for place in places(rig.directory)}
                 assert mine == set(before), "an endpoint that was not named has gone"
-                listed = rig.directory.entry(rig.directory.number("s-1"))
+                listed = rig.directory.endpoint(rig.directory.number("s-1"))
                 assert listed and (listed.status is EndpointStatus.DRAINING) == (said is not short)
-        await until(lambda: rig.agrees() and rig.directory.versions.newest == 41)
+        await wait_until(lambda: rig.agrees() and rig.directory.version_guard.newest == 41)
         assert [event for event, _ in rig.logged] == [log] * 3
         assert all(fields["why"] and (fields["entries"] > 1000 or said is short) for _, fields in rig.logged)
-        assert told.asked == [ALL, f"{ALL}&since=40", ALL, ALL, ALL] and rig.watch.fails == 4
+        assert told.asked == [ALL, f"{ALL}&since=40", ALL, ALL, ALL] and rig.watch.failures == 4
 
     play(story, more=LONG)
 
 
 def test_older_long_list_is_refused_before_any_entry_and_asked_for_again() -> None:
-    async def story(told: Told, rig: Rig) -> None:
-        await until(lambda: rig.agrees() and rig.watch.first.is_set())
+    async def story(told: DiscoveryEmulator, rig: Rig) -> None:
+        await wait_until(lambda: rig.agrees() and rig.watch.first.is_set())
         rig.events.clear()
         older = told.text({"version": 39, "full": True, "servers": [entry(name, "DRAINING") for name in told.entries]})
         told.script = [(HEAD + chunk(older), False)]
         told.watches[0].close()
-        await until(lambda: len(told.watches) == 3)
-        await until(lambda: rig.watch.stream and rig.watch.stream.useful)
+        await wait_until(lambda: len(told.watches) == 3)
+        await wait_until(lambda: rig.watch.connection and rig.watch.connection.is_useful)
         assert rig.agrees() and not rig.events and told.asked == [ALL, f"{ALL}&since=40", ALL]
         assert rig.logged == [("list_refused", {"why": "version: expected 40 or later, found 39", "entries": 0})]
 
@@ -542,14 +542,14 @@
 
 
 def test_broken_entries_among_many_are_one_line() -> None:
-    async def story(told: Told, rig: Rig) -> None:
-        await until(lambda: rig.agrees() and rig.watch.first.is_set())
+    async def story(told: DiscoveryEmulator, rig: Rig) -> None:
+        await wait_until(lambda: rig.agrees() and rig.watch.first.is_set())
         held = dict(told.entries)
         told.entries["s-3000"] = entry("s-3000", cell="x")
         told.entries["s-4000"] = entry("s-4000", addr="nowhere")
         told.version = 41
         told.watches[0].write(chunk(told.whole()))
-        await until(lambda: rig.directory.versions.newest == 41)
+        await wait_until(lambda: rig.directory.version_guard.newest == 41)
         told.entries = held
         assert rig.agrees() and len(told.watches) == 1
         assert rig.logged == [
@@ -569,13 +569,13 @@
 def test_long_list_that_can_not_be_read_in_parts_is_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(discovery, "LIST", 200_000)
 
-    async def story(told: Told, rig: Rig) -> None:
-        await until(lambda: rig.agrees() and rig.watch.first.is_set())
+    async def story(told: DiscoveryEmulator, rig: Rig) -> None:
+        await wait_until(lambda: rig.agrees() and rig.watch.first.is_set())
         late = json.dumps({"servers": list(told.entries.values()), "version": 50, "full": True}).encode()
         told.watches[0].write(chunk(late))
-        await until(lambda: rig.logged)
+        await wait_until(lambda: rig.logged)
         assert rig.logged == [("list_refused", {"why": "a value of more than 200000 bytes", "entries": 0})]
-        await until(lambda: len(told.watches) == 2)
+        await wait_until(lambda: len(told.watches) == 2)
         assert rig.agrees()
 
     play(story, more=LONG)
@@ -585,15 +585,15 @@
     """All but two endpoints go, and one comes again under its name in the object behind: were it looked at before, the
     sweep would take it away."""
 
-    async def story(told: Told, rig: Rig) -> None:
-        await until(lambda: rig.agrees() and rig.watch.first.is_set())
+    async def story(told: DiscoveryEmulator, rig: Rig) -> None:
+        await wait_until(lambda: rig.agrees() and rig.watch.first.is_set())
         rig.events.clear()
         told.version += 1
         told.entries = {"a": entry("a"), "b": entry("b", cell=2)}
         whole = told.whole()
         change = told.change(entry("s-4999", cell=3), entry("a", "DRAINING"))
         told.watches[0].write(chunk(whole + change))
-        await until(rig.agrees)
+        await wait_until(rig.agrees)
         *sweeps, last = rig.events
         assert [len(event.endpoints) for event in sweeps][:-1] == [ENTRIES_PER_EVENT] * (LONG // ENTRIES_PER_EVENT)
         assert {each.status for event in sweeps for each in event.endpoints} == {EndpointStatus.GONE}
@@ -606,19 +606,19 @@
 
 
 def test_move_in_the_middle_of_a_long_list_leaves_the_rest_of_it_unheard() -> None:
-    async def story(told: Told, rig: Rig) -> None:
-        await until(lambda: rig.agrees() and rig.watch.first.is_set())
+    async def story(told: DiscoveryEmulator, rig: Rig) -> None:
+        await wait_until(lambda: rig.agrees() and rig.watch.first.is_set())
         told.version += 1
         held = dict(told.entries)
         told.entries = {"z": entry("z", "DRAINING")} | held
         del told.entries["s-4"]
         told.watches[0].write(half(told.whole()))
-        await until(lambda: rig.directory.number("z"))
-        assert rig.watch.reading
+        await wait_until(lambda: rig.directory.number("z"))
+        assert rig.watch.is_reading_list
         told.entries = held
         rig.watch.move(await told.start())
-        assert not rig.watch.reading
-        await until(rig.agrees)
+        assert not rig.watch.is_reading_list
+        await wait_until(rig.agrees)
         assert told.asked == [ALL, ALL]
 
     play(story, more=LONG)
@@ -723,7 +723,7 @@
     def time(self) -> float:
         return self.now
 
-    async def create_connection(self, factory: Any, *where: Any, **more: Any) -> Any:  # type: ignore[override]
+    async def create_connection(self, factory: Any, *discovery_address: Any, **more: Any) -> Any:  # type: ignore[override]
         protocol = factory()
         transport = Ends(self, protocol)
         protocol.connection_made(transport)
@@ -803,4 +803,4 @@
         loop.close()
     (begun, _), (again, _) = loop.asked
     assert begun == 0 and slow[-2][0] + ELEMENT_STALL_S <= again < slow[-2][0] + ELEMENT_STALL_S + 0.2
-    assert len(directory_of[0]) == LONG and directory_of[0].versions.newest == 41
+    assert len(directory_of[0]) == LONG and directory_of[0].version_guard.newest == 41
--- a/tests/platform_relay/test_journal.py
+++ b/tests/platform_relay/test_journal.py
@@ -88,7 +88,7 @@
     assert first.flush()
     first.close()
     assert sorted(os.listdir(tmp_path)) == ["journal"]
-    assert Journal(tmp_path, 10_000).open() == {ident: KEPT[ident] for ident in (1, 3)}
+    assert Journal(tmp_path, 10_000).open() == {submission_id: KEPT[submission_id] for submission_id in (1, 3)}
 
 
 def test_folder_stays_within_the_disk_at_every_instant(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
@@ -110,17 +110,17 @@
 
     monkeypatch.setattr(os, "rename", renamed)
     held: dict[int, JournaledMessage] = {}
-    for ident in range(1, 2000):
-        each = JournaledMessage(ident, FIELDS, b"b" * 700)
+    for submission_id in range(1, 2000):
+        each = JournaledMessage(submission_id, FIELDS, b"b" * 700)
         while held and sum(map(kept.weight, held.values())) + kept.weight(each) > sizes.max_message_bytes:
             gone = next(iter(held))
             del held[gone]
             kept.add(journal.ended(gone))
-        held[ident] = each
-        kept.add(journal.taken(ident, FIELDS, each.body))
+        held[submission_id] = each
+        kept.add(journal.taken(submission_id, FIELDS, each.body))
         assert kept.flush()
         measured()
-        if kept.full:
+        if kept.needs_rewrite:
             kept.rewrite(held.values())
     assert disk / 2 < most <= disk
     kept.close()
--- /dev/null
+++ b/tests/platform_relay/test_recovery.py
@@ -0,0 +1,155 @@
+"""What a restart finds: all that was taken on and never tried is tried, whatever has changed meanwhile."""
+
+from __future__ import annotations
+
+import asyncio
+import os
+from pathlib import Path
+from typing import Any
+
+import pytest
+
+from linnetstile.platform_relay import relay as node_relay
+
+from .test_relay import idle, delivered_ids, run_scenario
+from .world import CLASSES, RAW, RelayTestbed, request_status, submission, wait_until
+
+COUNT = 12
+
+
+def renamed(raw: dict[str, Any], part: str, name: str) -> dict[str, Any]:
+    return raw | {part: [{**each, "name": "new"} if each["name"] == name else each for each in raw[part]]}
+
+
+CHANGES: dict[str, dict[str, Any]] = {
+    "nothing": RAW,
+    "classes in another order": RAW | {"classes": CLASSES[::-1]},
+    "a class gone": renamed(RAW, "classes", "state"),
+    "all classes gone": RAW | {"classes": [{**CLASSES[1], "name": "other"}]},
+    "the tenant gone": renamed(RAW, "orgs", "acme"),
+    "no tenants": {key: value for key, value in RAW.items() if key != "orgs"},
+    "another zone": RAW | {"zones": ["y", "z"]},
+    "other kinds": RAW | {"kinds": ["j"]},
+    "fewer slots": RAW | {"extra": {"call-slots": 1}},
+    "a smaller hold": RAW | {"limits": RAW["limits"] | {"open-cap": 14}},
+}
+
+
+async def killed(testbed: RelayTestbed, state: Path) -> tuple[str, int]:
+    """A relay that took on messages of each class and tried none, killed; discovery's address."""
+    discovery_address = await testbed.start_discovery()
+    first = await testbed.start_relay(discovery_address)
+    testbed.send_list(testbed.watch_writers[-1], [{**each, "state": "DRAINING"} for each in testbed.entries])
+    await wait_until(lambda: not len(first.engine.routing_table.index))
+    for n in range(COUNT):
+        assert await request_status(first, submission(f"m{n}", str(CLASSES[n % len(CLASSES)]["name"]), left="5500m")) == 202
+    testbed.kill_relay(first, state / "as killed")
+    assert not testbed.endpoint_calls
+    return discovery_address
+
+
+@pytest.mark.parametrize("change", CHANGES)
+def test_what_was_taken_on_and_never_tried_is_tried_after_a_restart(tmp_path: Path, change: str) -> None:
+    async def story(testbed: RelayTestbed) -> None:
+        discovery_address = await killed(testbed, tmp_path)
+        testbed.settings = CHANGES[change]
+        second = await testbed.start_relay(discovery_address)
+        assert len(second.accepted) == COUNT
+        await wait_until(lambda: idle(second))
+        assert sorted(set(delivered_ids(testbed))) == sorted(f"m{n}" for n in range(COUNT)) and not testbed.notices
+
+    run_scenario(tmp_path, story)
+
+
+@pytest.mark.parametrize("listed", ["later", "draining at first"])
+def test_destination_that_is_not_there_yet_is_waited_for(tmp_path: Path, listed: str) -> None:
+    async def story(testbed: RelayTestbed) -> None:
+        discovery_address = await killed(testbed, tmp_path)
+        entries = testbed.entries
+        testbed.entries = [] if listed == "later" else [{**each, "state": "DRAINING"} for each in entries]
+        second = await testbed.start_relay(discovery_address)
+        assert len(second.accepted) == COUNT and not testbed.endpoint_calls
+        testbed.send_list(testbed.watch_writers[-1], entries)
+        await wait_until(lambda: idle(second))
+        assert len(set(delivered_ids(testbed))) == COUNT and not testbed.notices
+
+    run_scenario(tmp_path, story)
+
+
+@pytest.mark.parametrize("moved_ms", [-3_600_000.0, 0.0])
+def test_clock_that_was_set_back_gives_no_message_more_time_than_it_had(
+    tmp_path: Path, moved_ms: float, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    async def story(testbed: RelayTestbed) -> None:
+        discovery_address = await killed(testbed, tmp_path)
+        unix = node_relay.unix_ms
+        monkeypatch.setattr(node_relay, "unix_ms", lambda: unix() + moved_ms)
+        testbed.entries = [{**each, "state": "DRAINING"} for each in testbed.entries]
+        second = await testbed.start_relay(discovery_address)
+        await asyncio.sleep(0)
+        held = second.engine.queues.messages.values()
+        assert len(held) == COUNT and all(0 < each.deadline - second.engine_loop.now <= 5500 for each in held)
+
+    run_scenario(tmp_path, story)
+
+
+@pytest.mark.parametrize("risky", [True, False])
+def test_class_that_the_settings_name_no_more_is_tried_but_never_again_once_it_may_have_run(
+    tmp_path: Path, risky: bool
+) -> None:
+    async def story(testbed: RelayTestbed) -> None:
+        discovery_address = await testbed.start_discovery()
+        first = await testbed.start_relay(discovery_address)
+        testbed.scripted_answers[1] = [None if risky else b"HTTP/1.1 429 X\r\nRetry-After: 1\r\nContent-Length: 0\r\n\r\n"]
+        assert await request_status(first, submission("m", "state")) == 202
+        await wait_until(lambda: testbed.endpoint_calls if risky else first.counts.get("ended_full"))
+        testbed.kill_relay(first, tmp_path / "as killed")
+        testbed.settings = renamed(RAW, "classes", "state")
+        second = await testbed.start_relay(discovery_address)
+        assert await request_status(second, submission("n", "")) == 400  # nobody can name that class
+        await wait_until(lambda: idle(second))
+        assert delivered_ids(testbed) == (["m"] if risky else ["m", "m"])
+        assert testbed.notices == ([{"ref": "m", "result": "dead"}] if risky else [])
+
+    run_scenario(tmp_path, story)
+
+
+def test_relay_starts_on_what_there_is_where_the_disk_takes_no_new_file(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    async def story(testbed: RelayTestbed) -> None:
+        discovery_address = await killed(testbed, tmp_path)
+        rename = os.rename
+
+        def full(*names: Any) -> None:
+            raise OSError(28, "No space left on device")
+
+        monkeypatch.setattr(os, "rename", full)
+        second = await testbed.start_relay(discovery_address)
+        assert len(second.accepted) == COUNT and second.journal.failed
+        monkeypatch.setattr(os, "rename", rename)
+        await wait_until(lambda: idle(second))
+        assert len(set(delivered_ids(testbed))) == COUNT and not testbed.notices
+        assert second.journal.size <= second.journal.compaction_bytes  # rewritten as soon as there was room
+
+    run_scenario(tmp_path, story)
+
+
+def test_identifier_that_ended_before_a_restart_is_a_new_one_after_it(tmp_path: Path) -> None:
+    """What it costs that ended identifiers are not kept: work that may run only once runs again for a client that
+    hands in the same identifier after the end and after a restart, which the platform's page rules out."""
+
+    async def story(testbed: RelayTestbed) -> None:
+        discovery_address = await testbed.start_discovery()
+        first = await testbed.start_relay(discovery_address)
+        assert await request_status(first, submission("m", "pay")) == 202
+        await wait_until(lambda: idle(first))
+        assert await request_status(first, submission("m", "pay")) == 409
+        testbed.stop_relay(first)
+        second = await testbed.start_relay(discovery_address)
+        assert await request_status(second, submission("m", "pay")) == 202
+        await wait_until(lambda: idle(second))
+        assert delivered_ids(testbed) == ["m", "m"]
+        assert await request_status(second, submission("m", "pay")) == 409
+
+    run_scenario(tmp_path, story)
--- a/tests/platform_relay/world.py
+++ b/tests/platform_relay/world.py
@@ -35,35 +35,35 @@
     },
     "safety": {"drain-grace-ms": 250.0, "cold-from": 0.2, "cold-ms": 5000.0, "fall-multiple": 2.0},
 }
-OK = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
+OK_RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 Serve = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
 
 
-async def read(reader: asyncio.StreamReader) -> tuple[str, dict[str, str], bytes]:
+async def read_http(reader: asyncio.StreamReader) -> tuple[str, dict[str, str], bytes]:
     """One request or response with a length: first line, fields in lower case, body. Raises IncompleteReadError."""
     head = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1").split("\r\n")
     fields = {k.lower(): v.strip() for k, _, v in (line.partition(":") for line in head[1:] if line)}
     return head[0], fields, await reader.readexactly(int(fields.get("content-length", "0")))
 
 
-class World:
+class RelayTestbed:
     """`script[dest]` holds the answers still to give, as bytes; None says nothing; without one left: 200."""
 
     def __init__(self, state: Path) -> None:
         self.state = state
-        self.script: dict[int, list[bytes | None]] = {}
-        self.calls: list[tuple[int, dict[str, str], bytes]] = []
+        self.scripted_answers: dict[int, list[bytes | None]] = {}
+        self.endpoint_calls: list[tuple[int, dict[str, str], bytes]] = []
         self.notices: list[dict[str, Any]] = []
-        self.watches: list[asyncio.StreamWriter] = []
+        self.watch_writers: list[asyncio.StreamWriter] = []
         self.entries: list[dict[str, Any]] = []
         self.notice_status = [204]
-        self.stall: list[bytes] = []  # a watch says this and no more, one after the other
-        self.version = 1
+        self.stalled_answers: list[bytes] = []  # a watch says this and no more, one after the other
+        self.list_version = 1
         self.servers: list[asyncio.Server] = []
         self.writers: set[asyncio.StreamWriter] = set()
-        self.nodes: list[PlatformRelay] = []
-        self.connections = 0  # made to endpoints
-        self.raw = RAW  # the settings of the next relay
+        self.relays: list[PlatformRelay] = []
+        self.endpoint_connections = 0  # made to endpoints
+        self.settings = RAW  # the settings of the next relay
 
     async def listen(self, serve: Serve) -> int:
         async def held(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -80,13 +80,13 @@
         self.servers.append(server)
         return int(server.sockets[0].getsockname()[1])
 
-    async def endpoint(self, destination: int, state: str = "SERVING", serve: Serve | None = None) -> None:
+    async def add_endpoint(self, destination: int, state: str = "SERVING", serve: Serve | None = None) -> None:
         async def scripted(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            self.connections += 1
+            self.endpoint_connections += 1
             while True:
-                _, fields, body = await read(reader)
-                self.calls.append((destination, fields, body))
-                answer = self.script[destination].pop(0) if self.script.get(destination) else OK
+                _, fields, body = await read_http(reader)
+                self.endpoint_calls.append((destination, fields, body))
+                answer = self.scripted_answers[destination].pop(0) if self.scripted_answers.get(destination) else OK_RESPONSE
                 if answer is not None:
                     writer.write(answer)
 
@@ -104,10 +104,10 @@
             }
         )
 
-    async def discovery(self) -> tuple[str, int]:
+    async def start_discovery(self) -> tuple[str, int]:
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             while True:
-                first, _, body = await read(reader)
+                first, _, body = await read_http(reader)
                 if first.startswith("POST /v2/finals"):
                     status = self.notice_status.pop(0) if len(self.notice_status) > 1 else self.notice_status[0]
                     if status == 204:
@@ -116,23 +116,23 @@
                         b"HTTP/1.1 %d X\r\n%s\r\n" % (status, b"" if status == 204 else b"Content-Length: 0\r\n")
                     )
                 else:
-                    self.watches.append(writer)
-                    if self.stall:
-                        writer.write(self.stall.pop(0))
+                    self.watch_writers.append(writer)
+                    if self.stalled_answers:
+                        writer.write(self.stalled_answers.pop(0))
                         continue
                     writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-                    self.tell(writer, self.entries, True)
+                    self.send_list(writer, self.entries, True)
 
         return "127.0.0.1", await self.listen(serve)
 
-    def tell(self, writer: asyncio.StreamWriter, entries: list[dict[str, Any]], full: bool = False) -> None:
-        self.version += 1
-        line = json.dumps({"version": self.version, "full": full, "servers": entries}).encode() + b"\n"
+    def send_list(self, writer: asyncio.StreamWriter, entries: list[dict[str, Any]], full: bool = False) -> None:
+        self.list_version += 1
+        line = json.dumps({"version": self.list_version, "full": full, "servers": entries}).encode() + b"\n"
         writer.write(b"%x\r\n%s\r\n" % (len(line), line))
 
-    async def node(self, discovery: tuple[str, int] | None = None, **limits: Any) -> PlatformRelay:
+    async def start_relay(self, discovery: tuple[str, int] | None = None, **limits: Any) -> PlatformRelay:
         """A relay of this world, ready."""
-        host, port = discovery or await self.discovery()
+        host, port = discovery or await self.start_discovery()
         self.state.parent.mkdir(parents=True, exist_ok=True)
         path = self.state.parent / "config.json"
         path.write_text(
@@ -143,44 +143,44 @@
                     "discovery": f"{host}:{port}",
                     "seed": "1",
                     "limits": limits,
-                    "settings": self.raw,
+                    "settings": self.settings,
                 }
             )
         )
         settings = config.load({"GW_CONFIG": str(path), "GW_STATE": str(self.state)})
-        node = PlatformRelay(settings, lambda event, **fields: None)
-        await node.start()
-        self.nodes.append(node)
-        return node
+        relay = PlatformRelay(settings, lambda event, **fields: None)
+        await relay.start()
+        self.relays.append(relay)
+        return relay
 
-    def end(self, node: PlatformRelay) -> None:
+    def stop_relay(self, relay: PlatformRelay) -> None:
         """It ends by itself, and its folder is there for the next one."""
-        self.nodes.remove(node)
-        node.close()
+        self.relays.remove(relay)
+        relay.close()
 
-    def kill(self, node: PlatformRelay, folder: Path) -> None:
+    def kill_relay(self, relay: PlatformRelay, folder: Path) -> None:
         """Its folder as it is now is there for the next one, as `folder`: what it does in closing is not."""
         shutil.copytree(self.state, folder)
         self.state = folder
-        self.end(node)
+        self.stop_relay(relay)
 
     def close(self) -> None:
-        for node in self.nodes:
-            node.close()
+        for relay in self.relays:
+            relay.close()
         for writer in list(self.writers):
             writer.transport.abort()
         for server in self.servers:
             server.close()
 
 
-def port_of(node: PlatformRelay) -> int:
-    listening = node.front.server._server
+def port_of(relay: PlatformRelay) -> int:
+    listening = relay.frontend.server._server
     assert listening is not None
     return int(listening.sockets[0].getsockname()[1])
 
 
-def hand_in(
-    ident: str,
+def submission(
+    submission_id: str,
     class_: str = "state",
     destination: int = 1,
     body: bytes = b"hello",
@@ -190,7 +190,7 @@
 ) -> bytes:
     fields = {
         "Host": "api.internal",
-        "X-Correlation-Id": ident,
+        "X-Correlation-Id": submission_id,
         "X-Service-Class": class_,
         "X-Account": "acme",
         "X-Time-Left": left,
@@ -198,15 +198,15 @@
         "Content-Length": str(len(body)),
     }
     if class_ == "order":
-        fields["Idempotency-Key"] = f"key-{ident}"
+        fields["Idempotency-Key"] = f"key-{submission_id}"
     fields |= {name.replace("_", "-"): value for name, value in more.items()}
     head = "".join(f"{name}: {value}\r\n" for name, value in fields.items() if value)
     return f"POST {path} HTTP/1.1\r\n{head}\r\n".encode() + body
 
 
-async def ask(node: PlatformRelay, data: bytes, seconds: float = 3.0) -> int:
+async def request_status(relay: PlatformRelay, data: bytes, seconds: float = 3.0) -> int:
     """The status of the answer; 0 = closed without one. Raises TimeoutError."""
-    reader, writer = await asyncio.open_connection("127.0.0.1", port_of(node))
+    reader, writer = await asyncio.open_connection("127.0.0.1", port_of(relay))
     try:
         writer.write(data)
         async with asyncio.timeout(seconds):
@@ -219,7 +219,7 @@
         writer.close()
 
 
-async def until(done: Callable[[], object], seconds: float = 5.0) -> None:
+async def wait_until(done: Callable[[], object], seconds: float = 5.0) -> None:
     async with asyncio.timeout(seconds):
         while not done():
             await asyncio.sleep(0.005)
