--- a/linnetstile/platform_relay/directory.py
+++ b/linnetstile/platform_relay/directory.py
@@ -28,7 +28,11 @@
 
 # A record: flags, destination, port, kind, zone, rate; the address, 4 bytes or a length and its text; the name.
 NARROW_LAYOUT, WIDE_LAYOUT = struct.Struct("<BIHBBd"), struct.Struct("<BIHIId")
-FLAG_DRAINING, FLAG_WIDE, FLAG_TEXT_HOST = 1, 2, 4  # flags: it drains; WIDE, for more than 256 kinds or zones; a host that is no address
+FLAG_DRAINING, FLAG_WIDE, FLAG_TEXT_HOST = (
+    1,
+    2,
+    4,
+)  # flags: it drains; WIDE, for more than 256 kinds or zones; a host that is no address
 NAME_OFFSET = NARROW_LAYOUT.size + 4  # where the name begins in most records
 
 
@@ -62,11 +66,15 @@
         host_bytes, flags = socket.inet_pton(socket.AF_INET, host), FLAG_WIDE * is_wide
     except OSError:
         host_bytes, flags = bytes([len(host)]) + host.encode(), FLAG_WIDE * is_wide | FLAG_TEXT_HOST
-    return (WIDE_LAYOUT if is_wide else NARROW_LAYOUT).pack(flags, destination, port, kind, zone, rate) + host_bytes + name
+    return (
+        (WIDE_LAYOUT if is_wide else NARROW_LAYOUT).pack(flags, destination, port, kind, zone, rate) + host_bytes + name
+    )
 
 
 def _endpoint_from_record(number: int, record: bytes, status: EndpointStatus | None = None) -> Endpoint:
-    flags, destination, _, kind, zone, rate = (WIDE_LAYOUT if record[0] & FLAG_WIDE else NARROW_LAYOUT).unpack_from(record)
+    flags, destination, _, kind, zone, rate = (WIDE_LAYOUT if record[0] & FLAG_WIDE else NARROW_LAYOUT).unpack_from(
+        record
+    )
     status = status or (EndpointStatus.DRAINING if flags & FLAG_DRAINING else EndpointStatus.READY)
     return Endpoint(number, destination, status, kind, zone, rate)
 
@@ -83,9 +91,7 @@
         self.recently_unlisted: OrderedDict[int, None] = OrderedDict()  # the latest `most` of them, oldest first
 
     def _find_row(self, destination: int) -> int | None:
-        return next(
-            (row for row in self.index.find(hash_integer(destination)) if self.ids[row] == destination), None
-        )
+        return next((row for row in self.index.find(hash_integer(destination)) if self.ids[row] == destination), None)
 
     def __contains__(self, destination: int) -> bool:
         return self._find_row(destination) is not None or destination in self.recently_unlisted
@@ -179,7 +185,11 @@
         layout = WIDE_LAYOUT if record[0] & FLAG_WIDE else NARROW_LAYOUT
         flags, destination, port, _, zone, _ = layout.unpack_from(record)
         at = layout.size
-        host = record[at + 1 : at + 1 + record[at]].decode() if flags & FLAG_TEXT_HOST else socket.inet_ntoa(record[at : at + 4])
+        host = (
+            record[at + 1 : at + 1 + record[at]].decode()
+            if flags & FLAG_TEXT_HOST
+            else socket.inet_ntoa(record[at : at + 4])
+        )
         return EndpointAddress(number, _record_name(record).decode(), host, port, zone, destination)
 
     def endpoint(self, number: int) -> Endpoint | None:
--- a/linnetstile/platform_relay/discovery.py
+++ b/linnetstile/platform_relay/discovery.py
@@ -67,7 +67,9 @@
             self.pending_values.append(error)
         if not self.step_scheduled:
             self._run_steps()
-        self.incomplete_since = (self.last_byte_at if self.incomplete_since is None else self.incomplete_since) if self.is_midway else None
+        self.incomplete_since = (
+            (self.last_byte_at if self.incomplete_since is None else self.incomplete_since) if self.is_midway else None
+        )
 
     def _parse(self, events: list[http1.Event]) -> None:
         """Raises ValueError."""
@@ -212,7 +214,9 @@
     def list_read(self, update: ListUpdate, is_small: bool) -> None:
         """A list has been read to its end, and is in force."""
         if update.entries_skipped:
-            self.log("entries_skipped", skipped=update.entries_skipped, of=update.entries_read, first=update.first_fault)
+            self.log(
+                "entries_skipped", skipped=update.entries_skipped, of=update.entries_read, first=update.first_fault
+            )
         if update.is_full:
             self.resume_policy.full_list_read(is_small)
         if not self.first.is_set():
@@ -231,7 +235,9 @@
             since = self.resume_policy.resume_version(self.directory.version_guard.newest)
             try:
                 async with asyncio.timeout(WATCH_CONNECT_TIMEOUT_S):
-                    _, connection = await self.loop.create_connection(partial(_WatchConnection, self, since), *self.address)
+                    _, connection = await self.loop.create_connection(
+                        partial(_WatchConnection, self, since), *self.address
+                    )
                 await self._follow(connection)
                 useful = connection.is_useful
                 if useful and connection.is_valid and (connection.list_received or not connection.is_midway):
@@ -263,7 +269,9 @@
             now = self.loop.time()
             going = asked if connection.resume_version is not None and connection.head_received else None
             until = watch_deadline(connection.last_byte_at, connection.is_useful, connection.incomplete_since, going)
-            if until <= now and not connection.step_scheduled:  # discovery is down, or this connection leads nowhere: it may stop
+            if (
+                until <= now and not connection.step_scheduled
+            ):  # discovery is down, or this connection leads nowhere: it may stop
                 connection.close()  # in the middle of a line
                 return
             # Looked at again that often: a line may begin, and stop, at any moment.
--- a/linnetstile/platform_relay/endpoint_client.py
+++ b/linnetstile/platform_relay/endpoint_client.py
@@ -1,4 +1,4 @@
-"""Calls to endpoints in the platform's words. What an end proves is asked of `decisions/evidence`."""
+"""Calls to endpoints in the platform's words. What an end proves is asked of `engine/attempt_outcome.py`."""
 
 from __future__ import annotations
 
@@ -14,88 +14,110 @@
 from .config import RelaySettings
 from .directory import EndpointAddress
 
-AttemptCallback = Callable[[AttemptVerdict, tuple[float, ...], bool], None]  # the last: its connection was a kept one
+# Gets the verdict, the load report (empty if none came), and whether the connection had been used before.
+AttemptCallback = Callable[[AttemptVerdict, tuple[float, ...], bool], None]
+
+DEFAULT_CONNECT_TIMEOUT_S = 1.5  # where the settings name none
+DEFAULT_IDLE_TIMEOUT_S = 5.0
 
 
 def parse_retry_after_ms(headers: http1.Headers) -> float | None:
-    """Retry-After of an endpoint: seconds, whole or decimal."""
+    """Return an endpoint's Retry-After, which is in seconds, whole or decimal; None if there is none to be read."""
     try:
-        value = float(headers.get("retry-after")) * 1000
+        value_ms = float(headers.get("retry-after")) * 1000
     except ValueError:
         return None
-    return value if math.isfinite(value) else None
+    return value_ms if math.isfinite(value_ms) else None
 
 
 def parse_load_report(headers: http1.Headers, names: tuple[str, ...]) -> tuple[float, ...]:
-    """The load report in the order of the settings; empty if there is none that can be read."""
+    """Return the load report in the order of `names`; empty if there is none that can be read."""
     text = headers.get("x-backend-load") if names else ""
     try:
-        told = json.loads(text) if text else {}
-        values = tuple(float(told[name]) for name in names)
+        report = json.loads(text) if text else {}
+        values = tuple(float(report[name]) for name in names)
     except (ValueError, KeyError, TypeError):
         return ()
     return values if all(map(math.isfinite, values)) else ()
 
 
 class EndpointClient:
-    def __init__(self, settings: RelaySettings, bounds: ResourceLimits) -> None:
-        module = settings.engine_settings
+    """Sends attempts to endpoints on pooled connections."""
+
+    def __init__(self, settings: RelaySettings, limits: ResourceLimits) -> None:
+        engine_settings = settings.engine_settings
+        idle_ms = engine_settings.idle_timeout_ms
         self.load_report_fields = settings.load_report_fields
-        idle_s = module.idle_timeout_ms * KEPT / 1000 if module.idle_timeout_ms else 5.0  # the module counts on no more
         self.pool = client.Pool(
-            module.connect_timeout_ms / 1000 or 1.5,
-            idle_s,
+            engine_settings.connect_timeout_ms / 1000 or DEFAULT_CONNECT_TIMEOUT_S,
+            idle_ms * KEPT / 1000 if idle_ms else DEFAULT_IDLE_TIMEOUT_S,  # the engine counts on no more
             http1.Limits(body=MAX_BODY_BYTES, head=MAX_HEAD_BYTES),
             eager=True,
-            most_idle=bounds.max_idle_connections,
+            most_idle=limits.max_idle_connections,
         )
 
     def send(
         self,
-        place: EndpointAddress,
-        fields: list[tuple[str, str]],
+        address: EndpointAddress,
+        headers: list[tuple[str, str]],
         body: bytes,
-        left_ms: float,
-        hold_ms: float,
-        begin_ms: float,
-        due_ms: float,
-        done: AttemptCallback,
+        *,
+        timeout_ms: float,
+        last_byte_delay_ms: float,
+        send_within_ms: float,
+        remaining_ms: float,
+        on_ended: AttemptCallback,
     ) -> client.Call:
-        """Begins one attempt that is given up after `left_ms`, its last byte held back for `hold_ms` and not
-        written after `begin_ms` from now; `done` is called once, and not from within. The message's time is up in
-        `due_ms`."""
-        headers = [("Host", f"{place.host}:{place.port}"), ("X-Time-Left", f"{max(1, int(left_ms))}m"), *fields]
+        """Begin one attempt.
+
+        Args:
+            address: Where it goes.
+            headers: Fields of the request besides Host and X-Time-Left.
+            body: The message's body.
+            timeout_ms: The attempt is given up after this time; the endpoint is told the same.
+            last_byte_delay_ms: How long the request's last byte is held back.
+            send_within_ms: The last byte is not written later than this.
+            remaining_ms: Time until the message's deadline.
+            on_ended: Called once, and not from within.
+
+        Returns:
+            The call, by which the attempt can be ended.
+        """
+        lines = [("Host", f"{address.host}:{address.port}"), ("X-Time-Left", f"{max(1, int(timeout_ms))}m"), *headers]
         now = self.pool.loop.time()
-        until, due = now + max(0.0, left_ms) / 1000, now + due_ms / 1000
-
-        def ended(answer: client.Answer) -> None:
-            head = answer.head
-            seen = AttemptObservation(
-                answer.sight,
-                head.status if head else 0,
-                parse_retry_after_ms(head.headers) if head else None,
-                request_complete=answer.whole,
-                after_deadline=self.pool.loop.time() >= due,
-            )
-            no_slot = head is not None and head.headers.get("slots-taken") == "1"
-            done(
-                judge_endpoint_attempt(seen, answer.claimed, no_slot),
-                parse_load_report(head.headers, self.load_report_fields) if head else (),
-                answer.reused,
-            )
+        deadline = now + remaining_ms / 1000
+
+        def answered(answer: client.Answer) -> None:
+            self._judge(answer, self.pool.loop.time() >= deadline, on_ended)
 
         return self.pool.call(
-            (place.host, place.port, place.id),
+            (address.host, address.port, address.id),
             "POST",
-            http1.request_parts("POST", "/events", headers, body),
-            ended,
-            until,
-            hold_s=hold_ms / 1000,
-            begin_by=now + begin_ms / 1000,
+            http1.request_parts("POST", "/events", lines, body),
+            answered,
+            now + max(0.0, timeout_ms) / 1000,
+            hold_s=last_byte_delay_ms / 1000,
+            begin_by=now + send_within_ms / 1000,
+        )
+
+    def _judge(self, answer: client.Answer, after_deadline: bool, on_ended: AttemptCallback) -> None:
+        head = answer.head
+        observation = AttemptObservation(
+            answer.sight,
+            head.status if head else 0,
+            parse_retry_after_ms(head.headers) if head else None,
+            request_complete=answer.whole,
+            after_deadline=after_deadline,
         )
+        slots_exhausted = head is not None and head.headers.get("slots-taken") == "1"
+        verdict = judge_endpoint_attempt(observation, answer.claimed, slots_exhausted)
+        load_report = parse_load_report(head.headers, self.load_report_fields) if head else ()
+        on_ended(verdict, load_report, answer.reused)
 
-    def close_idle(self, place: EndpointAddress) -> None:
-        self.pool.close_idle((place.host, place.port, place.id))
+    def close_idle(self, address: EndpointAddress) -> None:
+        """Close the idle connections to an endpoint."""
+        self.pool.close_idle((address.host, address.port, address.id))
 
     def close(self) -> None:
+        """Close all connections."""
         self.pool.close()
--- a/tests/platform_relay/test_at_most_once.py
+++ b/tests/platform_relay/test_at_most_once.py
@@ -130,7 +130,9 @@
             continue
         for call in mine[mine.index(ran) + 1 :]:
             if class_ == "pay" or class_ == "order" and call.received_at > ran.received_at + WINDOW_S:
-                found.append(f"{call.submission_id} was sent again {call.received_at - ran.received_at:.3f} s after it may have run")
+                found.append(
+                    f"{call.submission_id} was sent again {call.received_at - ran.received_at:.3f} s after it may have run"
+                )
         if class_ != "state" and (ran.submission_id, "bounced") in notices:
             found.append(f"{ran.submission_id} may have run and was told as harmless to hand in again")
     return found
@@ -204,16 +206,16 @@
     def missing_end(self, submission_id: str) -> list[str]:
         told = sum(ref == submission_id for ref, _ in self.notices)
         done = any(call.delivered for call in self.endpoint.calls if call.submission_id == submission_id)
-        return [] if told + done == 1 else [f"{submission_id} was told {run_scenarios} times and delivered {done}"]
+        return [] if told + done == 1 else [f"{submission_id} was told {told} times and delivered {done}"]
 
     async def wait_for_end(self, relay: PlatformRelay, discovery_address: tuple[str, int], name: str) -> None:
         """Waits for the end of all that a relay holds; a client that was refused hands it in at another one."""
-        await wait_until(lambda: not relay.accepted and not relay.pending_notices, 8.0)
+        await wait_until(lambda: not relay.accepted and not relay.reporter.pending_notices, 8.0)
         if ("m", "bounced") in self.notices and all(call.submission_id == "m" for call in self.endpoint.calls):
             self.endpoint.faults, self.testbed.state = [], self.folder / f"{name}-other"
             other = await self.testbed.start_relay(discovery_address)
             assert await request_status(other, submission(name, self.class_, left=TIME_LEFT)) == 202
-            await wait_until(lambda: not other.accepted and not other.pending_notices, 8.0)
+            await wait_until(lambda: not other.accepted and not other.reporter.pending_notices, 8.0)
 
 
 async def run_scenarios(stories: list[Scenario]) -> list[str]:
--- a/tests/platform_relay/test_directory.py
+++ b/tests/platform_relay/test_directory.py
@@ -242,7 +242,10 @@
     servers[4000] = entry("s-4000", addr="nowhere")
     reading, steps = piecewise(directory, servers, 500, 2)
     assert (reading.entries_skipped, reading.entries_read, directory.skipped_entries) == (3, 5000, 3)
-    assert reading.first_fault.startswith("servers[1234]: cell: expected a whole number from 0") and len(reading.first_fault) < 200
+    assert (
+        reading.first_fault.startswith("servers[1234]: cell: expected a whole number from 0")
+        and len(reading.first_fault) < 200
+    )
     assert [each.destination for each in flat(steps)] == [235] and len(directory) == 4999  # the one that has no name
 
 
--- a/tests/platform_relay/test_discovery.py
+++ b/tests/platform_relay/test_discovery.py
@@ -144,7 +144,10 @@
 
 
 def play(
-    scenario: Callable[[DiscoveryEmulator, Rig], Any], *script: tuple[bytes, bool], indent: int | None = None, more: int = 0
+    scenario: Callable[[DiscoveryEmulator, Rig], Any],
+    *script: tuple[bytes, bool],
+    indent: int | None = None,
+    more: int = 0,
 ) -> None:
     async def run() -> None:
         told = DiscoveryEmulator()
@@ -420,7 +423,9 @@
         told.watches[0].close()
         await wait_until(opened(told, 2))  # it has nothing to tell
         told.watches[1].write(chunk(b"\n"))
-        await wait_until(lambda: rig.watch.connection and rig.watch.connection.is_useful and rig.watch.watches_opened == 2)
+        await wait_until(
+            lambda: rig.watch.connection and rig.watch.connection.is_useful and rig.watch.watches_opened == 2
+        )
         told.changed = [entry("b", "DELETED"), entry("new", cell=9)]
         told.change(*told.changed)
         told.watches[1].close()
--- a/tests/platform_relay/test_process.py
+++ b/tests/platform_relay/test_process.py
@@ -102,7 +102,7 @@
         wait_for(process, "ready")
         (tmp_path / "config.json").write_text("{")
         process.send_signal(signal.SIGHUP)
-        assert "expected JSON" in wait_for(process, "config_refused")["why"]
+        assert "expected JSON" in wait_for(process, "config_rejected")["why"]
         head = (
             "POST /api HTTP/1.1\r\nHost: x\r\nX-Correlation-Id: m\r\nX-Service-Class: state\r\nX-Account: acme\r\n"
             "X-Time-Left: 6000m\r\nEnvelope: dest=1\r\nContent-Length: 0\r\n\r\n"
@@ -117,8 +117,8 @@
     try:
         assert wait_for(process, "ready")["resumed"] == 1
         process.send_signal(signal.SIGTERM)
-        ends = wait_for(process, "ends")
-        assert ends["held"] + ends["notices"] == 1  # still owed: nobody could be told
+        stopped = wait_for(process, "stopped")
+        assert stopped["held"] + stopped["notices"] == 1  # still owed: nobody could be told
         assert process.wait(10) == 0
     finally:
         process.kill()
--- a/tests/platform_relay/test_race_conditions.py
+++ b/tests/platform_relay/test_race_conditions.py
@@ -48,7 +48,7 @@
     """The endpoint says 200 as the message's time is up, and the relay is busy until then: the platform may have
     counted it or not."""
 
-    async def story(testbed: RelayTestbed) -> None:
+    async def scenario(testbed: RelayTestbed) -> None:
         async def late(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             _, fields, _ = await read_http(reader)
             testbed.endpoint_calls.append((2, fields, b""))
@@ -61,11 +61,11 @@
         await wait_until(lambda: idle(relay))
         assert testbed.notices == [{"ref": "m", "result": result}] and delivered_ids(testbed) == ["m"]
 
-    run_scenario(tmp_path, story)
+    run_scenario(tmp_path, scenario)
 
 
 def test_call_is_given_up_before_the_message_has_no_time_left(tmp_path: Path) -> None:
-    async def story(testbed: RelayTestbed) -> None:
+    async def scenario(testbed: RelayTestbed) -> None:
         relay = await testbed.start_relay()
         testbed.scripted_answers[1] = [None]
         began = time.monotonic()
@@ -73,7 +73,7 @@
         await wait_until(lambda: testbed.notices)
         assert time.monotonic() - began < 0.4 and testbed.notices == [{"ref": "m", "result": "dead"}]
 
-    run_scenario(tmp_path, story)
+    run_scenario(tmp_path, scenario)
 
 
 def idle_time_over(relay: PlatformRelay) -> None:
@@ -90,7 +90,7 @@
 
 @pytest.mark.parametrize("why", CLOSES)
 def test_request_that_arrives_as_its_resting_connection_is_closed_has_its_answer(tmp_path: Path, why: str) -> None:
-    async def story(testbed: RelayTestbed) -> None:
+    async def scenario(testbed: RelayTestbed) -> None:
         relay = await testbed.start_relay(sockets=64)
         clients = [
             await resting(relay, f"m{n}") for n in range(relay.limits.max_client_connections if "place" in why else 1)
@@ -103,26 +103,26 @@
         for _, writer in clients:
             writer.close()
 
-    run_scenario(tmp_path, story)
+    run_scenario(tmp_path, scenario)
 
 
 def test_client_whose_connection_was_closed_as_it_wrote_is_answered_on_a_new_one(tmp_path: Path) -> None:
     """It may hand in once more on a new connection, and there was nobody to let it in."""
 
-    async def story(testbed: RelayTestbed) -> None:
+    async def scenario(testbed: RelayTestbed) -> None:
         relay = await testbed.start_relay()
         reader, writer = await resting(relay)
         relay.frontend.stop_admitting()
         assert await reader.read() == b""  # closed in order
         assert await request_status(relay, submission("again")) == 503
-        assert not relay.accepted or "again" not in relay.idents
+        assert not relay.accepted or "again" not in relay.accepted.submission_ids
         writer.close()
 
-    run_scenario(tmp_path, story)
+    run_scenario(tmp_path, scenario)
 
 
 def test_request_half_read_at_the_end_hears_that_it_was_not_taken(tmp_path: Path) -> None:
-    async def story(testbed: RelayTestbed) -> None:
+    async def scenario(testbed: RelayTestbed) -> None:
         relay = await testbed.start_relay()
         clients = [await resting(relay, f"m{n}") for n in range(3)]
         whole = submission("half", body=b"x" * 1000)
@@ -133,48 +133,48 @@
         relay.frontend.stop_accepting()
         assert [await status(reader) for reader, _ in clients[:2]] == [503, 503]
         assert await clients[2][0].read() == b""
-        assert "half" not in relay.idents
+        assert "half" not in relay.accepted.submission_ids
         for _, writer in clients:
             writer.close()
 
-    run_scenario(tmp_path, story)
+    run_scenario(tmp_path, scenario)
 
 
 def test_end_waits_for_what_has_arrived_and_is_not_read(tmp_path: Path) -> None:
-    async def story(testbed: RelayTestbed) -> None:
+    async def scenario(testbed: RelayTestbed) -> None:
         relay = await testbed.start_relay()
         reader, writer = await resting(relay)
         await wait_until(lambda: idle(relay))
-        relay.left = relay.loop.time() - EXIT_MS / 1000  # its last moment
+        relay.shutdown.started_at = relay.loop.time() - EXIT_MS / 1000  # its last moment
         writer.write(submission("last"))
-        relay._leaving()
-        assert not relay.stopped.is_set()
+        relay.shutdown._advance()
+        assert not relay.shutdown.stopped.is_set()
         assert await status(reader) == 503
         async with asyncio.timeout(1):
-            await relay.stopped.wait()
+            await relay.shutdown.stopped.wait()
         writer.close()
 
-    run_scenario(tmp_path, story)
+    run_scenario(tmp_path, scenario)
 
 
 def test_signal_that_came_during_the_start_counts_from_then_and_a_second_one_changes_nothing(tmp_path: Path) -> None:
-    async def story(testbed: RelayTestbed) -> None:
+    async def scenario(testbed: RelayTestbed) -> None:
         relay = await testbed.start_relay()
         relay.begin_shutdown(relay.loop.time() - (EXIT_MS - STOP_ADMITTING_MS) / 1000)
         relay.begin_shutdown()
         assert await request_status(relay, submission("m")) == 503  # it takes nothing on any more
         assert relay.engine.shutdown_at < relay.engine_loop.now + STOP_ADMITTING_MS
         async with asyncio.timeout(STOP_ADMITTING_MS / 1000 + 0.2):
-            await relay.stopped.wait()
+            await relay.shutdown.stopped.wait()
         assert STOP_ACCEPTING_MS < STOP_ADMITTING_MS
 
-    run_scenario(tmp_path, story)
+    run_scenario(tmp_path, scenario)
 
 
 def test_small_writes_are_not_held_back_by_the_system(tmp_path: Path) -> None:
     """A close over unread bytes resets a connection, and takes with it what the system still held."""
 
-    async def story(testbed: RelayTestbed) -> None:
+    async def scenario(testbed: RelayTestbed) -> None:
         relay = await testbed.start_relay()
         _, writer = await resting(relay)
         await wait_until(lambda: idle(relay))
@@ -185,13 +185,13 @@
             assert connection.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)  # type: ignore[attr-defined]
         writer.close()
 
-    run_scenario(tmp_path, story)
+    run_scenario(tmp_path, scenario)
 
 
 def test_notice_whose_connection_leads_nowhere_arrives_in_time(tmp_path: Path) -> None:
     """An end told in the last moment of its message: the platform counts it up to 0.3 s after."""
 
-    async def story(testbed: RelayTestbed) -> None:
+    async def scenario(testbed: RelayTestbed) -> None:
         discovery_address = await testbed.start_discovery()
         relay = await testbed.start_relay(discovery_address)
         silent = [True]
@@ -213,19 +213,19 @@
         (told,) = testbed.notices
         assert '"ref":"m"' in told["body"] and told["at"] < due + 0.3
 
-    run_scenario(tmp_path, story)
+    run_scenario(tmp_path, scenario)
 
 
 def test_connection_that_comes_up_as_its_call_is_given_up_is_not_left_open(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    async def story(testbed: RelayTestbed) -> None:
+    async def scenario(testbed: RelayTestbed) -> None:
         relay = await testbed.start_relay()
         made = client.ClientConnection.connection_made
 
         def given_up(conn: client.ClientConnection, transport: asyncio.BaseTransport) -> None:
             made(conn, transport)
-            for carried in list(relay.accepted.values()):  # the task that waits for it has not run again yet
+            for carried in list(relay.accepted.by_id.values()):  # the task that waits for it has not run again yet
                 if carried.attempt and carried.attempt.call:
                     carried.attempt.call.abort(WireResult.TIMED_OUT)
 
@@ -237,13 +237,13 @@
         assert delivered_ids(testbed) == ["m"] and not testbed.notices
         await wait_until(lambda: len(relay.endpoint_client.pool.open) == relay.endpoint_client.pool.resting)
 
-    run_scenario(tmp_path, story)
+    run_scenario(tmp_path, scenario)
 
 
 def test_idle_connection_that_its_peer_closes_between_the_check_and_the_write_may_have_had_the_call(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    async def story(testbed: RelayTestbed) -> None:
+    async def scenario(testbed: RelayTestbed) -> None:
         relay = await testbed.start_relay()
         assert await request_status(relay, submission("first")) == 202
         await wait_until(lambda: idle(relay) and relay.endpoint_client.pool.resting)
@@ -259,20 +259,20 @@
                 place,
                 [("X-Correlation-Id", "m")],
                 b"",
-                1000.0,
-                0.0,
-                math.inf,
-                1000.0,
-                lambda proof, report, reused: ended.append(proof),
+                timeout_ms=1000.0,
+                last_byte_delay_ms=0.0,
+                send_within_ms=math.inf,
+                remaining_ms=1000.0,
+                on_ended=lambda verdict, report, reused: ended.append(verdict),
             )
         await wait_until(lambda: ended)
         assert ended[0].outcome is Outcome.RESET and not ended[0].outcome.proves_no_effect
 
-    run_scenario(tmp_path, story)
+    run_scenario(tmp_path, scenario)
 
 
 def test_early_200_whose_rest_never_comes_keeps_no_connection_and_no_message(tmp_path: Path) -> None:
-    async def story(testbed: RelayTestbed) -> None:
+    async def scenario(testbed: RelayTestbed) -> None:
         relay = await testbed.start_relay()
         testbed.scripted_answers[1] = [b"HTTP/1.1 200 OK\r\nContent-Length: 16\r\n\r\nhalf"]
         assert await request_status(relay, submission("m", "pay")) == 202
@@ -283,13 +283,13 @@
         await wait_until(lambda: len(relay.endpoint_client.pool.open) == relay.endpoint_client.pool.resting == 1)
         assert delivered_ids(testbed) == ["m", "n"] and not testbed.notices
 
-    run_scenario(tmp_path, story)
+    run_scenario(tmp_path, scenario)
 
 
 def test_client_that_closes_as_it_is_told_is_owed_nothing_more_than_the_end(tmp_path: Path) -> None:
     """Its close has arrived and is not read as the 202 is written: taken on, and it has one end all the same."""
 
-    async def story(testbed: RelayTestbed) -> None:
+    async def scenario(testbed: RelayTestbed) -> None:
         relay = await testbed.start_relay()
         _, writer = await resting(relay)
         await wait_until(lambda: idle(relay))
@@ -301,27 +301,29 @@
 
         relay.frontend.on_submission = crossed
         writer.write(submission("m", "pay"))
-        await wait_until(lambda: "m" in relay.idents)
+        await wait_until(lambda: "m" in relay.accepted.submission_ids)
         await wait_until(lambda: idle(relay))
         assert delivered_ids(testbed).count("m") == 1 and not testbed.notices and not relay.engine.queues.messages
 
-    run_scenario(tmp_path, story)
+    run_scenario(tmp_path, scenario)
 
 
 def test_flood_of_requests_on_one_connection_costs_the_others_nothing(tmp_path: Path) -> None:
-    async def story(testbed: RelayTestbed) -> None:
+    async def scenario(testbed: RelayTestbed) -> None:
         testbed.settings = RAW | {"limits": RAW["limits"] | {"open-cap": 100_000}}
         relay = await testbed.start_relay()
         _, flood = await asyncio.open_connection("127.0.0.1", port_of(relay))
         flood.write(b"".join(submission(f"f{n}", destination=9, left="500m") for n in range(3000)))
         for n in range(20):
             assert await request_status(relay, submission(f"m{n}"), 0.4) == 202
-            assert all(conn.parser.buffered < 200_000 and len(conn.pending) < 100 for conn in relay.frontend.server.open)
+            assert all(
+                conn.parser.buffered < 200_000 and len(conn.pending) < 100 for conn in relay.frontend.server.open
+            )
         flood.transport.abort()
         await wait_until(lambda: idle(relay) and not relay.frontend.server.open)
         assert len([each for each in delivered_ids(testbed) if each.startswith("m")]) == 20
 
-    run_scenario(tmp_path, story)
+    run_scenario(tmp_path, scenario)
 
 
 def other(name: str, effects: list[str]) -> dict[str, Any]:
@@ -334,7 +336,7 @@
 
 
 def test_two_relays_of_two_customers_in_one_process_share_nothing(tmp_path: Path) -> None:
-    async def story(testbed: RelayTestbed) -> None:
+    async def scenario(testbed: RelayTestbed) -> None:
         discovery_address = await testbed.start_discovery()
         customers = {"a": ["once", "by_key", "repeatable"], "b": ["repeatable", "once", "by_key"]}
         nodes = {}
@@ -347,7 +349,12 @@
                     submission_id = f"{name}-{effect}-{asked}"
                     told = await request_status(
                         nodes[asked],
-                        submission(submission_id, f"{name}-{effect}", X_Account=f"{name}-org", Idempotency_Key="k" + submission_id),
+                        submission(
+                            submission_id,
+                            f"{name}-{effect}",
+                            X_Account=f"{name}-org",
+                            Idempotency_Key="k" + submission_id,
+                        ),
                     )
                     assert told == (202 if asked == name else 400)
             await wait_until(partial(idle, nodes[name]))
@@ -359,7 +366,7 @@
         )
         assert mine and not mine & theirs
 
-    run_scenario(tmp_path, story)
+    run_scenario(tmp_path, scenario)
 
 
 @pytest.mark.parametrize("seed", range(12))
@@ -410,13 +417,18 @@
     }
     raw |= {key: value for key, value in optional.items() if rng.random() < 0.6}
 
-    async def story(testbed: RelayTestbed) -> None:
+    async def scenario(testbed: RelayTestbed) -> None:
         testbed.settings = raw
         discovery_address = await testbed.start_discovery()
         first = await testbed.start_relay(discovery_address)
         account = raw["orgs"][0]["name"] if "orgs" in raw else "anyone"
         for each in classes:
-            assert await request_status(first, submission(each["name"], each["name"], X_Account=account, Idempotency_Key="k")) == 202
+            assert (
+                await request_status(
+                    first, submission(each["name"], each["name"], X_Account=account, Idempotency_Key="k")
+                )
+                == 202
+            )
         await wait_until(lambda: idle(first))
         testbed.send_list(testbed.watch_writers[-1], [{**each, "state": "DRAINING"} for each in testbed.entries])
         await wait_until(lambda: not len(first.engine.routing_table.index))
@@ -427,7 +439,9 @@
         second = await testbed.start_relay(discovery_address)
         assert len(second.accepted) == len(classes)
         await wait_until(lambda: idle(second))
-        assert sorted(delivered_ids(testbed)) == sorted([e["name"] for e in classes] + ["r" + e["name"] for e in classes])
+        assert sorted(delivered_ids(testbed)) == sorted(
+            [e["name"] for e in classes] + ["r" + e["name"] for e in classes]
+        )
         assert not testbed.notices
 
-    run_scenario(tmp_path, story)
+    run_scenario(tmp_path, scenario)
--- a/tests/platform_relay/test_recovery.py
+++ b/tests/platform_relay/test_recovery.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from linnetstile.platform_relay import relay as node_relay
+from linnetstile.platform_relay import clock
 
 from .test_relay import idle, delivered_ids, run_scenario
 from .world import CLASSES, RAW, RelayTestbed, request_status, submission, wait_until
@@ -42,7 +42,10 @@
     testbed.send_list(testbed.watch_writers[-1], [{**each, "state": "DRAINING"} for each in testbed.entries])
     await wait_until(lambda: not len(first.engine.routing_table.index))
     for n in range(COUNT):
-        assert await request_status(first, submission(f"m{n}", str(CLASSES[n % len(CLASSES)]["name"]), left="5500m")) == 202
+        assert (
+            await request_status(first, submission(f"m{n}", str(CLASSES[n % len(CLASSES)]["name"]), left="5500m"))
+            == 202
+        )
     testbed.kill_relay(first, state / "as killed")
     assert not testbed.endpoint_calls
     return discovery_address
@@ -50,7 +53,7 @@
 
 @pytest.mark.parametrize("change", CHANGES)
 def test_what_was_taken_on_and_never_tried_is_tried_after_a_restart(tmp_path: Path, change: str) -> None:
-    async def story(testbed: RelayTestbed) -> None:
+    async def scenario(testbed: RelayTestbed) -> None:
         discovery_address = await killed(testbed, tmp_path)
         testbed.settings = CHANGES[change]
         second = await testbed.start_relay(discovery_address)
@@ -58,12 +61,12 @@
         await wait_until(lambda: idle(second))
         assert sorted(set(delivered_ids(testbed))) == sorted(f"m{n}" for n in range(COUNT)) and not testbed.notices
 
-    run_scenario(tmp_path, story)
+    run_scenario(tmp_path, scenario)
 
 
 @pytest.mark.parametrize("listed", ["later", "draining at first"])
 def test_destination_that_is_not_there_yet_is_waited_for(tmp_path: Path, listed: str) -> None:
-    async def story(testbed: RelayTestbed) -> None:
+    async def scenario(testbed: RelayTestbed) -> None:
         discovery_address = await killed(testbed, tmp_path)
         entries = testbed.entries
         testbed.entries = [] if listed == "later" else [{**each, "state": "DRAINING"} for each in entries]
@@ -73,34 +76,36 @@
         await wait_until(lambda: idle(second))
         assert len(set(delivered_ids(testbed))) == COUNT and not testbed.notices
 
-    run_scenario(tmp_path, story)
+    run_scenario(tmp_path, scenario)
 
 
 @pytest.mark.parametrize("moved_ms", [-3_600_000.0, 0.0])
 def test_clock_that_was_set_back_gives_no_message_more_time_than_it_had(
     tmp_path: Path, moved_ms: float, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    async def story(testbed: RelayTestbed) -> None:
+    async def scenario(testbed: RelayTestbed) -> None:
         discovery_address = await killed(testbed, tmp_path)
-        unix = node_relay.unix_ms
-        monkeypatch.setattr(node_relay, "unix_ms", lambda: unix() + moved_ms)
+        unix_ms = clock.unix_ms
+        monkeypatch.setattr(clock, "unix_ms", lambda: unix_ms() + moved_ms)
         testbed.entries = [{**each, "state": "DRAINING"} for each in testbed.entries]
         second = await testbed.start_relay(discovery_address)
         await asyncio.sleep(0)
         held = second.engine.queues.messages.values()
         assert len(held) == COUNT and all(0 < each.deadline - second.engine_loop.now <= 5500 for each in held)
 
-    run_scenario(tmp_path, story)
+    run_scenario(tmp_path, scenario)
 
 
 @pytest.mark.parametrize("risky", [True, False])
 def test_class_that_the_settings_name_no_more_is_tried_but_never_again_once_it_may_have_run(
     tmp_path: Path, risky: bool
 ) -> None:
-    async def story(testbed: RelayTestbed) -> None:
+    async def scenario(testbed: RelayTestbed) -> None:
         discovery_address = await testbed.start_discovery()
         first = await testbed.start_relay(discovery_address)
-        testbed.scripted_answers[1] = [None if risky else b"HTTP/1.1 429 X\r\nRetry-After: 1\r\nContent-Length: 0\r\n\r\n"]
+        testbed.scripted_answers[1] = [
+            None if risky else b"HTTP/1.1 429 X\r\nRetry-After: 1\r\nContent-Length: 0\r\n\r\n"
+        ]
         assert await request_status(first, submission("m", "state")) == 202
         await wait_until(lambda: testbed.endpoint_calls if risky else first.counts.get("ended_full"))
         testbed.kill_relay(first, tmp_path / "as killed")
@@ -111,13 +116,13 @@
         assert delivered_ids(testbed) == (["m"] if risky else ["m", "m"])
         assert testbed.notices == ([{"ref": "m", "result": "dead"}] if risky else [])
 
-    run_scenario(tmp_path, story)
+    run_scenario(tmp_path, scenario)
 
 
 def test_relay_starts_on_what_there_is_where_the_disk_takes_no_new_file(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    async def story(testbed: RelayTestbed) -> None:
+    async def scenario(testbed: RelayTestbed) -> None:
         discovery_address = await killed(testbed, tmp_path)
         rename = os.rename
 
@@ -132,14 +137,14 @@
         assert len(set(delivered_ids(testbed))) == COUNT and not testbed.notices
         assert second.journal.size <= second.journal.compaction_bytes  # rewritten as soon as there was room
 
-    run_scenario(tmp_path, story)
+    run_scenario(tmp_path, scenario)
 
 
 def test_identifier_that_ended_before_a_restart_is_a_new_one_after_it(tmp_path: Path) -> None:
     """What it costs that ended identifiers are not kept: work that may run only once runs again for a client that
     hands in the same identifier after the end and after a restart, which the platform's page rules out."""
 
-    async def story(testbed: RelayTestbed) -> None:
+    async def scenario(testbed: RelayTestbed) -> None:
         discovery_address = await testbed.start_discovery()
         first = await testbed.start_relay(discovery_address)
         assert await request_status(first, submission("m", "pay")) == 202
@@ -152,4 +157,4 @@
         assert delivered_ids(testbed) == ["m", "m"]
         assert await request_status(second, submission("m", "pay")) == 409
 
-    run_scenario(tmp_path, story)
+    run_scenario(tmp_path, scenario)
--- a/tests/platform_relay/test_relay.py
+++ b/tests/platform_relay/test_relay.py
@@ -17,9 +17,10 @@
 import pytest
 
 from linnetstile.net import client, server
-from linnetstile.platform_relay import journal
+from linnetstile.platform_relay import journal_codec
 from linnetstile.platform_relay.http_frontend import Submission
 from linnetstile.platform_relay.journal import Journal
+from linnetstile.platform_relay.records import Notice, NoticeResult, PendingNotice
 from linnetstile.platform_relay.relay import PlatformRelay
 
 from .world import OK_RESPONSE, RAW, RelayTestbed, request_status, submission, port_of, read_http, wait_until
@@ -41,7 +42,7 @@
 
 
 def idle(relay: PlatformRelay) -> bool:
-    return not relay.accepted and not relay.pending_notices
+    return not relay.accepted and not relay.reporter.pending_notices
 
 
 def delivered_ids(testbed: RelayTestbed) -> list[str]:
@@ -62,7 +63,7 @@
 def test_message_goes_on_unchanged_and_is_owed_no_notice(tmp_path: Path) -> None:
     body = bytes(range(256))
 
-    async def story(testbed: RelayTestbed) -> None:
+    async def scenario(testbed: RelayTestbed) -> None:
         relay = await testbed.start_relay()
         assert await request_status(relay, b"GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n") == 200
         assert await request_status(relay, submission("m1", "order", body=body, left="2500000u")) == 202
@@ -70,9 +71,9 @@
         ((destination, fields, came),) = testbed.endpoint_calls
         assert (destination, fields["x-correlation-id"], fields["idempotency-key"], came) == (1, "m1", "key-m1", body)
         assert 0 < int(fields["x-time-left"].removesuffix("m")) <= 2500
-        assert not testbed.notices and not relay.pending_notices
+        assert not testbed.notices and not relay.reporter.pending_notices
 
-    run_scenario(tmp_path, story)
+    run_scenario(tmp_path, scenario)
 
 
 @pytest.mark.parametrize(
@@ -91,19 +92,22 @@
     ],
 )
 def test_answer_whose_first_line_says_200_counts_whatever_follows(tmp_path: Path, answer: bytes) -> None:
-    async def story(testbed: RelayTestbed) -> None:
+    async def scenario(testbed: RelayTestbed) -> None:
         relay = await testbed.start_relay()
         testbed.scripted_answers[1] = [answer]
         assert await request_status(relay, submission("a", "pay")) == 202
         await wait_until(lambda: not relay.accepted, 1.0)
         for submission_id in ("b", "c"):  # the next ones have an answer of their own
-            testbed.scripted_answers[1] = [b"HTTP/1.1 429 X\r\nRetry-After: 0.05\r\nContent-Length: 0\r\n\r\n", OK_RESPONSE]
+            testbed.scripted_answers[1] = [
+                b"HTTP/1.1 429 X\r\nRetry-After: 0.05\r\nContent-Length: 0\r\n\r\n",
+                OK_RESPONSE,
+            ]
             assert await request_status(relay, submission(submission_id, "pay")) == 202
             await wait_until(lambda: not relay.accepted)
         assert delivered_ids(testbed) == ["a", "b", "b", "c", "c"]
         assert not testbed.notices
 
-    run_scenario(tmp_path, story)
+    run_scenario(tmp_path, scenario)
 
 
 @pytest.mark.parametrize(
@@ -117,7 +121,7 @@
 def test_unclear_answer_is_final_for_what_may_not_be_repeated_and_repeated_for_the_rest(
     tmp_path: Path, answer: bytes
 ) -> None:
-    async def story(testbed: RelayTestbed) -> None:
+    async def scenario(testbed: RelayTestbed) -> None:
         relay = await testbed.start_relay()
         testbed.scripted_answers[1] = [answer]
         assert await request_status(relay, submission("p", "pay")) == 202
@@ -129,7 +133,7 @@
         assert delivered_ids(testbed) == ["p", "s", "s"]
         assert len({fields["idempotency-key"] for _, fields, _ in testbed.endpoint_calls[1:]}) == 1
 
-    run_scenario(tmp_path, story)
+    run_scenario(tmp_path, scenario)
 
 
 BAD = [
@@ -156,17 +160,17 @@
 
 @pytest.mark.parametrize("number", range(len(BAD)))
 def test_bad_client_gets_an_error_or_a_close_in_time_and_nothing_is_taken(tmp_path: Path, number: int) -> None:
-    async def story(testbed: RelayTestbed) -> None:
+    async def scenario(testbed: RelayTestbed) -> None:
         relay = await testbed.start_relay()
         assert await request_status(relay, BAD[number], 3.0) not in (200, 202)
         assert not relay.accepted and not testbed.endpoint_calls
         assert await request_status(relay, submission("good")) == 202
 
-    run_scenario(tmp_path, story)
+    run_scenario(tmp_path, scenario)
 
 
 def test_kept_connections_of_clients_stay_below_the_third_that_clients_have(tmp_path: Path) -> None:
-    async def story(testbed: RelayTestbed) -> None:
+    async def scenario(testbed: RelayTestbed) -> None:
         testbed.settings = RAW | {"limits": RAW["limits"] | {"open-cap": 200}}  # none is refused for want of room
         relay = await testbed.start_relay(sockets=120)
         kept = []
@@ -181,11 +185,11 @@
         for writer in kept:
             writer.close()
 
-    run_scenario(tmp_path, story)
+    run_scenario(tmp_path, scenario)
 
 
 def test_silent_clients_are_let_go_and_an_open_identifier_is_not_taken_twice(tmp_path: Path) -> None:
-    async def story(testbed: RelayTestbed) -> None:
+    async def scenario(testbed: RelayTestbed) -> None:
         relay = await testbed.start_relay(sockets=128)
         silent = (
             [
@@ -205,12 +209,12 @@
         for _, writer in silent:
             writer.close()
 
-    run_scenario(tmp_path, story)
+    run_scenario(tmp_path, scenario)
 
 
 @pytest.mark.parametrize(("class_", "again"), [("state", True), ("order", True), ("pay", False)])
 def test_restart_goes_on_with_what_was_taken(tmp_path: Path, class_: str, again: bool) -> None:
-    async def story(testbed: RelayTestbed) -> None:
+    async def scenario(testbed: RelayTestbed) -> None:
         discovery_address = await testbed.start_discovery()
         first = await testbed.start_relay(discovery_address)
         testbed.scripted_answers[1] = [None]
@@ -219,11 +223,11 @@
         testbed.kill_relay(first, tmp_path / "as killed")
         second = await testbed.start_relay(discovery_address)
         assert await request_status(second, submission("m", class_)) == 409
-        await wait_until(lambda: not second.accepted and not second.pending_notices)
+        await wait_until(lambda: not second.accepted and not second.reporter.pending_notices)
         assert delivered_ids(testbed) == ["m"] * (1 + again)
         assert testbed.notices == ([] if again else [{"ref": "m", "result": "dead"}])
 
-    run_scenario(tmp_path, story)
+    run_scenario(tmp_path, scenario)
 
 
 @pytest.mark.parametrize("class_", ["pay", "state"])
@@ -234,7 +238,7 @@
     left: list[tuple[Path, int, int]] = []  # the folder, calls that had come, notices posted
     flush, original = Journal.flush, tmp_path / "journal"
 
-    async def story(testbed: RelayTestbed) -> None:
+    async def scenario(testbed: RelayTestbed) -> None:
         def flushed(kept: Journal) -> bool:
             size, done = kept.size, flush(kept)
             if kept.folder == original and kept.size != size:
@@ -247,7 +251,7 @@
         first = await testbed.start_relay(discovery_address)
         testbed.scripted_answers[1] = [b"garbage\r\n\r\n", OK_RESPONSE]
         assert await request_status(first, submission("m", class_)) == 202
-        await wait_until(lambda: not first.accepted and not first.pending_notices)
+        await wait_until(lambda: not first.accepted and not first.reporter.pending_notices)
         await asyncio.sleep(0.05)
         first.close()
         testbed.relays.clear()
@@ -265,50 +269,50 @@
             else:
                 assert sent <= 1 and not told
 
-    run_scenario(tmp_path, story)
+    run_scenario(tmp_path, scenario)
 
 
 def test_reload_under_load_disturbs_nothing_that_is_held_or_out(tmp_path: Path) -> None:
-    async def story(testbed: RelayTestbed) -> None:
+    async def scenario(testbed: RelayTestbed) -> None:
         relay = await testbed.start_relay()
         for number in range(30):
             if number % 10 == 5:
                 relay.move_discovery(await testbed.start_discovery())
             testbed.scripted_answers[1] = [b"HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n"] if number % 7 == 6 else []
             assert await request_status(relay, submission(f"m{number}", "order")) == 202
-        await wait_until(lambda: not relay.accepted and not relay.pending_notices)
+        await wait_until(lambda: not relay.accepted and not relay.reporter.pending_notices)
         told = {notice["ref"] for notice in testbed.notices}
         assert set(delivered_ids(testbed)) == {f"m{number}" for number in range(30)} and not told
         assert relay.watch.watches_opened == 4
 
-    run_scenario(tmp_path, story)
+    run_scenario(tmp_path, scenario)
 
 
 def test_notice_is_posted_until_the_platform_has_it_also_after_a_restart_and_a_move(tmp_path: Path) -> None:
-    async def story(testbed: RelayTestbed) -> None:
+    async def scenario(testbed: RelayTestbed) -> None:
         discovery_address = await testbed.start_discovery()
         relay = await testbed.start_relay(discovery_address)
         testbed.notice_status = [500, 500, 400, 400, 204]
         testbed.scripted_answers[1] = [b"garbage\r\n\r\n"]
         assert await request_status(relay, submission("p", "pay")) == 202
-        await wait_until(lambda: relay.notice_sender.rejected_count == 1 and not relay.pending_notices)
+        await wait_until(lambda: relay.notice_sender.rejected_count == 1 and not relay.reporter.pending_notices)
         testbed.notice_status = [500]
         testbed.scripted_answers[1] = [b"garbage\r\n\r\n"]
         assert await request_status(relay, submission("q", "pay")) == 202
         await wait_until(lambda: relay.notice_sender.failures > 1)
         testbed.stop_relay(relay)
         later = await testbed.start_relay(discovery_address)
-        assert list(later.pending_notices) and not testbed.notices
+        assert list(later.reporter.pending_notices) and not testbed.notices
         testbed.notice_status = [204]
         later.move_discovery(await testbed.start_discovery())
-        await wait_until(lambda: not later.pending_notices)
+        await wait_until(lambda: not later.reporter.pending_notices)
         assert [notice["ref"] for notice in testbed.notices] == ["q"]
 
-    run_scenario(tmp_path, story)
+    run_scenario(tmp_path, scenario)
 
 
 def test_changes_reach_the_module_and_an_address_that_changes_hands_shares_no_connection(tmp_path: Path) -> None:
-    async def story(testbed: RelayTestbed) -> None:
+    async def scenario(testbed: RelayTestbed) -> None:
         relay = await testbed.start_relay()
         assert await request_status(relay, submission("a")) == 202
         await wait_until(lambda: not relay.accepted)
@@ -322,7 +326,7 @@
         testbed.send_list(testbed.watch_writers[-1], [{**old, "id": "s-new", "state": "DRAINING"}])
         await wait_until(lambda: not len(relay.engine.routing_table.index))
 
-    run_scenario(tmp_path, story)
+    run_scenario(tmp_path, scenario)
 
 
 @pytest.mark.parametrize(
@@ -337,7 +341,7 @@
 def test_watch_that_stops_in_the_middle_is_opened_anew_well_before_its_change_counts(
     tmp_path: Path, said: bytes
 ) -> None:
-    async def story(testbed: RelayTestbed) -> None:
+    async def scenario(testbed: RelayTestbed) -> None:
         testbed.stalled_answers = [said, said]
         relay = await testbed.start_relay()
         await wait_until(lambda: len(relay.directory), 3.0)
@@ -347,12 +351,12 @@
         testbed.entries = [{**entry, "state": "DRAINING"}]
         await wait_until(lambda: not len(relay.engine.routing_table.index), 2.0)
 
-    run_scenario(tmp_path, story)
+    run_scenario(tmp_path, scenario)
 
 
 @pytest.mark.parametrize("listed", [1, 7])
 def test_client_that_left_before_its_answer_leaves_nothing_behind(tmp_path: Path, listed: int) -> None:
-    async def story(testbed: RelayTestbed) -> None:
+    async def scenario(testbed: RelayTestbed) -> None:
         await testbed.add_endpoint(7, "DRAINING")  # known, and nothing may be sent there
         relay = await testbed.start_relay()
         _, writer = await asyncio.open_connection("127.0.0.1", port_of(relay))
@@ -368,16 +372,19 @@
         await wait_until(lambda: relay.counts.get("unheard"))
         await asyncio.sleep(0.05)
         assert (
-            not relay.accepted and not relay.engine.queues.messages and relay.journal.message_bytes == 0 and not relay.engine.in_flight
+            not relay.accepted
+            and not relay.engine.queues.messages
+            and relay.journal.message_bytes == 0
+            and not relay.engine.in_flight
         )
         assert not testbed.endpoint_calls and not testbed.notices
         writer.close()
 
-    run_scenario(tmp_path, story)
+    run_scenario(tmp_path, scenario)
 
 
 def test_what_can_not_be_written_down_is_refused(tmp_path: Path) -> None:
-    async def story(testbed: RelayTestbed) -> None:
+    async def scenario(testbed: RelayTestbed) -> None:
         relay = await testbed.start_relay()
         file, relay.journal._descriptor = relay.journal._descriptor, -1
         assert await request_status(relay, submission("m")) == 503
@@ -386,11 +393,11 @@
         assert not testbed.endpoint_calls and not testbed.notices
         assert await request_status(relay, submission("n")) == 202
 
-    run_scenario(tmp_path, story)
+    run_scenario(tmp_path, scenario)
 
 
 def test_relay_that_leaves_serves_until_shortly_before_its_end(tmp_path: Path) -> None:
-    async def story(testbed: RelayTestbed) -> None:
+    async def scenario(testbed: RelayTestbed) -> None:
         relay = await testbed.start_relay()
         testbed.scripted_answers[1] = [b"HTTP/1.1 429 X\r\nRetry-After: 0.6\r\nContent-Length: 0\r\n\r\n"]
         assert await request_status(relay, submission("m")) == 202
@@ -402,11 +409,11 @@
         await wait_until(lambda: not relay.accepted)
         assert sorted(delivered_ids(testbed)) == ["m", "m", "n", "o"]
         async with asyncio.timeout(3.6):
-            await relay.stopped.wait()
+            await relay.shutdown.stopped.wait()
         await kept.read()  # closed in order, with no error
         writer.close()
 
-    run_scenario(tmp_path, story)
+    run_scenario(tmp_path, scenario)
 
 
 def test_work_that_may_run_only_once_is_not_sent_again_by_a_connection_that_comes_up_late(
@@ -418,7 +425,7 @@
     raw["classes"][0]["window-ms"] = 1200.0
     raw["limits"]["connect-timeout-ms"] = 3000.0
 
-    async def story(testbed: RelayTestbed) -> None:
+    async def scenario(testbed: RelayTestbed) -> None:
         testbed.settings = raw
         testbed.scripted_answers[1] = [b"HTTP/1.1 500 X\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"]
         relay = await testbed.start_relay()
@@ -430,29 +437,31 @@
         assert relay.counts["attempts"] == 2  # the second one was decided, and ended without a byte
         assert delivered_ids(testbed) == ["k"] and testbed.notices == [{"ref": "k", "result": "dead"}]
 
-    run_scenario(tmp_path, story)
+    run_scenario(tmp_path, scenario)
 
 
 def test_call_whose_connection_comes_up_after_a_wait_was_told_waits_too(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    async def story(testbed: RelayTestbed) -> None:
+    async def scenario(testbed: RelayTestbed) -> None:
         testbed.scripted_answers[1] = [b"HTTP/1.1 429 X\r\nRetry-After: 0.9\r\nContent-Length: 0\r\n\r\n"]
         relay = await testbed.start_relay()
         delay_connects(monkeypatch, relay, itertools.chain((0.0, 0.3), itertools.repeat(0.0)))
         told = relay.loop.time()
-        assert {*await asyncio.gather(request_status(relay, submission("a")), request_status(relay, submission("b")))} == {202}
+        assert {
+            *await asyncio.gather(request_status(relay, submission("a")), request_status(relay, submission("b")))
+        } == {202}
         await wait_until(lambda: relay.counts.get("attempts") == 2 and len(testbed.endpoint_calls) == 1)
         await wait_until(lambda: len(testbed.endpoint_calls) > 1)
         assert relay.loop.time() - told >= 0.9
         await wait_until(lambda: not relay.accepted)
         assert sorted(delivered_ids(testbed)) == ["a", "a", "b"] or sorted(delivered_ids(testbed)) == ["a", "b", "b"]
 
-    run_scenario(tmp_path, story)
+    run_scenario(tmp_path, scenario)
 
 
 def test_lists_of_1024_endpoints_are_taken_whole_and_half_of_them_leave(tmp_path: Path) -> None:
-    async def story(testbed: RelayTestbed) -> None:
+    async def scenario(testbed: RelayTestbed) -> None:
         testbed.settings = {**RAW, "balancers": 1024}
         others = [
             {
@@ -476,11 +485,11 @@
         assert await request_status(relay, submission("b")) == 202
         await wait_until(lambda: delivered_ids(testbed) == ["a", "b"])
 
-    run_scenario(tmp_path, story)
+    run_scenario(tmp_path, scenario)
 
 
 def test_clients_are_answered_while_a_list_of_20000_is_read(tmp_path: Path) -> None:
-    async def story(testbed: RelayTestbed) -> None:
+    async def scenario(testbed: RelayTestbed) -> None:
         relay = await testbed.start_relay()
         testbed.entries += [
             {**testbed.entries[0], "id": f"o-{number}", "cell": 2 + number, "addr": "127.9.0.1:3000"}
@@ -494,7 +503,7 @@
             answered += relay.watch.is_reading_list
         assert answered >= 3 and len(relay.directory) == 20_001 and len(testbed.watch_writers) == 1
 
-    run_scenario(tmp_path, story)
+    run_scenario(tmp_path, scenario)
 
 
 def test_end_that_the_disk_would_not_take_is_not_forgotten_by_the_next_process(
@@ -510,24 +519,25 @@
             raise OSError(errno.ENOSPC, "no room")
         return write(file, data)
 
-    async def story(testbed: RelayTestbed) -> None:
+    async def scenario(testbed: RelayTestbed) -> None:
         testbed.notice_status = [500]  # the notice stays owed
         testbed.scripted_answers[1] = [b"HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n"] * 9
         relay = await testbed.start_relay()
         monkeypatch.setattr(os, "write", full)
         assert await request_status(relay, submission("m", "pay", left="700m")) == 202
-        await wait_until(lambda: relay.pending_notices)
+        await wait_until(lambda: relay.reporter.pending_notices)
         await asyncio.sleep(0.05)
-        (kept,) = journal.replay((testbed.state / "journal").read_bytes())[0].values()
-        assert failed and kept.notice == {"ref": "m", "result": "bounced"}
+        (record,) = journal_codec.replay((testbed.state / "journal").read_bytes())[0].values()
+        assert failed and isinstance(record, PendingNotice)
+        assert record.notice == Notice("m", NoticeResult.REJECTED)
 
-    run_scenario(tmp_path, story)
+    run_scenario(tmp_path, scenario)
 
 
 def test_messages_of_a_class_in_order_go_one_at_a_time_by_the_key_in_their_path(tmp_path: Path) -> None:
     """Each hand-in of such a class was answered 404, so that none of it was served on other deployments."""
 
-    async def story(testbed: RelayTestbed) -> None:
+    async def scenario(testbed: RelayTestbed) -> None:
         relay = await testbed.start_relay()
         testbed.scripted_answers[1] = [None]
         assert await request_status(relay, submission("a1", "charge", path="/api/0009f68e")) == 202
@@ -541,37 +551,37 @@
             assert await request_status(relay, submission("d1", "charge", path=path)) == 404
         assert await request_status(relay, submission("d1", "pay", path="/api/0009f68e")) == 404
 
-    run_scenario(tmp_path, story)
+    run_scenario(tmp_path, scenario)
 
 
 def test_next_message_in_order_goes_once_the_platform_has_the_end_of_the_one_before(tmp_path: Path) -> None:
     """Both came out of one turn of the module, and the call overtook the notice."""
 
-    async def story(testbed: RelayTestbed) -> None:
+    async def scenario(testbed: RelayTestbed) -> None:
         discovery_address = await testbed.start_discovery()
         testbed.notice_status = [500]
         testbed.scripted_answers[1] = [b"HTTP/1.1 429 X\r\nRetry-After: 0.4\r\nContent-Length: 0\r\n\r\n"]
         relay = await testbed.start_relay(discovery_address)
         for submission_id, left in (("a1", "300m"), ("a2", "5000m")):
             assert await request_status(relay, submission(submission_id, "charge", path="/api/a", left=left)) == 202
-        await wait_until(lambda: relay.behind and not relay.notice_sender.in_flight)
+        await wait_until(lambda: relay.delivery.waiting_for_order and not relay.notice_sender.in_flight)
         await asyncio.sleep(0.1)
         assert delivered_ids(testbed) == ["a1"] and not testbed.notices
         testbed.kill_relay(relay, tmp_path / "as killed")
         again = await testbed.start_relay(discovery_address)  # the notice is owed still, and what waits for it waits on
-        await wait_until(lambda: again.behind)
+        await wait_until(lambda: again.delivery.waiting_for_order)
         assert delivered_ids(testbed) == ["a1"]
         testbed.notice_status = [204]
         await wait_until(partial(idle, again))
         assert delivered_ids(testbed) == ["a1", "a2"] and testbed.notices == [{"ref": "a1", "result": "bounced"}]
 
-    run_scenario(tmp_path, story)
+    run_scenario(tmp_path, scenario)
 
 
 def test_a_destination_that_takes_several_in_one_call_gets_no_more_calls_than_there_are_slots(tmp_path: Path) -> None:
     """Riders of a call went out as calls of their own: more at once than slots, which the platform turns away."""
 
-    async def story(testbed: RelayTestbed) -> None:
+    async def scenario(testbed: RelayTestbed) -> None:
         testbed.settings = RAW | {"extra": {"call-slots": 2, "per-call": [10]}, "weight-kind": "silent"}
         out: list[int] = [0]
 
@@ -585,15 +595,17 @@
 
         await testbed.add_endpoint(2, serve=slowly)
         relay = await testbed.start_relay()
-        assert set(await asyncio.gather(*(request_status(relay, submission(f"m{n}", destination=2)) for n in range(6)))) == {202}
+        assert set(
+            await asyncio.gather(*(request_status(relay, submission(f"m{n}", destination=2)) for n in range(6)))
+        ) == {202}
         await wait_until(partial(idle, relay))
         assert max(out) == 2 and relay.counts == {"taken": 6, "attempts": 6, "ended_ok": 6}
 
-    run_scenario(tmp_path, story)
+    run_scenario(tmp_path, scenario)
 
 
 def test_connections_that_are_short_are_used_on_for_what_waits_and_closed_after_it(tmp_path: Path) -> None:
-    async def story(testbed: RelayTestbed) -> None:
+    async def scenario(testbed: RelayTestbed) -> None:
         testbed.settings = RAW | {"extra": {"call-slots": 1}}
         made: list[str] = []
 
@@ -608,14 +620,16 @@
         relay = await testbed.start_relay()
         for _ in range(20):
             relay.engine.connection_scarcity[0].record(kept=False, refused=True, waits=False)
-        assert set(await asyncio.gather(*(request_status(relay, submission(f"m{n}", destination=2)) for n in range(4)))) == {202}
+        assert set(
+            await asyncio.gather(*(request_status(relay, submission(f"m{n}", destination=2)) for n in range(4)))
+        ) == {202}
         await wait_until(partial(idle, relay))
         assert len(made) == 1 and not relay.endpoint_client.pool.resting  # used on while something waited
         assert await request_status(relay, submission("m4", destination=2)) == 202
         await wait_until(partial(idle, relay))
         assert len(made) == 2 and made[1] == "m4"
 
-    run_scenario(tmp_path, story)
+    run_scenario(tmp_path, scenario)
 
 
 @pytest.mark.parametrize("whole", (True, False))
@@ -623,10 +637,10 @@
     tmp_path: Path, whole: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """What it has not read yet would be refused as listed nowhere: longer than for a list that does not come."""
-    monkeypatch.setattr("linnetstile.platform_relay.relay.DISCOVERY_GRACE_S", 0.3)
-    monkeypatch.setattr("linnetstile.platform_relay.relay.LONG_LIST_GRACE_S", 4.0 if whole else 0.9)
+    monkeypatch.setattr("linnetstile.platform_relay.recovery.DISCOVERY_GRACE_S", 0.3)
+    monkeypatch.setattr("linnetstile.platform_relay.recovery.LONG_LIST_GRACE_S", 4.0 if whole else 0.9)
 
-    async def story(testbed: RelayTestbed) -> None:
+    async def scenario(testbed: RelayTestbed) -> None:
         entries = [{**testbed.entries[0], "id": f"o-{number}", "cell": number} for number in range(1, 4001)]
         line = json.dumps({"version": 5, "full": True, "servers": entries}).encode() + b"\n"
         told = asyncio.Event()
@@ -651,4 +665,4 @@
             assert asyncio.get_running_loop().time() - began < 3.0 and 1000 < len(relay.directory) < 4000
         assert await request_status(relay, submission("a")) == 202
 
-    run_scenario(tmp_path, story)
+    run_scenario(tmp_path, scenario)
--- a/tests/platform_relay/world.py
+++ b/tests/platform_relay/world.py
@@ -86,7 +86,9 @@
             while True:
                 _, fields, body = await read_http(reader)
                 self.endpoint_calls.append((destination, fields, body))
-                answer = self.scripted_answers[destination].pop(0) if self.scripted_answers.get(destination) else OK_RESPONSE
+                answer = (
+                    self.scripted_answers[destination].pop(0) if self.scripted_answers.get(destination) else OK_RESPONSE
+                )
                 if answer is not None:
                     writer.write(answer)
 
