--- a/linnetstile/platform_relay/accepted.py
+++ b/linnetstile/platform_relay/accepted.py
@@ -7,7 +7,7 @@
 
 from ..engine.resource_limits import SubmissionIds
 from ..net import client, server
-from .directory import EndpointAddress
+from .endpoint_record import EndpointAddress
 from .journal import Journal
 from .records import JournaledMessage
 
--- a/linnetstile/platform_relay/endpoint_client.py
+++ b/linnetstile/platform_relay/endpoint_client.py
@@ -12,7 +12,7 @@
 from ..engine.resource_limits import MAX_BODY_BYTES, MAX_HEAD_BYTES, ResourceLimits
 from ..net import client
 from .config import RelaySettings
-from .directory import EndpointAddress
+from .endpoint_record import EndpointAddress
 
 # Gets the verdict, the load report (empty if none came), and whether the connection had been used before.
 AttemptCallback = Callable[[AttemptVerdict, tuple[float, ...], bool], None]
--- a/tests/platform_relay/test_directory.py
+++ b/tests/platform_relay/test_directory.py
@@ -9,14 +9,11 @@
 
 from linnetstile.engine.events import Endpoint, EndpointStatus, ListKind
 from linnetstile.engine.watch_policy import ENTRIES_PER_EVENT
-from linnetstile.platform_relay import directory as module
-from linnetstile.platform_relay.directory import (
-    Directory,
-    EndpointAddress,
-    InvalidListError,
-    ListedDestinations,
-    ListUpdate,
-)
+from linnetstile.platform_relay import directory as directory_module
+from linnetstile.platform_relay import endpoint_record
+from linnetstile.platform_relay.directory import Directory, InvalidListError, ListUpdate
+from linnetstile.platform_relay.endpoint_record import EndpointAddress
+from linnetstile.platform_relay.listed_destinations import ListedDestinations
 
 KINDS, ZONES = ("k", "l"), ("y", "z")
 
@@ -165,14 +162,14 @@
 
 def test_change_touches_the_rows_that_it_names(monkeypatch: pytest.MonkeyPatch) -> None:
     looked = 0
-    name = module._record_name
+    name = endpoint_record.record_name
 
     def counted(record: bytes) -> bytes:
         nonlocal looked
         looked += 1
         return name(record)
 
-    monkeypatch.setattr(module, "_record_name", counted)
+    monkeypatch.setattr(directory_module, "record_name", counted)
     work = {}
     for size in (100, 10_000):
         directory = Directory(KINDS, ZONES)
--- a/tests/platform_relay/test_discovery.py
+++ b/tests/platform_relay/test_discovery.py
@@ -22,8 +22,9 @@
     watch_deadline,
 )
 from linnetstile.platform_relay import discovery
-from linnetstile.platform_relay.directory import Directory, EndpointAddress, InvalidListError
+from linnetstile.platform_relay.directory import Directory, InvalidListError
 from linnetstile.platform_relay.discovery import Watch
+from linnetstile.platform_relay.endpoint_record import EndpointAddress
 
 from .world import wait_until
 
@@ -105,13 +106,15 @@
 class Rig:
     """A watch, and the module's view as the events make it."""
 
-    def __init__(self, told: DiscoveryEmulator, discovery_address: tuple[str, int]) -> None:
+    def __init__(self, told: DiscoveryEmulator, discovery_address: tuple[str, int], max_list_bytes: int) -> None:
         self.told = told
         self.directory = Directory(("k",), ("z",))
         self.view: dict[int, Endpoint] = {}
         self.events: list[EndpointList] = []
         self.logged: list[tuple[str, dict[str, Any]]] = []
-        self.watch = Watch(self.directory, discovery_address, self.hear, random.Random(1), self.log)
+        self.watch = Watch(
+            self.directory, discovery_address, self.hear, random.Random(1), self.log, max_list_bytes=max_list_bytes
+        )
         self.watch.start()
 
     def log(self, event: str, **fields: Any) -> None:
@@ -148,6 +151,7 @@
     *script: tuple[bytes, bool],
     indent: int | None = None,
     more: int = 0,
+    max_list_bytes: int = discovery.LIST,
 ) -> None:
     async def run() -> None:
         told = DiscoveryEmulator()
@@ -156,7 +160,7 @@
         told.entries |= {
             name: entry(name, cell=number % 50) for number, name in enumerate(f"s-{number}" for number in range(more))
         }
-        rig = Rig(told, await told.start())
+        rig = Rig(told, await told.start(), max_list_bytes)
         try:
             await scenario(told, rig)
         finally:
@@ -490,12 +494,12 @@
 @pytest.mark.parametrize(
     "said, closes, log",
     [
-        (half, True, "list_cut"),
-        (half, False, "list_cut"),
-        (spoilt, False, "list_refused"),
-        (broken_off, False, "list_cut"),
-        (short, True, "list_cut"),
-        (short, False, "list_cut"),
+        (half, True, "list_truncated"),
+        (half, False, "list_truncated"),
+        (spoilt, False, "list_rejected"),
+        (broken_off, False, "list_truncated"),
+        (short, True, "list_truncated"),
+        (short, False, "list_truncated"),
     ],
 )
 @pytest.mark.parametrize("since", [False, True])
@@ -541,7 +545,7 @@
         await wait_until(lambda: len(told.watches) == 3)
         await wait_until(lambda: rig.watch.connection and rig.watch.connection.is_useful)
         assert rig.agrees() and not rig.events and told.asked == [ALL, f"{ALL}&since=40", ALL]
-        assert rig.logged == [("list_refused", {"why": "version: expected 40 or later, found 39", "entries": 0})]
+        assert rig.logged == [("list_rejected", {"why": "version: expected 40 or later, found 39", "entries": 0})]
 
     play(story, more=LONG)
 
@@ -571,19 +575,17 @@
     play(story, more=LONG)
 
 
-def test_long_list_that_can_not_be_read_in_parts_is_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(discovery, "LIST", 200_000)
-
+def test_long_list_that_can_not_be_read_in_parts_is_bounded() -> None:
     async def story(told: DiscoveryEmulator, rig: Rig) -> None:
         await wait_until(lambda: rig.agrees() and rig.watch.first.is_set())
         late = json.dumps({"servers": list(told.entries.values()), "version": 50, "full": True}).encode()
         told.watches[0].write(chunk(late))
         await wait_until(lambda: rig.logged)
-        assert rig.logged == [("list_refused", {"why": "a value of more than 200000 bytes", "entries": 0})]
+        assert rig.logged == [("list_rejected", {"why": "a value of more than 200000 bytes", "entries": 0})]
         await wait_until(lambda: len(told.watches) == 2)
         assert rig.agrees()
 
-    play(story, more=LONG)
+    play(story, more=LONG, max_list_bytes=200_000)
 
 
 def test_changes_behind_a_long_list_wait_until_its_sweep_is_over() -> None:
