--- a/linnetstile/config/platform.py
+++ b/linnetstile/config/platform.py
@@ -1,4 +1,7 @@
-"""The settings object of the users' platform, as the bench's wire and a relay's configuration file both give it."""
+"""The settings object of the users' platform, as the simulator's wire and a relay's configuration file both give it.
+
+This is the one place that knows the object's keys.
+"""
 
 from __future__ import annotations
 
@@ -17,86 +20,116 @@
     ValueDecay,
 )
 
+from ..errors import ConfigError
+
 EFFECTS = {"repeatable": Effect.IDEMPOTENT, "by_key": Effect.DEDUPLICATED, "once": Effect.NON_IDEMPOTENT}
-SCOPES = {"all": DeduplicationScope.ALL, "zone": DeduplicationScope.ZONE, "cell": DeduplicationScope.ENDPOINT}
-RATES = {"nominal": RateTrust.NOMINAL, "rough": RateTrust.ROUGH}
+DEDUPLICATION_SCOPES = {
+    "all": DeduplicationScope.ALL,
+    "zone": DeduplicationScope.ZONE,
+    "cell": DeduplicationScope.ENDPOINT,
+}
+RATE_TRUST = {"nominal": RateTrust.NOMINAL, "rough": RateTrust.ROUGH}
+LOAD_FIELDS = ("x0", "x1")  # of a load report, that the engine reads
 
 
-class SettingsError(ValueError):
+class SettingsError(ConfigError):
     """The object lacks a field, or one holds something else than expected."""
 
 
 def settings_from(raw: dict[str, Any]) -> Settings:
-    """Translates the object; keys that are not known are skipped. Raises SettingsError."""
+    """Translate the object; keys that are not known are skipped.
+
+    Raises:
+        SettingsError: The object cannot be used.
+    """
     try:
-        extra, limits, safety = raw["extra"], raw["limits"], raw["safety"]
-        goal, feedback, prices = raw.get("goal", {}), raw.get("feedback", {}), raw.get("prices", {})
-        kinds = raw["kinds"]
-        batches = extra.get("per-call", [])
-        apart = extra.get("separate-routes", [])
-        fields = feedback.get("fields", [])
-        return Settings(
-            classes=tuple(
-                MessageClass(
-                    name=c["name"],
-                    effect=EFFECTS[c["effect"]],
-                    latency_objective_ms=c["aim-ms"],
-                    deadline_ms=c["deadline-ms"],
-                    priority_weight=c.get("worth", 1.0),
-                    late_value_fraction=c.get("late-share", 0.0),
-                    deduplication_window_ms=c.get("window-ms", 0.0),
-                    deduplication_scope=SCOPES[c.get("dedup-scope", "all")],
-                    in_order=bool(c.get("by-arrival", False)),
-                )
-                for c in raw["classes"]
-            ),
-            kinds=tuple(
-                DestinationKind(
-                    name=name,
-                    max_batch=batches[n] if n < len(batches) else 1,
-                    separate_routes=bool(apart[n]) if n < len(apart) else False,
-                )
-                for n, name in enumerate(kinds)
-            ),
-            max_in_flight=extra["call-slots"],
-            max_pending_messages=limits["open-cap"],
-            max_attempts=limits["try-limit"],
-            relay_count=raw.get("balancers", 1),
-            zone=raw.get("az", 0),
-            tenants=tuple(Tenant(t["name"], t["quota-per-s"]) for t in raw.get("orgs", [])),
-            over_quota_value_factor=raw.get("over-share-worth", 1.0),
-            value_decay=ValueDecay.HALF_LIFE if extra.get("loses-worth") == "halves" else ValueDecay.LINEAR,
-            rate_trust=RATES.get(raw.get("weight-kind", "silent"), RateTrust.NONE),
-            polls_for_list=raw.get("registry-mode") == "ask",
-            probing=bool(limits.get("probing", False)),
-            cancelling=bool(limits.get("cancelling", False)),
-            streams_per_connection=limits.get("streams-per-conn", 1),
-            idle_timeout_ms=limits.get("conn-idle-ms", 0.0),
-            connect_timeout_ms=limits.get("connect-timeout-ms", 0.0),
-            tick_ms=raw.get("tick-ms", 1.0),
-            clients_mark_retries=bool(raw.get("client-habits", {}).get("marks-retry", False)),
-            max_retry_after_ms=limits.get("max-retry-after-ms", 0.0) if limits.get("retry-after") else 0.0,
-            cross_zone_price=prices.get("cross-zone", 0.0),
-            route_fees=tuple(extra.get("carriage", [])),
-            load_report_fields=(fields.index("x0"), fields.index("x1")) if {"x0", "x1"} <= set(fields) else None,
-            safety=SafetyLimits(
-                answer_slack_ms=safety.get("answer-slack-ms", 0.0),
-                drain_grace_ms=safety.get("drain-grace-ms", 0.0),
-                slow_start_fraction=safety.get("cold-from", 1.0),
-                slow_start_ms=safety.get("cold-ms", 0.0),
-                overload_multiple=safety.get("fall-multiple", 1.0),
-                overload_window_ms=safety.get("fall-ms", 1000.0),
-                poll_within_ms=safety.get("ask-within-ms", 0.0),
-                ordering_pause_ms=safety.get("key-quiet-ms", 0.0),
-            ),
-            score_weights=ScoreWeights(
-                goal.get("whole", 1.0),
-                goal.get("worst-window", 0.0),
-                goal.get("worst-class", 0.0),
-                goal.get("worst-tenant", 0.0),
-            ),
-        )
+        return _settings(raw)
     except KeyError as error:
-        raise SettingsError(f"{error} is missing or not known") from error
+        raise SettingsError(f"{error} is missing or not known", field=str(error.args[0])) from error
     except (ValueError, TypeError, AttributeError, IndexError) as error:
         raise SettingsError(str(error)) from error
+
+
+def _settings(raw: dict[str, Any]) -> Settings:
+    # A field's fault is told in the order in which fields are read: the three objects, the classes, and on.
+    extra, limits, safety = raw["extra"], raw["limits"], raw["safety"]
+    goal, feedback, prices = raw.get("goal", {}), raw.get("feedback", {}), raw.get("prices", {})
+    kinds = raw["kinds"]
+    batches, separate_routes = extra.get("per-call", []), extra.get("separate-routes", [])
+    load_fields = feedback.get("fields", [])
+    return Settings(
+        classes=tuple(_message_class(each) for each in raw["classes"]),
+        kinds=tuple(
+            DestinationKind(
+                name=name,
+                max_batch=batches[index] if index < len(batches) else 1,
+                separate_routes=bool(separate_routes[index]) if index < len(separate_routes) else False,
+            )
+            for index, name in enumerate(kinds)
+        ),
+        max_in_flight=extra["call-slots"],
+        max_pending_messages=limits["open-cap"],
+        max_attempts=limits["try-limit"],
+        relay_count=raw.get("balancers", 1),
+        zone=raw.get("az", 0),
+        tenants=tuple(Tenant(tenant["name"], tenant["quota-per-s"]) for tenant in raw.get("orgs", [])),
+        over_quota_value_factor=raw.get("over-share-worth", 1.0),
+        value_decay=ValueDecay.HALF_LIFE if extra.get("loses-worth") == "halves" else ValueDecay.LINEAR,
+        rate_trust=RATE_TRUST.get(raw.get("weight-kind", "silent"), RateTrust.NONE),
+        polls_for_list=raw.get("registry-mode") == "ask",
+        probing=bool(limits.get("probing", False)),
+        cancelling=bool(limits.get("cancelling", False)),
+        streams_per_connection=limits.get("streams-per-conn", 1),
+        idle_timeout_ms=limits.get("conn-idle-ms", 0.0),
+        connect_timeout_ms=limits.get("connect-timeout-ms", 0.0),
+        tick_ms=raw.get("tick-ms", 1.0),
+        clients_mark_retries=bool(raw.get("client-habits", {}).get("marks-retry", False)),
+        max_retry_after_ms=limits.get("max-retry-after-ms", 0.0) if limits.get("retry-after") else 0.0,
+        cross_zone_price=prices.get("cross-zone", 0.0),
+        route_fees=tuple(extra.get("carriage", [])),
+        load_report_fields=_load_report_fields(load_fields),
+        safety=_safety_limits(safety),
+        score_weights=_score_weights(goal),
+    )
+
+
+def _message_class(raw: dict[str, Any]) -> MessageClass:
+    return MessageClass(
+        name=raw["name"],
+        effect=EFFECTS[raw["effect"]],
+        latency_objective_ms=raw["aim-ms"],
+        deadline_ms=raw["deadline-ms"],
+        priority_weight=raw.get("worth", 1.0),
+        late_value_fraction=raw.get("late-share", 0.0),
+        deduplication_window_ms=raw.get("window-ms", 0.0),
+        deduplication_scope=DEDUPLICATION_SCOPES[raw.get("dedup-scope", "all")],
+        in_order=bool(raw.get("by-arrival", False)),
+    )
+
+
+def _load_report_fields(names: list[str]) -> tuple[int, int] | None:
+    """Return where the two fields stand in a load report; None if it does not have both."""
+    first, second = LOAD_FIELDS
+    return (names.index(first), names.index(second)) if {first, second} <= set(names) else None
+
+
+def _safety_limits(raw: dict[str, Any]) -> SafetyLimits:
+    return SafetyLimits(
+        answer_slack_ms=raw.get("answer-slack-ms", 0.0),
+        drain_grace_ms=raw.get("drain-grace-ms", 0.0),
+        slow_start_fraction=raw.get("cold-from", 1.0),
+        slow_start_ms=raw.get("cold-ms", 0.0),
+        overload_multiple=raw.get("fall-multiple", 1.0),
+        overload_window_ms=raw.get("fall-ms", 1000.0),
+        poll_within_ms=raw.get("ask-within-ms", 0.0),
+        ordering_pause_ms=raw.get("key-quiet-ms", 0.0),
+    )
+
+
+def _score_weights(raw: dict[str, Any]) -> ScoreWeights:
+    return ScoreWeights(
+        raw.get("whole", 1.0),
+        raw.get("worst-window", 0.0),
+        raw.get("worst-class", 0.0),
+        raw.get("worst-tenant", 0.0),
+    )
--- a/linnetstile/net/engine_loop.py
+++ b/linnetstile/net/engine_loop.py
@@ -1,4 +1,4 @@
-"""The module on an event loop: its clock, its timer, and one turn for all that happened in one pass of the loop."""
+"""The engine on an event loop: its clock, its timer, and one turn for all that happened in one pass of the loop."""
 
 from __future__ import annotations
 
@@ -12,40 +12,58 @@
 from ..engine.engine import DeliveryEngine
 
 
-def age_event(event: Event, ms: float) -> Event:
-    """The same, told `ms` ago: what counts from the moment of telling is that much older. Guards deadlines: a start
-    tells of all that it found before the first of it has its turn."""
+def age_event(event: Event, elapsed_ms: float) -> Event:
+    """Return the event as it is `elapsed_ms` after it was posted: what counts from that moment is that much older.
+
+    Guards deadlines: a start posts all that it found before the first of it has its turn.
+    """
     match event:
         case Message():
-            return replace(event, remaining_ms=max(0.0, event.remaining_ms - ms))
+            return _age_message(event, elapsed_ms)
         case MessageRecovered():
-            risk_ms = None if event.unclear_age_ms is None else event.unclear_age_ms + ms
-            message = replace(event.message, remaining_ms=max(0.0, event.message.remaining_ms - ms))
-            return replace(event, message=message, age_ms=event.age_ms + ms, unclear_age_ms=risk_ms)
+            unclear_age_ms = None if event.unclear_age_ms is None else event.unclear_age_ms + elapsed_ms
+            return replace(
+                event,
+                message=_age_message(event.message, elapsed_ms),
+                age_ms=event.age_ms + elapsed_ms,
+                unclear_age_ms=unclear_age_ms,
+            )
     return event
 
 
+def _age_message(message: Message, elapsed_ms: float) -> Message:
+    return replace(message, remaining_ms=max(0.0, message.remaining_ms - elapsed_ms))
+
+
 class EngineLoop:
-    """`tell` it events; `carry` gets each turn's events with the actions that are its host's to carry out."""
+    """Gives the engine its turns.
 
-    def __init__(self, relay: DeliveryEngine, carry: Callable[[list[Event], list[Action]], None]) -> None:
-        self.engine, self.carry_out = relay, carry
+    Attributes:
+        engine: Decides.
+        carry_out: Gets each turn's events, with the actions that are its host's to carry out.
+        events: Posted since the last turn, and when (loop time, ms).
+    """
+
+    def __init__(self, engine: DeliveryEngine, carry_out: Callable[[list[Event], list[Action]], None]) -> None:
+        self.engine = engine
+        self.carry_out = carry_out
         self.loop = asyncio.get_running_loop()
-        self.events: list[tuple[float, Event]] = []  # since the last turn, and when they were told
+        self.events: list[tuple[float, Event]] = []
         self.turn_scheduled = self.closed = False
         self.timer: asyncio.TimerHandle | None = None
 
     @property
     def now(self) -> float:
-        """The loop's time in ms, which is the module's."""
+        """The loop's time in ms, which is the engine's."""
         return self.loop.time() * 1000
 
     def post(self, event: Event) -> None:
+        """Tell the engine of an event in its next turn, as of now."""
         self.events.append((self.now, event))
         self.schedule_turn()
 
     def schedule_turn(self) -> None:
-        """A turn follows, with whatever has happened by then."""
+        """Let a turn follow, with whatever has happened by then."""
         if not self.turn_scheduled:
             self.turn_scheduled = True
             self.loop.call_soon(self._run_turn)
@@ -54,26 +72,30 @@
         self.turn_scheduled = False
         if self.closed:
             return
-        now, told, self.events = self.now, self.events, []
-        events = [event if now == at else age_event(event, now - at) for at, event in told]
-        left: list[Action] = []
+        now, posted, self.events = self.now, self.events, []
+        events = [event if now == at else age_event(event, now - at) for at, event in posted]
+        host_actions: list[Action] = []
         for action in self.engine.handle(now, events):
             match action:
-                case SetTimer(delay, token):
-                    self.stop()
-                    self.timer = self.loop.call_later(delay / 1000, self.post, TimerFired(token))
+                case SetTimer(delay_ms, token):
+                    self._set_timer(delay_ms, token)
                 case HealthCheck(endpoint):
-                    self.post(HealthCheckEnded(endpoint, Outcome.NOT_SENT))  # none of our protocols has a probe
+                    # None of our protocols has a health check.
+                    self.post(HealthCheckEnded(endpoint, Outcome.NOT_SENT))
                 case _:
-                    left.append(action)
-        self.carry_out(events, left)
+                    host_actions.append(action)
+        self.carry_out(events, host_actions)
+
+    def _set_timer(self, delay_ms: float, token: int) -> None:
+        self.stop()
+        self.timer = self.loop.call_later(delay_ms / 1000, self.post, TimerFired(token))
 
     def stop(self) -> None:
-        """The timer that is set fires no more; what is told still has its turn."""
+        """Cancel the timer that is set; what is posted still has its turn."""
         if self.timer:
             self.timer.cancel()
 
     def close(self) -> None:
-        """There is no further turn: what is told from now on is judged by nobody."""
+        """End the turns: what is posted from now on is judged by nobody."""
         self.closed = True
         self.stop()
--- a/linnetstile/platform_relay/directory.py
+++ b/linnetstile/platform_relay/directory.py
@@ -2,7 +2,8 @@
 
 An endpoint that is idle costs some 100 bytes here (docs/design/quiet.md has the measured figure): a `bytes` of 64 or
 80 in a list of rows, and its row in an index of names; a destination has 16 bytes in an index of its own. What is asked
-of one is unpacked then. A list, or a change, costs what it names."""
+of one is unpacked then. A list, or a change, costs what it names.
+"""
 
 from __future__ import annotations
 
--- a/linnetstile/platform_relay/endpoint_record.py
+++ b/linnetstile/platform_relay/endpoint_record.py
@@ -1,7 +1,8 @@
 """One endpoint as packed bytes: 64 or 80 bytes as Python counts them, for names of usual length.
 
 A record holds flags, destination, port, kind, zone and rate in one of two layouts; then the address, 4 bytes or a
-length and its text; then the name. What is asked of an endpoint is unpacked then."""
+length and its text; then the name. What is asked of an endpoint is unpacked then.
+"""
 
 from __future__ import annotations
 
--- a/linnetstile/platform_relay/journal.py
+++ b/linnetstile/platform_relay/journal.py
@@ -1,6 +1,7 @@
 """What this relay owes, in the folder that lasts: one file that is only appended to, and rewritten now and then.
 
-No fsync: the folder outlives the process, and nothing outlives the machine. `journal_codec` has the records' form."""
+No fsync: the folder outlives the process, and nothing outlives the machine. `journal_codec` has the records' form.
+"""
 
 from __future__ import annotations
 
--- a/linnetstile/platform_relay/journal_codec.py
+++ b/linnetstile/platform_relay/journal_codec.py
@@ -1,7 +1,8 @@
 """The journal's stored form: records to bytes and back. The one place that knows the stored names.
 
 A record is a head (kind, length, CRC-32 of kind and content) and its content. One that is torn or damaged costs
-itself alone: reading goes on at the next sound one. Times are Unix times in ms."""
+itself alone: reading goes on at the next sound one. Times are Unix times in ms.
+"""
 
 from __future__ import annotations
 
@@ -149,8 +150,10 @@
 
 
 def _end_of_damage(data: bytes, at: int) -> int:
-    """Return where reading goes on after a damaged record: where its length says if that holds, or at the next sound
-    record."""
+    """Return where reading goes on after a damaged record.
+
+    That is where its length says if that holds, or at the next sound record.
+    """
     if at + RECORD_HEAD.size <= len(data):
         end = at + RECORD_HEAD.size + int(RECORD_HEAD.unpack_from(data, at)[1])
         if end == len(data) or _end_of_sound_record(data, end):
--- a/linnetstile/platform_relay/records.py
+++ b/linnetstile/platform_relay/records.py
@@ -1,6 +1,7 @@
 """What the journal holds, as typed records: accepted messages with their attempts, and notices owed to the platform.
 
-`journal_codec` joins them with their stored form; nothing else knows the stored names."""
+`journal_codec` joins them with their stored form; nothing else knows the stored names.
+"""
 
 from __future__ import annotations
 
--- a/linnetstile/platform_relay/relay.py
+++ b/linnetstile/platform_relay/relay.py
@@ -1,6 +1,7 @@
 """One relay on the platform: joins intake, delivery, results, recovery and shutdown around the delivery engine.
 
-The engine decides about messages; nothing here does."""
+The engine decides about messages; nothing here does.
+"""
 
 from __future__ import annotations
 
--- a/tests/platform_relay/test_at_most_once.py
+++ b/tests/platform_relay/test_at_most_once.py
@@ -22,7 +22,7 @@
 from linnetstile.platform_relay.journal import Journal
 from linnetstile.platform_relay.relay import PlatformRelay
 
-from .world import OK_RESPONSE, RelayTestbed, request_status, submission, read_http, wait_until
+from .world import OK_RESPONSE, RelayTestbed, read_http, request_status, submission, wait_until
 
 REFUSED = b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"
 WINDOW_S = 4.0  # of the class "order" in the world's settings
@@ -130,9 +130,8 @@
             continue
         for call in mine[mine.index(ran) + 1 :]:
             if class_ == "pay" or class_ == "order" and call.received_at > ran.received_at + WINDOW_S:
-                found.append(
-                    f"{call.submission_id} was sent again {call.received_at - ran.received_at:.3f} s after it may have run"
-                )
+                delay_s = call.received_at - ran.received_at
+                found.append(f"{call.submission_id} was sent again {delay_s:.3f} s after it may have run")
         if class_ != "state" and (ran.submission_id, "bounced") in notices:
             found.append(f"{ran.submission_id} may have run and was told as harmless to hand in again")
     return found
--- a/tests/platform_relay/test_directory.py
+++ b/tests/platform_relay/test_directory.py
@@ -121,18 +121,21 @@
                     assert gone is None or gone.destination == each.destination
                     del view[each.id]
         found = places(directory)
-        assert found.keys() == model.lives.keys() and len(directory) == len(found)
+        assert found.keys() == model.lives.keys()
+        assert len(directory) == len(found)
         assert view == {number: directory.endpoint(number) for number in directory}
         for name, place in found.items():
             life = model.lives[name]
             listed = view[place.id]
-            assert f"{place.host}:{place.port}" == life["addr"] and place.destination == life["cell"]
+            assert f"{place.host}:{place.port}" == life["addr"]
+            assert place.destination == life["cell"]
             assert (listed.kind, listed.zone, listed.advertised_rate) == (
                 {"k": 0, "l": 1}.get(life["kind"], 2),
                 {"y": 0, "z": 1}.get(life["zone"], 2),
                 life["weight"],
             )
-            assert place.zone == listed.zone and directory.number(name) == place.id
+            assert place.zone == listed.zone
+            assert directory.number(name) == place.id
             assert (listed.status is EndpointStatus.DRAINING) == (life["state"] == "DRAINING")
             assert lives.setdefault(place.id, name) == name, "a number is used twice"
         assert all(directory.place(number) is None for number in lives.keys() - set(directory))
@@ -143,9 +146,11 @@
 def test_whole_list_read_again_tells_nothing_and_a_change_tells_that_alone(piece: int) -> None:
     directory, servers = Directory(KINDS, ZONES), fleet(5000)
     _, steps = piecewise(directory, servers, piece)
-    assert [each.id for each in flat(steps)] == list(directory) and len(directory) == 5000
+    assert [each.id for each in flat(steps)] == list(directory)
+    assert len(directory) == 5000
     numbers = list(directory)
-    assert not flat(piecewise(directory, servers, piece, 2)[1]) and list(directory) == numbers
+    assert not flat(piecewise(directory, servers, piece, 2)[1])
+    assert list(directory) == numbers
     servers[77] = entry("s-77", "DRAINING", 77)
     servers[78] = entry("s-78", cell=78, weight=6.0)
     servers[79] = entry("s-79", cell=79, addr="10.0.0.9:9")  # the module knows no addresses
@@ -157,7 +162,8 @@
         (numbers[-1], EndpointStatus.GONE, gone["cell"]),
     ]
     moved = directory.place(numbers[79])
-    assert moved and moved.host == "10.0.0.9"
+    assert moved
+    assert moved.host == "10.0.0.9"
 
 
 def test_change_touches_the_rows_that_it_names(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -195,10 +201,12 @@
     directory = Directory(KINDS, ZONES)
     piecewise(directory, fleet(5000), 500)
     _, (first, *sweeps) = piecewise(directory, [entry("s-4999", cell=999)], 500, 2)
-    assert (
-        not first and max(map(len, sweeps)) == ENTRIES_PER_EVENT and len(flat(sweeps)) == 4999 and len(directory) == 1
-    )
-    assert not any(directory.place(each.id) for each in flat(sweeps)) and directory.knows(7)
+    assert not first
+    assert max(map(len, sweeps)) == ENTRIES_PER_EVENT
+    assert len(flat(sweeps)) == 4999
+    assert len(directory) == 1
+    assert not any(directory.place(each.id) for each in flat(sweeps))
+    assert directory.knows(7)
 
 
 @pytest.mark.parametrize("upto", [0, 1, 2500, 5000])
@@ -208,13 +216,16 @@
     servers = [*fleet(2500), *(entry(f"n-{number}", cell=7) for number in range(2500))]
     servers[10] = entry("s-10", "DRAINING")
     reading, steps = piecewise(directory, servers, 500, 6, upto=upto)
-    assert not reading.over and directory.version_guard.newest == 5
+    assert not reading.over
+    assert directory.version_guard.newest == 5
     assert len(directory) == 5000 + max(0, upto - 2500)
     drained = directory.endpoint(directory.number("s-10"))
-    assert drained and (drained.status is EndpointStatus.DRAINING) == (upto > 10)
+    assert drained
+    assert (drained.status is EndpointStatus.DRAINING) == (upto > 10)
     assert not any(each.status is EndpointStatus.GONE for each in flat(steps))
     piecewise(directory, servers, 500, 6)
-    assert places(directory).keys() == {each["id"] for each in servers} and directory.version_guard.newest == 6
+    assert places(directory).keys() == {each["id"] for each in servers}
+    assert directory.version_guard.newest == 6
 
 
 def test_older_list_is_refused_at_its_head_before_any_entry() -> None:
@@ -225,9 +236,12 @@
             directory.begin({"version": 4, "full": full})
     # Told twice: discovery has begun anew. It is in force as it is read, and newest once it has been.
     reading, _ = piecewise(directory, [entry("n")], 1, 3, upto=1)
-    assert not reading.over and directory.version_guard.newest == 5 and len(directory) == 4
+    assert not reading.over
+    assert directory.version_guard.newest == 5
+    assert len(directory) == 4
     piecewise(directory, [entry("n")], 1, 3)
-    assert directory.version_guard.newest == 3 and [*places(directory)] == ["n"]
+    assert directory.version_guard.newest == 3
+    assert [*places(directory)] == ["n"]
 
 
 def test_broken_entries_of_a_long_list_leave_theirs_as_they_were_and_the_first_is_named() -> None:
@@ -239,15 +253,14 @@
     servers[4000] = entry("s-4000", addr="nowhere")
     reading, steps = piecewise(directory, servers, 500, 2)
     assert (reading.entries_skipped, reading.entries_read, directory.skipped_entries) == (3, 5000, 3)
-    assert (
-        reading.first_fault.startswith("servers[1234]: cell: expected a whole number from 0")
-        and len(reading.first_fault) < 200
-    )
-    assert [each.destination for each in flat(steps)] == [235] and len(directory) == 4999  # the one that has no name
+    assert reading.first_fault.startswith("servers[1234]: cell: expected a whole number from 0")
+    assert len(reading.first_fault) < 200
+    assert [each.destination for each in flat(steps)] == [235]
+    assert len(directory) == 4999
 
 
 @pytest.mark.parametrize(
-    "raw, why",
+    ("raw", "why"),
     [
         (entry("x", "WARMING"), "state: expected one of SERVING, DRAINING, DELETED, found 'WARMING'"),
         (entry("x", addr="nowhere"), "addr: expected HOST:PORT, found 'nowhere'"),
@@ -268,8 +281,10 @@
     assert event.kind is ListKind.CHANGES
     gone, new = event.endpoints
     assert (gone.id, gone.status, gone.destination) == (1, EndpointStatus.GONE, 1)
-    assert (new.id, new.status, new.destination) == (directory.number("a"), EndpointStatus.READY, 3) and new.id != 1
-    assert directory.place(1) is None and directory.knows(1)
+    assert (new.id, new.status, new.destination) == (directory.number("a"), EndpointStatus.READY, 3)
+    assert new.id != 1
+    assert directory.place(1) is None
+    assert directory.knows(1)
     seen = {1, 2, new.id}
     for version in range(3, 40):  # the same name, address and row again and again
         directory.take(told(entry("a", "DELETED"), entry("a", cell=3), version=version, full=False))
@@ -286,9 +301,11 @@
     assert [(each.id, each.status, each.destination) for each in directory.take(drains).endpoints] == [
         (1, EndpointStatus.DRAINING, 1)
     ]
-    assert not directory.take(drains).endpoints and len(directory) == 1
+    assert not directory.take(drains).endpoints
+    assert len(directory) == 1
     place = directory.place(1)
-    assert place and place.destination == 1
+    assert place
+    assert place.destination == 1
     assert [(each.id, each.status) for each in directory.take(told(entry("a"))).endpoints] == [
         (1, EndpointStatus.READY)
     ]
@@ -297,7 +314,8 @@
 def test_known_list_is_one_event_and_its_version_counts_for_nothing() -> None:
     directory = Directory(KINDS, ZONES)
     event = directory.take(told(*fleet(600), version=50), cached=True)
-    assert event.kind is ListKind.CACHED and len(event.endpoints) == 600
+    assert event.kind is ListKind.CACHED
+    assert len(event.endpoints) == 600
     assert directory.version_guard.newest is None
     assert not directory.take(told(*fleet(600), version=3)).endpoints
 
@@ -309,7 +327,8 @@
         destinations.add(number)
     for number in range(6):
         destinations.remove(number)
-    assert len(destinations) == 6 and not destinations.recently_unlisted
+    assert len(destinations) == 6
+    assert not destinations.recently_unlisted
     for number in (5, 4, 3, 2, 1):
         destinations.remove(number)
     assert [number in destinations for number in range(7)] == [True, True, True, True, False, False, False]
@@ -317,7 +336,9 @@
     destinations.remove(3)  # the latest one to leave now
     destinations.add(9)
     destinations.remove(9)
-    assert list(destinations.recently_unlisted) == [1, 3, 9] and 0 in destinations and len(destinations.ids) == 6
+    assert list(destinations.recently_unlisted) == [1, 3, 9]
+    assert 0 in destinations
+    assert len(destinations.ids) == 6
 
 
 def test_more_kinds_zones_and_longer_names_than_most_have() -> None:
@@ -326,7 +347,12 @@
     long = "n" * 250 + "ü"
     directory.take(told(entry(long, kind="k69999", addr="h" * 200 + ".example:1"), entry("b", kind="k300")))
     place, listed = directory.place(1), directory.endpoint(1)
-    assert place and listed and (place.name, place.host, place.port) == (long, "h" * 200 + ".example", 1)
+    assert place
+    assert listed
+    assert (place.name, place.host, place.port) == (long, "h" * 200 + ".example", 1)
     assert listed.kind == 69_999
     two = directory.endpoint(2)
-    assert two and two.kind == 300 and directory.number(long) == 1 and not directory.number("\ud800")
+    assert two
+    assert two.kind == 300
+    assert directory.number(long) == 1
+    assert not directory.number("\ud800")
--- a/tests/platform_relay/test_discovery.py
+++ b/tests/platform_relay/test_discovery.py
@@ -121,7 +121,8 @@
         self.logged.append((event, fields))
 
     def hear(self, event: EndpointList) -> None:
-        assert event.kind is ListKind.CHANGES and len(event.endpoints) <= ENTRIES_PER_EVENT
+        assert event.kind is ListKind.CHANGES
+        assert len(event.endpoints) <= ENTRIES_PER_EVENT
         self.events.append(event)
         for each in event.endpoints:
             self.view[each.id] = each
@@ -180,7 +181,8 @@
         for at in range(0, len(stream), step):  # changes in chunks that begin and end anywhere, several in one
             told.watches[0].write(chunk(stream[at : at + step]))
         await wait_until(rig.agrees)
-        assert len(told.watches) == 1 and not rig.watch.lists_rejected
+        assert len(told.watches) == 1
+        assert not rig.watch.lists_rejected
 
     play(story, indent=indent)
 
@@ -214,7 +216,8 @@
 def test_watch_that_stops_or_is_spoilt_anywhere_is_opened_anew_and_asks_for_all(said: bytes) -> None:
     async def story(told: DiscoveryEmulator, rig: Rig) -> None:
         await wait_until(rig.agrees, 4.0)
-        assert len(told.watches) == 3 and set(told.asked) == {"/api/targets?follow=1"}
+        assert len(told.watches) == 3
+        assert set(told.asked) == {"/api/targets?follow=1"}
         told.watches[2].write(chunk(told.change(entry("a", "DELETED"))))
         await wait_until(rig.agrees)
 
@@ -308,10 +311,8 @@
 
 
 def test_watch_is_waited_for_by_what_it_has_shown() -> None:
-    assert (
-        watch_deadline(10.0, False, None) == 10 + FIRST_ELEMENT_S
-        and watch_deadline(10.0, True, None) == 10 + WATCH_SILENCE_S
-    )
+    assert watch_deadline(10.0, False, None) == 10 + FIRST_ELEMENT_S
+    assert watch_deadline(10.0, True, None) == 10 + WATCH_SILENCE_S
     assert watch_deadline(10.0, True, 9.9) == 10 + ELEMENT_STALL_S
     assert watch_deadline(10.0, True, 7.8) == 7.8 + WATCH_SILENCE_S  # in drops
 
@@ -348,7 +349,8 @@
 def test_entry_that_can_not_be_read_is_left_out_alone(odd: Any, whole: bool) -> None:
     directory = Directory(("k",), ("z",))
     event = directory.take({"version": 1, "full": whole, "servers": [entry("a"), odd, entry("b")]})
-    assert [place.name for place in places(directory)] == ["a", "b"] and directory.skipped_entries == 1
+    assert [place.name for place in places(directory)] == ["a", "b"]
+    assert directory.skipped_entries == 1
     assert [each.id for each in event.endpoints] == list(directory)
 
 
@@ -363,7 +365,8 @@
     directory.take({"full": True, "servers": [entry("a"), entry("b"), entry("c")]})
     event = directory.take({"full": True, "servers": [{"id": "a", "state": "DRAINING"}, entry("b", "?"), entry("c")]})
     assert [(each.id, each.status) for each in event.endpoints] == [(1, EndpointStatus.DRAINING)]  # all that changes
-    assert [place.name for place in places(directory)] == ["a", "b", "c"] and directory.skipped_entries == 1
+    assert [place.name for place in places(directory)] == ["a", "b", "c"]
+    assert directory.skipped_entries == 1
     event = directory.take({"servers": [{"id": "a", "state": "DELETED"}, {"id": "z", "state": "DELETED"}]})
     assert [(each.id, each.status) for each in event.endpoints] == [(1, EndpointStatus.GONE)]
     assert list(directory) == [2, 3]
@@ -378,19 +381,22 @@
     directory.take({"full": True, "servers": [entry("a")]})
     event = directory.take({"full": whole, "servers": servers})
     (place,) = places(directory)
-    assert place.id != 1 and place.destination == 2
+    assert place.id != 1
+    assert place.destination == 2
     assert {each.id: each.status for each in event.endpoints} == {
         1: EndpointStatus.GONE,
         place.id: EndpointStatus.READY,
     }
-    assert directory.place(1) is None and directory.endpoint(1) is None
+    assert directory.place(1) is None
+    assert directory.endpoint(1) is None
 
 
 def test_last_word_on_an_endpoint_counts() -> None:
     directory = Directory(("k",), ("z",))
     directory.take({"full": True, "servers": [entry("a")]})
     event = directory.take({"servers": [entry("a"), entry("a", "DELETED")]})
-    assert [each.status for each in event.endpoints] == [EndpointStatus.GONE] and not len(directory)
+    assert [each.status for each in event.endpoints] == [EndpointStatus.GONE]
+    assert not len(directory)
 
 
 @pytest.mark.parametrize("told", [None, 7, [], "x", {}, {"servers": None}, {"servers": {}}, {"version": 1}])
@@ -419,7 +425,8 @@
     async def story(told: DiscoveryEmulator, rig: Rig) -> None:
         await wait_until(rig.agrees)
         await wait_until(rig.watch.first.is_set)
-        assert len(rig.events) > LONG / ENTRIES_PER_EVENT and not rig.logged
+        assert len(rig.events) > LONG / ENTRIES_PER_EVENT
+        assert not rig.logged
         rig.events.clear()
         told.watches[0].write(chunk(told.change(entry("a", "DRAINING"), entry("s-7", "DELETED"))))
         await wait_until(rig.agrees)
@@ -435,7 +442,8 @@
         told.watches[1].close()
         await wait_until(rig.agrees)
         assert told.asked == [ALL, f"{ALL}&since=41", f"{ALL}&since=41"]
-        assert sum(len(event.endpoints) for event in rig.events) == 4 and not rig.logged
+        assert sum(len(event.endpoints) for event in rig.events) == 4
+        assert not rig.logged
 
     play(story, indent=indent, more=LONG)
 
@@ -450,7 +458,8 @@
         told.version = 47
         told.watches[0].close()
         await wait_until(lambda: rig.directory.version_guard.newest == 47)
-        assert not rig.events and rig.agrees()
+        assert not rig.events
+        assert rig.agrees()
         told.change(entry("s-9", "DELETED"), entry("new", cell=9))
         told.watches[1].close()
         await wait_until(rig.agrees)
@@ -492,7 +501,7 @@
 
 
 @pytest.mark.parametrize(
-    "said, closes, log",
+    ("said", "closes", "log"),
     [
         (half, True, "list_truncated"),
         (half, False, "list_truncated"),
@@ -526,11 +535,13 @@
                 mine = {place.name for place in places(rig.directory)}
                 assert mine == set(before), "an endpoint that was not named has gone"
                 listed = rig.directory.endpoint(rig.directory.number("s-1"))
-                assert listed and (listed.status is EndpointStatus.DRAINING) == (said is not short)
+                assert listed
+                assert (listed.status is EndpointStatus.DRAINING) == (said is not short)
         await wait_until(lambda: rig.agrees() and rig.directory.version_guard.newest == 41)
         assert [event for event, _ in rig.logged] == [log] * 3
         assert all(fields["why"] and (fields["entries"] > 1000 or said is short) for _, fields in rig.logged)
-        assert told.asked == [ALL, f"{ALL}&since=40", ALL, ALL, ALL] and rig.watch.failures == 4
+        assert told.asked == [ALL, f"{ALL}&since=40", ALL, ALL, ALL]
+        assert rig.watch.failures == 4
 
     play(story, more=LONG)
 
@@ -544,7 +555,9 @@
         told.watches[0].close()
         await wait_until(lambda: len(told.watches) == 3)
         await wait_until(lambda: rig.watch.connection and rig.watch.connection.is_useful)
-        assert rig.agrees() and not rig.events and told.asked == [ALL, f"{ALL}&since=40", ALL]
+        assert rig.agrees()
+        assert not rig.events
+        assert told.asked == [ALL, f"{ALL}&since=40", ALL]
         assert rig.logged == [("list_rejected", {"why": "version: expected 40 or later, found 39", "entries": 0})]
 
     play(story, more=LONG)
@@ -560,7 +573,8 @@
         told.watches[0].write(chunk(told.whole()))
         await wait_until(lambda: rig.directory.version_guard.newest == 41)
         told.entries = held
-        assert rig.agrees() and len(told.watches) == 1
+        assert rig.agrees()
+        assert len(told.watches) == 1
         assert rig.logged == [
             (
                 "entries_skipped",
@@ -633,14 +647,16 @@
 
 def test_what_the_next_watch_asks_for() -> None:
     asking = ResumePolicy()
-    assert asking.resume_version(None) is None and asking.resume_version(5) is None  # at first
+    assert asking.resume_version(None) is None
+    assert asking.resume_version(5) is None
     asking.full_list_read(small=True)
     asking.watch_ended(True, True, False)
     assert asking.resume_version(5) is None  # it costs less than the doubt
     for ended in [(False, True, False), (True, False, False), (True, True, True)]:
         asking.full_list_read(small=False)
         asking.watch_ended(True, True, False)
-        assert asking.resume_version(5) == 5 and asking.resume_version(None) is None
+        assert asking.resume_version(5) == 5
+        assert asking.resume_version(None) is None
         asking.watch_ended(*ended)
         assert asking.resume_version(5) is None
         asking.watch_ended(True, True, False)
@@ -652,13 +668,18 @@
 
 def test_list_counts_by_its_head_and_its_version_once_it_has_been_read() -> None:
     versions = ListVersionGuard()
-    assert versions.accepts(5, True) and versions.newest is None
+    assert versions.accepts(5, True)
+    assert versions.newest is None
     versions.list_read(5)
-    assert not versions.accepts(4, False) and not versions.accepts(4, True) and versions.accepts(4, True)
-    assert versions.accepts(3, True) and versions.newest == 5  # the one before was cut: still told twice
+    assert not versions.accepts(4, False)
+    assert not versions.accepts(4, True)
+    assert versions.accepts(4, True)
+    assert versions.accepts(3, True)
+    assert versions.newest == 5
     versions.list_read(3)
     versions.list_read(None)
-    assert versions.newest == 3 and not versions.accepts(2, True)
+    assert versions.newest == 3
+    assert not versions.accepts(2, True)
 
 
 def test_watch_that_goes_on_from_a_version_is_waited_for_once_its_head_has_come() -> None:
@@ -722,7 +743,8 @@
 
         def wait(timeout: float | None) -> Any:
             self.now += timeout or 0.0
-            assert timeout is not None and self.now < 60, "nothing goes on"
+            assert timeout is not None, "nothing goes on"
+            assert self.now < 60, "nothing goes on"
             return select(0)
 
         self._selector.select = wait  # type: ignore[attr-defined]
@@ -747,7 +769,7 @@
 
 
 @pytest.mark.parametrize(
-    "chain, asks",
+    ("chain", "asks"),
     [
         ([NOTHING], [True, False]),
         ([NOTHING, NOTHING], [True, False, False]),
@@ -774,7 +796,7 @@
         rng.uniform = lambda low, high: high  # type: ignore[method-assign, assignment]  # the longest
         watch = Watch(Directory(("k",), ("z",)), ("h", 1), hear, rng)
         watch.start()
-        while not heard:
+        while not heard:  # noqa: ASYNC110  the loop's time is simulated and moves by sleeps
             await asyncio.sleep(0.01)
         watch.close()
 
@@ -809,5 +831,7 @@
     finally:
         loop.close()
     (begun, _), (again, _) = loop.asked
-    assert begun == 0 and slow[-2][0] + ELEMENT_STALL_S <= again < slow[-2][0] + ELEMENT_STALL_S + 0.2
-    assert len(directory_of[0]) == LONG and directory_of[0].version_guard.newest == 41
+    assert begun == 0
+    assert slow[-2][0] + ELEMENT_STALL_S <= again < slow[-2][0] + ELEMENT_STALL_S + 0.2
+    assert len(directory_of[0]) == LONG
+    assert directory_of[0].version_guard.newest == 41
--- a/tests/platform_relay/test_process.py
+++ b/tests/platform_relay/test_process.py
@@ -55,7 +55,8 @@
     process = start(tmp_path, raw)
     _, error = process.communicate(timeout=20)
     assert process.returncode == 2
-    assert told in error and error.count("\n") == 1
+    assert told in error
+    assert error.count("\n") == 1
 
 
 def test_few_descriptors_are_left_for_others_by_a_crowd_of_connections(tmp_path: Path) -> None:
--- a/tests/platform_relay/test_race_conditions.py
+++ b/tests/platform_relay/test_race_conditions.py
@@ -21,8 +21,8 @@
 from linnetstile.platform_relay.http_frontend import Submission
 from linnetstile.platform_relay.relay import PlatformRelay
 
-from .test_relay import idle, delivered_ids, run_scenario
-from .world import OK_RESPONSE, RAW, RelayTestbed, request_status, submission, port_of, read_http, wait_until
+from .test_relay import delivered_ids, idle, run_scenario
+from .world import OK_RESPONSE, RAW, RelayTestbed, port_of, read_http, request_status, submission, wait_until
 
 Client = tuple[asyncio.StreamReader, asyncio.StreamWriter]
 
@@ -52,14 +52,15 @@
         async def late(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             _, fields, _ = await read_http(reader)
             testbed.endpoint_calls.append((2, fields, b""))
-            time.sleep(0.45)  # the loop is busy: relay and endpoint are one process here
+            time.sleep(0.45)  # noqa: ASYNC251  the loop has to be busy: relay and endpoint are one process here
             writer.write(OK_RESPONSE)
 
         await testbed.add_endpoint(2, serve=late)
         relay = await testbed.start_relay()
         assert await request_status(relay, submission("m", class_, destination=2, left="400m")) == 202
         await wait_until(lambda: idle(relay))
-        assert testbed.notices == [{"ref": "m", "result": result}] and delivered_ids(testbed) == ["m"]
+        assert testbed.notices == [{"ref": "m", "result": result}]
+        assert delivered_ids(testbed) == ["m"]
 
     run_scenario(tmp_path, scenario)
 
@@ -71,7 +72,8 @@
         began = time.monotonic()
         assert await request_status(relay, submission("m", "pay", left="400m")) == 202
         await wait_until(lambda: testbed.notices)
-        assert time.monotonic() - began < 0.4 and testbed.notices == [{"ref": "m", "result": "dead"}]
+        assert time.monotonic() - began < 0.4
+        assert testbed.notices == [{"ref": "m", "result": "dead"}]
 
     run_scenario(tmp_path, scenario)
 
@@ -211,7 +213,8 @@
         due = time.monotonic() + 0.5
         await wait_until(lambda: idle(relay))
         (told,) = testbed.notices
-        assert '"ref":"m"' in told["body"] and told["at"] < due + 0.3
+        assert '"ref":"m"' in told["body"]
+        assert told["at"] < due + 0.3
 
     run_scenario(tmp_path, scenario)
 
@@ -234,7 +237,8 @@
         await wait_until(lambda: relay.counts.get("ended_connect_failed"))
         monkeypatch.setattr(client.ClientConnection, "connection_made", made)
         await wait_until(lambda: idle(relay))  # it proved no effect: the message goes out once
-        assert delivered_ids(testbed) == ["m"] and not testbed.notices
+        assert delivered_ids(testbed) == ["m"]
+        assert not testbed.notices
         await wait_until(lambda: len(relay.endpoint_client.pool.open) == relay.endpoint_client.pool.resting)
 
     run_scenario(tmp_path, scenario)
@@ -266,7 +270,8 @@
                 on_ended=lambda verdict, report, reused: ended.append(verdict),
             )
         await wait_until(lambda: ended)
-        assert ended[0].outcome is Outcome.RESET and not ended[0].outcome.proves_no_effect
+        assert ended[0].outcome is Outcome.RESET
+        assert not ended[0].outcome.proves_no_effect
 
     run_scenario(tmp_path, scenario)
 
@@ -277,11 +282,13 @@
         testbed.scripted_answers[1] = [b"HTTP/1.1 200 OK\r\nContent-Length: 16\r\n\r\nhalf"]
         assert await request_status(relay, submission("m", "pay")) == 202
         await wait_until(lambda: idle(relay))
-        assert len(relay.endpoint_client.pool.open) == 1 and not relay.endpoint_client.pool.resting
+        assert len(relay.endpoint_client.pool.open) == 1
+        assert not relay.endpoint_client.pool.resting
         assert await request_status(relay, submission("n", "pay")) == 202  # on a connection of its own
         await wait_until(lambda: idle(relay))
         await wait_until(lambda: len(relay.endpoint_client.pool.open) == relay.endpoint_client.pool.resting == 1)
-        assert delivered_ids(testbed) == ["m", "n"] and not testbed.notices
+        assert delivered_ids(testbed) == ["m", "n"]
+        assert not testbed.notices
 
     run_scenario(tmp_path, scenario)
 
@@ -303,7 +310,9 @@
         writer.write(submission("m", "pay"))
         await wait_until(lambda: "m" in relay.accepted.submission_ids)
         await wait_until(lambda: idle(relay))
-        assert delivered_ids(testbed).count("m") == 1 and not testbed.notices and not relay.engine.queues.messages
+        assert delivered_ids(testbed).count("m") == 1
+        assert not testbed.notices
+        assert not relay.engine.queues.messages
 
     run_scenario(tmp_path, scenario)
 
@@ -358,13 +367,15 @@
                     )
                     assert told == (202 if asked == name else 400)
             await wait_until(partial(idle, nodes[name]))
-        assert not testbed.notices and len(delivered_ids(testbed)) == 6
+        assert not testbed.notices
+        assert len(delivered_ids(testbed)) == 6
         assert nodes["a"].engine.settings.classes[0].effect is not nodes["b"].engine.settings.classes[0].effect
         mine, theirs = (
             {id(each) for each in vars(nodes[name].engine).values() if isinstance(each, (dict, list, set))}
             for name in customers
         )
-        assert mine and not mine & theirs
+        assert mine
+        assert not mine & theirs
 
     run_scenario(tmp_path, scenario)
 
--- a/tests/platform_relay/test_recovery.py
+++ b/tests/platform_relay/test_recovery.py
@@ -11,7 +11,7 @@
 
 from linnetstile.platform_relay import clock
 
-from .test_relay import idle, delivered_ids, run_scenario
+from .test_relay import delivered_ids, idle, run_scenario
 from .world import CLASSES, RAW, RelayTestbed, request_status, submission, wait_until
 
 COUNT = 12
@@ -59,7 +59,8 @@
         second = await testbed.start_relay(discovery_address)
         assert len(second.accepted) == COUNT
         await wait_until(lambda: idle(second))
-        assert sorted(set(delivered_ids(testbed))) == sorted(f"m{n}" for n in range(COUNT)) and not testbed.notices
+        assert sorted(set(delivered_ids(testbed))) == sorted(f"m{n}" for n in range(COUNT))
+        assert not testbed.notices
 
     run_scenario(tmp_path, scenario)
 
@@ -71,10 +72,12 @@
         entries = testbed.entries
         testbed.entries = [] if listed == "later" else [{**each, "state": "DRAINING"} for each in entries]
         second = await testbed.start_relay(discovery_address)
-        assert len(second.accepted) == COUNT and not testbed.endpoint_calls
+        assert len(second.accepted) == COUNT
+        assert not testbed.endpoint_calls
         testbed.send_list(testbed.watch_writers[-1], entries)
         await wait_until(lambda: idle(second))
-        assert len(set(delivered_ids(testbed))) == COUNT and not testbed.notices
+        assert len(set(delivered_ids(testbed))) == COUNT
+        assert not testbed.notices
 
     run_scenario(tmp_path, scenario)
 
@@ -91,7 +94,8 @@
         second = await testbed.start_relay(discovery_address)
         await asyncio.sleep(0)
         held = second.engine.queues.messages.values()
-        assert len(held) == COUNT and all(0 < each.deadline - second.engine_loop.now <= 5500 for each in held)
+        assert len(held) == COUNT
+        assert all(0 < each.deadline - second.engine_loop.now <= 5500 for each in held)
 
     run_scenario(tmp_path, scenario)
 
@@ -131,10 +135,12 @@
 
         monkeypatch.setattr(os, "rename", full)
         second = await testbed.start_relay(discovery_address)
-        assert len(second.accepted) == COUNT and second.journal.failed
+        assert len(second.accepted) == COUNT
+        assert second.journal.failed
         monkeypatch.setattr(os, "rename", rename)
         await wait_until(lambda: idle(second))
-        assert len(set(delivered_ids(testbed))) == COUNT and not testbed.notices
+        assert len(set(delivered_ids(testbed))) == COUNT
+        assert not testbed.notices
         assert second.journal.size <= second.journal.compaction_bytes  # rewritten as soon as there was room
 
     run_scenario(tmp_path, scenario)
--- a/tests/platform_relay/test_relay.py
+++ b/tests/platform_relay/test_relay.py
@@ -23,7 +23,7 @@
 from linnetstile.platform_relay.records import Notice, NoticeResult, PendingNotice
 from linnetstile.platform_relay.relay import PlatformRelay
 
-from .world import OK_RESPONSE, RAW, RelayTestbed, request_status, submission, port_of, read_http, wait_until
+from .world import OK_RESPONSE, RAW, RelayTestbed, port_of, read_http, request_status, submission, wait_until
 
 Story = Callable[[RelayTestbed], Awaitable[None]]
 
@@ -71,7 +71,8 @@
         ((destination, fields, came),) = testbed.endpoint_calls
         assert (destination, fields["x-correlation-id"], fields["idempotency-key"], came) == (1, "m1", "key-m1", body)
         assert 0 < int(fields["x-time-left"].removesuffix("m")) <= 2500
-        assert not testbed.notices and not relay.reporter.pending_notices
+        assert not testbed.notices
+        assert not relay.reporter.pending_notices
 
     run_scenario(tmp_path, scenario)
 
@@ -163,7 +164,8 @@
     async def scenario(testbed: RelayTestbed) -> None:
         relay = await testbed.start_relay()
         assert await request_status(relay, BAD[number], 3.0) not in (200, 202)
-        assert not relay.accepted and not testbed.endpoint_calls
+        assert not relay.accepted
+        assert not testbed.endpoint_calls
         assert await request_status(relay, submission("good")) == 202
 
     run_scenario(tmp_path, scenario)
@@ -265,9 +267,11 @@
             sent, told = len(testbed.endpoint_calls) - before, len(testbed.notices) - posted
             begun = calls > 0 or folder != left[0][0]  # an attempt is in the journal from the second write on
             if class_ == "pay":
-                assert sent == (0 if begun else 1) and sent + told <= 1
+                assert sent == (0 if begun else 1)
+                assert sent + told <= 1
             else:
-                assert sent <= 1 and not told
+                assert sent <= 1
+                assert not told
 
     run_scenario(tmp_path, scenario)
 
@@ -282,7 +286,8 @@
             assert await request_status(relay, submission(f"m{number}", "order")) == 202
         await wait_until(lambda: not relay.accepted and not relay.reporter.pending_notices)
         told = {notice["ref"] for notice in testbed.notices}
-        assert set(delivered_ids(testbed)) == {f"m{number}" for number in range(30)} and not told
+        assert set(delivered_ids(testbed)) == {f"m{number}" for number in range(30)}
+        assert not told
         assert relay.watch.watches_opened == 4
 
     run_scenario(tmp_path, scenario)
@@ -302,7 +307,8 @@
         await wait_until(lambda: relay.notice_sender.failures > 1)
         testbed.stop_relay(relay)
         later = await testbed.start_relay(discovery_address)
-        assert list(later.reporter.pending_notices) and not testbed.notices
+        assert list(later.reporter.pending_notices)
+        assert not testbed.notices
         testbed.notice_status = [204]
         later.move_discovery(await testbed.start_discovery())
         await wait_until(lambda: not later.reporter.pending_notices)
@@ -371,13 +377,12 @@
         writer.write(submission("m", destination=listed))
         await wait_until(lambda: relay.counts.get("unheard"))
         await asyncio.sleep(0.05)
-        assert (
-            not relay.accepted
-            and not relay.engine.queues.messages
-            and relay.journal.message_bytes == 0
-            and not relay.engine.in_flight
-        )
-        assert not testbed.endpoint_calls and not testbed.notices
+        assert not relay.accepted
+        assert not relay.engine.queues.messages
+        assert relay.journal.message_bytes == 0
+        assert not relay.engine.in_flight
+        assert not testbed.endpoint_calls
+        assert not testbed.notices
         writer.close()
 
     run_scenario(tmp_path, scenario)
@@ -390,7 +395,8 @@
         assert await request_status(relay, submission("m")) == 503
         relay.journal._descriptor = file
         await wait_until(lambda: not relay.accepted)
-        assert not testbed.endpoint_calls and not testbed.notices
+        assert not testbed.endpoint_calls
+        assert not testbed.notices
         assert await request_status(relay, submission("n")) == 202
 
     run_scenario(tmp_path, scenario)
@@ -435,7 +441,8 @@
         await wait_until(lambda: testbed.notices)
         await asyncio.sleep(1.6)
         assert relay.counts["attempts"] == 2  # the second one was decided, and ended without a byte
-        assert delivered_ids(testbed) == ["k"] and testbed.notices == [{"ref": "k", "result": "dead"}]
+        assert delivered_ids(testbed) == ["k"]
+        assert testbed.notices == [{"ref": "k", "result": "dead"}]
 
     run_scenario(tmp_path, scenario)
 
@@ -501,7 +508,9 @@
         while relay.watch.is_reading_list:
             assert await request_status(relay, submission(f"m-{answered}", body=b"")) in (202, 503)
             answered += relay.watch.is_reading_list
-        assert answered >= 3 and len(relay.directory) == 20_001 and len(testbed.watch_writers) == 1
+        assert answered >= 3
+        assert len(relay.directory) == 20_001
+        assert len(testbed.watch_writers) == 1
 
     run_scenario(tmp_path, scenario)
 
@@ -528,7 +537,8 @@
         await wait_until(lambda: relay.reporter.pending_notices)
         await asyncio.sleep(0.05)
         (record,) = journal_codec.replay((testbed.state / "journal").read_bytes())[0].values()
-        assert failed and isinstance(record, PendingNotice)
+        assert failed
+        assert isinstance(record, PendingNotice)
         assert record.notice == Notice("m", NoticeResult.REJECTED)
 
     run_scenario(tmp_path, scenario)
@@ -566,14 +576,16 @@
             assert await request_status(relay, submission(submission_id, "charge", path="/api/a", left=left)) == 202
         await wait_until(lambda: relay.delivery.waiting_for_order and not relay.notice_sender.in_flight)
         await asyncio.sleep(0.1)
-        assert delivered_ids(testbed) == ["a1"] and not testbed.notices
+        assert delivered_ids(testbed) == ["a1"]
+        assert not testbed.notices
         testbed.kill_relay(relay, tmp_path / "as killed")
         again = await testbed.start_relay(discovery_address)  # the notice is owed still, and what waits for it waits on
         await wait_until(lambda: again.delivery.waiting_for_order)
         assert delivered_ids(testbed) == ["a1"]
         testbed.notice_status = [204]
         await wait_until(partial(idle, again))
-        assert delivered_ids(testbed) == ["a1", "a2"] and testbed.notices == [{"ref": "a1", "result": "bounced"}]
+        assert delivered_ids(testbed) == ["a1", "a2"]
+        assert testbed.notices == [{"ref": "a1", "result": "bounced"}]
 
     run_scenario(tmp_path, scenario)
 
@@ -599,7 +611,8 @@
             await asyncio.gather(*(request_status(relay, submission(f"m{n}", destination=2)) for n in range(6)))
         ) == {202}
         await wait_until(partial(idle, relay))
-        assert max(out) == 2 and relay.counts == {"taken": 6, "attempts": 6, "ended_ok": 6}
+        assert max(out) == 2
+        assert relay.counts == {"taken": 6, "attempts": 6, "ended_ok": 6}
 
     run_scenario(tmp_path, scenario)
 
@@ -624,15 +637,17 @@
             await asyncio.gather(*(request_status(relay, submission(f"m{n}", destination=2)) for n in range(4)))
         ) == {202}
         await wait_until(partial(idle, relay))
-        assert len(made) == 1 and not relay.endpoint_client.pool.resting  # used on while something waited
+        assert len(made) == 1
+        assert not relay.endpoint_client.pool.resting
         assert await request_status(relay, submission("m4", destination=2)) == 202
         await wait_until(partial(idle, relay))
-        assert len(made) == 2 and made[1] == "m4"
+        assert len(made) == 2
+        assert made[1] == "m4"
 
     run_scenario(tmp_path, scenario)
 
 
-@pytest.mark.parametrize("whole", (True, False))
+@pytest.mark.parametrize("whole", [True, False])
 def test_start_waits_for_a_list_that_is_coming_in_but_not_for_ever(
     tmp_path: Path, whole: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
@@ -660,9 +675,11 @@
         began = asyncio.get_running_loop().time()
         relay = await testbed.start_relay(("127.0.0.1", await testbed.listen(slowly)))
         if whole:
-            assert told.is_set() and len(relay.directory) == 4000
+            assert told.is_set()
+            assert len(relay.directory) == 4000
         else:
-            assert asyncio.get_running_loop().time() - began < 3.0 and 1000 < len(relay.directory) < 4000
+            assert asyncio.get_running_loop().time() - began < 3.0
+            assert 1000 < len(relay.directory) < 4000
         assert await request_status(relay, submission("a")) == 202
 
     run_scenario(tmp_path, scenario)
--- a/tests/platform_relay/world.py
+++ b/tests/platform_relay/world.py
@@ -223,5 +223,5 @@
 
 async def wait_until(done: Callable[[], object], seconds: float = 5.0) -> None:
     async with asyncio.timeout(seconds):
-        while not done():
+        while not done():  # noqa: ASYNC110  what is waited for is any state, not an event
             await asyncio.sleep(0.005)
