--- a/tests/platform_relay/test_at_most_once.py
+++ b/tests/platform_relay/test_at_most_once.py
@@ -1,8 +1,8 @@
-"""Work that may run only once, at every place where a call can end, judged by what the endpoint got.
+"""At-most-once delivery at every place where a call can end, judged by what the endpoint got.
 
-`Desk` is an endpoint that is told how to end its next calls. It keeps what the judge goes by: when a call's last byte
-came, whether it may have run by the platform's page, how long it was open. Each story is also told with the relay
-killed after each of its journal's writes, and with a second relay to which the client comes when it was refused."""
+`FaultyEndpoint` is told how to end its next calls. It keeps what the rules are checked by: when a call's last byte
+came, whether it may have run by the platform's page, how long it was open. Each scenario is also run with the relay
+killed after each of its journal's writes, and with a second relay to which the client comes when it was rejected."""
 
 from __future__ import annotations
 
@@ -24,8 +24,8 @@
 
 from .world import OK_RESPONSE, RelayTestbed, read_http, request_status, submission, wait_until
 
-REFUSED = b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"
-WINDOW_S = 4.0  # of the class "order" in the world's settings
+BUSY_RESPONSE = b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"
+WINDOW_S = 4.0  # of the class "order" in the testbed's settings
 TIME_LEFT = "2500m"
 
 
@@ -50,11 +50,11 @@
             b"HTTP/1.1 20",
             b"HTTP/1.1 200 OK\r\n",
             b"HTTP/1.1 503 Busy\r\n",
-            REFUSED[:-2],
+            BUSY_RESPONSE[:-2],
             b"\x16\x03 noise\r\n\r\n",
         )
     ),
-    Fault("said", "close", REFUSED),
+    Fault("said", "close", BUSY_RESPONSE),
     Fault("said", "close", b"HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n"),
 ]
 
@@ -88,7 +88,7 @@
                 await self.carry_out(fault, reader, writer)
                 return
             _, fields, body = await read_http(reader)
-            call = ReceivedCall(fields["x-correlation-id"], body, clock(), fault.said != REFUSED)
+            call = ReceivedCall(fields["x-correlation-id"], body, clock(), fault.said != BUSY_RESPONSE)
             self.calls.append(call)
             call.delivered = fault.said.startswith(b"HTTP/1.1 200 ")
             try:
@@ -114,13 +114,15 @@
                 writer.write(OK_RESPONSE)
 
 
-def rule_breaches(class_: str, calls: list[ReceivedCall], notices: list[tuple[str, str]], one_life: bool) -> list[str]:
+def rule_breaches(
+    class_: str, calls: list[ReceivedCall], notices: list[tuple[str, str]], one_process: bool
+) -> list[str]:
     """What the rules forbid, in what came to the endpoint and to the platform."""
     found = []
     for body in {call.body for call in calls}:
         mine = [call for call in calls if call.body == body]
         ran = next((call for call in mine if call.may_have_run), None)
-        if one_life:
+        if one_process:
             found += [
                 f"two calls of {one.submission_id} at once"
                 for one, other in zip(mine, mine[1:], strict=False)
@@ -133,7 +135,7 @@
                 delay_s = call.received_at - ran.received_at
                 found.append(f"{call.submission_id} was sent again {delay_s:.3f} s after it may have run")
         if class_ != "state" and (ran.submission_id, "bounced") in notices:
-            found.append(f"{ran.submission_id} may have run and was told as harmless to hand in again")
+            found.append(f"{ran.submission_id} may have run and was notified as harmless to submit again")
     return found
 
 
@@ -167,8 +169,8 @@
             self.testbed.close()
 
     async def _run(self) -> list[str]:
-        testbed, desk = self.testbed, self.endpoint
-        await testbed.add_endpoint(1, serve=desk.serve)
+        testbed, endpoint = self.testbed, self.endpoint
+        await testbed.add_endpoint(1, serve=endpoint.serve)
         discovery_address = await testbed.start_discovery()
         first = await testbed.start_relay(discovery_address)
         for number in range(6):  # so that the destination is known: its time-outs are short
@@ -180,22 +182,24 @@
             first.engine.stale_connection_ratio = (
                 1.0  # many connections were met closed: the last byte of unsafe calls waits
             )
-        desk.calls.clear()
-        desk.faults = [self.fault] + [Fault("said", "", REFUSED)] * (8 if self.full else 0)
+        endpoint.calls.clear()
+        endpoint.faults = [self.fault] + [Fault("said", "", BUSY_RESPONSE)] * (8 if self.full else 0)
         self.watched_folder = testbed.state
         assert await request_status(first, submission("m", self.class_, left=TIME_LEFT)) == 202
         await self.wait_for_end(first, discovery_address, "again")
         self.watched_folder = None
         self.update_last_snapshot()
-        found = rule_breaches(self.class_, desk.calls, self.notices, True)
+        found = rule_breaches(self.class_, endpoint.calls, self.notices, True)
         found += self.missing_end("m") if self.fault.how != "late" else []
-        lives = desk.calls, testbed.notices
+        before_kill = endpoint.calls, testbed.notices
         for folder, calls, notice_count in self.snapshots:
-            desk.calls, testbed.notices = lives[0][:calls], lives[1][:notice_count]
-            testbed.state, desk.faults = folder, []
+            endpoint.calls, testbed.notices = before_kill[0][:calls], before_kill[1][:notice_count]
+            testbed.state, endpoint.faults = folder, []
             second = await testbed.start_relay(discovery_address)
             await self.wait_for_end(second, discovery_address, folder.name)
-            found += [f"{folder.name}: {each}" for each in rule_breaches(self.class_, desk.calls, self.notices, False)]
+            found += [
+                f"{folder.name}: {each}" for each in rule_breaches(self.class_, endpoint.calls, self.notices, False)
+            ]
         return [f"{self}: {each}" for each in found]
 
     @property
@@ -203,12 +207,12 @@
         return [(notice["ref"], notice["result"]) for notice in self.testbed.notices]
 
     def missing_end(self, submission_id: str) -> list[str]:
-        told = sum(ref == submission_id for ref, _ in self.notices)
+        notified = sum(ref == submission_id for ref, _ in self.notices)
         done = any(call.delivered for call in self.endpoint.calls if call.submission_id == submission_id)
-        return [] if told + done == 1 else [f"{submission_id} was told {told} times and delivered {done}"]
+        return [] if notified + done == 1 else [f"{submission_id} was notified {notified} times and delivered {done}"]
 
     async def wait_for_end(self, relay: PlatformRelay, discovery_address: tuple[str, int], name: str) -> None:
-        """Waits for the end of all that a relay holds; a client that was refused hands it in at another one."""
+        """Wait until a relay owes nothing; a client whose message was rejected submits it to another relay."""
         await wait_until(lambda: not relay.accepted and not relay.reporter.pending_notices, 8.0)
         if ("m", "bounced") in self.notices and all(call.submission_id == "m" for call in self.endpoint.calls):
             self.endpoint.faults, self.testbed.state = [], self.folder / f"{name}-other"
@@ -217,21 +221,21 @@
             await wait_until(lambda: not other.accepted and not other.reporter.pending_notices, 8.0)
 
 
-async def run_scenarios(stories: list[Scenario]) -> list[str]:
+async def run_scenarios(all_scenarios: list[Scenario]) -> list[str]:
     turns = asyncio.Semaphore(24)
 
     async def one(scenario: Scenario) -> list[str]:
         async with turns:
             return await scenario.run()
 
-    found = await asyncio.gather(*map(one, stories))
+    found = await asyncio.gather(*map(one, all_scenarios))
     await asyncio.sleep(0)
     return [each for some in found for each in some]
 
 
 def scenarios(folder: Path, monkeypatch: pytest.MonkeyPatch, keep: Callable[[Scenario], bool]) -> list[Scenario]:
     flush = Journal.flush
-    stories = [
+    all_scenarios = [
         Scenario(folder / f"{number}-{connection}-{class_}-{full}", fault, connection, class_, full)
         for number, fault in enumerate(FAULTS)
         for connection in ("new", "kept", "held")
@@ -239,7 +243,7 @@
         for full in (False, True)
         if (connection == "held") <= (class_ == "pay") and (fault.stage == "accepted") <= (connection != "kept")
     ]
-    kept = [scenario for scenario in stories if keep(scenario)]
+    kept = [scenario for scenario in all_scenarios if keep(scenario)]
     homes = {scenario.testbed.state: scenario for scenario in kept}
 
     def flushed(journal: Journal) -> bool:
@@ -259,21 +263,21 @@
 def test_nothing_runs_twice_wherever_a_call_ends_and_whenever_the_relay_is_killed(
     tmp_path: Path, class_: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    stories = scenarios(tmp_path, monkeypatch, lambda scenario: scenario.class_ == class_)
-    assert asyncio.run(run_scenarios(stories)) == [], "breaches"
-    assert min(len(scenario.snapshots) for scenario in stories) >= 3  # taken, attempted, ended
+    all_scenarios = scenarios(tmp_path, monkeypatch, lambda scenario: scenario.class_ == class_)
+    assert asyncio.run(run_scenarios(all_scenarios)) == [], "breaches"
+    assert min(len(scenario.snapshots) for scenario in all_scenarios) >= 3  # accepted, attempted, ended
 
 
-@pytest.mark.parametrize("sight", [WireResult.CONNECTION_LOST, WireResult.TIMED_OUT, WireResult.MALFORMED])
-def test_the_judge_finds_an_unclear_end_that_is_called_clean(
-    tmp_path: Path, sight: WireResult, monkeypatch: pytest.MonkeyPatch
+@pytest.mark.parametrize("wire_result", [WireResult.CONNECTION_LOST, WireResult.TIMED_OUT, WireResult.MALFORMED])
+def test_rule_check_finds_an_unclear_end_that_is_judged_as_without_effect(
+    tmp_path: Path, wire_result: WireResult, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setitem(
         attempt_outcome.VERDICT_BY_WIRE_RESULT,
-        sight,
+        wire_result,
         attempt_outcome.VERDICT_BY_WIRE_RESULT[WireResult.REQUEST_INCOMPLETE],
     )
-    stories = scenarios(
+    all_scenarios = scenarios(
         tmp_path,
         monkeypatch,
         lambda scenario: (
@@ -283,4 +287,4 @@
             and not scenario.full
         ),
     )
-    assert any("sent again" in breach for breach in asyncio.run(run_scenarios(stories)))
+    assert any("sent again" in breach for breach in asyncio.run(run_scenarios(all_scenarios)))
--- a/tests/platform_relay/test_directory.py
+++ b/tests/platform_relay/test_directory.py
@@ -30,7 +30,7 @@
     } | more
 
 
-def told(*entries: Any, version: int = 1, full: bool = True) -> dict[str, Any]:
+def raw_list(*entries: Any, version: int = 1, full: bool = True) -> dict[str, Any]:
     return {"version": version, "full": full, "servers": list(entries)}
 
 
@@ -38,8 +38,8 @@
     return [entry(f"s-{number}", cell=number % 1000, **more) for number in range(size)]
 
 
-def places(directory: Directory) -> dict[str, EndpointAddress]:
-    return {place.name: place for place in map(directory.place, directory) if place}
+def addresses(directory: Directory) -> dict[str, EndpointAddress]:
+    return {address.name: address for address in map(directory.place, directory) if address}
 
 
 def piecewise(
@@ -88,7 +88,7 @@
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_holds_and_tells_what_plain_dicts_do(seed: int) -> None:
+def test_directory_agrees_with_a_reference_model(seed: int) -> None:
     rng = random.Random(seed)
     directory, model = Directory(KINDS, ZONES), Model()
     view: dict[int, Endpoint] = {}  # as the module has it
@@ -120,30 +120,30 @@
                     gone = before.get(each.id)
                     assert gone is None or gone.destination == each.destination
                     del view[each.id]
-        found = places(directory)
+        found = addresses(directory)
         assert found.keys() == model.lives.keys()
         assert len(directory) == len(found)
         assert view == {number: directory.endpoint(number) for number in directory}
-        for name, place in found.items():
+        for name, address in found.items():
             life = model.lives[name]
-            listed = view[place.id]
-            assert f"{place.host}:{place.port}" == life["addr"]
-            assert place.destination == life["cell"]
+            listed = view[address.id]
+            assert f"{address.host}:{address.port}" == life["addr"]
+            assert address.destination == life["cell"]
             assert (listed.kind, listed.zone, listed.advertised_rate) == (
                 {"k": 0, "l": 1}.get(life["kind"], 2),
                 {"y": 0, "z": 1}.get(life["zone"], 2),
                 life["weight"],
             )
-            assert place.zone == listed.zone
-            assert directory.number(name) == place.id
+            assert address.zone == listed.zone
+            assert directory.number(name) == address.id
             assert (listed.status is EndpointStatus.DRAINING) == (life["state"] == "DRAINING")
-            assert lives.setdefault(place.id, name) == name, "a number is used twice"
+            assert lives.setdefault(address.id, name) == name, "a number is used twice"
         assert all(directory.place(number) is None for number in lives.keys() - set(directory))
         assert {cell for cell in range(6) if directory.knows(cell)} == model.known
 
 
 @pytest.mark.parametrize("piece", [1, 100, 5000])
-def test_whole_list_read_again_tells_nothing_and_a_change_tells_that_alone(piece: int) -> None:
+def test_full_list_read_again_changes_nothing_and_a_change_is_reported_alone(piece: int) -> None:
     directory, servers = Directory(KINDS, ZONES), fleet(5000)
     _, steps = piecewise(directory, servers, piece)
     assert [each.id for each in flat(steps)] == list(directory)
@@ -197,7 +197,7 @@
     assert work[10_000] < 1.5 * work[100] < 100 * 40
 
 
-def test_sweep_goes_in_bounded_steps() -> None:
+def test_missing_endpoints_are_removed_in_bounded_steps() -> None:
     directory = Directory(KINDS, ZONES)
     piecewise(directory, fleet(5000), 500)
     _, (first, *sweeps) = piecewise(directory, [entry("s-4999", cell=999)], 500, 2)
@@ -210,7 +210,7 @@
 
 
 @pytest.mark.parametrize("upto", [0, 1, 2500, 5000])
-def test_list_that_ends_in_the_middle_takes_nothing_away_and_the_next_one_makes_up_for_it(upto: int) -> None:
+def test_truncated_list_removes_nothing_and_the_next_one_makes_up_for_it(upto: int) -> None:
     directory = Directory(KINDS, ZONES)
     piecewise(directory, fleet(5000), 500, 5)
     servers = [*fleet(2500), *(entry(f"n-{number}", cell=7) for number in range(2500))]
@@ -224,11 +224,11 @@
     assert (drained.status is EndpointStatus.DRAINING) == (upto > 10)
     assert not any(each.status is EndpointStatus.GONE for each in flat(steps))
     piecewise(directory, servers, 500, 6)
-    assert places(directory).keys() == {each["id"] for each in servers}
+    assert addresses(directory).keys() == {each["id"] for each in servers}
     assert directory.version_guard.newest == 6
 
 
-def test_older_list_is_refused_at_its_head_before_any_entry() -> None:
+def test_older_list_is_rejected_at_its_head_before_any_entry() -> None:
     directory = Directory(KINDS, ZONES)
     piecewise(directory, fleet(3), 500, 5)
     for full in (False, True):
@@ -241,7 +241,7 @@
     assert len(directory) == 4
     piecewise(directory, [entry("n")], 1, 3)
     assert directory.version_guard.newest == 3
-    assert [*places(directory)] == ["n"]
+    assert [*addresses(directory)] == ["n"]
 
 
 def test_broken_entries_of_a_long_list_leave_theirs_as_they_were_and_the_first_is_named() -> None:
@@ -276,8 +276,8 @@
 
 def test_endpoint_whose_destination_changes_is_another_one_as_is_one_that_takes_a_name_or_an_address() -> None:
     directory = Directory(KINDS, ZONES)
-    directory.take(told(entry("a"), entry("b", cell=2)))
-    event = directory.take(told(entry("a", cell=3), version=2, full=False))
+    directory.take(raw_list(entry("a"), entry("b", cell=2)))
+    event = directory.take(raw_list(entry("a", cell=3), version=2, full=False))
     assert event.kind is ListKind.CHANGES
     gone, new = event.endpoints
     assert (gone.id, gone.status, gone.destination) == (1, EndpointStatus.GONE, 1)
@@ -287,40 +287,40 @@
     assert directory.knows(1)
     seen = {1, 2, new.id}
     for version in range(3, 40):  # the same name, address and row again and again
-        directory.take(told(entry("a", "DELETED"), entry("a", cell=3), version=version, full=False))
+        directory.take(raw_list(entry("a", "DELETED"), entry("a", cell=3), version=version, full=False))
         number = directory.number("a")
         assert number not in seen
         seen.add(number)
     assert len(directory.records) == 2
 
 
-def test_endpoint_that_drains_is_told_once_keeps_its_number_and_may_come_back() -> None:
+def test_draining_endpoint_is_reported_once_keeps_its_id_and_may_come_back() -> None:
     directory = Directory(KINDS, ZONES)
-    directory.take(told(entry("a")))
-    drains = told(entry("a", "DRAINING", cell=9), full=False)  # that it ends is all that is read
+    directory.take(raw_list(entry("a")))
+    drains = raw_list(entry("a", "DRAINING", cell=9), full=False)  # that it ends is all that is read
     assert [(each.id, each.status, each.destination) for each in directory.take(drains).endpoints] == [
         (1, EndpointStatus.DRAINING, 1)
     ]
     assert not directory.take(drains).endpoints
     assert len(directory) == 1
-    place = directory.place(1)
-    assert place
-    assert place.destination == 1
-    assert [(each.id, each.status) for each in directory.take(told(entry("a"))).endpoints] == [
+    address = directory.place(1)
+    assert address
+    assert address.destination == 1
+    assert [(each.id, each.status) for each in directory.take(raw_list(entry("a"))).endpoints] == [
         (1, EndpointStatus.READY)
     ]
 
 
-def test_known_list_is_one_event_and_its_version_counts_for_nothing() -> None:
+def test_cached_list_is_one_event_and_its_version_counts_for_nothing() -> None:
     directory = Directory(KINDS, ZONES)
-    event = directory.take(told(*fleet(600), version=50), cached=True)
+    event = directory.take(raw_list(*fleet(600), version=50), cached=True)
     assert event.kind is ListKind.CACHED
     assert len(event.endpoints) == 600
     assert directory.version_guard.newest is None
-    assert not directory.take(told(*fleet(600), version=3)).endpoints
+    assert not directory.take(raw_list(*fleet(600), version=3)).endpoints
 
 
-def test_destinations_that_have_left_stay_known_for_a_while() -> None:
+def test_unlisted_destinations_stay_known_for_a_while() -> None:
     destinations = ListedDestinations(3)
     for number in range(6):
         destinations.add(number)
@@ -345,11 +345,11 @@
     many = tuple(f"k{number}" for number in range(70_000))
     directory = Directory(many, ("z",))
     long = "n" * 250 + "ü"
-    directory.take(told(entry(long, kind="k69999", addr="h" * 200 + ".example:1"), entry("b", kind="k300")))
-    place, listed = directory.place(1), directory.endpoint(1)
-    assert place
+    directory.take(raw_list(entry(long, kind="k69999", addr="h" * 200 + ".example:1"), entry("b", kind="k300")))
+    address, listed = directory.place(1), directory.endpoint(1)
+    assert address
     assert listed
-    assert (place.name, place.host, place.port) == (long, "h" * 200 + ".example", 1)
+    assert (address.name, address.host, address.port) == (long, "h" * 200 + ".example", 1)
     assert listed.kind == 69_999
     two = directory.endpoint(2)
     assert two
--- a/tests/platform_relay/test_discovery.py
+++ b/tests/platform_relay/test_discovery.py
@@ -48,8 +48,10 @@
 
 
 class DiscoveryEmulator:
-    """Discovery: holds entries, tells them to each watch, which then does as `script` says: bytes before its list, or
-    in its place, and whether the list follows."""
+    """Discovery: holds entries and sends them to each watch.
+
+    `script` has, for each watch to come, the bytes before its list, or in its place, and whether the list follows.
+    """
 
     def __init__(self) -> None:
         self.entries: dict[str, dict[str, Any]] = {}
@@ -76,15 +78,15 @@
             if int(since) < self.version:
                 writer.write(chunk(self.text({"version": self.version, "full": False, "servers": self.changed})))
         elif listed:
-            writer.write(chunk(self.whole()))
+            writer.write(chunk(self.full_list()))
         await reader.read()
         writer.close()
 
-    def whole(self) -> bytes:
+    def full_list(self) -> bytes:
         return self.text({"version": self.version, "full": True, "servers": list(self.entries.values())})
 
-    def text(self, told: object) -> bytes:
-        return json.dumps(told, indent=self.indent).encode() + b"\n"
+    def text(self, value: object) -> bytes:
+        return json.dumps(value, indent=self.indent).encode() + b"\n"
 
     def change(self, *entries: dict[str, Any]) -> bytes:
         """Changes what discovery knows; the bytes that tell it."""
@@ -103,11 +105,11 @@
             self.server.close()
 
 
-class Rig:
-    """A watch, and the module's view as the events make it."""
+class WatchTestbed:
+    """A watch, and the engine's view as the events make it."""
 
-    def __init__(self, told: DiscoveryEmulator, discovery_address: tuple[str, int], max_list_bytes: int) -> None:
-        self.told = told
+    def __init__(self, emulator: DiscoveryEmulator, discovery_address: tuple[str, int], max_list_bytes: int) -> None:
+        self.emulator = emulator
         self.directory = Directory(("k",), ("z",))
         self.view: dict[int, Endpoint] = {}
         self.events: list[EndpointList] = []
@@ -131,42 +133,42 @@
 
     def agrees(self) -> bool:
         mine = {
-            place.name: (discovery_state(self.view.get(place.id)), place.destination)
-            for place in places(self.directory)
+            address.name: (discovery_state(self.view.get(address.id)), address.destination)
+            for address in addresses(self.directory)
         }
         return mine == {
-            name: (each["state"], each["cell"]) for name, each in self.told.entries.items()
+            name: (each["state"], each["cell"]) for name, each in self.emulator.entries.items()
         } and self.view == {number: self.directory.endpoint(number) for number in self.directory}
 
 
-def places(directory: Directory) -> list[EndpointAddress]:
-    return [place for place in map(directory.place, directory) if place]
+def addresses(directory: Directory) -> list[EndpointAddress]:
+    return [address for address in map(directory.place, directory) if address]
 
 
 def discovery_state(each: Endpoint | None) -> str:
     return {EndpointStatus.READY: "SERVING", EndpointStatus.DRAINING: "DRAINING"}[each.status] if each else "?"
 
 
-def play(
-    scenario: Callable[[DiscoveryEmulator, Rig], Any],
+def run_watch_scenario(
+    scenario: Callable[[DiscoveryEmulator, WatchTestbed], Any],
     *script: tuple[bytes, bool],
     indent: int | None = None,
     more: int = 0,
     max_list_bytes: int = discovery.LIST,
 ) -> None:
     async def run() -> None:
-        told = DiscoveryEmulator()
-        told.script, told.indent = list(script), indent
-        told.entries = {"a": entry("a"), "b": entry("b", cell=2)}
-        told.entries |= {
+        emulator = DiscoveryEmulator()
+        emulator.script, emulator.indent = list(script), indent
+        emulator.entries = {"a": entry("a"), "b": entry("b", cell=2)}
+        emulator.entries |= {
             name: entry(name, cell=number % 50) for number, name in enumerate(f"s-{number}" for number in range(more))
         }
-        rig = Rig(told, await told.start(), max_list_bytes)
+        testbed = WatchTestbed(emulator, await emulator.start(), max_list_bytes)
         try:
-            await scenario(told, rig)
+            await scenario(emulator, testbed)
         finally:
-            rig.watch.close()
-            told.close()
+            testbed.watch.close()
+            emulator.close()
             await asyncio.sleep(0)
 
     asyncio.run(run())
@@ -175,16 +177,18 @@
 @pytest.mark.parametrize("indent", [None, 0, 2])
 @pytest.mark.parametrize("step", [1, 7, 4000])
 def test_list_is_read_however_it_is_indented_and_cut(indent: int | None, step: int) -> None:
-    async def story(told: DiscoveryEmulator, rig: Rig) -> None:
-        await wait_until(rig.agrees)
-        stream = told.change(entry("a", "DRAINING")) + b"\n" + told.change(entry("c", cell=3), entry("b", "DELETED"))
+    async def scenario(emulator: DiscoveryEmulator, testbed: WatchTestbed) -> None:
+        await wait_until(testbed.agrees)
+        stream = (
+            emulator.change(entry("a", "DRAINING")) + b"\n" + emulator.change(entry("c", cell=3), entry("b", "DELETED"))
+        )
         for at in range(0, len(stream), step):  # changes in chunks that begin and end anywhere, several in one
-            told.watches[0].write(chunk(stream[at : at + step]))
-        await wait_until(rig.agrees)
-        assert len(told.watches) == 1
-        assert not rig.watch.lists_rejected
+            emulator.watches[0].write(chunk(stream[at : at + step]))
+        await wait_until(testbed.agrees)
+        assert len(emulator.watches) == 1
+        assert not testbed.watch.lists_rejected
 
-    play(story, indent=indent)
+    run_watch_scenario(scenario, indent=indent)
 
 
 SILENT = [
@@ -213,88 +217,88 @@
 
 
 @pytest.mark.parametrize("said", SILENT + SPOILT)
-def test_watch_that_stops_or_is_spoilt_anywhere_is_opened_anew_and_asks_for_all(said: bytes) -> None:
-    async def story(told: DiscoveryEmulator, rig: Rig) -> None:
-        await wait_until(rig.agrees, 4.0)
-        assert len(told.watches) == 3
-        assert set(told.asked) == {"/api/targets?follow=1"}
-        told.watches[2].write(chunk(told.change(entry("a", "DELETED"))))
-        await wait_until(rig.agrees)
+def test_watch_that_stops_or_is_malformed_anywhere_is_opened_anew_and_asks_for_all(said: bytes) -> None:
+    async def scenario(emulator: DiscoveryEmulator, testbed: WatchTestbed) -> None:
+        await wait_until(testbed.agrees, 4.0)
+        assert len(emulator.watches) == 3
+        assert set(emulator.asked) == {"/api/targets?follow=1"}
+        emulator.watches[2].write(chunk(emulator.change(entry("a", "DELETED"))))
+        await wait_until(testbed.agrees)
 
-    play(story, (said, False), (said, False))
+    run_watch_scenario(scenario, (said, False), (said, False))
 
 
 @pytest.mark.parametrize("rest", [b"", b"4", b'9\r\n{"version', chunk(b'{"version":41,"full":false,"servers":[{"id":')])
 def test_watch_that_falls_silent_later_loses_no_change(rest: bytes, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(watch_policy, "WATCH_SILENCE_S", 0.4)
 
-    async def story(told: DiscoveryEmulator, rig: Rig) -> None:
-        await wait_until(rig.agrees)
-        told.watches[0].write(rest)
-        told.change(entry("a", "DRAINING"), entry("b", "DELETED"), entry("c", cell=3))  # never told on that watch
-        await wait_until(rig.agrees, 2.0)
+    async def scenario(emulator: DiscoveryEmulator, testbed: WatchTestbed) -> None:
+        await wait_until(testbed.agrees)
+        emulator.watches[0].write(rest)
+        emulator.change(entry("a", "DRAINING"), entry("b", "DELETED"), entry("c", cell=3))  # never told on that watch
+        await wait_until(testbed.agrees, 2.0)
 
-    play(story)
+    run_watch_scenario(scenario)
 
 
 def test_quiet_watch_with_an_empty_line_now_and_then_is_kept(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(watch_policy, "WATCH_SILENCE_S", 0.3)
     monkeypatch.setattr(discovery, "ELEMENT_STALL_S", 0.02)
 
-    async def story(told: DiscoveryEmulator, rig: Rig) -> None:
-        await wait_until(rig.agrees)
+    async def scenario(emulator: DiscoveryEmulator, testbed: WatchTestbed) -> None:
+        await wait_until(testbed.agrees)
         for _ in range(8):
-            told.watches[0].write(chunk(b"\n"))
+            emulator.watches[0].write(chunk(b"\n"))
             await asyncio.sleep(0.1)
-        assert len(told.watches) == 1
+        assert len(emulator.watches) == 1
 
-    play(story)
+    run_watch_scenario(scenario)
 
 
-def test_watch_of_the_address_before_a_move_is_heard_no_more() -> None:
-    async def story(told: DiscoveryEmulator, rig: Rig) -> None:
-        await wait_until(rig.agrees)
-        before, told.watches = told.watches[0], []
-        rig.watch.move(await told.start())
+def test_watch_of_the_address_before_a_move_is_ignored() -> None:
+    async def scenario(emulator: DiscoveryEmulator, testbed: WatchTestbed) -> None:
+        await wait_until(testbed.agrees)
+        before, emulator.watches = emulator.watches[0], []
+        testbed.watch.move(await emulator.start())
         before.write(chunk(b'{"version":99,"full":true,"servers":[]}\n'))  # it is on its way as the move begins
-        await wait_until(lambda: told.watches and rig.agrees())
-        told.watches[-1].write(chunk(told.change(entry("c", cell=3))))
-        await wait_until(rig.agrees)
+        await wait_until(lambda: emulator.watches and testbed.agrees())
+        emulator.watches[-1].write(chunk(emulator.change(entry("c", cell=3))))
+        await wait_until(testbed.agrees)
 
-    play(story)
+    run_watch_scenario(scenario)
 
 
-def test_older_list_is_not_taken_unless_discovery_says_it_twice() -> None:
-    async def story(told: DiscoveryEmulator, rig: Rig) -> None:
-        await wait_until(rig.agrees)
-        told.watches[0].write(chunk(told.change(entry("b", "DELETED"))))
-        await wait_until(rig.agrees)
+def test_older_list_is_rejected_unless_discovery_sends_it_twice() -> None:
+    async def scenario(emulator: DiscoveryEmulator, testbed: WatchTestbed) -> None:
+        await wait_until(testbed.agrees)
+        emulator.watches[0].write(chunk(emulator.change(entry("b", "DELETED"))))
+        await wait_until(testbed.agrees)
         older = json.dumps({"version": 40, "full": True, "servers": [entry("a"), entry("b", cell=2)]}).encode()
-        told.script = [(HEAD + chunk(older), False)]
-        told.watches[0].close()
-        await wait_until(lambda: len(told.watches) == 3)
-        assert not rig.directory.number("b")  # also between the two
-        await wait_until(rig.agrees)
-        told.version, told.entries = 3, {"d": entry("d", cell=4)}  # it has begun anew
-        told.watches[-1].close()
-        await wait_until(rig.agrees)
-        assert len(told.watches) == 5
+        emulator.script = [(HEAD + chunk(older), False)]
+        emulator.watches[0].close()
+        await wait_until(lambda: len(emulator.watches) == 3)
+        assert not testbed.directory.number("b")  # also between the two
+        await wait_until(testbed.agrees)
+        emulator.version, emulator.entries = 3, {"d": entry("d", cell=4)}  # it has begun anew
+        emulator.watches[-1].close()
+        await wait_until(testbed.agrees)
+        assert len(emulator.watches) == 5
 
-    play(story)
+    run_watch_scenario(scenario)
 
 
-def test_versions_take_what_is_newer_and_what_is_said_twice() -> None:
+def test_version_guard_accepts_newer_lists_and_older_ones_sent_twice() -> None:
     versions = ListVersionGuard()
 
-    def takes(version: int | None, whole: bool) -> bool:
+    def accepts(version: int | None, whole: bool) -> bool:
         counts = versions.accepts(version, whole)
         if counts:  # and it is read to its end
             versions.list_read(version)
         return counts
 
     assert [
-        takes(*told)
-        for told in [
+        accepts(*list_head)
+        for list_head in [
             (5, True),
             (6, False),
             (6, False),
@@ -346,26 +350,26 @@
 
 @pytest.mark.parametrize("odd", ODD, ids=repr)
 @pytest.mark.parametrize("whole", [True, False])
-def test_entry_that_can_not_be_read_is_left_out_alone(odd: Any, whole: bool) -> None:
+def test_malformed_entry_is_skipped_alone(odd: Any, whole: bool) -> None:
     directory = Directory(("k",), ("z",))
     event = directory.take({"version": 1, "full": whole, "servers": [entry("a"), odd, entry("b")]})
-    assert [place.name for place in places(directory)] == ["a", "b"]
+    assert [address.name for address in addresses(directory)] == ["a", "b"]
     assert directory.skipped_entries == 1
     assert [each.id for each in event.endpoints] == list(directory)
 
 
 @pytest.mark.parametrize("weight", [None, "5", float("inf"), float("nan"), [1], True])
-def test_weight_that_is_no_number_tells_no_rate(weight: Any) -> None:
+def test_weight_that_is_no_number_advertises_no_rate(weight: Any) -> None:
     (each,) = Directory(("k",), ("z",)).take({"full": True, "servers": [entry("a", weight=weight)]}).endpoints
     assert each.advertised_rate in (0.0, 1.0)
 
 
-def test_what_ends_an_endpoint_needs_its_name_alone_and_a_spoilt_entry_ends_none() -> None:
+def test_entry_that_ends_an_endpoint_needs_its_name_alone_and_a_malformed_one_ends_none() -> None:
     directory = Directory(("k",), ("z",))
     directory.take({"full": True, "servers": [entry("a"), entry("b"), entry("c")]})
     event = directory.take({"full": True, "servers": [{"id": "a", "state": "DRAINING"}, entry("b", "?"), entry("c")]})
     assert [(each.id, each.status) for each in event.endpoints] == [(1, EndpointStatus.DRAINING)]  # all that changes
-    assert [place.name for place in places(directory)] == ["a", "b", "c"]
+    assert [address.name for address in addresses(directory)] == ["a", "b", "c"]
     assert directory.skipped_entries == 1
     event = directory.take({"servers": [{"id": "a", "state": "DELETED"}, {"id": "z", "state": "DELETED"}]})
     assert [(each.id, each.status) for each in event.endpoints] == [(1, EndpointStatus.GONE)]
@@ -380,18 +384,18 @@
     directory = Directory(("k",), ("z",))
     directory.take({"full": True, "servers": [entry("a")]})
     event = directory.take({"full": whole, "servers": servers})
-    (place,) = places(directory)
-    assert place.id != 1
-    assert place.destination == 2
+    (address,) = addresses(directory)
+    assert address.id != 1
+    assert address.destination == 2
     assert {each.id: each.status for each in event.endpoints} == {
         1: EndpointStatus.GONE,
-        place.id: EndpointStatus.READY,
+        address.id: EndpointStatus.READY,
     }
     assert directory.place(1) is None
     assert directory.endpoint(1) is None
 
 
-def test_last_word_on_an_endpoint_counts() -> None:
+def test_last_entry_of_an_endpoint_counts() -> None:
     directory = Directory(("k",), ("z",))
     directory.take({"full": True, "servers": [entry("a")]})
     event = directory.take({"servers": [entry("a"), entry("a", "DELETED")]})
@@ -399,12 +403,12 @@
     assert not len(directory)
 
 
-@pytest.mark.parametrize("told", [None, 7, [], "x", {}, {"servers": None}, {"servers": {}}, {"version": 1}])
-def test_what_is_no_list_changes_nothing(told: object) -> None:
+@pytest.mark.parametrize("raw_list", [None, 7, [], "x", {}, {"servers": None}, {"servers": {}}, {"version": 1}])
+def test_object_that_is_no_list_changes_nothing(raw_list: object) -> None:
     directory = Directory(("k",), ("z",))
     directory.take({"version": 1, "full": True, "servers": [entry("a")]})
     with pytest.raises(InvalidListError):
-        directory.take(told)
+        directory.take(raw_list)
     assert list(directory) == [1]
 
 
@@ -413,71 +417,73 @@
 LONG = 5000  # endpoints: some 600 KB
 
 
-def opened(told: DiscoveryEmulator, number: int) -> Callable[[], bool]:
-    return lambda: len(told.watches) == number
+def opened(emulator: DiscoveryEmulator, number: int) -> Callable[[], bool]:
+    return lambda: len(emulator.watches) == number
 
 
 ALL = "/api/targets?follow=1"
 
 
 @pytest.mark.parametrize("indent", [None, 2])
-def test_long_list_is_told_in_bounded_events_and_a_watch_goes_on_from_its_version(indent: int | None) -> None:
-    async def story(told: DiscoveryEmulator, rig: Rig) -> None:
-        await wait_until(rig.agrees)
-        await wait_until(rig.watch.first.is_set)
-        assert len(rig.events) > LONG / ENTRIES_PER_EVENT
-        assert not rig.logged
-        rig.events.clear()
-        told.watches[0].write(chunk(told.change(entry("a", "DRAINING"), entry("s-7", "DELETED"))))
-        await wait_until(rig.agrees)
-        assert [len(event.endpoints) for event in rig.events] == [2]
-        told.watches[0].close()
-        await wait_until(opened(told, 2))  # it has nothing to tell
-        told.watches[1].write(chunk(b"\n"))
+def test_long_list_is_published_in_bounded_events_and_a_watch_resumes_from_its_version(indent: int | None) -> None:
+    async def scenario(emulator: DiscoveryEmulator, testbed: WatchTestbed) -> None:
+        await wait_until(testbed.agrees)
+        await wait_until(testbed.watch.first.is_set)
+        assert len(testbed.events) > LONG / ENTRIES_PER_EVENT
+        assert not testbed.logged
+        testbed.events.clear()
+        emulator.watches[0].write(chunk(emulator.change(entry("a", "DRAINING"), entry("s-7", "DELETED"))))
+        await wait_until(testbed.agrees)
+        assert [len(event.endpoints) for event in testbed.events] == [2]
+        emulator.watches[0].close()
+        await wait_until(opened(emulator, 2))  # it has nothing to tell
+        emulator.watches[1].write(chunk(b"\n"))
         await wait_until(
-            lambda: rig.watch.connection and rig.watch.connection.is_useful and rig.watch.watches_opened == 2
+            lambda: (
+                testbed.watch.connection and testbed.watch.connection.is_useful and testbed.watch.watches_opened == 2
+            )
         )
-        told.changed = [entry("b", "DELETED"), entry("new", cell=9)]
-        told.change(*told.changed)
-        told.watches[1].close()
-        await wait_until(rig.agrees)
-        assert told.asked == [ALL, f"{ALL}&since=41", f"{ALL}&since=41"]
-        assert sum(len(event.endpoints) for event in rig.events) == 4
-        assert not rig.logged
-
-    play(story, indent=indent, more=LONG)
-
-
-def test_watch_that_goes_on_from_a_version_may_be_told_the_whole_list_and_one_that_changes_nothing_tells_nothing() -> (
-    None
-):
-    async def story(told: DiscoveryEmulator, rig: Rig) -> None:
-        await wait_until(lambda: rig.agrees() and rig.watch.first.is_set())
-        told.forgets = True
-        rig.events.clear()
-        told.version = 47
-        told.watches[0].close()
-        await wait_until(lambda: rig.directory.version_guard.newest == 47)
-        assert not rig.events
-        assert rig.agrees()
-        told.change(entry("s-9", "DELETED"), entry("new", cell=9))
-        told.watches[1].close()
-        await wait_until(rig.agrees)
-        assert told.asked == [ALL, f"{ALL}&since=40", f"{ALL}&since=47"]
-        assert sum(len(event.endpoints) for event in rig.events) == 2
-
-    play(story, more=LONG)
-
-
-def test_short_list_is_asked_for_whole_each_time() -> None:
-    async def story(told: DiscoveryEmulator, rig: Rig) -> None:
+        emulator.changed = [entry("b", "DELETED"), entry("new", cell=9)]
+        emulator.change(*emulator.changed)
+        emulator.watches[1].close()
+        await wait_until(testbed.agrees)
+        assert emulator.asked == [ALL, f"{ALL}&since=41", f"{ALL}&since=41"]
+        assert sum(len(event.endpoints) for event in testbed.events) == 4
+        assert not testbed.logged
+
+    run_watch_scenario(scenario, indent=indent, more=LONG)
+
+
+def test_resumed_watch_may_get_the_full_list_and_one_that_changes_nothing_publishes_nothing() -> None:
+    async def scenario(emulator: DiscoveryEmulator, testbed: WatchTestbed) -> None:
+        await wait_until(lambda: testbed.agrees() and testbed.watch.first.is_set())
+        emulator.forgets = True
+        testbed.events.clear()
+        emulator.version = 47
+        emulator.watches[0].close()
+        await wait_until(lambda: testbed.directory.version_guard.newest == 47)
+        assert not testbed.events
+        assert testbed.agrees()
+        emulator.change(entry("s-9", "DELETED"), entry("new", cell=9))
+        emulator.watches[1].close()
+        await wait_until(testbed.agrees)
+        assert emulator.asked == [ALL, f"{ALL}&since=40", f"{ALL}&since=47"]
+        assert sum(len(event.endpoints) for event in testbed.events) == 2
+
+    run_watch_scenario(scenario, more=LONG)
+
+
+def test_short_list_is_requested_in_full_each_time() -> None:
+    async def scenario(emulator: DiscoveryEmulator, testbed: WatchTestbed) -> None:
         for number in (1, 2, 3):
-            await wait_until(opened(told, number))
-            await wait_until(lambda: rig.watch.connection and rig.watch.connection.is_useful and rig.agrees())
-            told.watches[-1].close()
-        assert {*told.asked} == {ALL}
+            await wait_until(opened(emulator, number))
+            await wait_until(
+                lambda: testbed.watch.connection and testbed.watch.connection.is_useful and testbed.agrees()
+            )
+            emulator.watches[-1].close()
+        assert {*emulator.asked} == {ALL}
 
-    play(story)
+    run_watch_scenario(scenario)
 
 
 HALF = 300_000
@@ -512,70 +518,72 @@
     ],
 )
 @pytest.mark.parametrize("since", [False, True])
-def test_long_list_that_breaks_off_takes_nothing_away_and_its_version_does_not_count(
+def test_truncated_long_list_removes_nothing_and_its_version_does_not_count(
     said: Callable[[bytes], bytes], closes: bool, log: str, since: bool
 ) -> None:
     """Each is told in one line, and asked for whole after growing pauses."""
 
-    async def story(told: DiscoveryEmulator, rig: Rig) -> None:
-        await wait_until(lambda: rig.agrees() and rig.watch.first.is_set())
-        before = dict(told.entries)
-        told.forgets = since
-        told.change(entry("s-1", "DRAINING"), entry("s-2", "DELETED"), entry("s-3", cell=77), entry("a", "DELETED"))
-        told.script = [(HEAD + said(told.whole()), False)] * 3
-        told.watches[0].close()
+    async def scenario(emulator: DiscoveryEmulator, testbed: WatchTestbed) -> None:
+        await wait_until(lambda: testbed.agrees() and testbed.watch.first.is_set())
+        before = dict(emulator.entries)
+        emulator.forgets = since
+        emulator.change(entry("s-1", "DRAINING"), entry("s-2", "DELETED"), entry("s-3", cell=77), entry("a", "DELETED"))
+        emulator.script = [(HEAD + said(emulator.full_list()), False)] * 3
+        emulator.watches[0].close()
         for again in (1, 2, 3):
-            await wait_until(opened(told, 1 + again))
+            await wait_until(opened(emulator, 1 + again))
             if closes:
                 await asyncio.sleep(0.2)  # the kernel has it
-                told.watches[-1].close()
+                emulator.watches[-1].close()
             if again < 3:
-                await wait_until(opened(told, 2 + again))
-                assert rig.directory.version_guard.newest == 40
-                mine = {place.name for place in places(rig.directory)}
+                await wait_until(opened(emulator, 2 + again))
+                assert testbed.directory.version_guard.newest == 40
+                mine = {address.name for address in addresses(testbed.directory)}
                 assert mine == set(before), "an endpoint that was not named has gone"
-                listed = rig.directory.endpoint(rig.directory.number("s-1"))
+                listed = testbed.directory.endpoint(testbed.directory.number("s-1"))
                 assert listed
                 assert (listed.status is EndpointStatus.DRAINING) == (said is not short)
-        await wait_until(lambda: rig.agrees() and rig.directory.version_guard.newest == 41)
-        assert [event for event, _ in rig.logged] == [log] * 3
-        assert all(fields["why"] and (fields["entries"] > 1000 or said is short) for _, fields in rig.logged)
-        assert told.asked == [ALL, f"{ALL}&since=40", ALL, ALL, ALL]
-        assert rig.watch.failures == 4
+        await wait_until(lambda: testbed.agrees() and testbed.directory.version_guard.newest == 41)
+        assert [event for event, _ in testbed.logged] == [log] * 3
+        assert all(fields["why"] and (fields["entries"] > 1000 or said is short) for _, fields in testbed.logged)
+        assert emulator.asked == [ALL, f"{ALL}&since=40", ALL, ALL, ALL]
+        assert testbed.watch.failures == 4
 
-    play(story, more=LONG)
+    run_watch_scenario(scenario, more=LONG)
 
 
-def test_older_long_list_is_refused_before_any_entry_and_asked_for_again() -> None:
-    async def story(told: DiscoveryEmulator, rig: Rig) -> None:
-        await wait_until(lambda: rig.agrees() and rig.watch.first.is_set())
-        rig.events.clear()
-        older = told.text({"version": 39, "full": True, "servers": [entry(name, "DRAINING") for name in told.entries]})
-        told.script = [(HEAD + chunk(older), False)]
-        told.watches[0].close()
-        await wait_until(lambda: len(told.watches) == 3)
-        await wait_until(lambda: rig.watch.connection and rig.watch.connection.is_useful)
-        assert rig.agrees()
-        assert not rig.events
-        assert told.asked == [ALL, f"{ALL}&since=40", ALL]
-        assert rig.logged == [("list_rejected", {"why": "version: expected 40 or later, found 39", "entries": 0})]
+def test_older_long_list_is_rejected_before_any_entry_and_requested_again() -> None:
+    async def scenario(emulator: DiscoveryEmulator, testbed: WatchTestbed) -> None:
+        await wait_until(lambda: testbed.agrees() and testbed.watch.first.is_set())
+        testbed.events.clear()
+        older = emulator.text(
+            {"version": 39, "full": True, "servers": [entry(name, "DRAINING") for name in emulator.entries]}
+        )
+        emulator.script = [(HEAD + chunk(older), False)]
+        emulator.watches[0].close()
+        await wait_until(lambda: len(emulator.watches) == 3)
+        await wait_until(lambda: testbed.watch.connection and testbed.watch.connection.is_useful)
+        assert testbed.agrees()
+        assert not testbed.events
+        assert emulator.asked == [ALL, f"{ALL}&since=40", ALL]
+        assert testbed.logged == [("list_rejected", {"why": "version: expected 40 or later, found 39", "entries": 0})]
 
-    play(story, more=LONG)
+    run_watch_scenario(scenario, more=LONG)
 
 
 def test_broken_entries_among_many_are_one_line() -> None:
-    async def story(told: DiscoveryEmulator, rig: Rig) -> None:
-        await wait_until(lambda: rig.agrees() and rig.watch.first.is_set())
-        held = dict(told.entries)
-        told.entries["s-3000"] = entry("s-3000", cell="x")
-        told.entries["s-4000"] = entry("s-4000", addr="nowhere")
-        told.version = 41
-        told.watches[0].write(chunk(told.whole()))
-        await wait_until(lambda: rig.directory.version_guard.newest == 41)
-        told.entries = held
-        assert rig.agrees()
-        assert len(told.watches) == 1
-        assert rig.logged == [
+    async def scenario(emulator: DiscoveryEmulator, testbed: WatchTestbed) -> None:
+        await wait_until(lambda: testbed.agrees() and testbed.watch.first.is_set())
+        held = dict(emulator.entries)
+        emulator.entries["s-3000"] = entry("s-3000", cell="x")
+        emulator.entries["s-4000"] = entry("s-4000", addr="nowhere")
+        emulator.version = 41
+        emulator.watches[0].write(chunk(emulator.full_list()))
+        await wait_until(lambda: testbed.directory.version_guard.newest == 41)
+        emulator.entries = held
+        assert testbed.agrees()
+        assert len(emulator.watches) == 1
+        assert testbed.logged == [
             (
                 "entries_skipped",
                 {
@@ -586,36 +594,36 @@
             )
         ]
 
-    play(story, more=LONG)
+    run_watch_scenario(scenario, more=LONG)
 
 
 def test_long_list_that_can_not_be_read_in_parts_is_bounded() -> None:
-    async def story(told: DiscoveryEmulator, rig: Rig) -> None:
-        await wait_until(lambda: rig.agrees() and rig.watch.first.is_set())
-        late = json.dumps({"servers": list(told.entries.values()), "version": 50, "full": True}).encode()
-        told.watches[0].write(chunk(late))
-        await wait_until(lambda: rig.logged)
-        assert rig.logged == [("list_rejected", {"why": "a value of more than 200000 bytes", "entries": 0})]
-        await wait_until(lambda: len(told.watches) == 2)
-        assert rig.agrees()
+    async def scenario(emulator: DiscoveryEmulator, testbed: WatchTestbed) -> None:
+        await wait_until(lambda: testbed.agrees() and testbed.watch.first.is_set())
+        late = json.dumps({"servers": list(emulator.entries.values()), "version": 50, "full": True}).encode()
+        emulator.watches[0].write(chunk(late))
+        await wait_until(lambda: testbed.logged)
+        assert testbed.logged == [("list_rejected", {"why": "a value of more than 200000 bytes", "entries": 0})]
+        await wait_until(lambda: len(emulator.watches) == 2)
+        assert testbed.agrees()
 
-    play(story, more=LONG, max_list_bytes=200_000)
+    run_watch_scenario(scenario, more=LONG, max_list_bytes=200_000)
 
 
 def test_changes_behind_a_long_list_wait_until_its_sweep_is_over() -> None:
     """All but two endpoints go, and one comes again under its name in the object behind: were it looked at before, the
     sweep would take it away."""
 
-    async def story(told: DiscoveryEmulator, rig: Rig) -> None:
-        await wait_until(lambda: rig.agrees() and rig.watch.first.is_set())
-        rig.events.clear()
-        told.version += 1
-        told.entries = {"a": entry("a"), "b": entry("b", cell=2)}
-        whole = told.whole()
-        change = told.change(entry("s-4999", cell=3), entry("a", "DRAINING"))
-        told.watches[0].write(chunk(whole + change))
-        await wait_until(rig.agrees)
-        *sweeps, last = rig.events
+    async def scenario(emulator: DiscoveryEmulator, testbed: WatchTestbed) -> None:
+        await wait_until(lambda: testbed.agrees() and testbed.watch.first.is_set())
+        testbed.events.clear()
+        emulator.version += 1
+        emulator.entries = {"a": entry("a"), "b": entry("b", cell=2)}
+        whole = emulator.full_list()
+        change = emulator.change(entry("s-4999", cell=3), entry("a", "DRAINING"))
+        emulator.watches[0].write(chunk(whole + change))
+        await wait_until(testbed.agrees)
+        *sweeps, last = testbed.events
         assert [len(event.endpoints) for event in sweeps][:-1] == [ENTRIES_PER_EVENT] * (LONG // ENTRIES_PER_EVENT)
         assert {each.status for event in sweeps for each in event.endpoints} == {EndpointStatus.GONE}
         assert [(each.status, each.destination) for each in last.endpoints] == [
@@ -623,29 +631,29 @@
             (EndpointStatus.READY, 3),
         ]
 
-    play(story, more=LONG)
+    run_watch_scenario(scenario, more=LONG)
 
 
-def test_move_in_the_middle_of_a_long_list_leaves_the_rest_of_it_unheard() -> None:
-    async def story(told: DiscoveryEmulator, rig: Rig) -> None:
-        await wait_until(lambda: rig.agrees() and rig.watch.first.is_set())
-        told.version += 1
-        held = dict(told.entries)
-        told.entries = {"z": entry("z", "DRAINING")} | held
-        del told.entries["s-4"]
-        told.watches[0].write(half(told.whole()))
-        await wait_until(lambda: rig.directory.number("z"))
-        assert rig.watch.is_reading_list
-        told.entries = held
-        rig.watch.move(await told.start())
-        assert not rig.watch.is_reading_list
-        await wait_until(rig.agrees)
-        assert told.asked == [ALL, ALL]
+def test_move_in_the_middle_of_a_long_list_ignores_the_rest_of_it() -> None:
+    async def scenario(emulator: DiscoveryEmulator, testbed: WatchTestbed) -> None:
+        await wait_until(lambda: testbed.agrees() and testbed.watch.first.is_set())
+        emulator.version += 1
+        held = dict(emulator.entries)
+        emulator.entries = {"z": entry("z", "DRAINING")} | held
+        del emulator.entries["s-4"]
+        emulator.watches[0].write(half(emulator.full_list()))
+        await wait_until(lambda: testbed.directory.number("z"))
+        assert testbed.watch.is_reading_list
+        emulator.entries = held
+        testbed.watch.move(await emulator.start())
+        assert not testbed.watch.is_reading_list
+        await wait_until(testbed.agrees)
+        assert emulator.asked == [ALL, ALL]
 
-    play(story, more=LONG)
+    run_watch_scenario(scenario, more=LONG)
 
 
-def test_what_the_next_watch_asks_for() -> None:
+def test_resume_policy_decides_what_the_next_watch_asks_for() -> None:
     asking = ResumePolicy()
     assert asking.resume_version(None) is None
     assert asking.resume_version(5) is None
@@ -682,7 +690,7 @@
     assert not versions.accepts(2, True)
 
 
-def test_watch_that_goes_on_from_a_version_is_waited_for_once_its_head_has_come() -> None:
+def test_resumed_watch_is_waited_for_once_its_head_has_come() -> None:
     assert watch_deadline(10.0, False, None, asked=9.2) == 9.2 + WATCH_SILENCE_S
     assert watch_deadline(10.0, True, None, asked=9.2) == 10 + WATCH_SILENCE_S
     assert watch_deadline(10.0, False, 9.9, asked=9.2) == 10 + ELEMENT_STALL_S
@@ -780,9 +788,7 @@
         ([[(0.99, HEAD), (2.59, b"\r")]], [True, False]),
     ],
 )
-def test_worst_chain_of_silences_is_made_up_for_before_its_change_counts_as_told(
-    chain: list[Said], asks: list[bool]
-) -> None:
+def test_worst_chain_of_silences_is_recovered_before_its_change_is_due(chain: list[Said], asks: list[bool]) -> None:
     """The first watch tells a long list and falls silent; a change is made then. Each of `chain` says no more than
     that; `asks` tells which of those that follow may go on from the version."""
     loop = Clock([[(0.0, HEAD + listed(*MANY))], *chain, [(0.0, HEAD + listed(*CHANGED, version=42))]])
--- a/tests/platform_relay/test_process.py
+++ b/tests/platform_relay/test_process.py
@@ -16,7 +16,7 @@
 
 from .world import RAW
 
-GOOD: dict[str, Any] = {
+VALID_CONFIG: dict[str, Any] = {
     "name": "n0",
     "listen": "127.0.0.1:0",
     "discovery": "127.0.0.1:9",
@@ -27,7 +27,7 @@
 }
 
 
-def start(tmp_path: Path, raw: object) -> subprocess.Popen[str]:
+def start_process(tmp_path: Path, raw: object) -> subprocess.Popen[str]:
     path = tmp_path / "config.json"
     path.write_text(raw if isinstance(raw, str) else json.dumps(raw))
     env = {**os.environ, "GW_CONFIG": str(path), "GW_STATE": str(tmp_path / "state")}
@@ -37,31 +37,34 @@
 
 
 @pytest.mark.parametrize(
-    ("raw", "told"),
+    ("raw", "expected_text"),
     [
         ("{", "config.json: expected JSON"),
-        ({**GOOD, "listen": "nowhere"}, "listen: expected HOST:PORT"),
-        ({**GOOD, "seed": "xyz"}, "seed: expected a hexadecimal number"),
-        ({**GOOD, "limits": {"sockets": "many"}}, "limits.sockets: expected a number"),
-        ({**GOOD, "settings": {**RAW, "classes": [{"name": "x"}]}}, "settings: "),
-        ({**GOOD, "settings": {**RAW, "extra": {}}}, "settings: 'call-slots' is missing"),
-        ({**GOOD, "settings": {**RAW, "zones": None}}, "settings.zones: expected a list"),
-        ({**GOOD, "settings": {**RAW, "orgs": [{"name": "a", "quota-per-s": "x"}]}}, "tenants.quota_per_s: must be"),
-        ({**GOOD, "discovery": "a b:80"}, "discovery: expected HOST:PORT"),
+        ({**VALID_CONFIG, "listen": "nowhere"}, "listen: expected HOST:PORT"),
+        ({**VALID_CONFIG, "seed": "xyz"}, "seed: expected a hexadecimal number"),
+        ({**VALID_CONFIG, "limits": {"sockets": "many"}}, "limits.sockets: expected a number"),
+        ({**VALID_CONFIG, "settings": {**RAW, "classes": [{"name": "x"}]}}, "settings: "),
+        ({**VALID_CONFIG, "settings": {**RAW, "extra": {}}}, "settings: 'call-slots' is missing"),
+        ({**VALID_CONFIG, "settings": {**RAW, "zones": None}}, "settings.zones: expected a list"),
+        (
+            {**VALID_CONFIG, "settings": {**RAW, "orgs": [{"name": "a", "quota-per-s": "x"}]}},
+            "tenants.quota_per_s: must be",
+        ),
+        ({**VALID_CONFIG, "discovery": "a b:80"}, "discovery: expected HOST:PORT"),
         ("[" * 100_000, "config.json: expected JSON"),
     ],
 )
-def test_bad_configuration_gets_one_line_and_exit_2(tmp_path: Path, raw: object, told: str) -> None:
-    process = start(tmp_path, raw)
+def test_bad_configuration_gets_one_line_and_exit_2(tmp_path: Path, raw: object, expected_text: str) -> None:
+    process = start_process(tmp_path, raw)
     _, error = process.communicate(timeout=20)
     assert process.returncode == 2
-    assert told in error
+    assert expected_text in error
     assert error.count("\n") == 1
 
 
-def test_few_descriptors_are_left_for_others_by_a_crowd_of_connections(tmp_path: Path) -> None:
+def test_crowd_of_connections_leaves_descriptors_for_others(tmp_path: Path) -> None:
     port = free_port()
-    process = start(tmp_path, {**GOOD, "listen": f"127.0.0.1:{port}", "limits": {"sockets": 64}})
+    process = start_process(tmp_path, {**VALID_CONFIG, "listen": f"127.0.0.1:{port}", "limits": {"sockets": 64}})
     resource.prlimit(process.pid, resource.RLIMIT_NOFILE, (64, 64))
     crowd: list[socket.socket] = []
     try:
@@ -97,8 +100,8 @@
 def test_bad_reload_changes_nothing_and_a_kill_loses_nothing_that_was_taken(tmp_path: Path) -> None:
     port = free_port()
     entry = {"id": "s", "addr": "127.0.0.1:9", "zone": "z", "kind": "k", "cell": 1, "state": "SERVING", "weight": 5.0}
-    good = {**GOOD, "listen": f"127.0.0.1:{port}", "known": {"version": 1, "full": True, "servers": [entry]}}
-    process = start(tmp_path, good)
+    good = {**VALID_CONFIG, "listen": f"127.0.0.1:{port}", "known": {"version": 1, "full": True, "servers": [entry]}}
+    process = start_process(tmp_path, good)
     try:
         wait_for(process, "ready")
         (tmp_path / "config.json").write_text("{")
@@ -114,7 +117,7 @@
     finally:
         process.kill()
         process.communicate()
-    process = start(tmp_path, good)
+    process = start_process(tmp_path, good)
     try:
         assert wait_for(process, "ready")["resumed"] == 1
         process.send_signal(signal.SIGTERM)
--- a/tests/platform_relay/test_race_conditions.py
+++ b/tests/platform_relay/test_race_conditions.py
@@ -1,4 +1,4 @@
-"""Two things in one moment: each pair in the order that is the worse one, made to happen each time."""
+"""Race conditions: two things in one moment, each pair in the order that is the worse one, forced each time."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 Client = tuple[asyncio.StreamReader, asyncio.StreamWriter]
 
 
-async def resting(relay: PlatformRelay, submission_id: str = "first") -> Client:
+async def idle_client(relay: PlatformRelay, submission_id: str = "first") -> Client:
     """A client's connection on which one request was answered. What it writes from now on is in the relay's kernel at
     once, and read in the next pass of the loop."""
     reader, writer = await asyncio.open_connection("127.0.0.1", port_of(relay))
@@ -36,15 +36,13 @@
     return reader, writer
 
 
-async def status(reader: asyncio.StreamReader) -> int:
+async def response_status(reader: asyncio.StreamReader) -> int:
     async with asyncio.timeout(3):
         return int((await reader.readline()).split()[1])
 
 
 @pytest.mark.parametrize(("class_", "result"), [("pay", "dead"), ("order", "dead"), ("state", "bounced")])
-def test_answer_that_crosses_the_end_of_its_time_leaves_no_message_without_an_end(
-    tmp_path: Path, class_: str, result: str
-) -> None:
+def test_answer_at_the_deadline_leaves_no_message_without_a_result(tmp_path: Path, class_: str, result: str) -> None:
     """The endpoint says 200 as the message's time is up, and the relay is busy until then: the platform may have
     counted it or not."""
 
@@ -65,7 +63,7 @@
     run_scenario(tmp_path, scenario)
 
 
-def test_call_is_given_up_before_the_message_has_no_time_left(tmp_path: Path) -> None:
+def test_attempt_times_out_before_the_deadline_of_its_message(tmp_path: Path) -> None:
     async def scenario(testbed: RelayTestbed) -> None:
         relay = await testbed.start_relay()
         testbed.scripted_answers[1] = [None]
@@ -78,30 +76,33 @@
     run_scenario(tmp_path, scenario)
 
 
-def idle_time_over(relay: PlatformRelay) -> None:
+def expire_idle_connections(relay: PlatformRelay) -> None:
     for conn in relay.frontend.server.open:
         conn.let_go("idle")
 
 
-CLOSES: dict[str, Callable[[PlatformRelay], object]] = {
-    "it is told to end": lambda relay: relay.frontend.stop_admitting(),
-    "its idle time is over": idle_time_over,
-    "another one needs its place": lambda relay: relay.frontend.server.room_for(next(iter(relay.frontend.server.open))),
+CLOSE_REASONS: dict[str, Callable[[PlatformRelay], object]] = {
+    "the relay shuts down": lambda relay: relay.frontend.stop_admitting(),
+    "its idle timeout is over": expire_idle_connections,
+    "another one needs its descriptor": lambda relay: relay.frontend.server.room_for(
+        next(iter(relay.frontend.server.open))
+    ),
 }
 
 
-@pytest.mark.parametrize("why", CLOSES)
-def test_request_that_arrives_as_its_resting_connection_is_closed_has_its_answer(tmp_path: Path, why: str) -> None:
+@pytest.mark.parametrize("why", CLOSE_REASONS)
+def test_request_that_arrives_as_its_idle_connection_is_closed_is_answered(tmp_path: Path, why: str) -> None:
     async def scenario(testbed: RelayTestbed) -> None:
         relay = await testbed.start_relay(sockets=64)
         clients = [
-            await resting(relay, f"m{n}") for n in range(relay.limits.max_client_connections if "place" in why else 1)
+            await idle_client(relay, f"m{n}")
+            for n in range(relay.limits.max_client_connections if "descriptor" in why else 1)
         ]
         for n, (_, writer) in enumerate(clients):
             writer.write(submission(f"next{n}"))
-        CLOSES[why](relay)
-        told = [await status(reader) for reader, _ in clients]
-        assert told == ([503] if "end" in why else [202] * len(clients))
+        CLOSE_REASONS[why](relay)
+        statuses = [await response_status(reader) for reader, _ in clients]
+        assert statuses == ([503] if "shuts" in why else [202] * len(clients))
         for _, writer in clients:
             writer.close()
 
@@ -113,7 +114,7 @@
 
     async def scenario(testbed: RelayTestbed) -> None:
         relay = await testbed.start_relay()
-        reader, writer = await resting(relay)
+        reader, writer = await idle_client(relay)
         relay.frontend.stop_admitting()
         assert await reader.read() == b""  # closed in order
         assert await request_status(relay, submission("again")) == 503
@@ -123,17 +124,17 @@
     run_scenario(tmp_path, scenario)
 
 
-def test_request_half_read_at_the_end_hears_that_it_was_not_taken(tmp_path: Path) -> None:
+def test_request_half_read_at_the_end_is_rejected(tmp_path: Path) -> None:
     async def scenario(testbed: RelayTestbed) -> None:
         relay = await testbed.start_relay()
-        clients = [await resting(relay, f"m{n}") for n in range(3)]
+        clients = [await idle_client(relay, f"m{n}") for n in range(3)]
         whole = submission("half", body=b"x" * 1000)
         for (_, writer), size in zip(clients, (20, len(whole) - 1, 0), strict=True):
             writer.write(whole[:size])
         await wait_until(lambda: sorted(conn.phase for conn in relay.frontend.server.open) == ["body", "head", "idle"])
         relay.frontend.stop_admitting()
         relay.frontend.stop_accepting()
-        assert [await status(reader) for reader, _ in clients[:2]] == [503, 503]
+        assert [await response_status(reader) for reader, _ in clients[:2]] == [503, 503]
         assert await clients[2][0].read() == b""
         assert "half" not in relay.accepted.submission_ids
         for _, writer in clients:
@@ -145,13 +146,13 @@
 def test_end_waits_for_what_has_arrived_and_is_not_read(tmp_path: Path) -> None:
     async def scenario(testbed: RelayTestbed) -> None:
         relay = await testbed.start_relay()
-        reader, writer = await resting(relay)
+        reader, writer = await idle_client(relay)
         await wait_until(lambda: idle(relay))
         relay.shutdown.started_at = relay.loop.time() - EXIT_MS / 1000  # its last moment
         writer.write(submission("last"))
         relay.shutdown._advance()
         assert not relay.shutdown.stopped.is_set()
-        assert await status(reader) == 503
+        assert await response_status(reader) == 503
         async with asyncio.timeout(1):
             await relay.shutdown.stopped.wait()
         writer.close()
@@ -178,7 +179,7 @@
 
     async def scenario(testbed: RelayTestbed) -> None:
         relay = await testbed.start_relay()
-        _, writer = await resting(relay)
+        _, writer = await idle_client(relay)
         await wait_until(lambda: idle(relay))
         ends = [*relay.frontend.server.open, *relay.endpoint_client.pool.open]
         assert len(ends) == 2
@@ -212,9 +213,9 @@
         assert await request_status(relay, submission("m", "pay", left="500m")) == 202
         due = time.monotonic() + 0.5
         await wait_until(lambda: idle(relay))
-        (told,) = testbed.notices
-        assert '"ref":"m"' in told["body"]
-        assert told["at"] < due + 0.3
+        (notice,) = testbed.notices
+        assert '"ref":"m"' in notice["body"]
+        assert notice["at"] < due + 0.3
 
     run_scenario(tmp_path, scenario)
 
@@ -228,9 +229,9 @@
 
         def given_up(conn: client.ClientConnection, transport: asyncio.BaseTransport) -> None:
             made(conn, transport)
-            for carried in list(relay.accepted.by_id.values()):  # the task that waits for it has not run again yet
-                if carried.attempt and carried.attempt.call:
-                    carried.attempt.call.abort(WireResult.TIMED_OUT)
+            for message in list(relay.accepted.by_id.values()):  # the task that waits for it has not run again yet
+                if message.attempt and message.attempt.call:
+                    message.attempt.call.abort(WireResult.TIMED_OUT)
 
         monkeypatch.setattr(client.ClientConnection, "connection_made", given_up)
         assert await request_status(relay, submission("m", "pay")) == 202
@@ -252,15 +253,15 @@
         assert await request_status(relay, submission("first")) == 202
         await wait_until(lambda: idle(relay) and relay.endpoint_client.pool.resting)
         (number,) = relay.directory
-        place = relay.directory.place(number)
-        assert place is not None
+        address = relay.directory.place(number)
+        assert address is not None
         ended: list[AttemptVerdict] = []
         (peer,) = testbed.writers - set(testbed.watch_writers)
         with monkeypatch.context() as patch:
             patch.setattr(client.ClientConnection, "speaks", False)  # the check came before
             peer.get_extra_info("socket").shutdown(socket.SHUT_RDWR)  # its end is in our kernel, and not read
             relay.endpoint_client.send(
-                place,
+                address,
                 [("X-Correlation-Id", "m")],
                 b"",
                 timeout_ms=1000.0,
@@ -276,7 +277,7 @@
     run_scenario(tmp_path, scenario)
 
 
-def test_early_200_whose_rest_never_comes_keeps_no_connection_and_no_message(tmp_path: Path) -> None:
+def test_early_200_whose_rest_never_comes_holds_no_connection_and_no_message(tmp_path: Path) -> None:
     async def scenario(testbed: RelayTestbed) -> None:
         relay = await testbed.start_relay()
         testbed.scripted_answers[1] = [b"HTTP/1.1 200 OK\r\nContent-Length: 16\r\n\r\nhalf"]
@@ -293,17 +294,17 @@
     run_scenario(tmp_path, scenario)
 
 
-def test_client_that_closes_as_it_is_told_is_owed_nothing_more_than_the_end(tmp_path: Path) -> None:
+def test_client_that_closes_as_it_is_acknowledged_is_owed_no_more_than_the_result(tmp_path: Path) -> None:
     """Its close has arrived and is not read as the 202 is written: taken on, and it has one end all the same."""
 
     async def scenario(testbed: RelayTestbed) -> None:
         relay = await testbed.start_relay()
-        _, writer = await resting(relay)
+        _, writer = await idle_client(relay)
         await wait_until(lambda: idle(relay))
         take = relay.frontend.on_submission
 
-        def crossed(request: server.RequestContext, hand: Submission) -> None:
-            take(request, hand)
+        def crossed(request: server.RequestContext, submitted: Submission) -> None:
+            take(request, submitted)
             writer.close()  # arrives before the turn that answers
 
         relay.frontend.on_submission = crossed
@@ -317,7 +318,7 @@
     run_scenario(tmp_path, scenario)
 
 
-def test_flood_of_requests_on_one_connection_costs_the_others_nothing(tmp_path: Path) -> None:
+def test_flood_of_requests_on_one_connection_does_not_delay_others(tmp_path: Path) -> None:
     async def scenario(testbed: RelayTestbed) -> None:
         testbed.settings = RAW | {"limits": RAW["limits"] | {"open-cap": 100_000}}
         relay = await testbed.start_relay()
@@ -335,7 +336,7 @@
     run_scenario(tmp_path, scenario)
 
 
-def other(name: str, effects: list[str]) -> dict[str, Any]:
+def customer_settings(name: str, effects: list[str]) -> dict[str, Any]:
     """Settings that share no name and no order with another's."""
     classes = [
         {"name": f"{name}-{effect}", "effect": effect, "aim-ms": 1000.0, "deadline-ms": 4000.0, "window-ms": 900.0}
@@ -348,16 +349,16 @@
     async def scenario(testbed: RelayTestbed) -> None:
         discovery_address = await testbed.start_discovery()
         customers = {"a": ["once", "by_key", "repeatable"], "b": ["repeatable", "once", "by_key"]}
-        nodes = {}
+        relays = {}
         for name, effects in customers.items():
-            testbed.settings, testbed.state = other(name, effects), tmp_path / name
-            nodes[name] = await testbed.start_relay(discovery_address)
+            testbed.settings, testbed.state = customer_settings(name, effects), tmp_path / name
+            relays[name] = await testbed.start_relay(discovery_address)
         for name, effects in customers.items():
             for effect in effects:
                 for asked in customers:
                     submission_id = f"{name}-{effect}-{asked}"
-                    told = await request_status(
-                        nodes[asked],
+                    status = await request_status(
+                        relays[asked],
                         submission(
                             submission_id,
                             f"{name}-{effect}",
@@ -365,13 +366,13 @@
                             Idempotency_Key="k" + submission_id,
                         ),
                     )
-                    assert told == (202 if asked == name else 400)
-            await wait_until(partial(idle, nodes[name]))
+                    assert status == (202 if asked == name else 400)
+            await wait_until(partial(idle, relays[name]))
         assert not testbed.notices
         assert len(delivered_ids(testbed)) == 6
-        assert nodes["a"].engine.settings.classes[0].effect is not nodes["b"].engine.settings.classes[0].effect
+        assert relays["a"].engine.settings.classes[0].effect is not relays["b"].engine.settings.classes[0].effect
         mine, theirs = (
-            {id(each) for each in vars(nodes[name].engine).values() if isinstance(each, (dict, list, set))}
+            {id(each) for each in vars(relays[name].engine).values() if isinstance(each, (dict, list, set))}
             for name in customers
         )
         assert mine
@@ -381,7 +382,7 @@
 
 
 @pytest.mark.parametrize("seed", range(12))
-def test_any_settings_that_can_be_read_start_take_deliver_and_restart(tmp_path: Path, seed: int) -> None:
+def test_any_valid_settings_start_accept_deliver_and_restart(tmp_path: Path, seed: int) -> None:
     """Generated settings: names, effects, counts and figures by chance, optional parts left out by chance."""
     rng = random.Random(seed)
 
--- a/tests/platform_relay/test_recovery.py
+++ b/tests/platform_relay/test_recovery.py
@@ -1,4 +1,4 @@
-"""What a restart finds: all that was taken on and never tried is tried, whatever has changed meanwhile."""
+"""Recovery: every accepted message without an attempt is sent after a restart, whatever has changed meanwhile."""
 
 from __future__ import annotations
 
@@ -35,8 +35,8 @@
 }
 
 
-async def killed(testbed: RelayTestbed, state: Path) -> tuple[str, int]:
-    """A relay that took on messages of each class and tried none, killed; discovery's address."""
+async def kill_with_untried_messages(testbed: RelayTestbed, state: Path) -> tuple[str, int]:
+    """Kill a relay that accepted messages of each class and sent none; return discovery's address."""
     discovery_address = await testbed.start_discovery()
     first = await testbed.start_relay(discovery_address)
     testbed.send_list(testbed.watch_writers[-1], [{**each, "state": "DRAINING"} for each in testbed.entries])
@@ -52,9 +52,9 @@
 
 
 @pytest.mark.parametrize("change", CHANGES)
-def test_what_was_taken_on_and_never_tried_is_tried_after_a_restart(tmp_path: Path, change: str) -> None:
+def test_accepted_message_without_an_attempt_is_sent_after_a_restart(tmp_path: Path, change: str) -> None:
     async def scenario(testbed: RelayTestbed) -> None:
-        discovery_address = await killed(testbed, tmp_path)
+        discovery_address = await kill_with_untried_messages(testbed, tmp_path)
         testbed.settings = CHANGES[change]
         second = await testbed.start_relay(discovery_address)
         assert len(second.accepted) == COUNT
@@ -68,7 +68,7 @@
 @pytest.mark.parametrize("listed", ["later", "draining at first"])
 def test_destination_that_is_not_there_yet_is_waited_for(tmp_path: Path, listed: str) -> None:
     async def scenario(testbed: RelayTestbed) -> None:
-        discovery_address = await killed(testbed, tmp_path)
+        discovery_address = await kill_with_untried_messages(testbed, tmp_path)
         entries = testbed.entries
         testbed.entries = [] if listed == "later" else [{**each, "state": "DRAINING"} for each in entries]
         second = await testbed.start_relay(discovery_address)
@@ -87,7 +87,7 @@
     tmp_path: Path, moved_ms: float, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def scenario(testbed: RelayTestbed) -> None:
-        discovery_address = await killed(testbed, tmp_path)
+        discovery_address = await kill_with_untried_messages(testbed, tmp_path)
         unix_ms = clock.unix_ms
         monkeypatch.setattr(clock, "unix_ms", lambda: unix_ms() + moved_ms)
         testbed.entries = [{**each, "state": "DRAINING"} for each in testbed.entries]
@@ -101,9 +101,7 @@
 
 
 @pytest.mark.parametrize("risky", [True, False])
-def test_class_that_the_settings_name_no_more_is_tried_but_never_again_once_it_may_have_run(
-    tmp_path: Path, risky: bool
-) -> None:
+def test_message_of_a_removed_class_is_sent_but_never_retried_once_it_may_have_run(tmp_path: Path, risky: bool) -> None:
     async def scenario(testbed: RelayTestbed) -> None:
         discovery_address = await testbed.start_discovery()
         first = await testbed.start_relay(discovery_address)
@@ -127,7 +125,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def scenario(testbed: RelayTestbed) -> None:
-        discovery_address = await killed(testbed, tmp_path)
+        discovery_address = await kill_with_untried_messages(testbed, tmp_path)
         rename = os.rename
 
         def full(*names: Any) -> None:
--- a/tests/platform_relay/test_relay.py
+++ b/tests/platform_relay/test_relay.py
@@ -1,4 +1,4 @@
-"""The relay on the platform, in one process with its stand-ins: what it takes on ends once, whatever comes back."""
+"""The relay on the platform, in one process with its emulators: each accepted message has one result."""
 
 from __future__ import annotations
 
@@ -60,7 +60,7 @@
     monkeypatch.setattr(relay.endpoint_client.pool, "_open", late)
 
 
-def test_message_goes_on_unchanged_and_is_owed_no_notice(tmp_path: Path) -> None:
+def test_message_is_forwarded_unchanged_and_owes_no_notice(tmp_path: Path) -> None:
     body = bytes(range(256))
 
     async def scenario(testbed: RelayTestbed) -> None:
@@ -119,7 +119,7 @@
         b"HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n",
     ],
 )
-def test_unclear_answer_is_final_for_what_may_not_be_repeated_and_repeated_for_the_rest(
+def test_unclear_answer_is_final_for_non_idempotent_classes_and_retried_for_the_rest(
     tmp_path: Path, answer: bytes
 ) -> None:
     async def scenario(testbed: RelayTestbed) -> None:
@@ -137,7 +137,7 @@
     run_scenario(tmp_path, scenario)
 
 
-BAD = [
+BAD_REQUESTS = [
     b"\x00\x01\x02 not http\r\n\r\n",
     b"POST /api HTTP/1.1\r\nHost: x\r\nX: " + b"a" * 40_000,
     submission("x", Content_Length="-1"),
@@ -159,11 +159,11 @@
 ]
 
 
-@pytest.mark.parametrize("number", range(len(BAD)))
-def test_bad_client_gets_an_error_or_a_close_in_time_and_nothing_is_taken(tmp_path: Path, number: int) -> None:
+@pytest.mark.parametrize("number", range(len(BAD_REQUESTS)))
+def test_bad_client_gets_an_error_or_a_close_in_time_and_nothing_is_accepted(tmp_path: Path, number: int) -> None:
     async def scenario(testbed: RelayTestbed) -> None:
         relay = await testbed.start_relay()
-        assert await request_status(relay, BAD[number], 3.0) not in (200, 202)
+        assert await request_status(relay, BAD_REQUESTS[number], 3.0) not in (200, 202)
         assert not relay.accepted
         assert not testbed.endpoint_calls
         assert await request_status(relay, submission("good")) == 202
@@ -171,7 +171,7 @@
     run_scenario(tmp_path, scenario)
 
 
-def test_kept_connections_of_clients_stay_below_the_third_that_clients_have(tmp_path: Path) -> None:
+def test_idle_client_connections_stay_below_the_clients_third_of_descriptors(tmp_path: Path) -> None:
     async def scenario(testbed: RelayTestbed) -> None:
         testbed.settings = RAW | {"limits": RAW["limits"] | {"open-cap": 200}}  # none is refused for want of room
         relay = await testbed.start_relay(sockets=120)
@@ -190,7 +190,7 @@
     run_scenario(tmp_path, scenario)
 
 
-def test_silent_clients_are_let_go_and_an_open_identifier_is_not_taken_twice(tmp_path: Path) -> None:
+def test_silent_clients_are_closed_and_an_open_submission_id_is_not_accepted_twice(tmp_path: Path) -> None:
     async def scenario(testbed: RelayTestbed) -> None:
         relay = await testbed.start_relay(sockets=128)
         silent = (
@@ -215,7 +215,7 @@
 
 
 @pytest.mark.parametrize(("class_", "again"), [("state", True), ("order", True), ("pay", False)])
-def test_restart_goes_on_with_what_was_taken(tmp_path: Path, class_: str, again: bool) -> None:
+def test_restart_goes_on_with_accepted_messages(tmp_path: Path, class_: str, again: bool) -> None:
     async def scenario(testbed: RelayTestbed) -> None:
         discovery_address = await testbed.start_discovery()
         first = await testbed.start_relay(discovery_address)
@@ -233,7 +233,7 @@
 
 
 @pytest.mark.parametrize("class_", ["pay", "state"])
-def test_killed_after_any_write_a_message_has_one_end_and_no_second_effect(
+def test_message_has_one_result_and_no_second_effect_after_a_kill_at_any_write(
     tmp_path: Path, class_: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The folder as it is after each write of one message's life is what a kill at that moment leaves."""
@@ -264,19 +264,20 @@
             await wait_until(partial(idle, again))
             again.close()
             testbed.relays.clear()
-            sent, told = len(testbed.endpoint_calls) - before, len(testbed.notices) - posted
+            sent = len(testbed.endpoint_calls) - before
+            notified = len(testbed.notices) - posted
             begun = calls > 0 or folder != left[0][0]  # an attempt is in the journal from the second write on
             if class_ == "pay":
                 assert sent == (0 if begun else 1)
-                assert sent + told <= 1
+                assert sent + notified <= 1
             else:
                 assert sent <= 1
-                assert not told
+                assert not notified
 
     run_scenario(tmp_path, scenario)
 
 
-def test_reload_under_load_disturbs_nothing_that_is_held_or_out(tmp_path: Path) -> None:
+def test_reload_under_load_disturbs_no_pending_message_and_no_attempt(tmp_path: Path) -> None:
     async def scenario(testbed: RelayTestbed) -> None:
         relay = await testbed.start_relay()
         for number in range(30):
@@ -285,9 +286,9 @@
             testbed.scripted_answers[1] = [b"HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n"] if number % 7 == 6 else []
             assert await request_status(relay, submission(f"m{number}", "order")) == 202
         await wait_until(lambda: not relay.accepted and not relay.reporter.pending_notices)
-        told = {notice["ref"] for notice in testbed.notices}
+        notified_ids = {notice["ref"] for notice in testbed.notices}
         assert set(delivered_ids(testbed)) == {f"m{number}" for number in range(30)}
-        assert not told
+        assert not notified_ids
         assert relay.watch.watches_opened == 4
 
     run_scenario(tmp_path, scenario)
@@ -317,7 +318,7 @@
     run_scenario(tmp_path, scenario)
 
 
-def test_changes_reach_the_module_and_an_address_that_changes_hands_shares_no_connection(tmp_path: Path) -> None:
+def test_list_changes_reach_the_engine_and_a_reused_address_shares_no_connection(tmp_path: Path) -> None:
     async def scenario(testbed: RelayTestbed) -> None:
         relay = await testbed.start_relay()
         assert await request_status(relay, submission("a")) == 202
@@ -369,8 +370,8 @@
         await wait_until(lambda: relay.frontend.server.open)
         take = relay.frontend.on_submission
 
-        def late(request: server.RequestContext, hand: Submission) -> None:
-            take(request, hand)
+        def late(request: server.RequestContext, submitted: Submission) -> None:
+            take(request, submitted)
             request.conn.transport.abort()
 
         relay.frontend.on_submission = late
@@ -388,7 +389,7 @@
     run_scenario(tmp_path, scenario)
 
 
-def test_what_can_not_be_written_down_is_refused(tmp_path: Path) -> None:
+def test_message_that_can_not_be_journaled_is_rejected(tmp_path: Path) -> None:
     async def scenario(testbed: RelayTestbed) -> None:
         relay = await testbed.start_relay()
         file, relay.journal._descriptor = relay.journal._descriptor, -1
@@ -402,7 +403,7 @@
     run_scenario(tmp_path, scenario)
 
 
-def test_relay_that_leaves_serves_until_shortly_before_its_end(tmp_path: Path) -> None:
+def test_draining_relay_serves_until_shortly_before_its_end(tmp_path: Path) -> None:
     async def scenario(testbed: RelayTestbed) -> None:
         relay = await testbed.start_relay()
         testbed.scripted_answers[1] = [b"HTTP/1.1 429 X\r\nRetry-After: 0.6\r\nContent-Length: 0\r\n\r\n"]
@@ -422,7 +423,7 @@
     run_scenario(tmp_path, scenario)
 
 
-def test_work_that_may_run_only_once_is_not_sent_again_by_a_connection_that_comes_up_late(
+def test_non_idempotent_message_is_not_sent_again_by_a_connection_that_comes_up_late(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The fleet's case: a second try was decided inside the key's window, its connection took a second to be made
@@ -447,27 +448,27 @@
     run_scenario(tmp_path, scenario)
 
 
-def test_call_whose_connection_comes_up_after_a_wait_was_told_waits_too(
+def test_attempt_whose_connection_comes_up_after_a_retry_after_waits_too(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def scenario(testbed: RelayTestbed) -> None:
         testbed.scripted_answers[1] = [b"HTTP/1.1 429 X\r\nRetry-After: 0.9\r\nContent-Length: 0\r\n\r\n"]
         relay = await testbed.start_relay()
         delay_connects(monkeypatch, relay, itertools.chain((0.0, 0.3), itertools.repeat(0.0)))
-        told = relay.loop.time()
+        submitted_at = relay.loop.time()
         assert {
             *await asyncio.gather(request_status(relay, submission("a")), request_status(relay, submission("b")))
         } == {202}
         await wait_until(lambda: relay.counts.get("attempts") == 2 and len(testbed.endpoint_calls) == 1)
         await wait_until(lambda: len(testbed.endpoint_calls) > 1)
-        assert relay.loop.time() - told >= 0.9
+        assert relay.loop.time() - submitted_at >= 0.9
         await wait_until(lambda: not relay.accepted)
         assert sorted(delivered_ids(testbed)) == ["a", "a", "b"] or sorted(delivered_ids(testbed)) == ["a", "b", "b"]
 
     run_scenario(tmp_path, scenario)
 
 
-def test_lists_of_1024_endpoints_are_taken_whole_and_half_of_them_leave(tmp_path: Path) -> None:
+def test_list_of_1024_endpoints_is_applied_and_half_of_them_leave(tmp_path: Path) -> None:
     async def scenario(testbed: RelayTestbed) -> None:
         testbed.settings = {**RAW, "balancers": 1024}
         others = [
@@ -515,10 +516,10 @@
     run_scenario(tmp_path, scenario)
 
 
-def test_end_that_the_disk_would_not_take_is_not_forgotten_by_the_next_process(
+def test_result_that_the_disk_would_not_take_is_not_forgotten_by_the_next_process(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A message that was told as refused goes on nowhere: its client has come again."""
+    """A message whose rejection was notified is not sent any more: its client has submitted it again."""
     write = os.write
     failed: list[bytes] = []
 
@@ -564,7 +565,7 @@
     run_scenario(tmp_path, scenario)
 
 
-def test_next_message_in_order_goes_once_the_platform_has_the_end_of_the_one_before(tmp_path: Path) -> None:
+def test_next_message_in_order_is_sent_once_the_platform_has_the_notice_of_the_one_before(tmp_path: Path) -> None:
     """Both came out of one turn of the module, and the call overtook the notice."""
 
     async def scenario(testbed: RelayTestbed) -> None:
@@ -590,8 +591,8 @@
     run_scenario(tmp_path, scenario)
 
 
-def test_a_destination_that_takes_several_in_one_call_gets_no_more_calls_than_there_are_slots(tmp_path: Path) -> None:
-    """Riders of a call went out as calls of their own: more at once than slots, which the platform turns away."""
+def test_destination_that_takes_batches_gets_no_more_calls_than_max_in_flight(tmp_path: Path) -> None:
+    """The messages of a batch went out as calls of their own: more at once than slots, which the platform rejects."""
 
     async def scenario(testbed: RelayTestbed) -> None:
         testbed.settings = RAW | {"extra": {"call-slots": 2, "per-call": [10]}, "weight-kind": "silent"}
@@ -617,7 +618,7 @@
     run_scenario(tmp_path, scenario)
 
 
-def test_connections_that_are_short_are_used_on_for_what_waits_and_closed_after_it(tmp_path: Path) -> None:
+def test_scarce_connections_are_reused_for_waiting_messages_and_closed_after_them(tmp_path: Path) -> None:
     async def scenario(testbed: RelayTestbed) -> None:
         testbed.settings = RAW | {"extra": {"call-slots": 1}}
         made: list[str] = []
@@ -658,7 +659,7 @@
     async def scenario(testbed: RelayTestbed) -> None:
         entries = [{**testbed.entries[0], "id": f"o-{number}", "cell": number} for number in range(1, 4001)]
         line = json.dumps({"version": 5, "full": True, "servers": entries}).encode() + b"\n"
-        told = asyncio.Event()
+        list_sent = asyncio.Event()
 
         async def slowly(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await read_http(reader)
@@ -669,13 +670,13 @@
                 writer.write(line[at : at + 50_000])
             if whole:
                 writer.write(b"\r\n")
-                told.set()
+                list_sent.set()
             await reader.read()
 
         began = asyncio.get_running_loop().time()
         relay = await testbed.start_relay(("127.0.0.1", await testbed.listen(slowly)))
         if whole:
-            assert told.is_set()
+            assert list_sent.is_set()
             assert len(relay.directory) == 4000
         else:
             assert asyncio.get_running_loop().time() - began < 3.0
--- a/tests/platform_relay/world.py
+++ b/tests/platform_relay/world.py
@@ -1,4 +1,4 @@
-"""The platform as stand-ins on loopback: discovery with its watch and notices, endpoints that follow a script."""
+"""The platform emulated on loopback: discovery with its watch and notices, endpoints that follow a script."""
 
 from __future__ import annotations
 
@@ -40,14 +40,17 @@
 
 
 async def read_http(reader: asyncio.StreamReader) -> tuple[str, dict[str, str], bytes]:
-    """One request or response with a length: first line, fields in lower case, body. Raises IncompleteReadError."""
+    """Read one request or response with a length: first line, fields in lower case, body."""
     head = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1").split("\r\n")
     fields = {k.lower(): v.strip() for k, _, v in (line.partition(":") for line in head[1:] if line)}
     return head[0], fields, await reader.readexactly(int(fields.get("content-length", "0")))
 
 
 class RelayTestbed:
-    """`script[dest]` holds the answers still to give, as bytes; None says nothing; without one left: 200."""
+    """Relays, and the platform around them.
+
+    `scripted_answers` has, by destination, the answers still to give, as bytes; None gives none. Without one left: 200.
+    """
 
     def __init__(self, state: Path) -> None:
         self.state = state
@@ -66,7 +69,7 @@
         self.settings = RAW  # the settings of the next relay
 
     async def listen(self, serve: Serve) -> int:
-        async def held(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        async def serve_connection(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             self.writers.add(writer)
             try:
                 await serve(reader, writer)
@@ -76,7 +79,7 @@
                 writer.close()
                 self.writers.discard(writer)
 
-        server = await asyncio.start_server(held, "127.0.0.1", 0)
+        server = await asyncio.start_server(serve_connection, "127.0.0.1", 0)
         self.servers.append(server)
         return int(server.sockets[0].getsockname()[1])
 
@@ -133,7 +136,7 @@
         writer.write(b"%x\r\n%s\r\n" % (len(line), line))
 
     async def start_relay(self, discovery: tuple[str, int] | None = None, **limits: Any) -> PlatformRelay:
-        """A relay of this world, ready."""
+        """Start a relay and wait until it is ready."""
         host, port = discovery or await self.start_discovery()
         self.state.parent.mkdir(parents=True, exist_ok=True)
         path = self.state.parent / "config.json"
@@ -156,12 +159,12 @@
         return relay
 
     def stop_relay(self, relay: PlatformRelay) -> None:
-        """It ends by itself, and its folder is there for the next one."""
+        """End a relay in order; its folder is there for the next one."""
         self.relays.remove(relay)
         relay.close()
 
     def kill_relay(self, relay: PlatformRelay, folder: Path) -> None:
-        """Its folder as it is now is there for the next one, as `folder`: what it does in closing is not."""
+        """End a relay as a kill does: its folder as it is now is there for the next one, copied to `folder`."""
         shutil.copytree(self.state, folder)
         self.state = folder
         self.stop_relay(relay)
