--- a/linnetstile/config/platform.py
+++ b/linnetstile/config/platform.py
@@ -51,7 +51,7 @@
 
 
 def _settings(raw: dict[str, Any]) -> Settings:
-    # A field's fault is told in the order in which fields are read: the three objects, the classes, and on.
+    # Of several faults the first is reported, in the order in which the fields are read here.
     extra, limits, safety = raw["extra"], raw["limits"], raw["safety"]
     goal, feedback, prices = raw.get("goal", {}), raw.get("feedback", {}), raw.get("prices", {})
     kinds = raw["kinds"]
--- a/linnetstile/platform_relay/config.py
+++ b/linnetstile/platform_relay/config.py
@@ -106,7 +106,7 @@
         if not isinstance(raw.get(field, {}), dict):
             raise ConfigError(f"{field}: expected an object", field=field, expected="an object")
     settings = raw.get("settings", {})
-    # In this order, as the first fault found is the one that is told.
+    # In this order, as the first fault found is the one that is reported.
     zones = _zones(settings)
     state = _state_folder(environ)
     seed = _seed(raw)
--- a/linnetstile/platform_relay/delivery.py
+++ b/linnetstile/platform_relay/delivery.py
@@ -64,12 +64,12 @@
             if attempt is not None:
                 started.append(attempt)
         written = self._journal.flush()
-        for each in started:
+        for started_attempt in started:
             if written:
-                self._call(each, unix_ms)
+                self._call(started_attempt, unix_ms)
             else:
-                each.message.journaled.open_attempt = each.message.attempt = None
-                self._post_not_sent(each.send, each.attempt.number)
+                started_attempt.message.journaled.open_attempt = started_attempt.message.attempt = None
+                self._post_not_sent(started_attempt.send, started_attempt.attempt.number)
 
     def _start(self, send: Send, unix_ms: float) -> _StartedAttempt | None:
         """Journal an attempt; None if it does not begin now."""
--- a/linnetstile/platform_relay/directory.py
+++ b/linnetstile/platform_relay/directory.py
@@ -34,7 +34,7 @@
 
 
 class InvalidListError(ProtocolError):
-    """What discovery told is no list, or an older one than is known."""
+    """What discovery sent is no list, or an older one than is known."""
 
 
 def _encoded(name: str) -> bytes:
@@ -100,7 +100,7 @@
         return None if record is None else address_from_record(endpoint_id, record)
 
     def endpoint(self, endpoint_id: int) -> Endpoint | None:
-        """Return an endpoint as the engine was told last; None once it has gone."""
+        """Return an endpoint as the engine knows it; None once it has gone."""
         record = self._record_of(endpoint_id)
         return None if record is None else endpoint_from_record(endpoint_id, record)
 
@@ -179,7 +179,7 @@
         return row
 
     def drop_row(self, row: int) -> Endpoint:
-        """Remove an endpoint; return what the engine is told."""
+        """Remove an endpoint; return it as the engine is to know it."""
         record = self.records[row]
         assert record is not None
         gone = endpoint_from_record(self.row_id(row), record, EndpointStatus.GONE)
@@ -194,7 +194,7 @@
 class ListUpdate:
     """One list on its way into the directory: `take` each piece of its servers, then `sweep` until it is `over`.
 
-    Entries are in force as they come, and each step returns what it changed: a change counts as told once discovery
+    Entries are in force as they come, and each step returns what it changed: a change counts as known once discovery
     has written it, and an endpoint that drains must not be called while the rest of a long list is read. What a full
     list does not name goes at its end: one that is cut or damaged in the middle, and left, takes nothing away, and its
     version does not count.
@@ -305,7 +305,7 @@
         *,
         is_new: bool = False,
     ) -> None:
-        """Put `record` in a row, or leave the one that is there, with what is told of its state."""
+        """Put `record` in a row, or leave the one that is there, with its new status."""
         self._mark_named(row)
         records = self.directory.records
         before = records[row]
--- a/linnetstile/platform_relay/discovery.py
+++ b/linnetstile/platform_relay/discovery.py
@@ -1,4 +1,4 @@
-"""Discovery: the watch that brings the list of endpoints and its changes. Tells the engine; decides nothing."""
+"""Discovery: the watch that brings the list of endpoints and its changes. Publishes to the engine; decides nothing."""
 
 from __future__ import annotations
 
@@ -174,7 +174,7 @@
         self.update, self.is_small = self.watch.directory.begin(value), True
         changed = self.update.take(servers)
         if len(changed) <= ENTRIES_PER_EVENT:
-            changed += self.update.sweep()  # what replaces one and what it replaces are told together
+            changed += self.update.sweep()  # what replaces one and what it replaces are published together
         self.watch.publish(changed)
         self.list_complete = True
         self.incomplete_since = None
--- a/linnetstile/platform_relay/endpoint_client.py
+++ b/linnetstile/platform_relay/endpoint_client.py
@@ -74,7 +74,7 @@
             address: Where it goes.
             headers: Fields of the request besides Host and X-Time-Left.
             body: The message's body.
-            timeout_ms: The attempt is given up after this time; the endpoint is told the same.
+            timeout_ms: The attempt is given up after this time; the endpoint learns the same from X-Time-Left.
             last_byte_delay_ms: How long the request's last byte is held back.
             send_within_ms: The last byte is not written later than this.
             remaining_ms: Time until the message's deadline.
--- a/linnetstile/platform_relay/http_frontend.py
+++ b/linnetstile/platform_relay/http_frontend.py
@@ -1,4 +1,7 @@
-"""The platform's clients: one message a request. Reads a head into a submission or one error; answers as it is told."""
+"""The HTTP front end for clients: one message a request.
+
+Reads each head into a submission or one error, and answers as the relay decides.
+"""
 
 from __future__ import annotations
 
--- a/linnetstile/platform_relay/intake.py
+++ b/linnetstile/platform_relay/intake.py
@@ -123,7 +123,7 @@
         return uncommitted
 
     def commit(self, messages: Iterable[AcceptedMessage]) -> None:
-        """Journal messages and then acknowledge them; cancel those whose client cannot be told."""
+        """Journal messages and then acknowledge them; cancel those whose client has gone."""
         fresh = [message for message in messages if message.request is not None]
         for message in fresh:
             self._journal.add(journal_codec.encode_accepted(message.journaled))
--- a/linnetstile/platform_relay/records.py
+++ b/linnetstile/platform_relay/records.py
@@ -90,7 +90,7 @@
 
     Attributes:
         id: The relay's own number of the message.
-        notice: What the platform is to be told.
+        notice: What the platform is to be notified of.
         ordering_key: The message's ordering key: the next message of this key waits for the notice; 0 means none does.
     """
 
--- a/linnetstile/platform_relay/recovery.py
+++ b/linnetstile/platform_relay/recovery.py
@@ -1,4 +1,4 @@
-"""Recovery: what an earlier process left in the journal goes on, once discovery has told its list."""
+"""Recovery: what an earlier process left in the journal goes on, once discovery has sent its list."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 async def wait_for_first_list(watch: Watch) -> bool:
-    """Return whether discovery has told its list, as long as that may be waited for."""
+    """Wait for discovery's list; return False if it does not come within the grace time."""
     loop = asyncio.get_running_loop()
     began = loop.time()
     while not watch.first.is_set():
--- a/linnetstile/platform_relay/results.py
+++ b/linnetstile/platform_relay/results.py
@@ -14,7 +14,9 @@
 
 
 class ResultReporter:
-    """Ends messages that the engine has given up: their client is told, or the platform if that has its answer.
+    """Ends messages that the engine has given up.
+
+    Their client is answered, or the platform is notified if the client has its answer.
 
     Attributes:
         pending_notices: Notices that the platform has not confirmed, by message id.
