--- a/linnetstile/platform_relay/directory.py
+++ b/linnetstile/platform_relay/directory.py
@@ -192,7 +192,7 @@
 
 
 class ListUpdate:
-    """One list on its way into the directory: `take` each piece of its servers, then `sweep` until it is `over`.
+    """One list on its way into the directory: each piece of its servers, and then its end in steps.
 
     Entries are in force as they come, and each step returns what it changed: a change counts as known once discovery
     has written it, and an endpoint that drains must not be called while the rest of a long list is read. What a full
@@ -205,7 +205,6 @@
         entries_read: Entries so far.
         entries_skipped: Those that could not be read.
         first_fault: Of the first entry that could not be read.
-        over: The list is in force, and complete.
     """
 
     def __init__(self, directory: Directory, *, is_full: bool, version: int | None, cached: bool) -> None:
@@ -214,10 +213,10 @@
         self.version = version
         self.cached = cached
         self.named_rows = bytearray(len(directory.records) if is_full else 0)  # 1 = the list names it
-        self.next_row = 0  # of the sweep
+        self.next_row = 0  # to be looked at by the next step of the end
         self.entries_read = self.entries_skipped = 0
         self.first_fault = ""
-        self.over = False
+        self.over = False  # once the list is in force, and complete
 
     def take(self, servers: list[Any]) -> list[Endpoint]:
         """Read some entries; the last word on each endpoint counts.
--- a/linnetstile/platform_relay/discovery.py
+++ b/linnetstile/platform_relay/discovery.py
@@ -213,7 +213,6 @@
         on_event: Gets each event for the engine.
         connection: The one that is open.
         resume_policy: What the next watch asks for.
-        first: Set once a list was read to its end.
         failures: Watches in a row that brought nothing of use.
         watches_opened: Since the start.
         lists_rejected: Since the start.
@@ -239,7 +238,7 @@
         self.connection: _WatchConnection | None = None
         self.task: asyncio.Task[None] | None = None
         self.resume_policy = ResumePolicy()
-        self.first = asyncio.Event()
+        self.first = asyncio.Event()  # set once a list was read to its end
         self.failures = 0
         self.watches_opened = self.lists_rejected = 0
 
--- a/linnetstile/platform_relay/journal.py
+++ b/linnetstile/platform_relay/journal.py
@@ -31,18 +31,16 @@
         compaction_bytes: Size of the file from which on it is rewritten.
         size: Bytes of the file.
         message_bytes: Bytes that the accepted messages take, as `weight` counts them.
-        failed: Writes that failed.
         damaged_bytes: Bytes that an earlier process left and that could not be read.
-        error: Why the latest write failed that did; empty if none has.
     """
 
     folder: Path
     compaction_bytes: int
     size: int = 0
     message_bytes: int = 0
-    failed: int = 0
+    failed: int = 0  # writes that failed
     damaged_bytes: int = 0
-    error: str = ""
+    error: str = ""  # why the latest write failed that did
     _descriptor: int = -1
     _unwritten: list[bytes] = field(default_factory=list)
 
--- a/tests/platform_relay/test_old_state.py
+++ b/tests/platform_relay/test_old_state.py
@@ -31,8 +31,7 @@
     PendingNotice,
 )
 
-from .test_relay import delivered_ids, idle, run_scenario
-from .world import RelayTestbed, wait_until
+from .world import RelayTestbed, delivered_ids, is_idle, run_scenario, wait_until
 
 DATA = Path(__file__).parent.parent / "data" / "platform_state"
 KILL: dict[str, Any] = json.loads((DATA / "kill.json").read_text())
@@ -125,7 +124,7 @@
     async def scenario(testbed: RelayTestbed) -> None:
         await prepare_platform(testbed, tmp_path, folder)
         relay = await testbed.start_relay()
-        await wait_until(lambda: idle(relay))
+        await wait_until(lambda: is_idle(relay))
         assert sorted(delivered_ids(testbed)) == CALLED_ONCE
         notices = sorted((notice["ref"], notice["result"]) for notice in testbed.notices)
         # The attempt that was in flight may have run, and this class may not be retried.
@@ -156,11 +155,11 @@
         await prepare_platform(testbed, tmp_path, "killed")
         discovery_address = await testbed.start_discovery()
         first = await testbed.start_relay(discovery_address)
-        await wait_until(lambda: idle(first))
+        await wait_until(lambda: is_idle(first))
         await asyncio.sleep(0.05)
         testbed.stop_relay(first)
         second = await testbed.start_relay(discovery_address)
-        assert idle(second)
+        assert is_idle(second)
         assert second.accepted.last_id == 0
 
     run_scenario(tmp_path, scenario)
--- a/tests/platform_relay/test_race_conditions.py
+++ b/tests/platform_relay/test_race_conditions.py
@@ -21,8 +21,19 @@
 from linnetstile.platform_relay.http_frontend import Submission
 from linnetstile.platform_relay.relay import PlatformRelay
 
-from .test_relay import delivered_ids, idle, run_scenario
-from .world import OK_RESPONSE, RAW, RelayTestbed, port_of, read_http, request_status, submission, wait_until
+from .world import (
+    OK_RESPONSE,
+    RAW,
+    RelayTestbed,
+    delivered_ids,
+    is_idle,
+    port_of,
+    read_http,
+    request_status,
+    run_scenario,
+    submission,
+    wait_until,
+)
 
 Client = tuple[asyncio.StreamReader, asyncio.StreamWriter]
 
@@ -56,7 +67,7 @@
         await testbed.add_endpoint(2, serve=late)
         relay = await testbed.start_relay()
         assert await request_status(relay, submission("m", class_, destination=2, left="400m")) == 202
-        await wait_until(lambda: idle(relay))
+        await wait_until(lambda: is_idle(relay))
         assert testbed.notices == [{"ref": "m", "result": result}]
         assert delivered_ids(testbed) == ["m"]
 
@@ -147,7 +158,7 @@
     async def scenario(testbed: RelayTestbed) -> None:
         relay = await testbed.start_relay()
         reader, writer = await idle_client(relay)
-        await wait_until(lambda: idle(relay))
+        await wait_until(lambda: is_idle(relay))
         relay.shutdown.started_at = relay.loop.time() - EXIT_MS / 1000  # its last moment
         writer.write(submission("last"))
         relay.shutdown._advance()
@@ -180,7 +191,7 @@
     async def scenario(testbed: RelayTestbed) -> None:
         relay = await testbed.start_relay()
         _, writer = await idle_client(relay)
-        await wait_until(lambda: idle(relay))
+        await wait_until(lambda: is_idle(relay))
         ends = [*relay.frontend.server.open, *relay.endpoint_client.pool.open]
         assert len(ends) == 2
         for end in ends:
@@ -212,7 +223,7 @@
         testbed.scripted_answers[1] = [None]
         assert await request_status(relay, submission("m", "pay", left="500m")) == 202
         due = time.monotonic() + 0.5
-        await wait_until(lambda: idle(relay))
+        await wait_until(lambda: is_idle(relay))
         (notice,) = testbed.notices
         assert '"ref":"m"' in notice["body"]
         assert notice["at"] < due + 0.3
@@ -237,7 +248,7 @@
         assert await request_status(relay, submission("m", "pay")) == 202
         await wait_until(lambda: relay.counts.get("ended_connect_failed"))
         monkeypatch.setattr(client.ClientConnection, "connection_made", made)
-        await wait_until(lambda: idle(relay))  # it proved no effect: the message goes out once
+        await wait_until(lambda: is_idle(relay))  # it proved no effect: the message goes out once
         assert delivered_ids(testbed) == ["m"]
         assert not testbed.notices
         await wait_until(lambda: len(relay.endpoint_client.pool.open) == relay.endpoint_client.pool.resting)
@@ -251,7 +262,7 @@
     async def scenario(testbed: RelayTestbed) -> None:
         relay = await testbed.start_relay()
         assert await request_status(relay, submission("first")) == 202
-        await wait_until(lambda: idle(relay) and relay.endpoint_client.pool.resting)
+        await wait_until(lambda: is_idle(relay) and relay.endpoint_client.pool.resting)
         (number,) = relay.directory
         address = relay.directory.place(number)
         assert address is not None
@@ -282,11 +293,11 @@
         relay = await testbed.start_relay()
         testbed.scripted_answers[1] = [b"HTTP/1.1 200 OK\r\nContent-Length: 16\r\n\r\nhalf"]
         assert await request_status(relay, submission("m", "pay")) == 202
-        await wait_until(lambda: idle(relay))
+        await wait_until(lambda: is_idle(relay))
         assert len(relay.endpoint_client.pool.open) == 1
         assert not relay.endpoint_client.pool.resting
         assert await request_status(relay, submission("n", "pay")) == 202  # on a connection of its own
-        await wait_until(lambda: idle(relay))
+        await wait_until(lambda: is_idle(relay))
         await wait_until(lambda: len(relay.endpoint_client.pool.open) == relay.endpoint_client.pool.resting == 1)
         assert delivered_ids(testbed) == ["m", "n"]
         assert not testbed.notices
@@ -300,7 +311,7 @@
     async def scenario(testbed: RelayTestbed) -> None:
         relay = await testbed.start_relay()
         _, writer = await idle_client(relay)
-        await wait_until(lambda: idle(relay))
+        await wait_until(lambda: is_idle(relay))
         take = relay.frontend.on_submission
 
         def crossed(request: server.RequestContext, submitted: Submission) -> None:
@@ -310,7 +321,7 @@
         relay.frontend.on_submission = crossed
         writer.write(submission("m", "pay"))
         await wait_until(lambda: "m" in relay.accepted.submission_ids)
-        await wait_until(lambda: idle(relay))
+        await wait_until(lambda: is_idle(relay))
         assert delivered_ids(testbed).count("m") == 1
         assert not testbed.notices
         assert not relay.engine.queues.messages
@@ -330,7 +341,7 @@
                 conn.parser.buffered < 200_000 and len(conn.pending) < 100 for conn in relay.frontend.server.open
             )
         flood.transport.abort()
-        await wait_until(lambda: idle(relay) and not relay.frontend.server.open)
+        await wait_until(lambda: is_idle(relay) and not relay.frontend.server.open)
         assert len([each for each in delivered_ids(testbed) if each.startswith("m")]) == 20
 
     run_scenario(tmp_path, scenario)
@@ -367,7 +378,7 @@
                         ),
                     )
                     assert status == (202 if asked == name else 400)
-            await wait_until(partial(idle, relays[name]))
+            await wait_until(partial(is_idle, relays[name]))
         assert not testbed.notices
         assert len(delivered_ids(testbed)) == 6
         assert relays["a"].engine.settings.classes[0].effect is not relays["b"].engine.settings.classes[0].effect
@@ -441,7 +452,7 @@
                 )
                 == 202
             )
-        await wait_until(lambda: idle(first))
+        await wait_until(lambda: is_idle(first))
         testbed.send_list(testbed.watch_writers[-1], [{**each, "state": "DRAINING"} for each in testbed.entries])
         await wait_until(lambda: not len(first.engine.routing_table.index))
         for each in classes:
@@ -450,7 +461,7 @@
         testbed.stop_relay(first)
         second = await testbed.start_relay(discovery_address)
         assert len(second.accepted) == len(classes)
-        await wait_until(lambda: idle(second))
+        await wait_until(lambda: is_idle(second))
         assert sorted(delivered_ids(testbed)) == sorted(
             [e["name"] for e in classes] + ["r" + e["name"] for e in classes]
         )
--- a/tests/platform_relay/test_recovery.py
+++ b/tests/platform_relay/test_recovery.py
@@ -11,8 +11,17 @@
 
 from linnetstile.platform_relay import clock
 
-from .test_relay import delivered_ids, idle, run_scenario
-from .world import CLASSES, RAW, RelayTestbed, request_status, submission, wait_until
+from .world import (
+    CLASSES,
+    RAW,
+    RelayTestbed,
+    delivered_ids,
+    is_idle,
+    request_status,
+    run_scenario,
+    submission,
+    wait_until,
+)
 
 COUNT = 12
 
@@ -58,7 +67,7 @@
         testbed.settings = CHANGES[change]
         second = await testbed.start_relay(discovery_address)
         assert len(second.accepted) == COUNT
-        await wait_until(lambda: idle(second))
+        await wait_until(lambda: is_idle(second))
         assert sorted(set(delivered_ids(testbed))) == sorted(f"m{n}" for n in range(COUNT))
         assert not testbed.notices
 
@@ -75,7 +84,7 @@
         assert len(second.accepted) == COUNT
         assert not testbed.endpoint_calls
         testbed.send_list(testbed.watch_writers[-1], entries)
-        await wait_until(lambda: idle(second))
+        await wait_until(lambda: is_idle(second))
         assert len(set(delivered_ids(testbed))) == COUNT
         assert not testbed.notices
 
@@ -114,7 +123,7 @@
         testbed.settings = renamed(RAW, "classes", "state")
         second = await testbed.start_relay(discovery_address)
         assert await request_status(second, submission("n", "")) == 400  # nobody can name that class
-        await wait_until(lambda: idle(second))
+        await wait_until(lambda: is_idle(second))
         assert delivered_ids(testbed) == (["m"] if risky else ["m", "m"])
         assert testbed.notices == ([{"ref": "m", "result": "dead"}] if risky else [])
 
@@ -136,7 +145,7 @@
         assert len(second.accepted) == COUNT
         assert second.journal.failed
         monkeypatch.setattr(os, "rename", rename)
-        await wait_until(lambda: idle(second))
+        await wait_until(lambda: is_idle(second))
         assert len(set(delivered_ids(testbed))) == COUNT
         assert not testbed.notices
         assert second.journal.size <= second.journal.compaction_bytes  # rewritten as soon as there was room
@@ -152,12 +161,12 @@
         discovery_address = await testbed.start_discovery()
         first = await testbed.start_relay(discovery_address)
         assert await request_status(first, submission("m", "pay")) == 202
-        await wait_until(lambda: idle(first))
+        await wait_until(lambda: is_idle(first))
         assert await request_status(first, submission("m", "pay")) == 409
         testbed.stop_relay(first)
         second = await testbed.start_relay(discovery_address)
         assert await request_status(second, submission("m", "pay")) == 202
-        await wait_until(lambda: idle(second))
+        await wait_until(lambda: is_idle(second))
         assert delivered_ids(testbed) == ["m", "m"]
         assert await request_status(second, submission("m", "pay")) == 409
 
--- a/tests/platform_relay/test_relay.py
+++ b/tests/platform_relay/test_relay.py
@@ -9,7 +9,7 @@
 import json
 import os
 import shutil
-from collections.abc import Awaitable, Callable, Iterator
+from collections.abc import Iterator
 from functools import partial
 from pathlib import Path
 from typing import Any
@@ -23,30 +23,19 @@
 from linnetstile.platform_relay.records import Notice, NoticeResult, PendingNotice
 from linnetstile.platform_relay.relay import PlatformRelay
 
-from .world import OK_RESPONSE, RAW, RelayTestbed, port_of, read_http, request_status, submission, wait_until
-
-Story = Callable[[RelayTestbed], Awaitable[None]]
-
-
-def run_scenario(state: Path, scenario: Story) -> None:
-    async def run() -> None:
-        testbed = RelayTestbed(state / "journal")
-        try:
-            await testbed.add_endpoint(1)
-            await scenario(testbed)
-        finally:
-            testbed.close()
-            await asyncio.sleep(0)
-
-    asyncio.run(run())
-
-
-def idle(relay: PlatformRelay) -> bool:
-    return not relay.accepted and not relay.reporter.pending_notices
-
-
-def delivered_ids(testbed: RelayTestbed) -> list[str]:
-    return [fields["x-correlation-id"] for _, fields, _ in testbed.endpoint_calls]
+from .world import (
+    OK_RESPONSE,
+    RAW,
+    RelayTestbed,
+    delivered_ids,
+    is_idle,
+    port_of,
+    read_http,
+    request_status,
+    run_scenario,
+    submission,
+    wait_until,
+)
 
 
 def delay_connects(monkeypatch: pytest.MonkeyPatch, relay: PlatformRelay, pauses: Iterator[float]) -> None:
@@ -261,7 +250,7 @@
         for folder, calls, _ in left:
             testbed.state, before, posted = folder, len(testbed.endpoint_calls), len(testbed.notices)
             again = await testbed.start_relay(discovery_address)
-            await wait_until(partial(idle, again))
+            await wait_until(partial(is_idle, again))
             again.close()
             testbed.relays.clear()
             sent = len(testbed.endpoint_calls) - before
@@ -584,7 +573,7 @@
         await wait_until(lambda: again.delivery.waiting_for_order)
         assert delivered_ids(testbed) == ["a1"]
         testbed.notice_status = [204]
-        await wait_until(partial(idle, again))
+        await wait_until(partial(is_idle, again))
         assert delivered_ids(testbed) == ["a1", "a2"]
         assert testbed.notices == [{"ref": "a1", "result": "bounced"}]
 
@@ -611,7 +600,7 @@
         assert set(
             await asyncio.gather(*(request_status(relay, submission(f"m{n}", destination=2)) for n in range(6)))
         ) == {202}
-        await wait_until(partial(idle, relay))
+        await wait_until(partial(is_idle, relay))
         assert max(out) == 2
         assert relay.counts == {"taken": 6, "attempts": 6, "ended_ok": 6}
 
@@ -637,11 +626,11 @@
         assert set(
             await asyncio.gather(*(request_status(relay, submission(f"m{n}", destination=2)) for n in range(4)))
         ) == {202}
-        await wait_until(partial(idle, relay))
+        await wait_until(partial(is_idle, relay))
         assert len(made) == 1
         assert not relay.endpoint_client.pool.resting
         assert await request_status(relay, submission("m4", destination=2)) == 202
-        await wait_until(partial(idle, relay))
+        await wait_until(partial(is_idle, relay))
         assert len(made) == 2
         assert made[1] == "m4"
 
--- a/tests/platform_relay/world.py
+++ b/tests/platform_relay/world.py
@@ -228,3 +228,31 @@
     async with asyncio.timeout(seconds):
         while not done():  # noqa: ASYNC110  what is waited for is any state, not an event
             await asyncio.sleep(0.005)
+
+
+Scenario = Callable[[RelayTestbed], Awaitable[None]]
+
+
+def run_scenario(folder: Path, scenario: Scenario) -> None:
+    """Run a scenario in a testbed of its own, with one endpoint of destination 1 and its state in `folder`."""
+
+    async def run() -> None:
+        testbed = RelayTestbed(folder / "journal")
+        try:
+            await testbed.add_endpoint(1)
+            await scenario(testbed)
+        finally:
+            testbed.close()
+            await asyncio.sleep(0)
+
+    asyncio.run(run())
+
+
+def is_idle(relay: PlatformRelay) -> bool:
+    """Return whether a relay owes nothing, neither messages nor notices."""
+    return not relay.accepted and not relay.reporter.pending_notices
+
+
+def delivered_ids(testbed: RelayTestbed) -> list[str]:
+    """Return the ids of the submissions that endpoints got, once for each attempt."""
+    return [fields["x-correlation-id"] for _, fields, _ in testbed.endpoint_calls]
