--- a/tests/platform_relay/world.py
+++ b/tests/platform_relay/world.py
@@ -1,4 +1,4 @@
-"""The platform as stand-ins on loopback: discovery with its watch and notices, endpoints that follow a script."""
+"""The platform emulated on loopback: discovery with its watch and notices, endpoints that follow a script."""
 
 from __future__ import annotations
 
@@ -35,38 +35,41 @@
     },
     "safety": {"drain-grace-ms": 250.0, "cold-from": 0.2, "cold-ms": 5000.0, "fall-multiple": 2.0},
 }
-OK = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
+OK_RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 Serve = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
 
 
-async def read(reader: asyncio.StreamReader) -> tuple[str, dict[str, str], bytes]:
-    """One request or response with a length: first line, fields in lower case, body. Raises IncompleteReadError."""
+async def read_http(reader: asyncio.StreamReader) -> tuple[str, dict[str, str], bytes]:
+    """Read one request or response with a length: first line, fields in lower case, body."""
     head = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1").split("\r\n")
     fields = {k.lower(): v.strip() for k, _, v in (line.partition(":") for line in head[1:] if line)}
     return head[0], fields, await reader.readexactly(int(fields.get("content-length", "0")))
 
 
-class World:
-    """`script[dest]` holds the answers still to give, as bytes; None says nothing; without one left: 200."""
+class RelayTestbed:
+    """Relays, and the platform around them.
+
+    `scripted_answers` has, by destination, the answers still to give, as bytes; None gives none. Without one left: 200.
+    """
 
     def __init__(self, state: Path) -> None:
         self.state = state
-        self.script: dict[int, list[bytes | None]] = {}
-        self.calls: list[tuple[int, dict[str, str], bytes]] = []
+        self.scripted_answers: dict[int, list[bytes | None]] = {}
+        self.endpoint_calls: list[tuple[int, dict[str, str], bytes]] = []
         self.notices: list[dict[str, Any]] = []
-        self.watches: list[asyncio.StreamWriter] = []
+        self.watch_writers: list[asyncio.StreamWriter] = []
         self.entries: list[dict[str, Any]] = []
         self.notice_status = [204]
-        self.stall: list[bytes] = []  # a watch says this and no more, one after the other
-        self.version = 1
+        self.stalled_answers: list[bytes] = []  # a watch says this and no more, one after the other
+        self.list_version = 1
         self.servers: list[asyncio.Server] = []
         self.writers: set[asyncio.StreamWriter] = set()
-        self.nodes: list[PlatformRelay] = []
-        self.connections = 0  # made to endpoints
-        self.raw = RAW  # the settings of the next relay
+        self.relays: list[PlatformRelay] = []
+        self.endpoint_connections = 0  # made to endpoints
+        self.settings = RAW  # the settings of the next relay
 
     async def listen(self, serve: Serve) -> int:
-        async def held(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        async def serve_connection(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             self.writers.add(writer)
             try:
                 await serve(reader, writer)
@@ -76,17 +79,19 @@
                 writer.close()
                 self.writers.discard(writer)
 
-        server = await asyncio.start_server(held, "127.0.0.1", 0)
+        server = await asyncio.start_server(serve_connection, "127.0.0.1", 0)
         self.servers.append(server)
         return int(server.sockets[0].getsockname()[1])
 
-    async def endpoint(self, destination: int, state: str = "SERVING", serve: Serve | None = None) -> None:
+    async def add_endpoint(self, destination: int, state: str = "SERVING", serve: Serve | None = None) -> None:
         async def scripted(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            self.connections += 1
+            self.endpoint_connections += 1
             while True:
-                _, fields, body = await read(reader)
-                self.calls.append((destination, fields, body))
-                answer = self.script[destination].pop(0) if self.script.get(destination) else OK
+                _, fields, body = await read_http(reader)
+                self.endpoint_calls.append((destination, fields, body))
+                answer = (
+                    self.scripted_answers[destination].pop(0) if self.scripted_answers.get(destination) else OK_RESPONSE
+                )
                 if answer is not None:
                     writer.write(answer)
 
@@ -104,10 +109,10 @@
             }
         )
 
-    async def discovery(self) -> tuple[str, int]:
+    async def start_discovery(self) -> tuple[str, int]:
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             while True:
-                first, _, body = await read(reader)
+                first, _, body = await read_http(reader)
                 if first.startswith("POST /v2/finals"):
                     status = self.notice_status.pop(0) if len(self.notice_status) > 1 else self.notice_status[0]
                     if status == 204:
@@ -116,23 +121,23 @@
                         b"HTTP/1.1 %d X\r\n%s\r\n" % (status, b"" if status == 204 else b"Content-Length: 0\r\n")
                     )
                 else:
-                    self.watches.append(writer)
-                    if self.stall:
-                        writer.write(self.stall.pop(0))
+                    self.watch_writers.append(writer)
+                    if self.stalled_answers:
+                        writer.write(self.stalled_answers.pop(0))
                         continue
                     writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-                    self.tell(writer, self.entries, True)
+                    self.send_list(writer, self.entries, True)
 
         return "127.0.0.1", await self.listen(serve)
 
-    def tell(self, writer: asyncio.StreamWriter, entries: list[dict[str, Any]], full: bool = False) -> None:
-        self.version += 1
-        line = json.dumps({"version": self.version, "full": full, "servers": entries}).encode() + b"\n"
+    def send_list(self, writer: asyncio.StreamWriter, entries: list[dict[str, Any]], full: bool = False) -> None:
+        self.list_version += 1
+        line = json.dumps({"version": self.list_version, "full": full, "servers": entries}).encode() + b"\n"
         writer.write(b"%x\r\n%s\r\n" % (len(line), line))
 
-    async def node(self, discovery: tuple[str, int] | None = None, **limits: Any) -> PlatformRelay:
-        """A relay of this world, ready."""
-        host, port = discovery or await self.discovery()
+    async def start_relay(self, discovery: tuple[str, int] | None = None, **limits: Any) -> PlatformRelay:
+        """Start a relay and wait until it is ready."""
+        host, port = discovery or await self.start_discovery()
         self.state.parent.mkdir(parents=True, exist_ok=True)
         path = self.state.parent / "config.json"
         path.write_text(
@@ -143,44 +148,44 @@
                     "discovery": f"{host}:{port}",
                     "seed": "1",
                     "limits": limits,
-                    "settings": self.raw,
+                    "settings": self.settings,
                 }
             )
         )
         settings = config.load({"GW_CONFIG": str(path), "GW_STATE": str(self.state)})
-        node = PlatformRelay(settings, lambda event, **fields: None)
-        await node.start()
-        self.nodes.append(node)
-        return node
-
-    def end(self, node: PlatformRelay) -> None:
-        """It ends by itself, and its folder is there for the next one."""
-        self.nodes.remove(node)
-        node.close()
-
-    def kill(self, node: PlatformRelay, folder: Path) -> None:
-        """Its folder as it is now is there for the next one, as `folder`: what it does in closing is not."""
+        relay = PlatformRelay(settings, lambda event, **fields: None)
+        await relay.start()
+        self.relays.append(relay)
+        return relay
+
+    def stop_relay(self, relay: PlatformRelay) -> None:
+        """End a relay in order; its folder is there for the next one."""
+        self.relays.remove(relay)
+        relay.close()
+
+    def kill_relay(self, relay: PlatformRelay, folder: Path) -> None:
+        """End a relay as a kill does: its folder as it is now is there for the next one, copied to `folder`."""
         shutil.copytree(self.state, folder)
         self.state = folder
-        self.end(node)
+        self.stop_relay(relay)
 
     def close(self) -> None:
-        for node in self.nodes:
-            node.close()
+        for relay in self.relays:
+            relay.close()
         for writer in list(self.writers):
             writer.transport.abort()
         for server in self.servers:
             server.close()
 
 
-def port_of(node: PlatformRelay) -> int:
-    listening = node.front.server._server
+def port_of(relay: PlatformRelay) -> int:
+    listening = relay.frontend.server._server
     assert listening is not None
     return int(listening.sockets[0].getsockname()[1])
 
 
-def hand_in(
-    ident: str,
+def submission(
+    submission_id: str,
     class_: str = "state",
     destination: int = 1,
     body: bytes = b"hello",
@@ -190,7 +195,7 @@
 ) -> bytes:
     fields = {
         "Host": "api.internal",
-        "X-Correlation-Id": ident,
+        "X-Correlation-Id": submission_id,
         "X-Service-Class": class_,
         "X-Account": "acme",
         "X-Time-Left": left,
@@ -198,15 +203,15 @@
         "Content-Length": str(len(body)),
     }
     if class_ == "order":
-        fields["Idempotency-Key"] = f"key-{ident}"
+        fields["Idempotency-Key"] = f"key-{submission_id}"
     fields |= {name.replace("_", "-"): value for name, value in more.items()}
     head = "".join(f"{name}: {value}\r\n" for name, value in fields.items() if value)
     return f"POST {path} HTTP/1.1\r\n{head}\r\n".encode() + body
 
 
-async def ask(node: PlatformRelay, data: bytes, seconds: float = 3.0) -> int:
+async def request_status(relay: PlatformRelay, data: bytes, seconds: float = 3.0) -> int:
     """The status of the answer; 0 = closed without one. Raises TimeoutError."""
-    reader, writer = await asyncio.open_connection("127.0.0.1", port_of(node))
+    reader, writer = await asyncio.open_connection("127.0.0.1", port_of(relay))
     try:
         writer.write(data)
         async with asyncio.timeout(seconds):
@@ -219,7 +224,35 @@
         writer.close()
 
 
-async def until(done: Callable[[], object], seconds: float = 5.0) -> None:
+async def wait_until(done: Callable[[], object], seconds: float = 5.0) -> None:
     async with asyncio.timeout(seconds):
-        while not done():
+        while not done():  # noqa: ASYNC110  what is waited for is any state, not an event
             await asyncio.sleep(0.005)
+
+
+Scenario = Callable[[RelayTestbed], Awaitable[None]]
+
+
+def run_scenario(folder: Path, scenario: Scenario) -> None:
+    """Run a scenario in a testbed of its own, with one endpoint of destination 1 and its state in `folder`."""
+
+    async def run() -> None:
+        testbed = RelayTestbed(folder / "journal")
+        try:
+            await testbed.add_endpoint(1)
+            await scenario(testbed)
+        finally:
+            testbed.close()
+            await asyncio.sleep(0)
+
+    asyncio.run(run())
+
+
+def is_idle(relay: PlatformRelay) -> bool:
+    """Return whether a relay owes nothing, neither messages nor notices."""
+    return not relay.accepted and not relay.reporter.pending_notices
+
+
+def delivered_ids(testbed: RelayTestbed) -> list[str]:
+    """Return the ids of the submissions that endpoints got, once for each attempt."""
+    return [fields["x-correlation-id"] for _, fields, _ in testbed.endpoint_calls]
