--- a/linnetstile/as2_relay/delivery.py
+++ b/linnetstile/as2_relay/delivery.py
@@ -96,7 +96,11 @@
         self.complete = complete
         self.loop = asyncio.get_running_loop()
         self.receipt_endpoint = AsyncReceiptEndpoint(
-            verifier, self.end_attempt, counts, log, settings.limits.receipt_bytes
+            verifier=verifier,
+            on_receipt=self.end_attempt,
+            counts=counts,
+            log=log,
+            max_receipt_bytes=settings.limits.receipt_bytes,
         )
 
     @property
--- a/linnetstile/as2_relay/gossip_polling.py
+++ b/linnetstile/as2_relay/gossip_polling.py
@@ -125,7 +125,7 @@
             self.counts["no_answer"] += 1
             self.membership.poll_failed(self.now_ms, peer)
             found = answer.sight.value if answer.head is None else str(answer.head.status)
-            self.log.info(log_events.GOSSIP_POLL_FAILED, peer=peer, why=found, standing=self._status_of(peer))
+            self.log.info(log_events.GOSSIP_POLL_FAILED, peer=peer, why=found, status=self._status_of(peer))
             return
         try:
             document = parse(answer.body)
@@ -141,9 +141,9 @@
             self.log.warning(
                 log_events.GOSSIP_RELAY_COUNT_MISMATCH,
                 peer=peer,
-                its=document.relays,
-                own=self.relay_count,
-                taken="the own number for limits, the larger for learned outages",
+                peer_relay_count=document.relays,
+                own_relay_count=self.relay_count,
+                used="the own number for limits, the larger for learned outages",
             )
         self.on_answer()
 
--- a/linnetstile/as2_relay/gossip_service.py
+++ b/linnetstile/as2_relay/gossip_service.py
@@ -127,11 +127,22 @@
             "snapshots_failed": 0,
         }
         self.versions = ClaimVersions()
-        self.poller = PeerPoller(name, self.token, engine.settings.relay_count, self.merge, self.counts, log)
+        self.poller = PeerPoller(
+            relay_name=name,
+            token=self.token,
+            relay_count=engine.settings.relay_count,
+            on_answer=self.merge,
+            counts=self.counts,
+            log=log,
+        )
         self.snapshot_store: GossipSnapshotStore | None = None
         if settings.snapshot is not None:
             self.snapshot_store = GossipSnapshotStore(
-                settings.snapshot, settings.snapshot_every_ms, self.document, self.counts, log
+                path=settings.snapshot,
+                interval_ms=settings.snapshot_every_ms,
+                make_document=self.document,
+                counts=self.counts,
+                log=log,
             )
         self.loaded_snapshot: LoadedSnapshot | None = None
         self.loaded_at_ms = 0.0
--- a/linnetstile/as2_relay/receipt_delivery.py
+++ b/linnetstile/as2_relay/receipt_delivery.py
@@ -123,7 +123,7 @@
         elif not was_delivered:
             self.counts["handbacks_given_up"] += 1
             self.log.warning(
-                log_events.RECEIPT_DELIVERY_FAILED, message=post.message_id, tries=attempts, why=answer.sight.value
+                log_events.RECEIPT_DELIVERY_FAILED, message=post.message_id, attempts=attempts, why=answer.sight.value
             )
         self.on_progress()
 
--- a/linnetstile/as2_relay/relay.py
+++ b/linnetstile/as2_relay/relay.py
@@ -83,72 +83,70 @@
         self.receipt_verifier = ReceiptVerifier(settings)
         self.receipt_issuer = ReceiptIssuer(settings)
         self.register = RegistryClient(
-            settings.register_url, settings.name, settings.kinds, settings.zones, self._on_endpoint_list, log
+            url=settings.register_url,
+            relay_name=settings.name,
+            kinds=settings.kinds,
+            zones=settings.zones,
+            on_list=self._on_endpoint_list,
+            log=log,
         )
         self.pool = self._make_pool()
         self.admission = AdmissionController(
-            settings.limits,
-            engine_settings.max_pending_messages,
-            {name: tenant.weight for name, tenant in settings.tenants.items()},
-            log,
-            self._reject_request,
+            limits=settings.limits,
+            max_messages=engine_settings.max_pending_messages,
+            tenant_weights={name: tenant.weight for name, tenant in settings.tenants.items()},
+            log=log,
+            reject=self._reject_request,
         )
         self.tls_keys = TlsKeyStore(settings)
         self.shutdown = GracefulShutdown(
-            self.accepted, self._shutdown_timeout_ms(), self._is_idle, self._has_unsent_answers, log
+            accepted=self.accepted,
+            timeout_ms=self._shutdown_timeout_ms(),
+            is_idle=self._is_idle,
+            has_unsent_answers=self._has_unsent_answers,
+            log=log,
         )
         self.receipt_delivery = ReceiptDelivery(
-            self.pool,
-            self.receipt_issuer,
-            self.counts,
-            log,
-            settings.limits.slots,
-            self.shutdown.check_progress,
+            pool=self.pool,
+            issuer=self.receipt_issuer,
+            counts=self.counts,
+            log=log,
+            max_in_flight=settings.limits.slots,
+            on_progress=self.shutdown.check_progress,
         )
         self.submissions = self._make_submission_handler()
-        self.delivery = Delivery(
-            settings,
-            self.register,
-            self.pool,
-            self.tls_keys,
-            self.receipt_verifier,
-            self.admission.slow_partners,
-            self.counts,
-            log,
-            self.engine_loop.post,
-            self.submissions.complete,
-        )
+        self.delivery = self._make_delivery()
         self.knowledge = GossipService(
-            settings.knowledge,
-            self.engine,
-            settings.name,
-            secrets.token_hex(INCARNATION_BYTES),
-            self.register.partners,
-            self.engine_loop.post,
-            log,
+            settings=settings.knowledge,
+            engine=self.engine,
+            name=settings.name,
+            incarnation=secrets.token_hex(INCARNATION_BYTES),
+            partner_numbers=self.register.partners,
+            post_event=self.engine_loop.post,
+            log=log,
         )
         self.intake = Intake(
-            settings,
-            self.classes,
-            self.submissions,
-            self.delivery.receipt_endpoint,
-            self.knowledge,
-            self.register,
-            self.shutdown,
+            settings=settings,
+            classes=self.classes,
+            submissions=self.submissions,
+            receipt_endpoint=self.delivery.receipt_endpoint,
+            gossip=self.knowledge,
+            registry=self.register,
+            shutdown=self.shutdown,
         )
         self.listener = self._make_listener()
         self.admin: AdminServer | None = None
         if settings.admin or settings.metrics:
             self.admin = AdminServer(self, settings.admin, settings.metrics)
         self.self_check = SelfCheck(
-            self.accepted,
-            self.admission,
-            self.engine,
-            self.engine_loop,
-            self.listener,
-            self.pool,
-            self.delivery.receipt_endpoint,
-            self.receipt_delivery,
+            accepted=self.accepted,
+            admission=self.admission,
+            engine=self.engine,
+            engine_loop=self.engine_loop,
+            listener=self.listener,
+            pool=self.pool,
+            receipt_endpoint=self.delivery.receipt_endpoint,
+            receipt_delivery=self.receipt_delivery,
         )
 
     def _make_pool(self) -> client.Pool:
@@ -192,17 +190,31 @@
             ClientAnswer.shortened,
         )
         return SubmissionHandler(
-            self.classes,
-            known,
-            self.accepted,
-            self.admission,
-            self.register,
-            self.receipt_issuer,
-            self.receipt_delivery,
-            self.shutdown,
-            self.counts,
-            self.log,
-            self.engine_loop.post,
+            classes=self.classes,
+            known=known,
+            accepted=self.accepted,
+            admission=self.admission,
+            registry=self.register,
+            receipt_issuer=self.receipt_issuer,
+            receipt_delivery=self.receipt_delivery,
+            shutdown=self.shutdown,
+            counts=self.counts,
+            log=self.log,
+            post_event=self.engine_loop.post,
+        )
+
+    def _make_delivery(self) -> Delivery:
+        return Delivery(
+            settings=self.settings,
+            registry=self.register,
+            pool=self.pool,
+            tls_keys=self.tls_keys,
+            verifier=self.receipt_verifier,
+            slow_partners=self.admission.slow_partners,
+            counts=self.counts,
+            log=self.log,
+            post_event=self.engine_loop.post,
+            complete=self.submissions.complete,
         )
 
     # -- life cycle ------------------------------------------------------------------------------------------
--- a/linnetstile/as2_relay/shutdown.py
+++ b/linnetstile/as2_relay/shutdown.py
@@ -50,7 +50,7 @@
     def start(self) -> None:
         """Accept no more messages from now on."""
         self.has_started = True
-        self.log.info(log_events.STOPPING, held=len(self.accepted), within_ms=self.timeout_ms)
+        self.log.info(log_events.STOPPING, accepted=len(self.accepted), within_ms=self.timeout_ms)
         self.loop.call_later(self.timeout_ms / 1000, self._on_timeout)
 
     def _on_timeout(self) -> None:
@@ -60,7 +60,7 @@
                 message=message.head.id,
                 partner=message.head.receiver,
                 attempts=message.attempt_count,
-                out=message.attempt is not None,
+                in_flight=message.attempt is not None,
             )
         self.completed.set()
 
--- a/linnetstile/as2_relay/submissions.py
+++ b/linnetstile/as2_relay/submissions.py
@@ -157,7 +157,7 @@
             message=head.id,
             sender=head.sender,
             partner=head.receiver,
-            cls=message_class.name,
+            message_class=message_class.name,
         )
         ordering_key = _ordering_key(head) if message_class.in_order else 0
         self._wait_for_answer(message, request)
--- a/tests/as2_relay/test_process.py
+++ b/tests/as2_relay/test_process.py
@@ -1,4 +1,4 @@
-"""The process around a relay: a log that can't be written, descriptors that run out, clear last words."""
+"""The process around a relay: a log that cannot be written, descriptors that run out, clear errors."""
 
 from __future__ import annotations
 
@@ -62,10 +62,10 @@
             assert child.stdout is not None
             address = json.loads(await asyncio.wait_for(child.stdout.readline(), 20))["listening"]
             host, port = address.split(":")
-            crowd = [socket.create_connection((host, int(port))) for _ in range(80)]
+            connections = [socket.create_connection((host, int(port))) for _ in range(80)]
             await asyncio.sleep(0.3)
-            for each in crowd:
-                each.close()
+            for connection in connections:
+                connection.close()
             answer = await testbed.post(address, testbed.make("safe"))
             while answer_kind(answer) == "refused":  # the list of partners is read while it starts
                 answer = await testbed.post(address, testbed.make("safe"))
@@ -75,7 +75,9 @@
             if fault == "no descriptors":
                 lines = [json.loads(line) for line in (tmp_path / "log").read_text().splitlines()]
                 fitted = [line for line in lines if line["event"] == "open_files"]
-                assert [line["connections"] for line in fitted] == [16]  # told at the start, with what to turn
+                assert [line["connections"] for line in fitted] == [
+                    16
+                ]  # logged at the start, with the setting to change
                 assert "raise the limit on open files" in fitted[0]["why"]
 
     run_test(test)
@@ -107,7 +109,7 @@
 
     from linnetstile.cli.relay import command
 
-    found = {
+    settings = {
         "name": "r",
         "register": "http://127.0.0.1:1",
         "classes": {"a": {"effect": "safe", "aim_ms": 1, "deadline_ms": 2}},
@@ -115,7 +117,7 @@
         "limits": {"slots": 1, "hold": 1},
         **more,
     }
-    (tmp_path / "relay.yaml").write_text(yaml.safe_dump(found))
-    told = CliRunner().invoke(command, [str(tmp_path / "relay.yaml"), "--check"])
-    assert told.exit_code == 2
-    assert says in told.output
+    (tmp_path / "relay.yaml").write_text(yaml.safe_dump(settings))
+    result = CliRunner().invoke(command, [str(tmp_path / "relay.yaml"), "--check"])
+    assert result.exit_code == 2
+    assert says in result.output
--- a/tests/faults/relay_testbed.py
+++ b/tests/faults/relay_testbed.py
@@ -109,7 +109,7 @@
         self.keys = {name: cms.make_identity(name) for name in IDENTITIES}
         for name, identity in self.keys.items():
             (folder / f"{name}.pem").write_bytes(cms.save(identity))
-        self.relays = relays
+        self.relay_count = relays
         self.fleet = fleet or relays
         self.faults = faults or []
         self.classes = classes or CLASSES
@@ -155,7 +155,7 @@
         )
         await self.registry.start()
         self.pool = client.Pool()
-        for _ in range(self.relays):
+        for _ in range(self.relay_count):
             await self.relay(knowledge=self.knowledge)
         if self.warm:
             await self._warm_up()
@@ -166,8 +166,8 @@
 
     async def __aexit__(self, *error: object) -> None:
         self.pool.close()
-        for service in self.services:
-            service.close()
+        for relay in self.services:
+            relay.close()
         self.registry.close()
         self.stand.close()
         self.client_record.flush()
@@ -179,8 +179,8 @@
         self.loop_errors.append(f"{context.get('message')}: {context.get('exception')!r}")
 
     async def _warm_up(self) -> None:
-        for number in range(WARM_UP_MESSAGES * self.relays):
-            answer = await self.hand(self.make("safe"), number % self.relays)
+        for number in range(WARM_UP_MESSAGES * self.relay_count):
+            answer = await self.hand(self.make("safe"), number % self.relay_count)
             assert answer_kind(answer) == "delivered"
 
     # -- the fleet -------------------------------------------------------------------------------------------
@@ -223,13 +223,13 @@
         """Start one more relay; with `wait`, return once it has the endpoint list."""
         name = f"r{len(self.services) + 1}"
         more = {"knowledge": knowledge} if knowledge else {}
-        service = As2Relay(self.settings(name, **more), logger("error"), seed=len(self.services))
-        await service.start()
-        self.services.append(service)
+        relay = As2Relay(self.settings(name, **more), logger("error"), seed=len(self.services))
+        await relay.start()
+        self.services.append(relay)
         self.relay_lifetimes[name] = [[now_ms(), None, ""]]
         if wait:
-            await wait_until(lambda: service.register.version >= 0)
-        return service
+            await wait_until(lambda: relay.register.version >= 0)
+        return relay
 
     def kill_relay(self, index: int) -> None:
         """End everything of a relay at once, as its sockets show it."""
@@ -256,43 +256,43 @@
         ident = more.pop("ident")
         return messages.make("office", more.pop("to", "firma"), ident, message_class, content, **more)
 
-    async def hand(self, made: messages.Made, relay: int = 0) -> client.Answer:
+    async def hand(self, message: messages.Made, relay: int = 0) -> client.Answer:
         """Submit a message, wait for the answer on the connection, and record both."""
         mark = f"h{next(self.serial_numbers)}"
         self.client_record(
             "hand",
             hand=mark,
-            mid=made.head.id,
+            mid=message.head.id,
             relay=f"r{relay + 1}",
-            cls=made.head.subject,
+            cls=message.head.subject,
             again=False,
             sender="office",
             receiver="firma",
             wait="",
         )
-        answer = await self.post(self.services[relay].address, made)
+        answer = await self.post(self.services[relay].address, message)
         if answer.head is None:
-            self.client_record("lost", hand=mark, mid=made.head.id, sight=answer.sight.value)
+            self.client_record("lost", hand=mark, mid=message.head.id, sight=answer.sight.value)
         else:
             self.client_record(
                 "final",
                 hand=mark,
-                mid=made.head.id,
+                mid=message.head.id,
                 kind=answer_kind(answer),
                 status=answer.head.status,
-                receipt=self._receipt_status(made, answer),
+                receipt=self._receipt_status(message, answer),
                 digest=str(hash(answer.body)),
             )
         return answer
 
-    def _receipt_status(self, made: messages.Made, answer: client.Answer) -> str:
+    def _receipt_status(self, message: messages.Made, answer: client.Answer) -> str:
         """Return what the receipt in an answer is worth to the client."""
-        if answer.head is None or answer.head.status != 200 or not made.head.notify:
+        if answer.head is None or answer.head.status != 200 or not message.head.notify:
             return "none"
         signer = "relay" if answer_kind(answer) in ("failed", "refused") else "firma"
-        return messages.check(made, answer.head.headers, answer.body, self.keys[signer].certificate)[0].value
+        return messages.check(message, answer.head.headers, answer.body, self.keys[signer].certificate)[0].value
 
-    async def post(self, address: str, made: messages.Made, path: str = "/as2") -> client.Answer:
+    async def post(self, address: str, message: messages.Made, path: str = "/as2") -> client.Answer:
         """Post a message to an address and return the answer."""
         loop = asyncio.get_running_loop()
         done: asyncio.Future[client.Answer] = loop.create_future()
@@ -301,7 +301,7 @@
             if not done.done():
                 done.set_result(answer)
 
-        data = http1.request("POST", path, [("Host", address), *made.headers], made.body)
+        data = http1.request("POST", path, [("Host", address), *message.headers], message.body)
         self.pool.call(split(address), "POST", data, on_answer, loop.time() + ANSWER_TIMEOUT_S)
         return await done
 
@@ -312,7 +312,7 @@
         tasks, start = [], self.seconds()
         for number in range(int(per_s * seconds)):
             await self.until(start + number / per_s)
-            relay = number % (relays or self.relays)
+            relay = number % (relays or self.relay_count)
             tasks.append(asyncio.create_task(self.hand(self.make(message_class), relay)))
         return list(await asyncio.gather(*tasks))
 
--- a/tests/faults/test_fleet.py
+++ b/tests/faults/test_fleet.py
@@ -1,4 +1,4 @@
-"""End to end: drains, returns, restarts, the register and the stop, over several messages and relays."""
+"""End to end: draining endpoints, recovering partners, restarts, the registry and shutdown, over several relays."""
 
 from __future__ import annotations
 
@@ -67,14 +67,14 @@
                 "troubles": [{"kind": "fail", "at_s": 0, "for_s": 0.6}, {"kind": "garbage", "at_s": 0.6, "for_s": 0.5}]
             },
         ) as testbed:
-            late = await testbed.relay(wait=False)
+            late_relay = await testbed.relay(wait=False)
             answer = await testbed.hand(testbed.make("safe"), 1)
             assert answer_kind(answer) == "refused"
             assert answer.head is not None
             assert answer.head.status == 503
             await testbed.until(3.0)
-            assert late.register.version == 1
-            assert late.register.list_counts.failed >= 2
+            assert late_relay.register.version == 1
+            assert late_relay.register.list_counts.failed >= 2
             assert answer_kind(await testbed.hand(testbed.make("safe"), 1)) == "delivered"
         assert testbed.broken() == []
 
@@ -86,14 +86,14 @@
         async with RelayTestbed(tmp_path, endpoints=2) as testbed:
             testbed.change_endpoint(2, "gone")
             await asyncio.sleep(0.1)
-            service = testbed.services[0]
-            assert service.register.version == 2
+            relay = testbed.services[0]
+            assert relay.register.version == 2
             testbed.registry.version, testbed.registry.entries[2]["status"] = 1, "ready"
-            service.register.is_watching = False
-            service.register.watch()
+            relay.register.is_watching = False
+            relay.register.watch()
             await asyncio.sleep(0.1)
-            assert service.register.version == 2
-            assert service.register.list_counts.failed >= 1
+            assert relay.register.version == 2
+            assert relay.register.list_counts.failed >= 1
             testbed.registry.version = 3
 
     run_test(test)
@@ -102,17 +102,17 @@
 def test_shutdown_rejects_new_messages_and_finishes_accepted_ones(tmp_path: Path) -> None:
     async def test() -> None:
         async with RelayTestbed(tmp_path, partner={"work_ms": 400}) as testbed:
-            service = testbed.services[0]
-            held = [asyncio.create_task(testbed.hand(testbed.make("unsafe"))) for _ in range(3)]
+            relay = testbed.services[0]
+            submissions = [asyncio.create_task(testbed.hand(testbed.make("unsafe"))) for _ in range(3)]
             await asyncio.sleep(0.1)
-            service.stop()
-            late = await testbed.hand(testbed.make("safe"))
-            assert late.head is not None
-            assert late.head.status == 503
-            assert b"stopping" in late.body
-            assert [answer_kind(answer) for answer in await asyncio.gather(*held)] == ["delivered"] * 3
-            await asyncio.wait_for(service.stopped.wait(), 5)
-            assert not service.accepted
+            relay.stop()
+            rejected = await testbed.hand(testbed.make("safe"))
+            assert rejected.head is not None
+            assert rejected.head.status == 503
+            assert b"stopping" in rejected.body
+            assert [answer_kind(answer) for answer in await asyncio.gather(*submissions)] == ["delivered"] * 3
+            await asyncio.wait_for(relay.stopped.wait(), 5)
+            assert not relay.accepted
         assert testbed.broken() == []
 
     run_test(test)
@@ -134,7 +134,7 @@
 
 
 def test_after_a_kill_and_restart_a_resubmitted_message_takes_effect_once(tmp_path: Path) -> None:
-    """What it held is the client's to hand in again; the partner's key keeps the effect single."""
+    """What it had accepted is the client's to submit again; the partner deduplicates it by its key."""
 
     async def test() -> None:
         async with RelayTestbed(tmp_path, partner={"work_ms": 600}) as testbed:
@@ -156,27 +156,32 @@
                 return child, json.loads(await asyncio.wait_for(child.stdout.readline(), 20))["listening"]
 
             child, address = await start()
-            made, unsafe = testbed.make("keyed"), testbed.make("unsafe")
+            deduplicated, non_idempotent = testbed.make("keyed"), testbed.make("unsafe")
 
-            async def handed(each: Any) -> Any:
-                answer = await testbed.post(address, each)
-                while answer_kind(answer) == "refused":  # it listens before it has the register's list
+            async def submit_until_accepted(message: Any) -> Any:
+                answer = await testbed.post(address, message)
+                while answer_kind(answer) == "refused":  # it listens before it has the endpoint list
                     await asyncio.sleep(0.05)
-                    answer = await testbed.post(address, each)
+                    answer = await testbed.post(address, message)
                 return answer
 
-            answers = [asyncio.create_task(handed(each)) for each in (made, unsafe)]
+            answers = [
+                asyncio.create_task(submit_until_accepted(message)) for message in (deduplicated, non_idempotent)
+            ]
             await wait_until(lambda: len(testbed.rows("began")) >= 2, poll_s=0.02)
             child.send_signal(signal.SIGKILL)
             await child.wait()
             assert [answer_kind(answer) for answer in await asyncio.gather(*answers)] == ["lost", "lost"]
             child, address = await start()
-            again = await testbed.post(address, made)
-            while answer_kind(again) == "refused":
-                again = await testbed.post(address, made)
-            assert answer_kind(again) == "delivered"
-            assert b"duplicate-document" in again.body
-            assert Counter(row["mid"] for row in testbed.rows("effect")) == {made.head.id: 1, unsafe.head.id: 1}
+            retried = await testbed.post(address, deduplicated)
+            while answer_kind(retried) == "refused":
+                retried = await testbed.post(address, deduplicated)
+            assert answer_kind(retried) == "delivered"
+            assert b"duplicate-document" in retried.body
+            assert Counter(row["mid"] for row in testbed.rows("effect")) == {
+                deduplicated.head.id: 1,
+                non_idempotent.head.id: 1,
+            }
             child.send_signal(signal.SIGTERM)
             assert await asyncio.wait_for(child.wait(), 20) == 0
 
@@ -190,7 +195,7 @@
             idle = [await asyncio.open_connection(host, port) for _ in range(20)]
             await asyncio.sleep(0.1)
             assert len(testbed.services[0].listener.open) <= 8
-            # Half-open ones give way, the oldest first: they can't keep a client out.
+            # Half-open connections are evicted, the oldest first: they can't keep a client out.
             assert testbed.services[0].listener.counts["let_go_full"] >= 12
             assert answer_kind(await testbed.hand(testbed.make("safe"))) == "delivered"
             for _, writer in idle:
@@ -202,17 +207,17 @@
 def test_a_silent_client_is_evicted() -> None:
     async def test() -> None:
         listener = server.Server(
-            lambda exchange: None,
+            lambda request: None,
             bounds=server.Bounds(head_s=0.2, idle_s=0.3, body_rate=100, grace_s=0.2, sweep_s=0.05),
         )
         port = await listener.start()
         for first in (b"", b"GET / HT", b"POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 9\r\n\r\nabc"):
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
             writer.write(first)
-            said = b""
+            response = b""
             with contextlib.suppress(ConnectionError):
-                said = await asyncio.wait_for(reader.read(), 3)
-            assert said[:12] == (b"HTTP/1.1 408" if first else b"")  # never taken, and told so
+                response = await asyncio.wait_for(reader.read(), 3)
+            assert response[:12] == (b"HTTP/1.1 408" if first else b"")  # not accepted, and answered so
             writer.close()
         assert listener.counts == {"let_go_head": 2, "let_go_body_rate": 1}
         listener.close()
@@ -221,14 +226,14 @@
 
 
 def test_a_dead_idle_connection_costs_no_attempt() -> None:
-    """The reuse race: not a byte left on the dead one, so the request goes out on another, once."""
+    """The race of connection reuse: not a byte left on the dead one, so the request goes out once, on another."""
 
     async def test() -> None:
         seen: list[str] = []
 
-        def take(exchange: server.RequestContext) -> None:
-            seen.append(exchange.head.target)
-            exchange.reply(200)
+        def take(request: server.RequestContext) -> None:
+            seen.append(request.head.target)
+            request.reply(200)
 
         listener = server.Server(take)
         port = await listener.start()
@@ -259,8 +264,8 @@
 def test_a_port_in_use_is_reported_as_one_clear_error(tmp_path: Path) -> None:
     async def test() -> None:
         async with RelayTestbed(tmp_path) as testbed:
-            taken = testbed.settings("r9", listen=testbed.services[0].address)
+            settings = testbed.settings("r9", listen=testbed.services[0].address)
             with pytest.raises(OSError, match="address already in use"):
-                await As2Relay(taken, logger("error")).start()
+                await As2Relay(settings, logger("error")).start()
 
     run_test(test)
--- a/tests/faults/test_gossip.py
+++ b/tests/faults/test_gossip.py
@@ -1,4 +1,4 @@
-"""A relay that starts anew beside others: what it learns, from whom, and whom it does not let harm it."""
+"""Gossip between relays and over a restart: what a relay learns, from whom, and what it rejects."""
 
 from __future__ import annotations
 
@@ -56,27 +56,27 @@
 
 
 async def start_peer(reply: Callable[[server.RequestContext], None]) -> tuple[server.Server, str]:
-    made = server.Server(reply)
-    return made, f"127.0.0.1:{await made.start()}"
+    listener = server.Server(reply)
+    return listener, f"127.0.0.1:{await listener.start()}"
 
 
 def reply_with(body: dict[str, Any] | bytes) -> Callable[[server.RequestContext], None]:
     data = body if isinstance(body, bytes) else json.dumps(body).encode()
 
-    def reply(exchange: server.RequestContext) -> None:
-        exchange.reply(200, [("Content-Type", "application/json")], data)
+    def reply(request: server.RequestContext) -> None:
+        request.reply(200, [("Content-Type", "application/json")], data)
 
     return reply
 
 
-async def wait_for_polls(service: As2Relay, count: int = 1, seconds: float = 4.0) -> None:
-    """Until a relay has heard or missed so many peers."""
+async def wait_for_polls(relay: As2Relay, count: int = 1, seconds: float = 4.0) -> None:
+    """Wait until so many polls of a relay have ended, with or without an answer."""
     for _ in range(int(seconds / 0.02)):
-        counts = service.knowledge.counts
+        counts = relay.knowledge.counts
         if counts["answered"] + counts["no_answer"] + counts["unreadable"] >= count:
             return
         await asyncio.sleep(0.02)
-    raise AssertionError(f"no peer was asked: {service.knowledge.counts}")
+    raise AssertionError(f"no peer was asked: {relay.knowledge.counts}")
 
 
 def test_a_new_relay_spares_a_partner_whose_outage_peers_report(tmp_path: Path) -> None:
@@ -87,24 +87,24 @@
         ) as testbed:
             before = asyncio.create_task(testbed.load("safe", 8, 2.0))
             await testbed.until(2.0)
-            old = testbed.services[0]
-            assert old.engine.routes[0][-1].ejected
-            fresh = await testbed.relay(knowledge=token_settings(tmp_path) | {"peers": [old.address]})
-            await wait_for_polls(fresh)
+            old_relay = testbed.services[0]
+            assert old_relay.engine.routes[0][-1].ejected
+            new_relay = await testbed.relay(knowledge=token_settings(tmp_path) | {"peers": [old_relay.address]})
+            await wait_for_polls(new_relay)
             await asyncio.sleep(0.05)
-            route = fresh.engine.routes[0][-1]
+            route = new_relay.engine.routes[0][-1]
             assert route.ejected
             assert route.from_gossip
-            outage_age_ms = fresh.knowledge.merged["firma", -1].route.outage_age_ms
+            outage_age_ms = new_relay.knowledge.merged["firma", -1].route.outage_age_ms
             assert outage_age_ms is not None
             assert outage_age_ms > 1000
-            assert old.engine.routes[0][-1].notified_relays >= 1  # it is a knower now, and the old one counts it
-            assert fresh.knowledge.document()["claims"] == []  # nothing of its own to tell
+            assert old_relay.engine.routes[0][-1].notified_relays >= 1  # the new relay knows of the outage now
+            assert new_relay.knowledge.document()["claims"] == []  # it has no evidence of its own
             began = len(testbed.rows("began"))
             task = asyncio.create_task(testbed.load("safe", 20, 1.0, 3))
             await asyncio.sleep(0.9)
-            mine = [row for row in testbed.rows("began")[began:] if row["relay"] == "r3"]
-            assert len(mine) <= 5
+            new_relay_rows = [row for row in testbed.rows("began")[began:] if row["relay"] == "r3"]
+            assert len(new_relay_rows) <= 5
             assert all(answer_kind(answer) in ("delivered", "refused") for answer in [*await task, *await before])
         assert testbed.broken() == []
 
@@ -113,17 +113,17 @@
 
 def test_a_restarted_relay_keeps_a_retry_after_from_its_snapshot(tmp_path: Path) -> None:
     async def test() -> None:
-        keep = {"snapshot": tmp_path / "know", "snapshot_every_ms": 200}
+        snapshot_settings = {"snapshot": tmp_path / "know", "snapshot_every_ms": 200}
         faults = [{"kind": "shut", "at_s": 0, "for_s": 6, "partners": ["firma"]}]
-        async with RelayTestbed(tmp_path, faults=faults, knowledge=keep) as testbed:
+        async with RelayTestbed(tmp_path, faults=faults, knowledge=snapshot_settings) as testbed:
             waiting = asyncio.create_task(testbed.hand(testbed.make("safe")))
             await asyncio.sleep(0.8)
             testbed.kill_relay(0)
             await waiting
-            again = await testbed.relay(knowledge=keep)
+            restarted = await testbed.relay(knowledge=snapshot_settings)
             await asyncio.sleep(0.05)
-            left = again.engine.routes[0][-1].retry_after_until - again.loop.time() * 1000
-            assert 3000 < left < 6000  # told to this relay before it was killed: it binds still
+            left = restarted.engine.routes[0][-1].retry_after_until - restarted.loop.time() * 1000
+            assert 3000 < left < 6000  # it was sent to this relay before it was killed, so it still binds
             answer = await testbed.hand(testbed.make("safe"), 1)
             assert answer_kind(answer) == "delivered"
             assert testbed.seconds() > 5.9
@@ -155,8 +155,8 @@
 
 def test_a_failed_snapshot_write_is_counted_and_costs_no_message(tmp_path: Path) -> None:
     async def test() -> None:
-        keep = {"snapshot": tmp_path / "none" / "know", "snapshot_every_ms": 200}
-        async with RelayTestbed(tmp_path, knowledge=keep) as testbed:
+        snapshot_settings = {"snapshot": tmp_path / "none" / "know", "snapshot_every_ms": 200}
+        async with RelayTestbed(tmp_path, knowledge=snapshot_settings) as testbed:
             await asyncio.sleep(0.5)
             assert testbed.services[0].knowledge.counts["snapshots_failed"] >= 1
             assert answer_kind(await testbed.hand(testbed.make("safe"))) == "delivered"
@@ -164,17 +164,17 @@
     run_test(test)
 
 
-def never_reply(exchange: server.RequestContext) -> None:
+def never_reply(request: server.RequestContext) -> None:
     """Never answers."""
 
 
-def reply_with_error(exchange: server.RequestContext) -> None:
-    exchange.reply(500)
+def reply_with_error(request: server.RequestContext) -> None:
+    request.reply(500)
 
 
-def reply_with_half(exchange: server.RequestContext) -> None:
-    exchange.conn.transport.write(b"HTTP/1.1 200 OK\r\nContent-Length: 5000\r\n\r\n{")
-    asyncio.get_running_loop().call_later(0.05, exchange.conn.transport.abort)
+def reply_with_half(request: server.RequestContext) -> None:
+    request.conn.transport.write(b"HTTP/1.1 200 OK\r\nContent-Length: 5000\r\n\r\n{")
+    asyncio.get_running_loop().call_later(0.05, request.conn.transport.abort)
 
 
 @pytest.mark.parametrize(
@@ -198,31 +198,31 @@
     async def test() -> None:
         listener, address = await start_peer(reply)
         async with RelayTestbed(tmp_path, warm=False) as testbed:
-            fresh = await testbed.relay(knowledge={"peers": [address]})
+            new_relay = await testbed.relay(knowledge={"peers": [address]})
             for _ in range(3):  # traffic goes on meanwhile
                 assert answer_kind(await testbed.hand(testbed.make("safe"), 1)) == "delivered"
-            await wait_for_polls(fresh)
-            assert fresh.knowledge.counts[counted] == 1
-            assert not fresh.knowledge.merged
-            assert fresh.knowledge.state()["peers"][0]["standing"] == "suspected"
+            await wait_for_polls(new_relay)
+            assert new_relay.knowledge.counts[counted] == 1
+            assert not new_relay.knowledge.merged
+            assert new_relay.knowledge.state()["peers"][0]["standing"] == "suspected"
         listener.close()
 
     run_test(test)
 
 
 def test_a_wrong_outage_report_costs_some_time_and_no_message(tmp_path: Path) -> None:
-    """It says out of a partner that is well: the first own answer ends what it said."""
+    """It reports an outage of a partner that is up: the first own answer ends that."""
 
     async def test() -> None:
         listener, address = await start_peer(reply_with(document_json(claim_json(out_age=8_000, wait_ms=700))))
         async with RelayTestbed(tmp_path, warm=False, partner={"rate": 200.0}) as testbed:
-            fresh = await testbed.relay(knowledge={"peers": [address]})
-            await wait_for_polls(fresh)
+            new_relay = await testbed.relay(knowledge={"peers": [address]})
+            await wait_for_polls(new_relay)
             await asyncio.sleep(0.05)
-            assert fresh.engine.routes[0][-1].ejected
+            assert new_relay.engine.routes[0][-1].ejected
             assert answer_kind(await testbed.hand(testbed.make("safe"), 1)) == "delivered"
-            assert not fresh.engine.routes[0][-1].ejected
-            assert fresh.engine.routes[0][-1].failure_score < 0.5
+            assert not new_relay.engine.routes[0][-1].ejected
+            assert new_relay.engine.routes[0][-1].failure_score < 0.5
             assert answer_kind(await testbed.hand(testbed.make("unsafe"), 1)) == "delivered"
         listener.close()
         assert testbed.broken() == []
@@ -234,10 +234,10 @@
     async def test() -> None:
         async with RelayTestbed(tmp_path, knowledge=token_settings(tmp_path)) as testbed:
             first = testbed.services[0]
-            know = token_settings(tmp_path)
-            second = await testbed.relay(knowledge=know | {"peers": [first.address]})
+            gossip_settings = token_settings(tmp_path)
+            second = await testbed.relay(knowledge=gossip_settings | {"peers": [first.address]})
             await wait_for_polls(second)
-            third = await testbed.relay(knowledge=know | {"peers": [second.address]})
+            third = await testbed.relay(knowledge=gossip_settings | {"peers": [second.address]})
             await wait_for_polls(third, 2)  # the second named the first
             assert first.address in third.knowledge.poller.membership.peers  # type: ignore[union-attr]
             for n in range(3):
@@ -250,16 +250,16 @@
 def test_a_delta_document_holds_only_changed_claims(tmp_path: Path) -> None:
     async def test() -> None:
         async with RelayTestbed(tmp_path, knowledge=token_settings(tmp_path)) as testbed:
-            know = testbed.services[0].knowledge
-            whole = parse(know.document())
-            assert len(whole.claims) == 1
-            assert whole.claims[0].answers >= 6
-            assert parse(know.document(whole.version)).claims == []
+            gossip_settings = testbed.services[0].knowledge
+            complete = parse(gossip_settings.document())
+            assert len(complete.claims) == 1
+            assert complete.claims[0].answers >= 6
+            assert parse(gossip_settings.document(complete.version)).claims == []
             await asyncio.sleep(2.1)
             await testbed.hand(testbed.make("safe"))
-            changed = parse(know.document(whole.version))
+            changed = parse(gossip_settings.document(complete.version))
             assert len(changed.claims) == 1
-            assert changed.version > whole.version
+            assert changed.version > complete.version
 
     run_test(test)
 
@@ -267,7 +267,7 @@
 def test_a_wrong_token_is_denied_and_operators_do_not_count_as_relays(tmp_path: Path) -> None:
     async def test() -> None:
         async with RelayTestbed(tmp_path, knowledge=token_settings(tmp_path)) as testbed:
-            service = testbed.services[0]
+            relay = testbed.services[0]
             (tmp_path / "wrong").write_text("guess")
 
             async def command(*args: str) -> subprocess.CompletedProcess[str]:
@@ -279,26 +279,26 @@
                     timeout=30,
                 )
 
-            refused = await command("show", service.address, "--token-file", str(tmp_path / "wrong"))
+            refused = await command("show", relay.address, "--token-file", str(tmp_path / "wrong"))
             assert refused.returncode == 1
             assert "403" in refused.stderr
             assert "firma" not in refused.stdout
             token = ("--token-file", str(tmp_path / "token"))
-            shown = await command("show", service.address, *token)
+            shown = await command("show", relay.address, *token)
             assert shown.returncode == 0
             assert "firma" in shown.stdout
             assert "well" in shown.stdout
-            assert service.engine.routes[0][-1].notified_relays == 0
-            kept = await command("export", service.address, str(tmp_path / "kept"), *token)
-            assert kept.returncode == 0
-            assert (await command("diff", str(tmp_path / "kept"), service.address, *token)).returncode == 0
-            moved = await command("import", str(tmp_path / "kept"), str(tmp_path / "other"))
-            assert moved.returncode == 0
+            assert relay.engine.routes[0][-1].notified_relays == 0
+            exported = await command("export", relay.address, str(tmp_path / "kept"), *token)
+            assert exported.returncode == 0
+            assert (await command("diff", str(tmp_path / "kept"), relay.address, *token)).returncode == 0
+            imported = await command("import", str(tmp_path / "kept"), str(tmp_path / "other"))
+            assert imported.returncode == 0
             assert snapshot.read(tmp_path / "other")[0]["relay"] == "r1"
             (tmp_path / "kept").write_bytes(b"x")
-            bad = await command("import", str(tmp_path / "kept"), str(tmp_path / "other"))
-            assert bad.returncode == 2
-            assert "not a snapshot" in bad.stderr
+            invalid = await command("import", str(tmp_path / "kept"), str(tmp_path / "other"))
+            assert invalid.returncode == 2
+            assert "not a snapshot" in invalid.stderr
 
     run_test(test)
 
@@ -309,9 +309,9 @@
             reply_with(document_json(claim_json(out_age=8_000), claim_json(partner="other"), relays=9))
         )
         async with RelayTestbed(tmp_path, warm=False) as testbed:
-            fresh = await testbed.relay(knowledge=token_settings(tmp_path) | {"peers": [address]})
-            await wait_for_polls(fresh)
-            done = await asyncio.to_thread(
+            new_relay = await testbed.relay(knowledge=token_settings(tmp_path) | {"peers": [address]})
+            await wait_for_polls(new_relay)
+            completed = await asyncio.to_thread(
                 subprocess.run,
                 [
                     sys.executable,
@@ -319,7 +319,7 @@
                     "linnetstile.cli.main",
                     "knowledge",
                     "learned",
-                    fresh.address,
+                    new_relay.address,
                     "--token-file",
                     str(tmp_path / "token"),
                 ],
@@ -327,14 +327,14 @@
                 text=True,
                 timeout=30,
             )
-            told = json.loads(done.stdout)
-            assert {row["why"] for row in told["doubted"]} >= {"no such partner or route now"}
-            assert told["peers"][0]["standing"] == "alive"
-            assert told["counts"]["answered"] == 1
-            (taken,) = told["taken"]  # it says there are nine relays: the larger number counts
-            assert taken["knowers"] == 9
-            assert taken["sources"] == [address]
-            assert taken["out_ms"] >= 8000
+            state = json.loads(completed.stdout)
+            assert {row["why"] for row in state["doubted"]} >= {"no such partner or route now"}
+            assert state["peers"][0]["standing"] == "alive"
+            assert state["counts"]["answered"] == 1
+            (merged,) = state["taken"]  # the peer reports nine relays: the larger number counts
+            assert merged["knowers"] == 9
+            assert merged["sources"] == [address]
+            assert merged["out_ms"] >= 8000
         listener.close()
 
     run_test(test)
@@ -343,19 +343,19 @@
 def test_claims_on_replaced_endpoints_and_stale_claims_are_rejected(tmp_path: Path) -> None:
     async def test() -> None:
         listener, address = await start_peer(reply_with(document_json(claim_json(endpoints=[77], out_age=5000))))
-        old, old_address = await start_peer(
+        old_relay, old_address = await start_peer(
             reply_with(document_json(claim_json(failed_age=3_600_000, out_age=3_600_500, answered_age=3_700_000)))
         )
         async with RelayTestbed(tmp_path, warm=False) as testbed:
-            fresh = await testbed.relay(knowledge={"peers": [address, old_address]})
-            await wait_for_polls(fresh, 2)
+            new_relay = await testbed.relay(knowledge={"peers": [address, old_address]})
+            await wait_for_polls(new_relay, 2)
             await asyncio.sleep(0.05)
-            assert not any(route.ejected for route, _ in fresh.engine.routing_table.known_routes(0).values())
-            reasons = {doubt.reason for doubt in fresh.knowledge.rejected}
+            assert not any(route.ejected for route, _ in new_relay.engine.routing_table.known_routes(0).values())
+            reasons = {claim.reason for claim in new_relay.knowledge.rejected}
             assert reasons == {"learned from endpoints that are not its own now", "says out, too long ago"}
             assert answer_kind(await testbed.hand(testbed.make("unsafe"), 1)) == "delivered"
         listener.close()
-        old.close()
+        old_relay.close()
         assert testbed.broken() == []
 
     run_test(test)
--- a/tests/faults/test_outcomes.py
+++ b/tests/faults/test_outcomes.py
@@ -1,4 +1,4 @@
-"""End to end: what a partner does to one message, and what the client and the ledger see of it."""
+"""End to end: faults of a partner on one message, and what the client and the partner's record show of it."""
 
 from __future__ import annotations
 
@@ -19,8 +19,8 @@
 from .relay_testbed import RelayTestbed, answer_kind, run_test
 
 
-def partner_fault(what: str, **more: Any) -> dict[str, Any]:
-    return {"kind": what, "at_s": 0, "for_s": 60, "partners": ["firma"], **more}
+def partner_fault(fault_kind: str, **more: Any) -> dict[str, Any]:
+    return {"kind": fault_kind, "at_s": 0, "for_s": 60, "partners": ["firma"], **more}
 
 
 @pytest.mark.parametrize(
@@ -31,15 +31,15 @@
         async with RelayTestbed(tmp_path) as testbed:
             if "sign_by" in options:
                 options["sign_by"] = testbed.keys["office"]
-            made = testbed.make("keyed", **options)
+            message = testbed.make("keyed", **options)
             direct = await testbed.post(f"127.0.0.1:{testbed.ports[1]}", testbed.make("safe", **options))
-            answer = await testbed.hand(made)
+            answer = await testbed.hand(message)
             assert answer_kind(answer) == "delivered"
             assert answer.head is not None
             assert answer.head.status == 200
-            if made.head.notify:
-                found = messages.check(made, answer.head.headers, answer.body, testbed.keys["firma"].certificate)
-                assert found[0] is ReceiptStatus.POSITIVE
+            if message.head.notify:
+                receipt = messages.check(message, answer.head.headers, answer.body, testbed.keys["firma"].certificate)
+                assert receipt[0] is ReceiptStatus.POSITIVE
                 assert direct.head is not None
                 names = ("content-type", "as2-from", "as2-to", "as2-version")
                 assert all((name in direct.head.headers) == (name in answer.head.headers) for name in names)
@@ -59,38 +59,38 @@
         opener = cms.make_identity("firma-open", rsa=True)
         (tmp_path / "open.pem").write_bytes(cms.save(opener))
         async with RelayTestbed(tmp_path, partner={"decrypt_pem": tmp_path / "open.pem"}) as testbed:
-            made = testbed.make(
+            message = testbed.make(
                 "unsafe",
                 encrypt_to=opener.certificate,
                 compress=compress,
                 sign_by=testbed.keys["office"] if sign else None,
             )
-            answer = await testbed.hand(made)
+            answer = await testbed.hand(message)
             assert answer_kind(answer) == "delivered"
             assert answer.head is not None
-            found = messages.check(made, answer.head.headers, answer.body, testbed.keys["firma"].certificate)
-            assert found[0] is ReceiptStatus.POSITIVE
-            assert found[1] is not None
-            assert found[1].mic
+            receipt = messages.check(message, answer.head.headers, answer.body, testbed.keys["firma"].certificate)
+            assert receipt[0] is ReceiptStatus.POSITIVE
+            assert receipt[1] is not None
+            assert receipt[1].mic
         assert testbed.broken() == []
 
     run_test(test)
 
 
 @pytest.mark.parametrize("what", ["hang", "no_receipt", "wrong_mic", "forged_receipt", "reset", "answer_lost"])
-def test_a_non_idempotent_message_with_an_unclear_outcome_is_never_retried(tmp_path: Path, what: str) -> None:
+def test_a_non_idempotent_message_with_an_unclear_outcome_is_never_retried(tmp_path: Path, fault_kind: str) -> None:
     async def test() -> None:
-        async with RelayTestbed(tmp_path, faults=[partner_fault(what)]) as testbed:
+        async with RelayTestbed(tmp_path, faults=[partner_fault(fault_kind)]) as testbed:
             answer = await testbed.hand(testbed.make("unsafe"))
             assert answer_kind(answer) == "failed"
             assert answer.head is not None
             assert b"1 attempt, the last one" in answer.body
-            found = messages.check(testbed.make("unsafe", ident="<x@office>"), answer.head.headers, answer.body, None)[
-                1
-            ]
-            assert found is not None
-            assert found.kind == "failed"
-            assert "may or may not" in found.text
+            receipt = messages.check(
+                testbed.make("unsafe", ident="<x@office>"), answer.head.headers, answer.body, None
+            )[1]
+            assert receipt is not None
+            assert receipt.kind == "failed"
+            assert "may or may not" in receipt.text
             assert len(testbed.rows("began")) == 1
             assert len(testbed.rows("effect")) <= 1
         assert testbed.broken() == []
@@ -134,9 +134,9 @@
 
 
 @pytest.mark.parametrize("what", ["garbage", "trickle", "vanish", "reset"])
-def test_a_partner_that_sends_garbage_or_single_bytes_delays_no_other_message(tmp_path: Path, what: str) -> None:
+def test_a_partner_that_sends_garbage_or_single_bytes_delays_no_other_message(tmp_path: Path, fault_kind: str) -> None:
     async def test() -> None:
-        async with RelayTestbed(tmp_path, faults=[partner_fault(what, for_s=1.0, bytes=40)]) as testbed:
+        async with RelayTestbed(tmp_path, faults=[partner_fault(fault_kind, for_s=1.0, bytes=40)]) as testbed:
             assert answer_kind(await testbed.hand(testbed.make("safe"))) == "delivered"
         assert testbed.broken() == []
 
@@ -154,9 +154,9 @@
             others = [asyncio.create_task(testbed.hand(testbed.make("keyed"))) for _ in range(3)]
             answers = await asyncio.gather(first, *others)
             assert [answer_kind(answer) for answer in answers] == ["delivered"] * 4
-            told = [row for row in testbed.rows("answer") if row["status"] == 503]
-            assert len(told) == 1
-            assert told[0]["told_ms"] > 200
+            rejections = [row for row in testbed.rows("answer") if row["status"] == 503]
+            assert len(rejections) == 1
+            assert rejections[0]["told_ms"] > 200
         assert testbed.broken() == []
 
     run_test(test)
@@ -165,18 +165,18 @@
 def test_a_repeated_identifier_gets_the_same_answer(tmp_path: Path) -> None:
     async def test() -> None:
         async with RelayTestbed(tmp_path, partner={"work_ms": 200}) as testbed:
-            made = testbed.make("unsafe")
-            first = asyncio.create_task(testbed.hand(made))
+            message = testbed.make("unsafe")
+            first = asyncio.create_task(testbed.hand(message))
             await asyncio.sleep(0.05)
-            during = await testbed.hand(made)
-            after = await testbed.hand(made)
+            during = await testbed.hand(message)
+            after = await testbed.hand(message)
             assert (await first).body == during.body == after.body
             assert answer_kind(after) == "delivered"
             assert len(testbed.rows("began")) == 1
-            other = await testbed.hand(testbed.make("unsafe", b"other content", ident=made.head.id))
-            assert other.head is not None
-            assert (answer_kind(other), other.head.status) == ("conflict", 409)
-            assert b"other content" in other.body
+            conflicting = await testbed.hand(testbed.make("unsafe", b"other content", ident=message.head.id))
+            assert conflicting.head is not None
+            assert (answer_kind(conflicting), conflicting.head.status) == ("conflict", 409)
+            assert b"other content" in conflicting.body
         assert testbed.broken() == []
 
     run_test(test)
@@ -185,9 +185,9 @@
 def test_a_repeat_at_another_relay_is_deduplicated_by_the_partner(tmp_path: Path) -> None:
     async def test() -> None:
         async with RelayTestbed(tmp_path, relays=2) as testbed:
-            made = testbed.make("keyed")
-            one, two = await testbed.hand(made, 0), await testbed.hand(made, 1)
-            assert answer_kind(one) == answer_kind(two) == "delivered"
+            message = testbed.make("keyed")
+            first, second = await testbed.hand(message, 0), await testbed.hand(message, 1)
+            assert answer_kind(first) == answer_kind(second) == "delivered"
             assert len(testbed.rows("effect")) == 1
         assert testbed.broken() == []
 
@@ -201,15 +201,15 @@
             faults=[partner_fault("crash", for_s=4.5)],
             classes={"unsafe": {"effect": "unsafe", "aim_ms": 500, "deadline_ms": 1500}},
         ) as testbed:
-            made = testbed.make("unsafe")
-            first = await testbed.hand(made)
+            message = testbed.make("unsafe")
+            first = await testbed.hand(message)
             assert answer_kind(first) == "refused"
             assert first.head is not None
             assert first.head.status == 503
             assert int(first.head.headers.get("retry-after")) >= 1
             await testbed.until(4.6)
             for _ in range(4):
-                answer = await testbed.hand(made)
+                answer = await testbed.hand(message)
                 if answer_kind(answer) != "refused":
                     break
             assert answer_kind(answer) == "delivered"
@@ -220,17 +220,17 @@
 
 
 def test_a_deduplicated_message_with_an_unclear_outcome_fails_and_is_not_refused(tmp_path: Path) -> None:
-    """Found by the day of every trouble: refused after an unclear attempt, it came again 8 s later and ran twice."""
+    """Once it was refused after an unclear attempt, submitted again 8 s later, and took effect twice."""
 
     async def test() -> None:
         classes = {"keyed": {"effect": "keyed", "aim_ms": 500, "deadline_ms": 2000, "key_window_ms": 900}}
         async with RelayTestbed(
             tmp_path, classes=classes, partner={"key_window_ms": 900}, faults=[partner_fault("answer_lost", for_s=2.2)]
         ) as testbed:
-            made = testbed.make("keyed")
-            assert answer_kind(await testbed.hand(made)) == "failed"
+            message = testbed.make("keyed")
+            assert answer_kind(await testbed.hand(message)) == "failed"
             await testbed.until(3.0)
-            assert answer_kind(await testbed.hand(made)) == "failed"
+            assert answer_kind(await testbed.hand(message)) == "failed"
             assert len(testbed.rows("effect")) == 1
         assert testbed.broken() == []
 
@@ -249,8 +249,8 @@
 ) -> None:
     async def test() -> None:
         async with RelayTestbed(tmp_path) as testbed:
-            made = testbed.make(change.get("cls", "safe"), to=change.get("to", "firma"))
-            answer = await testbed.post(testbed.services[0].address, made)
+            message = testbed.make(change.get("cls", "safe"), to=change.get("to", "firma"))
+            answer = await testbed.post(testbed.services[0].address, message)
             assert answer.head is not None
             assert answer.head.status == status
             assert text in answer.body
@@ -279,8 +279,8 @@
         async with RelayTestbed(tmp_path) as testbed:
             reader, writer = await asyncio.open_connection(*split(testbed.services[0].address))
             writer.write(data)
-            got = await asyncio.wait_for(reader.read(100), 5)
-            assert got.split(b" ")[1] == status
+            response = await asyncio.wait_for(reader.read(100), 5)
+            assert response.split(b" ")[1] == status
             writer.close()
             assert answer_kind(await testbed.hand(testbed.make("safe"))) == "delivered"
 
@@ -290,11 +290,13 @@
 def test_a_client_that_sends_one_byte_at_a_time_is_served(tmp_path: Path) -> None:
     async def test() -> None:
         async with RelayTestbed(tmp_path) as testbed:
-            made = testbed.make("safe")
+            message = testbed.make("safe")
             reader, writer = await asyncio.open_connection(*split(testbed.services[0].address))
-            for n, byte in enumerate(http1.request("POST", "/as2", [("Host", "x"), *made.headers], made.body)):
+            for index, byte in enumerate(
+                http1.request("POST", "/as2", [("Host", "x"), *message.headers], message.body)
+            ):
                 writer.write(bytes([byte]))
-                if n % 8 == 0:
+                if index % 8 == 0:
                     await asyncio.sleep(0)
             assert b"200 OK" in await asyncio.wait_for(reader.read(200), 5)
             writer.close()
@@ -308,7 +310,7 @@
             _, writer = await asyncio.open_connection(*split(testbed.services[0].address))
             sent = 0
             with pytest.raises(ConnectionError):  # noqa: PT012 (whichever write first meets the closed connection)
-                for _ in range(16_384):  # a gigabyte, were it taken
+                for _ in range(16_384):  # a gigabyte, if all of it were read
                     writer.write(b"X" * 65_536)
                     sent += 65_536
                     await writer.drain()
@@ -319,15 +321,15 @@
 
 
 async def send_stray_receipt(testbed: RelayTestbed, path: str, ident: str, signer: str) -> None:
-    """A receipt sent to the relay by somebody."""
-    made = testbed.make("unsafe", ident=ident)
-    found = mdn.Mdn(ident, "firma", mic=b"x" * 32, micalg="sha-256")
-    kind_, body = found.build()
-    data = http1.request("POST", path, [("Host", "x"), ("Content-Type", kind_), ("AS2-From", signer)], body)
+    """Send the relay a receipt that no partner has issued."""
+    message = testbed.make("unsafe", ident=ident)
+    receipt = mdn.Mdn(ident, "firma", mic=b"x" * 32, micalg="sha-256")
+    content_type, body = receipt.build()
+    data = http1.request("POST", path, [("Host", "x"), ("Content-Type", content_type), ("AS2-From", signer)], body)
     done: asyncio.Future[client.Answer] = asyncio.get_running_loop().create_future()
     testbed.pool.call(split(testbed.services[0].address), "POST", data, done.set_result)
     answer = await asyncio.wait_for(done, 5)
-    assert made.head.id == ident
+    assert message.head.id == ident
     assert answer.head is not None
     assert answer.head.status == 200
 
@@ -335,25 +337,27 @@
 def test_an_async_receipt_ends_its_attempt_and_forged_or_unknown_ones_are_ignored(tmp_path: Path) -> None:
     async def test() -> None:
         async with RelayTestbed(tmp_path, partner={"receipts": "async", "work_ms": 300}) as testbed:
-            made = testbed.make("unsafe")
-            waiting = asyncio.create_task(testbed.hand(made))
+            message = testbed.make("unsafe")
+            waiting = asyncio.create_task(testbed.hand(message))
             await asyncio.sleep(0.1)
-            service = testbed.services[0]
-            (token,) = service.delivery.receipt_endpoint.pending
-            await send_stray_receipt(testbed, "/receipt/unknown", made.head.id, "firma")
-            await send_stray_receipt(testbed, f"/receipt/{token}", made.head.id, "firma")  # right address, no signature
-            assert service.accepted
+            relay = testbed.services[0]
+            (token,) = relay.delivery.receipt_endpoint.pending
+            await send_stray_receipt(testbed, "/receipt/unknown", message.head.id, "firma")
+            await send_stray_receipt(
+                testbed, f"/receipt/{token}", message.head.id, "firma"
+            )  # right address, no signature
+            assert relay.accepted
             assert not waiting.done()
             answer = await waiting
             assert answer_kind(answer) == "delivered"
             assert answer.head is not None
-            found = messages.check(made, answer.head.headers, answer.body, testbed.keys["firma"].certificate)
-            assert found[0] is ReceiptStatus.POSITIVE
-            await send_stray_receipt(testbed, f"/receipt/{token}", made.head.id, "firma")  # late
-            assert service.counts["receipts_without_attempt"] == 2
-            assert service.counts["receipts_not_counted"] == 1
-            assert service.counts["delivered"] == 7
-            assert not service.delivery.receipt_endpoint.pending
+            receipt = messages.check(message, answer.head.headers, answer.body, testbed.keys["firma"].certificate)
+            assert receipt[0] is ReceiptStatus.POSITIVE
+            await send_stray_receipt(testbed, f"/receipt/{token}", message.head.id, "firma")  # late
+            assert relay.counts["receipts_without_attempt"] == 2
+            assert relay.counts["receipts_not_counted"] == 1
+            assert relay.counts["delivered"] == 7
+            assert not relay.delivery.receipt_endpoint.pending
         assert testbed.broken() == []
 
     run_test(test)
@@ -378,32 +382,32 @@
     async def test() -> None:
         from linnetstile.net import server
 
-        got: asyncio.Queue[tuple[Headers, bytes]] = asyncio.Queue()
-        tries: Counter[str] = Counter()
+        response: asyncio.Queue[tuple[Headers, bytes]] = asyncio.Queue()
+        posts: Counter[str] = Counter()
 
-        def take(exchange: server.RequestContext) -> None:
-            tries["all"] += 1
-            exchange.reply(500 if tries["all"] == 1 else 200)  # the first post fails: it comes again
-            got.put_nowait((exchange.head.headers, exchange.body))
+        def take(request: server.RequestContext) -> None:
+            posts["all"] += 1
+            request.reply(500 if posts["all"] == 1 else 200)  # the first post fails: it comes again
+            response.put_nowait((request.head.headers, request.body))
 
         async with RelayTestbed(tmp_path) as testbed:
             made_server = server.Server(take)
             port = await made_server.start()
-            made = testbed.make("keyed", reply_to=f"http://127.0.0.1:{port}/r")
-            answer = await testbed.post(testbed.services[0].address, made)
+            message = testbed.make("keyed", reply_to=f"http://127.0.0.1:{port}/r")
+            answer = await testbed.post(testbed.services[0].address, message)
             assert answer.head is not None
             assert answer.head.status == 202
             for _ in range(2):
-                headers, body = await asyncio.wait_for(got.get(), 5)
+                headers, body = await asyncio.wait_for(response.get(), 5)
                 assert headers.get("linnetstile-answer") == "delivered"
-                found = messages.check(made, headers, body, testbed.keys["firma"].certificate)[0]
-                assert found is ReceiptStatus.POSITIVE
-            bad = await testbed.post(
+                receipt = messages.check(message, headers, body, testbed.keys["firma"].certificate)[0]
+                assert receipt is ReceiptStatus.POSITIVE
+            refused = await testbed.post(
                 testbed.services[0].address, testbed.make("keyed", reply_to="http://10.0.0.1:80/r")
             )
-            assert bad.head is not None
-            assert bad.head.status == 400
-            assert b"loopback" in bad.body
+            assert refused.head is not None
+            assert refused.head.status == 400
+            assert b"loopback" in refused.body
             made_server.close()
 
     run_test(test)
