--- a/tests/faults/test_outcomes.py
+++ b/tests/faults/test_outcomes.py
@@ -77,7 +77,7 @@
     run_test(test)
 
 
-@pytest.mark.parametrize("what", ["hang", "no_receipt", "wrong_mic", "forged_receipt", "reset", "answer_lost"])
+@pytest.mark.parametrize("fault_kind", ["hang", "no_receipt", "wrong_mic", "forged_receipt", "reset", "answer_lost"])
 def test_a_non_idempotent_message_with_an_unclear_outcome_is_never_retried(tmp_path: Path, fault_kind: str) -> None:
     async def test() -> None:
         async with RelayTestbed(tmp_path, faults=[partner_fault(fault_kind)]) as testbed:
@@ -133,7 +133,7 @@
     run_test(test)
 
 
-@pytest.mark.parametrize("what", ["garbage", "trickle", "vanish", "reset"])
+@pytest.mark.parametrize("fault_kind", ["garbage", "trickle", "vanish", "reset"])
 def test_a_partner_that_sends_garbage_or_single_bytes_delays_no_other_message(tmp_path: Path, fault_kind: str) -> None:
     async def test() -> None:
         async with RelayTestbed(tmp_path, faults=[partner_fault(fault_kind, for_s=1.0, bytes=40)]) as testbed:
