--- a/linnetstile/as2_relay/async_receipts.py
+++ b/linnetstile/as2_relay/async_receipts.py
@@ -63,7 +63,7 @@
         self.base_url = ""
 
     def set_address(self, address: str) -> None:
-        """Take the relay's address, which partners are told."""
+        """Take the relay's address, under which partners reach the endpoint."""
         self.base_url = f"http://{address}{PATH_PREFIX}"
 
     @staticmethod
--- a/linnetstile/as2_relay/delivery.py
+++ b/linnetstile/as2_relay/delivery.py
@@ -77,7 +77,7 @@
             pool: Connections to partners.
             tls_keys: Keys for partners that are reached over TLS.
             verifier: Verifies receipts.
-            slow_partners: Is told how long attempts take.
+            slow_partners: Measures how long attempts take.
             counts: Counters of the relay.
             log: Logger of the relay.
             post_event: Takes events for the delivery engine.
--- a/linnetstile/as2_relay/gossip_service.py
+++ b/linnetstile/as2_relay/gossip_service.py
@@ -1,6 +1,6 @@
-"""This relay's part in the gossip: it tells other relays what it knows, and merges what they know.
+"""This relay's part in the gossip: it sends other relays what it knows, and merges what they know.
 
-`engine/gossip.py` decides what is believed, `engine/gossip_export.py` what is told.
+`engine/gossip.py` decides what is believed, `engine/gossip_export.py` what is sent.
 """
 
 from __future__ import annotations
@@ -98,7 +98,7 @@
 
         Args:
             settings: Settings of the gossip.
-            engine: The delivery engine, whose knowledge is told.
+            engine: The delivery engine, whose knowledge is sent.
             name: Name of this relay.
             incarnation: Identifier of this process.
             partner_numbers: Number of each partner in the engine; kept by the registry client.
@@ -177,7 +177,7 @@
     def _partner_names(self) -> dict[int, str]:
         return {number: name for name, number in self.partner_numbers.items()}
 
-    # -- what this relay tells -------------------------------------------------------------------------------
+    # -- what this relay sends -------------------------------------------------------------------------------
 
     def own_document(self, since: int = 0) -> OwnDocument:
         """Return what this relay knows itself and what changed after version `since` (0: all of it)."""
--- a/linnetstile/as2_relay/submissions.py
+++ b/linnetstile/as2_relay/submissions.py
@@ -72,7 +72,7 @@
             registry: Knows which partners are listed.
             receipt_issuer: Issues the receipt for a repeat whose answer is not stored any more.
             receipt_delivery: Posts the answers of messages that name a receipt address.
-            shutdown: Knows whether the relay is stopping, and is told when a message was answered.
+            shutdown: Knows whether the relay is stopping, and checks its progress when a message was answered.
             counts: Counters of the relay.
             log: Logger of the relay.
             post_event: Takes events for the delivery engine.
--- a/tests/faults/test_gossip.py
+++ b/tests/faults/test_gossip.py
@@ -69,6 +69,11 @@
     return reply
 
 
+def is_ejected(relay: As2Relay) -> bool:
+    """Return whether a relay has ejected the partner."""
+    return relay.engine.routes[0][-1].ejected
+
+
 async def wait_for_polls(relay: As2Relay, count: int = 1, seconds: float = 4.0) -> None:
     """Wait until so many polls of a relay have ended, with or without an answer."""
     for _ in range(int(seconds / 0.02)):
@@ -219,9 +224,9 @@
             new_relay = await testbed.relay(knowledge={"peers": [address]})
             await wait_for_polls(new_relay)
             await asyncio.sleep(0.05)
-            assert new_relay.engine.routes[0][-1].ejected
+            assert is_ejected(new_relay)
             assert answer_kind(await testbed.hand(testbed.make("safe"), 1)) == "delivered"
-            assert not new_relay.engine.routes[0][-1].ejected
+            assert not is_ejected(new_relay)
             assert new_relay.engine.routes[0][-1].failure_score < 0.5
             assert answer_kind(await testbed.hand(testbed.make("unsafe"), 1)) == "delivered"
         listener.close()
--- a/tests/faults/test_slow.py
+++ b/tests/faults/test_slow.py
@@ -36,7 +36,7 @@
 def request_head(testbed: RelayTestbed, length: int, message_class: str = "safe", **fields: str) -> bytes:
     message = testbed.make(message_class)
     headers = {"Content-Length": str(length), **fields}
-    lines = [f"{index}: {v}" for index, v in [("Host", "x"), *message.headers, *headers.items()]]
+    lines = [f"{name}: {value}" for name, value in [("Host", "x"), *message.headers, *headers.items()]]
     return ("POST /as2 HTTP/1.1\r\n" + "\r\n".join(lines) + "\r\n\r\n").encode()
 
 
@@ -57,15 +57,15 @@
         async with RelayTestbed(tmp_path, limits=STRICT_RATES) as testbed:
             reader, writer = await connect(testbed)
             if where == "chunks":
-                whole = request_head(testbed, 0).replace(b"Content-Length: 0", b"Transfer-Encoding: chunked")
-                writer.write(whole + b"1000\r\n")
+                chunked_head = request_head(testbed, 0).replace(b"Content-Length: 0", b"Transfer-Encoding: chunked")
+                writer.write(chunked_head + b"1000\r\n")
             elif where == "body":
                 writer.write(request_head(testbed, 4000))
-            dripping = asyncio.create_task(send_byte_by_byte(writer, request_head(testbed, 100) * 20))
+            sending = asyncio.create_task(send_byte_by_byte(writer, request_head(testbed, 100) * 20))
             response = await asyncio.wait_for(reader.read(), 8)
             assert response.startswith(b"HTTP/1.1 408")
             assert b"nothing of this request was taken" in response
-            dripping.cancel()
+            sending.cancel()
             writer.close()
             relay = testbed.services[0]
             assert relay.counts["let_go_head" if where == "head" else "let_go_body_rate"] == 1
