--- a/linnetstile/testbed/scale/__init__.py
+++ b/linnetstile/testbed/scale/__init__.py
@@ -1,1 +1,4 @@
-"""A fleet at size: hollow relays (shipped code, simulated clock, no sockets) beside real ones: docs/operate/scale.md"""
+"""A fleet at target size: simulated relays (shipped code, simulated clock) beside real processes.
+
+docs/operate/scale.md describes the command `linnetstile scale`, which runs it.
+"""
--- /dev/null
+++ b/linnetstile/testbed/scale/comparison_bench.py
@@ -0,0 +1,178 @@
+"""The emulators and relay processes of one comparison, and messages to the relays."""
+
+from __future__ import annotations
+
+import asyncio
+import time
+from dataclasses import dataclass
+from pathlib import Path
+
+from ...codec import http1
+from ...emulators.discovery import DiscoveryStand, Source
+from ...net import client, server
+from .discovery_model import FIRST_VERSION
+from .errors import NotStarted
+from .reference_model import MESSAGE_DEADLINE_MS, NO_ENDPOINT
+from .relay_process import RelayConfig, RelayProcess
+from .world_model import World
+
+MEMORY_BYTES = 3 * 1000**3
+"""Memory of all relay processes together."""
+START_TIMEOUT_S = 20.0
+START_POLL_S = 0.02
+CHANGE_TIMEOUT_S = 6.0
+"""A change that a relay does not act on within this time is given up."""
+MESSAGE_INTERVAL_S = 0.06
+"""Between two messages that look for the endpoint in force."""
+HTTP_TIMEOUT_S = 2.0
+LOG_TAIL = 300
+"""Characters of the log in the error of a relay that did not start."""
+LOST = "lost"
+"""Where a message went of which nothing was heard."""
+ACCEPTED_STATUSES = (200, 202)
+
+
+@dataclass(slots=True)
+class WorldSource(Source):
+    """The list of a world, as the discovery emulator asks for it."""
+
+    world: World
+    version: int = FIRST_VERSION
+
+    def whole(self) -> bytes:
+        """The full list."""
+        return self.world.discovery.full_list(self.version)
+
+    def since(self, version: int) -> bytes | None:
+        """The changes after a version."""
+        return b"".join(change.line for change in self.world.discovery.changes_between(version, self.version))
+
+
+class ComparisonBench:
+    """Owns the emulators and processes of one comparison; leave it by `close`."""
+
+    def __init__(self, folder: Path, memory_bytes: int) -> None:
+        """Make an empty bench: files go to the folder, each process may use so many bytes."""
+        self.folder = folder
+        self.memory_bytes = memory_bytes
+        self.relays: list[RelayProcess] = []
+        self.discoveries: list[DiscoveryStand] = []
+        self.endpoints: list[server.Server] = []
+        self.pool = client.Pool()
+        self._arrivals: dict[str, asyncio.Future[str]] = {}  # message -> where it went
+        self._sent = 0
+
+    async def start_endpoint(self) -> int:
+        """Start an endpoint that takes each call; returns its port."""
+
+        def answer(request: server.RequestContext) -> None:
+            self._arrived(request.head.headers.get("x-correlation-id"), str(port))
+            request.reply(200, [], b"ok")
+
+        endpoint = server.Server(answer)
+        self.endpoints.append(endpoint)
+        port = await endpoint.start()
+        return port
+
+    def _arrived(self, message: str, where: str) -> None:
+        arrival = self._arrivals.pop(message, None)
+        if arrival is not None and not arrival.done():
+            arrival.set_result(where)
+
+    async def start_discovery(self, source: WorldSource) -> tuple[DiscoveryStand, int]:
+        """Start a discovery emulator; returns it and its port."""
+        discovery = DiscoveryStand(source)
+        discovery.on_notice = lambda message, result: self._arrived(message, NO_ENDPOINT)
+        self.discoveries.append(discovery)
+        return discovery, await discovery.start()
+
+    def start_relay(self, world: World, relay: int, name: str, discovery_port: int, seed: int) -> RelayProcess:
+        """Start a relay process; `wait_ready` waits until it serves."""
+        config = RelayConfig(name, relay, discovery_port, seed, self.memory_bytes)
+        process = RelayProcess.start(config, world, self.folder)
+        self.relays.append(process)
+        return process
+
+    async def wait_ready(self, relay: RelayProcess) -> None:
+        """Wait until a relay is ready.
+
+        Raises:
+            NotStarted: It ended, or took too long.
+        """
+        until = time.monotonic() + START_TIMEOUT_S
+        while (event := relay.find_ready_event()) is None:
+            if relay.process.poll() is not None or time.monotonic() > until:
+                tail = relay.log.read_text(errors="replace")[-LOG_TAIL:].strip()
+                raise NotStarted(f"{relay.name} did not start: {tail or 'it wrote nothing'}")
+            await asyncio.sleep(START_POLL_S)
+        relay.ready = event
+
+    async def find_endpoint(self, relay: RelayProcess, destination: int) -> str:
+        """Submit one message; returns the port where it went, `NO_ENDPOINT` or `LOST`."""
+        self._sent += 1
+        message = f"{self._sent:016x}"
+        arrival = self._arrivals[message] = asyncio.get_running_loop().create_future()
+        if await self._submit(relay, destination, message) not in ACCEPTED_STATUSES:
+            self._arrivals.pop(message, None)
+            return NO_ENDPOINT
+        try:
+            return await asyncio.wait_for(arrival, 2 * MESSAGE_DEADLINE_MS / 1000)
+        except TimeoutError:
+            return LOST
+
+    async def _submit(self, relay: RelayProcess, destination: int, message: str) -> int:
+        """Send a message to a relay; returns the status, 0 if there was no answer."""
+        loop = asyncio.get_running_loop()
+        status: asyncio.Future[int] = loop.create_future()
+
+        def done(answer: client.Answer) -> None:
+            if not status.done():
+                status.set_result(answer.head.status if answer.head else 0)
+
+        headers = [
+            ("Host", "api.internal"),
+            ("X-Correlation-Id", message),
+            ("X-Service-Class", "state"),
+            ("X-Account", "all"),
+            ("X-Time-Left", f"{MESSAGE_DEADLINE_MS:.0f}m"),
+            ("Envelope", f"dest={destination}"),
+        ]
+        request = http1.request("POST", "/api", headers, b"hello")
+        self.pool.call(("127.0.0.1", relay.port), "POST", request, done, loop.time() + HTTP_TIMEOUT_S)
+        return await status
+
+    async def await_endpoint(self, relay: RelayProcess, destination: int, expected: str) -> tuple[str, float]:
+        """Submit messages until one goes where it is expected or the time is up.
+
+        Returns:
+            Where the last one went, and after how many ms.
+        """
+        began = time.monotonic()
+        while True:
+            where = await self.find_endpoint(relay, destination)
+            elapsed_s = time.monotonic() - began
+            if where == expected or elapsed_s > CHANGE_TIMEOUT_S:
+                return where, elapsed_s * 1000
+            await asyncio.sleep(MESSAGE_INTERVAL_S)
+
+    def check_running(self) -> None:
+        """Check that all relays still run.
+
+        Raises:
+            NotStarted: One of them has ended.
+        """
+        for relay in self.relays:
+            if relay.process.poll() is not None:
+                raise NotStarted(f"{relay.name} ended by itself with {relay.process.returncode}")
+
+    def close(self) -> None:
+        """End the processes, each by its handle, and all connections; no message in them is waited for."""
+        for relay in self.relays:
+            relay.process.kill()
+        for relay in self.relays:
+            relay.process.wait()
+        for discovery in self.discoveries:
+            discovery.close()
+        for endpoint in self.endpoints:
+            endpoint.close()
+        self.pool.close()
--- /dev/null
+++ b/linnetstile/testbed/scale/list_cost.py
@@ -0,0 +1,116 @@
+"""What a list of destinations costs one simulated relay in processor time and memory."""
+
+from __future__ import annotations
+
+import contextlib
+import gc
+import random
+import time
+import tracemalloc
+from dataclasses import dataclass, field, replace
+
+from ...engine.engine import DeliveryEngine
+from . import scenarios
+from .discovery_model import FIRST_VERSION, ChangeKind
+from .options import RACK_FAILURE_SCENARIO, Sizes
+from .relay_engine import create_engine
+from .watch_reader import WatchReader
+from .world_model import World
+
+CHANGES_OF_EACH_KIND = 24
+"""Changes of each kind that are measured; their mean counts."""
+MEASURED_KINDS = (ChangeKind.NEW_WEIGHT, ChangeKind.REPLACED, ChangeKind.DRAINED, ChangeKind.ADDED)
+CHANGE_SEED = 1
+ENGINE_SEED = 1
+
+
+@dataclass(slots=True)
+class ListCost:
+    """Cost of a list of so many destinations.
+
+    Attributes:
+        destinations: Destinations on the list.
+        list_bytes: Bytes of the list as it travels.
+        endpoint_count: Endpoints that the relay knows then; 0 if it refused the list.
+        list_ms: Processor time of reading the list.
+        change_ms: By kind of change, processor time of one.
+        change_bytes: Mean bytes of a change as it travels.
+        memory_bytes: Bytes that directory and engine hold, as the interpreter allots them.
+        peak_memory_bytes: The same at its largest, while the list was read.
+    """
+
+    destinations: int
+    list_bytes: int
+    endpoint_count: int
+    list_ms: float
+    change_ms: dict[ChangeKind, float] = field(default_factory=dict)
+    change_bytes: float = 0.0
+    memory_bytes: int = 0
+    peak_memory_bytes: int = 0
+
+    def to_json(self) -> dict[str, float]:
+        """The row of the report; changes are part of it if the relay took the list."""
+        row: dict[str, float] = {
+            "destinations": self.destinations,
+            "list_bytes": self.list_bytes,
+            "known": self.endpoint_count,
+            "list_ms": self.list_ms,
+        }
+        for kind, cost_ms in self.change_ms.items():
+            row[f"{kind.value}_ms"] = cost_ms
+            row["change_bytes"] = self.change_bytes
+        row["bytes"] = self.memory_bytes
+        row["bytes_largest"] = self.peak_memory_bytes
+        return row
+
+
+def measure_list_cost(options: Sizes, destinations: int) -> ListCost:
+    """Measure what the list of so many destinations costs: reading it, one change of each kind, and its memory."""
+    world = scenarios.build(replace(options, destinations=destinations, in_use=2, scenes=(RACK_FAILURE_SCENARIO,)))
+    line = world.discovery.full_list(FIRST_VERSION)
+    began = time.thread_time()
+    reader, engine = _read_list(world, line)
+    cost = ListCost(destinations, len(line), reader.endpoint_count, (time.thread_time() - began) * 1000)
+    if reader.endpoint_count:
+        _measure_changes(cost, world, reader, engine)
+    del reader, engine
+    _measure_memory(cost, world, line)
+    return cost
+
+
+def _measure_changes(cost: ListCost, world: World, reader: WatchReader, engine: DeliveryEngine) -> None:
+    rng = random.Random(CHANGE_SEED)
+    for kind in MEASURED_KINDS:
+        changes = [
+            world.discovery.change(kind, rng.randrange(cost.destinations), 1.0, rng)
+            for _ in range(CHANGES_OF_EACH_KIND)
+        ]
+        began = time.thread_time()
+        for change in changes:
+            for event in reader.read(change.line):
+                engine.handle(1.0, [event])
+        cost.change_ms[kind] = (time.thread_time() - began) * 1000 / CHANGES_OF_EACH_KIND
+        mean_bytes = sum(len(change.line) for change in changes) / CHANGES_OF_EACH_KIND
+        cost.change_bytes += mean_bytes / len(MEASURED_KINDS)
+
+
+def _measure_memory(cost: ListCost, world: World, line: bytes) -> None:
+    gc.collect()
+    tracemalloc.start()
+    before, _ = tracemalloc.get_traced_memory()
+    reader, engine = _read_list(world, line)
+    gc.collect()
+    held, peak = tracemalloc.get_traced_memory()
+    tracemalloc.stop()
+    cost.memory_bytes, cost.peak_memory_bytes = held - before, peak - before
+    assert reader.endpoint_count == cost.endpoint_count
+    del engine  # it had to live until the memory was read
+
+
+def _read_list(world: World, line: bytes) -> tuple[WatchReader, DeliveryEngine]:
+    """A relay that has read one list, if it takes it."""
+    reader, engine = WatchReader(), create_engine(world, 0, ENGINE_SEED)
+    with contextlib.suppress(ValueError):
+        for event in reader.read(line):
+            engine.handle(0.0, [event])
+    return reader, engine
--- /dev/null
+++ b/linnetstile/testbed/scale/membership_simulation.py
@@ -0,0 +1,272 @@
+"""What relays would know of each other: the shipped membership on the simulated clock, all relays in one process.
+
+Relays on the platform run no membership (UDP and TCP between them are allowed, nothing uses them); the AS2 relay does.
+Each poll takes a round trip; a poll of a relay that is not reached fails when the AS2 relay gives it up.
+"""
+
+from __future__ import annotations
+
+import heapq
+import json
+import random
+from collections import Counter
+from collections.abc import Callable
+from dataclasses import dataclass, field
+from typing import Any
+
+from ...as2_relay.gossip import ASK_S, FORMAT
+from ...engine.membership import Membership, PeerStatus
+from .workload import TARGET_RELAYS, WATCH_START_DELAY_MS
+from .world_model import Lifetime, Scenario, World
+
+ROUND_TRIP_MS = 30.0, 60.0
+REQUEST_BYTES = 180
+"""A poll with its head, as the AS2 relay writes it; its answer's head is as long."""
+OBSERVERS = 64
+"""Relays that are looked at for what they know of others."""
+IDLE_CHECK_MS = 1000.0
+"""A relay that has no peer to poll looks again after this time at the least."""
+MAX_PEERS_SENT = 32
+EVENTS_BETWEEN_CHECKS = 512
+"""Events between two looks at the time limit."""
+
+
+@dataclass(frozen=True, slots=True)
+class RelayStarts:
+    """A relay's process starts."""
+
+    relay: int
+    lifetime: Lifetime
+
+
+@dataclass(frozen=True, slots=True)
+class PollDue:
+    """A process of a relay may poll a peer."""
+
+    relay: int
+    incarnation: int
+    end_ms: float
+
+
+@dataclass(frozen=True, slots=True)
+class PollEnds:
+    """A poll is answered or has failed."""
+
+    poll: PollDue
+    peer: int
+    answered: bool
+
+
+MembershipEvent = RelayStarts | PollDue | PollEnds
+
+
+@dataclass(frozen=True, slots=True)
+class ScenarioMembership:
+    """What the observers noticed in one scenario.
+
+    Attributes:
+        scenario: Name of the scenario.
+        pairs: Pairs of an observer that stays up and a relay that fails.
+        noticed_after_ms: Of each pair in which the failure was noticed, the time from the failure; in order.
+        polls: Polls of the whole fleet.
+        bytes: Bytes of the polls that were answered.
+    """
+
+    scenario: str
+    pairs: int
+    noticed_after_ms: list[float]
+    polls: int
+    bytes: int
+
+    def to_json(self) -> dict[str, Any]:
+        """The row of the report."""
+        return {
+            "scene": self.scenario,
+            "pairs": self.pairs,
+            "noticed": len(self.noticed_after_ms),
+            "after_ms": self.noticed_after_ms,
+            "asks": self.polls,
+            "bytes": self.bytes,
+        }
+
+
+@dataclass(frozen=True, slots=True)
+class MembershipResult:
+    """What the membership of the whole fleet did.
+
+    Attributes:
+        scenarios: By scenario, in their order.
+        polls: Polls of the whole fleet in the run.
+        polls_in_largest_second: Most polls in one second.
+        empty_document_bytes: Bytes of an answer without claims.
+        cut_at_ms: When the play was cut as its time was up; None = it was played to the end.
+    """
+
+    scenarios: list[ScenarioMembership]
+    polls: int
+    polls_in_largest_second: int
+    empty_document_bytes: int
+    cut_at_ms: float | None
+
+    def to_json(self) -> dict[str, Any]:
+        """The section of the report, without the rows of the scenarios."""
+        return {
+            "asks": self.polls,
+            "largest_second": self.polls_in_largest_second,
+            "bare_bytes": self.empty_document_bytes,
+            "cut_at_ms": self.cut_at_ms,
+        }
+
+
+@dataclass(slots=True)
+class PollCounts:
+    """Polls and bytes so far, by scenario and second."""
+
+    by_scenario: Counter[int] = field(default_factory=Counter)
+    by_second: Counter[int] = field(default_factory=Counter)
+    bytes_by_scenario: Counter[int] = field(default_factory=Counter)
+
+
+def relay_address(relay: int) -> str:
+    """Address of a relay by its number."""
+    return f"10.0.{relay >> 8}.{relay & 255}:4080"
+
+
+def empty_document_bytes(peers: list[str]) -> int:
+    """Bytes of a gossip document without claims."""
+    document = {
+        "format": FORMAT,
+        "relay": "relay-000",
+        "run": "0" * 16,
+        "version": 1,
+        "since": 0,
+        "relays": TARGET_RELAYS,
+        "peers": peers,
+        "few_connections": {},
+        "claims": [],
+    }
+    return len(json.dumps(document))
+
+
+class MembershipSimulation:
+    """The memberships of all relays on one clock."""
+
+    def __init__(self, world: World, is_overdue: Callable[[], bool]) -> None:
+        """Prepare the play of a world; it is cut once `is_overdue` says so."""
+        self.world = world
+        self.is_overdue = is_overdue
+        self.rng = random.Random(f"{world.options.seed}:members")
+        relays = range(world.options.relays)
+        self.addresses = [relay_address(relay) for relay in relays]
+        self.numbers = {name: relay for relay, name in enumerate(self.addresses)}
+        self.members: dict[int, Membership] = {}
+        self.incarnations: dict[int, int] = {}
+        self.counts = PollCounts()
+        self.observers = self.rng.sample(relays, min(OBSERVERS, len(relays)))
+        self.noticed: dict[tuple[int, int, int], float] = {}  # scenario, observer, failed relay -> after so long
+        self._heap: list[tuple[float, int, MembershipEvent]] = []
+        self._added = 0
+
+    def play(self) -> MembershipResult:
+        """Play all scenarios."""
+        for relay in range(self.world.options.relays):
+            for lifetime in self.world.lifetimes[relay]:
+                self._add(lifetime.begin_ms + WATCH_START_DELAY_MS, RelayStarts(relay, lifetime))
+        return self._result(cut_at_ms=self._run())
+
+    def _add(self, at_ms: float, event: MembershipEvent) -> None:
+        self._added += 1
+        heapq.heappush(self._heap, (at_ms, self._added, event))
+
+    def _run(self) -> float | None:
+        """Play all events; returns when the play was cut, if it was."""
+        while self._heap and self._heap[0][0] < self.world.end_ms:
+            now_ms, serial, event = heapq.heappop(self._heap)
+            if serial % EVENTS_BETWEEN_CHECKS == 0 and self.is_overdue():
+                return now_ms
+            match event:
+                case RelayStarts(relay, lifetime):
+                    self._start(now_ms, relay, lifetime)
+                case PollDue():
+                    if self._is_running(now_ms, event):
+                        self._poll(now_ms, event)
+                case PollEnds(poll):
+                    if self._is_running(now_ms, poll):
+                        self._end_poll(now_ms, event)
+        return None
+
+    def _is_running(self, now_ms: float, poll: PollDue) -> bool:
+        return poll.incarnation == self.incarnations[poll.relay] and now_ms < poll.end_ms
+
+    def _start(self, now_ms: float, relay: int, lifetime: Lifetime) -> None:
+        seed = self.rng.getrandbits(32)
+        self.members[relay] = Membership(self.addresses[relay], self.addresses, now_ms, seed)
+        self.incarnations[relay] = self.incarnations.get(relay, 0) + 1
+        self._add(now_ms, PollDue(relay, self.incarnations[relay], lifetime.end_ms))
+
+    def _poll(self, now_ms: float, poll: PollDue) -> None:
+        member = self.members[poll.relay]
+        address = member.next_peer(now_ms)
+        if address is None:
+            self._add(max(member.next_poll_at, now_ms + IDLE_CHECK_MS), poll)
+            return
+        self.counts.by_scenario[self.world.scenario_at(now_ms)] += 1
+        self.counts.by_second[int(now_ms // 1000)] += 1
+        peer = self.numbers[address]
+        if peer in self.members and self.world.can_reach_relay(poll.relay, peer, now_ms):
+            self._add(now_ms + self.rng.uniform(*ROUND_TRIP_MS), PollEnds(poll, peer, answered=True))
+        else:
+            self._add(now_ms + 1000 * ASK_S, PollEnds(poll, peer, answered=False))
+
+    def _end_poll(self, now_ms: float, event: PollEnds) -> None:
+        member, peer = self.members[event.poll.relay], event.peer
+        if event.answered:
+            alive = self.members[peer].alive_peers()[:MAX_PEERS_SENT]
+            scenario = self.world.scenario_at(now_ms)
+            self.counts.bytes_by_scenario[scenario] += 2 * REQUEST_BYTES + empty_document_bytes(alive)
+            member.poll_answered(now_ms, self.addresses[peer], str(self.incarnations[peer]), alive)
+        else:
+            member.poll_failed(now_ms, self.addresses[peer])
+            self._record_noticed(now_ms, event.poll.relay, peer)
+        self._add(member.next_poll_at, event.poll)
+
+    def _record_noticed(self, now_ms: float, observer: int, peer: int) -> None:
+        number = self.world.scenario_at(now_ms)
+        if number < 0 or observer not in self.observers:
+            return
+        scenario = self.world.scenarios[number]
+        if peer in scenario.failed_relays and now_ms >= scenario.failed_at_ms:
+            self.noticed.setdefault((number, observer, peer), now_ms - scenario.failed_at_ms)
+
+    def _result(self, cut_at_ms: float | None) -> MembershipResult:
+        return MembershipResult(
+            scenarios=[self._scenario_result(n, scenario) for n, scenario in enumerate(self.world.scenarios)],
+            polls=self.counts.by_scenario.total(),
+            polls_in_largest_second=max(self.counts.by_second.values(), default=0),
+            empty_document_bytes=empty_document_bytes(self.addresses[:MAX_PEERS_SENT]),
+            cut_at_ms=cut_at_ms,
+        )
+
+    def _scenario_result(self, number: int, scenario: Scenario) -> ScenarioMembership:
+        staying = [relay for relay in self.observers if relay not in scenario.failed_relays]
+        noticed = sorted(ms for (noticed_in, _, _), ms in self.noticed.items() if noticed_in == number)
+        return ScenarioMembership(
+            scenario=scenario.name,
+            pairs=len(staying) * len(scenario.failed_relays),
+            noticed_after_ms=[round(ms, 1) for ms in noticed],
+            polls=self.counts.by_scenario[number],
+            bytes=self.counts.bytes_by_scenario[number],
+        )
+
+    def check_invariants(self) -> None:
+        """Each peer of each relay has one of the statuses that the membership knows."""
+        statuses = {peer.status for member in self.members.values() for peer in member.peers.values()}
+        assert statuses <= set(PeerStatus)
+
+
+def play(world: World, is_overdue: Callable[[], bool]) -> MembershipResult:
+    """Play the memberships of a world; the play is cut once `is_overdue` says so."""
+    simulation = MembershipSimulation(world, is_overdue)
+    result = simulation.play()
+    simulation.check_invariants()
+    return result
--- /dev/null
+++ b/linnetstile/testbed/scale/relay_engine.py
@@ -0,0 +1,32 @@
+"""The delivery engine of a simulated relay: how it is made, and what is read from its state."""
+
+from __future__ import annotations
+
+import json
+from dataclasses import replace
+
+from ...engine import gossip_export
+from ...engine.engine import DeliveryEngine, is_suspected
+from ...engine.gossip import RouteClaim
+from ...engine.unknown_class import unknown_class
+from .trace import GossipSize
+from .world_model import World
+
+
+def create_engine(world: World, relay: int, seed: int) -> DeliveryEngine:
+    """The engine of a relay, made as the platform relay makes it."""
+    settings = world.settings(relay)
+    return DeliveryEngine(replace(settings, classes=(*settings.classes, unknown_class(settings.classes))), seed)
+
+
+def believes_down(engine: DeliveryEngine, destination: int, now_ms: float) -> bool:
+    """Whether the engine takes a destination to be down, be its routes resident or evicted."""
+    routes = engine.routing_table.known_routes(destination).values()
+    return any(is_suspected(route, now_ms) for route, _ in routes)
+
+
+def gossip_size(engine: DeliveryEngine, now_ms: float, destinations: list[int]) -> GossipSize:
+    """What the relay could advertise to peers of these destinations, in the format of the AS2 relay."""
+    claims = gossip_export.export_claims(engine, now_ms, {number: f"d-{number}" for number in destinations})
+    size = sum(len(json.dumps({name: getattr(claim, name) for name in RouteClaim.__slots__})) for claim in claims)
+    return GossipSize(len(claims), size)
--- /dev/null
+++ b/linnetstile/testbed/scale/relay_runtime.py
@@ -0,0 +1,127 @@
+"""What the parts of a simulated relay share: its clock, its queue of events, its engine and its trace."""
+
+from __future__ import annotations
+
+import heapq
+import random
+from dataclasses import dataclass
+
+from ...engine.actions import Send
+from ...engine.events import Outcome
+from .discovery_model import EndpointChange
+from .relay_engine import create_engine
+from .trace import RelayTrace
+from .watch_reader import WatchReader
+from .workload import region_of
+from .world_model import World
+
+
+@dataclass(frozen=True, slots=True)
+class MessageArrives:
+    """A client submits a message for a destination."""
+
+    destination: int
+
+
+@dataclass(frozen=True, slots=True)
+class CallEnds:
+    """A call comes back, fails or times out."""
+
+    send: Send
+    began_ms: float
+    outcome: Outcome
+
+
+@dataclass(frozen=True, slots=True)
+class EngineTimerDue:
+    """The timer that the engine has asked for; `serial` tells whether it has set another one since."""
+
+    serial: int
+    token: int
+
+
+@dataclass(frozen=True, slots=True)
+class WatchOpens:
+    """The relay opens a watch, after so many failures in a row."""
+
+    failures: int
+
+
+@dataclass(frozen=True, slots=True)
+class WatchNotified:
+    """A watch brings a change, or (None) what its opening asks for."""
+
+    watch: int
+    change: EndpointChange | None
+
+
+@dataclass(frozen=True, slots=True)
+class DiscoverySilent:
+    """Discovery becomes unreachable for a watch."""
+
+    watch: int
+
+
+SimulatedEvent = MessageArrives | CallEnds | EngineTimerDue | WatchOpens | WatchNotified | DiscoverySilent
+
+
+class EventQueue:
+    """Events by their time; those of one moment in the order in which they were added."""
+
+    def __init__(self) -> None:
+        self._heap: list[tuple[float, int, SimulatedEvent]] = []
+        self._added = 0
+
+    def add(self, at_ms: float, event: SimulatedEvent) -> None:
+        """Add an event at a moment."""
+        self._added += 1
+        heapq.heappush(self._heap, (at_ms, self._added, event))
+
+    def pop_before(self, end_ms: float) -> tuple[float, SimulatedEvent] | None:
+        """Remove and return the next event and its time; None if there is none before `end_ms`."""
+        if not self._heap or self._heap[0][0] >= end_ms:
+            return None
+        at_ms, _, event = heapq.heappop(self._heap)
+        return at_ms, event
+
+    def clear(self) -> None:
+        """Drop all events."""
+        self._heap.clear()
+
+
+class RelayRuntime:
+    """State of one simulated relay that outlives its processes, and the engine of the process that runs.
+
+    Attributes:
+        world: The world that it lives in.
+        relay: Its number.
+        region: Its region.
+        rng: Draws all that chance decides for it.
+        queue: Its events to come.
+        trace: What it did.
+        scenario: Number of the scenario of the current moment.
+        reader: Reader of the watch, with the directory, of the current process.
+        engine: Engine of the current process.
+    """
+
+    def __init__(self, world: World, relay: int) -> None:
+        self.world = world
+        self.relay = relay
+        self.region = region_of(relay)
+        # The label is part of the seed: another one would draw another run.
+        self.rng = random.Random(f"{world.options.seed}:hollow:{relay}")
+        self.queue = EventQueue()
+        self.trace = RelayTrace(relay, world.fingerprint())
+        self.scenario = -1
+        self.reader = WatchReader()
+        self.engine = create_engine(world, relay, 0)
+
+    def start_process(self) -> None:
+        """Begin another process: a new directory and a new engine."""
+        self.reader = WatchReader()
+        self.engine = create_engine(self.world, self.relay, self.rng.getrandbits(32))
+
+    def count(self, name: str, number: int = 1) -> None:
+        """Count something in the current scenario."""
+        if number:
+            self.trace.counts[self.scenario, name] += number
--- /dev/null
+++ b/linnetstile/testbed/scale/report_costs.py
@@ -0,0 +1,120 @@
+"""The measured part of the report, and what is forecast from it for the target's size."""
+
+from __future__ import annotations
+
+import math
+from collections import Counter
+
+from ...as2_relay.gossip import CLAIMS_MAX
+from ...engine.membership import POLL_INTERVAL_MS
+from .fleet import FleetResult
+from .list_cost import ListCost
+from .report_schema import MeasuredJson
+from .report_statistics import extrapolate
+from .scenarios import CHANGE_MIX, SECONDS_A_DAY
+from .trace import RelayTrace, TurnKind
+from .workload import (
+    CHANGES_A_DAY,
+    DISCOVERY_MACHINES,
+    EVENTS_PER_DESTINATION_S,
+    KEEPALIVE_BYTES_PER_S,
+    REGIONS,
+    TARGET_DESTINATIONS,
+    TARGET_RELAYS,
+    ZONES,
+)
+from .world_model import World
+
+CONTROL_BYTES_BOUND = 3_000.0
+"""The users' bound on the control bytes of one relay a second."""
+RESTARTS_A_DAY = 84
+"""Of the whole fleet, on an ordinary day."""
+BACKLOG_MESSAGES = 1.1e9 / TARGET_RELAYS
+"""Messages that one relay recovers at the most."""
+ROUNDS_JITTER = 1.25
+"""Mean time between two polls of the AS2 relay, in poll intervals."""
+NS_PER_MS = 1e6
+
+
+def build_measured(world: World, played: FleetResult) -> MeasuredJson:
+    """Processor time and memory of this run."""
+    traces = played.traces
+    cpu_ns: Counter[TurnKind] = sum((trace.cpu_ns for trace in traces), Counter())
+    turns: Counter[TurnKind] = sum((trace.turns for trace in traces), Counter())
+    seconds_up = sum(world.seconds_up(trace.relay, 0.0, world.end_ms) for trace in traces)
+    recovered = sum(start.recovered for trace in traces for start in trace.starts)
+    list_ns = cpu_ns[TurnKind.FULL_LIST] + cpu_ns[TurnKind.CHANGE]
+    return {
+        "resume_us_a_message": round(cpu_ns[TurnKind.RECOVERY] / 1e3 / recovered, 2) if recovered else None,
+        "ms_a_turn": {kind.value: round(cpu_ns[kind] / 1e6 / n, 4) for kind, n in sorted(turns.items())},
+        "turns": {kind.value: n for kind, n in sorted(turns.items())},
+        "control_share_of_a_core": round(list_ns / 1e9 / max(1e-9, seconds_up), 6),
+        "longest_turn_ms": {
+            kind.value: round(_longest_ns(traces, kind) / NS_PER_MS, 2)
+            for kind in (TurnKind.FULL_LIST, TurnKind.CHANGE)
+        },
+        "costs": [cost.to_json() for cost in sorted(played.costs, key=lambda cost: cost.destinations)],
+        "peak_bytes": played.peak_memory,
+        "peak_bytes_of_all": sum(played.peak_memory.values()),
+    }
+
+
+def _longest_ns(traces: list[RelayTrace], kind: TurnKind) -> int:
+    return max((trace.longest_list_ns[kind] for trace in traces), default=0)
+
+
+def forecast_gossip(traces: list[RelayTrace]) -> dict[str, float]:
+    """What gossip would cost a relay at the target, if it were done as the AS2 relay does.
+
+    In each round a relay polls one peer for what has changed, which is whatever the peer has called since.
+    """
+    claims = sum(trace.gossip.claims for trace in traces)
+    if not claims:
+        return {}
+    claim_bytes = sum(trace.gossip.bytes for trace in traces) / claims
+    round_s = ROUNDS_JITTER * POLL_INTERVAL_MS / 1000
+    called = TARGET_DESTINATIONS * (1 - math.exp(-EVENTS_PER_DESTINATION_S / TARGET_RELAYS * round_s))
+    return {
+        "claim_bytes": round(claim_bytes, 1),
+        "claims_a_round": round(called),
+        "claims_most": CLAIMS_MAX,
+        "bytes_a_second": round(called * claim_bytes / round_s),
+    }
+
+
+def forecast_control(costs: list[ListCost], recovery_us: float | None, resumes_by_version: bool) -> dict[str, float]:
+    """One relay's control at the target, on a straight line through what lists of three sizes cost in this run.
+
+    Args:
+        costs: Cost of the lists.
+        recovery_us: Processor time of recovering one message; of a backlog, only the engine's part is forecast.
+        resumes_by_version: Watches that are opened anew ask for the changes since a version.
+    """
+    taken = [cost for cost in costs if cost.endpoint_count]
+    if not taken:
+        return {}
+    rows = [cost.to_json() for cost in taken]
+
+    def at_target(name: str) -> float:
+        return extrapolate([(row["destinations"], row[name]) for row in rows], TARGET_DESTINATIONS)
+
+    change_ms = sum(at_target(f"{kind.value}_ms") for kind in CHANGE_MIX) / len(CHANGE_MIX)
+    restarts_a_day, list_bytes, list_ms = RESTARTS_A_DAY / TARGET_RELAYS, at_target("list_bytes"), at_target("list_ms")
+    change_bytes = sum(cost.change_bytes for cost in taken) / len(taken)
+    day_bytes = CHANGES_A_DAY * change_bytes + restarts_a_day * list_bytes
+    day_ms = CHANGES_A_DAY * change_ms + restarts_a_day * list_ms
+    joined_bytes = 0 if resumes_by_version else round(list_bytes * TARGET_RELAYS / REGIONS / DISCOVERY_MACHINES)
+    return {
+        "memory_bytes": round(at_target("bytes")),
+        "list_bytes": round(list_bytes),
+        "list_ms": round(list_ms, 1),
+        "change_ms": round(change_ms, 4),
+        "drain_ms": round(at_target("drain_ms"), 4),
+        "bytes_a_second": round(day_bytes / SECONDS_A_DAY + KEEPALIVE_BYTES_PER_S, 2),
+        "core_share": round(day_ms / 1000 / SECONDS_A_DAY, 7),
+        "list_at_bound_s": round(list_bytes / CONTROL_BYTES_BOUND, 1),
+        "machine_day_bytes_a_second": round(day_bytes / SECONDS_A_DAY * TARGET_RELAYS / DISCOVERY_MACHINES, 1),
+        "machine_zone_back_bytes": round(list_bytes * TARGET_RELAYS / ZONES / DISCOVERY_MACHINES),
+        "machine_joined_bytes": joined_bytes,
+        "backlog_resume_s": round(BACKLOG_MESSAGES * (recovery_us or 0.0) / 1e6, 1),
+    }
--- /dev/null
+++ b/linnetstile/testbed/scale/report_scenarios.py
@@ -0,0 +1,236 @@
+"""The simulated part of the report: what happened in each scenario. A seed repeats these figures."""
+
+from __future__ import annotations
+
+from collections import Counter
+from dataclasses import dataclass, field
+from typing import Any
+
+from .cold_returns import judge_cold_returns
+from .fleet import FleetResult
+from .report_schema import ChangesJson, ControlJson, OutagesJson, ScenarioJson, SimulatedJson, StartsJson
+from .report_statistics import spread
+from .trace import Count, RelayTrace
+from .workload import DISCOVERY_MACHINES, KEEPALIVE_BYTES_PER_S, LISTED_RATE, region_of
+from .world_model import Outage, Scenario, World
+
+CHANGE_IN_FORCE_BOUND_MS = 4_000.0
+"""The users' bound from a change until it is in force."""
+WHOLE_FLEET_SHARE = 0.95
+"""Share of the relays that has to be played for what the whole fleet sends to be judged."""
+CHANGE_GRACE_MS = 6_000.0
+"""A relay that ends so soon after a change need not have had it."""
+BACKLOG_AFTER_MS = 60_000
+"""Calls for a backlog count so long after their scenario."""
+
+
+@dataclass(slots=True)
+class ScenarioSamples:
+    """Samples of one scenario for the plots, in ms."""
+
+    notified_ms: list[float] = field(default_factory=list)
+    believed_down_ms: list[float] = field(default_factory=list)
+
+
+@dataclass(slots=True)
+class FleetView:
+    """What the sections of the report look at.
+
+    Attributes:
+        world: The world that was played.
+        traces: The relays that were played to the end.
+        scale: Relays of the fleet for each that was played.
+    """
+
+    world: World
+    traces: list[RelayTrace]
+    scale: float
+
+    @classmethod
+    def of(cls, world: World, played: FleetResult) -> FleetView:
+        """The view of what was played."""
+        traces = [trace for trace in played.traces if not trace.cut]
+        return cls(world, traces, world.options.relays / max(1, len(traces)))
+
+    @property
+    def is_whole_fleet(self) -> bool:
+        """Whether enough relays were played for the whole fleet to be judged."""
+        return len(self.traces) >= WHOLE_FLEET_SHARE * self.world.options.relays
+
+
+def build_simulated(world: World, played: FleetResult) -> tuple[SimulatedJson, dict[str, ScenarioSamples]]:
+    """The simulated section, and samples for the plots by scenario."""
+    view = FleetView.of(world, played)
+    samples = {scenario.name: ScenarioSamples() for scenario in world.scenarios}
+    membership = played.membership
+    rows = [_scenario(view, played, number, samples[each.name]) for number, each in enumerate(world.scenarios)]
+    return {
+        "relays_played": len(view.traces),
+        "relays": world.options.relays,
+        "in_use": len(world.destinations_in_use),
+        "lists_refused": sum(trace.lists_refused for trace in view.traces),
+        "known_at_the_end": spread(trace.endpoint_count for trace in view.traces),
+        "scenes": rows,
+        "members": membership.to_json() if membership else {},
+    }, samples
+
+
+def _scenario(view: FleetView, played: FleetResult, number: int, samples: ScenarioSamples) -> ScenarioJson:
+    scenario = view.world.scenarios[number]
+    outages = _outages(view, scenario, samples)
+    counts = _counts(view.traces, number)
+    seconds_down = outages["seconds_down"]
+    calls_down = counts.get(Count.CALLS_DOWN.value, 0)
+    return {
+        "scene": scenario.name,
+        "seconds": (scenario.end_ms - scenario.begin_ms) / 1000,
+        "relays_down": len(scenario.failed_relays),
+        "changes": _changes(view, scenario, samples),
+        "outages": outages,
+        "calls_down_a_second": round(view.scale * calls_down / seconds_down, 3) if seconds_down else 0.0,
+        "cold": judge_cold_returns(view.world, _outages_in_use(view.world, scenario), view.traces, view.is_whole_fleet),
+        "starts": _starts(view, scenario),
+        "control": _control(view, scenario),
+        "counts": counts,
+        "members": _membership(played, scenario),
+    }
+
+
+def _counts(traces: list[RelayTrace], number: int) -> dict[str, int]:
+    """What was counted in a scenario by all relays, by its name."""
+    counts: Counter[str] = Counter()
+    for trace in traces:
+        for (scenario, name), count in trace.counts.items():
+            if scenario == number:
+                counts[str(name)] += count
+    return dict(sorted(counts.items()))
+
+
+def _membership(played: FleetResult, scenario: Scenario) -> dict[str, Any] | None:
+    rows = played.membership.scenarios if played.membership else []
+    return next((row.to_json() for row in rows if row.scenario == scenario.name), None)
+
+
+def _changes(view: FleetView, scenario: Scenario, samples: ScenarioSamples) -> ChangesJson:
+    """Time from a change until it is in force at a relay that was up.
+
+    The samples count from when discovery could be reached, where that was later.
+    """
+    world = view.world
+    changes = [change for change in world.discovery.changes if scenario.contains(change.at_ms)]
+    in_force_ms: list[float] = []
+    never = 0
+    for change in changes:
+        for trace in view.traces:
+            if not world.is_up_throughout(trace.relay, change.at_ms, change.at_ms + CHANGE_GRACE_MS):
+                continue
+            if change.version in trace.in_force_ms:
+                at_ms = trace.in_force_ms[change.version]
+                in_force_ms.append(at_ms - change.at_ms)
+                samples.notified_ms.append(at_ms - world.discovery_reachable_at(trace.relay, change.at_ms))
+            else:
+                never += 1
+    return {
+        "changes": len(changes),
+        "in_force_ms": spread(in_force_ms),
+        "since_told_ms": spread(samples.notified_ms),
+        "never": never,
+        "later_than_bound": sum(ms > CHANGE_IN_FORCE_BOUND_MS for ms in samples.notified_ms),
+    }
+
+
+def _outages_in_use(world: World, scenario: Scenario) -> list[Outage]:
+    in_use = set(world.destinations_in_use)
+    return [outage for outage in world.outages if outage.destination in in_use and scenario.contains(outage.begin_ms)]
+
+
+def _outages(view: FleetView, scenario: Scenario, samples: ScenarioSamples) -> OutagesJson:
+    """Each relay learns alone. A pair is a relay that was up all along and an outage that it could meet."""
+    believed_up_ms: list[float] = []
+    pairs, without_message, seconds_down = 0, 0, 0.0
+    outages = _outages_in_use(view.world, scenario)
+    for outage in outages:
+        seconds_down += (outage.end_ms - outage.begin_ms) / 1000
+        for trace in _relays_that_could_meet(view, outage):
+            pairs += 1
+            if outage.number in trace.believed_down_ms:
+                samples.believed_down_ms.append(trace.believed_down_ms[outage.number] - outage.begin_ms)
+            elif outage.number not in trace.outages_with_message:
+                without_message += 1
+            if outage.number in trace.believed_up_ms:
+                believed_up_ms.append(trace.believed_up_ms[outage.number] - outage.end_ms)
+    return {
+        "outages": len(outages),
+        "seconds_down": round(seconds_down, 1),
+        "pairs": pairs,
+        "learned": len(samples.believed_down_ms),
+        "without_a_message": without_message,
+        "learned_ms": spread(samples.believed_down_ms),
+        "back_known_ms": spread(believed_up_ms),
+    }
+
+
+def _relays_that_could_meet(view: FleetView, outage: Outage) -> list[RelayTrace]:
+    return [
+        trace
+        for trace in view.traces
+        if outage.is_seen_from(region_of(trace.relay))
+        and view.world.is_up_throughout(trace.relay, outage.begin_ms, outage.end_ms)
+    ]
+
+
+def _starts(view: FleetView, scenario: Scenario) -> StartsJson:
+    """Restarts in a scenario, the messages that were recovered, and the calls for backlogs."""
+    starts = [
+        start
+        for trace in view.traces
+        for start in trace.starts
+        if start.begin_ms > 0 and scenario.contains(start.begin_ms)
+    ]
+    ends_ms = [
+        end.at_ms - scenario.failed_at_ms
+        for trace in view.traces
+        for end in trace.backlog_ends
+        if view.world.scenarios[end.scenario] is scenario
+    ]
+    return {
+        "starts": len(starts),
+        "ready_ms": spread(start.ready_ms - start.begin_ms for start in starts),
+        "found": sum(start.recovered for start in starts),
+        "ended_ms": spread(ends_ms),
+        "largest_second_at_one": round(view.scale * _most_backlog_calls(view.traces, scenario), 1),
+        "listed_rate": round(LISTED_RATE, 1),
+    }
+
+
+def _most_backlog_calls(traces: list[RelayTrace], scenario: Scenario) -> int:
+    """Most calls for backlogs that one destination got in one second, of the relays that were played."""
+    calls: Counter[tuple[int, int]] = Counter()
+    for trace in traces:
+        for (destination, second), count in trace.backlog_calls.items():
+            if scenario.begin_ms <= second * 1000 < scenario.end_ms + BACKLOG_AFTER_MS:
+                calls[destination, second] += count
+    return max(calls.values(), default=0)
+
+
+def _control(view: FleetView, scenario: Scenario) -> ControlJson:
+    """Bytes of the watches. A relay's rate is over the seconds that it was up; the machines serve the whole fleet."""
+    rates: list[float] = []
+    by_second: Counter[int] = Counter()
+    for trace in view.traces:
+        received = 0
+        for second, size in trace.control_bytes.items():
+            if scenario.contains(second * 1000):
+                received += size
+                by_second[second] += size
+        if seconds_up := view.world.seconds_up(trace.relay, scenario.begin_ms, scenario.end_ms):
+            rates.append(received / seconds_up + KEEPALIVE_BYTES_PER_S)
+    largest = max(by_second.values(), default=0)
+    mean = sum(by_second.values()) * 1000 / (scenario.end_ms - scenario.begin_ms)
+    # The largest second of a part says nothing of the whole: one relay's start would count as many at once.
+    is_whole_fleet = view.scale * WHOLE_FLEET_SHARE <= 1
+    return {
+        "bytes_a_second": spread(rates),
+        "largest_second_a_machine": round(view.scale * largest / DISCOVERY_MACHINES) if is_whole_fleet else None,
+        "mean_a_machine": round(view.scale * mean / DISCOVERY_MACHINES),
+    }
--- /dev/null
+++ b/linnetstile/testbed/scale/report_statistics.py
@@ -0,0 +1,35 @@
+"""Statistics that the report uses."""
+
+from __future__ import annotations
+
+import math
+from collections.abc import Iterable
+
+from .report_schema import SpreadJson
+
+
+def spread(values: Iterable[float]) -> SpreadJson:
+    """Number of values; their median, 99th percentile, largest and mean, if there are any."""
+    ordered = sorted(values)
+    if not ordered:
+        return {"n": 0}
+
+    def percentile(share: float) -> float:
+        return round(ordered[min(len(ordered) - 1, math.ceil(share * len(ordered)) - 1)], 1)
+
+    return {
+        "n": len(ordered),
+        "median": percentile(0.5),
+        "p99": percentile(0.99),
+        "last": percentile(1.0),
+        "mean": round(math.fsum(ordered) / len(ordered), 1),
+    }
+
+
+def extrapolate(points: list[tuple[float, float]], at: float) -> float:
+    """Value at another place of the least-squares line through points; never below 0."""
+    count = len(points)
+    mean_x, mean_y = sum(x for x, _ in points) / count, sum(y for _, y in points) / count
+    variance_x = sum((x - mean_x) ** 2 for x, _ in points)
+    slope = sum((x - mean_x) * (y - mean_y) for x, y in points) / variance_x if variance_x else 0.0
+    return max(0.0, mean_y + slope * (at - mean_x))
--- a/linnetstile/testbed/scale/run.py
+++ b/linnetstile/testbed/scale/run.py
@@ -1,55 +1,92 @@
-"""One scale run: hollow beside real first, then the fleet. Whatever ends it, its processes end with it."""
+"""One scale run: the comparison with relay processes first, then the fleet. Its processes end with it, however it ends.
+
+The printed text and the report name reference models and simulated relays `hollow`, relay processes `real`.
+"""
 
 from __future__ import annotations
 
 import asyncio
 import signal
 import time
-from collections.abc import Callable
+from collections.abc import Callable, Iterator
+from contextlib import contextmanager
 from pathlib import Path
 from types import FrameType
-from typing import Any
 
-from . import relay_process, report, scenarios
-from .fleet import Failed, Fleet
-from .relay_process import NotStarted
-from .world_model import Sizes
+from . import report, scenarios
+from .comparison import compare
+from .errors import Failed as Failed  # for cli/scale.py
+from .errors import NotStarted as NotStarted  # for cli/scale.py
+from .fleet import Fleet, FleetResult
+from .options import Sizes
+from .report_schema import ReportJson
 
-REPORT_S = 45.0  # of the run's time, kept for the report
-__all__ = ["Ended", "Failed", "NotStarted", "run"]
+REPORT_S = 45.0
+"""Kept for the report, of a run of `REPORT_RUN_MINUTES`; less of a shorter one."""
+REPORT_RUN_MINUTES = 10
+COMPARISON_FOLDER = "real"
+END_SIGNALS = (signal.SIGTERM, signal.SIGINT)
 
 
 class Ended(KeyboardInterrupt):
     """A signal ended the run; its number is the argument."""
 
 
-def _ended(number: int, frame: FrameType | None) -> None:
-    for each in (signal.SIGTERM, signal.SIGINT):  # a second one must not stop the clean-up half-way
+def _end(number: int, frame: FrameType | None) -> None:
+    for each in END_SIGNALS:  # a second one must not stop the clean-up half-way
         signal.signal(each, signal.SIG_IGN)
     raise Ended(number)
 
 
-def run(sizes: Sizes, folder: Path, say: Callable[[str], None]) -> dict[str, Any]:
-    """Plays and writes the report into the folder. Raises OptionError, NotStarted, Failed, OSError, Ended."""
+@contextmanager
+def _ended_by_signals() -> Iterator[None]:
+    """Raise `Ended` on a signal; restores the handlers afterwards."""
+    before = {each: signal.signal(each, _end) for each in END_SIGNALS}
+    try:
+        yield
+    finally:
+        for each, handler in before.items():
+            signal.signal(each, handler)
+
+
+def run(sizes: Sizes, folder: Path, say: Callable[[str], None]) -> ReportJson:
+    """Play a run and write the report into the folder.
+
+    Args:
+        sizes: The options.
+        folder: Folder of the report; made if there is none.
+        say: Gets lines of progress.
+
+    Returns:
+        The report, as scale.json has it.
+
+    Raises:
+        OptionError: An option has a value that cannot be used.
+        NotStarted: A relay process did not start, or ended by itself.
+        Failed: Another process ended by itself.
+        OSError: Files or sockets cannot be used.
+        Ended: A signal ended the run.
+    """
     sizes.check()
     until = time.monotonic() + 60.0 * sizes.minutes
     folder.mkdir(parents=True, exist_ok=True)
-    before = {each: signal.signal(each, _ended) for each in (signal.SIGTERM, signal.SIGINT)}
-    try:
-        compared = asyncio.run(relay_process.compare(sizes, folder / "real", say)) if sizes.real else None
-        if compared is not None:
-            compared["agrees"] = relay_process.agrees(compared)
-        since_version = bool(compared and compared["since_version"])
-        fleet = Fleet(sizes, since_version, until - REPORT_S * sizes.minutes / 10 - time.monotonic(), say)
-        try:
-            played = fleet.play()
-        finally:
-            fleet.close()
+    with _ended_by_signals():
+        comparison = asyncio.run(compare(sizes, folder / COMPARISON_FOLDER, say)) if sizes.real else None
+        resumes_by_version = bool(comparison and comparison.resumes_by_version)
+        seconds_left = until - REPORT_S * sizes.minutes / REPORT_RUN_MINUTES - time.monotonic()
+        played = _play_fleet(sizes, resumes_by_version, seconds_left, say)
         world = scenarios.build(sizes)
         played.check(world)
-        found, samples = report.build(world, played, compared)
+        found, samples = report.build(world, played, comparison)
         report.write(found, samples, folder, say)
         return found
+
+
+def _play_fleet(
+    options: Sizes, resumes_by_version: bool, seconds_left: float, report_progress: Callable[[str], None]
+) -> FleetResult:
+    fleet = Fleet(options, resumes_by_version, seconds_left, report_progress)
+    try:
+        return fleet.play()
     finally:
-        for each, handler in before.items():
-            signal.signal(each, handler)
+        fleet.close()
--- /dev/null
+++ b/linnetstile/testbed/scale/trace.py
@@ -0,0 +1,132 @@
+"""What one simulated relay did: the record that goes from a worker process to the report."""
+
+from __future__ import annotations
+
+from collections import Counter
+from dataclasses import dataclass, field
+from enum import StrEnum
+
+
+class Count(StrEnum):
+    """What is counted by scenario; the values are those of the report. Outcomes of attempts are counted beside them."""
+
+    WATCHES = "watches"
+    FULL_LISTS = "wholes"
+    CHANGES = "changes"
+    FULL_LIST_BYTES = "whole_bytes"
+    CHANGE_BYTES = "change_bytes"
+    MESSAGES = "messages"
+    NOT_LISTED = "not_listed"
+    LOST_WITH_STATE = "lost_with_folder"
+    REJECTED = "refused"
+    FAILED = "failed"
+    CALLS = "calls"
+    CALLS_DOWN = "calls_down"
+    CALLS_DOWN_KNOWN = "calls_down_known"
+    CALLS_GONE = "calls_gone"
+
+
+class TurnKind(StrEnum):
+    """What a turn of the engine was for; the values are those of the report."""
+
+    FULL_LIST = "whole"
+    CHANGE = "change"
+    MESSAGE = "message"
+    ATTEMPT_ENDED = "ended"
+    TIMER = "timer"
+    RECOVERY = "resume"
+
+
+@dataclass(frozen=True, slots=True)
+class ColdCall:
+    """A call to a destination that has just come back from an outage.
+
+    Attributes:
+        outage: Number of the outage.
+        at_ms: When the call began.
+        had_met_outage: A call of the same relay had failed in the outage.
+    """
+
+    outage: int
+    at_ms: float
+    had_met_outage: bool
+
+
+@dataclass(frozen=True, slots=True)
+class RelayStart:
+    """A start of the relay that got as far as its first list.
+
+    Attributes:
+        begin_ms: Start of the process.
+        ready_ms: When it had the list.
+        recovered: Messages that it recovered from its journal.
+    """
+
+    begin_ms: float
+    ready_ms: float
+    recovered: int
+
+
+@dataclass(frozen=True, slots=True)
+class BacklogEnd:
+    """The end of a message of the backlog: number of the scenario, and when."""
+
+    scenario: int
+    at_ms: float
+
+
+@dataclass(frozen=True, slots=True)
+class GossipSize:
+    """What a relay could advertise to its peers."""
+
+    claims: int = 0
+    bytes: int = 0
+
+
+@dataclass(slots=True)
+class RelayTrace:
+    """What one relay did. Times in simulated ms.
+
+    Attributes:
+        relay: Number of the relay.
+        world_fingerprint: Fingerprint of the world that it was played in.
+        in_force_ms: By version of the list, when it was in force.
+        believed_down_ms: By outage, when the engine took the destination to be down.
+        believed_up_ms: By outage, the first success after it, where the relay had believed it down.
+        outages_with_message: Outages in which it had a message for the destination.
+        outages_met: Outages in which a call of its own failed.
+        cold_calls: Calls to destinations that had just come back.
+        starts: Starts of its process.
+        backlog_ends: Ends of the messages of the backlog.
+        backlog_calls: Calls for the backlog by destination and second.
+        counts: By number of the scenario and what was counted.
+        control_bytes: Bytes of the watches by second.
+        lists_refused: Lists that it could not take.
+        endpoint_count: Endpoints that it knew at the end.
+        gossip: What it could advertise to peers at the end.
+        cpu_ns: Measured processor time by kind of turn.
+        turns: Number of turns by kind.
+        longest_list_ns: Measured processor time of the longest turn with a list, by kind.
+        cut: The time of the run was up before the end.
+    """
+
+    relay: int
+    world_fingerprint: int
+    in_force_ms: dict[int, float] = field(default_factory=dict)
+    believed_down_ms: dict[int, float] = field(default_factory=dict)
+    believed_up_ms: dict[int, float] = field(default_factory=dict)
+    outages_with_message: set[int] = field(default_factory=set)
+    outages_met: set[int] = field(default_factory=set)
+    cold_calls: list[ColdCall] = field(default_factory=list)
+    starts: list[RelayStart] = field(default_factory=list)
+    backlog_ends: list[BacklogEnd] = field(default_factory=list)
+    backlog_calls: Counter[tuple[int, int]] = field(default_factory=Counter)
+    counts: Counter[tuple[int, str]] = field(default_factory=Counter)
+    control_bytes: Counter[int] = field(default_factory=Counter)
+    lists_refused: int = 0
+    endpoint_count: int = 0
+    gossip: GossipSize = field(default_factory=GossipSize)
+    cpu_ns: Counter[TurnKind] = field(default_factory=Counter)
+    turns: Counter[TurnKind] = field(default_factory=Counter)
+    longest_list_ns: Counter[TurnKind] = field(default_factory=Counter)
+    cut: bool = False
--- /dev/null
+++ b/linnetstile/testbed/scale/traffic_simulation.py
@@ -0,0 +1,259 @@
+"""Messages and calls of a simulated relay, from submission to the end, and what it learns of outages by them."""
+
+from __future__ import annotations
+
+import time
+from dataclasses import dataclass
+
+from ...engine.actions import Action, Fail, Reject, Send, SetTimer
+from ...engine.events import (
+    AttemptEnded,
+    Endpoint,
+    EndpointStatus,
+    Event,
+    Message,
+    MessageRecovered,
+    Outcome,
+    TimerFired,
+)
+from .destination_model import Call, CallResult, answer_call
+from .relay_engine import believes_down
+from .relay_runtime import CallEnds, EngineTimerDue, MessageArrives, RelayRuntime
+from .trace import BacklogEnd, ColdCall, Count, TurnKind
+from .workload import EVENTS_PER_DESTINATION_S, zone_of
+from .world_model import Lifetime
+
+MEAN_BACKLOG_AGE_MS = 30_000.0
+"""Mean age of the messages of a backlog."""
+CLASS_MIX = (0, 0, 0, 1, 1, 2)
+"""Classes of the messages, in the proportion in which they are drawn."""
+
+
+@dataclass(frozen=True, slots=True)
+class Attempt:
+    """A call on its way: when it began, and the name of its endpoint."""
+
+    began_ms: float
+    endpoint: str
+
+
+@dataclass(slots=True)
+class AcceptedMessage:
+    """A message from its submission to its end, as the platform relay keeps it.
+
+    Attributes:
+        message: The message.
+        accepted_ms: When it was submitted.
+        deadline_ms: When it is worth nothing any more.
+        attempts: Calls so far.
+        in_flight: The call that is on its way.
+        first_unclear: The first call of which nobody knows whether it had an effect.
+    """
+
+    message: Message
+    accepted_ms: float
+    deadline_ms: float
+    attempts: int = 0
+    in_flight: Attempt | None = None
+    first_unclear: Attempt | None = None
+
+
+class TrafficSimulation:
+    """Submits messages to the engine and plays its actions."""
+
+    def __init__(self, runtime: RelayRuntime) -> None:
+        self.runtime = runtime
+        self.accepted: dict[int, AcceptedMessage] = {}
+        self.backlog: set[int] = set()  # messages that a journal held besides those of this run
+        self.timer_serial = 0
+        self.last_message = 0
+
+    # -- processes --
+
+    def start_process(self, now_ms: float) -> None:
+        """Let clients submit messages for all destinations in use."""
+        for destination in self.runtime.world.destinations_in_use:
+            self._schedule_message(destination, now_ms)
+
+    def lose_state(self) -> None:
+        """The machine is gone, and its journal with it."""
+        self.runtime.count(Count.LOST_WITH_STATE, len(self.accepted))
+        self.accepted, self.backlog = {}, set()
+
+    def recover(self, now_ms: float, lifetime: Lifetime) -> list[Event]:
+        """What the journal holds, as events of recovery; they are the caller's to hand to the engine."""
+        if lifetime.backlog:
+            self._add_backlog(now_ms, lifetime.backlog)
+        return [self._recover_message(now_ms, each) for each in self.accepted.values()]
+
+    def _add_backlog(self, now_ms: float, messages_each: int) -> None:
+        rng = self.runtime.rng
+        for destination in self.runtime.world.destinations_in_use:
+            for _ in range(messages_each):
+                accepted_ms = now_ms - rng.expovariate(1 / MEAN_BACKLOG_AGE_MS)
+                self.backlog.add(self._accept(destination, now_ms, accepted_ms).id)
+
+    def _recover_message(self, now_ms: float, each: AcceptedMessage) -> MessageRecovered:
+        each.first_unclear = each.first_unclear or each.in_flight
+        each.in_flight = None
+        message, unclear = each.message, each.first_unclear
+        endpoint = None
+        if unclear:
+            endpoint = Endpoint(
+                self.runtime.reader.endpoint_number(unclear.endpoint),
+                message.destination,
+                EndpointStatus.READY,
+                zone=zone_of(message.destination),
+            )
+        remaining_ms = max(0.0, each.deadline_ms - now_ms)
+        return MessageRecovered(
+            Message(message.id, message.destination, message.class_index, remaining_ms),
+            now_ms - each.accepted_ms,
+            each.attempts,
+            now_ms - unclear.began_ms if unclear else None,
+            endpoint,
+        )
+
+    # -- messages --
+
+    def submit(self, now_ms: float, destination: int) -> None:
+        """A client submits a message; the next one for the destination is scheduled."""
+        runtime = self.runtime
+        self._schedule_message(destination, now_ms)
+        if not runtime.reader.is_listed(destination):
+            runtime.count(Count.NOT_LISTED)
+            return
+        runtime.count(Count.MESSAGES)
+        if outage := runtime.world.current_outage(destination, runtime.region, now_ms):
+            runtime.trace.outages_with_message.add(outage.number)
+        self.engine_turn(now_ms, [self._accept(destination, now_ms, now_ms)], TurnKind.MESSAGE)
+
+    def _schedule_message(self, destination: int, now_ms: float) -> None:
+        per_s = EVENTS_PER_DESTINATION_S / self.runtime.world.options.relays
+        self.runtime.queue.add(now_ms + self.runtime.rng.expovariate(per_s) * 1000, MessageArrives(destination))
+
+    def _accept(self, destination: int, now_ms: float, accepted_ms: float) -> Message:
+        self.last_message += 1
+        class_index = self.runtime.rng.choice(CLASS_MIX)
+        deadline_ms = self.runtime.engine.settings.classes[class_index].deadline_ms
+        remaining_ms = deadline_ms - (now_ms - accepted_ms)
+        message = Message(self.last_message, destination, class_index, remaining_ms)
+        self.accepted[message.id] = AcceptedMessage(message, accepted_ms, accepted_ms + deadline_ms)
+        return message
+
+    def _finish(self, now_ms: float, message_id: int) -> None:
+        if self.accepted.pop(message_id, None) is None:
+            return
+        if message_id in self.backlog:
+            self.backlog.discard(message_id)
+            self.runtime.trace.backlog_ends.append(BacklogEnd(self.runtime.scenario, now_ms))
+
+    # -- the engine --
+
+    def engine_turn(self, now_ms: float, events: list[Event], kind: TurnKind) -> int:
+        """Let the engine handle events and play its actions; returns its processor time in ns."""
+        began_ns = time.thread_time_ns()
+        actions = self.runtime.engine.handle(now_ms, events)
+        spent_ns = time.thread_time_ns() - began_ns
+        self.runtime.trace.cpu_ns[kind] += spent_ns
+        self.runtime.trace.turns[kind] += 1
+        for action in actions:
+            self._play(now_ms, action)
+        return spent_ns
+
+    def _play(self, now_ms: float, action: Action) -> None:
+        match action:
+            case Send():
+                self._send(now_ms, action)
+            case SetTimer(delay_ms, token):
+                self.timer_serial += 1  # as in the platform relay: the timer that was set before fires no more
+                self.runtime.queue.add(now_ms + delay_ms, EngineTimerDue(self.timer_serial, token))
+            case Reject(message_id):
+                self.runtime.count(Count.REJECTED)
+                self._finish(now_ms, message_id)
+            case Fail(message_id):
+                self.runtime.count(Count.FAILED)
+                self._finish(now_ms, message_id)
+
+    def timer_due(self, now_ms: float, event: EngineTimerDue) -> None:
+        """The engine's timer fires, if it has not set another one since."""
+        if event.serial == self.timer_serial:
+            self.engine_turn(now_ms, [TimerFired(event.token)], TurnKind.TIMER)
+
+    # -- calls --
+
+    def _send(self, now_ms: float, send: Send) -> None:
+        runtime, accepted = self.runtime, self.accepted[send.id]
+        destination = accepted.message.destination
+        endpoint = runtime.reader.endpoint_name(send.endpoint)
+        accepted.attempts += 1
+        accepted.in_flight = Attempt(now_ms, endpoint)
+        call = Call(send, destination, endpoint, runtime.region, now_ms)
+        result = answer_call(runtime.world, call, runtime.engine.settings.connect_timeout_ms, runtime.rng)
+        self._count_call(result)
+        self._record_cold_call(destination, now_ms)
+        if send.id in self.backlog:
+            runtime.trace.backlog_calls[destination, int(now_ms // 1000)] += 1
+        runtime.queue.add(max(now_ms, result.at_ms), CallEnds(send, now_ms, result.outcome))
+
+    def _count_call(self, result: CallResult) -> None:
+        runtime = self.runtime
+        runtime.count(Count.CALLS)
+        if result.outage:
+            runtime.count(Count.CALLS_DOWN)
+            if result.outage.number in runtime.trace.believed_down_ms:
+                runtime.count(Count.CALLS_DOWN_KNOWN)
+        elif result.endpoint_gone:
+            runtime.count(Count.CALLS_GONE)
+
+    def _record_cold_call(self, destination: int, now_ms: float) -> None:
+        """Record a call to a destination that has just come back from an outage, cold."""
+        trace, slow_start_ms = self.runtime.trace, self.runtime.engine.settings.safety.slow_start_ms
+        for outage in self.runtime.world.outages_of(destination):
+            if outage.is_cold_return and outage.end_ms <= now_ms < outage.end_ms + slow_start_ms:
+                trace.cold_calls.append(ColdCall(outage.number, now_ms, outage.number in trace.outages_met))
+                return
+
+    def call_ended(self, now_ms: float, event: CallEnds) -> None:
+        """A call has ended: tell the engine, and record what the relay has learned by it."""
+        send, outcome = event.send, event.outcome
+        accepted = self.accepted.get(send.id)
+        if accepted is None:
+            return
+        destination, succeeded = accepted.message.destination, outcome is Outcome.OK
+        if not outcome.proves_no_effect and accepted.first_unclear is None:
+            accepted.first_unclear = accepted.in_flight
+        accepted.in_flight = None
+        outage_believed = self._outage_still_believed(destination, now_ms) if succeeded else None
+        elapsed_ms = now_ms - event.began_ms
+        ended = AttemptEnded(send.id, accepted.attempts, send.endpoint, outcome, elapsed_ms, succeeded)
+        self.engine_turn(now_ms, [ended], TurnKind.ATTEMPT_ENDED)
+        self.runtime.count(outcome.value)
+        if succeeded:
+            self._finish(now_ms, send.id)
+            if outage_believed is not None:
+                self.runtime.trace.believed_up_ms.setdefault(outage_believed, now_ms)
+        else:
+            self._record_failure(destination, event.began_ms, now_ms)
+
+    def _record_failure(self, destination: int, began_ms: float, now_ms: float) -> None:
+        runtime, trace = self.runtime, self.runtime.trace
+        outage = runtime.world.current_outage(destination, runtime.region, began_ms)
+        if outage is None:
+            return
+        trace.outages_met.add(outage.number)
+        is_new = now_ms < outage.end_ms and outage.number not in trace.believed_down_ms
+        if is_new and believes_down(runtime.engine, destination, now_ms):
+            trace.believed_down_ms[outage.number] = now_ms
+
+    def _outage_still_believed(self, destination: int, now_ms: float) -> int | None:
+        """The latest outage that is over, if this relay still takes the destination to be down."""
+        runtime = self.runtime
+        over = [
+            outage
+            for outage in runtime.world.outages_of(destination)
+            if outage.end_ms <= now_ms and outage.is_seen_from(runtime.region)
+        ]
+        if not over or over[-1].number not in runtime.trace.believed_down_ms:
+            return None
+        return over[-1].number if believes_down(runtime.engine, destination, now_ms) else None
--- /dev/null
+++ b/linnetstile/testbed/scale/watch_reader.py
@@ -0,0 +1,76 @@
+"""Reads the bytes of a discovery watch with the shipped parser and directory.
+
+Whatever this package knows of the inside of the platform relay's endpoint directory stands here.
+"""
+
+from __future__ import annotations
+
+from ...codec.objects import Objects, Part
+from ...engine.events import EndpointList, ListKind
+from ...platform_relay import discovery
+from ...platform_relay.directory import Directory, ListUpdate
+from .workload import DESTINATION_KINDS, ZONES
+
+READ_BYTES = 64 * 1024
+"""Bytes that a socket brings at a time."""
+
+
+class WatchReader:
+    """Bytes of a watch in, events for the engine out; the directory of one relay."""
+
+    def __init__(self) -> None:
+        self.directory = Directory(DESTINATION_KINDS, tuple(f"z{n}" for n in range(ZONES)))
+        self.reopen()
+
+    def reopen(self) -> None:
+        """Begin another watch: its stream starts anew, and a list that was coming in is dropped."""
+        self._objects = Objects(discovery.LIST, "servers", ("version", "full"))
+        self._update: ListUpdate | None = None
+
+    def read(self, data: bytes) -> list[EndpointList]:
+        """Read bytes of the watch.
+
+        Raises:
+            ValueError: The relay would refuse what came.
+        """
+        events: list[EndpointList] = []
+        for start in range(0, len(data), READ_BYTES):
+            for value in self._objects.feed(data[start : start + READ_BYTES]):
+                events += self._read_part(value) if isinstance(value, Part) else [self.directory.take(value)]
+        if self._objects.failed:
+            raise self._objects.failed
+        return events
+
+    def _read_part(self, part: Part) -> list[EndpointList]:
+        if part.first:
+            self._update = self.directory.begin(part.head)
+        assert self._update is not None
+        events = list(discovery.told(self._update.take(part.elements)))
+        while part.last and not self._update.over:
+            events += discovery.told(self._update.sweep())
+        if part.last:  # the list was read, whatever it changed
+            events.append(EndpointList(ListKind.CHANGES))
+        return events
+
+    @property
+    def endpoint_count(self) -> int:
+        """Endpoints that the directory knows."""
+        return len(self.directory)
+
+    def endpoint_name(self, endpoint: int) -> str:
+        """Name of an endpoint by its number; empty if it is not known."""
+        place = self.directory.place(endpoint)
+        return place.name if place else ""
+
+    def endpoint_number(self, name: str) -> int:
+        """Number of an endpoint by its name."""
+        return self.directory.number(name)
+
+    def endpoint_port(self, endpoint: int) -> int:
+        """Port of an endpoint by its number; 0 if it is not known."""
+        place = self.directory.place(endpoint)
+        return place.port if place else 0
+
+    def is_listed(self, destination: int) -> bool:
+        """Whether the directory knows a destination."""
+        return self.directory.knows(destination)
--- /dev/null
+++ b/linnetstile/testbed/scale/watch_simulation.py
@@ -0,0 +1,142 @@
+"""The discovery watch of a simulated relay, by the shipped rules for opening, deadlines and backoff."""
+
+from __future__ import annotations
+
+import time
+from collections.abc import Callable, Iterable
+
+from ...emulators.discovery import chunk
+from ...engine.events import Event
+from ...engine.resource_limits import WATCH_BACKOFF_MS, backoff_ms
+from ...engine.watch_policy import watch_deadline
+from .discovery_model import FIRST_VERSION, EndpointChange
+from .relay_runtime import DiscoverySilent, RelayRuntime, WatchNotified, WatchOpens
+from .trace import Count, TurnKind
+from .workload import KEEPALIVE_INTERVAL_MS
+
+MAX_LISTS_REFUSED = 3
+"""Lists that a process refuses before the play stops offering them: each is the full list once more, which costs time
+and shows nothing new."""
+FULL_LIST_MARK = b'"full":true'
+FULL_LIST_MARK_WITHIN = 40
+NO_VERSION = 0
+
+EngineTurn = Callable[[float, list[Event], TurnKind], int]
+
+
+class WatchSimulation:
+    """Opens watches, reads what they bring and hands it to the engine.
+
+    Attributes:
+        version: Version of the list in force; `NO_VERSION` before the first.
+    """
+
+    def __init__(self, runtime: RelayRuntime, resumes_by_version: bool, engine_turn: EngineTurn) -> None:
+        """Make the watch of a relay.
+
+        Args:
+            runtime: State of the relay.
+            resumes_by_version: A watch that is opened anew asks for the changes since its version, not for the list.
+            engine_turn: Lets the engine handle events; returns its processor time in ns.
+        """
+        self.runtime = runtime
+        self.resumes_by_version = resumes_by_version
+        self.engine_turn = engine_turn
+        self.version = NO_VERSION
+        self.watch = 0
+        self.failures = 0
+        self.lists_refused = 0
+
+    def start_process(self) -> None:
+        """Forget what the process before knew."""
+        self.version = NO_VERSION
+        self.lists_refused = 0
+
+    def open(self, now_ms: float, failures: int) -> None:
+        """Open a watch: it leads somewhere, or is given up and opened anew after a backoff."""
+        runtime, world = self.runtime, self.runtime.world
+        self.watch += 1
+        self.failures = failures
+        runtime.count(Count.WATCHES)
+        deadline_ms = now_ms + 1000 * watch_deadline(0.0, False, None)
+        reachable_ms = world.discovery_reachable_at(runtime.relay, now_ms)
+        first_answer_ms = world.notified_at(runtime.relay, reachable_ms)
+        if first_answer_ms >= deadline_ms:
+            self._reopen_later(deadline_ms)
+            return
+        runtime.queue.add(first_answer_ms, WatchNotified(self.watch, None))
+        silent_from_ms = world.next_discovery_outage(runtime.relay, first_answer_ms)
+        if silent_from_ms is not None:
+            runtime.queue.add(silent_from_ms, DiscoverySilent(self.watch))
+
+    def become_silent(self, now_ms: float, watch: int) -> None:
+        """Discovery can't be reached: the relay notices after the time that the rules give a silent watch."""
+        if watch != self.watch:
+            return
+        last_heard_ms = now_ms - self.runtime.rng.uniform(0.0, KEEPALIVE_INTERVAL_MS)
+        noticed_ms = 1000 * watch_deadline(last_heard_ms / 1000, True, None)
+        self.runtime.queue.add(max(now_ms, noticed_ms), WatchOpens(0))
+
+    def receive(self, now_ms: float, watch: int, change: EndpointChange | None) -> bool:
+        """Read a change, or (None) what the opening asks for; False if the watch is over or discovery unreachable."""
+        runtime, world = self.runtime, self.runtime.world
+        if watch != self.watch or not world.can_reach_discovery(runtime.relay, now_ms):
+            return False
+        if all(self._read_line(now_ms, line, version) for line, version in self._lines(now_ms, change)):
+            self._await_next_change(now_ms)
+        else:
+            self.lists_refused += 1
+            if self.lists_refused < MAX_LISTS_REFUSED:
+                self._reopen_later(now_ms)
+        return True
+
+    def _lines(self, now_ms: float, change: EndpointChange | None) -> Iterable[tuple[bytes, int]]:
+        """The lines that come, each with the version that it makes."""
+        discovery = self.runtime.world.discovery
+        until = discovery.version_at(now_ms) if change is None else change.version
+        if change is None:
+            self.runtime.reader.reopen()
+        if change is not None or (self.version and self.resumes_by_version):
+            return [(each.line, each.version) for each in discovery.changes_between(self.version, until)]
+        return [(discovery.full_list(until), until)]
+
+    def _await_next_change(self, now_ms: float) -> None:
+        runtime, changes = self.runtime, self.runtime.world.discovery.changes
+        if self.version <= len(changes):
+            following = changes[self.version - FIRST_VERSION]
+            notified_ms = runtime.world.notified_at(runtime.relay, following.at_ms)
+            runtime.queue.add(max(now_ms, notified_ms), WatchNotified(self.watch, following))
+
+    def _reopen_later(self, now_ms: float) -> None:
+        failures = self.failures + 1
+        pause_ms = backoff_ms(failures, WATCH_BACKOFF_MS, self.runtime.rng)
+        self.runtime.queue.add(now_ms + pause_ms, WatchOpens(failures))
+
+    def _read_line(self, now_ms: float, line: bytes, version: int) -> bool:
+        """Read one line of discovery, as a chunk of its watch; False if the relay refuses it."""
+        trace = self.runtime.trace
+        is_full = FULL_LIST_MARK in line[:FULL_LIST_MARK_WITHIN]
+        kind = TurnKind.FULL_LIST if is_full else TurnKind.CHANGE
+        self._count_bytes(now_ms, line, is_full)
+        began_ns = time.thread_time_ns()
+        try:
+            events: list[Event] = list(self.runtime.reader.read(line))
+        except ValueError:
+            trace.lists_refused += 1
+            events = []
+        spent_ns = time.thread_time_ns() - began_ns
+        trace.cpu_ns[kind] += spent_ns
+        if not events:
+            return False
+        spent_ns += self.engine_turn(now_ms, events, kind)
+        trace.longest_list_ns[kind] = max(trace.longest_list_ns[kind], spent_ns)
+        for each in range(max(FIRST_VERSION, self.version) + 1, version + 1):
+            trace.in_force_ms.setdefault(each, now_ms)
+        self.version = version
+        return True
+
+    def _count_bytes(self, now_ms: float, line: bytes, is_full: bool) -> None:
+        size = len(chunk(line))
+        self.runtime.trace.control_bytes[int(now_ms // 1000)] += size
+        self.runtime.count(Count.FULL_LIST_BYTES if is_full else Count.CHANGE_BYTES, size)
+        self.runtime.count(Count.FULL_LISTS if is_full else Count.CHANGES)
--- /dev/null
+++ b/linnetstile/testbed/scale/worker.py
@@ -0,0 +1,109 @@
+"""A process of a scale run: it plays its share and sends what it found through a pipe."""
+
+from __future__ import annotations
+
+import multiprocessing
+import os
+import resource
+import signal
+import threading
+import time
+from collections.abc import Callable, Iterator
+from dataclasses import dataclass
+from multiprocessing.connection import Connection
+
+from . import membership_simulation, scenarios
+from .list_cost import ListCost, measure_list_cost
+from .membership_simulation import MembershipResult
+from .options import Sizes
+from .simulated_relay import SimulatedRelay
+from .trace import RelayTrace
+
+COSTS_JOB = "costs"
+MEMBERSHIP_JOB = "members"
+RELAYS_JOB = "relays"
+LIST_SIZE_DIVISORS = (4, 2, 1)
+"""The cost of a list is measured at these parts of the longest one."""
+KIB = 1024
+
+
+@dataclass(frozen=True, slots=True)
+class PeakMemory:
+    """The last message of a worker: its resident memory in bytes at its largest."""
+
+    bytes: int
+
+
+@dataclass(frozen=True, slots=True)
+class WorkerError:
+    """A worker cannot do its job; the message is one line."""
+
+    message: str
+
+
+WorkerMessage = RelayTrace | ListCost | MembershipResult | PeakMemory | WorkerError
+
+
+@dataclass(frozen=True, slots=True)
+class Job:
+    """What one worker does.
+
+    Attributes:
+        name: Name of the worker, for progress and errors.
+        kind: `COSTS_JOB`, `MEMBERSHIP_JOB` or `RELAYS_JOB`.
+        options: Options of the run.
+        relays: Relays to play.
+        resumes_by_version: As in `SimulatedRelay`.
+        seconds_left: Time that it has.
+        memory_bytes: Address space that it may use.
+    """
+
+    name: str
+    kind: str
+    options: Sizes
+    relays: list[int]
+    resumes_by_version: bool
+    seconds_left: float
+    memory_bytes: int
+
+
+def run_job(pipe: Connection, job: Job) -> None:
+    """The main function of a worker."""
+    _end_with_parent()
+    resource.setrlimit(resource.RLIMIT_AS, (job.memory_bytes, job.memory_bytes))
+    until = time.monotonic() + job.seconds_left
+    try:
+        for message in _play(job, lambda: time.monotonic() > until):
+            pipe.send(message)
+        pipe.send(PeakMemory(resource.getrusage(resource.RUSAGE_SELF).ru_maxrss * KIB))
+    except MemoryError:
+        limit_mb = job.memory_bytes / 1e6
+        pipe.send(WorkerError(f"{job.name}: more than {limit_mb:.0f} MB: expected fewer --destinations or --workers"))
+    pipe.close()
+
+
+def _play(job: Job, is_overdue: Callable[[], bool]) -> Iterator[WorkerMessage]:
+    if job.kind == COSTS_JOB:
+        for divisor in LIST_SIZE_DIVISORS:
+            yield measure_list_cost(job.options, job.options.cost_most // divisor)
+    elif job.kind == MEMBERSHIP_JOB:
+        yield membership_simulation.play(scenarios.build(job.options), is_overdue)
+    else:
+        world = scenarios.build(job.options)
+        for relay in job.relays:
+            if is_overdue():
+                break
+            yield SimulatedRelay(world, relay, job.resumes_by_version, is_overdue).play()
+
+
+def _end_with_parent() -> None:
+    """The first process answers for SIGINT; when it is gone, so is this one."""
+    signal.signal(signal.SIGINT, signal.SIG_IGN)
+    parent = multiprocessing.parent_process()
+    assert parent is not None
+
+    def watch() -> None:
+        parent.join()
+        os._exit(1)
+
+    threading.Thread(target=watch, daemon=True).start()
--- /dev/null
+++ b/linnetstile/testbed/scale/workload.py
@@ -0,0 +1,82 @@
+"""The platform that the fleet is meant for: its size, load, timing and settings.
+
+The target figures are those that the users of the platform state; docs/CAPACITY.md compares the program with them.
+"""
+
+from __future__ import annotations
+
+from typing import Any
+
+REGIONS = 2
+ZONES = 6
+
+TARGET_RELAYS = 460
+TARGET_DESTINATIONS = 120_000
+TARGET_EVENTS_PER_S = 1_100_000.0
+"""Messages a second of the whole fleet."""
+CHANGES_A_DAY = 1_900
+"""Changes of the endpoint list on an ordinary day."""
+DISCOVERY_MACHINES = 5
+"""Machines that serve the watches of all relays."""
+
+EVENTS_PER_DESTINATION_S = TARGET_EVENTS_PER_S / TARGET_DESTINATIONS
+"""Messages a second that one destination gets from all relays."""
+LISTED_RATE = 1.6 * EVENTS_PER_DESTINATION_S
+"""Calls a second that a destination advertises."""
+
+WATCH_START_DELAY_MS = 300.0
+"""From the start of a relay process to its first watch."""
+NOTIFICATION_DELAY_MS = 5.0, 50.0
+"""From a change in discovery to the agent of a relay; drawn for each relay and change."""
+KEEPALIVE_INTERVAL_MS = 2_000.0
+"""Between two empty lines of a watch."""
+KEEPALIVE_BYTES = 6
+"""An empty line of a watch as an HTTP chunk."""
+KEEPALIVE_BYTES_PER_S = KEEPALIVE_BYTES * 1000 / KEEPALIVE_INTERVAL_MS
+
+DESTINATION_KINDS = ("office",)
+
+OUTAGE_REFUSED = "refused"
+OUTAGE_PACKETS_LOST = "lost"
+OUTAGE_HANGS = "hangs"
+OUTAGE_ERRORS = "errors"
+OUTAGE_KINDS = (OUTAGE_REFUSED, OUTAGE_REFUSED, OUTAGE_PACKETS_LOST, OUTAGE_HANGS, OUTAGE_ERRORS)
+"""What is drawn for an outage of the day scenario; refused connections are twice as likely as each other kind."""
+
+SETTINGS_DOCUMENT: dict[str, Any] = {
+    "classes": [
+        {"name": "state", "effect": "repeatable", "aim-ms": 5_000.0, "deadline-ms": 120_000.0},
+        {"name": "order", "effect": "by_key", "aim-ms": 5_000.0, "deadline-ms": 120_000.0, "window-ms": 30_000.0},
+        {"name": "pay", "effect": "once", "aim-ms": 5_000.0, "deadline-ms": 120_000.0},
+    ],
+    "kinds": list(DESTINATION_KINDS),
+    "zones": [f"z{n}" for n in range(ZONES)],
+    "orgs": [{"name": "all", "quota-per-s": 1e9}],
+    "extra": {"call-slots": 256},
+    "weight-kind": "nominal",
+    "limits": {
+        "open-cap": 20_000,
+        "try-limit": 16,
+        "conn-idle-ms": 10_000.0,
+        "connect-timeout-ms": 500.0,
+        "cancelling": True,
+    },
+    "safety": {
+        "drain-grace-ms": 250.0,
+        "cold-from": 0.2,
+        "cold-ms": 10_000.0,
+        "fall-multiple": 2.0,
+        "fall-ms": 1_500.0,
+    },
+}
+"""The settings of every relay as the platform writes them; the zone and the number of relays are added to it."""
+
+
+def zone_of(number: int) -> int:
+    """Zone of a relay or destination."""
+    return number % ZONES
+
+
+def region_of(number: int) -> int:
+    """Region of a relay or destination: zones 0 to 2 lie in region 0."""
+    return number % ZONES * REGIONS // ZONES
--- a/linnetstile/testbed/scale/world_model.py
+++ b/linnetstile/testbed/scale/world_model.py
@@ -1,339 +1,224 @@
-"""The state of the world at each moment, drawn by a seed: destinations, zones, regions, outages, changes, lives.
+"""The state of the simulated platform at each moment: destinations, outages, changes, relay lifetimes, partitions.
 
-Nothing here knows of relays' decisions. Times are simulated ms since the run began; the same seed and sizes draw the
-same world, whatever machine plays it."""
+Nothing here knows of the relays' decisions. Times are simulated ms since the run began; the same seed and options draw
+the same world on any machine.
+"""
 
 from __future__ import annotations
 
-import json
 import random
 import zlib
 from bisect import bisect_right
 from dataclasses import dataclass, field
 from typing import Any
 
-from linnetstile.engine.settings import Settings
-
 from ...config import platform
+from ...engine.settings import Settings
 from ...platform_relay.config import one_a_call
-
-REGIONS, ZONES = 2, 6
-TARGET_RELAYS, TARGET_DESTINATIONS, TARGET_EVENTS = 460, 120_000, 1_100_000.0  # events a second, of the whole fleet
-CHANGES_A_DAY, MACHINES = 1_900, 5
-EACH_PER_S = TARGET_EVENTS / TARGET_DESTINATIONS  # what one destination gets from all relays
-RATE = 1.6 * EACH_PER_S  # calls a second that a destination lists
-SETTLE_MS = 12_000.0  # before the first scene: relays read the list, destinations in use get their first calls
-TOLD_MS = 5.0, 50.0  # from discovery's change to the relay's agent, drawn for each relay and change
-BEGIN_MS = 300.0  # from a process's start to its first watch
-EMPTY_MS, EMPTY_BYTES = 2_000.0, 6  # an empty line of the watch, as a chunk
-KINDS, HOW = ("office",), ("refused", "refused", "lost", "hangs", "errors")
-RAW: dict[str, Any] = {
-    "classes": [
-        {"name": "state", "effect": "repeatable", "aim-ms": 5_000.0, "deadline-ms": 120_000.0},
-        {"name": "order", "effect": "by_key", "aim-ms": 5_000.0, "deadline-ms": 120_000.0, "window-ms": 30_000.0},
-        {"name": "pay", "effect": "once", "aim-ms": 5_000.0, "deadline-ms": 120_000.0},
-    ],
-    "kinds": list(KINDS),
-    "zones": [f"z{n}" for n in range(ZONES)],
-    "orgs": [{"name": "all", "quota-per-s": 1e9}],
-    "extra": {"call-slots": 256},
-    "weight-kind": "nominal",
-    "limits": {
-        "open-cap": 20_000,
-        "try-limit": 16,
-        "conn-idle-ms": 10_000.0,
-        "connect-timeout-ms": 500.0,
-        "cancelling": True,
-    },
-    "safety": {
-        "drain-grace-ms": 250.0,
-        "cold-from": 0.2,
-        "cold-ms": 10_000.0,
-        "fall-multiple": 2.0,
-        "fall-ms": 1_500.0,
-    },
-}
-
-
-class OptionError(ValueError):
-    """One line: the option, what was expected, what was found."""
-
-    def __init__(self, option: str, expected: str, found: object) -> None:
-        super().__init__(f"--{option}: expected {expected}, found {found!r}")
-
-
-RANGES: dict[str, tuple[int, int]] = {  # of the options that are whole numbers
-    "seed": (0, 2**31),
-    "relays": (2, 2_000),
-    "destinations": (12, 200_000),
-    "real": (0, 8),
-    "played": (0, 2_000),
-    "in_use": (2, 2_000),
-    "workers": (1, 16),
-    "minutes": (1, 10),
-    "changes": (0, 20_000),
-    "failing": (0, 2_000),
-    "restarts": (0, 2_000),
-    "rack": (1, 2_000),
-    "day_s": (20, 3_600),
-    "zone_s": (20, 3_600),
-    "parted_s": (20, 3_600),
-    "held": (0, 1_000),
-    "cost_most": (100, 200_000),
-}
-SCENES = ("day", "rack", "zone", "parted", "hands")
-
-
-@dataclass(frozen=True, slots=True)
-class Sizes:
-    """What the options say. `played` = 0: all relays are."""
-
-    seed: int = 1
-    relays: int = TARGET_RELAYS
-    destinations: int = 2_000
-    real: int = 2
-    played: int = 0
-    in_use: int = 32  # destinations that get their traffic, each of them all of it
-    workers: int = 4
-    minutes: int = 10
-    changes: int = CHANGES_A_DAY
-    failing: int = 2
-    restarts: int = 84
-    rack: int = 20
-    day_s: int = 240
-    zone_s: int = 120
-    parted_s: int = 600
-    held: int = 20  # messages a destination in use that a relay of the last scene finds in its folder
-    cost_most: int = 16_000  # destinations of the longest list whose cost is measured
-    scenes: tuple[str, ...] = SCENES
-
-    def check(self) -> None:
-        """Raises OptionError."""
-        for name, (least, most) in RANGES.items():
-            if not least <= getattr(self, name) <= most:
-                raise OptionError(name.replace("_", "-"), f"a whole number from {least} to {most}", getattr(self, name))
-        for name, most, why in (
-            ("played", self.relays, "--relays"),
-            ("in_use", self.destinations, "--destinations"),
-            ("rack", self.relays - 1, "--relays less one"),
-            ("restarts", self.relays - self.failing, "--relays less --failing"),
-        ):
-            if getattr(self, name) > most:
-                raise OptionError(name.replace("_", "-"), f"no more than {why} ({most})", getattr(self, name))
-        if not self.scenes or len(set(self.scenes)) < len(self.scenes) or not set(self.scenes) <= set(SCENES):
-            raise OptionError("scenes", f"some of {','.join(SCENES)}, each once", ",".join(self.scenes))
-
-    @property
-    def hollow(self) -> list[int]:
-        """The relays that are played, spread over the zones."""
-        step = self.relays / (self.played or self.relays)
-        return [int(n * step) for n in range(self.played or self.relays)]
+from .discovery_model import DiscoveryModel
+from .errors import OptionError as OptionError  # for cli/scale.py
+from .options import RANGES as RANGES  # for cli/scale.py
+from .options import SCENES as SCENES  # for cli/scale.py
+from .options import Sizes as ScaleOptions
+from .options import Sizes as Sizes  # for cli/scale.py
+from .workload import NOTIFICATION_DELAY_MS, SETTINGS_DOCUMENT, region_of, zone_of
 
 
 @dataclass(frozen=True, slots=True)
 class Outage:
+    """A time in which calls to a destination fail.
+
+    Attributes:
+        number: Number of the outage, unique in its world.
+        destination: The destination that is down.
+        begin_ms: When it begins.
+        end_ms: When it is over.
+        kind: How calls fail; one of `workload.OUTAGE_KINDS`.
+        region: Only relays of this region see it; None = all relays do.
+        is_cold_return: The destination itself was down, and warms up when it is back.
+    """
+
     number: int
     destination: int
-    begin: float
-    end: float
-    how: str
-    region: int | None = None  # only relays of this region see it; None = all
-    cold: bool = True  # the destination itself was down, and is cold when it is back
+    begin_ms: float
+    end_ms: float
+    kind: str
+    region: int | None = None
+    is_cold_return: bool = True
+
+    def is_seen_from(self, region: int) -> bool:
+        """Whether relays of a region see it."""
+        return self.region in (None, region)
 
 
 @dataclass(frozen=True, slots=True)
-class Change:
-    """One change of discovery. `cell` is the destination that it is about."""
+class PlannedOutage:
+    """An outage of the day scenario, in ms since that scenario begins."""
 
-    version: int
-    at: float
-    what: str
-    cell: int
-    line: bytes
-    entry: bytes  # of the endpoint that is in force from now on
+    begin_ms: float
+    end_ms: float
+    kind: str
 
 
 @dataclass(frozen=True, slots=True)
-class Life:
-    """A relay's process: from its start to its end. `keeps`: it finds what the one before held."""
+class Lifetime:
+    """One process of a relay, from its start to its end.
+
+    Attributes:
+        begin_ms: Start of the process.
+        end_ms: End of the process.
+        keeps_state: It finds the journal of the process before it.
+        backlog: Messages for each destination in use that its journal holds besides.
+    """
 
-    begin: float
-    end: float
-    keeps: bool = False
-    hands: int = 0  # messages a destination in use that its folder holds beside
+    begin_ms: float
+    end_ms: float
+    keeps_state: bool = False
+    backlog: int = 0
 
 
 @dataclass(slots=True)
-class Scene:
+class Scenario:
+    """One scenario on the time line of the run.
+
+    Attributes:
+        name: Name as the option `--scenes` and the report have it.
+        begin_ms: When it begins.
+        end_ms: When it is over.
+        failed_relays: Relays that fail or restart together in it.
+        failed_at_ms: When they fail.
+    """
+
     name: str
-    begin: float
-    end: float
-    down: list[int] = field(default_factory=list)  # relays that fail in it
-    failed_at: float = 0.0
+    begin_ms: float
+    end_ms: float
+    failed_relays: list[int] = field(default_factory=list)
+    failed_at_ms: float = 0.0
+
+    def contains(self, at_ms: float) -> bool:
+        """Whether a moment lies in it."""
+        return self.begin_ms <= at_ms < self.end_ms
 
 
 class World:
-    """Zones by number: relay or destination n lies in zone n % 6, zones 0 to 2 in region 0. `ports`: all endpoints lie
-    on these two ports of loopback, by turns; else at addresses that nobody calls."""
-
-    def __init__(self, sizes: Sizes, ports: tuple[int, int] | None = None) -> None:
-        self.sizes, self.ports = sizes, ports
-        self.raw: dict[str, Any] = {**RAW, "balancers": sizes.relays}
-        self.cells = sizes.destinations  # grows with the changes that add one
-        self.turns: dict[int, list[tuple[float, int]]] = {}  # destination -> when its endpoint became which
-        self.weights: dict[int, list[tuple[float, float]]] = {}  # destination -> since when it lists which rate
-        self.drained: set[tuple[int, int]] = set()  # destination and endpoint that only drains, beside its successor
-        self.base: list[bytes] = [self.entry(cell, 0) for cell in range(self.cells)]
-        self.changes: list[Change] = []
+    """The simulated platform.
+
+    Attributes:
+        options: Options of the run.
+        settings_document: Settings of a relay as the platform writes them, without its zone.
+        discovery: The endpoint list and its changes.
+        outages: All outages, by their number.
+        lifetimes: Processes of each relay, in their order.
+        discovery_outages: By region, when discovery cannot be reached from it.
+        partitions: When the regions are cut off from each other.
+        scenarios: Scenarios of the run, one after the other.
+        destinations_in_use: Destinations that get traffic.
+        planned_outages: By destination, its outage in the day scenario.
+        end_ms: End of the run.
+    """
+
+    def __init__(self, options: ScaleOptions, ports: tuple[int, int] | None = None) -> None:
+        """Make a world without events; `scenarios.build` fills it. `ports` as in `DiscoveryModel`."""
+        self.options = options
+        self.settings_document: dict[str, Any] = {**SETTINGS_DOCUMENT, "balancers": options.relays}
+        self.discovery = DiscoveryModel(options.destinations, ports)
         self.outages: list[Outage] = []
-        self.by_cell: dict[int, list[Outage]] = {}
-        self.lives: dict[int, list[Life]] = {}
-        self.silent: dict[int, list[tuple[float, float]]] = {}  # region -> when discovery can't be reached from it
-        self.cuts: list[tuple[float, float]] = []  # regions parted
-        self.scenes: list[Scene] = []
-        self.in_use: list[int] = []
-        self.troubled: dict[int, tuple[float, float, str]] = {}  # by destination: an outage of the scene day, in its ms
-        self.end = 0.0
-        self._whole: tuple[int, bytes] = (0, b"")
-
-    def mark(self) -> int:
-        """The same for the same world: guards against processes that have drawn another one."""
-        found = zlib.crc32(b"".join(change.line for change in self.changes))
-        return zlib.crc32(repr((self.outages, self.lives, self.in_use, self.end)).encode(), found)
-
-    # -- places ----------------------------------------------------------------------------------------------
-
-    @staticmethod
-    def zone(number: int) -> int:
-        return number % ZONES
-
-    @staticmethod
-    def region(number: int) -> int:
-        return number % ZONES * REGIONS // ZONES
+        self.lifetimes: dict[int, list[Lifetime]] = {}
+        self.discovery_outages: dict[int, list[tuple[float, float]]] = {}
+        self.partitions: list[tuple[float, float]] = []
+        self.scenarios: list[Scenario] = []
+        self.destinations_in_use: list[int] = []
+        self.planned_outages: dict[int, PlannedOutage] = {}
+        self.end_ms = 0.0
+        self._outages_by_destination: dict[int, list[Outage]] = {}
+
+    def fingerprint(self) -> int:
+        """A number that two processes share if they have drawn the same world."""
+        changes = zlib.crc32(b"".join(change.line for change in self.discovery.changes))
+        events = (self.outages, self.lifetimes, self.destinations_in_use, self.end_ms)
+        return zlib.crc32(repr(events).encode(), changes)
 
     def settings(self, relay: int) -> Settings:
-        return one_a_call(platform.settings_from({**self.raw, "az": self.zone(relay)}))
-
-    # -- discovery -------------------------------------------------------------------------------------------
-
-    @staticmethod
-    def name(cell: int, turn: int) -> str:
-        return f"s-{cell:06x}{turn % 256:02x}"
-
-    def entry(self, cell: int, turn: int, state: str = "SERVING") -> bytes:
-        """One entry of discovery, as it travels."""
-        address = (
-            f"127.0.0.1:{self.ports[turn % 2]}"
-            if self.ports
-            else f"127.{1 + (cell >> 16) % 200}.{cell >> 8 & 255}.{cell & 255}:{3000 + turn % 100}"
-        )
-        return json.dumps(
-            {
-                "id": self.name(cell, turn),
-                "addr": address,
-                "zone": f"z{self.zone(cell)}",
-                "kind": KINDS[0],
-                "cell": cell,
-                "state": state,
-                "weight": self.rate(cell, float("inf")),
-                "started_ms": 0,
-            },
-            separators=(",", ":"),
-        ).encode()
-
-    def rate(self, cell: int, at: float) -> float:
-        """Calls a second that a destination lists."""
-        told = [rate for since, rate in self.weights.get(cell, ()) if since <= at]
-        return told[-1] if told else round(RATE, 3)
-
-    def turn(self, cell: int, at: float) -> int:
-        """Which endpoint of a destination is in force; the n-th has replaced the one before. -1: none yet."""
-        turns = self.turns.get(cell)
-        if turns is None:
-            return 0 if cell < self.sizes.destinations else -1
-        found = bisect_right(turns, at, key=lambda each: each[0])
-        return turns[found - 1][1] if found else (0 if cell < self.sizes.destinations else -1)
-
-    def change(self, what: str, cell: int, at: float, rng: random.Random, since: float | None = None) -> Change:
-        """Appends a change that discovery has `at`, and that happened `since`. A new weight; an endpoint replaced at
-        once, or drained beside its successor; a new destination; one that is left without."""
-        since = at if since is None else since
-        if what == "add":
-            cell, turn = self.cells, 0
-            self.cells += 1
-            entries = [self.entry(cell, 0)]
-            self.turns[cell] = [(since, 0)]
-        elif what == "weight":
-            self.weights.setdefault(cell, []).append((since, round(RATE * rng.uniform(0.8, 1.25), 3)))
-            entries = [self.entry(cell, self.turn(cell, at))]
-        elif what == "gone":
-            entries = [self.entry(cell, self.turn(cell, at), "DELETED")]
-            self.turns.setdefault(cell, []).append((since, -1))
-        else:
-            turn = self.turn(cell, at)
-            entries = [
-                self.entry(cell, turn, "DELETED" if what == "replace" else "DRAINING"),
-                self.entry(cell, turn + 1),
-            ]
-            self.turns.setdefault(cell, []).append((since, turn + 1))
-            if what == "drain":
-                self.drained.add((cell, turn))
-        version = 2 + len(self.changes)
-        line = b'{"version":%d,"full":false,"servers":[%s]}\n' % (version, b",".join(entries))
-        made = Change(version, at, what, cell, line, entries[-1])
-        self.changes.append(made)
-        return made
-
-    def version(self, at: float) -> int:
-        return 1 + bisect_right(self.changes, at, key=lambda change: change.at)
-
-    def whole(self, version: int) -> bytes:
-        """The line with the whole list as of a version. Drained endpoints that were replaced are out of it."""
-        if self._whole[0] != version:
-            last: dict[int, bytes] = {}
-            for change in self.changes[: version - 1]:
-                last[change.cell] = b"" if change.what == "gone" else change.entry
-            entries = [last.pop(cell, entry) for cell, entry in enumerate(self.base)] + list(last.values())
-            entries = [entry for entry in entries if entry]
-            self._whole = version, b'{"version":%d,"full":true,"servers":[%s]}\n' % (version, b",".join(entries))
-        return self._whole[1]
-
-    def after(self, version: int, until: int) -> list[Change]:
-        return self.changes[max(0, version - 1) : until - 1]
-
-    def hears(self, relay: int, at: float) -> bool:
-        """Whether discovery can be reached by a relay's agent."""
-        return not any(begin <= at < end for begin, end in self.silent.get(self.region(relay), ()))
-
-    def told_at(self, relay: int, at: float) -> float:
-        """When a relay's agent has what discovery had at a moment, both reachable."""
-        return at + random.Random(f"{self.sizes.seed}:{relay}:{at}").uniform(*TOLD_MS)
-
-    # -- destinations ----------------------------------------------------------------------------------------
-
-    def fail(self, cell: int, begin: float, end: float, how: str, region: int | None = None, cold: bool = True) -> None:
-        outage = Outage(len(self.outages), cell, begin, end, how, region, cold)
+        """Engine settings of a relay."""
+        return one_a_call(platform.settings_from({**self.settings_document, "az": zone_of(relay)}))
+
+    def scenario_at(self, at_ms: float) -> int:
+        """Number of the scenario of a moment; -1 before the first."""
+        return bisect_right(self.scenarios, at_ms, key=lambda scenario: scenario.begin_ms) - 1
+
+    # -- discovery --
+
+    def can_reach_discovery(self, relay: int, at_ms: float) -> bool:
+        """Whether the agent of a relay reaches discovery."""
+        silences = self.discovery_outages.get(region_of(relay), ())
+        return not any(begin <= at_ms < end for begin, end in silences)
+
+    def discovery_reachable_at(self, relay: int, at_ms: float) -> float:
+        """From when on a relay can hear of a change: the end of the silence that the moment lies in, if it does."""
+        silences = self.discovery_outages.get(region_of(relay), ())
+        return next((end for begin, end in silences if begin <= at_ms < end), at_ms)
+
+    def next_discovery_outage(self, relay: int, at_ms: float) -> float | None:
+        """When discovery next becomes unreachable for a relay, if ever."""
+        silences = self.discovery_outages.get(region_of(relay), ())
+        return next((begin for begin, _ in silences if begin > at_ms), None)
+
+    def notified_at(self, relay: int, at_ms: float) -> float:
+        """When the agent of a relay has what discovery had at a moment, while it reaches discovery."""
+        return at_ms + random.Random(f"{self.options.seed}:{relay}:{at_ms}").uniform(*NOTIFICATION_DELAY_MS)
+
+    # -- outages --
+
+    def add_outage(
+        self,
+        destination: int,
+        begin_ms: float,
+        end_ms: float,
+        kind: str,
+        region: int | None = None,
+        is_cold_return: bool = True,
+    ) -> None:
+        """Add an outage; see `Outage` for the arguments."""
+        outage = Outage(len(self.outages), destination, begin_ms, end_ms, kind, region, is_cold_return)
         self.outages.append(outage)
-        self.by_cell.setdefault(cell, []).append(outage)
+        self._outages_by_destination.setdefault(destination, []).append(outage)
 
-    def down(self, cell: int, region: int, at: float) -> Outage | None:
-        """The outage that calls from a region meet now."""
-        for outage in self.by_cell.get(cell, ()):
-            if outage.begin <= at < outage.end and outage.region in (None, region):
+    def outages_of(self, destination: int) -> list[Outage]:
+        """All outages of a destination, in the order in which they were added."""
+        return self._outages_by_destination.get(destination, [])
+
+    def current_outage(self, destination: int, region: int, at_ms: float) -> Outage | None:
+        """The outage that calls from a region meet at a moment."""
+        for outage in self.outages_of(destination):
+            if outage.begin_ms <= at_ms < outage.end_ms and outage.is_seen_from(region):
                 return outage
         return None
 
-    def next_down(self, cell: int, region: int, at: float) -> float:
+    def next_outage_at(self, destination: int, region: int, at_ms: float) -> float:
+        """When the next outage begins that calls from a region meet; infinite if none does."""
         return min(
-            (o.begin for o in self.by_cell.get(cell, ()) if o.begin > at and o.region in (None, region)),
+            (
+                outage.begin_ms
+                for outage in self.outages_of(destination)
+                if outage.begin_ms > at_ms and outage.is_seen_from(region)
+            ),
             default=float("inf"),
         )
 
-    def reaches(self, one: int, other: int, at: float) -> bool:
-        """Whether two relays are up and their regions joined."""
-        cut = self.region(one) != self.region(other) and any(begin <= at < end for begin, end in self.cuts)
-        return not cut and any(life.begin <= at < life.end for life in self.lives[other])
+    # -- relays --
+
+    def can_reach_relay(self, relay: int, other: int, at_ms: float) -> bool:
+        """Whether the other relay is up and in a region that is not cut off."""
+        is_cut = region_of(relay) != region_of(other) and any(begin <= at_ms < end for begin, end in self.partitions)
+        return not is_cut and any(life.begin_ms <= at_ms < life.end_ms for life in self.lifetimes[other])
 
-    def scene(self, at: float) -> int:
-        """Number of the scene of a moment; -1 before the first."""
-        return bisect_right(self.scenes, at, key=lambda scene: scene.begin) - 1
+    def is_up_throughout(self, relay: int, begin_ms: float, end_ms: float) -> bool:
+        """Whether one process of a relay runs from begin to end."""
+        return any(life.begin_ms <= begin_ms and end_ms <= life.end_ms for life in self.lifetimes[relay])
+
+    def seconds_up(self, relay: int, begin_ms: float, end_ms: float) -> float:
+        """Seconds between begin and end in which a relay is up."""
+        return (
+            sum(max(0.0, min(end_ms, life.end_ms) - max(begin_ms, life.begin_ms)) for life in self.lifetimes[relay])
+            / 1000
+        )
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -139,7 +139,8 @@
 
 def test_files_exist() -> None:
     named = {code for code in CODE.findall(PAGE) if "/" in code and " " not in code}
-    assert named and all(FILE.match(code) for code in named), [code for code in named if not FILE.match(code)]
+    assert named
+    assert [code for code in named if not FILE.match(code)] == []
     assert [name for name in sorted(named) if not (ROOT / name).is_file()] == []
     linked = re.findall(r"\]\(([^)#]+)", PAGE)
     assert [name for name in linked if not (ROOT / "docs" / name).is_file()] == []
@@ -187,7 +188,9 @@
         own = ratio(row["need / bound"])
         assert own in {ratio(cell) for cell in told} if own is not None else row["need / bound"] in {"-"}, row["what"]
         sketch = re.search(rf"^\*\*{row['no.']} [^*]+\*\* \(([^)]+)\)\.(.*?)\n\n", PAGE, re.M | re.S)
-        assert sketch and sketch[1] == row["need / bound"] and len(sketch[2].split()) >= 20, row["what"]
+        assert sketch, row["what"]
+        assert sketch[1] == row["need / bound"], row["what"]
+        assert len(sketch[2].split()) >= 20, row["what"]
 
 
 def test_each_figure_has_its_run_or_sum() -> None:
--- a/tests/test_slopes.py
+++ b/tests/test_slopes.py
@@ -44,7 +44,7 @@
         fit.one("power", SIZES, [0.0, 1.0, 2.0, 3.0])
 
 
-@pytest.mark.parametrize("xs, ys", [([1.0], [1.0]), ([2.0, 2.0], [1.0, 3.0]), ([1.0, 2.0], [1.0])])
+@pytest.mark.parametrize(("xs", "ys"), [([1.0], [1.0]), ([2.0, 2.0], [1.0, 3.0]), ([1.0, 2.0], [1.0])])
 def test_a_line_needs_two_sizes(xs: list[float], ys: list[float]) -> None:
     with pytest.raises(ValueError, match="two different sizes"):
         fit.line(xs, ys)
