--- /dev/null
+++ b/benchmarks/attackers.py
@@ -0,0 +1,181 @@
+"""Bad peers of a relay, for the benchmark `attack`."""
+
+from __future__ import annotations
+
+import asyncio
+import collections
+import contextlib
+import itertools
+from collections.abc import Awaitable, Callable
+from typing import NoReturn
+
+from linnetstile.emulators import messages
+
+MIB = 1 << 20
+PIECE = 65536
+"""Bytes that are written at a time."""
+FOREVER_S = 600
+RETRY_S = 0.2
+"""Before peers that were all ended by the relay come back."""
+HEAD_END = b"\r\n\r\n"
+
+HALF_OPEN_CONNECTIONS = 3000
+SLOW_HEADS, SLOW_BODIES = 800, 1500
+SLOW_HEAD_BYTES, SLOW_BODY_BYTES = 1000, 1000
+"""More than they send while the relay bears them."""
+BYTE_INTERVAL_S = 1.0
+UPLOADERS, UPLOAD_BYTES, UPLOAD_SENDERS = 64, 12 * MIB, 8
+HUGE_BODY_BYTES, SMALL_BODY_BYTES, HUGE_BODY_PEERS = 200 * MIB, 2000, 9
+PIPELINERS, PIPELINED = 50, 500
+CONNECTORS = 8
+
+_message_numbers = itertools.count()
+
+
+def post_head(partner: str, length: int, sender: str = "bad") -> bytes:
+    """The head of a message for a partner, with so many bytes of body."""
+    message = messages.make(sender, partner, f"<{next(_message_numbers)}@bad>", "a", b"", receipt=False)
+    fields = [("Host", "x"), *message.headers, ("Content-Length", str(length))]
+    lines = [f"{name}: {value}" for name, value in fields]
+    return ("POST /as2 HTTP/1.1\r\n" + "\r\n".join(lines) + "\r\n\r\n").encode()
+
+
+def status_of(answer: bytes) -> str:
+    """The status code of an answer's first line."""
+    return answer[9:12].decode()
+
+
+async def write_pieces(writer: asyncio.StreamWriter, size: int) -> None:
+    """Write so many bytes, as fast as they are read."""
+    piece = b"x" * PIECE
+    for start in range(0, size, PIECE):
+        writer.write(piece[: size - start])
+        await writer.drain()
+
+
+class Attacker:
+    """Bad peers of one kind at one address.
+
+    Attributes:
+        counts: What became of their requests and connections.
+    """
+
+    def __init__(self, port: int) -> None:
+        """Prepare peers of a loopback port."""
+        self.port = port
+        self.counts: collections.Counter[str] = collections.Counter()
+        self._writers: list[asyncio.StreamWriter] = []
+
+    def stop(self) -> None:
+        """Abort all connections."""
+        for writer in self._writers:
+            writer.transport.abort()
+
+    async def _connect(self) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
+        reader, writer = await asyncio.open_connection("127.0.0.1", self.port)
+        self._writers.append(writer)
+        return reader, writer
+
+    async def _run_peers(self, count: int, peer: Callable[[int], Awaitable[None]]) -> None:
+        """Run so many peers until all have ended, by themselves or by the relay."""
+
+        async def run(number: int) -> None:
+            with contextlib.suppress(OSError, asyncio.IncompleteReadError):
+                await peer(number)
+                return
+            self.counts["ended by the relay"] += 1
+
+        await asyncio.gather(*(run(number) for number in range(count)))
+
+    async def _keep_running(self, count: int, peer: Callable[[int], Awaitable[None]]) -> NoReturn:
+        while True:
+            await self._run_peers(count, peer)
+            await asyncio.sleep(RETRY_S)
+
+    async def half_open(self) -> None:
+        """Connections on which nothing is sent."""
+
+        async def peer(_: int) -> None:
+            await self._connect()
+            await asyncio.sleep(0)
+
+        await self._run_peers(HALF_OPEN_CONNECTIONS, peer)
+        await asyncio.sleep(FOREVER_S)
+
+    async def _send_slowly(self, count: int, request: Callable[[int], bytes]) -> None:
+        """Send requests a byte at a time; a head that is complete goes at once, its body slowly."""
+
+        async def peer(number: int) -> None:
+            _, writer = await self._connect()
+            data = request(number)
+            head_bytes = data.find(HEAD_END) + len(HEAD_END) if HEAD_END in data else 0
+            writer.write(data[:head_bytes])
+            for position in range(head_bytes, len(data)):
+                writer.write(data[position : position + 1])
+                await writer.drain()
+                await asyncio.sleep(BYTE_INTERVAL_S)
+
+        await self._keep_running(count, peer)
+
+    async def heads(self) -> None:
+        """Heads that come a byte at a time."""
+        await self._send_slowly(SLOW_HEADS, lambda _: b"POST /as2 HTTP/1.1" + b"x" * SLOW_HEAD_BYTES)
+
+    async def bodies(self) -> None:
+        """Bodies that come a byte at a time."""
+        await self._send_slowly(
+            SLOW_BODIES, lambda number: post_head("quick", MIB, f"bad{number}") + b"x" * SLOW_BODY_BYTES
+        )
+
+    async def uploads(self) -> None:
+        """Large messages for the partner that hangs, as fast as they are read."""
+
+        async def peer(number: int) -> None:
+            while True:
+                reader, writer = await self._connect()
+                writer.write(post_head("hangs", UPLOAD_BYTES, f"bad{number % UPLOAD_SENDERS}"))
+                await write_pieces(writer, UPLOAD_BYTES)
+                self.counts[status_of(await reader.readline())] += 1
+                writer.close()
+
+        await self._keep_running(UPLOADERS, peer)
+
+    async def huge(self) -> None:
+        """One huge body beside many small messages."""
+
+        async def peer(number: int) -> None:
+            reader, writer = await self._connect()
+            size = HUGE_BODY_BYTES if number == 0 else SMALL_BODY_BYTES
+            name = "200 MB" if number == 0 else "small"
+            while True:
+                writer.write(post_head("quick", size, f"bad{number}"))
+                await write_pieces(writer, size)
+                self.counts[f"{name} {status_of(await reader.readuntil(HEAD_END))}"] += 1
+
+        await self._run_peers(HUGE_BODY_PEERS, peer)
+        await asyncio.sleep(FOREVER_S)
+
+    async def unread(self) -> None:
+        """Peers that pipeline requests and read no answer."""
+
+        async def peer(number: int) -> None:
+            _reader, writer = await self._connect()
+            while True:
+                writer.write(b"GET /health HTTP/1.1\r\nHost: x\r\n\r\n" * PIPELINED)
+                await writer.drain()
+
+        await self._run_peers(PIPELINERS, peer)
+        await asyncio.sleep(FOREVER_S)
+
+    async def connects(self) -> None:
+        """A new connection for each message."""
+
+        async def peer(number: int) -> None:
+            while True:
+                reader, writer = await asyncio.open_connection("127.0.0.1", self.port)
+                head = post_head("quick", 4, f"bad{number}").replace(b"\r\nHost", b"\r\nConnection: close\r\nHost")
+                writer.write(head + b"body")
+                self.counts[status_of(await reader.read())] += 1
+                writer.close()
+
+        await self._run_peers(CONNECTORS, peer)
--- a/benchmarks/held.py
+++ b/benchmarks/held.py
@@ -1,79 +1,107 @@
-"""Memory of one relay process for each message that it holds.
+"""Memory of one relay process for each pending message.
 
     python -m benchmarks.held [--messages 10000] [--bytes 700] [--json FILE]
 
-The only endpoint of the partner drains, so that what is handed in is held; the clients asked for their receipts at an
-address of their own, so that no connection stays open for each. Bounded: it stops once all are taken.
+The only endpoint of the partner drains, so that what is submitted stays pending; the clients asked for their receipts
+at an address of their own, so that no connection stays open for each. Bounded: it stops once all are accepted.
 """
 
 from __future__ import annotations
 
 import asyncio
-import json
+from collections.abc import Iterable
 from typing import Any
 
-from benchmarks.common import child, end, parser, resident_mb, tell
+from benchmarks.common import argument_parser, print_result, resident_mb, start_relay, stop_child
 from linnetstile.codec import http1
 from linnetstile.emulators import messages
 from linnetstile.emulators.registry import RegisterSpec, RegisterStand
 from linnetstile.net import client
 
+PARTS = 4
+"""Memory is read after each part of the messages."""
+CLIENTS = 16
+ANSWER_TIMEOUT_S = 30
+ACCEPTED = 202
 
-async def measure(count: int, size: int) -> dict[str, Any]:
-    entry = {"id": 1, "partner": "p", "url": "http://127.0.0.1:9/as2", "status": "draining", "rate": 10.0}
-    register = RegisterStand(RegisterSpec(entries=[entry]))
-    settings = {
+
+def relay_settings(register: str, messages: int) -> dict[str, Any]:
+    """Settings of a relay that has capacity for so many pending messages."""
+    return {
         "name": "r",
-        "register": f"http://127.0.0.1:{await register.start()}",
+        "register": register,
         "rules": [{"class": "a"}],
         "classes": {"a": {"effect": "safe", "aim_ms": 500_000, "deadline_ms": 600_000}},
-        "limits": {"slots": 64, "hold": 4 * count},
+        "limits": {"slots": 64, "hold": 4 * messages},
     }
-    relay, port = await asyncio.get_running_loop().run_in_executor(
-        None, child, "throughput", "--serve-relay", json.dumps(settings), ""
-    )
-    pool, loop = client.Pool(), asyncio.get_running_loop()
-    numbers, taken = iter(range(count)), 0
-
-    async def hand_in() -> None:
-        nonlocal taken
-        for n in numbers:
-            made = messages.make("s", "p", f"<{n}@s>", "a", b"x" * size, reply_to="http://127.0.0.1:9/r")
+
+
+class Submitter:
+    """Clients that submit messages of one size.
+
+    Attributes:
+        accepted: Messages that the relay has accepted.
+    """
+
+    def __init__(self, port: int, body_bytes: int) -> None:
+        """Prepare clients of a relay on a loopback port."""
+        self.port, self.body_bytes = port, body_bytes
+        self.pool = client.Pool()
+        self.accepted = 0
+
+    async def submit_all(self, numbers: Iterable[int]) -> None:
+        """Submit a message for each number, from several clients at once."""
+        remaining = iter(numbers)
+        await asyncio.gather(*(self._submit_each(remaining) for _ in range(CLIENTS)))
+
+    async def _submit_each(self, numbers: Iterable[int]) -> None:
+        loop = asyncio.get_running_loop()
+        for number in numbers:
+            body = b"x" * self.body_bytes
+            message = messages.make("s", "p", f"<{number}@s>", "a", body, reply_to="http://127.0.0.1:9/r")
             done: asyncio.Future[client.Answer] = loop.create_future()
-            data = http1.request("POST", "/as2", [("Host", "r"), *made.headers], made.body)
-            pool.call(("127.0.0.1", port), "POST", data, done.set_result, loop.time() + 30)
+            data = http1.request("POST", "/as2", [("Host", "r"), *message.headers], message.body)
+            timeout_at = loop.time() + ANSWER_TIMEOUT_S
+            self.pool.call(("127.0.0.1", self.port), "POST", data, done.set_result, timeout_at)
             answer = await done
-            taken += answer.head is not None and answer.head.status == 202
+            self.accepted += answer.head is not None and answer.head.status == ACCEPTED
 
-    before = resident_mb(relay.pid)
+
+async def measure(count: int, body_bytes: int) -> dict[str, Any]:
+    """Submit so many messages of a size to a relay, and read its memory."""
+    entry = {"id": 1, "partner": "p", "url": "http://127.0.0.1:9/as2", "status": "draining", "rate": 10.0}
+    register = RegisterStand(RegisterSpec(entries=[entry]))
+    settings = relay_settings(f"http://127.0.0.1:{await register.start()}", count)
+    relay, port = await start_relay(settings)
+    submitter, loop = Submitter(port, body_bytes), asyncio.get_running_loop()
+    before_mb = resident_mb(relay.pid)
     marks = []
-    start = loop.time()
-    for part in range(4):
-        goal = count * (part + 1) // 4
-        numbers = iter(range(count * part // 4, goal))
-        await asyncio.gather(*(hand_in() for _ in range(16)))
-        marks.append({"held": taken, "resident_mb": round(resident_mb(relay.pid), 1)})
-    took = loop.time() - start
-    pool.close()
-    end(relay)
+    began = loop.time()
+    for part in range(PARTS):
+        await submitter.submit_all(range(count * part // PARTS, count * (part + 1) // PARTS))
+        marks.append({"held": submitter.accepted, "resident_mb": round(resident_mb(relay.pid), 1)})
+    elapsed_s = loop.time() - began
+    submitter.pool.close()
+    stop_child(relay)
     register.close()
-    grown = marks[-1]["resident_mb"] - before
+    grown_mb = marks[-1]["resident_mb"] - before_mb
     return {
-        "messages": taken,
-        "body_bytes": size,
-        "before_mb": round(before, 1),
+        "messages": submitter.accepted,
+        "body_bytes": body_bytes,
+        "before_mb": round(before_mb, 1),
         "marks": marks,
-        "kb_a_message": round(1024 * grown / max(1, taken), 2),
-        "taken_per_s": round(taken / took),
+        "kb_a_message": round(1024 * grown_mb / max(1, submitter.accepted), 2),
+        "taken_per_s": round(submitter.accepted / elapsed_s),
     }
 
 
 def main() -> None:
-    made = parser(__doc__)
-    made.add_argument("--messages", type=int, default=10_000)
-    made.add_argument("--bytes", type=int, default=700)
-    args = made.parse_args()
-    tell(asyncio.run(measure(args.messages, args.bytes)), args.json)
+    """Run the benchmark."""
+    parser = argument_parser(__doc__)
+    parser.add_argument("--messages", type=int, default=10_000)
+    parser.add_argument("--bytes", type=int, default=700)
+    args = parser.parse_args()
+    print_result(asyncio.run(measure(args.messages, args.bytes)), args.json)
 
 
 if __name__ == "__main__":
--- a/benchmarks/lists.py
+++ b/benchmarks/lists.py
@@ -3,7 +3,7 @@
     python -m benchmarks.lists [--rounds 5] [--json FILE]
 
 In microseconds of one run (the best of `--rounds`), and as ratios to the first size: reading the list's JSON, taking it
-into the directory, the module's turn for the whole list, for one change, and for a list that has lost half of it; then
+into the directory, the engine's turn for the full list, for one change, and for a list that has lost half of it; then
 a message with its answer. One process, no I/O.
 """
 
@@ -15,25 +15,29 @@
 from collections.abc import Callable
 from typing import TypeVar
 
-from benchmarks.common import parser, tell
+from benchmarks.common import argument_parser, print_result
 from linnetstile.engine.engine import DeliveryEngine
 from linnetstile.engine.events import AttemptEnded, Endpoint, EndpointList, EndpointStatus, ListKind, Message, Outcome
 from linnetstile.engine.settings import DestinationKind, Effect, MessageClass, RateTrust, Settings
 from linnetstile.platform_relay.directory import Directory
 
 T = TypeVar("T")
-SIZES = (20, 300, 1024)
+LIST_SIZES = (20, 300, 1024)
 MESSAGES = 300
+ENDPOINTS_EACH = 2
+"""Endpoints of each destination."""
 
 
 def settings(relays: int) -> Settings:
+    """Settings of one relay of so many."""
     message_class = MessageClass("order", Effect.DEDUPLICATED, 4000.0, 12000.0, deduplication_window_ms=3000.0)
     return Settings(
         (message_class,), (DestinationKind("k"),), 8, 40, 8, relay_count=relays, rate_trust=RateTrust.NOMINAL
     )
 
 
-def told(first: int, size: int) -> str:
+def list_document(first: int, size: int) -> str:
+    """The full list with the endpoints from `first` up to `size`, as discovery sends it."""
     return json.dumps(
         {
             "version": 1,
@@ -44,7 +48,7 @@
                     "addr": f"10.1.{number >> 8}.{number & 255}:3000",
                     "zone": "a",
                     "kind": "k",
-                    "cell": number // 2,
+                    "cell": number // ENDPOINTS_EACH,
                     "state": "SERVING",
                     "weight": 20.0,
                     "started_ms": 0,
@@ -55,55 +59,63 @@
     )
 
 
-def once(size: int) -> dict[str, float]:
-    """Microseconds of each step."""
-    took: dict[str, float] = {}
+class StepTimer:
+    """Wall time of each step in microseconds, by its name."""
 
-    def timed(name: str, step: Callable[[], T], times: int = 1) -> T:
+    def __init__(self) -> None:
+        self.us: dict[str, float] = {}
+
+    def time(self, name: str, step: Callable[[], T], times: int = 1) -> T:
+        """Time a step that does something so many times; returns what it returns."""
         began = time.perf_counter()
-        found = step()
-        took[name] = (time.perf_counter() - began) * 1e6 / times
-        return found
-
-    relay, directory = DeliveryEngine(settings(size), 1), Directory(("k",), ("a",))
-    text = told(0, size)
-    raw = timed("json", lambda: json.loads(text))
-    whole = timed("directory", lambda: directory.take(raw))
-    assert whole is not None
-    timed("whole", lambda: relay.handle(0.0, [whole]))
+        result = step()
+        self.us[name] = (time.perf_counter() - began) * 1e6 / times
+        return result
+
+
+def measure_once(size: int) -> dict[str, float]:
+    """Microseconds of each step with a list of so many endpoints."""
+    timer = StepTimer()
+    engine, directory = DeliveryEngine(settings(size), 1), Directory(("k",), ("a",))
+    text = list_document(0, size)
+    document = timer.time("json", lambda: json.loads(text))
+    full_list = timer.time("directory", lambda: directory.take(document))
+    assert full_list is not None
+    timer.time("whole", lambda: engine.handle(0.0, [full_list]))
     change = EndpointList(ListKind.CHANGES, (Endpoint(1, 0, EndpointStatus.DRAINING),))
-    timed("change", lambda: relay.handle(1.0, [change]))
-    half = directory.take(json.loads(told(size // 2, size)))
+    timer.time("change", lambda: engine.handle(1.0, [change]))
+    half = directory.take(json.loads(list_document(size // 2, size)))
     assert half is not None
-    timed("half_leave", lambda: relay.handle(2.0, [half]))
-    cells = sorted({entry.destination for entry in half.endpoints})
+    timer.time("half_leave", lambda: engine.handle(2.0, [half]))
+    destinations = sorted({entry.destination for entry in half.endpoints})
 
-    def messages() -> None:
+    def deliver_all() -> None:
         for number in range(MESSAGES):
-            now = 10.0 + number
-            relay.handle(now, [Message(number, cells[number % len(cells)], 0, 9000.0)])
-            relay.handle(now + 0.5, [AttemptEnded(number, 0, 0, Outcome.OK, 1.0, True)])
+            now_ms = 10.0 + number
+            engine.handle(now_ms, [Message(number, destinations[number % len(destinations)], 0, 9000.0)])
+            engine.handle(now_ms + 0.5, [AttemptEnded(number, 0, 0, Outcome.OK, 1.0, True)])
 
-    timed("message", messages, MESSAGES)
-    return took
+    timer.time("message", deliver_all, MESSAGES)
+    return timer.us
 
 
 def main() -> int:
-    arguments = parser(__doc__)
-    arguments.add_argument("--rounds", type=int, default=5)
-    args = arguments.parse_args()
-    found = {}
-    for size in SIZES:
-        rounds = [once(size) for _ in range(args.rounds)]
-        found[size] = {step: min(each[step] for each in rounds) for step in rounds[0]}
+    """Run the benchmark."""
+    parser = argument_parser(__doc__)
+    parser.add_argument("--rounds", type=int, default=5)
+    args = parser.parse_args()
+    best = {}
+    for size in LIST_SIZES:
+        rounds = [measure_once(size) for _ in range(args.rounds)]
+        best[size] = {step: min(each[step] for each in rounds) for step in rounds[0]}
+    smallest = best[LIST_SIZES[0]]
     result = {
-        "microseconds": {size: {step: round(us, 1) for step, us in each.items()} for size, each in found.items()},
+        "microseconds": {size: {step: round(us, 1) for step, us in each.items()} for size, each in best.items()},
         "ratios": {
-            size: {step: round(us / found[SIZES[0]][step], 2) for step, us in each.items()}
-            for size, each in found.items()
+            size: {step: round(us / smallest[step], 2) for step, us in each.items()} for size, each in best.items()
         },
     }
-    tell(result, args.json)
+    print_result(result, args.json)
     return 0
 
 
--- a/benchmarks/slopes/__init__.py
+++ b/benchmarks/slopes/__init__.py
@@ -1,1 +1,1 @@
-"""Slopes: what one more destination, queue, message held, event, relay or change costs. See `__main__.py`."""
+"""Slopes: what one more destination, queue, pending message, event, relay or change costs. See `__main__.py`."""
--- a/benchmarks/slopes/changes.py
+++ b/benchmarks/slopes/changes.py
@@ -1,6 +1,6 @@
 """Changes of the list: bytes and processor time of each, and the time until the last of some relays acts on it.
 
-Real node processes that watch one stand-in discovery. `at_once_small`: so many destinations come, drain and go in one
+Real relay processes that watch one platform emulator. `at_once_small`: so many destinations come, drain and go in one
 object each, at relays that know 1,024; `at_once_large`: at relays that know 30,000. Processor time is of one relay (the
 median of all, of each its least round), less what it uses in the same time without a change. `day`: changes one after
 the other, a third of each kind, at relays that know 1,024.
@@ -11,110 +11,138 @@
 import contextlib
 import time
 from collections.abc import Iterator
+from dataclasses import dataclass
 from statistics import median
 from typing import Any
 
 from benchmarks.slopes import inside
-from benchmarks.slopes.harness import Found, Series
-from benchmarks.slopes.outside import Child, Client, Node, until_listed
+from benchmarks.slopes.processes import ACCEPTED, HttpClient, PlatformProcess, RelayProcess, wait_until_listed
+from benchmarks.slopes.series import Measurements, Series
 
-RELAYS = 4
+RELAY_COUNT = 4
 ROUNDS = 5
 SETTLE_S = 0.35
-TOLD_S = 6.0  # a change counts as told by then
+IN_FORCE_TIMEOUT_S = 6.0
+"""A change that is not in force by then is given up."""
+LIST_TIMEOUT_S = 8.0
+KNOWN_DESTINATIONS = 20
+"""Destinations of the list that a relay is configured with."""
+FIRST_NEW = 10**6
+"""Number of the first destination that comes."""
+SUBMIT_INTERVAL_S = 0.001
+"""Between two rounds of messages that look whether a change is in force."""
+DAY_INTERVAL_S = 0.01
+DAY_SETTLE_S = 0.2
+IDLE_S = 2.0
+STATES = ("SERVING", "DRAINING", "DELETED")
+
+
+@dataclass(frozen=True, slots=True)
+class RunningFleet:
+    """Relays that have read the list, each with a client."""
+
+    platform: PlatformProcess
+    relays: list[RelayProcess]
+    clients: list[HttpClient]
+
+    def cpu_us(self) -> list[float]:
+        """Processor time of each relay so far, in microseconds."""
+        return [relay.cpu_us() for relay in self.relays]
+
+    def cpu_us_during(self, seconds: float) -> list[float]:
+        """Processor time of each relay in so many seconds from now, in microseconds."""
+        before = self.cpu_us()
+        time.sleep(seconds)
+        return [now - was for now, was in zip(self.cpu_us(), before, strict=True)]
+
+    def change(self, first: int, count: int, state: str) -> dict[str, Any]:
+        """Change so many destinations in one object; returns the answer of the emulator."""
+        address = self.platform.endpoint_address
+        servers = [inside.discovery_entry(number, number, address, state) for number in range(first, first + count)]
+        return self.platform.command("change", servers=servers)
+
+    def ms_until_in_force(self, destination: int, since: float) -> float | None:
+        """Ms of the monotonic clock from `since` until the last relay accepts a message for a destination."""
+        waiting = list(self.clients)
+        while waiting and time.monotonic() - since < IN_FORCE_TIMEOUT_S:
+            waiting = [client for client in waiting if client.submit(destination) != ACCEPTED]
+            time.sleep(SUBMIT_INTERVAL_S)
+        return None if waiting else (time.monotonic() - since) * 1000
 
 
 @contextlib.contextmanager
-def fleet(count: int) -> Iterator[tuple[Child, list[Node], list[Client]]]:
+def running_fleet(count: int) -> Iterator[RunningFleet]:
     """Relays that have read the list of so many destinations."""
     with contextlib.ExitStack() as stack:
-        child = stack.enter_context(Child())
-        child.list(count)
-        known = list(inside.servers(20, 1, child.sink))
-        nodes = [stack.enter_context(Node(child, known)) for _ in range(RELAYS)]
-        for node in nodes:
-            node.ready()
-        clients = [stack.enter_context(Client(node.port)) for node in nodes]
+        platform = stack.enter_context(PlatformProcess())
+        platform.set_list(count)
+        known = list(inside.discovery_entries(KNOWN_DESTINATIONS, 1, platform.endpoint_address))
+        relays = [stack.enter_context(RelayProcess(platform, known)) for _ in range(RELAY_COUNT)]
+        for relay in relays:
+            relay.wait_ready()
+        clients = [stack.enter_context(HttpClient(relay.port)) for relay in relays]
         for client in clients:
-            until_listed(client, count - 1, 8.0)
-        yield child, nodes, clients
+            wait_until_listed(client, count - 1, LIST_TIMEOUT_S)
+        yield RunningFleet(platform, relays, clients)
 
 
-def spent(nodes: list[Node], seconds: float) -> list[float]:
-    before = [node.cpu() for node in nodes]
-    time.sleep(seconds)
-    return [node.cpu() - was for node, was in zip(nodes, before, strict=True)]
-
-
-def in_force(clients: list[Client], destination: int, since: float) -> float | None:
-    """Ms of the monotonic clock from `since` until the last relay takes a message for a destination that has come."""
-    left = list(clients)
-    while left and time.monotonic() - since < TOLD_S:
-        left = [client for client in left if client.hand_in(destination) != 202]
-        time.sleep(0.001)
-    return None if left else (time.monotonic() - since) * 1000
-
-
-def batch(child: Child, first: int, count: int, state: str) -> list[dict[str, Any]]:
-    return [inside.server(number, number, child.sink, state) for number in range(first, first + count)]
-
-
-def at_once(count: int, destinations: int) -> Found:
-    with fleet(destinations) as (child, nodes, clients):
-        quiet = [spent(nodes, SETTLE_S) for _ in range(ROUNDS)]
+def measure_burst(count: int, destinations: int) -> Measurements:
+    """So many destinations come, drain and go, each time in one object."""
+    with running_fleet(destinations) as fleet:
+        quiet = [fleet.cpu_us_during(SETTLE_S) for _ in range(ROUNDS)]
         idle = [min(each) for each in zip(*quiet, strict=True)]
-        told: Found = {}
+        found: Measurements = {}
         samples: dict[str, list[list[float]]] = {}
-        first = 10**6
-        for each in range(ROUNDS):
-            for name, state in (("comes", "SERVING"), ("drains", "DRAINING"), ("goes", "DELETED")):
-                before = [node.cpu() for node in nodes]
-                done = child.do("change", servers=batch(child, first, count, state))
-                told[f"{name}_bytes"] = float(done["bytes"])
-                if name == "comes" and each == ROUNDS - 1:  # its polls cost more than it: only its time counts
-                    force = in_force(clients, first + count - 1, done["at"])
-                    told["in_force_wall_ms"] = force if force is not None else f"not within {TOLD_S:g} s"
+        first = FIRST_NEW
+        for round_number in range(ROUNDS):
+            for name, state in zip(("comes", "drains", "goes"), STATES, strict=True):
+                before = fleet.cpu_us()
+                answer = fleet.change(first, count, state)
+                found[f"{name}_bytes"] = float(answer["bytes"])
+                # Its polls cost more than the change: only the time of this one counts.
+                if name == "comes" and round_number == ROUNDS - 1:
+                    in_force_ms = fleet.ms_until_in_force(first + count - 1, answer["at"])
+                    late = f"not within {IN_FORCE_TIMEOUT_S:g} s"
+                    found["in_force_wall_ms"] = in_force_ms if in_force_ms is not None else late
                     continue
                 time.sleep(SETTLE_S)
                 samples.setdefault(name, []).append(
-                    [node.cpu() - was - rest for node, was, rest in zip(nodes, before, idle, strict=True)]
+                    [now - was - rest for now, was, rest in zip(fleet.cpu_us(), before, idle, strict=True)]
                 )
             first += count
         for name, rounds in samples.items():
-            told[f"{name}_us"] = max(0.0, median(map(min, zip(*rounds, strict=True))))
-        told["idle_us_a_s"] = median(idle) / SETTLE_S
-        return told
+            found[f"{name}_us"] = max(0.0, median(map(min, zip(*rounds, strict=True))))
+        found["idle_us_a_s"] = median(idle) / SETTLE_S
+        return found
 
 
-def day(count: int, destinations: int) -> Found:
+def measure_day(count: int, destinations: int) -> Measurements:
     """So many changes, 10 ms apart: a third come, a third drain, a third go."""
-    with fleet(destinations) as (child, nodes, clients):
-        idle = median(spent(nodes, 2.0)) / 2.0
-        before, began = [node.cpu() for node in nodes], time.monotonic()
+    with running_fleet(destinations) as fleet:
+        idle_us_a_s = median(fleet.cpu_us_during(IDLE_S)) / IDLE_S
+        before, began = fleet.cpu_us(), time.monotonic()
         size = 0
         for number in range(count):
-            state = ("SERVING", "DRAINING", "DELETED")[number % 3]
-            done = child.do("change", servers=batch(child, 10**6 + number // 3, 1, state))
-            size += done["bytes"]
-            time.sleep(0.01)
-        at = child.do("change", servers=batch(child, 2 * 10**6, 1, "SERVING"))["at"]
-        force = in_force(clients, 2 * 10**6, at)
-        time.sleep(0.2)
-        wall = time.monotonic() - began
-        used = median(node.cpu() - was for node, was in zip(nodes, before, strict=True)) - idle * wall
+            size += fleet.change(FIRST_NEW + number // 3, 1, STATES[number % 3])["bytes"]
+            time.sleep(DAY_INTERVAL_S)
+        last = 2 * FIRST_NEW
+        in_force_ms = fleet.ms_until_in_force(last, fleet.change(last, 1, "SERVING")["at"])
+        time.sleep(DAY_SETTLE_S)
+        elapsed_s = time.monotonic() - began
+        used_us = median(now - was for now, was in zip(fleet.cpu_us(), before, strict=True)) - idle_us_a_s * elapsed_s
         return {
-            "us": used,
-            "us_a_change": used / count,
+            "us": used_us,
+            "us_a_change": used_us / count,
             "change_bytes": float(size),
             "bytes_a_change": size / count,
-            "last_in_force_wall_ms": force if force is not None else "never",
-            "watches_opened_anew": float(child.do("counts")["wholes"] - RELAYS),
+            "last_in_force_wall_ms": in_force_ms if in_force_ms is not None else "never",
+            "watches_opened_anew": float(fleet.platform.command("counts")["wholes"] - RELAY_COUNT),
         }
 
 
 POINTS, CHECKS = (1, 10, 25, 50), (100,)
 SERIES = {
-    "at_once_small": Series("changes at once", POINTS, CHECKS, lambda count: at_once(count, 1024), 1),
-    "at_once_large": Series("changes at once", POINTS, CHECKS, lambda count: at_once(count, 30_000), 1),
-    "day": Series("changes one by one", (60, 120, 240, 480), (1899,), lambda count: day(count, 1024), 1),
+    "at_once_small": Series("changes at once", POINTS, CHECKS, lambda count: measure_burst(count, 1024), 1),
+    "at_once_large": Series("changes at once", POINTS, CHECKS, lambda count: measure_burst(count, 30_000), 1),
+    "day": Series("changes one by one", (60, 120, 240, 480), (1899,), lambda count: measure_day(count, 1024), 1),
 }
--- a/benchmarks/slopes/events.py
+++ b/benchmarks/slopes/events.py
@@ -1,6 +1,6 @@
 """Events a second of one relay process on the platform: whole path on loopback, beside a bare pass-through.
 
-`rate_kept`: so many events a second are handed in, over 20 destinations whose connections are kept: processor time of
+`rate_kept`: so many events a second are submitted, over 20 destinations whose connections are kept: processor time of
 the relay and of the pass-through (benchmarks/throughput.py) for the same requests in the same run. `rate_fresh`: over
 20,000 destinations in turn, so that each call makes a connection, as at the target, where one relay sees a destination
 every 50 s. `closed`, `closed_fresh`: the same with so many clients, each with one message out at a time: what is
@@ -16,154 +16,213 @@
 from statistics import median
 from typing import Any
 
-from benchmarks.common import child, end
+from benchmarks.common import start_child_with_port, stop_child
 from benchmarks.slopes import inside
-from benchmarks.slopes.harness import Found, Series
-from benchmarks.slopes.outside import Child, Client, Node, cpu_us, until_listed
-
-SECONDS, WARM_S = 3.0, 1.0
+from benchmarks.slopes.processes import (
+    HttpClient,
+    PlatformProcess,
+    RelayProcess,
+    cpu_us,
+    submit_request,
+    wait_until_listed,
+)
+from benchmarks.slopes.series import Measurements, Series
+
+SECONDS, WARM_UP_S = 3.0, 1.0
 BODY = b"x" * 212
-SERIAL = count()
-
-
-def hand_ins(destinations: int) -> Iterator[bytes]:
-    for number in SERIAL:
-        yield (
-            f"POST /api HTTP/1.1\r\nHost: api.internal\r\nX-Correlation-Id: {number:016x}\r\n"
-            f"X-Service-Class: state\r\nX-Time-Left: 5000m\r\nEnvelope: dest={number % destinations}\r\n"
-            f"Content-Length: {len(BODY)}\r\n\r\n"
-        ).encode() + BODY
-
-
-class One(asyncio.Protocol):
+MESSAGE_NUMBERS = count()
+CLIENTS = 32
+KEPT_DESTINATIONS, FRESH_DESTINATIONS = 20, 20_000
+KNOWN_DESTINATIONS = 20
+"""Destinations of the list that a relay is configured with."""
+LIST_TIMEOUT_S = 8.0
+LAST_ANSWER_S = 5.0
+ANSWER_POLL_S = 0.002
+FREE_POLL_S = 0.001
+REQUESTS_BETWEEN_YIELDS = 8
+SETTLE_S = 0.5
+
+
+def requests(destinations: int) -> Iterator[bytes]:
+    """Requests that submit messages, for so many destinations in turn."""
+    for number in MESSAGE_NUMBERS:
+        yield submit_request(number % destinations, f"{number:016x}", BODY)
+
+
+class LoadConnection(asyncio.Protocol):
     """A client's connection with one request out at a time."""
 
-    def __init__(self, load: Load) -> None:
+    def __init__(self, load: LoadGenerator) -> None:
+        """The connection takes its requests from the generator and reports answers to it."""
         self.load = load
-        self.sent = 0.0
+        self.sent_at = 0.0
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Keep the transport for the requests."""
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
 
-    def ask(self) -> None:
-        self.sent = time.perf_counter()
+    def send_next(self) -> None:
+        """Send the next request."""
+        self.sent_at = time.perf_counter()
         self.transport.write(next(self.load.requests))
 
     def data_received(self, data: bytes) -> None:
-        self.load.answered(self, data, time.perf_counter() - self.sent)
+        """Report the answer; it comes in one piece."""
+        self.load.on_answer(self, data, time.perf_counter() - self.sent_at)
+
 
+class LoadGenerator:
+    """Clients that submit at a rate, or each as soon as it has its answer (rate 0).
 
-class Load:
-    """Clients that hand in at a rate, or each as soon as it has its answer (rate 0)."""
+    Attributes:
+        latencies_s: Time of each answer with 2xx.
+        rejected: Other answers.
+        waits_for_connection: Times that no connection was free.
+    """
 
     def __init__(self, port: int, destinations: int, rate: float, clients: int) -> None:
+        """Prepare clients of a loopback port; they connect at the first run."""
         self.port, self.rate, self.clients = port, rate, clients
-        self.requests = hand_ins(destinations)
-        self.free: list[One] = []
-        self.took: list[float] = []  # s of each answer with 2xx
-        self.other = self.late = 0
-        self.over = False
-
-    def answered(self, one: One, data: bytes, took: float) -> None:
+        self.requests = requests(destinations)
+        self.idle: list[LoadConnection] = []
+        self.is_over = False
+        self.reset()
+
+    def reset(self) -> None:
+        """Forget what was counted so far."""
+        self.latencies_s: list[float] = []
+        self.rejected = self.waits_for_connection = 0
+
+    def on_answer(self, connection: LoadConnection, data: bytes, elapsed_s: float) -> None:
+        """Count an answer; in a closed loop, the connection sends its next request."""
         if data.startswith(b"HTTP/1.1 20"):
-            self.took.append(took)
+            self.latencies_s.append(elapsed_s)
         else:
-            self.other += 1
-        if self.rate or self.over:
-            self.free.append(one)
+            self.rejected += 1
+        if self.rate or self.is_over:
+            self.idle.append(connection)
         else:
-            one.ask()
+            connection.send_next()
 
     async def run(self, seconds: float) -> float:
-        """Seconds that it took."""
-        loop = asyncio.get_running_loop()
-        for _ in range(self.clients - len(self.free)):
-            _, made = await loop.create_connection(lambda: One(self), "127.0.0.1", self.port)
-            self.free.append(made)
-        began, self.over = time.perf_counter(), False
+        """Generate load for so long; returns the seconds that it took."""
+        await self._connect()
+        began, self.is_over = time.perf_counter(), False
         if self.rate:
-            for number in range(int(self.rate * seconds)):
-                wait = began + number / self.rate - time.perf_counter()
-                if wait > 0 or number % 8 == 0:
-                    await asyncio.sleep(max(0.0, wait))
-                while not self.free:
-                    self.late += 1
-                    await asyncio.sleep(0.001)
-                self.free.pop(0).ask()
+            await self._send_at_rate(began, seconds)
         else:
-            starting, self.free = self.free, []
-            for one in starting:
-                one.ask()
-            await asyncio.sleep(seconds)
-        spent = time.perf_counter() - began
-        self.over = True
-        deadline = time.perf_counter() + 5.0
-        while len(self.free) < self.clients and time.perf_counter() < deadline:
-            await asyncio.sleep(0.002)
-        return spent
+            await self._send_in_closed_loop(seconds)
+        elapsed_s = time.perf_counter() - began
+        self.is_over = True
+        deadline = time.perf_counter() + LAST_ANSWER_S
+        while len(self.idle) < self.clients and time.perf_counter() < deadline:  # noqa: ASYNC110 (see _send_at_rate)
+            await asyncio.sleep(ANSWER_POLL_S)
+        return elapsed_s
+
+    async def _connect(self) -> None:
+        loop = asyncio.get_running_loop()
+        for _ in range(self.clients - len(self.idle)):
+            _, connection = await loop.create_connection(lambda: LoadConnection(self), "127.0.0.1", self.port)
+            self.idle.append(connection)
+
+    async def _send_at_rate(self, began: float, seconds: float) -> None:
+        for number in range(int(self.rate * seconds)):
+            wait_s = began + number / self.rate - time.perf_counter()
+            if wait_s > 0 or number % REQUESTS_BETWEEN_YIELDS == 0:
+                await asyncio.sleep(max(0.0, wait_s))
+            while not self.idle:  # noqa: ASYNC110 (an event would cost each answer processor time that is measured)
+                self.waits_for_connection += 1
+                await asyncio.sleep(FREE_POLL_S)
+            self.idle.pop(0).send_next()
+
+    async def _send_in_closed_loop(self, seconds: float) -> None:
+        starting, self.idle = self.idle, []
+        for connection in starting:
+            connection.send_next()
+        await asyncio.sleep(seconds)
 
     def close(self) -> None:
-        for one in self.free:
-            one.transport.close()
-        self.free = []
-
-
-def loaded(port: int, pid: int, destinations: int, rate: float, clients: int) -> Found:
-    async def go() -> tuple[float, float, Load]:
-        load = Load(port, destinations, rate, clients)
-        await load.run(WARM_S)
-        load.took, load.other, load.late = [], 0, 0
-        before = cpu_us(pid)
-        spent = await load.run(SECONDS)
-        used = cpu_us(pid) - before
+        """Close all connections."""
+        for connection in self.idle:
+            connection.transport.close()
+        self.idle = []
+
+
+def run_load(port: int, pid: int, destinations: int, rate: float, clients: int) -> Measurements:
+    """Load on a port, and the processor time of the process behind it."""
+
+    async def generate() -> tuple[float, float, LoadGenerator]:
+        load = LoadGenerator(port, destinations, rate, clients)
+        await load.run(WARM_UP_S)
+        load.reset()
+        before_us = cpu_us(pid)
+        elapsed_s = await load.run(SECONDS)
+        used_us = cpu_us(pid) - before_us
         load.close()
-        return spent, used, load
+        return elapsed_s, used_us, load
 
-    spent, used, load = asyncio.run(go())
-    done = len(load.took)
-    ordered = sorted(load.took) or [0.0]
+    elapsed_s, used_us, load = asyncio.run(generate())
+    done = len(load.latencies_s)
+    ordered = sorted(load.latencies_s) or [0.0]
     return {
-        "us_a_s": used / spent,
-        "us": used / max(1, done),
-        "per_s": done / spent,
+        "us_a_s": used_us / elapsed_s,
+        "us": used_us / max(1, done),
+        "per_s": done / elapsed_s,
         "p50_wall_ms": median(ordered) * 1000,
         "p99_wall_ms": ordered[int(len(ordered) * 0.99)] * 1000,
-        "refused": float(load.other),
-        "waited_for_client": float(load.late),
+        "refused": float(load.rejected),
+        "waited_for_client": float(load.waits_for_connection),
     }
 
 
-def measure(destinations: int, rate: float, clients: int) -> Found:
-    with Child() as platform:
-        platform.list(destinations, rate=1e6)
-        known = list(inside.servers(20, 1, platform.sink))
-        more: dict[str, Any] = {"balancers": 1, "extra": {"call-slots": 256}}
-        through, port = child("throughput", "--serve-pass", platform.sink.partition(":")[2])
-        with Node(platform, known, **more) as made:
-            made.ready()
-            with Client(made.port) as client:
-                until_listed(client, destinations - 1, 8.0)
-            calls = platform.do("counts")["calls"]
-            relay = loaded(made.port, made.pid, destinations, rate, clients)
-            time.sleep(0.5)
-            delivered = platform.do("counts")["calls"] - calls
-            bare = loaded(port, through.pid, destinations, rate, clients)
-        end(through)
-    told: Found = {f"relay_{name}": value for name, value in relay.items()}
-    told |= {f"pass_{name}": value for name, value in bare.items()}
-    told["relay_over_pass"] = float(relay["us"]) / float(bare["us"])
+def measure(destinations: int, rate: float, clients: int) -> Measurements:
+    """The same load on a relay and on a pass-through, one after the other."""
+    with PlatformProcess() as platform:
+        platform.set_list(destinations, rate=1e6)
+        known = list(inside.discovery_entries(KNOWN_DESTINATIONS, 1, platform.endpoint_address))
+        settings: dict[str, Any] = {"balancers": 1, "extra": {"call-slots": 256}}
+        endpoint_port = platform.endpoint_address.partition(":")[2]
+        pass_through, port = start_child_with_port("throughput", "--serve-pass", endpoint_port)
+        with RelayProcess(platform, known, **settings) as process:
+            process.wait_ready()
+            with HttpClient(process.port) as client:
+                wait_until_listed(client, destinations - 1, LIST_TIMEOUT_S)
+            calls_before = platform.command("counts")["calls"]
+            relay = run_load(process.port, process.pid, destinations, rate, clients)
+            time.sleep(SETTLE_S)
+            delivered = platform.command("counts")["calls"] - calls_before
+            bare = run_load(port, pass_through.pid, destinations, rate, clients)
+        stop_child(pass_through)
+    found: Measurements = {f"relay_{name}": value for name, value in relay.items()}
+    found |= {f"pass_{name}": value for name, value in bare.items()}
+    found["relay_over_pass"] = float(relay["us"]) / float(bare["us"])
     if not rate:
-        told["relay_wall_us"], told["pass_wall_us"] = 1e6 / float(relay["per_s"]), 1e6 / float(bare["per_s"])
-        told["share_of_pass"] = float(relay["per_s"]) / float(bare["per_s"])
-    told["delivered"] = float(delivered)
-    return told
+        found["relay_wall_us"], found["pass_wall_us"] = 1e6 / float(relay["per_s"]), 1e6 / float(bare["per_s"])
+        found["share_of_pass"] = float(relay["per_s"]) / float(bare["per_s"])
+    found["delivered"] = float(delivered)
+    return found
+
+
+def at_rate(destinations: int, rate: int) -> Measurements:
+    """So many events a second."""
+    return measure(destinations, rate, CLIENTS)
+
+
+def in_closed_loop(destinations: int, clients: int) -> Measurements:
+    """So many clients, each with one message out at a time."""
+    return measure(destinations, 0.0, clients)
 
 
-RATES, RATE_CHECK = (100, 200, 300, 400), (600,)
+RATES, RATE_CHECKS = (100, 200, 300, 400), (600,)
+CLIENT_COUNTS, CLIENT_CHECKS = (1, 2, 4, 8), (16,)
 SERIES = {
-    "rate_kept": Series("events a second", RATES, RATE_CHECK, lambda rate: measure(20, rate, 32), 1),
-    "rate_fresh": Series("events a second", RATES, RATE_CHECK, lambda rate: measure(20_000, rate, 32), 1),
-    "closed": Series("clients", (1, 2, 4, 8), (16,), lambda clients: measure(20, 0.0, clients), 1),
-    "closed_fresh": Series("clients", (1, 2, 4, 8), (16,), lambda clients: measure(20_000, 0.0, clients), 1),
+    "rate_kept": Series("events a second", RATES, RATE_CHECKS, lambda rate: at_rate(KEPT_DESTINATIONS, rate), 1),
+    "rate_fresh": Series("events a second", RATES, RATE_CHECKS, lambda rate: at_rate(FRESH_DESTINATIONS, rate), 1),
+    "closed": Series(
+        "clients", CLIENT_COUNTS, CLIENT_CHECKS, lambda clients: in_closed_loop(KEPT_DESTINATIONS, clients), 1
+    ),
+    "closed_fresh": Series(
+        "clients", CLIENT_COUNTS, CLIENT_CHECKS, lambda clients: in_closed_loop(FRESH_DESTINATIONS, clients), 1
+    ),
 }
--- a/benchmarks/slopes/inside.py
+++ b/benchmarks/slopes/inside.py
@@ -1,4 +1,7 @@
-"""The module in one process: settings, lists, and what a step of it costs. No I/O."""
+"""The engine in one process: settings, endpoint lists, and what a step of it costs. No I/O.
+
+docs/CAPACITY.md cites this file and `delivered` by name.
+"""
 
 from __future__ import annotations
 
@@ -12,22 +15,30 @@
 from linnetstile.engine.events import AttemptEnded, Endpoint, EndpointList, EndpointStatus, ListKind, Message, Outcome
 from linnetstile.engine.settings import DestinationKind, Effect, MessageClass, RateTrust, SafetyLimits, Settings
 
-RATE = 20.0  # calls a second that a destination takes, as listed
-EVERYWHERE = 1_100_000.0  # events a second at the target, all relays together
-RELAYS = 460
+LISTED_RATE = 20.0
+"""Calls a second that a destination advertises."""
+FLEET_EVENTS_PER_S = 1_100_000.0
+"""Messages a second at the target, all relays together."""
+TARGET_RELAYS = 460
+ANSWER_MS = 20.0
+"""Time of a call that succeeds."""
 SAFETY = SafetyLimits(
     answer_slack_ms=50.0, drain_grace_ms=250.0, slow_start_fraction=0.2, slow_start_ms=5000.0, overload_multiple=2.0
 )
-CLASS = MessageClass("state", Effect.IDEMPOTENT, 10_000.0, 3_600_000.0)
+MESSAGE_CLASS = MessageClass("state", Effect.IDEMPOTENT, 10_000.0, 3_600_000.0)
 
 
-def settings(relays: int = RELAYS, slots: int = 256, deadline_ms: float = CLASS.deadline_ms) -> Settings:
-    """One relay of so many, with room for a million messages."""
-    message_class = MessageClass(CLASS.name, CLASS.effect, CLASS.latency_objective_ms, deadline_ms)
+def settings(
+    relays: int = TARGET_RELAYS, max_in_flight: int = 256, deadline_ms: float = MESSAGE_CLASS.deadline_ms
+) -> Settings:
+    """Settings of one relay of so many, with capacity for a million messages."""
+    message_class = MessageClass(
+        MESSAGE_CLASS.name, MESSAGE_CLASS.effect, MESSAGE_CLASS.latency_objective_ms, deadline_ms
+    )
     return Settings(
         (message_class,),
         (DestinationKind("k"),),
-        slots,
+        max_in_flight,
         1_000_000,
         40,
         relay_count=relays,
@@ -38,60 +49,70 @@
     )
 
 
-def servers(count: int, endpoints: int = 1, addr: str = "", rate: float = RATE) -> Iterator[dict[str, Any]]:
+def discovery_entries(
+    count: int, endpoints_each: int = 1, address: str = "", rate: float = LISTED_RATE
+) -> Iterator[dict[str, Any]]:
     """Discovery's entries of `count` destinations, so many endpoints of each."""
-    for number in range(count * endpoints):
-        yield server(number, number // endpoints, addr, rate=rate)
+    for number in range(count * endpoints_each):
+        yield discovery_entry(number, number // endpoints_each, address, rate=rate)
 
 
-def server(number: int, cell: int, addr: str = "", state: str = "SERVING", rate: float = RATE) -> dict[str, Any]:
-    """One entry as discovery tells it."""
-    where = addr or f"10.{number >> 16}.{number >> 8 & 255}.{number & 255}:3000"
+def discovery_entry(
+    number: int, destination: int, address: str = "", state: str = "SERVING", rate: float = LISTED_RATE
+) -> dict[str, Any]:
+    """One entry as discovery sends it; without an address, one that nobody calls."""
     return {
         "id": f"s-{number:08x}",
-        "addr": where,
+        "addr": address or f"10.{number >> 16}.{number >> 8 & 255}.{number & 255}:3000",
         "zone": "z",
         "kind": "k",
-        "cell": cell,
+        "cell": destination,
         "state": state,
         "weight": rate,
         "started_ms": 0,
     }
 
 
-def entries(
-    count: int, endpoints: int = 1, listing: EndpointStatus = EndpointStatus.READY, rate: float = RATE
+def endpoints(
+    count: int, endpoints_each: int = 1, status: EndpointStatus = EndpointStatus.READY, rate: float = LISTED_RATE
 ) -> tuple[Endpoint, ...]:
-    """The same as the module is told them; numbers of endpoints begin at 1."""
-    return tuple(Endpoint(number + 1, number // endpoints, listing, 0, 0, rate) for number in range(count * endpoints))
+    """The same as the engine gets them; numbers of endpoints begin at 1."""
+    return tuple(
+        Endpoint(number + 1, number // endpoints_each, status, 0, 0, rate) for number in range(count * endpoints_each)
+    )
 
 
-def relay(count: int, endpoints: int = 1, rate: float = RATE, seed: int = 1, **more: Any) -> DeliveryEngine:
-    """A module that knows of so many destinations, all at rest."""
-    made = DeliveryEngine(settings(**more), seed)
-    made.handle(0.0, [EndpointList(ListKind.FULL, entries(count, endpoints, rate=rate))])
-    return made
+def create_engine(
+    count: int, endpoints_each: int = 1, rate: float = LISTED_RATE, seed: int = 1, **options: Any
+) -> DeliveryEngine:
+    """An engine that knows so many destinations, all of them idle; `options` are those of `settings`."""
+    engine = DeliveryEngine(settings(**options), seed)
+    engine.handle(0.0, [EndpointList(ListKind.FULL, endpoints(count, endpoints_each, rate=rate))])
+    return engine
 
 
-def still() -> None:
-    """As a node does once it has started: what there is, is not looked at by collections."""
+def freeze_garbage() -> None:
+    """Exclude what there is from garbage collection, as a relay does once it has started."""
     gc.collect()
     gc.freeze()
 
 
-def traced(step: Callable[[], Any]) -> tuple[int, Any]:
+def allocated_bytes(step: Callable[[], Any]) -> tuple[int, Any]:
     """Bytes that a step leaves allocated (tracemalloc), and what it returned."""
     gc.collect()
     if not tracemalloc.is_tracing():
         tracemalloc.start()
     before = tracemalloc.get_traced_memory()[0]
-    found = step()
+    result = step()
     gc.collect()
-    return tracemalloc.get_traced_memory()[0] - before, found
+    return tracemalloc.get_traced_memory()[0] - before, result
 
 
-def delivered(relay: DeliveryEngine, ident: int, destination: int, now: float, left_ms: float = 5000.0) -> None:
-    """One message with its answer 20 ms later: two turns and no more."""
-    for action in relay.handle(now, [Message(ident, destination, 0, left_ms)]):
+def delivered(
+    engine: DeliveryEngine, message_id: int, destination: int, now_ms: float, remaining_ms: float = 5000.0
+) -> None:
+    """One message with its answer `ANSWER_MS` later: two turns and no more."""
+    for action in engine.handle(now_ms, [Message(message_id, destination, 0, remaining_ms)]):
         if isinstance(action, Send):
-            relay.handle(now + 20.0, [AttemptEnded(action.id, 0, action.endpoint, Outcome.OK, 20.0, True)])
+            ended = AttemptEnded(action.id, 0, action.endpoint, Outcome.OK, ANSWER_MS, True)
+            engine.handle(now_ms + ANSWER_MS, [ended])
--- /dev/null
+++ b/benchmarks/slopes/plot.py
@@ -0,0 +1,84 @@
+"""The picture of an axis: points, fit and checks of each quantity."""
+
+from __future__ import annotations
+
+import io
+from dataclasses import dataclass
+from typing import Any
+
+from benchmarks.slopes import fit
+
+UNPLOTTED_WORDS = ("a", "an", "share", "refused", "waited", "p99", "delivered")
+"""Words in the names of quantities that are quotients or of little interest."""
+MOST_COLUMNS = 4
+CURVE_STEPS = 50
+DOTS_PER_INCH = 55
+COLOURS = 12
+"""Few colours: the picture is kept with the code."""
+
+
+@dataclass(frozen=True, slots=True)
+class Panel:
+    """One small picture: a quantity of a series, both as the result has them."""
+
+    series_name: str
+    series: dict[str, Any]
+    quantity: str
+    fit: dict[str, Any]
+
+
+def plot_axis(result: dict[str, Any], file: str) -> None:
+    """Draw one small picture for each quantity of each series into a PNG file; nothing if there is none."""
+    import matplotlib
+    from PIL import Image
+
+    matplotlib.use("Agg")
+    from matplotlib import pyplot
+
+    panels = _panels(result)
+    if not panels:
+        return
+    columns = min(MOST_COLUMNS, len(panels))
+    rows = -(-len(panels) // columns)
+    figure, axes = pyplot.subplots(rows, columns, figsize=(3.4 * columns, 2.5 * rows), squeeze=False)
+    for each in axes.flat[len(panels) :]:
+        each.axis("off")
+    for each, panel in zip(axes.flat, panels, strict=False):
+        _draw_panel(each, panel)
+    figure.tight_layout()
+    drawn = io.BytesIO()
+    figure.savefig(drawn, dpi=DOTS_PER_INCH)
+    pyplot.close(figure)
+    Image.open(drawn).convert("RGB").quantize(COLOURS).save(file, optimize=True)
+
+
+def _panels(result: dict[str, Any]) -> list[Panel]:
+    return [
+        Panel(name, series, quantity, found)
+        for name, series in result["series"].items()
+        for quantity, found in series["fits"].items()
+        if not {*UNPLOTTED_WORDS} & {*quantity.split("_")}
+    ]
+
+
+def _draw_panel(axes: Any, panel: Panel) -> None:
+    found = panel.fit
+    curve = fit.Fit(found["form"], found["a"], found["b"], found["residual"])
+    values = {
+        int(size): measurements[panel.quantity]
+        for size, measurements in panel.series["points"].items()
+        if isinstance(measurements.get(panel.quantity), (int, float))
+    }
+    checks = {row["n"] for row in found["checks"]}
+    sizes = sorted(int(size) for size in panel.series["points"])
+    steps = [sizes[0] + (sizes[-1] - sizes[0]) * step / CURVE_STEPS for step in range(CURVE_STEPS + 1)]
+    axes.plot(steps, [curve.at(size) for size in steps], "-", color="tab:gray", linewidth=1)
+    fitted = [(size, value) for size, value in values.items() if size not in checks]
+    axes.plot(*zip(*fitted, strict=True), "o", color="tab:blue", markersize=4)
+    checked = [(size, value) for size, value in values.items() if size in checks]
+    if checked:
+        axes.plot(*zip(*checked, strict=True), "x", color="tab:red", markersize=7)
+    axes.set_title(f"{panel.series_name}\n{panel.quantity} ({found['form']})", fontsize=7)
+    axes.set_xlabel(panel.series["unit"], fontsize=7)
+    axes.tick_params(labelsize=6)
+    axes.set_ylim(bottom=0)
--- /dev/null
+++ b/benchmarks/slopes/processes.py
@@ -0,0 +1,254 @@
+"""A real relay process beside the platform emulator: started, asked, measured from outside, ended."""
+
+from __future__ import annotations
+
+import json
+import os
+import shutil
+import socket
+import subprocess
+import sys
+import tempfile
+import time
+from pathlib import Path
+from types import TracebackType
+from typing import Any
+
+from benchmarks.common import resident_mb
+from benchmarks.slopes.inside import LISTED_RATE
+from tests.platform_relay import world
+
+CLASSES = [{"name": "state", "effect": "repeatable", "aim-ms": 10_000.0, "deadline-ms": 3_600_000.0}]
+SETTINGS = world.RAW | {
+    "classes": CLASSES,
+    "extra": {"call-slots": 64},
+    "balancers": 460,
+    "orgs": [],
+    "limits": world.RAW["limits"] | {"open-cap": 1_000_000, "try-limit": 40},
+}
+LIMITS = {"sockets": 4096, "memory_mb": 4096, "disk_mb": 4096}
+START_TIMEOUT_S = 60.0
+READY_TIMEOUT_S = 0.4
+"""Of one question whether a relay is ready."""
+READY_POLL_S = 0.01
+END_TIMEOUT_S = 20
+LOG_TAIL = 300
+"""Characters of the log in the error of a relay that has ended."""
+ACCEPTED = 202
+SUBMIT_INTERVAL_S = 0.005
+AFTERWARDS_S = 0.5
+"""Answers are timed for so long after a list is in force."""
+
+
+class PlatformProcess:
+    """The platform emulator, as a process of its own.
+
+    Attributes:
+        port: Loopback port of discovery.
+        endpoint_address: Address of all endpoints.
+    """
+
+    def __init__(self) -> None:
+        """Start it."""
+        self.process = subprocess.Popen(
+            [sys.executable, "-m", "benchmarks.slopes.platform_emulator"],
+            text=True,
+            stdin=subprocess.PIPE,
+            stdout=subprocess.PIPE,
+        )
+        ports = self._read_answer()
+        self.port, self.endpoint_address = int(ports["port"]), f"127.0.0.1:{ports['sink']}"
+
+    def _read_answer(self) -> dict[str, Any]:
+        assert self.process.stdout is not None
+        answer: dict[str, Any] = json.loads(self.process.stdout.readline())
+        return answer
+
+    def command(self, name: str, **arguments: Any) -> dict[str, Any]:
+        """Send a command of `PlatformEmulator.command`; returns its answer."""
+        assert self.process.stdin is not None
+        self.process.stdin.write(json.dumps({"do": name, **arguments}) + "\n")
+        self.process.stdin.flush()
+        return self._read_answer()
+
+    def set_list(self, count: int, endpoints_each: int = 1, rate: float = LISTED_RATE, **more: Any) -> int:
+        """Set the full list, which counts for whoever watches from now on; returns its bytes."""
+        answer = self.command(
+            "list", count=count, endpoints=endpoints_each, rate=rate, addr=self.endpoint_address, **more
+        )
+        return int(answer["whole_bytes"])
+
+    def __enter__(self) -> PlatformProcess:
+        return self
+
+    def __exit__(
+        self, kind: type[BaseException] | None, error: BaseException | None, trace: TracebackType | None
+    ) -> None:
+        self.process.terminate()
+        self.process.wait(END_TIMEOUT_S)
+
+
+def free_port() -> int:
+    """A loopback port that nobody listens on."""
+    with socket.socket() as sock:
+        sock.bind(("127.0.0.1", 0))
+        return int(sock.getsockname()[1])
+
+
+def cpu_us(pid: int) -> float:
+    """Processor time of a process with one thread, in microseconds."""
+    return int(Path(f"/proc/{pid}/schedstat").read_text().split()[0]) / 1000
+
+
+class RelayProcess:
+    """`python -m linnetstile.platform_relay` with a folder of its own."""
+
+    def __init__(
+        self, platform: PlatformProcess, known: list[dict[str, Any]], state: Path | None = None, **settings: Any
+    ) -> None:
+        """Start a relay.
+
+        Args:
+            platform: Where its discovery is.
+            known: The list of its configuration.
+            state: Folder that lasts; None = a new one.
+            settings: Settings other than the usual ones.
+        """
+        self.folder = Path(tempfile.mkdtemp(prefix="linnetstile-slopes-"))
+        self.port = free_port()
+        config = self.folder / "config.json"
+        config.write_text(
+            json.dumps(
+                {
+                    "name": "n0",
+                    "listen": f"127.0.0.1:{self.port}",
+                    "discovery": f"127.0.0.1:{platform.port}",
+                    "seed": "1",
+                    "limits": LIMITS,
+                    "known": {"version": 1, "full": True, "servers": known},
+                    "settings": SETTINGS | settings,
+                }
+            )
+        )
+        self.log = self.folder / "log"
+        environment = os.environ | {"GW_CONFIG": str(config), "GW_STATE": str(state or self.folder / "state")}
+        self.began = time.monotonic()
+        with self.log.open("wb") as log:
+            self.process = subprocess.Popen(
+                [sys.executable, "-m", "linnetstile.platform_relay"], env=environment, stderr=log
+            )
+        self.pid = self.process.pid
+
+    def wait_ready(self) -> float:
+        """Seconds from its start until it says that it is ready.
+
+        Raises:
+            RuntimeError: It has ended, or took too long.
+        """
+        while time.monotonic() - self.began < START_TIMEOUT_S:
+            try:
+                with HttpClient(self.port, READY_TIMEOUT_S) as client:
+                    if client.request(b"GET /-/ready HTTP/1.1\r\nHost: r\r\n\r\n") == 200:
+                        return time.monotonic() - self.began
+            except OSError:
+                pass
+            if self.process.poll() is not None:
+                raise RuntimeError(f"the node has ended: {self.log.read_text()[-LOG_TAIL:]}")
+            time.sleep(READY_POLL_S)
+        raise RuntimeError(f"not ready within {START_TIMEOUT_S:g} s")
+
+    def resident_mb(self) -> float:
+        """Resident memory now, in MB."""
+        return resident_mb(self.pid)
+
+    def cpu_us(self) -> float:
+        """Processor time so far, in microseconds."""
+        return cpu_us(self.pid)
+
+    def __enter__(self) -> RelayProcess:
+        return self
+
+    def __exit__(
+        self, kind: type[BaseException] | None, error: BaseException | None, trace: TracebackType | None
+    ) -> None:
+        self.process.kill()
+        self.process.wait(END_TIMEOUT_S)
+        shutil.rmtree(self.folder, ignore_errors=True)
+
+
+def submit_request(destination: int, identifier: str, body: bytes) -> bytes:
+    """The request that submits a message to a relay."""
+    return (
+        f"POST /api HTTP/1.1\r\nHost: api.internal\r\nX-Correlation-Id: {identifier}\r\n"
+        f"X-Service-Class: state\r\nX-Time-Left: 5000m\r\nEnvelope: dest={destination}\r\n"
+        f"Content-Length: {len(body)}\r\n\r\n"
+    ).encode() + body
+
+
+class HttpClient:
+    """One connection, one request at a time; asks again on a new one where the relay has closed it between two."""
+
+    def __init__(self, port: int, timeout_s: float = 10.0) -> None:
+        """Connect to a loopback port; an answer that takes longer than the timeout is an OSError."""
+        self.port, self.timeout_s = port, timeout_s
+        self.sent = 0
+        self.socket = self._connect()
+
+    def _connect(self) -> socket.socket:
+        connection = socket.create_connection(("127.0.0.1", self.port), self.timeout_s)
+        connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+        return connection
+
+    def _reconnect(self) -> None:
+        self.socket.close()
+        self.socket = self._connect()
+
+    def request(self, data: bytes) -> int:
+        """Send a request; returns the status of the answer.
+
+        Raises:
+            OSError: There is no answer.
+        """
+        for _ in range(2):
+            try:
+                self.socket.sendall(data)
+                answer = self.socket.recv(4096)
+                if answer:
+                    if b"connection: close" in answer.lower():
+                        self._reconnect()
+                    return int(answer.split(b" ", 2)[1])
+            except ConnectionError:
+                pass
+            self._reconnect()
+        raise ConnectionResetError("closed twice without an answer")
+
+    def submit(self, destination: int, body: bytes = b"hello", identifier: str = "") -> int:
+        """Submit a message; returns the status of the answer."""
+        self.sent += 1
+        return self.request(submit_request(destination, identifier or f"c{id(self):x}-{self.sent}", body))
+
+    def __enter__(self) -> HttpClient:
+        return self
+
+    def __exit__(
+        self, kind: type[BaseException] | None, error: BaseException | None, trace: TracebackType | None
+    ) -> None:
+        self.socket.close()
+
+
+def wait_until_listed(client: HttpClient, destination: int, seconds: float) -> tuple[float | None, float]:
+    """Submit messages for a destination until one is accepted.
+
+    Returns:
+        Seconds until then (None = never), and the longest time in ms that an answer was waited for meanwhile, and for
+        `AFTERWARDS_S` after.
+    """
+    began, longest_s, listed_s = time.monotonic(), 0.0, None
+    while (now := time.monotonic()) - began < seconds and (listed_s is None or now - began < listed_s + AFTERWARDS_S):
+        status = client.submit(destination)
+        answered = time.monotonic()
+        longest_s = max(longest_s, answered - now)
+        if listed_s is None and status == ACCEPTED:
+            listed_s = answered - began
+        time.sleep(SUBMIT_INTERVAL_S)
+    return listed_s, longest_s * 1000
--- a/benchmarks/slopes/queues.py
+++ b/benchmarks/slopes/queues.py
@@ -1,6 +1,6 @@
 """Destinations that are down and have a queue, beside many that are up: what a message and an idle turn cost.
 
-One hollow relay with its part of the target's load (2,391 events a second over all destinations, by chance, so that
+One simulated relay with its part of the target's load (2,391 events a second over all destinations, by chance, so that
 at 2,280 queues 1.9% of them are for those that are down); a call to one that is down is refused after 5 ms.
 `beside_target`: with so many up that all are 120,000; `beside_few`: with 1,024 up, which take that much more each.
 """
@@ -10,51 +10,58 @@
 import random
 
 from benchmarks.slopes import inside
-from benchmarks.slopes.harness import Found, Series, timed
-from benchmarks.slopes.hollow import Fleet
+from benchmarks.slopes.series import Measurements, Series
+from benchmarks.slopes.simulated_fleet import SimulatedFleet
+from benchmarks.slopes.timing import processor_time_us
 from linnetstile.engine.events import Outcome
 
-ALL = 120_000
-PER_S = inside.EVERYWHERE / inside.RELAYS  # events a second of one relay
-QUEUED = 3  # messages in each queue at the least
-WARM_MS, RUN_MS = 12_000.0, 1_000.0
+TARGET_DESTINATIONS = 120_000
+EVENTS_PER_S = inside.FLEET_EVENTS_PER_S / inside.TARGET_RELAYS
+"""Messages a second of one relay."""
+MESSAGES_A_QUEUE = 3
+"""Messages in each queue at the least."""
+WARM_UP_MS, RUN_MS = 12_000.0, 1_000.0
 DEADLINE_MS = 600_000.0
+REFUSED_MS, ANSWERED_MS = 5.0, 20.0
+IDLE_TURNS = 50
 
 
-def measure(queues: int, destinations: int) -> Found:
+def measure(queues: int, destinations: int) -> Measurements:
     """The first `queues` destinations are down."""
-    relay = inside.relay(destinations, rate=inside.RATE * ALL / destinations, deadline_ms=DEADLINE_MS)
+    rate = inside.LISTED_RATE * TARGET_DESTINATIONS / destinations
+    engine = inside.create_engine(destinations, rate=rate, deadline_ms=DEADLINE_MS)
     rng = random.Random(queues)
 
-    def answer(_: int, endpoint: int, now: float) -> tuple[Outcome, float]:
-        return (Outcome.CONNECT_FAILED, 5.0) if endpoint <= queues else (Outcome.OK, 20.0)
+    def answer(_: int, endpoint: int, now_ms: float) -> tuple[Outcome, float]:
+        return (Outcome.CONNECT_FAILED, REFUSED_MS) if endpoint <= queues else (Outcome.OK, ANSWERED_MS)
 
-    fleet = Fleet([relay], answer)
-    for number in range(queues * QUEUED):  # as they come: not all in one moment
-        fleet.message(rng.uniform(0.0, WARM_MS / 3), 0, number % queues, DEADLINE_MS)
-    fleet.run(WARM_MS)
-    inside.still()
+    fleet = SimulatedFleet([engine], answer)
+    for number in range(queues * MESSAGES_A_QUEUE):  # as they come: not all in one moment
+        fleet.submit(rng.uniform(0.0, WARM_UP_MS / 3), 0, number % queues, DEADLINE_MS)
+    fleet.run(WARM_UP_MS)
+    inside.freeze_garbage()
     fleet.reset()
-    count = int(PER_S * RUN_MS / 1000)
-    for when in sorted(rng.uniform(WARM_MS, WARM_MS + RUN_MS) for _ in range(count)):
-        down = rng.random() < queues / ALL  # also where there are fewer that are up
-        fleet.message(when, 0, rng.randrange(queues) if down else rng.randrange(queues, destinations), DEADLINE_MS)
-    fleet.run(WARM_MS + RUN_MS)
-    told: Found = {
+    count = int(EVENTS_PER_S * RUN_MS / 1000)
+    for at_ms in sorted(rng.uniform(WARM_UP_MS, WARM_UP_MS + RUN_MS) for _ in range(count)):
+        is_down = rng.random() < queues / TARGET_DESTINATIONS  # also where there are fewer that are up
+        destination = rng.randrange(queues) if is_down else rng.randrange(queues, destinations)
+        fleet.submit(at_ms, 0, destination, DEADLINE_MS)
+    fleet.run(WARM_UP_MS + RUN_MS)
+    found: Measurements = {
         "message_us": fleet.cpu_us("Message") / count,
-        "answer_us": fleet.cpu_us("AttemptEnded") / fleet.spent["AttemptEnded"].turns,
+        "answer_us": fleet.cpu_us("AttemptEnded") / fleet.costs["AttemptEnded"].turns,
         "timers_us_a_s": fleet.cpu_us("TimerFired") * 1000 / RUN_MS,
         "all_us_a_message": fleet.cpu_us() / count,
-        "turns_a_message": sum(each.turns for each in fleet.spent.values()) / count,
-        "delivered_share": fleet.ends.get("delivered", 0) / count,
+        "turns_a_message": sum(cost.turns for cost in fleet.costs.values()) / count,
+        "delivered_share": fleet.outcomes.get("delivered", 0) / count,
     }
-    now = fleet.now
-    told["idle_turn_us"] = min(timed(lambda: relay.handle(now, [])) for _ in range(50))
-    return told
+    now_ms = fleet.now
+    found["idle_turn_us"] = min(processor_time_us(lambda: engine.handle(now_ms, [])) for _ in range(IDLE_TURNS))
+    return found
 
 
 POINTS, CHECKS = (20, 256, 512, 1024, 1600), (2280,)
 SERIES = {
-    "beside_target": Series("queues", POINTS, CHECKS, lambda queues: measure(queues, ALL), 1),
+    "beside_target": Series("queues", POINTS, CHECKS, lambda queues: measure(queues, TARGET_DESTINATIONS), 1),
     "beside_few": Series("queues", POINTS, CHECKS, lambda queues: measure(queues, queues + 1024), 2),
 }
--- a/benchmarks/slopes/relays.py
+++ b/benchmarks/slopes/relays.py
@@ -1,12 +1,12 @@
-"""Relays, hollow: what each learns alone of an outage, what all send to cold destinations, what they tell each other.
+"""Simulated relays: what each learns of an outage, what all send to cold destinations, what they tell each other.
 
-`outage`: so many modules on one simulated clock share the same load (9.2 events a second for each destination, over
+`outage`: so many engines on one simulated clock share the same load (9.2 events a second for each destination, over
 all relays); 6 of 24 destinations are out for 100 s and come back cold. Counted are calls, against the budget of the
 time (N calls in any second while it is cold; beyond it 2 * sqrt(N) + 2 are put down to chance). What relays tell each
-other: relays on the platform (linnetstile.platform_relay) tell each other nothing; relays of the service ask each other
-(service/knowledge.py). `asks`: membership alone on a simulated clock: asks a second, and how long until a relay has
-asked one of the hundredth of all that know of an outage. `document`: a relay's document in bytes and processor time, by
-the number of destinations that it has called.
+other: relays on the platform (linnetstile.platform_relay) tell each other nothing; AS2 relays poll each other
+(as2_relay/gossip.py). `asks`: membership alone on a simulated clock: polls a second, and how long until a relay has
+polled one of the hundredth of all that know of an outage. `document`: a relay's gossip document in bytes and processor
+time, by the number of destinations that it has called.
 """
 
 from __future__ import annotations
@@ -16,153 +16,216 @@
 import json
 import math
 import random
+from dataclasses import dataclass, field
 from typing import Any
 
 from benchmarks.slopes import inside
-from benchmarks.slopes.harness import Found, Series, timed
-from benchmarks.slopes.hollow import Fleet
+from benchmarks.slopes.series import Measurements, Series
+from benchmarks.slopes.simulated_fleet import SimulatedFleet
+from benchmarks.slopes.timing import processor_time_us
 from linnetstile.engine.events import Outcome
 from linnetstile.engine.membership import Membership
 
-DESTINATIONS, OUT = 24, 6
-EACH_PER_S = 9.2  # events a second for one destination, from all relays
-BEGIN_MS, END_MS, LAST_MS = 60_000.0, 160_000.0, 175_000.0
+DESTINATIONS, DOWN = 24, 6
+EVENTS_PER_DESTINATION_S = 9.2
+"""Messages a second for one destination, from all relays."""
+BEGIN_MS, END_MS, RUN_MS = 60_000.0, 160_000.0, 175_000.0
+"""Of the outage, and of the run."""
+COLD_MS = 5000.0
+LATE_MS = 50_000.0
+"""Calls of the last part of the outage count as late."""
 DEADLINE_MS = 30_000.0
+REFUSED_MS, ANSWERED_MS = 5.0, 20.0
 
+POLL_MS = 5.0
+FIRST_POLL_MS = 500.0
+"""Relays begin to poll within this time."""
+POLLS_BEGIN_MS, POLLS_END_MS = 60_000.0, 7_260_000.0
+PEERS_SENT = 4
 
-def budget(since_ms: float) -> float:
+
+def cold_call_budget(since_ms: float) -> float:
     """Calls that a destination takes in one second, so long after its return."""
     safety = inside.SAFETY
-    share = safety.slow_start_fraction + (1 - safety.slow_start_fraction) * min(1.0, since_ms / safety.slow_start_ms)
-    return safety.overload_multiple * share * inside.RATE * safety.overload_window_ms / 1000
+    warm = min(1.0, since_ms / safety.slow_start_ms)
+    share = safety.slow_start_fraction + (1 - safety.slow_start_fraction) * warm
+    return safety.overload_multiple * share * inside.LISTED_RATE * safety.overload_window_ms / 1000
+
+
+def worst_budget_use(calls_ms: list[float]) -> tuple[float, float]:
+    """The largest part of the budget that the calls of a second took.
 
+    Args:
+        calls_ms: Times of the calls since the return, in order.
 
-def over_budget(calls: list[float]) -> tuple[float, float]:
-    """Of the times of calls since the return (ms): the largest part of the budget that a second's calls took, and of
-    the budget with what is put down to chance."""
-    worst = chance = 0.0
+    Returns:
+        The part of the budget, and of the budget with what is put down to chance.
+    """
+    worst = with_chance = 0.0
     first = 0
-    for last, at in enumerate(calls):
-        while calls[first] <= at - 1000.0:
+    for last, at_ms in enumerate(calls_ms):
+        while calls_ms[first] <= at_ms - 1000.0:
             first += 1
-        allowed, got = budget(at), last - first + 1
-        worst = max(worst, got / allowed)
-        chance = max(chance, got / (allowed + 2 * math.sqrt(allowed) + 2))
-    return worst, chance
+        budget, calls = cold_call_budget(at_ms), last - first + 1
+        worst = max(worst, calls / budget)
+        with_chance = max(with_chance, calls / (budget + 2 * math.sqrt(budget) + 2))
+    return worst, with_chance
+
+
+@dataclass(frozen=True, slots=True)
+class OutageCall:
+    """A call to a destination that is out, or has been."""
+
+    at_ms: float
+    relay: int
+    destination: int
 
 
-def outage(relays: int) -> Found:
+@dataclass(slots=True)
+class OutageEndpoints:
+    """The endpoints of the axis `outage`: the first `DOWN` are out for a while."""
+
+    calls: list[OutageCall] = field(default_factory=list)
+
+    def answer(self, relay: int, endpoint: int, now_ms: float) -> tuple[Outcome, float]:
+        """Answer a call, and record it if it is to one of those."""
+        if endpoint <= DOWN and now_ms >= BEGIN_MS:
+            self.calls.append(OutageCall(now_ms, relay, endpoint - 1))
+            if now_ms < END_MS:
+                return Outcome.CONNECT_FAILED, REFUSED_MS
+        return Outcome.OK, ANSWERED_MS
+
+
+def outage(relays: int) -> Measurements:
+    """So many relays that each learn of the outage by their own calls."""
     rng = random.Random(relays)
-    calls: list[tuple[float, int, int]] = []  # time, relay, destination: those that are out, or have been
-
-    def answer(relay: int, endpoint: int, now: float) -> tuple[Outcome, float]:
-        if endpoint <= OUT and now >= BEGIN_MS:
-            calls.append((now, relay, endpoint - 1))
-            if now < END_MS:
-                return Outcome.CONNECT_FAILED, 5.0
-        return Outcome.OK, 20.0
-
-    fleet = Fleet(
-        [inside.relay(DESTINATIONS, seed=seed, relays=relays, deadline_ms=DEADLINE_MS) for seed in range(relays)],
-        answer,
+    endpoints = OutageEndpoints()
+    engines = [
+        inside.create_engine(DESTINATIONS, seed=seed, relays=relays, deadline_ms=DEADLINE_MS) for seed in range(relays)
+    ]
+    fleet = SimulatedFleet(engines, endpoints.answer)
+    at_ms, messages = 0.0, 0
+    while (at_ms := at_ms + rng.expovariate(EVENTS_PER_DESTINATION_S * DESTINATIONS / 1000)) < RUN_MS:
+        messages += 1
+        fleet.submit(at_ms, rng.randrange(relays), rng.randrange(DESTINATIONS), DEADLINE_MS)
+    fleet.run(RUN_MS)
+    return (
+        _during_outage(endpoints.calls, relays)
+        | _after_return(endpoints.calls)
+        | {
+            "us_a_message": fleet.cpu_us() / messages,
+            "delivered_share": fleet.outcomes.get("delivered", 0) / messages,
+        }
     )
-    when, count = 0.0, 0
-    while (when := when + rng.expovariate(EACH_PER_S * DESTINATIONS / 1000)) < LAST_MS:
-        count += 1
-        fleet.message(when, rng.randrange(relays), rng.randrange(DESTINATIONS), DEADLINE_MS)
-    fleet.run(LAST_MS)
-    during = [call for call in calls if call[0] < END_MS]
+
+
+def _during_outage(calls: list[OutageCall], relays: int) -> Measurements:
+    """When relays learned of the outage, and their calls in it."""
+    during = [call for call in calls if call.at_ms < END_MS]
     learned: dict[tuple[int, int], float] = {}
-    for at, relay, destination in during:
-        learned.setdefault((relay, destination), at - BEGIN_MS)
-    spans = [
-        sorted(at - END_MS for at, _, dest in calls if dest == out and END_MS <= at < END_MS + 5000.0)
-        for out in range(OUT)
-    ]
-    parts = [over_budget(span) for span in spans if span]
-    late = [at for at, _, _ in during if at >= END_MS - 50_000.0]
-    never = relays * OUT - len(learned)
+    for call in during:
+        learned.setdefault((call.relay, call.destination), call.at_ms - BEGIN_MS)
+    late = sum(call.at_ms >= END_MS - LATE_MS for call in during)
+    never = relays * DOWN - len(learned)
     times = sorted([*learned.values(), *[math.inf] * never])
     middle = times[len(times) // 2]
     return {
         "learned_median_s": middle / 1000 if middle < math.inf else "not within 100 s",
-        "never_learned_share": never / (relays * OUT),
-        "calls_while_out": len(during) / OUT,
-        "calls_while_out_a_s_late": len(late) / OUT / 50.0,
-        "cold_calls": sum(map(len, spans)) / OUT,
-        "cold_budget_worst": max(part[0] for part in parts),
-        "cold_budget_mean": sum(part[0] for part in parts) / len(parts),
-        "cold_with_chance_worst": max(part[1] for part in parts),
-        "us_a_message": fleet.cpu_us() / count,
-        "delivered_share": fleet.ends.get("delivered", 0) / count,
+        "never_learned_share": never / (relays * DOWN),
+        "calls_while_out": len(during) / DOWN,
+        "calls_while_out_a_s_late": late / DOWN / (LATE_MS / 1000),
     }
 
 
-def asks(relays: int) -> Found:
-    """Members that each know all others; an ask takes 5 ms. The first ones are asked within a minute, then it counts
-    for two hours."""
+def _after_return(calls: list[OutageCall]) -> Measurements:
+    """Calls to the destinations while they were cold, against their budget."""
+    by_destination = [
+        sorted(
+            call.at_ms - END_MS
+            for call in calls
+            if call.destination == destination and END_MS <= call.at_ms < END_MS + COLD_MS
+        )
+        for destination in range(DOWN)
+    ]
+    uses = [worst_budget_use(calls_ms) for calls_ms in by_destination if calls_ms]
+    return {
+        "cold_calls": sum(map(len, by_destination)) / DOWN,
+        "cold_budget_worst": max(worst for worst, _ in uses),
+        "cold_budget_mean": sum(worst for worst, _ in uses) / len(uses),
+        "cold_with_chance_worst": max(with_chance for _, with_chance in uses),
+    }
+
+
+def polls(relays: int) -> Measurements:
+    """Members that each know all others; a poll takes 5 ms.
+
+    The first ones are polled within a minute, then it counts for two hours.
+    """
     rng = random.Random(relays)
     names = [f"10.0.{number >> 8}.{number & 255}:80" for number in range(relays)]
     members = {name: Membership(name, names, 0.0, seed) for seed, name in enumerate(names)}
-    knowers = set(rng.sample(names, max(1, relays // 100)))
-    begin, end = 60_000.0, 7_260_000.0
-    heap = [(rng.uniform(0.0, 500.0), name) for name in names]
-    heapq.heapify(heap)
-    asked, late, heard = 0, 0, dict[str, float]()
-    while heap[0][0] < end:
-        now, name = heapq.heappop(heap)
-        peer = members[name].next_peer(now)
+    informed = set(rng.sample(names, max(1, relays // 100)))
+    queue = [(rng.uniform(0.0, FIRST_POLL_MS), name) for name in names]
+    heapq.heapify(queue)
+    polled, counted, heard_s = 0, 0, dict[str, float]()
+    while queue[0][0] < POLLS_END_MS:
+        now_ms, name = heapq.heappop(queue)
+        peer = members[name].next_peer(now_ms)
         if peer is not None:
-            asked += 1
-            late += now >= begin
-            members[name].poll_answered(now + 5.0, peer, "run", members[peer].alive_peers()[:4])
-            if now >= begin and peer in knowers:
-                heard.setdefault(name, (now - begin) / 1000)
-        heapq.heappush(heap, (max(now + 5.0, members[name].next_poll_at), name))
-    times = sorted(heard.get(name, math.inf) for name in names if name not in knowers)
-    told: Found = {"asks_a_s": late / relays / (end - begin) * 1000, "first_minute_asks": (asked - late) / relays}
-    for name, at in (("heard_median_s", times[len(times) // 2]), ("heard_last_s", times[-1])):
-        told[name] = at if at < math.inf else f"not within {(end - begin) / 1000:g} s"
-    return told
-
-
-def document(routes: int) -> Found:
-    """Internal surface: service/knowledge.py, its document and the reading of one."""
+            polled += 1
+            counted += now_ms >= POLLS_BEGIN_MS
+            members[name].poll_answered(now_ms + POLL_MS, peer, "run", members[peer].alive_peers()[:PEERS_SENT])
+            if now_ms >= POLLS_BEGIN_MS and peer in informed:
+                heard_s.setdefault(name, (now_ms - POLLS_BEGIN_MS) / 1000)
+        heapq.heappush(queue, (max(now_ms + POLL_MS, members[name].next_poll_at), name))
+    times = sorted(heard_s.get(name, math.inf) for name in names if name not in informed)
+    length_ms = POLLS_END_MS - POLLS_BEGIN_MS
+    found: Measurements = {
+        "asks_a_s": counted / relays / length_ms * 1000,
+        "first_minute_asks": (polled - counted) / relays,
+    }
+    for quantity, at_s in (("heard_median_s", times[len(times) // 2]), ("heard_last_s", times[-1])):
+        found[quantity] = at_s if at_s < math.inf else f"not within {length_ms / 1000:g} s"
+    return found
+
+
+def gossip_document(routes: int) -> Measurements:
+    """A gossip document and the reading of one. Touches as2_relay/gossip.py."""
     from linnetstile.as2_relay.gossip import Knowledge, parse
     from linnetstile.config.relay import KnowledgeSettings
 
-    relay = inside.relay(routes)
-    now = 0.0
+    engine = inside.create_engine(routes)
+    now_ms = 0.0
     for number in range(routes):
-        now += 0.4
-        inside.delivered(relay, number, number, now)
+        now_ms += 0.4
+        inside.delivered(engine, number, number, now_ms)
     numbers = {f"partner-{number}": number for number in range(routes)}
 
-    async def go() -> Found:
+    async def measure() -> Measurements:
         def ignore(*_: object, **__: object) -> None:
             pass
 
-        class Quiet:
+        class QuietLog:
             info = warning = debug = error = staticmethod(ignore)
 
-        log: Any = Quiet()
-        made = Knowledge(KnowledgeSettings(), relay, "r", "run", numbers, ignore, log)
-        type(made).now = property(lambda self: now)  # type: ignore[method-assign,assignment]
-        told: Found = {"document_us": timed(made.document, 2)}
-        whole = json.dumps(made.document()).encode()
-        told |= {"document_bytes": float(len(whole)), "bytes_a_destination": len(whole) / routes}
-        told["nothing_new_bytes"] = float(len(json.dumps(made.document(made.version))))
+        log: Any = QuietLog()
+        gossip = Knowledge(KnowledgeSettings(), engine, "r", "run", numbers, ignore, log)
+        type(gossip).now = property(lambda self: now_ms)  # type: ignore[method-assign,assignment]
+        found: Measurements = {"document_us": processor_time_us(gossip.document, 2)}
+        document = json.dumps(gossip.document()).encode()
+        found |= {"document_bytes": float(len(document)), "bytes_a_destination": len(document) / routes}
+        found["nothing_new_bytes"] = float(len(json.dumps(gossip.document(gossip.version))))
         try:
-            told["parse_us"] = timed(lambda: parse(whole))
+            found["parse_us"] = processor_time_us(lambda: parse(document))
         except ValueError as error:
-            told["parse_us"] = f"refused: {error}"
-        return told
+            found["parse_us"] = f"refused: {error}"
+        return found
 
-    return asyncio.run(go())
+    return asyncio.run(measure())
 
 
 SERIES = {
     "outage": Series("relays", (20, 60, 120, 240), (460,), outage, 1),
-    "asks": Series("relays", (20, 60, 120, 240), (460,), asks, 1),
-    "document": Series("destinations called", (1000, 2500, 5000, 10_000), (20_000, 40_000), document, 1),
+    "asks": Series("relays", (20, 60, 120, 240), (460,), polls, 1),
+    "document": Series("destinations called", (1000, 2500, 5000, 10_000), (20_000, 40_000), gossip_document, 1),
 }
--- a/benchmarks/timers.py
+++ b/benchmarks/timers.py
@@ -3,10 +3,10 @@
     python -m benchmarks.timers [--connections 50000] [--seconds 60] [--json FILE]
 
 Each connection has a deadline ten seconds after it was last touched; each second as many touches as six tenths of them
-fall on connections at random, a hundredth of which is never touched (those are let go, and some that chance passed by).
-Compared: CPU time for the same simulated minute, looked at four times a second,
-with the same connections let go at the same looks. Then the rate of each connection over a window, by a meter of two
-numbers, by a ring of ten counters, and by a list of all reads. One process, no I/O.
+fall on connections at random, a hundredth of which is never touched (those expire, and some that chance passed by).
+Compared: processor time for the same simulated minute, looked at four times a second, with the same connections
+expired at the same looks. Then the rate of each connection over a window, by a meter of two numbers, by a ring of ten
+counters, and by a list of all reads. One process, no I/O.
 """
 
 from __future__ import annotations
@@ -17,216 +17,285 @@
 import sys
 import time
 from collections import deque
-from collections.abc import Iterator
-from typing import Any
+from collections.abc import Callable, Iterator
+from typing import Any, ClassVar, Protocol
 
-from benchmarks.common import parser, tell
+from benchmarks.common import argument_parser, print_result
 from linnetstile.engine.minimum_rate import MinimumRateMeter
 
-PATIENCE, STEP = 10.0, 0.25
+TIMEOUT_S, STEP_S = 10.0, 0.25
+TOUCHED_SHARE = 0.6
+"""Touches a second, as a share of the connections."""
+NEVER_TOUCHED = 100
+"""One connection of so many is never touched."""
 
+WINDOW_MS = 5000
+MINIMUM_BYTES_PER_S = 1024.0
+RING_SLOTS = 10
+SLOT_MS = 500
+MINIMUM_BYTES = 1024 * 5
+"""Bytes of a window below which a connection is too slow."""
+RATE_STEPS, RATE_STEP_MS, STEP_BYTES = 40, 250.0, 300
+READS_KEPT = 20
+"""Reads within one window at the steps of this benchmark."""
 
-class Plain:
+
+class LinearScan:
     """Looks at every connection each time: what net/server.py does."""
 
+    result_name: ClassVar[str] = "plain"
+
     def __init__(self, count: int) -> None:
-        self.due = dict.fromkeys(range(count), PATIENCE)
+        """So many connections, all touched at time 0."""
+        self.deadlines = dict.fromkeys(range(count), TIMEOUT_S)
 
-    def touch(self, n: int, now: float) -> None:
-        if n in self.due:
-            self.due[n] = now + PATIENCE
+    def touch(self, connection: int, now: float) -> None:
+        """Move a deadline, if the connection has not expired."""
+        if connection in self.deadlines:
+            self.deadlines[connection] = now + TIMEOUT_S
 
-    def look(self, now: float) -> list[int]:
-        late = [n for n, due in self.due.items() if due <= now]
-        for n in late:
-            del self.due[n]
-        return late
+    def expire(self, now: float) -> list[int]:
+        """Remove and return the connections whose deadline is over."""
+        expired = [connection for connection, due in self.deadlines.items() if due <= now]
+        for connection in expired:
+            del self.deadlines[connection]
+        return expired
 
 
-class Heap(Plain):
+class DeadlineHeap(LinearScan):
     """One heap entry a connection; moved deadlines are found out when the entry comes up."""
 
+    result_name = "heap"
+
     def __init__(self, count: int) -> None:
         super().__init__(count)
-        self.heap = [(PATIENCE, n) for n in range(count)]
+        self.heap = [(TIMEOUT_S, connection) for connection in range(count)]
 
-    def look(self, now: float) -> list[int]:
-        late = []
+    def expire(self, now: float) -> list[int]:
+        """Remove and return the connections whose deadline is over."""
+        expired = []
         while self.heap and self.heap[0][0] <= now:
-            n = self.heap[0][1]
-            due = self.due[n]
+            connection = self.heap[0][1]
+            due = self.deadlines[connection]
             if due > now:
-                heapq.heapreplace(self.heap, (due, n))
+                heapq.heapreplace(self.heap, (due, connection))
             else:
                 heapq.heappop(self.heap)
-                del self.due[n]
-                late.append(n)
-        return late
+                del self.deadlines[connection]
+                expired.append(connection)
+        return expired
 
 
-class Wheel(Plain):
-    """A hierarchical timing wheel (Varghese and Lauck, 1987): slots of a step, rounds of 64, three levels; a moved
-    deadline is found out when its slot comes up."""
+class TimingWheel(LinearScan):
+    """A hierarchical timing wheel (Varghese and Lauck, 1987): slots of a step, rounds of 64, three levels.
 
+    A moved deadline is found out when its slot comes up.
+    """
+
+    result_name = "wheel"
     SIZE, LEVELS = 64, 3
 
     def __init__(self, count: int) -> None:
         super().__init__(count)
         self.tick = 0
         self.slots: list[list[list[int]]] = [[[] for _ in range(self.SIZE)] for _ in range(self.LEVELS)]
-        for n in range(count):
-            self._put(n, PATIENCE)
+        for connection in range(count):
+            self._put(connection, TIMEOUT_S)
 
-    def _put(self, n: int, due: float) -> None:
-        ahead = max(1, int(-(-due // STEP)) - self.tick)
+    def _put(self, connection: int, due: float) -> None:
+        ahead = max(1, int(-(-due // STEP_S)) - self.tick)
         for level in range(self.LEVELS):
             span = self.SIZE ** (level + 1)
             if ahead < span or level == self.LEVELS - 1:
-                at = (self.tick + min(ahead, span - 1)) // self.SIZE**level % self.SIZE
-                self.slots[level][at].append(n)
+                slot = (self.tick + min(ahead, span - 1)) // self.SIZE**level % self.SIZE
+                self.slots[level][slot].append(connection)
                 return
 
-    def look(self, now: float) -> list[int]:
-        late = []
-        goal = int(now / STEP)
-        while self.tick < goal:
+    def expire(self, now: float) -> list[int]:
+        """Remove and return the connections whose deadline is over."""
+        expired = []
+        last_tick = int(now / STEP_S)
+        while self.tick < last_tick:
             self.tick += 1
-            for level in range(1, self.LEVELS):
-                if self.tick % self.SIZE**level == 0:
-                    at = self.tick // self.SIZE**level % self.SIZE
-                    moved, self.slots[level][at] = self.slots[level][at], []
-                    for n in moved:
-                        self._put(n, self.due[n])
-            at = self.tick % self.SIZE
-            up, self.slots[0][at] = self.slots[0][at], []
-            for n in up:
-                due = self.due[n]
+            self._cascade()
+            slot = self.tick % self.SIZE
+            due_now, self.slots[0][slot] = self.slots[0][slot], []
+            for connection in due_now:
+                due = self.deadlines[connection]
                 if due > now:
-                    self._put(n, due)
+                    self._put(connection, due)
                 else:
-                    del self.due[n]
-                    late.append(n)
-        return late
+                    del self.deadlines[connection]
+                    expired.append(connection)
+        return expired
+
+    def _cascade(self) -> None:
+        """Move the slots of the upper levels that have come up to lower ones."""
+        for level in range(1, self.LEVELS):
+            if self.tick % self.SIZE**level == 0:
+                slot = self.tick // self.SIZE**level % self.SIZE
+                moved, self.slots[level][slot] = self.slots[level][slot], []
+                for connection in moved:
+                    self._put(connection, self.deadlines[connection])
 
 
-class Handles(Plain):
+class LoopTimers(LinearScan):
     """A timer of the event loop for each, cancelled and made anew at each touch."""
 
+    result_name = "handles"
+
     def __init__(self, count: int) -> None:
         super().__init__(count)
-        self.loop = asyncio.new_event_loop()
-        self.handles = {n: self.loop.call_at(PATIENCE, int) for n in range(count)}
-
-    def touch(self, n: int, now: float) -> None:
-        if n in self.due:
-            super().touch(n, now)
-            self.handles[n].cancel()
-            self.handles[n] = self.loop.call_at(now + PATIENCE, int)
-
-    def look(self, now: float) -> list[int]:
-        # The loop's own upkeep: cancelled timers leave once they are more than half of at least 100.
-        heap: list[Any] = self.loop._scheduled  # type: ignore[attr-defined]
-        if self.loop._timer_cancelled_count * 2 > len(heap):  # type: ignore[attr-defined]
-            kept = [handle for handle in heap if not handle._cancelled]
+        # The loop does not run: its own upkeep is done by `expire`, on its private queue, to be timed.
+        self.loop: Any = asyncio.new_event_loop()
+        self.handles = {connection: self.loop.call_at(TIMEOUT_S, int) for connection in range(count)}
+
+    def touch(self, connection: int, now: float) -> None:
+        """Move a deadline, if the connection has not expired."""
+        if connection in self.deadlines:
+            super().touch(connection, now)
+            self.handles[connection].cancel()
+            self.handles[connection] = self.loop.call_at(now + TIMEOUT_S, int)
+
+    def expire(self, now: float) -> list[int]:
+        """Remove and return the connections whose deadline is over."""
+        # Cancelled timers leave once they are more than half of at least 100.
+        heap: list[Any] = self.loop._scheduled  # noqa: SLF001 (see __init__)
+        if self.loop._timer_cancelled_count * 2 > len(heap):  # noqa: SLF001 (see __init__)
+            kept = [handle for handle in heap if not handle._cancelled]  # noqa: SLF001 (as the loop does it)
             heapq.heapify(kept)
-            self.loop._scheduled = kept  # type: ignore[attr-defined]
-            self.loop._timer_cancelled_count = 0  # type: ignore[attr-defined]
-        while heap and heap[0]._when <= now:
+            self.loop._scheduled = kept  # noqa: SLF001 (see __init__)
+            self.loop._timer_cancelled_count = 0  # noqa: SLF001 (see __init__)
+        while heap and heap[0]._when <= now:  # noqa: SLF001 (as the loop does it)
             heapq.heappop(heap)
-        late = [n for n, due in self.due.items() if due <= now] if now % 1 == 0 else []
-        for n in late:
-            del self.due[n]
-        return late
+        expired = [connection for connection, due in self.deadlines.items() if due <= now] if now % 1 == 0 else []
+        for connection in expired:
+            del self.deadlines[connection]
+        return expired
 
 
-def touches(count: int, seconds: float) -> Iterator[tuple[float, list[int]]]:
+def touch_plan(count: int, seconds: float) -> Iterator[tuple[float, list[int]]]:
+    """By step, the time and the connections that are touched."""
     rng, now = random.Random(1), 0.0
+    touches = int(count * TOUCHED_SHARE * STEP_S)
     while now < seconds:
-        now += STEP
-        yield now, [n for n in (rng.randrange(count) for _ in range(int(count * 0.6 * STEP))) if n % 100]
-
-
-def deadlines(count: int, seconds: float) -> list[dict[str, Any]]:
-    plan = list(touches(count, seconds))
-    found: list[dict[str, Any]] = []
-    for kind in (Plain, Heap, Wheel, Handles):
-        made, gone, worst = kind(count), 0, 0.0
-        start = time.process_time()
-        for now, those in plan:
-            for n in those:
-                made.touch(n, now)
-            before = time.process_time()
-            gone += len(made.look(now))
-            worst = max(worst, time.process_time() - before)
-        took = time.process_time() - start
-        found.append(
+        now += STEP_S
+        drawn = (rng.randrange(count) for _ in range(touches))
+        yield now, [connection for connection in drawn if connection % NEVER_TOUCHED]
+
+
+def compare_deadlines(count: int, seconds: float) -> list[dict[str, Any]]:
+    """Processor time of each structure for the same touches."""
+    plan = list(touch_plan(count, seconds))
+    rows: list[dict[str, Any]] = []
+    for kind in (LinearScan, DeadlineHeap, TimingWheel, LoopTimers):
+        structure, expired, longest_s = kind(count), 0, 0.0
+        began = time.process_time()
+        for now, touched in plan:
+            for connection in touched:
+                structure.touch(connection, now)
+            look_began = time.process_time()
+            expired += len(structure.expire(now))
+            longest_s = max(longest_s, time.process_time() - look_began)
+        elapsed_s = time.process_time() - began
+        rows.append(
             {
-                "structure": kind.__name__.lower(),
-                "cpu_s": round(took, 3),
-                "let_go": gone,
-                "longest_look_ms": round(1000 * worst, 2),
+                "structure": kind.result_name,
+                "cpu_s": round(elapsed_s, 3),
+                "let_go": expired,
+                "longest_look_ms": round(1000 * longest_s, 2),
             }
         )
-        found[-1]["against_plain"] = round(took / found[0]["cpu_s"], 2)
-    return found
+        rows[-1]["against_plain"] = round(elapsed_s / rows[0]["cpu_s"], 2)
+    return rows
+
 
+class RateEstimator(Protocol):
+    """Says whether a connection is slower than the minimum rate."""
+
+    def tick(self, now: float, moved: int) -> bool:
+        """Count the bytes since the last tick, at a time in ms."""
+        ...
+
+
+class CounterRing:
+    """Bytes of a window in a ring of counters."""
 
-class Ring:
     def __init__(self) -> None:
-        self.slots, self.at = [0] * 10, 0
+        self.slots, self.current_slot = [0] * RING_SLOTS, 0
 
     def tick(self, now: float, moved: int) -> bool:
-        slot = int(now / 500)
-        for n in range(self.at + 1, min(slot, self.at + 10) + 1):
-            self.slots[n % 10] = 0
-        self.at = slot
-        self.slots[slot % 10] += moved
-        return sum(self.slots) < 1024 * 5
+        """Count the bytes since the last tick; whether the rate is too low."""
+        slot = int(now / SLOT_MS)
+        for each in range(self.current_slot + 1, min(slot, self.current_slot + RING_SLOTS) + 1):
+            self.slots[each % RING_SLOTS] = 0
+        self.current_slot = slot
+        self.slots[slot % RING_SLOTS] += moved
+        return sum(self.slots) < MINIMUM_BYTES
 
 
-class Reads:
+class ReadList:
+    """All reads of a window."""
+
     def __init__(self) -> None:
         self.reads: deque[tuple[float, int]] = deque()
 
     def tick(self, now: float, moved: int) -> bool:
+        """Count the bytes since the last tick; whether the rate is too low."""
         self.reads.append((now, moved))
-        while self.reads[0][0] < now - 5000:
+        while self.reads[0][0] < now - WINDOW_MS:
             self.reads.popleft()
-        return sum(n for _, n in self.reads) < 1024 * 5
-
-
-def rates(count: int) -> list[dict[str, Any]]:
-    found = []
-    for name, make in (("meter", lambda: MinimumRateMeter(1024.0, 5000.0)), ("ring", Ring), ("reads", Reads)):
-        made: list[Any] = [make() for _ in range(count)]
-        start = time.process_time()
-        for step in range(40):
-            for each in made:
-                each.tick(step * 250.0, 300)
-        took = time.process_time() - start
-        one = made[0]
-        size = sys.getsizeof(one)
-        if name == "ring":
-            size += sys.getsizeof(one.slots)
-        if name == "reads":
-            size += sys.getsizeof(one.reads) + 20 * (sys.getsizeof((0.0, 0)) + 24)
-        found.append({"estimator": name, "ns_a_tick": round(1e9 * took / (40 * count)), "bytes": size})
-    return found
+        return sum(size for _, size in self.reads) < MINIMUM_BYTES
+
+
+def estimator_bytes(estimator: Any) -> int:
+    """Memory of an estimator with what it holds."""
+    size = sys.getsizeof(estimator)
+    if isinstance(estimator, CounterRing):
+        size += sys.getsizeof(estimator.slots)
+    if isinstance(estimator, ReadList):
+        one_read = sys.getsizeof((0.0, 0)) + 24
+        size += sys.getsizeof(estimator.reads) + READS_KEPT * one_read
+    return size
+
+
+def compare_rates(count: int) -> list[dict[str, Any]]:
+    """Processor time and memory of each estimator."""
+    rows = []
+    kinds: tuple[tuple[str, Callable[[], Any]], ...] = (
+        ("meter", lambda: MinimumRateMeter(MINIMUM_BYTES_PER_S, float(WINDOW_MS))),
+        ("ring", CounterRing),
+        ("reads", ReadList),
+    )
+    for name, create in kinds:
+        estimators: list[RateEstimator] = [create() for _ in range(count)]
+        began = time.process_time()
+        for step in range(RATE_STEPS):
+            for estimator in estimators:
+                estimator.tick(step * RATE_STEP_MS, STEP_BYTES)
+        elapsed_s = time.process_time() - began
+        rows.append(
+            {
+                "estimator": name,
+                "ns_a_tick": round(1e9 * elapsed_s / (RATE_STEPS * count)),
+                "bytes": estimator_bytes(estimators[0]),
+            }
+        )
+    return rows
 
 
 def main() -> None:
-    made = parser(__doc__)
-    made.add_argument("--connections", type=int, default=50_000)
-    made.add_argument("--seconds", type=float, default=60.0)
-    args = made.parse_args()
-    tell(
-        {
-            "connections": args.connections,
-            "deadlines": deadlines(args.connections, args.seconds),
-            "rates": rates(args.connections // 10),
-        },
-        args.json,
-    )
+    """Run both comparisons."""
+    parser = argument_parser(__doc__)
+    parser.add_argument("--connections", type=int, default=50_000)
+    parser.add_argument("--seconds", type=float, default=60.0)
+    args = parser.parse_args()
+    result = {
+        "connections": args.connections,
+        "deadlines": compare_deadlines(args.connections, args.seconds),
+        "rates": compare_rates(args.connections // 10),
+    }
+    print_result(result, args.json)
 
 
 if __name__ == "__main__":
--- a/linnetstile/testbed/scale/comparison.py
+++ b/linnetstile/testbed/scale/comparison.py
@@ -189,25 +189,43 @@
     world = World(replace(options, relays=max(1, options.real), played=0), ports)
     source = WorldSource(world)
     discovery, discovery_port = await bench.start_discovery(source)
-    baseline_world = World(replace(options, destinations=BASELINE_DESTINATIONS), ports)
-    _, baseline_port = await bench.start_discovery(WorldSource(baseline_world))
     rng = random.Random(f"{options.seed}:real")
     seeds = [rng.getrandbits(32) for _ in range(options.real)]
     report_progress(
         f"{options.real} real relays start, and one with {BASELINE_DESTINATIONS} destinations to hold their memory"
         " against"
     )
-    baseline = bench.start_relay(baseline_world, 0, "small", baseline_port, BASELINE_SEED)
+    baseline = await _start_baseline(bench, options, ports)
     processes = [
         bench.start_relay(world, number, f"real-{number + 1}", discovery_port, seed)
         for number, seed in enumerate(seeds)
     ]
     await asyncio.gather(*(bench.wait_ready(process) for process in bench.relays))
     models = [ReferenceModel(world, number, seed) for number, seed in enumerate(seeds)]
-    list_taken = [model.read(source.whole(), 0.0) for model in models]
-    result = Comparison(
+    result = _compare_start(source, baseline, processes, models)
+    report_progress(
+        f"ready with {[process.endpoint_count for process in processes]} endpoints; hollow twins "
+        f"{[model.reader.endpoint_count for model in models]}"
+    )
+    return ComparisonRun(bench, discovery, source, processes, models, rng, result)
+
+
+async def _start_baseline(bench: ComparisonBench, options: Sizes, ports: tuple[int, int]) -> RelayProcess:
+    """Start the relay process with few destinations, and its discovery."""
+    world = World(replace(options, destinations=BASELINE_DESTINATIONS), ports)
+    _, discovery_port = await bench.start_discovery(WorldSource(world))
+    return bench.start_relay(world, 0, "small", discovery_port, BASELINE_SEED)
+
+
+def _compare_start(
+    source: WorldSource, baseline: RelayProcess, processes: list[RelayProcess], models: list[ReferenceModel]
+) -> Comparison:
+    """Let the models read the list that the processes have read, and compare what they know then."""
+    line = source.whole()
+    list_taken = [model.read(line, 0.0) for model in models]
+    return Comparison(
         relays=len(processes),
-        list_bytes=len(source.whole()),
+        list_bytes=len(line),
         list_taken_by_models=all(list_taken),
         endpoints=[
             EndpointCount(process.endpoint_count, model.reader.endpoint_count)
@@ -217,11 +235,6 @@
         memory=[process.memory() for process in processes],
         baseline_memory=baseline.memory(),
     )
-    report_progress(
-        f"ready with {[process.endpoint_count for process in processes]} endpoints; hollow twins "
-        f"{[model.reader.endpoint_count for model in models]}"
-    )
-    return ComparisonRun(bench, discovery, source, processes, models, rng, result)
 
 
 @dataclass(slots=True)
--- a/linnetstile/testbed/scale/list_cost.py
+++ b/linnetstile/testbed/scale/list_cost.py
@@ -100,9 +100,9 @@
     before, _ = tracemalloc.get_traced_memory()
     reader, engine = _read_list(world, line)
     gc.collect()
-    held, peak = tracemalloc.get_traced_memory()
+    current, peak = tracemalloc.get_traced_memory()
     tracemalloc.stop()
-    cost.memory_bytes, cost.peak_memory_bytes = held - before, peak - before
+    cost.memory_bytes, cost.peak_memory_bytes = current - before, peak - before
     assert reader.endpoint_count == cost.endpoint_count
     del engine  # it had to live until the memory was read
 
--- a/linnetstile/testbed/scale/traffic_simulation.py
+++ b/linnetstile/testbed/scale/traffic_simulation.py
@@ -64,7 +64,7 @@
     def __init__(self, runtime: RelayRuntime) -> None:
         self.runtime = runtime
         self.accepted: dict[int, AcceptedMessage] = {}
-        self.backlog: set[int] = set()  # messages that a journal held besides those of this run
+        self.backlog: set[int] = set()  # messages that a journal had besides those of this run
         self.timer_serial = 0
         self.last_message = 0
 
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -1,4 +1,4 @@
-"""docs/CAPACITY.md: what it names exists, each figure has its run or sum, each mechanism its file, or is missing."""
+"""docs/CAPACITY.md: what it names exists; each figure has its run or sum; each mechanism has its file or is missing."""
 
 from __future__ import annotations
 
@@ -125,7 +125,7 @@
         assert table(section).rows
 
 
-def test_rows_are_whole() -> None:
+def test_rows_are_complete() -> None:
     for each in TABLES:
         for row in each.rows:
             assert len(row) == len(each.header), (each.section, row)
@@ -182,11 +182,12 @@
 
 def test_the_list_has_the_ratios_of_the_tables() -> None:
     for row in rows(MISSING):
-        told = {
+        cells_of_gap = {
             each["need / bound"] for section in ROLES for each in rows(section) if row["no."] in gaps(each["mechanism"])
         }
         own = ratio(row["need / bound"])
-        assert own in {ratio(cell) for cell in told} if own is not None else row["need / bound"] in {"-"}, row["what"]
+        is_ratio_of_gap = own in {ratio(cell) for cell in cells_of_gap}
+        assert is_ratio_of_gap if own is not None else row["need / bound"] in {"-"}, row["what"]
         sketch = re.search(rf"^\*\*{row['no.']} [^*]+\*\* \(([^)]+)\)\.(.*?)\n\n", PAGE, re.M | re.S)
         assert sketch, row["what"]
         assert sketch[1] == row["need / bound"], row["what"]
@@ -205,10 +206,10 @@
                     assert KEY.search(cell) or files(cell), (section, name, cell)
 
 
-def test_keys_are_told_once_and_used() -> None:
-    told = [row["key"] for section in ("Runs", "Sums") for row in rows(section)]
-    assert len(told) == len(set(told))
-    assert set(KEY.findall(PAGE)) == set(told)
+def test_keys_are_listed_once_and_used() -> None:
+    listed = [row["key"] for section in ("Runs", "Sums") for row in rows(section)]
+    assert len(listed) == len(set(listed))
+    assert set(KEY.findall(PAGE)) == set(listed)
 
 
 def benchmark(words: list[str]) -> None:
@@ -252,12 +253,12 @@
             if words[2:3] == ["benchmarks.slopes"]:
                 assert result["axis"] == words[3]
             else:
-                told = {
+                options = {
                     words[at][2:].replace("-", "_"): words[at + 1]
                     for at in range(len(words))
                     if words[at].startswith("--")
                 }
-                for option, value in told.items():
+                for option, value in options.items():
                     size = result["sizes"][option]
                     assert (",".join(size) if isinstance(size, list) else str(size)) == value, (name, option)
     cited = {name for name in files(PAGE) if name.endswith(".json")}
