--- a/linnetstile/testbed/scale/errors.py
+++ b/linnetstile/testbed/scale/errors.py
@@ -15,9 +15,9 @@
         )
 
 
-class Failed(LinnetstileError):
+class Failed(LinnetstileError):  # noqa: N818 (cli/scale.py uses the name)
     """A process of the run ended by itself, or did not end in time."""
 
 
-class NotStarted(LinnetstileError):
+class NotStarted(LinnetstileError):  # noqa: N818 (cli/scale.py uses the name)
     """A relay process of the comparison did not start, or ended by itself."""
