--- a/linnetstile/platform_relay/directory.py
+++ b/linnetstile/platform_relay/directory.py
@@ -25,7 +25,7 @@
     record_name,
     with_draining,
 )
-from .list_entry import ListEntry, entry_name, parse_details, parse_entry
+from .list_entry import entry_name, parse_details, parse_name, parse_status
 from .listed_destinations import ListedDestinations
 
 ROW_BITS = 24  # of an endpoint's id; those above count how often its row was used before
@@ -229,7 +229,7 @@
         changed: dict[int, Endpoint] = {}
         for raw in servers:
             try:
-                self._apply_entry(parse_entry(raw), changed)
+                self._apply_entry(raw, changed)
             except (KeyError, TypeError, ValueError, OverflowError) as error:
                 self._skip_entry(raw, error)
             self.entries_read += 1
@@ -270,9 +270,11 @@
                 self.named_rows.extend(bytes(row + 1 - len(self.named_rows)))
             self.named_rows[row] = 1
 
-    def _apply_entry(self, entry: ListEntry, changed: dict[int, Endpoint]) -> None:
-        directory, status = self.directory, entry.status
-        row = directory.find_row(entry.name)
+    def _apply_entry(self, raw: Any, changed: dict[int, Endpoint]) -> None:
+        directory = self.directory
+        name = parse_name(raw)
+        status = parse_status(raw)
+        row = directory.find_row(name)
         if status is EndpointStatus.GONE:
             if row is not None:
                 self._drop(row, changed)
@@ -280,10 +282,9 @@
         if row is not None and status is EndpointStatus.DRAINING:  # that it ends is all that has to be read
             self._store(row, status, None, changed)
             return
-        details = parse_details(entry.fields, directory.kinds, directory.zones)
-        record = pack_record(entry.name, details)
-        before = None if row is None else directory.records[row]
-        if row is not None and before is not None and record_destination(before) != details.destination:
+        details = parse_details(raw, directory.kinds, directory.zones)
+        record = pack_record(name, details)
+        if row is not None and self._has_moved(row, record, details.destination):
             self._drop(row, changed)
             row = None
         is_new = row is None
@@ -291,6 +292,10 @@
             row = directory.add_row(record, details.destination)
         self._store(row, status, record, changed, is_new=is_new)
 
+    def _has_moved(self, row: int, record: bytes, destination: int) -> bool:
+        before = self.directory.records[row]
+        return before is not None and before != record and record_destination(before) != destination
+
     def _drop(self, row: int, changed: dict[int, Endpoint]) -> None:
         gone = self.directory.drop_row(row)
         changed[gone.id] = gone
--- a/linnetstile/platform_relay/list_entry.py
+++ b/linnetstile/platform_relay/list_entry.py
@@ -4,7 +4,6 @@
 
 import math
 from collections.abc import Mapping
-from dataclasses import dataclass
 from typing import Any
 
 from linnetstile.engine.events import EndpointStatus
@@ -21,48 +20,48 @@
 DESTINATION_BOUND = 10**9
 
 
-@dataclass(slots=True)
-class ListEntry:
-    """The name and status of an endpoint; `fields` has the rest of the entry, which is read only where it is needed."""
-
-    name: bytes
-    status: EndpointStatus
-    fields: dict[str, Any]
-
-
-def parse_entry(raw: object) -> ListEntry:
-    """Read the name and status of an entry.
+def parse_name(raw: object) -> bytes:
+    """Return the name in an entry, in UTF-8.
 
     Raises:
-        KeyError: The field is missing.
-        TypeError: A field cannot be what it should.
-        ValueError: A field, or the entry, is not what is expected.
+        ValueError: The entry or its name is not what is expected.
     """
     if not isinstance(raw, dict):
         raise ValueError("expected an object")
     name = raw.get("id")
     if not isinstance(name, str) or not 0 < len(encoded := name.encode()) <= MAX_NAME_BYTES:
         raise ValueError(f"id: expected a name of 1 to {MAX_NAME_BYTES} bytes")
+    return encoded
+
+
+def parse_status(raw: Mapping[str, Any]) -> EndpointStatus:
+    """Return the status that an entry tells.
+
+    Raises:
+        KeyError: The field is missing.
+        TypeError: The field cannot be the name of a state.
+        ValueError: The field is not what is expected.
+    """
     status = STATUS_BY_STATE.get(raw["state"])
     if status is None:
         raise ValueError(f"state: expected one of {', '.join(STATUS_BY_STATE)}, found {raw['state']!r:.40}")
-    return ListEntry(encoded, status, raw)
+    return status
 
 
-def parse_details(fields: Mapping[str, Any], kinds: Mapping[str, int], zones: Mapping[str, int]) -> EndpointDetails:
-    """Read the rest of an entry. Raises as `parse_entry` does.
+def parse_details(raw: Mapping[str, Any], kinds: Mapping[str, int], zones: Mapping[str, int]) -> EndpointDetails:
+    """Read the rest of an entry, in the names that the settings know. Raises as `parse_status` does.
 
     A kind or zone that the settings do not name has the index behind the last of them.
     """
-    host, port = parse_address(fields["addr"], "addr")
-    destination = fields["cell"]
+    host, port = parse_address(raw["addr"], "addr")
+    destination = raw["cell"]
     if isinstance(destination, bool) or not isinstance(destination, int) or not 0 <= destination < DESTINATION_BOUND:
         raise ValueError(f"cell: expected a whole number from 0 to {DESTINATION_BOUND - 1}, found {destination!r:.40}")
-    rate = fields.get("weight") or 0.0
+    rate = raw.get("weight") or 0.0
     if not isinstance(rate, (int, float)) or not math.isfinite(rate):
         rate = 0.0  # none is advertised
-    zone = zones.get(str(fields.get("zone")), len(zones))
-    kind = kinds.get(str(fields.get("kind")), len(kinds))
+    zone = zones.get(str(raw.get("zone")), len(zones))
+    kind = kinds.get(str(raw.get("kind")), len(kinds))
     return EndpointDetails(host, port, destination, kind, zone, float(rate))
 
 
