--- a/benchmarks/slopes/internals.py
+++ b/benchmarks/slopes/internals.py
@@ -14,9 +14,16 @@
 
 from linnetstile.codec.objects import Objects, Part
 from linnetstile.engine.events import Event
-from linnetstile.platform_relay import discovery, journal
+from linnetstile.platform_relay import discovery
 from linnetstile.platform_relay.directory import Directory, ListUpdate
-from linnetstile.platform_relay.journal import JournaledMessage
+from linnetstile.platform_relay.journal import Journal
+from linnetstile.platform_relay.journal_codec import (
+    encode_accepted,
+    encode_attempt_ended,
+    encode_attempt_started,
+    replay,
+)
+from linnetstile.platform_relay.records import JournaledAttempt, JournaledMessage, JournalRecord, MessageFields
 
 UNBOUNDED = 1 << 40
 READ_BYTES = 16384
@@ -86,27 +93,41 @@
     return discovery.LIST
 
 
+def message_fields(stored: dict[str, Any]) -> MessageFields:
+    """What a client said of a message, from the names that the journal stores. Touches platform_relay.records."""
+    return MessageFields(
+        submission_id=stored["ident"],
+        class_name=stored["class"],
+        tenant=stored.get("tenant", ""),
+        destination=stored["dest"],
+        idempotency_key=stored.get("key", ""),
+        ordering_key=stored.get("order"),
+        accepted_at_ms=stored["taken"],
+        deadline_ms=stored["due"],
+    )
+
+
 def journal_records(messages: Iterable[tuple[int, dict[str, Any], bytes]]) -> bytes:
     """The journal of messages (number, fields, body) with one attempt each, which proved to have had no effect.
 
-    Touches platform_relay.journal.
+    Touches platform_relay.journal_codec.
     """
     return b"".join(
-        journal.taken(number, fields, body)
-        + journal.attempt(number, fields["taken"], 0, "s-00000001")
-        + journal.outcome(number, False)
+        encode_accepted(JournaledMessage(number, message_fields(fields), body))
+        + encode_attempt_started(number, JournaledAttempt(fields["taken"], 0, "s-00000001"))
+        + encode_attempt_ended(number, may_have_effect=False)
         for number, fields, body in messages
     )
 
 
-def replay_journal(data: bytes) -> dict[int, JournaledMessage]:
-    """The messages without a final notice in a journal's bytes, by number. Touches platform_relay.journal."""
-    return journal.replay(data)[0]
+def replay_journal(data: bytes) -> dict[int, JournalRecord]:
+    """The messages without a final notice in a journal's bytes, by number. Touches platform_relay.journal_codec."""
+    return replay(data)[0]
 
 
-def rewrite_journal(folder: Path, messages: Iterable[JournaledMessage], most_bytes: int) -> RewrittenJournal:
+def rewrite_journal(folder: Path, messages: Iterable[JournalRecord], most_bytes: int) -> RewrittenJournal:
     """Write the journal anew. Touches platform_relay.journal."""
-    opened = journal.Journal(folder, most_bytes)
+    opened = Journal(folder, most_bytes)
     opened.open()
     opened.rewrite(messages)
     result = RewrittenJournal(opened.size, opened.failed, opened.error)
@@ -116,7 +137,7 @@
 
 def journaled_messages(count: int, body: bytes) -> list[JournaledMessage]:
     """Messages as the journal knows them, which share one body. Touches platform_relay.journal."""
-    fields = {"ident": "a", "class": "state", "dest": 1, "taken": 0.0, "due": 0.0}
+    fields = message_fields({"ident": "a", "class": "state", "dest": 1, "taken": 0.0, "due": 0.0})
     return [JournaledMessage(number, fields, body) for number in range(count)]
 
 
--- a/linnetstile/as2_relay/delivery.py
+++ b/linnetstile/as2_relay/delivery.py
@@ -143,7 +143,7 @@
         attempt: Attempt,
         action: Send,
         address: EndpointAddress,
-        tls: client.Secure | None,
+        tls: client.TlsParameters | None,
     ) -> None:
         """Send the request of an attempt."""
         timeout_at_s = action.timeout_at_ms / 1000
--- a/linnetstile/as2_relay/tls_keys.py
+++ b/linnetstile/as2_relay/tls_keys.py
@@ -38,7 +38,7 @@
         """Whether TLS is used nowhere."""
         return self.listener is None and not self.partners
 
-    def for_partner(self, partner: str, address: EndpointAddress) -> client.Secure | None:
+    def for_partner(self, partner: str, address: EndpointAddress) -> client.TlsParameters | None:
         """Return the keys for a partner and the name that it has to show; None if its TLS settings are missing."""
         keys, settings = self.partners.get(partner), self.partner_settings.get(partner)
         if keys is None or settings is None or settings.tls is None:
--- a/linnetstile/cli/knowledge.py
+++ b/linnetstile/cli/knowledge.py
@@ -13,7 +13,7 @@
 from .common import FILE, ExitCode, die
 
 if TYPE_CHECKING:
-    from ..as2_relay.gossip import ClaimModel, Document
+    from ..as2_relay.gossip_document import ClaimModel, Document
 
 TIMEOUT_S = 5.0
 WHY_NO_DOCUMENT = {403: "the token is not the relay's", 404: "the relay has no knowledge.token_file"}
--- a/linnetstile/cli/scale.py
+++ b/linnetstile/cli/scale.py
@@ -6,13 +6,16 @@
 import tempfile
 from collections.abc import Callable
 from pathlib import Path
-from typing import Any, NoReturn
+from typing import TYPE_CHECKING, NoReturn
 
 import click
 
 from ..testbed.scale.world_model import RANGES, SCENES, OptionError, Sizes
 from .common import ExitCode, die, is_new_or_empty
 
+if TYPE_CHECKING:
+    from ..testbed.scale.report_schema import ReportJson
+
 SIGNAL_BASE = 128  # the exit code of a run that a signal ended is this and its number
 SIGINT = 2
 
@@ -95,7 +98,7 @@
     sys.exit(ExitCode.OK if is_same else ExitCode.NO)
 
 
-def _run(sizes: Sizes, folder: Path) -> dict[str, Any]:
+def _run(sizes: Sizes, folder: Path) -> ReportJson:
     """Play the fleet; return the report, or end with an error."""
     from ..testbed.scale.run import Ended, Failed, NotStarted, run
 
--- a/linnetstile/testbed/scale/relay_engine.py
+++ b/linnetstile/testbed/scale/relay_engine.py
@@ -5,10 +5,10 @@
 import json
 from dataclasses import replace
 
+from ...as2_relay.gossip_document import claim_to_json
 from ...engine import gossip_export
 from ...engine.engine import DeliveryEngine
 from ...engine.outlier_detection import is_suspected
-from ...engine.gossip import RouteClaim
 from ...engine.unknown_class import unknown_class
 from .trace import GossipSize
 from .world_model import World
@@ -29,5 +29,5 @@
 def gossip_size(engine: DeliveryEngine, now_ms: float, destinations: list[int]) -> GossipSize:
     """What the relay could advertise to peers of these destinations, in the format of the AS2 relay."""
     claims = gossip_export.export_claims(engine, now_ms, {number: f"d-{number}" for number in destinations})
-    size = sum(len(json.dumps({name: getattr(claim, name) for name in RouteClaim.__slots__})) for claim in claims)
+    size = sum(len(json.dumps(claim_to_json(claim))) for claim in claims)
     return GossipSize(len(claims), size)
--- a/tests/platform_relay/test_at_most_once.py
+++ b/tests/platform_relay/test_at_most_once.py
@@ -179,9 +179,8 @@
         if self.connection == "new":
             first.endpoint_client.pool.close_idle(next(iter(first.endpoint_client.pool.idle)))
         elif self.connection == "held":
-            first.engine.stale_connection_ratio = (
-                1.0  # many connections were met closed: the last byte of unsafe calls waits
-            )
+            # Many connections were met closed: the last byte of calls that must not run twice waits.
+            first.engine.connections.stale_ratio = 1.0
         endpoint.calls.clear()
         endpoint.faults = [self.fault] + [Fault("said", "", BUSY_RESPONSE)] * (8 if self.full else 0)
         self.watched_folder = testbed.state
