--- a/linnetstile/config/files.py
+++ b/linnetstile/config/files.py
@@ -28,7 +28,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Fault:
+class SettingsFault:
     """One fault in a settings file.
 
     Attributes:
@@ -59,22 +59,22 @@
         self.lines = lines
 
     @classmethod
-    def from_faults(cls, faults: Iterable[Fault], file: str) -> SettingsError:
+    def from_faults(cls, faults: Iterable[SettingsFault], file: str) -> SettingsError:
         """Make the error of a file that has these faults, at least one."""
         first, *others = faults
         lines = [fault.line(file) for fault in (first, *others)]
         return cls(lines, field=first.field, expected=first.expected, found=first.found)
 
 
-def faults_of(error: ValidationError) -> list[Fault]:
+def faults_of(error: ValidationError) -> list[SettingsFault]:
     """Return the faults that validation found, in its order."""
     return [_fault(details) for details in error.errors(include_url=False)]
 
 
-def _fault(details: Any) -> Fault:
+def _fault(details: Any) -> SettingsFault:
     # A missing key has no value, and the value of a mapping with a fault is too long to be of help.
     shows_value = details["type"] != "missing" and not isinstance(details["input"], dict)
-    return Fault(
+    return SettingsFault(
         field=".".join(str(step) for step in details["loc"]) or WHOLE_FILE,
         expected=details["msg"].removeprefix("Value error, "),
         found=_shown(details["input"]) if shows_value else "",
