--- a/linnetstile/cli/knowledge.py
+++ b/linnetstile/cli/knowledge.py
@@ -13,7 +13,7 @@
 from .common import FILE, ExitCode, die
 
 if TYPE_CHECKING:
-    from ..as2_relay.gossip_document import ClaimModel, Document
+    from ..as2_relay.gossip_document import ClaimModel, GossipDocument
 
 TIMEOUT_S = 5.0
 WHY_NO_DOCUMENT = {403: "the token is not the relay's", 404: "the relay has no knowledge.token_file"}
@@ -55,7 +55,7 @@
     return answer.body
 
 
-def load_document(source: str, token_file: Path | None) -> Document:
+def load_document(source: str, token_file: Path | None) -> GossipDocument:
     """Return the document of a file or of the relay at an address, or end with an error."""
     from ..as2_relay.gossip import load, parse
 
