--- a/benchmarks/attack.py
+++ b/benchmarks/attack.py
@@ -39,8 +39,8 @@
 from linnetstile.codec import http1
 from linnetstile.config.relay import RelaySettings
 from linnetstile.emulators import messages
-from linnetstile.emulators.partner import PartnersSpec, Stand
-from linnetstile.emulators.registry import RegisterSpec, RegisterStand
+from linnetstile.emulators.partner import PartnerEmulator, PartnersSpec
+from linnetstile.emulators.registry import RegistryEmulator, RegistrySpec
 from linnetstile.net import client
 
 LIMITS = {
@@ -69,14 +69,14 @@
 BODY = b"ISA*00~" * 100
 
 
-async def serve_partners() -> Stand:
+async def serve_partners() -> PartnerEmulator:
     """Be the partners: one is quick, one hangs."""
     partners = [
         {"name": name, "endpoints": [{"id": number}], "work_ms": 20, "spread": 0.1, "servers": 256, "queue": 1000}
         for number, name in ((1, "quick"), (2, "hangs"))
     ]
     faults = [{"kind": "hang", "at_s": 0, "for_s": 600, "partners": ["hangs"]}]
-    stand = Stand(PartnersSpec.model_validate({"partners": partners, "faults": faults}))
+    stand = PartnerEmulator(PartnersSpec.model_validate({"partners": partners, "faults": faults}))
     print(json.dumps({"port": 0, "ports": await stand.start()}), flush=True)
     return stand
 
@@ -136,7 +136,7 @@
         self.phase = "before"
         self.phases: dict[str, PhaseResult] = {}
         self.loop = asyncio.get_running_loop()
-        self.pool = client.Pool()
+        self.pool = client.ConnectionPool()
 
     async def run(self) -> None:
         """Submit until cancelled."""
@@ -147,17 +147,17 @@
 
     def submit(self, number: int) -> None:
         """Submit one message, which counts in the current phase."""
-        message = messages.make("good", "quick", f"<{number}@good>", "a", BODY, receipt=False)
+        message = messages.build_message("good", "quick", f"<{number}@good>", "a", BODY, receipt=False)
         submitted_at = self.loop.time()
         result = self.phases.setdefault(self.phase, PhaseResult())
         result.sent += 1
 
-        def done(answer: client.Answer) -> None:
+        def done(answer: client.CallResult) -> None:
             if answer.head is not None and answer.head.headers.get("linnetstile-answer") == "delivered":
                 result.delivered += 1
                 result.latency.record_value(int((self.loop.time() - submitted_at) * 1e6))
 
-        data = http1.request("POST", "/as2", [("Host", "x"), *message.headers], message.body)
+        data = http1.encode_request("POST", "/as2", [("Host", "x"), *message.headers], message.body)
         self.pool.call(("127.0.0.1", self.port), "POST", data, done, submitted_at + ANSWER_TIMEOUT_S)
 
 
@@ -227,7 +227,7 @@
 
 async def _measure(seconds: float, log: IO[bytes]) -> dict[str, Any]:
     partners, announced = start_child("attack", "--serve-partners")
-    register = RegisterStand(RegisterSpec.model_validate(registry_spec(announced["ports"])))
+    register = RegistryEmulator(RegistrySpec.model_validate(registry_spec(announced["ports"])))
     settings = relay_settings(f"http://127.0.0.1:{await register.start()}")
     relay, port = await start_relay(settings, log=log)
     sampler, good = Sampler(relay), GoodClient(port)
@@ -244,11 +244,11 @@
         "limits": LIMITS,
         "self_check_findings": lines.count("AssertionError"),
         "tracebacks": lines.count("Traceback"),
-        "memory_bound_mb": round(checked.memory_bound() / 2**20),
+        "memory_bound_mb": round(checked.max_memory_bytes() / 2**20),
         "peak_mb": max(memory_mb for _, memory_mb, _ in samples),
         "first_mb": samples[0][1],
         "last_mb": samples[-1][1],
-        "files_bound": checked.files_bound(),
+        "files_bound": checked.max_open_files(),
         "peak_files": max(files for _, _, files in samples),
         "cpu_s": round(cpu_s, 1),
         "good_client": {name: result.to_json() for name, result in good.phases.items()},
--- a/benchmarks/attackers.py
+++ b/benchmarks/attackers.py
@@ -34,7 +34,7 @@
 
 def post_head(partner: str, length: int, sender: str = "bad") -> bytes:
     """The head of a message for a partner, with so many bytes of body."""
-    message = messages.make(sender, partner, f"<{next(_message_numbers)}@bad>", "a", b"", receipt=False)
+    message = messages.build_message(sender, partner, f"<{next(_message_numbers)}@bad>", "a", b"", receipt=False)
     fields = [("Host", "x"), *message.headers, ("Content-Length", str(length))]
     lines = [f"{name}: {value}" for name, value in fields]
     return ("POST /as2 HTTP/1.1\r\n" + "\r\n".join(lines) + "\r\n\r\n").encode()
--- a/benchmarks/cold_start.py
+++ b/benchmarks/cold_start.py
@@ -16,7 +16,7 @@
 from typing import Any
 
 from benchmarks.common import argument_parser, print_result
-from tests.faults.rig import SAFETY, Rig, kind
+from tests.faults.relay_testbed import SAFETY, RelayTestbed, answer_kind
 
 PARTNER_RATE, MESSAGES_PER_S, OUTAGE_S = 60.0, 100.0, 6.0
 OLD_RELAYS = 2
@@ -40,14 +40,14 @@
     )
 
 
-async def submit_messages(rig: Rig, seconds: float, relays: int) -> collections.Counter[str]:
+async def submit_messages(rig: RelayTestbed, seconds: float, relays: int) -> collections.Counter[str]:
     """Submit messages at the rate of the benchmark, to all relays by turns; returns how they were answered."""
-    began = rig.seconds()
+    began = rig.elapsed_s()
     answers = []
     for number in range(int(MESSAGES_PER_S * seconds)):
-        await rig.until(began + number / MESSAGES_PER_S)
-        answers.append(asyncio.create_task(rig.hand(rig.make("safe"), number % relays)))
-    return collections.Counter(map(kind, await asyncio.gather(*answers)))
+        await rig.sleep_until(began + number / MESSAGES_PER_S)
+        answers.append(asyncio.create_task(rig.submit(rig.make_message("safe"), number % relays)))
+    return collections.Counter(map(answer_kind, await asyncio.gather(*answers)))
 
 
 async def measure(fresh: int, seconds: float, learning: bool) -> dict[str, Any]:
@@ -58,25 +58,27 @@
     faults = [{"kind": "fast_errors", "at_s": 0, "for_s": OUTAGE_S, "partners": ["firma"]}]
     partner = {"rate": PARTNER_RATE, "cold_ms": SAFETY["cold_ms"]}
     relays = OLD_RELAYS + fresh
-    async with Rig(folder, relays=OLD_RELAYS, fleet=relays, faults=faults, partner=partner, knowledge=gossip) as rig:
-        load_in_outage = asyncio.create_task(rig.load("safe", 10, OUTAGE_S - 1.0, 2))
-        await rig.until(OUTAGE_S - START_EARLY_S)
+    async with RelayTestbed(
+        folder, relays=OLD_RELAYS, fleet=relays, faults=faults, partner=partner, knowledge=gossip
+    ) as rig:
+        load_in_outage = asyncio.create_task(rig.submit_evenly("safe", 10, OUTAGE_S - 1.0, 2))
+        await rig.sleep_until(OUTAGE_S - START_EARLY_S)
         for _ in range(fresh):
-            peers = [service.address for service in rig.services[:OLD_RELAYS]]
-            await rig.relay(knowledge=gossip | ({"peers": peers} if learning else {}))
-        await rig.until(OUTAGE_S)
+            peers = [service.address for service in rig.relays[:OLD_RELAYS]]
+            await rig.start_relay(knowledge=gossip | ({"peers": peers} if learning else {}))
+        await rig.sleep_until(OUTAGE_S)
         answers = await submit_messages(rig, seconds, relays)
         await load_in_outage
-        returned_at = rig.stand.t0 + OUTAGE_S * 1000
-        calls_ms = [row["t"] - returned_at for row in rig.rows("began") if row["t"] >= returned_at]
+        returned_at = rig.partner_emulator.script_start_ms + OUTAGE_S * 1000
+        calls_ms = [row["t"] - returned_at for row in rig.partner_records("began") if row["t"] >= returned_at]
         cold_ms = [at for at in calls_ms if at < SAFETY["cold_ms"]]
         return {
             "learning": learning,
             "calls_in_first_s": sum(at < 1000 for at in calls_ms),
             "calls_while_cold": len(cold_ms),
             "worst_share_of_budget": round(worst_budget_use(calls_ms, cold_ms), 2),
-            "pushed_over": bool(rig.rows("fallen")),
-            "lessons_taken": sum(service.knowledge.counts["taken"] for service in rig.services),
+            "pushed_over": bool(rig.partner_records("fallen")),
+            "lessons_taken": sum(service.gossip.counts["taken"] for service in rig.relays),
             "answers": dict(answers),
         }
 
--- a/benchmarks/crawl.py
+++ b/benchmarks/crawl.py
@@ -28,9 +28,9 @@
 from benchmarks.common import argument_parser, print_result, serve_forever, start_child, start_relay, stop_child
 from linnetstile.codec import http1
 from linnetstile.emulators import messages
-from linnetstile.emulators.partner import PartnersSpec, Stand
+from linnetstile.emulators.partner import PartnerEmulator, PartnersSpec
 from linnetstile.emulators.record import now_ms
-from linnetstile.emulators.registry import RegisterSpec, RegisterStand
+from linnetstile.emulators.registry import RegistryEmulator, RegistrySpec
 from linnetstile.net import client
 
 PARTNERS, MAX_IN_FLIGHT, WORK_MS = 24, 32, 100.0
@@ -121,9 +121,9 @@
     }
 
 
-async def serve_partners(spec: str) -> Stand:
+async def serve_partners(spec: str) -> PartnerEmulator:
     """Be the partners."""
-    stand = Stand(PartnersSpec.model_validate_json(spec))
+    stand = PartnerEmulator(PartnersSpec.model_validate_json(spec))
     ports = await stand.start()
     print(json.dumps({"port": 0, "ports": ports}), flush=True)
     return stand
@@ -184,9 +184,9 @@
         """
         self.port, self.case, self.slow_from_ms = port, case, slow_from_ms
         self.loop = asyncio.get_running_loop()
-        self.pool, self.rng, self.serial = client.Pool(), random.Random(case.seed), itertools.count()
+        self.pool, self.rng, self.serial = client.ConnectionPool(), random.Random(case.seed), itertools.count()
         self.quick = QuickPartners()
-        self.submitted: list[asyncio.Future[client.Answer]] = []
+        self.submitted: list[asyncio.Future[client.CallResult]] = []
 
     async def run(self) -> None:
         """Submit until the run is over, and wait for all answers."""
@@ -202,16 +202,16 @@
 
     def submit(self, partner: int, now: float) -> None:
         """Submit a message for a partner."""
-        done: asyncio.Future[client.Answer] = self.loop.create_future()
+        done: asyncio.Future[client.CallResult] = self.loop.create_future()
         identifier = f"<{next(self.serial)}@s>"
-        message = messages.make("s", f"p{partner}", identifier, "a", BODY, receipt=False)
-        data = http1.request("POST", "/as2", [("Host", "x"), *message.headers], message.body)
+        message = messages.build_message("s", f"p{partner}", identifier, "a", BODY, receipt=False)
+        data = http1.encode_request("POST", "/as2", [("Host", "x"), *message.headers], message.body)
         self.pool.call(("127.0.0.1", self.port), "POST", data, done.set_result, now + DEADLINE_MS / 1000 + 2)
         if partner < self.case.quick:
             done.add_done_callback(lambda future: self._answered(future.result(), now))
         self.submitted.append(done)
 
-    def _answered(self, answer: client.Answer, submitted_at: float) -> None:
+    def _answered(self, answer: client.CallResult, submitted_at: float) -> None:
         elapsed_ms = (self.loop.time() - submitted_at) * 1000
         name = answer.head.headers.get("linnetstile-answer") if answer.head else "lost"
         if submitted_at * 1000 >= self.slow_from_ms:
@@ -225,7 +225,7 @@
     slow_from_ms = now_ms() + 1000 * (WARM_UP_S + START_S)
     spec = partners_spec(case.slow, case.seed, slow_from_ms)
     partners, announced = start_child("crawl", "--serve-partners", json.dumps(spec))
-    register = RegisterStand(RegisterSpec.model_validate(registry_spec(announced["ports"])))
+    register = RegistryEmulator(RegistrySpec.model_validate(registry_spec(announced["ports"])))
     settings = relay_settings(f"http://127.0.0.1:{await register.start()}", case.seed)
     relay, port = await start_relay(settings)
     load = Load(port, case, slow_from_ms)
--- a/benchmarks/held.py
+++ b/benchmarks/held.py
@@ -15,7 +15,7 @@
 from benchmarks.common import argument_parser, print_result, resident_mb, start_relay, stop_child
 from linnetstile.codec import http1
 from linnetstile.emulators import messages
-from linnetstile.emulators.registry import RegisterSpec, RegisterStand
+from linnetstile.emulators.registry import RegistryEmulator, RegistrySpec
 from linnetstile.net import client
 
 PARTS = 4
@@ -46,7 +46,7 @@
     def __init__(self, port: int, body_bytes: int) -> None:
         """Prepare clients of a relay on a loopback port."""
         self.port, self.body_bytes = port, body_bytes
-        self.pool = client.Pool()
+        self.pool = client.ConnectionPool()
         self.accepted = 0
 
     async def submit_all(self, numbers: Iterable[int]) -> None:
@@ -58,9 +58,9 @@
         loop = asyncio.get_running_loop()
         for number in numbers:
             body = b"x" * self.body_bytes
-            message = messages.make("s", "p", f"<{number}@s>", "a", body, reply_to="http://127.0.0.1:9/r")
-            done: asyncio.Future[client.Answer] = loop.create_future()
-            data = http1.request("POST", "/as2", [("Host", "r"), *message.headers], message.body)
+            message = messages.build_message("s", "p", f"<{number}@s>", "a", body, reply_to="http://127.0.0.1:9/r")
+            done: asyncio.Future[client.CallResult] = loop.create_future()
+            data = http1.encode_request("POST", "/as2", [("Host", "r"), *message.headers], message.body)
             timeout_at = loop.time() + ANSWER_TIMEOUT_S
             self.pool.call(("127.0.0.1", self.port), "POST", data, done.set_result, timeout_at)
             answer = await done
@@ -70,7 +70,7 @@
 async def measure(count: int, body_bytes: int) -> dict[str, Any]:
     """Submit so many messages of a size to a relay, and read its memory."""
     entry = {"id": 1, "partner": "p", "url": "http://127.0.0.1:9/as2", "status": "draining", "rate": 10.0}
-    register = RegisterStand(RegisterSpec(entries=[entry]))
+    register = RegistryEmulator(RegistrySpec(entries=[entry]))
     settings = relay_settings(f"http://127.0.0.1:{await register.start()}", count)
     relay, port = await start_relay(settings)
     submitter, loop = Submitter(port, body_bytes), asyncio.get_running_loop()
--- a/benchmarks/lists.py
+++ b/benchmarks/lists.py
@@ -79,12 +79,12 @@
     engine, directory = DeliveryEngine(settings(size), 1), Directory(("k",), ("a",))
     text = list_document(0, size)
     document = timer.time("json", lambda: json.loads(text))
-    full_list = timer.time("directory", lambda: directory.take(document))
+    full_list = timer.time("directory", lambda: directory.apply_list(document))
     assert full_list is not None
     timer.time("whole", lambda: engine.handle(0.0, [full_list]))
     change = EndpointList(ListKind.CHANGES, (Endpoint(1, 0, EndpointStatus.DRAINING),))
     timer.time("change", lambda: engine.handle(1.0, [change]))
-    half = directory.take(json.loads(list_document(size // 2, size)))
+    half = directory.apply_list(json.loads(list_document(size // 2, size)))
     assert half is not None
     timer.time("half_leave", lambda: engine.handle(2.0, [half]))
     destinations = sorted({entry.destination for entry in half.endpoints})
--- a/benchmarks/slopes/internals.py
+++ b/benchmarks/slopes/internals.py
@@ -12,7 +12,7 @@
 from pathlib import Path
 from typing import Any, NamedTuple
 
-from linnetstile.codec.objects import Objects, Part
+from linnetstile.codec.json_stream import JsonStreamReader, ObjectPart
 from linnetstile.engine.events import Event
 from linnetstile.platform_relay import discovery
 from linnetstile.platform_relay.directory import Directory, ListUpdate
@@ -53,7 +53,7 @@
     Returns:
         The values, and the processor time of the longest step in microseconds.
     """
-    objects = Objects(UNBOUNDED, "servers", ("version", "full"))
+    objects = JsonStreamReader(UNBOUNDED, "servers", ("version", "full"))
     values: list[Any] = []
     longest_s = 0.0
     for start in range(0, len(data), READ_BYTES):
@@ -68,11 +68,11 @@
 
     Touches platform_relay.directory and discovery.
     """
-    if not isinstance(value, Part):
-        return [directory.take(value)]
-    if value.first:
-        _current_update[:] = [directory.begin(value.head)]
-    return list(discovery.told(_current_update[0].take(value.elements)))
+    if not isinstance(value, ObjectPart):
+        return [directory.apply_list(value)]
+    if value.is_first:
+        _current_update[:] = [directory.begin_update(value.members)]
+    return list(discovery.change_events(_current_update[0].add_entries(value.elements)))
 
 
 def remove_missing(value: Any) -> list[Event] | None:
@@ -83,14 +83,14 @@
     Returns:
         Events for the engine; None = there is no other step.
     """
-    if not isinstance(value, Part) or not value.last or _current_update[0].over:
+    if not isinstance(value, ObjectPart) or not value.is_last or _current_update[0].is_complete:
         return None
-    return list(discovery.told(_current_update[0].sweep()))
+    return list(discovery.change_events(_current_update[0].remove_missing()))
 
 
 def list_bound_bytes() -> int:
     """The longest value of discovery that is read. Touches platform_relay.discovery."""
-    return discovery.LIST
+    return discovery.MAX_LIST_BYTES
 
 
 def message_fields(stored: dict[str, Any]) -> MessageFields:
@@ -130,7 +130,7 @@
     opened = Journal(folder, most_bytes)
     opened.open()
     opened.rewrite(messages)
-    result = RewrittenJournal(opened.size, opened.failed, opened.error)
+    result = RewrittenJournal(opened.size, opened.failed_writes, opened.last_error)
     opened.close()
     return result
 
--- a/benchmarks/slopes/platform_emulator.py
+++ b/benchmarks/slopes/platform_emulator.py
@@ -16,7 +16,7 @@
 
 from benchmarks.slopes.inside import discovery_entries
 from benchmarks.slopes.internals import discovery_line
-from linnetstile.emulators.discovery import DiscoveryStand, Source
+from linnetstile.emulators.discovery import DiscoveryEmulator, Source
 
 OK_RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 HEAD_END = b"\r\n\r\n"
@@ -60,7 +60,7 @@
         self.change_log: list[tuple[int, bytes]] = []  # changes after the version that a list was set with
         self.oldest_version = 1  # from which changes are known
         self.cached_list = b""  # the full list; empty = to be made
-        self.discovery = DiscoveryStand(self)
+        self.discovery = DiscoveryEmulator(self)
         self.counts = {"wholes": 0, "whole_bytes": 0, "calls": 0}
         self.first_calls: dict[str, float] = {}  # by identifier, when its first call came, s of the monotonic clock
         self.is_tracking = False
@@ -98,7 +98,7 @@
         self.version += 1
         line = discovery_line(servers, self.version, False)
         self.change_log.append((self.version, line))
-        self.discovery.tell(line)
+        self.discovery.publish(line)
         for each in servers:
             if each["state"] == "DELETED":
                 self.entries.pop(each["id"], None)
@@ -144,7 +144,7 @@
 
     def _cut(self, asked: dict[str, Any]) -> dict[str, Any]:
         """Every watch ends, and something changes before the next one is opened."""
-        self.discovery.drop()
+        self.discovery.drop_watches()
         self.change(asked["servers"])
         self.cached_list = discovery_line(self.entries.values(), self.version, True)
         return {}
--- a/benchmarks/slopes/processes.py
+++ b/benchmarks/slopes/processes.py
@@ -16,15 +16,15 @@
 
 from benchmarks.common import resident_mb
 from benchmarks.slopes.inside import LISTED_RATE
-from tests.platform_relay import world
+from tests.platform_relay import relay_testbed
 
 CLASSES = [{"name": "state", "effect": "repeatable", "aim-ms": 10_000.0, "deadline-ms": 3_600_000.0}]
-SETTINGS = world.RAW | {
+SETTINGS = relay_testbed.SETTINGS | {
     "classes": CLASSES,
     "extra": {"call-slots": 64},
     "balancers": 460,
     "orgs": [],
-    "limits": world.RAW["limits"] | {"open-cap": 1_000_000, "try-limit": 40},
+    "limits": relay_testbed.SETTINGS["limits"] | {"open-cap": 1_000_000, "try-limit": 40},
 }
 LIMITS = {"sockets": 4096, "memory_mb": 4096, "disk_mb": 4096}
 START_TIMEOUT_S = 60.0
--- a/benchmarks/slopes/relays.py
+++ b/benchmarks/slopes/relays.py
@@ -191,7 +191,8 @@
 
 def gossip_document(routes: int) -> Measurements:
     """A gossip document and the reading of one. Touches as2_relay/gossip.py."""
-    from linnetstile.as2_relay.gossip import Knowledge, parse
+    from linnetstile.as2_relay.gossip_document import parse
+    from linnetstile.as2_relay.gossip_service import GossipService
     from linnetstile.config.relay import KnowledgeSettings
 
     engine = inside.create_engine(routes)
@@ -209,8 +210,8 @@
             info = warning = debug = error = staticmethod(ignore)
 
         log: Any = QuietLog()
-        gossip = Knowledge(KnowledgeSettings(), engine, "r", "run", numbers, ignore, log)
-        type(gossip).now = property(lambda self: now_ms)  # type: ignore[method-assign,assignment]
+        gossip = GossipService(KnowledgeSettings(), engine, "r", "run", numbers, ignore, log)
+        type(gossip).now_ms = property(lambda self: now_ms)  # type: ignore[method-assign,assignment]
         found: Measurements = {"document_us": processor_time_us(gossip.document, 2)}
         document = json.dumps(gossip.document()).encode()
         found |= {"document_bytes": float(len(document)), "bytes_a_destination": len(document) / routes}
--- a/benchmarks/throughput.py
+++ b/benchmarks/throughput.py
@@ -35,7 +35,7 @@
 from linnetstile.codec import cms, http1, mdn
 from linnetstile.config.relay import RelaySettings
 from linnetstile.emulators import messages
-from linnetstile.emulators.registry import RegisterSpec, RegisterStand
+from linnetstile.emulators.registry import RegistryEmulator, RegistrySpec
 from linnetstile.net import client, server
 
 CONTENT = b"ISA*00~" * 100
@@ -113,7 +113,7 @@
             request.reply(200)
             return
         receipt = mdn.Mdn(headers.get("message-id"), "p", mic=mic, micalg="sha-256")
-        content_type, body = receipt.build()
+        content_type, body = receipt.encode()
         if signed:
             content_type, body = cms.sign(f"Content-Type: {content_type}\r\n\r\n".encode() + body, identity)
         request.reply(200, [("Content-Type", content_type), ("AS2-From", "p"), ("AS2-To", "s")], body)
@@ -130,7 +130,7 @@
 
     service = As2Relay(RelaySettings.model_validate_json(settings), logger(os.environ.get("BENCH_LOG", "warning")))
     address = await service.start()
-    while service.register.version < 0:  # noqa: ASYNC110 (the relay has no event for its first list)
+    while service.registry.version < 0:  # noqa: ASYNC110 (the relay has no event for its first list)
         await asyncio.sleep(REGISTRY_POLL_S)
     announce(int(address.rpartition(":")[2]))
     stopped = asyncio.Event()
@@ -157,16 +157,16 @@
 
 async def run_load(port: int, seconds: float, connections: int, receipt: bool) -> dict[str, Any]:
     """Submit messages in a closed loop for so long; what came back."""
-    pool, histogram = client.Pool(), HdrHistogram(*HISTOGRAM_RANGE)
+    pool, histogram = client.ConnectionPool(), HdrHistogram(*HISTOGRAM_RANGE)
     serial, loop = itertools.count(time.time_ns()), asyncio.get_running_loop()
     began = loop.time()
     end, counts = began + seconds, {"delivered": 0, "other": 0}
-    message = messages.make("s", "p", "<MARK@s>", "a", CONTENT, receipt=receipt)
-    template = http1.request("POST", "/as2", [("Host", f"127.0.0.1:{port}"), *message.headers], message.body)
+    message = messages.build_message("s", "p", "<MARK@s>", "a", CONTENT, receipt=receipt)
+    template = http1.encode_request("POST", "/as2", [("Host", f"127.0.0.1:{port}"), *message.headers], message.body)
 
     async def submit_each() -> None:
         while loop.time() < end:
-            done: asyncio.Future[client.Answer] = loop.create_future()
+            done: asyncio.Future[client.CallResult] = loop.create_future()
             sent_at = loop.time()
             data = template.replace(b"MARK", b"%d" % next(serial), 1)
             pool.call(("127.0.0.1", port), "POST", data, done.set_result, sent_at + ANSWER_TIMEOUT_S)
@@ -221,7 +221,7 @@
     """Load on the sink, the pass-through and the relay, one after the other, all together and one at a time."""
     sink, sink_port = start_child_with_port("throughput", "--serve-sink", str(int(case.signed)), identity)
     entries = [{"id": 1, "partner": "p", "url": f"http://127.0.0.1:{sink_port}/as2", "status": "ready", "rate": 1e6}]
-    register = RegisterStand(RegisterSpec(entries=entries))
+    register = RegistryEmulator(RegistrySpec(entries=entries))
     settings = relay_settings(f"http://127.0.0.1:{await register.start()}", connections, identity)
     pass_through, pass_port = start_child_with_port("throughput", "--serve-pass", str(sink_port))
     relay, relay_port = await start_relay(settings, profile if not case.signed else "")
@@ -255,7 +255,7 @@
     if sys.argv[1:2] == ["--serve-pass"]:
         asyncio.run(serve_pass_through(("127.0.0.1", int(sys.argv[2]))))
     elif sys.argv[1:2] == ["--serve-sink"]:
-        asyncio.run(serve_sink(sys.argv[2] == "1", cms.load(Path(sys.argv[3]).read_bytes())))
+        asyncio.run(serve_sink(sys.argv[2] == "1", cms.load_identity(Path(sys.argv[3]).read_bytes())))
     elif sys.argv[1:2] == ["--serve-relay"]:
         asyncio.run(serve_relay(sys.argv[2], sys.argv[3]))
     else:
@@ -265,7 +265,7 @@
         parser.add_argument("--profile", default="")
         args = parser.parse_args()
         identity = Path(tempfile.mkdtemp(prefix="linnetstile-bench-")) / "p.pem"
-        identity.write_bytes(cms.save(cms.make_identity("p")))
+        identity.write_bytes(cms.encode_identity(cms.make_identity("p")))
         print_result(asyncio.run(measure(args.seconds, args.connections, args.profile, str(identity))), args.json)
 
 
--- a/linnetstile/as2_relay/accepted_message.py
+++ b/linnetstile/as2_relay/accepted_message.py
@@ -49,7 +49,7 @@
     """
 
     id: int
-    head: as2.Head
+    head: as2.As2Headers
     headers: http1.Headers
     body: bytes
     deadline_ms: float
--- a/linnetstile/as2_relay/admin.py
+++ b/linnetstile/as2_relay/admin.py
@@ -13,7 +13,7 @@
 from pathlib import Path
 from typing import Any, Protocol
 
-from ..config.relay import split
+from ..config.relay import split_address
 from ..net import server
 from ..telemetry.metrics import render_metrics
 from .admin_metrics import metric_samples
@@ -22,7 +22,7 @@
 
 METRICS_PATH = "/metrics"
 METRICS_CONTENT_TYPE = "text/plain; version=0.0.4; charset=utf-8"
-LISTENER_BOUNDS = server.Bounds(connections=16, idle_s=5.0, answer_rate=1024.0)
+LISTENER_BOUNDS = server.ServerLimits(max_connections=16, idle_timeout_s=5.0, min_response_rate=1024.0)
 
 
 class View(Protocol):
@@ -49,13 +49,13 @@
             "slow": slow_partners_view,
         }
         self.inode: int | None = None  # of the socket
-        self.socket_listener = server.Server(self._serve, bounds=LISTENER_BOUNDS)
-        self.metrics_listener = server.Server(self._serve_metrics, bounds=LISTENER_BOUNDS)
+        self.socket_listener = server.Server(self._serve, limits=LISTENER_BOUNDS)
+        self.metrics_listener = server.Server(self._serve_metrics, limits=LISTENER_BOUNDS)
 
     async def start(self) -> None:
         """Listen; a socket that an earlier relay left is replaced, anything else at the path is an OSError."""
         if self.metrics_address is not None:
-            host, port = split(self.metrics_address)
+            host, port = split_address(self.metrics_address)
             self.metrics_address = f"{host}:{await self.metrics_listener.start(host, port)}"
         if self.socket_path is None:
             return
--- a/linnetstile/as2_relay/admin_metrics.py
+++ b/linnetstile/as2_relay/admin_metrics.py
@@ -56,7 +56,7 @@
     yield MetricSample("waiting_for_room", "gauge", help_text, len(relay.admission.waiting))
     yield MetricSample("slots_out", "gauge", "Calls out.", relay.engine.in_flight)
     yield MetricSample("slots", "gauge", "Calls that may be out.", settings.limits.slots)
-    yield MetricSample("memory_bound_bytes", "gauge", "What the process is to stay under.", settings.memory_bound())
+    yield MetricSample("memory_bound_bytes", "gauge", "What the process is to stay under.", settings.max_memory_bytes())
 
 
 def _slow_partner_samples(relay: RelayView) -> Iterator[MetricSample]:
--- a/linnetstile/as2_relay/admin_views.py
+++ b/linnetstile/as2_relay/admin_views.py
@@ -93,23 +93,23 @@
     rows = _client_rows(relay, now_s) + _partner_rows(relay, now_s)
     rows.sort(key=lambda row: (-row.phase_s, row.peer))
     phases = Counter(f"{row.side} {row.phase}" for row in rows)
-    return ConnectionsView(relay.listener.bounds.connections, rows, dict(sorted(phases.items())))
+    return ConnectionsView(relay.listener.limits.max_connections, rows, dict(sorted(phases.items())))
 
 
 def _client_rows(relay: RelayView, now_s: float) -> list[ConnectionRow]:
     rows = []
-    for connection in relay.listener.open:
-        origin = origin_of(connection.current)
+    for connection in relay.listener.connections:
+        origin = origin_of(connection.current_request)
         rows.append(
             ConnectionRow(
                 side="client",
-                peer=connection.peer(),
+                peer=connection.peer_address(),
                 phase=connection.phase,
-                age_s=round(now_s - connection.opened, 1),
-                phase_s=round(now_s - connection.since, 1),
-                bytes_read=connection.came,
-                bytes_unsent=connection.unsent,
-                patience=round(connection.patience, 2),
+                age_s=round(now_s - connection.opened_at, 1),
+                phase_s=round(now_s - connection.phase_started_at, 1),
+                bytes_read=connection.bytes_read,
+                bytes_unsent=connection.unsent_bytes,
+                patience=round(connection.remaining_patience, 2),
                 message_id=origin.message_id if origin else "",
                 sender=origin.sender if origin else "",
                 partner=origin.partner if origin else "",
@@ -120,21 +120,21 @@
 
 def _partner_rows(relay: RelayView, now_s: float) -> list[ConnectionRow]:
     partners: dict[client.Address, str] = {
-        endpoint.address: endpoint.partner for endpoint in relay.register.endpoints.values()
+        endpoint.address: endpoint.partner for endpoint in relay.registry.endpoints.values()
     }
     rows = []
-    for connection in relay.pool.open:
-        age_s = round(now_s - connection.began, 1)
+    for connection in relay.pool.connections:
+        age_s = round(now_s - connection.call_started_at, 1)
         rows.append(
             ConnectionRow(
                 side="partner",
-                peer=client.shown(connection.address),
+                peer=client.format_address(connection.address),
                 phase=_partner_phase(connection),
                 age_s=age_s,
                 phase_s=age_s,
-                bytes_read=connection.came,
-                bytes_unsent=connection.unsent if not connection.dead else 0,
-                patience=round(connection.patience, 2),
+                bytes_read=connection.bytes_read,
+                bytes_unsent=connection.unsent_bytes if not connection.is_closing else 0,
+                patience=round(connection.remaining_patience, 2),
                 partner=partners.get(connection.address, ""),
             )
         )
@@ -144,9 +144,9 @@
 def _partner_phase(connection: client.ClientConnection) -> str:
     if connection.call is None:
         return "idle"
-    if connection.partial:
+    if connection.request_incomplete:
         return "request"
-    return "answer" if connection.came else "work"
+    return "answer" if connection.bytes_read else "work"
 
 
 @dataclass(frozen=True, slots=True)
@@ -271,8 +271,8 @@
             used_messages=int(node.used[MESSAGES]),
             waiting=node.waiting,
             weight=node.weight,
-            fair_bytes=int(fair_share.fair_part(node, BYTES)),
-            fair_messages=int(fair_share.fair_part(node, MESSAGES)),
+            fair_bytes=int(fair_share.fair_share(node, BYTES)),
+            fair_messages=int(fair_share.fair_share(node, MESSAGES)),
         )
         for tree, node in fair_share.nodes()
     ]
@@ -281,7 +281,7 @@
 
 
 def _partner_queue_rows(relay: RelayView) -> list[PartnerQueueRow]:
-    names = {number: name for name, number in relay.register.partners.items()}
+    names = {number: name for name, number in relay.registry.partners.items()}
     in_flight = Counter(message.head.receiver for message in relay.accepted.values() if message.attempt is not None)
     rows = []
     for destination, queue in relay.engine.queues.queues.items():
--- a/linnetstile/as2_relay/admission.py
+++ b/linnetstile/as2_relay/admission.py
@@ -48,7 +48,7 @@
 
 def origin_of(request: RequestContext | None) -> RequestOrigin | None:
     """Return the origin of a request; None if its head has not been classified."""
-    return request.who if request is not None and isinstance(request.who, RequestOrigin) else None
+    return request.submission if request is not None and isinstance(request.submission, RequestOrigin) else None
 
 
 class AdmissionController:
@@ -99,7 +99,7 @@
 
     def admit(self, request: RequestContext, size: int) -> bool:
         """Return whether `size` more bytes of a body may be read now; if not, the request waits or was rejected."""
-        origin = request.who
+        origin = request.submission
         if not isinstance(origin, RequestOrigin):
             return True  # answered at its head, or nobody's message
         decision = self._decide(request, origin, size)
@@ -107,7 +107,7 @@
             self.waiting[request] = size
             self.log.debug(
                 log_events.ADMISSION_QUEUED,
-                peer=request.conn.peer(),
+                peer=request.connection.peer_address(),
                 message=origin.message_id,
                 bytes=size,
                 bound=self._binding_limit(),
@@ -119,16 +119,16 @@
 
     def _decide(self, request: RequestContext, origin: RequestOrigin, size: int) -> AdmissionDecision:
         wait_ms = self.limits.room_wait_ms
-        if request.charge is not None:
-            assert isinstance(request.charge, Reservation)
-            return self.fair_share.extend(self.now_ms, request.charge, size, wait_ms, request)
+        if request.reservation is not None:
+            assert isinstance(request.reservation, Reservation)
+            return self.fair_share.extend(self.now_ms, request.reservation, size, wait_ms, request)
         message_count = 1 if origin.sender else 0
         decision, reservation = self.fair_share.request(
             self.now_ms, origin.paths, size + MESSAGE_OVERHEAD_BYTES, wait_ms, request, message_count
         )
         if decision is not AdmissionDecision.TOO_LARGE:
             self.reservations.add(reservation)
-            request.charge = reservation
+            request.reservation = reservation
         return decision
 
     def _binding_limit(self) -> str:
@@ -137,12 +137,12 @@
         return "hold_bytes" if used >= FULL_FRACTION * capacity else "share"
 
     def _reject(self, request: RequestContext, size: int) -> None:
-        origin = request.who
+        origin = request.submission
         assert isinstance(origin, RequestOrigin)
         retry_after_ms = self.fair_share.retry_after_ms(self.now_ms, size, self.limits.longest_advice_ms)
         self.log.warning(
             log_events.ADMISSION_REJECTED,
-            peer=request.conn.peer(),
+            peer=request.connection.peer_address(),
             message=origin.message_id,
             sender=origin.sender,
             partner=origin.partner,
@@ -160,7 +160,7 @@
 
     def transfer(self, request: RequestContext) -> Reservation | None:
         """Take the reservation from a complete request; its message holds it from now on."""
-        reservation, request.charge = request.charge, None
+        reservation, request.reservation = request.reservation, None
         assert reservation is None or isinstance(reservation, Reservation)
         return reservation
 
@@ -197,7 +197,7 @@
         for request in granted:
             assert isinstance(request, RequestContext)
             self.waiting.pop(request, None)
-            request.go()
+            request.resume_body()
         for request in expired:
             assert isinstance(request, RequestContext)
             self._reject(request, self.waiting.pop(request, 0))
--- a/linnetstile/as2_relay/async_receipts.py
+++ b/linnetstile/as2_relay/async_receipts.py
@@ -24,7 +24,7 @@
 RECEIPT_TENANT = "receipts"
 # A receipt of these does not end its attempt: it is forged or misdirected, as the address may have leaked, and the
 # true receipt may still come.
-UNTRUSTED_STATUSES = (ReceiptStatus.UNPROVEN, ReceiptStatus.MISSING, ReceiptStatus.OTHER_MESSAGE)
+UNTRUSTED_STATUSES = (ReceiptStatus.UNVERIFIED, ReceiptStatus.MISSING, ReceiptStatus.OTHER_MESSAGE)
 
 
 @dataclass(frozen=True, slots=True)
@@ -84,11 +84,13 @@
     def check_head(self, request: server.RequestContext) -> None:
         """Before the body is read: answer what cannot be the receipt of an attempt in flight."""
         found = self.pending.get(request.head.target.removeprefix(PATH_PREFIX))
-        if found is None or (request.length or 0) > self.max_receipt_bytes:
+        if found is None or (request.content_length or 0) > self.max_receipt_bytes:
             self.handle(request)
         else:
             head = found.message.head
-            request.who = RequestOrigin(RECEIPT_TENANT, request.conn.where, "", head.receiver, head.id)
+            request.submission = RequestOrigin(
+                RECEIPT_TENANT, request.connection.host, "", head.receiver, head.message_id
+            )
 
     def handle(self, request: server.RequestContext) -> None:
         """Answer a receipt; it counts for the attempt whose address it was sent to, while that is in flight."""
@@ -108,7 +110,7 @@
         request.reply(200)
         if status in UNTRUSTED_STATUSES:
             self.counts["receipts_not_counted"] += 1
-            self.log.warning(log_events.RECEIPT_IGNORED, message=message.head.id, why=status.value)
+            self.log.warning(log_events.RECEIPT_IGNORED, message=message.head.message_id, why=status.value)
             return
         observation = AttemptObservation(WireResult.ANSWERED, 200, None, status)
         answer = forwarded_receipt(200, headers, request.body, AnswerKind.UNSPECIFIED)
--- a/linnetstile/as2_relay/delivery.py
+++ b/linnetstile/as2_relay/delivery.py
@@ -60,7 +60,7 @@
         self,
         settings: RelaySettings,
         registry: RegistryClient,
-        pool: client.Pool,
+        pool: client.ConnectionPool,
         tls_keys: TlsKeyStore,
         verifier: ReceiptVerifier,
         slow_partners: SlowPartnerDetector,
@@ -121,7 +121,7 @@
             return
         self.log.debug(
             log_events.ATTEMPT_STARTED,
-            message=message.head.id,
+            message=message.head.message_id,
             attempt=attempt.number,
             endpoint=action.endpoint,
             until_ms=round(action.timeout_at_ms - self.now_ms),
@@ -148,7 +148,7 @@
         """Send the request of an attempt."""
         timeout_at_s = action.timeout_at_ms / 1000
         headers = self._request_headers(message, attempt, address)
-        data = http1.request_parts("POST", address.target, headers, message.body)
+        data = http1.encode_request_parts("POST", address.target, headers, message.body)
         attempt.call = self.pool.call(
             address.address,
             "POST",
@@ -156,7 +156,7 @@
             lambda answer: self._on_answer(message, attempt, answer),
             timeout_at_s,
             tls,
-            begin_by=action.send_before_ms / 1000,
+            send_before=action.send_before_ms / 1000,
         )
         if attempt.receipt_token:
             attempt.receipt_timer = self.loop.call_at(timeout_at_s, self._on_receipt_timeout, message, attempt)
@@ -168,7 +168,7 @@
         dropped = NOT_FORWARDED_HEADERS | set(message.headers.tokens("connection"))
         headers += [(name, value) for name, value in message.headers if name.lower() not in dropped]
         partner = self.partner_settings.get(message.head.receiver)
-        if message.head.notify and partner is not None and partner.receipts == "async":
+        if message.head.receipt_to and partner is not None and partner.receipts == "async":
             headers.append(("Receipt-Delivery-Option", self.receipt_endpoint.expect(message, attempt)))
         return headers
 
@@ -182,24 +182,24 @@
         """End the attempt in flight unless the partner may have had all of the request."""
         attempt = message.attempt if message is not None else None
         if attempt and attempt.call:
-            attempt.call.recall()
+            attempt.call.cancel_if_unsent()
 
-    def _on_answer(self, message: AcceptedMessage, attempt: Attempt, answer: client.Answer) -> None:
+    def _on_answer(self, message: AcceptedMessage, attempt: Attempt, answer: client.CallResult) -> None:
         attempt.call = None
         if message.attempt is not attempt:
             return
         if answer.head is None:
-            self.end_attempt(message, attempt, AttemptObservation(answer.sight), None)
+            self.end_attempt(message, attempt, AttemptObservation(answer.wire_result), None)
             return
         status, headers = answer.head.status, answer.head.headers
         is_success = 200 <= status < 300
         if is_success and attempt.receipt_token and not answer.body:
             return  # the receipt comes on a connection of its own (RFC 4130, 7.2.1)
-        receipt_status = ReceiptStatus.NOT_ASKED
+        receipt_status = ReceiptStatus.NOT_REQUESTED
         if is_success:
             receipt_status = self.verifier.verify(message.head, message.headers, message.body, headers, answer.body)
         observation = AttemptObservation(
-            WireResult.ANSWERED, status, parse_retry_after(headers), receipt_status, answer.whole
+            WireResult.ANSWERED, status, parse_retry_after(headers), receipt_status, answer.request_complete
         )
         receipt = forwarded_receipt(status, headers, answer.body, AnswerKind.UNSPECIFIED)
         self.end_attempt(message, attempt, observation, receipt)
@@ -244,7 +244,7 @@
             return
         # The receipt came, or is not waited for any more, before the response did.
         if wire_result is WireResult.ANSWERED:
-            attempt.call.forget()
+            attempt.call.detach()
         else:
             attempt.call.abort(wire_result)
 
@@ -254,7 +254,7 @@
         self.counts[f"outcome_{verdict.outcome.value}"] += 1
         self.log.info(
             log_events.ATTEMPT_ENDED,
-            message=message.head.id,
+            message=message.head.message_id,
             attempt=attempt.number,
             endpoint=attempt.endpoint,
             outcome=verdict.outcome.value,
--- a/linnetstile/as2_relay/gossip_polling.py
+++ b/linnetstile/as2_relay/gossip_polling.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, field
 
 from ..codec import http1
-from ..config.relay import split
+from ..config.relay import split_address
 from ..engine.gossip import RouteClaim
 from ..engine.membership import Membership
 from ..net import client
@@ -79,7 +79,9 @@
         self.counts = counts
         self.log = log
         self.loop = asyncio.get_running_loop()
-        self.pool = client.Pool(connect_s=CONNECT_TIMEOUT_S, limits=http1.Limits(body=MAX_DOCUMENT_BYTES))
+        self.pool = client.ConnectionPool(
+            connect_timeout_s=CONNECT_TIMEOUT_S, limits=http1.Limits(max_body_bytes=MAX_DOCUMENT_BYTES)
+        )
         self.membership: Membership | None = None
         self.peers: dict[str, PeerKnowledge] = {}
         self.timer: asyncio.TimerHandle | None = None
@@ -112,19 +114,23 @@
         headers = [("Host", peer), ("Authorization", f"Bearer {self.token}"), ("Via", f"1.1 {self.relay_name}")]
         asked_at_ms = self.now_ms
 
-        def on_answer(answer: client.Answer) -> None:
+        def on_answer(answer: client.CallResult) -> None:
             self._on_answer(peer, asked_at_ms, answer)
 
         self.pool.call(
-            split(peer), "GET", http1.request("GET", target, headers), on_answer, self.loop.time() + POLL_TIMEOUT_S
+            split_address(peer),
+            "GET",
+            http1.encode_request("GET", target, headers),
+            on_answer,
+            self.loop.time() + POLL_TIMEOUT_S,
         )
 
-    def _on_answer(self, peer: str, asked_at_ms: float, answer: client.Answer) -> None:
+    def _on_answer(self, peer: str, asked_at_ms: float, answer: client.CallResult) -> None:
         assert self.membership is not None
         if answer.head is None or answer.head.status != 200:
             self.counts["no_answer"] += 1
             self.membership.poll_failed(self.now_ms, peer)
-            found = answer.sight.value if answer.head is None else str(answer.head.status)
+            found = answer.wire_result.value if answer.head is None else str(answer.head.status)
             self.log.info(log_events.GOSSIP_POLL_FAILED, peer=peer, why=found, status=self._status_of(peer))
             return
         try:
--- a/linnetstile/as2_relay/gossip_service.py
+++ b/linnetstile/as2_relay/gossip_service.py
@@ -150,7 +150,7 @@
         self.rejected: dict[RejectedClaim, int] = {}
 
     @property
-    def now(self) -> float:
+    def now_ms(self) -> float:
         """The loop's time in ms."""
         return self.loop.time() * 1000
 
@@ -163,7 +163,7 @@
         """Read the snapshot, then poll peers and write snapshots from time to time."""
         if self.snapshot_store is not None:
             self.loaded_snapshot = self.snapshot_store.read()
-            self.loaded_at_ms = self.now
+            self.loaded_at_ms = self.now_ms
             self.snapshot_store.start_writing()
         seed = hash(self.incarnation) & 0xFFFF
         self.poller.start(self.settings.address or address, list(self.settings.peers), seed)
@@ -181,8 +181,8 @@
 
     def own_document(self, since: int = 0) -> OwnDocument:
         """Return what this relay knows itself and what changed after version `since` (0: all of it)."""
-        claims = gossip_export.export_claims(self.engine, self.now, self._partner_names())
-        self.versions.update(self.now, claims)
+        claims = gossip_export.export_claims(self.engine, self.now_ms, self._partner_names())
+        self.versions.update(self.now_ms, claims)
         membership = self.poller.membership
         peers = membership.alive_peers() if membership is not None else []
         return OwnDocument(
@@ -228,7 +228,7 @@
         routes = tuple(
             (self.partner_numbers[claim.partner], claim.route)
             for claim in document.claims
-            if claim.out_age is not None or claim.cold_age is not None
+            if claim.outage_age_ms is not None or claim.slow_start_age_ms is not None
         )
         if routes:
             self.post_event(GossipSent(routes))
@@ -255,7 +255,7 @@
         self.post_event(GossipReceived(facts, connection_limits))
 
     def _sources(self) -> list[ClaimSource]:
-        now = self.now
+        now = self.now_ms
         sources = [
             ClaimSource(address, False, tuple(peer.claims_at(now).values()))
             for address, peer in self.poller.peers.items()
@@ -312,7 +312,7 @@
                 routes=len(routes),
                 cautions=[_caution_fields(route) for route in cautions[:MAX_LOGGED_ROUTES]],
             )
-        now = self.now
+        now = self.now_ms
         for route in routes:
             key = route.partner, route.route
             if len(self.merged) < MAX_SHOWN or key in self.merged:
@@ -322,7 +322,7 @@
 
     def state(self) -> dict[str, Any]:
         """Return the operators' document: the members, what was merged and what was rejected."""
-        now, membership = self.now, self.poller.membership
+        now, membership = self.now_ms, self.poller.membership
         return {
             "run": self.incarnation,
             "counts": self.counts,
--- a/linnetstile/as2_relay/gossip_versions.py
+++ b/linnetstile/as2_relay/gossip_versions.py
@@ -67,11 +67,11 @@
 def _fingerprint(now_ms: float, claim: RouteClaim) -> ClaimFingerprint:
     return ClaimFingerprint(
         claim.endpoints,
-        claim.out_age is None,
-        claim.cold_age is None,
-        claim.wait_ms > 0,
-        _evidence_step(now_ms, claim.answered_age),
-        _evidence_step(now_ms, claim.failed_age),
+        claim.outage_age_ms is None,
+        claim.slow_start_age_ms is None,
+        claim.retry_after_ms > 0,
+        _evidence_step(now_ms, claim.answer_age_ms),
+        _evidence_step(now_ms, claim.failure_age_ms),
     )
 
 
--- a/linnetstile/as2_relay/intake.py
+++ b/linnetstile/as2_relay/intake.py
@@ -6,7 +6,7 @@
 from collections.abc import Sequence
 
 from ..codec import as2, http1
-from ..config.relay import RelaySettings, loopback_url
+from ..config.relay import RelaySettings, require_loopback_url
 from ..engine.routing import Router
 from ..engine.settings import MessageClass
 from ..net import server
@@ -50,7 +50,7 @@
             shutdown: Knows whether the relay is stopping.
         """
         self.tenants = list(settings.tenants)
-        self.router = Router(settings.router_rules())
+        self.router = Router(settings.routing_rules())
         self.classes = classes
         self.submissions = submissions
         self.receipt_endpoint = receipt_endpoint
@@ -90,9 +90,9 @@
         """Read whose message it is: its tenant and class, and whose memory its body takes."""
         headers = request.head.headers
         try:
-            head = as2.Head.of(headers)
-            if head.reply_to:
-                loopback_url(head.reply_to)
+            head = as2.As2Headers.parse(headers)
+            if head.async_receipt_url:
+                require_loopback_url(head.async_receipt_url)
         except as2.As2Error as error:
             self.submissions.refuse(request, 400, f"refused: {error}", headers.get("message-id")[:MAX_LOGGED_ID_CHARS])
             return
@@ -103,24 +103,24 @@
         rule = self.router.match(head.sender, head.receiver, head.subject, headers.get("content-type"))
         if rule is None:
             text = f"refused: no rule takes a message from {head.sender} to {head.receiver} of this subject and type"
-            self.submissions.refuse(request, 403, text, head.id)
+            self.submissions.refuse(request, 403, text, head.message_id)
             return
         # Its time counts from its first byte: a body that comes in later than that could not be delivered.
-        request.until = request.began + self.classes[rule.class_index].deadline_ms / 1000
-        certificate_name = request.conn.tls.certificate() if request.conn.tls else ""
+        request.body_deadline = request.started_at + self.classes[rule.class_index].deadline_ms / 1000
+        certificate_name = request.connection.tls.peer_subject() if request.connection.tls else ""
         content_key = headers.get("content-type").encode() + b"\0" + head.receiver.encode() + b"\0"
         submission = Submission(
             self.tenants[rule.tenant] if rule.tenant < len(self.tenants) else "",
-            certificate_name or request.conn.where,
+            certificate_name or request.connection.host,
             head.sender,
             head.receiver,
-            head.id,
+            head.message_id,
             head=head,
             rule=rule,
             digest=hashlib.blake2b(content_key, digest_size=DIGEST_BYTES),
         )
-        request.who = submission
-        request.sink = submission.digest.update  # as it comes: 200 MB in one go would hold up everybody
+        request.submission = submission
+        request.on_body_data = submission.digest.update  # as it comes: 200 MB in one go would hold up everybody
 
     def on_request(self, request: server.RequestContext) -> None:
         """Handle a request whose body is complete."""
@@ -129,6 +129,6 @@
         if self.receipt_endpoint.is_receipt(request.head):
             self.receipt_endpoint.handle(request)
             return
-        submission = request.who
+        submission = request.submission
         assert isinstance(submission, Submission)
         self.submissions.submit(request, submission)
--- a/linnetstile/as2_relay/process.py
+++ b/linnetstile/as2_relay/process.py
@@ -28,7 +28,7 @@
 
     It guards calls to partners, which a full listener would leave without descriptors.
     """
-    needed = settings.files_bound()
+    needed = settings.max_open_files()
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     if soft != resource.RLIM_INFINITY and soft < needed:
         soft = needed if hard == resource.RLIM_INFINITY else min(needed, hard)
@@ -77,8 +77,8 @@
         address=address,
         slots=settings.limits.slots,
         hold=settings.limits.hold,
-        memory_bound_mb=settings.memory_bound() >> 20,
-        open_files_bound=settings.files_bound(),
+        memory_bound_mb=settings.max_memory_bytes() >> 20,
+        open_files_bound=settings.max_open_files(),
     )
     _announce(address, settings.name, ready)
     await relay.stopped.wait()
--- a/linnetstile/as2_relay/receipt_delivery.py
+++ b/linnetstile/as2_relay/receipt_delivery.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 
 from ..codec import as2, http1
-from ..config.relay import split
+from ..config.relay import split_address
 from ..engine import receipt_retry
 from ..net import client
 from ..telemetry import log_events
@@ -47,7 +47,7 @@
 
     def __init__(
         self,
-        pool: client.Pool,
+        pool: client.ConnectionPool,
         issuer: ReceiptIssuer,
         counts: Counter[str],
         log: Logger,
@@ -80,7 +80,7 @@
         """Whether no post is in flight, queued or to be retried."""
         return not self.timers and not self.queued
 
-    def deliver(self, head: as2.Head, answer: ClientAnswer) -> None:
+    def deliver(self, head: as2.As2Headers, answer: ClientAnswer) -> None:
         """Post a final answer to the receipt address of its message.
 
         A refusal has no content that AS2 knows: it goes as a receipt of the relay's, with Retry-After beside it.
@@ -89,11 +89,11 @@
             receipt = self.issuer.failure(head, answer.body.decode().strip())
             advice = [(name, value) for name, value in answer.headers if name == "Retry-After"]
             answer = ClientAnswer(200, (*receipt.headers, *advice), receipt.body, AnswerKind.REFUSED)
-        url = urllib.parse.urlsplit(head.reply_to)
+        url = urllib.parse.urlsplit(head.async_receipt_url)
         target = (url.path or "/") + (f"?{url.query}" if url.query else "")
         headers = [("Host", url.netloc), *answer.headers, (ANSWER_KIND_HEADER, answer.kind)]
-        data = http1.request("POST", target, headers, answer.body)
-        self._post(ReceiptPost(split(url.netloc), data, head.id))
+        data = http1.encode_request("POST", target, headers, answer.body)
+        self._post(ReceiptPost(split_address(url.netloc), data, head.message_id))
 
     def _post(self, post: ReceiptPost) -> None:
         if self.in_flight >= self.max_in_flight:
@@ -104,12 +104,12 @@
         placeholder = self.loop.call_at(timeout_at + TIMEOUT_MARGIN_S, _do_nothing)
         self.timers.add(placeholder)
 
-        def on_answer(answer: client.Answer) -> None:
+        def on_answer(answer: client.CallResult) -> None:
             self._attempt_ended(post, answer, placeholder)
 
         self.pool.call(post.address, "POST", post.data, on_answer, timeout_at)
 
-    def _attempt_ended(self, post: ReceiptPost, answer: client.Answer, placeholder: asyncio.TimerHandle) -> None:
+    def _attempt_ended(self, post: ReceiptPost, answer: client.CallResult, placeholder: asyncio.TimerHandle) -> None:
         self.in_flight -= 1
         if self.queued:
             self._post(self.queued.popleft())
@@ -123,7 +123,10 @@
         elif not was_delivered:
             self.counts["handbacks_given_up"] += 1
             self.log.warning(
-                log_events.RECEIPT_DELIVERY_FAILED, message=post.message_id, attempts=attempts, why=answer.sight.value
+                log_events.RECEIPT_DELIVERY_FAILED,
+                message=post.message_id,
+                attempts=attempts,
+                why=answer.wire_result.value,
             )
         self.on_progress()
 
--- a/linnetstile/as2_relay/receipts.py
+++ b/linnetstile/as2_relay/receipts.py
@@ -45,7 +45,12 @@
         }
 
     def verify(
-        self, head: as2.Head, message_headers: Headers, message_body: bytes, receipt_headers: Headers, receipt: bytes
+        self,
+        head: as2.As2Headers,
+        message_headers: Headers,
+        message_body: bytes,
+        receipt_headers: Headers,
+        receipt: bytes,
     ) -> ReceiptStatus:
         """Return what a receipt proves for a message.
 
@@ -56,49 +61,49 @@
             receipt_headers: Header fields that came with the receipt.
             receipt: Content of the receipt.
         """
-        if not head.notify:
-            return ReceiptStatus.NOT_ASKED
+        if not head.receipt_to:
+            return ReceiptStatus.NOT_REQUESTED
         try:
             found = self._read_proven(head, receipt_headers, receipt)
         except cms.CmsError:
-            return ReceiptStatus.UNPROVEN
+            return ReceiptStatus.UNVERIFIED
         except (mime.MimeError, mdn.MdnError):
             return ReceiptStatus.MISSING
         if found is None:
-            return ReceiptStatus.UNPROVEN
-        if found.original_id != head.id:
+            return ReceiptStatus.UNVERIFIED
+        if found.original_message_id != head.message_id:
             return ReceiptStatus.OTHER_MESSAGE
-        if not found.positive and not found.duplicate:
+        if not found.is_positive and not found.is_duplicate:
             return ReceiptStatus.NEGATIVE
-        if found.duplicate and not found.mic:
+        if found.is_duplicate and not found.mic:
             return ReceiptStatus.DUPLICATE
         digest_status = self._compare_digest(head, message_headers, message_body, found)
-        if found.duplicate and digest_status is ReceiptStatus.POSITIVE:
+        if found.is_duplicate and digest_status is ReceiptStatus.POSITIVE:
             return ReceiptStatus.DUPLICATE
         return digest_status
 
-    def _read_proven(self, head: as2.Head, headers: Headers, receipt: bytes) -> mdn.Mdn | None:
+    def _read_proven(self, head: as2.As2Headers, headers: Headers, receipt: bytes) -> mdn.Mdn | None:
         """Read a receipt; None if a signature was asked for and there is none."""
         kind, content = headers.get("content-type"), receipt
         if headers.get("content-transfer-encoding"):
-            content = mime.decode(receipt, headers.get("content-transfer-encoding"))
-        is_proven = not head.wish.signed
-        if mime.content_type(kind).name == "multipart/signed":
-            signed, signature = cms.signed_content(kind, content)
+            content = mime.decode_body(receipt, headers.get("content-transfer-encoding"))
+        is_proven = not head.receipt_options.signed
+        if mime.parse_content_type(kind).name == "multipart/signed":
+            signed, signature = cms.split_signed(kind, content)
             certificate = self.certificates.get(head.receiver)
             if certificate is not None:
                 cms.verify(signed, signature, certificate, self.accepts_sha1)
             # Without a certificate nothing can be proven here; the client verifies for itself.
             is_proven = True
-            inner = mime.entity(signed)
-            kind, content = inner.headers.get("content-type"), inner.decoded()
+            inner = mime.parse_entity(signed)
+            kind, content = inner.headers.get("content-type"), inner.decoded_body()
         return mdn.parse(kind, content) if is_proven else None
 
     @staticmethod
-    def _compare_digest(head: as2.Head, headers: Headers, body: bytes, found: mdn.Mdn) -> ReceiptStatus:
+    def _compare_digest(head: as2.As2Headers, headers: Headers, body: bytes, found: mdn.Mdn) -> ReceiptStatus:
         """Compare the digest in a receipt with that of the message."""
         try:
-            opened, _ = cms.opened(
+            opened, _ = cms.open_layers(
                 headers.get("content-type", "application/octet-stream"),
                 headers.get("content-transfer-encoding"),
                 body,
@@ -108,7 +113,7 @@
                 return ReceiptStatus.POSITIVE
             if not found.mic:
                 # RFC 4130, 7.4.3: a digest is due wherever a signed receipt was asked for.
-                return ReceiptStatus.WRONG_MIC if head.wish.signed else ReceiptStatus.POSITIVE
+                return ReceiptStatus.WRONG_MIC if head.receipt_options.signed else ReceiptStatus.POSITIVE
             # Some partners digest a plain body with its headers: RFC 4130, 7.3.1 leaves room where it says so.
             return ReceiptStatus.POSITIVE if cms.digest(opened, found.micalg) == found.mic else ReceiptStatus.WRONG_MIC
         except (mime.MimeError, cms.CmsError):
@@ -122,15 +127,15 @@
         """Load the relay's key; raises OSError or ValueError."""
         self.name = settings.identity.as2_name
         pem = settings.identity.pem
-        self.identity = cms.load(pem.read_bytes()) if pem else None
+        self.identity = cms.load_identity(pem.read_bytes()) if pem else None
         self.issued_count = 0
 
-    def failure(self, head: as2.Head, text: str, kind: AnswerKind = AnswerKind.FAILED) -> ClientAnswer:
+    def failure(self, head: as2.As2Headers, text: str, kind: AnswerKind = AnswerKind.FAILED) -> ClientAnswer:
         """Return a receipt that says that the message failed."""
         detail = text.split("\n")[0][:MAX_FAILURE_DETAIL_CHARS]
-        return self._issue(head, mdn.Mdn(head.id, head.receiver, "failed", "failure", detail, text=text), kind)
+        return self._issue(head, mdn.Mdn(head.message_id, head.receiver, "failed", "failure", detail, text=text), kind)
 
-    def repeated(self, head: as2.Head, kind: AnswerKind) -> ClientAnswer:
+    def repeated(self, head: as2.As2Headers, kind: AnswerKind) -> ClientAnswer:
         """Return what is said of a message whose receipt was given and is not stored any more.
 
         That happens when stored answers take more than `limits.remember_bytes`.
@@ -138,7 +143,7 @@
         if kind is not AnswerKind.DELIVERED:
             return self.failure(head, f"{kind} before; the answer was given then", kind)
         receipt = mdn.Mdn(
-            head.id,
+            head.message_id,
             head.receiver,
             modifier="warning",
             detail="duplicate-document",
@@ -146,8 +151,8 @@
         )
         return self._issue(head, receipt, kind)
 
-    def _issue(self, head: as2.Head, receipt: mdn.Mdn, kind: AnswerKind) -> ClientAnswer:
-        content_type, body = receipt.build()
+    def _issue(self, head: as2.As2Headers, receipt: mdn.Mdn, kind: AnswerKind) -> ClientAnswer:
+        content_type, body = receipt.encode()
         if self.identity is not None:
             entity = f"Content-Type: {content_type}\r\n\r\n".encode() + body
             content_type, body = cms.sign(entity, self.identity)
@@ -156,8 +161,8 @@
         headers = (
             ("Content-Type", content_type),
             ("AS2-Version", "1.2"),
-            ("AS2-From", as2.quoted(self.name)),
-            ("AS2-To", as2.quoted(head.sender)),
+            ("AS2-From", as2.quote_name(self.name)),
+            ("AS2-To", as2.quote_name(head.sender)),
             ("Message-ID", message_id),
         )
         return ClientAnswer(200, headers, body, kind)
--- a/linnetstile/as2_relay/registry.py
+++ b/linnetstile/as2_relay/registry.py
@@ -17,7 +17,7 @@
 from linnetstile.engine.events import Endpoint, EndpointList, EndpointStatus, ListKind
 
 from ..codec import http1
-from ..config.relay import PartnerUrl, loopback, split
+from ..config.relay import PartnerUrl, require_loopback, split_address
 from ..net import client
 from ..telemetry import log_events
 from ..telemetry.log import Logger
@@ -77,7 +77,7 @@
         return cls(
             id=entry.id,
             partner=entry.partner,
-            address=split(url.netloc),
+            address=split_address(url.netloc),
             host=url.netloc,
             target=(url.path or "/") + (f"?{url.query}" if url.query else ""),
             uses_tls=url.scheme == "https",
@@ -123,14 +123,14 @@
             log: Logger of the relay.
         """
         parsed = urllib.parse.urlsplit(url)
-        self.address, self.host = split(loopback(parsed.netloc)), parsed.netloc
+        self.address, self.host = split_address(require_loopback(parsed.netloc)), parsed.netloc
         self.base_path = parsed.path.rstrip("/")
         self.relay_name = relay_name
         self.kind_indexes = {kind: index for index, kind in enumerate(kinds)}
         self.zone_indexes = {zone: index for index, zone in enumerate(zones)}
         self.on_list = on_list
         self.log = log
-        self.pool = client.Pool(limits=http1.Limits(body=MAX_LIST_BYTES))
+        self.pool = client.ConnectionPool(limits=http1.Limits(max_body_bytes=MAX_LIST_BYTES))
         self.endpoints: dict[int, EndpointAddress] = {}
         self.partners: dict[str, int] = {}
         self.version = -1
@@ -150,14 +150,14 @@
         target = f"{self.base_path}/changes?since={self.version}&wait_ms={WATCH_MS}"
         self._get(target, WATCH_MS / 1000 + WATCH_MARGIN_S, self._on_changes)
 
-    def _get(self, target: str, timeout_s: float, on_answer: Callable[[client.Answer], None]) -> None:
-        data = http1.request("GET", target, [("Host", self.host), ("Via", f"1.1 {self.relay_name}")])
+    def _get(self, target: str, timeout_s: float, on_answer: Callable[[client.CallResult], None]) -> None:
+        data = http1.encode_request("GET", target, [("Host", self.host), ("Via", f"1.1 {self.relay_name}")])
         self.pool.call(self.address, "GET", data, on_answer, asyncio.get_running_loop().time() + timeout_s)
 
-    def _read(self, answer: client.Answer) -> RegistryDocument | None:
+    def _read(self, answer: client.CallResult) -> RegistryDocument | None:
         """Read an answer; None if it failed, which has been reported then."""
         if answer.head is None or answer.head.status != 200:
-            found = answer.sight.value if answer.head is None else str(answer.head.status)
+            found = answer.wire_result.value if answer.head is None else str(answer.head.status)
             self._fail(f"the registry did not answer with a list: {found}")
             return None
         try:
@@ -174,7 +174,7 @@
         self.log.warning(log_events.REGISTRY, result="failed", why=reason, version=self.version)
         self.on_list(EndpointList(ListKind.FAILED))
 
-    def _on_full_list(self, answer: client.Answer) -> None:
+    def _on_full_list(self, answer: client.CallResult) -> None:
         document = self._read(answer)
         if document is None:
             return
@@ -188,7 +188,7 @@
             del self.endpoints[endpoint_id]
         self._apply(document, ListKind.FULL)
 
-    def _on_changes(self, answer: client.Answer) -> None:
+    def _on_changes(self, answer: client.CallResult) -> None:
         if answer.head is not None and answer.head.status == HTTP_GONE:
             self._get_full_list()
             return
--- a/linnetstile/as2_relay/relay.py
+++ b/linnetstile/as2_relay/relay.py
@@ -21,7 +21,7 @@
 from linnetstile.engine.events import EndpointList, EndpointStatus, Event
 
 from ..codec import http1
-from ..config.relay import RelaySettings, split
+from ..config.relay import RelaySettings, split_address
 from ..engine.engine import DeliveryEngine
 from ..net import client, server
 from ..net.engine_loop import EngineLoop
@@ -76,13 +76,13 @@
         self.counts: Counter[str] = Counter()
         self.address = ""
         self.periodic_timers: list[asyncio.TimerHandle] = []
-        engine_settings = settings.module()
+        engine_settings = settings.engine_settings()
         self.classes = engine_settings.classes
         self.engine = DeliveryEngine(engine_settings, settings.seed if seed is None else seed)
         self.engine_loop = EngineLoop(self.engine, self._carry_out)
         self.receipt_verifier = ReceiptVerifier(settings)
         self.receipt_issuer = ReceiptIssuer(settings)
-        self.register = RegistryClient(
+        self.registry = RegistryClient(
             url=settings.register_url,
             relay_name=settings.name,
             kinds=settings.kinds,
@@ -116,12 +116,12 @@
         )
         self.submissions = self._make_submission_handler()
         self.delivery = self._make_delivery()
-        self.knowledge = GossipService(
+        self.gossip = GossipService(
             settings=settings.knowledge,
             engine=self.engine,
             name=settings.name,
             incarnation=secrets.token_hex(INCARNATION_BYTES),
-            partner_numbers=self.register.partners,
+            partner_numbers=self.registry.partners,
             post_event=self.engine_loop.post,
             log=log,
         )
@@ -130,8 +130,8 @@
             classes=self.classes,
             submissions=self.submissions,
             receipt_endpoint=self.delivery.receipt_endpoint,
-            gossip=self.knowledge,
-            registry=self.register,
+            gossip=self.gossip,
+            registry=self.registry,
             shutdown=self.shutdown,
         )
         self.listener = self._make_listener()
@@ -149,13 +149,13 @@
             receipt_delivery=self.receipt_delivery,
         )
 
-    def _make_pool(self) -> client.Pool:
+    def _make_pool(self) -> client.ConnectionPool:
         limits = self.settings.limits
-        return client.Pool(
+        return client.ConnectionPool(
             limits.connect_timeout_ms / 1000,
             limits.idle_ms / 1000,
-            http1.Limits(body=limits.receipt_bytes),
-            client.Rates(limits.request_rate, limits.response_rate, limits.stall_ms / 1000),
+            http1.Limits(max_body_bytes=limits.receipt_bytes),
+            client.MinimumRates(limits.request_rate, limits.response_rate, limits.stall_ms / 1000),
             self._on_partner_evicted,
         )
 
@@ -164,14 +164,14 @@
         return server.Server(
             self.intake.on_request,
             self.intake.on_head,
-            http1.Limits(body=limits.body_bytes, head=limits.head_bytes),
-            server.Bounds(
+            http1.Limits(max_body_bytes=limits.body_bytes, max_head_bytes=limits.head_bytes),
+            server.ServerLimits(
                 limits.connections,
                 limits.head_ms / 1000,
-                body_rate=limits.body_rate,
-                answer_rate=limits.answer_rate,
-                grace_s=limits.stall_ms / 1000,
-                sweep_s=LISTENER_SWEEP_S,
+                min_body_rate=limits.body_rate,
+                min_response_rate=limits.answer_rate,
+                rate_grace_s=limits.stall_ms / 1000,
+                sweep_interval_s=LISTENER_SWEEP_S,
             ),
             self._on_protocol_error,
             self.admission.admit,
@@ -194,7 +194,7 @@
             known=known,
             accepted=self.accepted,
             admission=self.admission,
-            registry=self.register,
+            registry=self.registry,
             receipt_issuer=self.receipt_issuer,
             receipt_delivery=self.receipt_delivery,
             shutdown=self.shutdown,
@@ -206,7 +206,7 @@
     def _make_delivery(self) -> Delivery:
         return Delivery(
             settings=self.settings,
-            registry=self.register,
+            registry=self.registry,
             pool=self.pool,
             tls_keys=self.tls_keys,
             verifier=self.receipt_verifier,
@@ -221,10 +221,10 @@
 
     async def start(self) -> str:
         """Listen, ask for the endpoint list, and return the address."""
-        host, port = split(self.settings.listen)
+        host, port = split_address(self.settings.listen)
         self.address = f"{host}:{await self.listener.start(host, port)}"
         self.delivery.receipt_endpoint.set_address(self.address)
-        self.knowledge.start(self.address)
+        self.gossip.start(self.address)
         if self.admin:
             await self.admin.start()
         if self.settings.limits.self_check_ms:
@@ -264,8 +264,8 @@
         self.receipt_delivery.close()
         self.listener.close()
         self.pool.close()
-        self.register.close()
-        self.knowledge.close()
+        self.registry.close()
+        self.gossip.close()
 
     def verify_invariants(self) -> None:
         """Assert that no memory, slot, token or connection is held by nobody."""
@@ -293,7 +293,7 @@
         return not self.accepted and self.receipt_delivery.is_idle
 
     def _has_unsent_answers(self) -> bool:
-        return any(connection.unsent for connection in self.listener.open if not connection.dead)
+        return any(connection.unsent_bytes for connection in self.listener.connections if not connection.is_closing)
 
     # -- the engine ------------------------------------------------------------------------------------------
 
@@ -302,7 +302,7 @@
         for action in actions:
             self._act(action)
         if any(isinstance(event, EndpointList) and event.endpoints for event in events):
-            self.knowledge.merge()  # peers may know of the routes that came with this list
+            self.gossip.merge()  # peers may know of the routes that came with this list
 
     def _act(self, action: Action) -> None:
         match action:
@@ -319,7 +319,7 @@
             case CloseIdle():
                 self._close_idle(action.endpoint)
             case WatchEndpoints():
-                self.register.watch()
+                self.registry.watch()
             case Log():
                 self.log.info(log_events.ENGINE_MESSAGE, text=action.text)
 
@@ -332,8 +332,8 @@
         self.submissions.complete(message, self.receipt_issuer.failure(message.head, text))
 
     def _close_idle(self, endpoint_id: int) -> None:
-        if endpoint_id in self.register.endpoints:
-            self.pool.close_idle(self.register.endpoints[endpoint_id].address)
+        if endpoint_id in self.registry.endpoints:
+            self.pool.close_idle(self.registry.endpoints[endpoint_id].address)
 
     def _on_endpoint_list(self, event: EndpointList) -> None:
         self.engine_loop.post(event)
@@ -348,18 +348,18 @@
         answer = text_answer(503, text, AnswerKind.REFUSED, retry_after_ms)
         send_answer(request, answer, self.shutdown.has_started)
 
-    def _on_protocol_error(self, peer: str, error: http1.ProtocolError) -> None:
+    def _on_protocol_error(self, peer: str, error: http1.Http1Error) -> None:
         self.log.warning(log_events.PROTOCOL_ERROR, peer=peer, status=error.status, why=error.text)
 
-    def _on_client_evicted(self, connection: server.Connection, reason: str) -> None:
+    def _on_client_evicted(self, connection: server.ServerConnection, reason: str) -> None:
         self.counts[f"let_go_{reason}"] += 1
-        origin = origin_of(connection.current)
+        origin = origin_of(connection.current_request)
         self.log.warning(
             log_events.CONNECTION_EVICTED,
-            peer=connection.peer(),
+            peer=connection.peer_address(),
             bound=reason,
             phase=connection.phase,
-            read=connection.came,
+            read=connection.bytes_read,
             message=origin.message_id if origin else "",
             sender=origin.sender if origin else "",
         )
@@ -368,10 +368,10 @@
         self.counts[f"partner_let_go_{reason.partition(':')[0]}"] += 1
         self.log.warning(
             log_events.CONNECTION_EVICTED,
-            peer=client.shown(connection.address),
+            peer=client.format_address(connection.address),
             bound=reason,
-            unsent=connection.queued,
-            read=connection.came,
+            unsent=connection.queued_bytes,
+            read=connection.bytes_read,
         )
 
 
--- a/linnetstile/as2_relay/relay_view.py
+++ b/linnetstile/as2_relay/relay_view.py
@@ -37,11 +37,11 @@
         """The listener for clients."""
 
     @property
-    def pool(self) -> client.Pool:
+    def pool(self) -> client.ConnectionPool:
         """The connections to partners."""
 
     @property
-    def register(self) -> RegistryClient:
+    def registry(self) -> RegistryClient:
         """The client of the partner registry."""
 
     @property
--- a/linnetstile/as2_relay/self_check.py
+++ b/linnetstile/as2_relay/self_check.py
@@ -23,7 +23,7 @@
         engine: DeliveryEngine,
         engine_loop: EngineLoop,
         listener: server.Server,
-        pool: client.Pool,
+        pool: client.ConnectionPool,
         receipt_endpoint: AsyncReceiptEndpoint,
         receipt_delivery: ReceiptDelivery,
     ) -> None:
@@ -45,8 +45,12 @@
         self._check_calls(attempts)
 
     def _check_reservations(self) -> None:
-        requests = [connection.current for connection in self.listener.open if connection.current is not None]
-        of_requests = {id(request.charge) for request in requests if request.charge}
+        requests = [
+            connection.current_request
+            for connection in self.listener.connections
+            if connection.current_request is not None
+        ]
+        of_requests = {id(request.reservation) for request in requests if request.reservation}
         of_messages = {id(message.reservation) for message in self.accepted.values() if message.reservation is not None}
         reserved = {id(reservation) for reservation in self.admission.reservations}
         counts = f"{len(reserved)} reservations, {len(of_requests)} of requests, {len(of_messages)} of messages"
@@ -64,8 +68,8 @@
         """Calls beyond those of attempts are the posts of receipt delivery."""
         calls = {
             id(connection.call)
-            for connection in self.pool.open
-            if connection.call is not None and connection.call.done is not None
+            for connection in self.pool.connections
+            if connection.call is not None and connection.call.on_done is not None
         }
         of_attempts = {id(attempt.call) for attempt in attempts if attempt.call is not None}
         assert len(calls - of_attempts) <= len(self.receipt_delivery.timers), "a call that no attempt waits for"
--- a/linnetstile/as2_relay/shutdown.py
+++ b/linnetstile/as2_relay/shutdown.py
@@ -57,7 +57,7 @@
         for message in self.accepted.values():
             self.log.error(
                 log_events.UNFINISHED_AT_SHUTDOWN,
-                message=message.head.id,
+                message=message.head.message_id,
                 partner=message.head.receiver,
                 attempts=message.attempt_count,
                 in_flight=message.attempt is not None,
--- a/linnetstile/as2_relay/submissions.py
+++ b/linnetstile/as2_relay/submissions.py
@@ -40,7 +40,7 @@
         digest: Digest of its content, to tell a repeat from another message under the same identifier.
     """
 
-    head: as2.Head = field(kw_only=True)
+    head: as2.As2Headers = field(kw_only=True)
     rule: Rule = field(kw_only=True)
     digest: hashlib.blake2b = field(kw_only=True)
 
@@ -101,23 +101,25 @@
         head = submission.head
         partner = self.registry.partners.get(head.receiver)
         digest = submission.digest.digest()
-        status, known = self.known.lookup(self.now_ms, head.sender, head.id, digest)
+        status, known = self.known.lookup(self.now_ms, head.sender, head.message_id, digest)
         if status is SubmissionStatus.CONFLICT:
             text = "conflict: this Message-ID was handed in before with other content"
-            self.refuse(request, 409, text, head.id, kind=AnswerKind.CONFLICT)
+            self.refuse(request, 409, text, head.message_id, kind=AnswerKind.CONFLICT)
         elif status is SubmissionStatus.OPEN and known is not None and known.message is not None:
-            self.log.info(log_events.DUPLICATE_SUBMISSION, message=head.id, open=True)
+            self.log.info(log_events.DUPLICATE_SUBMISSION, message=head.message_id, open=True)
             self._wait_for_answer(known.message, request)
         elif status is SubmissionStatus.ANSWERED and known is not None and known.answer is not None:
-            self.log.info(log_events.DUPLICATE_SUBMISSION, message=head.id, open=False, answer=known.answer.kind)
+            self.log.info(
+                log_events.DUPLICATE_SUBMISSION, message=head.message_id, open=False, answer=known.answer.kind
+            )
             self._answer_again(head, request, known.answer)
         elif partner is not None:
             self._accept(request, submission, partner, digest)
         elif self.registry.version < 0:
             text = "refused: the list of partners has not been read yet"
-            self.refuse(request, 503, text, head.id, NO_LIST_RETRY_AFTER_MS)
+            self.refuse(request, 503, text, head.message_id, NO_LIST_RETRY_AFTER_MS)
         else:
-            self.refuse(request, 404, f"refused: no partner {head.receiver} is listed", head.id)
+            self.refuse(request, 404, f"refused: no partner {head.receiver} is listed", head.message_id)
 
     def refuse(
         self,
@@ -146,15 +148,15 @@
             head=head,
             headers=request.head.headers,
             body=request.body,
-            deadline_ms=request.began * 1000 + message_class.deadline_ms,
+            deadline_ms=request.started_at * 1000 + message_class.deadline_ms,
             reservation=self.admission.transfer(request),
         )
         self.accepted[message.id] = message
-        self.known.start(head.sender, head.id, digest, message)
+        self.known.start(head.sender, head.message_id, digest, message)
         self.counts["taken"] += 1
         self.log.info(
             log_events.MESSAGE_ACCEPTED,
-            message=head.id,
+            message=head.message_id,
             sender=head.sender,
             partner=head.receiver,
             message_class=message_class.name,
@@ -167,19 +169,19 @@
     def _wait_for_answer(self, message: AcceptedMessage, request: server.RequestContext) -> None:
         """Answer a request with the message's final answer, on this connection or by the receipt address."""
         request.body = b""  # held once, by the message
-        if request.charge is not None:
+        if request.reservation is not None:
             self.admission.request_ended(request)
-        if not message.head.reply_to:
+        if not message.head.async_receipt_url:
             message.waiting_requests.append(request)
         else:
             request.reply(202, [("Content-Type", "text/plain")], b"taken; the receipt follows\n")
 
-    def _answer_again(self, head: as2.Head, request: server.RequestContext, answer: ClientAnswer) -> None:
+    def _answer_again(self, head: as2.As2Headers, request: server.RequestContext, answer: ClientAnswer) -> None:
         """Give the stored final answer of a message to a client that submits it again."""
         if not answer.is_complete:
             repeated = self.receipt_issuer.repeated(head, answer.kind)
             answer = ClientAnswer(answer.status, repeated.headers, repeated.body, answer.kind)
-        if not head.reply_to:
+        if not head.async_receipt_url:
             self._send(request, answer)
             return
         request.reply(202, [("Content-Type", "text/plain")], b"taken before; the receipt follows\n")
@@ -191,25 +193,25 @@
         del self.accepted[message.id]
         self.admission.release(message.reservation)
         if answer.kind is AnswerKind.REFUSED:
-            self.known.forget_rejected(head.sender, head.id)
+            self.known.forget_rejected(head.sender, head.message_id)
         else:
-            self.known.complete(self.now_ms, head.sender, head.id, answer)
+            self.known.complete(self.now_ms, head.sender, head.message_id, answer)
         self.counts[answer.kind.value] += 1
         self.log.info(
             log_events.MESSAGE_ANSWERED,
-            message=head.id,
+            message=head.message_id,
             answer=answer.kind,
             attempts=message.attempt_count,
             left_ms=round(message.deadline_ms - self.now_ms),
         )
         for request in message.waiting_requests:
             self._send(request, answer)
-        if head.reply_to:
+        if head.async_receipt_url:
             self.receipt_delivery.deliver(head, answer)
         self.shutdown.check_progress()
 
 
-def _ordering_key(head: as2.Head) -> int:
+def _ordering_key(head: as2.As2Headers) -> int:
     """Return the key of all messages from one sender to one receiver; 0 is no key."""
     pair = f"{head.sender}\0{head.receiver}".encode()
     return int.from_bytes(hashlib.blake2b(pair, digest_size=ORDERING_KEY_BYTES).digest(), "big") + 1
--- a/linnetstile/as2_relay/tls_keys.py
+++ b/linnetstile/as2_relay/tls_keys.py
@@ -6,7 +6,7 @@
 
 from ..config.relay import RelaySettings
 from ..net import client
-from ..net.tls import Keys, TlsError
+from ..net.tls import TlsContextFiles, TlsError
 from ..telemetry import log_events
 from ..telemetry.log import Logger
 from .registry import EndpointAddress
@@ -25,10 +25,12 @@
         tls = settings.tls
         self.partner_settings = settings.partners
         self.listener = (
-            Keys(True, tls.certificate, tls.key, tls.client_authorities, tls.need_client) if tls is not None else None
+            TlsContextFiles(True, tls.certificate, tls.key, tls.client_authorities, tls.need_client)
+            if tls is not None
+            else None
         )
         self.partners = {
-            name: Keys(False, partner.tls.certificate, partner.tls.key, partner.tls.authorities)
+            name: TlsContextFiles(False, partner.tls.certificate, partner.tls.key, partner.tls.authorities)
             for name, partner in settings.partners.items()
             if partner.tls
         }
--- a/linnetstile/cli/common.py
+++ b/linnetstile/cli/common.py
@@ -9,9 +9,9 @@
 
 import click
 
-from ..config.files import SettingsError, Strict, load
+from ..config.files import SettingsError, StrictModel, load
 
-M = TypeVar("M", bound=Strict)
+M = TypeVar("M", bound=StrictModel)
 FILE = click.Path(exists=True, dir_okay=False, path_type=Path)
 
 
--- a/linnetstile/cli/knowledge.py
+++ b/linnetstile/cli/knowledge.py
@@ -34,21 +34,25 @@
 
 def fetch(address: str, token_file: Path | None, target: str = "/knowledge?look=1") -> bytes:
     """Return the body that a running relay answers, or end with an error."""
-    from ..as2_relay.gossip import BODY_MAX
+    from ..as2_relay.gossip_document import MAX_DOCUMENT_BYTES
     from ..codec import http1
-    from ..config.relay import loopback, split
+    from ..config.relay import require_loopback, split_address
     from ..net import client
 
     try:
-        loopback(address)
+        require_loopback(address)
     except ValueError as error:
         die(ExitCode.BAD_INPUT, f"{address}: {error}")
     token = token_file.read_text(encoding="utf-8").strip() if token_file else ""
 
-    data = http1.request("GET", target, [("Host", address), ("Authorization", f"Bearer {token}")])
-    answer = asyncio.run(client.once(split(address), "GET", data, TIMEOUT_S, http1.Limits(body=BODY_MAX)))
+    data = http1.encode_request("GET", target, [("Host", address), ("Authorization", f"Bearer {token}")])
+    answer = asyncio.run(
+        client.call_once(
+            split_address(address), "GET", data, TIMEOUT_S, http1.Limits(max_body_bytes=MAX_DOCUMENT_BYTES)
+        )
+    )
     if answer.head is None:
-        die(ExitCode.NOT_STARTED, f"{address}: no answer: {answer.sight.value}")
+        die(ExitCode.NOT_STARTED, f"{address}: no answer: {answer.wire_result.value}")
     status = answer.head.status
     if status != 200:
         die(ExitCode.NO, f"{address}: {status}: {WHY_NO_DOCUMENT.get(status, 'no document')}")
@@ -57,7 +61,8 @@
 
 def load_document(source: str, token_file: Path | None) -> GossipDocument:
     """Return the document of a file or of the relay at an address, or end with an error."""
-    from ..as2_relay.gossip import load, parse
+    from ..as2_relay.gossip_document import parse
+    from ..as2_relay.gossip_snapshot import load
 
     try:
         return load(Path(source)) if Path(source).exists() else parse(fetch(source, token_file))
@@ -165,7 +170,7 @@
 @click.argument("snapshot_file", type=click.Path(dir_okay=False, path_type=Path))
 def import_(file: Path, snapshot_file: Path) -> None:
     """Put a snapshot where a relay reads it at its start."""
-    from ..as2_relay.gossip import parse
+    from ..as2_relay.gossip_document import parse
     from ..storage import snapshot
 
     try:
--- a/linnetstile/cli/scale.py
+++ b/linnetstile/cli/scale.py
@@ -10,7 +10,8 @@
 
 import click
 
-from ..testbed.scale.world_model import RANGES, SCENES, OptionError, Sizes
+from ..testbed.scale.errors import OptionError
+from ..testbed.scale.options import OPTION_RANGES, SCENARIOS, ScaleOptions
 from .common import ExitCode, die, is_new_or_empty
 
 if TYPE_CHECKING:
@@ -26,7 +27,7 @@
 Exit code 0: played, and hollow and real did the same; 1: they did not; 2: a bad option; 3: a process of the run did
 not start or ended by itself; 128 and the signal's number: ended.
 """
-DEFAULT = Sizes()
+DEFAULT = ScaleOptions()
 SIZE_HELP = {
     "seed": "Draw of world and chance.",
     "relays": "Relays of the fleet.",
@@ -56,7 +57,7 @@
     """Return a whole number; end with one line about anything else."""
     name = param.name or ""
     if not value.removeprefix("-").isdecimal():
-        least, most = RANGES[name]
+        least, most = OPTION_RANGES[name]
         _fail(ExitCode.BAD_INPUT, OptionError(name.replace("_", "-"), f"a whole number from {least} to {most}", value))
     return int(value)
 
@@ -79,11 +80,11 @@
 
 @click.command(help=HELP)
 @_size_options
-@click.option("--scenes", default=",".join(SCENES), show_default=True, help="Scenes, in this order.")
+@click.option("--scenes", default=",".join(SCENARIOS), show_default=True, help="Scenes, in this order.")
 @click.option("--out", type=click.Path(path_type=Path), help="Folder of the report, new or empty.")
 def command(scenes: str, out: Path | None, **numbers: int) -> None:
     """Play a fleet at size and show the report."""
-    sizes = Sizes(**numbers, scenes=tuple(scene for scene in scenes.split(",") if scene))
+    sizes = ScaleOptions(**numbers, scenes=tuple(scene for scene in scenes.split(",") if scene))
     try:
         sizes.check()
     except OptionError as error:
@@ -98,14 +99,15 @@
     sys.exit(ExitCode.OK if is_same else ExitCode.NO)
 
 
-def _run(sizes: Sizes, folder: Path) -> ReportJson:
+def _run(sizes: ScaleOptions, folder: Path) -> ReportJson:
     """Play the fleet; return the report, or end with an error."""
-    from ..testbed.scale.run import Ended, Failed, NotStarted, run
+    from ..testbed.scale.errors import RelayStartError, RunFailedError
+    from ..testbed.scale.run import RunInterrupted, run
 
     try:
         return run(sizes, folder, lambda line: click.echo(line, err=True))
-    except (Failed, NotStarted, OSError) as error:
+    except (RunFailedError, RelayStartError, OSError) as error:
         die(ExitCode.NOT_STARTED, f"linnetstile scale: {error}")
     except KeyboardInterrupt as error:
-        number = error.args[0] if isinstance(error, Ended) else SIGINT
+        number = error.args[0] if isinstance(error, RunInterrupted) else SIGINT
         die(SIGNAL_BASE + number, "linnetstile scale: ended; no report")
--- a/linnetstile/cli/send.py
+++ b/linnetstile/cli/send.py
@@ -16,7 +16,7 @@
 
 if TYPE_CHECKING:
     from ..emulators import messages
-    from ..net.client import Answer
+    from ..net.client import CallResult
 
 MAX_TEXT_CHARACTERS = 500  # of an answer's body that is shown
 FAILURE_ANSWERS = ("refused", "failed", "rejected")
@@ -36,14 +36,14 @@
         word, is_good = "not verified (no --receipt-from)", True
     fields: dict[str, object] = {
         "receipt": word,
-        "disposition": f"{receipt.kind}/{receipt.modifier}" if receipt else "unread",
+        "disposition": f"{receipt.disposition_type}/{receipt.modifier}" if receipt else "unread",
         "text": receipt.text if receipt else "",
     }
     return fields, is_good
 
 
 def _show(
-    message_id: str, answer: Answer, check: messages.ReceiptCheck | None, is_verified: bool, as_json: bool
+    message_id: str, answer: CallResult, check: messages.ReceiptCheck | None, is_verified: bool, as_json: bool
 ) -> int:
     """Print the final answer; return the exit code."""
     assert answer.head is not None
@@ -99,33 +99,33 @@
 ) -> None:
     """Submit a file as one AS2 message and show the final answer."""
     from ..codec import as2, cms, http1
-    from ..config.relay import loopback, split
+    from ..config.relay import require_loopback, split_address
     from ..emulators import messages
     from ..net import client
 
     message_id = message_id or f"<{time.time_ns():x}@{sender.replace(' ', '-')}>"
     try:
-        loopback(address)
-        message = messages.make(
+        require_loopback(address)
+        message = messages.build_message(
             sender,
             partner,
             message_id,
             subject,
             file.read_bytes(),
-            sign_by=cms.load(sign_with.read_bytes()) if sign_with else None,
+            sign_by=cms.load_identity(sign_with.read_bytes()) if sign_with else None,
             encrypt_to=cms.load_certificate(encrypt_to.read_bytes()) if encrypt_to else None,
             compress=compress,
             receipt=not no_receipt,
         )
-        data = http1.request("POST", path, [("Host", address), *message.headers], message.body)
+        data = http1.encode_request("POST", path, [("Host", address), *message.headers], message.body)
         signer = cms.load_certificate(receipt_from.read_bytes()) if receipt_from else None
     except (as2.As2Error, ValueError) as error:
         die(ExitCode.BAD_INPUT, f"linnetstile send: {error}")
 
-    answer = asyncio.run(client.once(split(address), "POST", data, patience))
+    answer = asyncio.run(client.call_once(split_address(address), "POST", data, patience))
     if answer.head is None:
-        die(ExitCode.NOT_STARTED, f"{message_id}: no answer: {answer.sight.value}")
+        die(ExitCode.NOT_STARTED, f"{message_id}: no answer: {answer.wire_result.value}")
     check = None
     if answer.head.status == 200 and not no_receipt:
-        check = messages.check(message, answer.head.headers, answer.body, signer)
+        check = messages.check_receipt(message, answer.head.headers, answer.body, signer)
     sys.exit(_show(message_id, answer, check, signer is not None, as_json))
--- a/linnetstile/cli/show.py
+++ b/linnetstile/cli/show.py
@@ -64,10 +64,10 @@
     from ..codec import http1
     from ..net import client
 
-    data = http1.request("GET", f"/{target}", [("Host", "admin")])
-    answer = asyncio.run(client.once(str(socket), "GET", data, TIMEOUT_S))
+    data = http1.encode_request("GET", f"/{target}", [("Host", "admin")])
+    answer = asyncio.run(client.call_once(str(socket), "GET", data, TIMEOUT_S))
     if answer.head is None:
-        die(ExitCode.NOT_STARTED, f"{socket}: no relay answers there: {answer.sight.value}")
+        die(ExitCode.NOT_STARTED, f"{socket}: no relay answers there: {answer.wire_result.value}")
     if answer.head.status != 200:
         die(ExitCode.NO, f"{socket}: {answer.head.status}: {answer.body.decode(errors='replace').strip()}")
     return answer.body
--- a/linnetstile/cli/standin.py
+++ b/linnetstile/cli/standin.py
@@ -29,12 +29,12 @@
 @click.argument("file", type=FILE)
 def partner(file: Path) -> None:
     """Run the partner emulator."""
-    from ..emulators.partner import PartnersSpec, Stand
+    from ..emulators.partner import PartnerEmulator, PartnersSpec
 
     spec = load_settings(file, PartnersSpec)
 
     async def run() -> None:
-        emulator = Stand(spec)
+        emulator = PartnerEmulator(spec)
         click.echo(json.dumps({"ports": await emulator.start()}))
         await _until_stopped()
         emulator.close()
@@ -47,12 +47,12 @@
 @click.argument("file", type=FILE)
 def register(file: Path) -> None:
     """Run the registry emulator."""
-    from ..emulators.registry import RegisterSpec, RegisterStand
+    from ..emulators.registry import RegistryEmulator, RegistrySpec
 
-    spec = load_settings(file, RegisterSpec)
+    spec = load_settings(file, RegistrySpec)
 
     async def run() -> None:
-        emulator = RegisterStand(spec)
+        emulator = RegistryEmulator(spec)
         click.echo(json.dumps({"port": await emulator.start()}))
         await _until_stopped()
         emulator.close()
--- a/linnetstile/codec/as2.py
+++ b/linnetstile/codec/as2.py
@@ -28,7 +28,7 @@
     return As2Error(f"{field}: expected {expected}", field=field, expected=expected, found=found)
 
 
-def name(text: str, field: str) -> str:
+def parse_name(text: str, field: str) -> str:
     """Parse an AS2 name; names are compared unquoted, with regard to case (RFC 4130, 6.2).
 
     Args:
@@ -49,14 +49,14 @@
     return plain
 
 
-def quoted(plain: str) -> str:
+def quote_name(plain: str) -> str:
     """Return a name as a field holds it: in quotes where needed."""
     if PLAIN_NAME.match(plain):
         return plain
     return '"' + re.sub(r'(["\\])', r"\\\1", plain) + '"'
 
 
-def message_id(text: str, field: str = "Message-ID") -> str:
+def parse_message_id(text: str, field: str = "Message-ID") -> str:
     """Check an identifier and return it as it is.
 
     Raises:
@@ -106,39 +106,39 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Head:
+class As2Headers:
     """The fields of one AS2 message.
 
     Attributes:
         sender: AS2-From, unquoted.
         receiver: AS2-To, unquoted.
-        id: Message-ID with its angle brackets.
+        message_id: Message-ID with its angle brackets.
         version: AS2-Version.
         subject: Subject.
-        notify: Disposition-Notification-To; empty if no receipt is asked for.
-        wish: What the receipt should be like.
-        reply_to: Receipt-Delivery-Option: the URL for an asynchronous receipt; empty for a synchronous one.
+        receipt_to: Disposition-Notification-To; empty if no receipt is asked for.
+        receipt_options: What the receipt should be like.
+        async_receipt_url: Receipt-Delivery-Option: the URL for an asynchronous receipt; empty for a synchronous one.
     """
 
     sender: str
     receiver: str
-    id: str
+    message_id: str
     version: str = "1.2"
     subject: str = ""
-    notify: str = ""
-    wish: ReceiptOptions = ReceiptOptions()
-    reply_to: str = ""
+    receipt_to: str = ""
+    receipt_options: ReceiptOptions = ReceiptOptions()
+    async_receipt_url: str = ""
 
     @classmethod
-    def of(cls, headers: Headers) -> Head:
+    def parse(cls, headers: Headers) -> As2Headers:
         """Parse the header fields of a message.
 
         Raises:
             As2Error: A field is missing, malformed or repeated; it says the field's name and what was expected.
         """
         for field in SINGLE_FIELDS:
-            if len(headers.all(field)) > 1:
-                raise _field_error(field, "once", ", ".join(headers.all(field)))
+            if len(headers.get_all(field)) > 1:
+                raise _field_error(field, "once", ", ".join(headers.get_all(field)))
         version = headers.get("as2-version", DEFAULT_VERSION)
         if not VERSION.fullmatch(version):
             raise _field_error("AS2-Version", "1.x", version)
@@ -146,12 +146,12 @@
         if reply_to and not RECEIPT_URL.match(reply_to):
             raise _field_error("Receipt-Delivery-Option", "an http or https URL", reply_to)
         return cls(
-            sender=name(headers.get("as2-from"), "AS2-From"),
-            receiver=name(headers.get("as2-to"), "AS2-To"),
-            id=message_id(headers.get("message-id")),
+            sender=parse_name(headers.get("as2-from"), "AS2-From"),
+            receiver=parse_name(headers.get("as2-to"), "AS2-To"),
+            message_id=parse_message_id(headers.get("message-id")),
             version=version,
             subject=headers.get("subject"),
-            notify=headers.get("disposition-notification-to"),
-            wish=parse_receipt_options(headers.get("disposition-notification-options")),
-            reply_to=reply_to,
+            receipt_to=headers.get("disposition-notification-to"),
+            receipt_options=parse_receipt_options(headers.get("disposition-notification-options")),
+            async_receipt_url=reply_to,
         )
--- a/linnetstile/codec/cms.py
+++ b/linnetstile/codec/cms.py
@@ -98,7 +98,7 @@
     return Identity(builder.sign(key, hashes.SHA256()), key)
 
 
-def save(identity: Identity) -> bytes:
+def encode_identity(identity: Identity) -> bytes:
     """Encode an identity as PEM: the key, then the certificate."""
     from cryptography.hazmat.primitives.serialization import Encoding, NoEncryption, PrivateFormat
 
@@ -106,7 +106,7 @@
     return key_pem + identity.certificate.public_bytes(Encoding.PEM)
 
 
-def load(pem: bytes) -> Identity:
+def load_identity(pem: bytes) -> Identity:
     """Read an identity from PEM that has the key and the certificate; raises `ValueError` where it has not."""
     from cryptography import x509
     from cryptography.hazmat.primitives.serialization import load_pem_private_key
@@ -149,10 +149,10 @@
         b"Content-Transfer-Encoding: base64\r\n\r\n" + base64.encodebytes(der).replace(b"\n", b"\r\n").rstrip()
     )
     params = {"protocol": "application/pkcs7-signature", "micalg": micalg}
-    return mime.multipart("signed", [content, signature_part], params)
+    return mime.encode_multipart("signed", [content, signature_part], params)
 
 
-def signed_content(content_type: str, body: bytes) -> tuple[bytes, bytes]:
+def split_signed(content_type: str, body: bytes) -> tuple[bytes, bytes]:
     """Take a multipart/signed apart; nothing is verified.
 
     Returns:
@@ -162,13 +162,13 @@
         CmsError: It is not a multipart/signed of two parts.
         MimeError: Its parts or the signature's headers can't be read.
     """
-    media_type = mime.content_type(content_type)
+    media_type = mime.parse_content_type(content_type)
     if media_type.name != "multipart/signed":
         raise CmsError("not a multipart/signed", field="Content-Type", expected="multipart/signed", found=content_type)
     parts = mime.split_multipart(body, media_type.params.get("boundary", ""))
     if len(parts) != 2:
         raise CmsError("a multipart/signed without two parts", expected="2 parts", found=str(len(parts)))
-    return parts[0], mime.entity(parts[1]).decoded()
+    return parts[0], mime.parse_entity(parts[1]).decoded_body()
 
 
 def verify(content: bytes, der: bytes, certificate: Certificate, allow_sha1: bool = False) -> str:
@@ -321,7 +321,7 @@
     return data
 
 
-def opened(content_type: str, encoding: str, body: bytes, key: Identity | None) -> tuple[bytes | None, bool]:
+def open_layers(content_type: str, encoding: str, body: bytes, key: Identity | None) -> tuple[bytes | None, bool]:
     """Return what a receipt's digest is taken over (RFC 4130, 7.3.1; RFC 5402, 5), and whether that is a plain body.
 
     Signed: the signed entity. Compressed or encrypted only: the entity inside. Plain: the body without headers.
@@ -340,20 +340,20 @@
     entity = b""  # what the last layer held
     is_plain = True
     for _ in range(MAX_LAYERS):
-        media_type = mime.content_type(content_type)
+        media_type = mime.parse_content_type(content_type)
         if media_type.name == "multipart/signed":
-            return signed_content(content_type, body)[0], False
+            return split_signed(content_type, body)[0], False
         if media_type.name != "application/pkcs7-mime":
-            return (mime.decode(body, encoding), True) if is_plain else (entity, False)
+            return (mime.decode_body(body, encoding), True) if is_plain else (entity, False)
         smime_type = media_type.params.get("smime-type", "").lower()
-        der = mime.decode(body, encoding)
+        der = mime.decode_body(body, encoding)
         if smime_type == "compressed-data":
             entity = decompress(der)
         elif smime_type == "enveloped-data" and key is not None:
             entity = decrypt(der, key)
         else:
             return None, False
-        inner = mime.entity(entity)
+        inner = mime.parse_entity(entity)
         content_type = inner.headers.get("content-type", mime.DEFAULT_CONTENT_TYPE)
         encoding = inner.headers.get("content-transfer-encoding")
         body = inner.body
--- a/linnetstile/codec/headers.py
+++ b/linnetstile/codec/headers.py
@@ -49,13 +49,13 @@
         values = self._values_by_name.get(name.lower())
         return values[0] if values else default
 
-    def all(self, name: str) -> list[str]:
+    def get_all(self, name: str) -> list[str]:
         """Return the values of all fields with this name, in their order."""
         return self._values_by_name.get(name.lower(), [])
 
     def tokens(self, name: str) -> list[str]:
         """Return the members of a comma-separated field, in lower case (RFC 9110, 5.6.1)."""
-        return [part.strip().lower() for value in self.all(name) for part in value.split(",") if part.strip()]
+        return [part.strip().lower() for value in self.get_all(name) for part in value.split(",") if part.strip()]
 
     def __contains__(self, name: str) -> bool:
         return name.lower() in self._values_by_name
--- a/linnetstile/codec/http1.py
+++ b/linnetstile/codec/http1.py
@@ -1,7 +1,7 @@
 """HTTP/1.1 messages (RFC 9110, RFC 9112) as a state machine: bytes in, events out, the same for any split.
 
 What is ambiguous is rejected and not repaired, since two readings of one message are how requests are smuggled
-(RFC 9112, 11.2). Every error is a `ProtocolError` with the status to answer; the connection then closes.
+(RFC 9112, 11.2). Every error is an `Http1Error` with the status to answer; the connection then closes.
 """
 
 from __future__ import annotations
@@ -53,7 +53,7 @@
 UNKNOWN_REASON_PHRASE = "Status"
 
 
-class ProtocolError(errors.ProtocolError):
+class Http1Error(errors.ProtocolError):
     """The peer's bytes are not HTTP/1.1 as this codec accepts it.
 
     Attributes:
@@ -76,18 +76,18 @@
     """Bounds on what a peer may send.
 
     Attributes:
-        line: Bytes of the first line, and of one header line.
-        head: Bytes of the first line and all header lines; of all trailer lines as well.
-        fields: Number of header fields.
-        body: Bytes of a body.
-        chunk_line: Bytes of the line that begins a chunk.
+        max_line_bytes: Bytes of the first line, and of one header line.
+        max_head_bytes: Bytes of the first line and all header lines; of all trailer lines as well.
+        max_fields: Number of header fields.
+        max_body_bytes: Bytes of a body.
+        max_chunk_line_bytes: Bytes of the line that begins a chunk.
     """
 
-    line: int = 16_384
-    head: int = 65_536
-    fields: int = 128
-    body: int = 64 * 1024 * 1024
-    chunk_line: int = 256
+    max_line_bytes: int = 16_384
+    max_head_bytes: int = 65_536
+    max_fields: int = 128
+    max_body_bytes: int = 64 * 1024 * 1024
+    max_chunk_line_bytes: int = 256
 
 
 @dataclass(frozen=True, slots=True)
@@ -138,41 +138,44 @@
 
 
 @dataclass(frozen=True, slots=True)
-class End:
+class EndOfMessage:
     """The message is complete; trailers are reported here and never merged into the headers (RFC 9110, 6.5.1)."""
 
     trailers: Headers = field(default_factory=Headers)
 
 
-Event = Union[Request, Response, Data, End]
+Event = Union[Request, Response, Data, EndOfMessage]
 
 
 def _parse_fields(lines: list[bytes], limits: Limits) -> Headers:
-    if len(lines) > limits.fields:
-        raise ProtocolError(
-            431, f"more than {limits.fields} header fields", expected=f"<= {limits.fields}", found=str(len(lines))
+    if len(lines) > limits.max_fields:
+        raise Http1Error(
+            431,
+            f"more than {limits.max_fields} header fields",
+            expected=f"<= {limits.max_fields}",
+            found=str(len(lines)),
         )
     fields: list[tuple[str, str]] = []
     for line in lines:
-        if len(line) > limits.line:
-            raise ProtocolError(431, f"a header line of more than {limits.line} bytes", found=str(len(line)))
+        if len(line) > limits.max_line_bytes:
+            raise Http1Error(431, f"a header line of more than {limits.max_line_bytes} bytes", found=str(len(line)))
         name, colon, value = line.decode("latin-1").partition(":")
         if name[:1] in (" ", "\t"):
-            raise ProtocolError(400, "a folded header line")
+            raise Http1Error(400, "a folded header line")
         if not colon or name not in KNOWN_FIELD_NAMES and not is_field_name(name):
-            raise ProtocolError(400, "a header line without a proper name before its colon", found=name)
+            raise Http1Error(400, "a header line without a proper name before its colon", found=name)
         value = value.strip(" \t")
         if not value.isprintable() and FORBIDDEN_IN_VALUE.search(value):  # the first is quick, the second exact
-            raise ProtocolError(400, f"a control character in the value of {name}", field=name, found=value)
+            raise Http1Error(400, f"a control character in the value of {name}", field=name, found=value)
         fields.append((name, value))
     return Headers(fields)
 
 
 def _parse_version(text: str) -> tuple[int, int]:
     if not HTTP_VERSION.fullmatch(text):
-        raise ProtocolError(400, "no HTTP version in the first line", expected="HTTP/1.1", found=text)
+        raise Http1Error(400, "no HTTP version in the first line", expected="HTTP/1.1", found=text)
     if text not in SUPPORTED_VERSIONS:
-        raise ProtocolError(505, f"{text} is not spoken here", expected=" or ".join(SUPPORTED_VERSIONS), found=text)
+        raise Http1Error(505, f"{text} is not spoken here", expected=" or ".join(SUPPORTED_VERSIONS), found=text)
     return 1, int(text[-1])
 
 
@@ -188,21 +191,21 @@
 class Parser:
     """Reads the messages of one connection: `feed` it bytes, call `eof` once the peer has closed.
 
-    A client parser must be told of each request with `expect`, as the method says whether a body follows.
+    A client parser must be told of each request with `expect_response`, as the method says whether a body follows.
     Each state is a method that consumes from the buffer, appends events and returns whether another step may be made.
 
     Attributes:
         client: Whether responses are read; requests otherwise.
         limits: Bounds on what the peer may send.
         awaited_methods: Methods of the requests whose responses are still to come, in order.
-        failed: The fault that ended the reading; None while there is none.
+        error: The fault that ended the reading; None while there is none.
     """
 
     def __init__(self, client: bool = False, limits: Limits | None = None) -> None:
         self.client = client
         self.limits = limits or Limits()
         self.awaited_methods: list[str] = []
-        self.failed: ProtocolError | None = None
+        self.error: Http1Error | None = None
         self._status_line_prefix = b""  # of the latest final response that was begun
         self._buffer = bytearray()
         self._state = self._read_head
@@ -211,22 +214,22 @@
         self._total_body_bytes = 0
         self._skipped_empty_line = False
 
-    def expect(self, method: str) -> None:
+    def expect_response(self, method: str) -> None:
         """Announce the response to a request that was sent with this method."""
         self.awaited_methods.append(method)
 
     @property
-    def idle(self) -> bool:
+    def is_idle(self) -> bool:
         """Whether the stream stands between two messages, with no byte of the next."""
         return self._state == self._read_head and not self._buffer
 
     @property
-    def buffered(self) -> int:
+    def buffered_bytes(self) -> int:
         """Number of bytes held that have not become an event yet."""
         return len(self._buffer)
 
     @property
-    def midway(self) -> bool:
+    def has_partial_input(self) -> bool:
         """Whether some of a head, a chunk or its size has come, and not all of it."""
         return bool(self._buffer) or self._state == self._read_chunk_data
 
@@ -237,7 +240,7 @@
         return b""
 
     @property
-    def claimed(self) -> int:
+    def early_status(self) -> int:
         """The status in the first line of a response whose rest has not come or can't be read; 0 = none so far.
 
         Only for peers that mean that line whatever follows it.
@@ -254,17 +257,17 @@
                 `feed(b"")` goes on.
 
         Raises:
-            ProtocolError: For good from the first fault on; events before the fault are returned first.
+            Http1Error: For good from the first fault on; events before the fault are returned first.
         """
-        if self.failed:
-            raise self.failed
+        if self.error:
+            raise self.error
         self._buffer += data
         events: list[Event] = []
         try:
             while len(events) < max_events and self._state(events):
                 pass
-        except ProtocolError as error:
-            self.failed = error
+        except Http1Error as error:
+            self.error = error
             self._status_line_prefix = self._status_line_prefix or self._incomplete_status_line()
             self._buffer.clear()
             if not events:
@@ -275,15 +278,15 @@
         """Return what the end of the stream completes.
 
         Raises:
-            ProtocolError: The stream ended inside a message, or an earlier fault.
+            Http1Error: The stream ended inside a message, or an earlier fault.
         """
-        if self.failed:
-            raise self.failed
+        if self.error:
+            raise self.error
         if self._state == self._read_until_close:
             self._state = self._read_head
-            return [End()]
-        if not self.idle:
-            raise ProtocolError(400, "the connection ended inside a message")
+            return [EndOfMessage()]
+        if not self.is_idle:
+            raise Http1Error(400, "the connection ended inside a message")
         return []
 
     # -- the head of a message -------------------------------------------------------------------------------
@@ -293,10 +296,10 @@
         buffer = self._buffer
         end = buffer.find(b"\r\n\r\n", max(0, self._scanned_bytes - 3))
         if self._has_bare_line_feed(end, limit):
-            raise ProtocolError(400, "a line feed without a carriage return")
+            raise Http1Error(400, "a line feed without a carriage return")
         self._scanned_bytes = len(buffer)
         if (end < 0 and len(buffer) >= limit) or end + 4 > limit:
-            raise ProtocolError(431, f"a head of more than {limit} bytes", expected=f"<= {limit} bytes")
+            raise Http1Error(431, f"a head of more than {limit} bytes", expected=f"<= {limit} bytes")
         if end < 0:
             return None
         block = bytes(buffer[:end])
@@ -304,7 +307,7 @@
         self._scanned_bytes = 0
         lines = block.split(b"\r\n")
         if block.count(b"\r") != len(lines) - 1:
-            raise ProtocolError(400, "a carriage return without a line feed")
+            raise Http1Error(400, "a carriage return without a line feed")
         return lines
 
     def _has_bare_line_feed(self, end: int, limit: int) -> bool:
@@ -329,13 +332,15 @@
                 self._scanned_bytes = 0
         if not self._buffer:
             return False
-        lines = self._take_block(self.limits.head)
+        lines = self._take_block(self.limits.max_head_bytes)
         if lines is None:
             return False
         self._skipped_empty_line = False
         self._total_body_bytes = 0
-        if len(lines[0]) > self.limits.line:
-            raise ProtocolError(431, f"a first line of more than {self.limits.line} bytes", found=str(len(lines[0])))
+        if len(lines[0]) > self.limits.max_line_bytes:
+            raise Http1Error(
+                431, f"a first line of more than {self.limits.max_line_bytes} bytes", found=str(len(lines[0]))
+            )
         first_line = lines[0].decode("latin-1")
         if self.client:
             self._status_line_prefix = lines[0][:STATUS_LINE_PREFIX_BYTES]
@@ -346,16 +351,16 @@
     def _read_request(self, first_line: str, lines: list[bytes], events: list[Event]) -> bool:
         parts = first_line.split(" ")
         if len(parts) != 3 or not TOKEN.match(parts[0]) or not REQUEST_TARGET.match(parts[1]):
-            raise ProtocolError(400, "a request line that is not METHOD TARGET VERSION", found=first_line)
+            raise Http1Error(400, "a request line that is not METHOD TARGET VERSION", found=first_line)
         method, target, version_text = parts
         version = _parse_version(version_text)
         headers = _parse_fields(lines[1:], self.limits)
-        hosts = headers.all("host")
+        hosts = headers.get_all("host")
         if len(hosts) != 1 and (version == (1, 1) or hosts):  # RFC 9112, 3.2
-            raise ProtocolError(400, "not one Host field", field="Host", expected="1 field", found=str(len(hosts)))
+            raise Http1Error(400, "not one Host field", field="Host", expected="1 field", found=str(len(hosts)))
         expectations = headers.tokens("expect")
         if expectations and expectations != ["100-continue"]:
-            raise ProtocolError(
+            raise Http1Error(
                 417,
                 "an expectation other than 100-continue",
                 field="Expect",
@@ -378,15 +383,15 @@
     def _read_response(self, first_line: str, lines: list[bytes], events: list[Event]) -> bool:
         parts = first_line.split(" ", 2)
         if len(parts) < 2 or not STATUS_CODE.fullmatch(parts[1]):
-            raise ProtocolError(400, "a status line that is not VERSION STATUS REASON", found=first_line)
+            raise Http1Error(400, "a status line that is not VERSION STATUS REASON", found=first_line)
         status = int(parts[1])
         reason = parts[2] if len(parts) > 2 else ""
         version = _parse_version(parts[0])
         headers = _parse_fields(lines[1:], self.limits)
         if FORBIDDEN_IN_VALUE.search(reason):
-            raise ProtocolError(400, "a control character in the reason", found=reason)
+            raise Http1Error(400, "a control character in the reason", found=reason)
         if not self.awaited_methods:
-            raise ProtocolError(400, "a response that nobody asked for", found=first_line)
+            raise Http1Error(400, "a response that nobody asked for", found=first_line)
         if 100 <= status < 200:
             self._status_line_prefix = b""
             return True  # interim: the final one follows (RFC 9110, 15.2); an upgrade was never asked for
@@ -404,15 +409,15 @@
 
     def _body_length(self, version: tuple[int, int], headers: Headers) -> int | None:
         """Return the length of the body in bytes, `CHUNKED`, or None if nothing says it (RFC 9112, 6.3)."""
-        lengths = headers.all("content-length")
+        lengths = headers.get_all("content-length")
         if "transfer-encoding" in headers:
             if lengths:
-                raise ProtocolError(400, "both Content-Length and Transfer-Encoding", field="Content-Length")
+                raise Http1Error(400, "both Content-Length and Transfer-Encoding", field="Content-Length")
             if version == (1, 0):
-                raise ProtocolError(400, "Transfer-Encoding in HTTP/1.0", field="Transfer-Encoding")
+                raise Http1Error(400, "Transfer-Encoding in HTTP/1.0", field="Transfer-Encoding")
             codings = headers.tokens("transfer-encoding")
             if codings != ["chunked"]:
-                raise ProtocolError(
+                raise Http1Error(
                     501,
                     "a transfer coding other than chunked",
                     field="Transfer-Encoding",
@@ -423,17 +428,17 @@
         if not lengths:
             return None
         if len(lengths) > 1 or not CONTENT_LENGTH.fullmatch(lengths[0]):
-            raise ProtocolError(400, "not one plain Content-Length", field="Content-Length", found=", ".join(lengths))
+            raise Http1Error(400, "not one plain Content-Length", field="Content-Length", found=", ".join(lengths))
         length = int(lengths[0])
-        if length > self.limits.body:
+        if length > self.limits.max_body_bytes:
             raise self._body_too_large(length)
         return length
 
     # -- the body of a message -------------------------------------------------------------------------------
 
-    def _body_too_large(self, length: int) -> ProtocolError:
-        limit = self.limits.body
-        return ProtocolError(
+    def _body_too_large(self, length: int) -> Http1Error:
+        limit = self.limits.max_body_bytes
+        return Http1Error(
             413, f"a body of more than {limit} bytes", expected=f"<= {limit} bytes", found=f"{length} bytes"
         )
 
@@ -457,7 +462,7 @@
         self._remaining_bytes -= size
 
     def _end_message(self, events: list[Event], trailers: Headers) -> bool:
-        events.append(End(trailers))
+        events.append(EndOfMessage(trailers))
         self._status_line_prefix = b""
         self._state = self._read_head
         self._scanned_bytes = 0
@@ -469,27 +474,27 @@
 
     def _read_until_close(self, events: list[Event]) -> bool:
         self._total_body_bytes += len(self._buffer)
-        if self._total_body_bytes > self.limits.body:
+        if self._total_body_bytes > self.limits.max_body_bytes:
             raise self._body_too_large(self._total_body_bytes)
         self._remaining_bytes = len(self._buffer)
         self._take_data(events)
         return False
 
     def _read_chunk_size(self, events: list[Event]) -> bool:
-        limit = self.limits.chunk_line
+        limit = self.limits.max_chunk_line_bytes
         end = self._buffer.find(b"\n", 0, limit)
         if end < 0:
             if len(self._buffer) >= limit:
-                raise ProtocolError(400, f"a chunk line of more than {limit} bytes", expected=f"<= {limit} bytes")
+                raise Http1Error(400, f"a chunk line of more than {limit} bytes", expected=f"<= {limit} bytes")
             return False
         ends_in_crlf = end > 0 and self._buffer[end - 1] == CARRIAGE_RETURN
         match = CHUNK_SIZE_LINE.match(self._buffer[: end - 1]) if ends_in_crlf else None
         if not match:
-            raise ProtocolError(400, "a chunk size that is not a hexadecimal number")
+            raise Http1Error(400, "a chunk size that is not a hexadecimal number")
         del self._buffer[: end + 1]
         self._remaining_bytes = int(match[1], 16)
         self._total_body_bytes += self._remaining_bytes
-        if self._total_body_bytes > self.limits.body:
+        if self._total_body_bytes > self.limits.max_body_bytes:
             raise self._body_too_large(self._total_body_bytes)
         self._state = self._read_chunk_data if self._remaining_bytes else self._read_trailers
         return True
@@ -499,7 +504,7 @@
         if self._remaining_bytes or not self._buffer:
             return False
         if self._buffer[:2] != b"\r\n"[: len(self._buffer)]:
-            raise ProtocolError(400, "a chunk that does not end where its size says")
+            raise Http1Error(400, "a chunk that does not end where its size says")
         if len(self._buffer) < 2:
             return False
         del self._buffer[:2]
@@ -512,7 +517,7 @@
             return self._end_message(events, Headers())
         if self._buffer == b"\r":
             return False
-        lines = self._take_block(self.limits.head)
+        lines = self._take_block(self.limits.max_head_bytes)
         return lines is not None and self._end_message(events, _parse_fields(lines, self.limits))
 
 
@@ -527,7 +532,7 @@
     return ("\r\n".join(lines) + "\r\n\r\n").encode("latin-1")
 
 
-def request_parts(
+def encode_request_parts(
     method: str, target: str, headers: Iterable[tuple[str, str]], body: bytes = b""
 ) -> tuple[bytes, bytes]:
     """Encode a request with its Content-Length.
@@ -550,12 +555,12 @@
     return _encode_head(f"{method} {target} HTTP/1.1", fields), body
 
 
-def request(method: str, target: str, headers: Iterable[tuple[str, str]], body: bytes = b"") -> bytes:
-    """Encode a request as `request_parts` does, in one piece."""
-    return b"".join(request_parts(method, target, headers, body))
+def encode_request(method: str, target: str, headers: Iterable[tuple[str, str]], body: bytes = b"") -> bytes:
+    """Encode a request as `encode_request_parts` does, in one piece."""
+    return b"".join(encode_request_parts(method, target, headers, body))
 
 
-def response_parts(
+def encode_response_parts(
     status: int, headers: Iterable[tuple[str, str]], body: bytes = b"", head_only: bool = False
 ) -> tuple[bytes, bytes]:
     """Encode a response with its Content-Length.
@@ -577,6 +582,8 @@
     return _encode_head(first_line, fields), b"" if head_only else body
 
 
-def response(status: int, headers: Iterable[tuple[str, str]], body: bytes = b"", head_only: bool = False) -> bytes:
-    """Encode a response as `response_parts` does, in one piece."""
-    return b"".join(response_parts(status, headers, body, head_only))
+def encode_response(
+    status: int, headers: Iterable[tuple[str, str]], body: bytes = b"", head_only: bool = False
+) -> bytes:
+    """Encode a response as `encode_response_parts` does, in one piece."""
+    return b"".join(encode_response_parts(status, headers, body, head_only))
--- a/linnetstile/codec/objects.py
+++ b/linnetstile/codec/json_stream.py
@@ -56,26 +56,26 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Part:
+class ObjectPart:
     """A run of array elements, in order, of an object that is too long to come whole.
 
     Attributes:
-        head: The members before the array: the same in each part.
+        members: The members before the array: the same in each part.
         elements: The next elements of the array; none in the last part.
-        first: Whether this is the first part of the object.
-        last: Whether the object is complete and valid.
+        is_first: Whether this is the first part of the object.
+        is_last: Whether the object is complete and valid.
     """
 
-    head: dict[str, Any]
+    members: dict[str, Any]
     elements: list[Any]
-    first: bool
-    last: bool
+    is_first: bool
+    is_last: bool
 
 
-class Objects:
+class JsonStreamReader:
     """Cuts objects and arrays out of a stream; only blanks may stand between them.
 
-    Objects of more than `step_bytes` come as `Part`s instead if their member `array_key` is an array that begins
+    Objects of more than `step_bytes` come as `ObjectPart`s instead if their member `array_key` is an array that begins
     within these bytes, behind the members `required_keys`: what those say of the rest has to be known first. The
     elements are bounded by `step_bytes` each, and `max_value_bytes` bounds what stands behind the array, so that memory
     is bounded however long the object is. An element comes once the comma or bracket behind it has come, and none that
@@ -86,7 +86,7 @@
         array_key: Key of the array that may come in parts; empty if there is none.
         required_keys: Keys of the members that have to stand before the array.
         step_bytes: Bytes from which on an object comes in parts.
-        failed: The fault that ended the reading, since nothing says where the next value begins; None while there is
+        error: The fault that ended the reading, since nothing says where the next value begins; None while there is
             none.
     """
 
@@ -101,7 +101,7 @@
         self.array_key = array_key
         self.required_keys = required_keys
         self.step_bytes = step_bytes
-        self.failed: JsonStreamError | None = None
+        self.error: JsonStreamError | None = None
         self._array_opening = re.compile(rb'"%s"[ \t\r\n]*:[ \t\r\n]*\[\Z' % array_key.encode())
         self._buffer = bytearray()
         # The scan of the value or element that the buffer begins with.
@@ -118,7 +118,7 @@
         self._one_by_one = False  # elements are parsed alone until more bytes come
 
     @property
-    def part(self) -> bool:
+    def is_mid_value(self) -> bool:
         """Whether a value has begun and is not complete."""
         return bool(self._buffer) or self._head is not None
 
@@ -128,8 +128,8 @@
         Raises:
             JsonStreamError: For good from the first fault on; a fault behind a value is raised by the next call.
         """
-        if self.failed:
-            raise self.failed
+        if self.error:
+            raise self.error
         values: list[Any] = []
         try:
             for start in range(0, len(data), SCAN_BYTES):
@@ -138,11 +138,11 @@
                 while self._advance(values):
                     pass
         except (ValueError, RecursionError) as error:  # UnicodeDecodeError and JSONDecodeError are ValueErrors
-            self.failed = _as_stream_error(error)
+            self.error = _as_stream_error(error)
             self._buffer.clear()
             self._head = None
             if not values:
-                raise self.failed from error
+                raise self.error from error
         return values
 
     def _advance(self, values: list[Any]) -> bool:
@@ -270,7 +270,7 @@
                 pass
         finally:  # what stands before a fault is returned first
             if elements:
-                values.append(Part(head, elements, first=not self._part_returned, last=False))
+                values.append(ObjectPart(head, elements, is_first=not self._part_returned, is_last=False))
                 self._part_returned = True
 
     def _read_members_after_array(self, head: dict[str, Any], values: list[Any]) -> bool:
@@ -281,7 +281,7 @@
         rest = _parse(b'{"":0' + self._buffer[:end])
         if repeated := [key for key in rest if key == self.array_key or key in head]:
             raise JsonStreamError(f"{repeated[0]}: told twice", field=repeated[0], expected="one such member")
-        values.append(Part(head, [], first=not self._part_returned, last=True))
+        values.append(ObjectPart(head, [], is_first=not self._part_returned, is_last=True))
         self._head = None
         self._discard(end)
         return True
--- a/linnetstile/codec/mdn.py
+++ b/linnetstile/codec/mdn.py
@@ -24,9 +24,9 @@
     """One receipt.
 
     Attributes:
-        original_id: Message-ID of the message it is for.
+        original_message_id: Message-ID of the message it is for.
         recipient: AS2 name of who received that, as the field holds it.
-        kind: `processed` or `failed`.
+        disposition_type: `processed` or `failed`.
         modifier: `error`, `warning`, `failure` or empty.
         detail: What the modifier says, such as `authentication-failed`.
         mic: Digest of the content as it was received; empty if there is none.
@@ -34,9 +34,9 @@
         text: For human readers.
     """
 
-    original_id: str
+    original_message_id: str
     recipient: str
-    kind: str = "processed"
+    disposition_type: str = "processed"
     modifier: str = ""
     detail: str = ""
     mic: bytes = b""
@@ -44,30 +44,30 @@
     text: str = ""
 
     @property
-    def positive(self) -> bool:
+    def is_positive(self) -> bool:
         """Whether the message was processed."""
-        return self.kind == "processed" and self.modifier in ("", "warning")
+        return self.disposition_type == "processed" and self.modifier in ("", "warning")
 
     @property
-    def duplicate(self) -> bool:
+    def is_duplicate(self) -> bool:
         """Whether the receiver had the message before (RFC 4130, 7.5.4)."""
         return self.modifier in ("warning", "error") and "duplicate-document" in self.detail.lower()
 
-    def build(self) -> tuple[str, bytes]:
+    def encode(self) -> tuple[str, bytes]:
         """Return content type and body of the multipart/report."""
         text = (self.text or DEFAULT_TEXT).replace("\n", "\r\n")
         human_part = b"Content-Type: text/plain; charset=utf-8\r\n\r\n" + text.encode() + b"\r\n"
         machine_head = "Content-Type: message/disposition-notification\r\n\r\n"
         machine_part = (machine_head + "\r\n".join(self._field_lines()) + "\r\n").encode()
-        return mime.multipart("report", [human_part, machine_part], {"report-type": "disposition-notification"})
+        return mime.encode_multipart("report", [human_part, machine_part], {"report-type": "disposition-notification"})
 
     def _field_lines(self) -> list[str]:
-        recipient = as2.quoted(self.recipient)
+        recipient = as2.quote_name(self.recipient)
         lines = [
             "Reporting-UA: linnetstile",
             f"Original-Recipient: rfc822; {recipient}",
             f"Final-Recipient: rfc822; {recipient}",
-            f"Original-Message-ID: {self.original_id}",
+            f"Original-Message-ID: {self.original_message_id}",
             f"Disposition: {self._disposition()}",
         ]
         if self.mic:
@@ -75,7 +75,7 @@
         return lines
 
     def _disposition(self) -> str:
-        disposition = f"automatic-action/MDN-sent-automatically; {self.kind}"
+        disposition = f"automatic-action/MDN-sent-automatically; {self.disposition_type}"
         if self.modifier:
             disposition += f"/{self.modifier}"
             if self.detail:
@@ -100,19 +100,19 @@
 
 
 def _parse_report(content_type: str, body: bytes) -> Mdn:
-    media_type = mime.content_type(content_type)
+    media_type = mime.parse_content_type(content_type)
     if media_type.name != "multipart/report":
         raise MdnError(
             "not a multipart/report", field="Content-Type", expected="multipart/report", found=media_type.name
         )
-    entities = [mime.entity(part) for part in mime.split_multipart(body, media_type.params.get("boundary", ""))]
+    entities = [mime.parse_entity(part) for part in mime.split_multipart(body, media_type.params.get("boundary", ""))]
     notifications = [part for part in entities if part.content_type.name == "message/disposition-notification"]
     if len(notifications) != 1:
         raise MdnError("not one message/disposition-notification", expected="1 part", found=str(len(notifications)))
     notification = notifications[0]
-    fields = mime.entity(notification.decoded().strip(b"\r\n") + b"\r\n\r\n").headers
+    fields = mime.parse_entity(notification.decoded_body().strip(b"\r\n") + b"\r\n\r\n").headers
     first = entities[0]
-    text = first.decoded().decode("utf-8", "replace").strip() if first is not notification else ""
+    text = first.decoded_body().decode("utf-8", "replace").strip() if first is not notification else ""
     return _parse_notification(fields, text)
 
 
@@ -123,9 +123,9 @@
         raise MdnError("no readable Disposition", field="Disposition", found=disposition_text)
     mic = RECEIVED_MIC.match(fields.get("received-content-mic"))
     return Mdn(
-        original_id=as2.message_id(fields.get("original-message-id"), "Original-Message-ID"),
+        original_message_id=as2.parse_message_id(fields.get("original-message-id"), "Original-Message-ID"),
         recipient=fields.get("final-recipient").rpartition(";")[2].strip(),
-        kind=disposition[3].lower(),
+        disposition_type=disposition[3].lower(),
         modifier=(disposition[4] or "").lower(),
         detail=(disposition[5] or "").strip(),
         mic=base64.b64decode(mic[1]) if mic else b"",
--- a/linnetstile/codec/mime.py
+++ b/linnetstile/codec/mime.py
@@ -42,7 +42,7 @@
 
 
 @functools.lru_cache(maxsize=CONTENT_TYPES_CACHED)
-def content_type(text: str) -> ContentType:
+def parse_content_type(text: str) -> ContentType:
     """Parse the value of a Content-Type field.
 
     Raises:
@@ -85,14 +85,14 @@
     @property
     def content_type(self) -> ContentType:
         """The media type; raises `MimeError` if it can't be read."""
-        return content_type(self.headers.get("content-type", DEFAULT_CONTENT_TYPE))
+        return parse_content_type(self.headers.get("content-type", DEFAULT_CONTENT_TYPE))
 
-    def decoded(self) -> bytes:
+    def decoded_body(self) -> bytes:
         """Return the body without its transfer encoding; raises `MimeError` if that can't be undone."""
-        return decode(self.body, self.headers.get("content-transfer-encoding"))
+        return decode_body(self.body, self.headers.get("content-transfer-encoding"))
 
 
-def decode(body: bytes, encoding: str) -> bytes:
+def decode_body(body: bytes, encoding: str) -> bytes:
     """Undo a content transfer encoding (RFC 2045, 6).
 
     Raises:
@@ -111,7 +111,7 @@
     raise MimeError("a content transfer encoding that is not known", field="Content-Transfer-Encoding", found=encoding)
 
 
-def entity(raw: bytes) -> Entity:
+def parse_entity(raw: bytes) -> Entity:
     """Parse an entity: header lines (folding undone), an empty line, the body; lines may end in CRLF or LF.
 
     Raises:
@@ -175,7 +175,7 @@
     raise MimeError("the last delimiter of a multipart is missing", expected=f"--{boundary}--")
 
 
-def multipart(kind: str, bodies: list[bytes], params: dict[str, str]) -> tuple[str, bytes]:
+def encode_multipart(kind: str, bodies: list[bytes], params: dict[str, str]) -> tuple[str, bytes]:
     """Join raw parts to a multipart.
 
     Args:
--- a/linnetstile/config/addresses.py
+++ b/linnetstile/config/addresses.py
@@ -11,7 +11,7 @@
 MAX_PORT = 65535
 
 
-def loopback(text: str) -> str:
+def require_loopback(text: str) -> str:
     """Check an address that this program may listen on or call: `127.x.y.z:port` or `[::1]:port`.
 
     Returns:
@@ -30,13 +30,13 @@
     return text
 
 
-def split(address: str) -> tuple[str, int]:
+def split_address(address: str) -> tuple[str, int]:
     """Return host and port of an address."""
     host, _, port = address.rpartition(":")
     return host.strip("[]"), int(port)
 
 
-def loopback_url(text: str, schemes: tuple[str, ...] = ("http",)) -> str:
+def require_loopback_url(text: str, schemes: tuple[str, ...] = ("http",)) -> str:
     """Check a URL on a loopback address and return it as it is.
 
     Args:
@@ -49,14 +49,14 @@
     parts = urllib.parse.urlsplit(text)
     if parts.scheme not in schemes or parts.username or parts.fragment:
         raise ValueError(f"expected a URL such as {schemes[-1]}://127.0.0.1:4090/as2")
-    loopback(parts.netloc)
+    require_loopback(parts.netloc)
     return text
 
 
 def _partner_url(text: str) -> str:
-    return loopback_url(text, ("http", "https"))
+    return require_loopback_url(text, ("http", "https"))
 
 
-Address = Annotated[str, AfterValidator(loopback)]
+Address = Annotated[str, AfterValidator(require_loopback)]
 PartnerUrl = Annotated[str, AfterValidator(_partner_url)]
-LoopbackUrl = Annotated[str, AfterValidator(loopback_url)]
+LoopbackUrl = Annotated[str, AfterValidator(require_loopback_url)]
--- a/linnetstile/config/files.py
+++ b/linnetstile/config/files.py
@@ -18,13 +18,13 @@
 WHOLE_FILE = "(whole file)"
 
 
-class Strict(BaseModel):
+class StrictModel(BaseModel):
     """A part of a settings file: unknown keys are faults, as a misspelt bound is no bound."""
 
     model_config = ConfigDict(extra="forbid", frozen=True)
 
 
-M = TypeVar("M", bound=Strict)
+M = TypeVar("M", bound=StrictModel)
 
 
 @dataclass(frozen=True, slots=True)
--- a/linnetstile/config/relay.py
+++ b/linnetstile/config/relay.py
@@ -10,8 +10,8 @@
 from ..engine.routing import Rule
 from ..engine.settings import Settings
 from . import engine_mapping
-from .addresses import Address, LoopbackUrl, PartnerUrl, loopback, loopback_url, split
-from .files import Strict
+from .addresses import Address, LoopbackUrl, PartnerUrl, require_loopback, require_loopback_url, split_address
+from .files import StrictModel
 from .numbers import Count, Fraction, NotNegative
 from .sections import (
     ClassSettings,
@@ -36,9 +36,9 @@
     "PartnerUrl",
     "RelaySettings",
     "SafetySettings",
-    "loopback",
-    "loopback_url",
-    "split",
+    "require_loopback",
+    "require_loopback_url",
+    "split_address",
 ]
 
 # Terms of the bound on memory, in bytes; docs/design/slow-peers.md says where each comes from.
@@ -56,7 +56,7 @@
 PROCESS_FILES = 32  # what the program itself has open
 
 
-class RelaySettings(Strict):
+class RelaySettings(StrictModel):
     """The whole file."""
 
     name: str = Field(pattern=r"^[A-Za-z0-9._-]{1,64}$")
@@ -97,7 +97,7 @@
             raise ValueError(f"zone: {self.zone!r} is not among the zones")
         return self
 
-    def memory_bound(self) -> int:
+    def max_memory_bytes(self) -> int:
         """Return the bytes that the process stays under, whatever peers do."""
         limits = self.limits
         connection_bytes = TLS_CONNECTION_BYTES if self.tls else PLAIN_CONNECTION_BYTES
@@ -111,7 +111,7 @@
             + limits.remember * REMEMBERED_MESSAGE_BYTES
         )
 
-    def files_bound(self) -> int:
+    def max_open_files(self) -> int:
         """Return the number of open files that the process stays under."""
         limits = self.limits
         return (
@@ -123,10 +123,10 @@
             + PROCESS_FILES
         )
 
-    def router_rules(self) -> tuple[Rule, ...]:
+    def routing_rules(self) -> tuple[Rule, ...]:
         """Return the rules by which messages are given a class and a tenant."""
         return engine_mapping.routing_rules(self)
 
-    def module(self) -> Settings:
+    def engine_settings(self) -> Settings:
         """Return the settings of the engine."""
         return engine_mapping.engine_settings(self)
--- a/linnetstile/config/sections.py
+++ b/linnetstile/config/sections.py
@@ -9,13 +9,13 @@
 
 from ..engine.fair_share import RESERVE_FRACTION
 from .addresses import Address
-from .files import Strict
+from .files import StrictModel
 from .numbers import Count, Fraction, NotNegative, Positive, PositiveFraction
 
 HEAD_ALLOWANCE_BYTES = 16_384  # of a message besides its body, when one must fit into `hold_bytes`
 
 
-class ClassSettings(Strict):
+class ClassSettings(StrictModel):
     """A class of messages: what a repeat does to them, and what their time is worth."""
 
     effect: Literal["safe", "keyed", "unsafe"]
@@ -36,14 +36,14 @@
         return self
 
 
-class KindSettings(Strict):
+class KindSettings(StrictModel):
     """A kind of destinations."""
 
     batch: Literal[1] = 1  # AS2 carries one message in a request
     routes_apart: bool = False
 
 
-class RuleSettings(Strict):
+class RuleSettings(StrictModel):
     """Which messages belong to a class and tenant: patterns as of a shell, the first rule that matches counts."""
 
     class_: str = Field(alias="class")
@@ -54,7 +54,7 @@
     content_type: str = "*"
 
 
-class PartnerTlsSettings(Strict):
+class PartnerTlsSettings(StrictModel):
     """TLS with a partner whose URL is https."""
 
     authorities: Path  # PEM: who signs the partner's certificate, or that certificate itself
@@ -63,7 +63,7 @@
     key: Path | None = None
 
 
-class PartnerSettings(Strict):
+class PartnerSettings(StrictModel):
     """What is agreed with one partner."""
 
     certificate: Path | None = None  # PEM; receipts must be signed by its key where a signature was asked for
@@ -71,7 +71,7 @@
     tls: PartnerTlsSettings | None = None
 
 
-class SafetySettings(Strict):
+class SafetySettings(StrictModel):
     """The safety limits of the engine."""
 
     answer_slack_ms: NotNegative = 20.0
@@ -84,7 +84,7 @@
     key_rest_ms: NotNegative = 100.0
 
 
-class GoalSettings(Strict):
+class GoalSettings(StrictModel):
     """Weights of the score that the engine works for."""
 
     whole: NotNegative = 1.0
@@ -93,20 +93,20 @@
     worst_tenant: NotNegative = 0.0
 
 
-class ZoneSettings(Strict):
+class ZoneSettings(StrictModel):
     """A zone that partners are in."""
 
     fee: NotNegative = 0.0
 
 
-class TenantSettings(Strict):
+class TenantSettings(StrictModel):
     """A tenant whose messages share the relay."""
 
     quota_per_s: Positive
     weight: Annotated[float, Field(gt=0, le=1000)] = 1.0  # of its share of the capacity, against other tenants
 
 
-class LimitSettings(Strict):
+class LimitSettings(StrictModel):
     """Bounds on memory, connections and time."""
 
     slots: Count
@@ -140,7 +140,7 @@
         return self
 
 
-class TlsSettings(Strict):
+class TlsSettings(StrictModel):
     """TLS of the listener. Files are read again when they change."""
 
     certificate: Path  # PEM, the chain behind it
@@ -155,14 +155,14 @@
         return self
 
 
-class IdentitySettings(Strict):
+class IdentitySettings(StrictModel):
     """Who the relay is in its own receipts."""
 
     as2_name: str = Field("linnetstile", min_length=1, max_length=128)
     pem: Path | None = None  # key and certificate that sign them
 
 
-class KnowledgeSettings(Strict):
+class KnowledgeSettings(StrictModel):
     """Learning by gossip from other relays and from before a restart; nothing of it happens unless it is set."""
 
     token_file: Path | None = None  # what relays show each other; without it nobody is notified of anything
--- a/linnetstile/emulators/client.py
+++ b/linnetstile/emulators/client.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass
 
 from ..codec import cms, http1
-from ..config.relay import split
+from ..config.relay import split_address
 from ..engine.attempt_outcome import WireResult
 from ..net import client, server
 from . import messages
@@ -50,7 +50,7 @@
     """
 
     plan: PlannedMessage
-    message: messages.Made
+    message: messages.BuiltMessage
     created_ms: float
     submissions: int = 0
     relay: int = -1
@@ -59,7 +59,7 @@
     @property
     def message_id(self) -> str:
         """The Message-ID."""
-        return self.message.head.id
+        return self.message.head.message_id
 
     @property
     def latest_submission(self) -> str:
@@ -93,8 +93,8 @@
         self._rng = random.Random(spec.seed + 1)
         self._loop = asyncio.get_running_loop()
         self._start_ms = spec.t0_ms if spec.t0_ms is not None else now_ms()
-        self._pool = client.Pool(connect_s=CONNECT_TIMEOUT_S)
-        self._identities = {name: cms.load(path.read_bytes()) for name, path in spec.senders_pem.items()}
+        self._pool = client.ConnectionPool(connect_timeout_s=CONNECT_TIMEOUT_S)
+        self._identities = {name: cms.load_identity(path.read_bytes()) for name, path in spec.senders_pem.items()}
         self._partners = {name: cms.load_certificate(path.read_bytes()) for name, path in spec.partners_pem.items()}
         self._relay = cms.load_certificate(spec.relay_pem.read_bytes()) if spec.relay_pem else None
         self._server = server.Server(self._receipt_arrived)
@@ -128,10 +128,10 @@
         if plan.repeat_after_s is not None and not plan.asynchronous:
             self._loop.call_later(plan.repeat_after_s, self._repeat, item, plan.relay)
 
-    def _build(self, plan: PlannedMessage) -> messages.Made:
+    def _build(self, plan: PlannedMessage) -> messages.BuiltMessage:
         flow = plan.flow
         content_unit = f"ISA*{plan.number:010d}*".encode()
-        return messages.make(
+        return messages.build_message(
             flow.sender,
             flow.receiver,
             f"<{plan.number}.{self._run_tag}@{flow.sender}>",
@@ -162,10 +162,10 @@
         target = self.spec.relays[relay % len(self.spec.relays)]
         self._record_submission(submission, target.name)
         fields = [("Host", target.address), *item.message.headers]
-        data = http1.request("POST", "/as2", fields, item.message.body)
+        data = http1.encode_request("POST", "/as2", fields, item.message.body)
         timeout_at_s = self._loop.time() + self._patience_s(item)
         self._pool.call(
-            split(target.address), "POST", data, lambda answer: self._answered(submission, answer), timeout_at_s
+            split_address(target.address), "POST", data, lambda answer: self._answered(submission, answer), timeout_at_s
         )
 
     def _record_submission(self, submission: Submission, relay: str) -> None:
@@ -185,10 +185,10 @@
 
     # -- answers ---------------------------------------------------------------------------------------------
 
-    def _answered(self, submission: Submission, answer: client.Answer) -> None:
+    def _answered(self, submission: Submission, answer: client.CallResult) -> None:
         item = submission.item
         if answer.head is None:
-            self._lost(submission, answer.sight)
+            self._lost(submission, answer.wire_result)
         elif answer.head.status == 202 and item.plan.asynchronous:
             self.recorder.write(SubmissionAccepted(submission=submission.identifier, message_id=item.message_id))
             self._loop.call_later(self._patience_s(item), self._receipt_overdue, submission)
@@ -246,7 +246,7 @@
         if status != 200 or not item.plan.receipt:
             return "none"
         signer = self._relay if kind in RELAY_ANSWERS else self._partners.get(item.plan.flow.receiver)
-        return messages.check(item.message, headers, body, signer).status.value
+        return messages.check_receipt(item.message, headers, body, signer).status.value
 
     def _retry_later(
         self, submission: Submission, backoff_s: float, *, may_retry: bool, reached_nobody: bool = False
--- a/linnetstile/emulators/client_settings.py
+++ b/linnetstile/emulators/client_settings.py
@@ -7,19 +7,19 @@
 
 from pydantic import Field
 
-from ..config.files import Strict
+from ..config.files import StrictModel
 from ..config.relay import Address
 from ..engine.settings import Effect
 
 
-class RelaySpec(Strict):
+class RelaySpec(StrictModel):
     """A relay that clients submit to."""
 
     name: str
     address: Address
 
 
-class FlowSpec(Strict):
+class FlowSpec(StrictModel):
     """Messages of one class from one sender to one partner."""
 
     sender: str
@@ -29,7 +29,7 @@
     per_s: float = Field(gt=0)
 
 
-class Surge(Strict):
+class Surge(StrictModel):
     """A time with a multiple of the normal traffic."""
 
     at_s: float = Field(ge=0)
@@ -43,7 +43,7 @@
         return is_on and (not self.receivers or flow.receiver in self.receivers)
 
 
-class ClassSpec(Strict):
+class ClassSpec(StrictModel):
     """What clients know of a message class."""
 
     effect: Literal["safe", "keyed", "unsafe"]
@@ -55,7 +55,7 @@
         return Effect(self.effect) is not Effect.NON_IDEMPOTENT
 
 
-class ClientSpec(Strict):
+class ClientSpec(StrictModel):
     """The file of one emulator process."""
 
     seed: int = 1
--- a/linnetstile/emulators/discovery.py
+++ b/linnetstile/emulators/discovery.py
@@ -34,7 +34,7 @@
         ...
 
 
-def chunk(data: bytes) -> bytes:
+def http_chunk(data: bytes) -> bytes:
     """Return data as one chunk of an HTTP body (RFC 9112, 7.1)."""
     return b"%x\r\n%s\r\n" % (len(data), data)
 
@@ -57,7 +57,7 @@
     return _Request(method, url.path, dict(urllib.parse.parse_qsl(url.query)), target, body)
 
 
-class DiscoveryStand:
+class DiscoveryEmulator:
     """Serves lists, watches and notices on loopback.
 
     Attributes:
@@ -72,9 +72,9 @@
 
     def __init__(self, source: Source) -> None:
         self.source = source
-        self.silent = False
-        self.asked: list[str] = []
-        self.sent = 0
+        self.is_silent = False
+        self.requested_targets: list[str] = []
+        self.sent_bytes = 0
         self.notices: dict[str, str] = {}
         self.on_notice: Callable[[str, str], None] = lambda ref, result: None
         self.watches: set[asyncio.StreamWriter] = set()
@@ -86,13 +86,13 @@
         self._server = await asyncio.start_server(self._serve, "127.0.0.1", 0, limit=MAX_HEAD_BYTES)
         return int(self._server.sockets[0].getsockname()[1])
 
-    def tell(self, line: bytes) -> None:
+    def publish(self, line: bytes) -> None:
         """Send a change to every open watch."""
-        if not self.silent:
+        if not self.is_silent:
             for writer in self.watches:
-                self._write(writer, chunk(line))
+                self._write(writer, http_chunk(line))
 
-    def drop(self) -> None:
+    def drop_watches(self) -> None:
         """Break all watches."""
         for writer in list(self.watches):
             writer.transport.abort()
@@ -106,7 +106,7 @@
             self._server.close()
 
     def _write(self, writer: asyncio.StreamWriter, data: bytes) -> None:
-        self.sent += len(data)
+        self.sent_bytes += len(data)
         writer.write(data)
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -132,8 +132,8 @@
         if request.method != "GET" or request.path != "/api/targets":
             writer.write(b"HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n")
             return True
-        self.asked.append(request.target)
-        while self.silent:  # noqa: ASYNC110 - a test sets the flag directly, and half a heartbeat of delay is fine
+        self.requested_targets.append(request.target)
+        while self.is_silent:  # noqa: ASYNC110 - a test sets the flag directly, and half a heartbeat of delay is fine
             await asyncio.sleep(SILENCE_POLL_S)
         if request.query.get("follow") != "1":
             line = self.source.whole()
@@ -158,7 +158,7 @@
         changes = self.source.since(int(since)) if since.isdigit() else None
         writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
         for line in (self.source.whole() if changes is None else changes).splitlines(True):
-            self._write(writer, chunk(line))
+            self._write(writer, http_chunk(line))
         self.watches.add(writer)
 
     async def _keep_watch(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -168,5 +168,5 @@
                 if not await asyncio.wait_for(reader.read(READ_BYTES), HEARTBEAT_INTERVAL_S):
                     return
             except TimeoutError:
-                if not self.silent:
-                    writer.write(chunk(b"\n"))
+                if not self.is_silent:
+                    writer.write(http_chunk(b"\n"))
--- a/linnetstile/emulators/faults.py
+++ b/linnetstile/emulators/faults.py
@@ -8,7 +8,7 @@
 
 from pydantic import Field
 
-from ..config.files import Strict
+from ..config.files import StrictModel
 
 FaultKind = Literal[
     "hang",
@@ -38,7 +38,7 @@
     return any(fnmatch.fnmatchcase(partner, pattern) for pattern in patterns)
 
 
-class Fault(Strict):
+class Fault(StrictModel):
     """One fault at partners: from `at_s` for `for_s`, counted from the start of the run."""
 
     kind: FaultKind
--- a/linnetstile/emulators/messages.py
+++ b/linnetstile/emulators/messages.py
@@ -13,7 +13,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Made:
+class BuiltMessage:
     """A message ready to be posted.
 
     Attributes:
@@ -23,10 +23,10 @@
         opened: The content that the digest in its receipt is over.
     """
 
-    head: as2.Head
+    head: as2.As2Headers
     headers: list[HeaderField]
     body: bytes
-    opened: bytes
+    digested_content: bytes
 
 
 class ReceiptCheck(NamedTuple):
@@ -40,7 +40,7 @@
     return f"Content-Type: {content_type}\r\nContent-Transfer-Encoding: binary\r\n\r\n".encode() + content
 
 
-def make(
+def build_message(
     sender: str,
     receiver: str,
     message_id: str,
@@ -55,7 +55,7 @@
     signed_receipt: bool = True,
     reply_to: str = "",
     micalg: str = "sha-256",
-) -> Made:
+) -> BuiltMessage:
     """Build one message: plain, compressed, signed, encrypted, or a mix.
 
     Compression goes first, then the signature, then encryption (RFC 5402, 2; RFC 8551, 3.7).
@@ -91,8 +91,8 @@
         body_type, body = cms.encrypt(entity, encrypt_to)  # type: ignore[arg-type]
     headers: list[HeaderField] = [
         ("AS2-Version", "1.2"),
-        ("AS2-From", as2.quoted(sender)),
-        ("AS2-To", as2.quoted(receiver)),
+        ("AS2-From", as2.quote_name(sender)),
+        ("AS2-To", as2.quote_name(receiver)),
         ("Message-ID", message_id),
         ("Subject", subject),
         ("MIME-Version", "1.0"),
@@ -102,7 +102,7 @@
         headers += _receipt_request(sender, micalg if signed_receipt else None)
     if reply_to:
         headers.append(("Receipt-Delivery-Option", reply_to))
-    return Made(as2.Head.of(Headers(headers)), headers, body, opened)
+    return BuiltMessage(as2.As2Headers.parse(Headers(headers)), headers, body, opened)
 
 
 def _receipt_request(sender: str, signed_with: str | None) -> list[HeaderField]:
@@ -113,7 +113,7 @@
     return fields
 
 
-def check(made: Made, headers: Headers, body: bytes, signer: object | None) -> ReceiptCheck:
+def check_receipt(made: BuiltMessage, headers: Headers, body: bytes, signer: object | None) -> ReceiptCheck:
     """Find out what a receipt proves to the program of the client.
 
     Args:
@@ -122,30 +122,30 @@
         body: The body of the answer.
         signer: The certificate of who should have signed it.
     """
-    content_type, content, proven = headers.get("content-type"), body, not made.head.wish.signed
+    content_type, content, proven = headers.get("content-type"), body, not made.head.receipt_options.signed
     try:
-        if mime.content_type(content_type).name == "multipart/signed":
-            signed, signature = cms.signed_content(content_type, content)
+        if mime.parse_content_type(content_type).name == "multipart/signed":
+            signed, signature = cms.split_signed(content_type, content)
             if signer is not None:
                 cms.verify(signed, signature, signer)  # type: ignore[arg-type]
                 proven = True
-            inner = mime.entity(signed)
-            content_type, content = inner.headers.get("content-type"), inner.decoded()
+            inner = mime.parse_entity(signed)
+            content_type, content = inner.headers.get("content-type"), inner.decoded_body()
         receipt = mdn.parse(content_type, content)
     except cms.CmsError:
-        return ReceiptCheck(ReceiptStatus.UNPROVEN, None)
+        return ReceiptCheck(ReceiptStatus.UNVERIFIED, None)
     except (mime.MimeError, mdn.MdnError):
         return ReceiptCheck(ReceiptStatus.MISSING, None)
     return ReceiptCheck(_receipt_status(made, receipt, proven), receipt)
 
 
-def _receipt_status(made: Made, receipt: mdn.Mdn, proven: bool) -> ReceiptStatus:
-    if receipt.original_id != made.head.id:
+def _receipt_status(made: BuiltMessage, receipt: mdn.Mdn, proven: bool) -> ReceiptStatus:
+    if receipt.original_message_id != made.head.message_id:
         return ReceiptStatus.OTHER_MESSAGE
     if not proven:
-        return ReceiptStatus.UNPROVEN
-    if not receipt.positive:
+        return ReceiptStatus.UNVERIFIED
+    if not receipt.is_positive:
         return ReceiptStatus.NEGATIVE
-    if receipt.mic and cms.digest(made.opened, receipt.micalg) != receipt.mic:
+    if receipt.mic and cms.digest(made.digested_content, receipt.micalg) != receipt.mic:
         return ReceiptStatus.WRONG_MIC
     return ReceiptStatus.POSITIVE
--- a/linnetstile/emulators/partner.py
+++ b/linnetstile/emulators/partner.py
@@ -47,7 +47,7 @@
         return len(self.endpoints) == len(self.partner.endpoints)
 
 
-class Stand(PartnerEnvironment):
+class PartnerEmulator(PartnerEnvironment):
     """All partners of one process."""
 
     def __init__(self, spec: PartnersSpec) -> None:
@@ -59,18 +59,18 @@
         """Open all endpoints; return their ports by id."""
         for endpoint in self._endpoints():
             await endpoint.open()
-        self.plan()
+        self.schedule_outages()
         return {endpoint.spec.id: endpoint.port for endpoint in self._endpoints()}
 
     def _endpoints(self) -> list[Endpoint]:
         return [endpoint for partner in self.partners for endpoint in partner.endpoints]
 
-    def plan(self) -> None:
+    def schedule_outages(self) -> None:
         """Set the timers of all outages anew, counted from the start of the script."""
         loop = asyncio.get_running_loop()
         self._cancel_timers()
         for outage in self._outages():
-            start_s = max(0.0, outage.fault.at_s - self.seconds())
+            start_s = max(0.0, outage.fault.at_s - self.elapsed_s())
             self._timers += [
                 loop.call_later(start_s, self._begin_outage, outage),
                 loop.call_later(start_s + outage.fault.for_s, self._end_outage, outage),
@@ -87,7 +87,7 @@
     def _begin_outage(self, outage: _Outage) -> None:
         kind = outage.fault.kind
         if outage.is_whole_partner:
-            self.record.write(OutageChanged(partner=outage.partner.name, is_on=True, kind=kind))
+            self.recorder.write(OutageChanged(partner=outage.partner.name, is_on=True, kind=kind))
         for endpoint in outage.endpoints:
             if kind == "crash":
                 endpoint.close()
@@ -112,4 +112,4 @@
         for endpoint in self._endpoints():
             endpoint.close()
         self.pool.close()
-        self.record.flush()
+        self.recorder.flush()
--- a/linnetstile/emulators/partner_behavior.py
+++ b/linnetstile/emulators/partner_behavior.py
@@ -6,7 +6,7 @@
 import time
 
 from ..codec import as2, cms, mime
-from ..net.tls import Keys
+from ..net.tls import TlsContextFiles
 from .faults import Fault
 from .messages import HeaderField
 from .partner_call import PartnerCall
@@ -35,10 +35,12 @@
         self.spec = spec
         self.keys = KeyMemory(spec.keyed, spec.key_window_ms)
         self.tls = (
-            Keys(True, spec.tls_pem, None, spec.tls_clients, spec.tls_clients is not None) if spec.tls_pem else None
+            TlsContextFiles(True, spec.tls_pem, None, spec.tls_clients, spec.tls_clients is not None)
+            if spec.tls_pem
+            else None
         )
-        self._decryption = cms.load(spec.decrypt_pem.read_bytes()) if spec.decrypt_pem else None
-        identity = cms.load(spec.pem.read_bytes()) if spec.pem else None
+        self._decryption = cms.load_identity(spec.decrypt_pem.read_bytes()) if spec.decrypt_pem else None
+        identity = cms.load_identity(spec.pem.read_bytes()) if spec.pem else None
         self._receipts = ReceiptBuilder(spec.name, identity, environment.forger)
         self._rate_limit = make_rate_limit(spec, now_ms())
         self._slow_start = SlowStart(spec)
@@ -55,7 +57,7 @@
     def record_arrival(self) -> None:
         """Count a call; too many while it warms up overload the partner."""
         if self._slow_start.record_arrival(now_ms()):
-            self.environment.record.write(PartnerOverloaded(partner=self.spec.name))
+            self.environment.recorder.write(PartnerOverloaded(partner=self.spec.name))
 
     def is_repeat_of_key(self, call: PartnerCall) -> bool:
         """Whether the call's key is known as its work begins; a new one is remembered from then on."""
@@ -63,7 +65,7 @@
 
     def work_s(self, endpoint: int) -> float:
         """Draw how long the work of one call takes."""
-        elapsed_s = self.environment.seconds()
+        elapsed_s = self.environment.elapsed_s()
         work_ms = self.spec.work_ms * self.environment.rng.lognormvariate(0, self.spec.spread)
         work_ms /= self._slow_start.capacity_fraction(now_ms())
         for fault in self.environment.active_faults(self.spec.name, endpoint, elapsed_s):
@@ -82,7 +84,7 @@
         return 0.0
 
     def _shutdown_left_ms(self) -> float:
-        elapsed_s = self.environment.seconds()
+        elapsed_s = self.environment.elapsed_s()
         ends_s = max(
             (
                 fault.at_s + fault.for_s
@@ -105,8 +107,8 @@
         """Do the work of one message: the effect, unless it is a repeat, and the receipt."""
         headers = call.exchange.head.headers
         try:
-            head = as2.Head.of(headers)
-            content, _ = cms.opened(
+            head = as2.As2Headers.parse(headers)
+            content, _ = cms.open_layers(
                 headers.get("content-type"),
                 headers.get("content-transfer-encoding"),
                 call.exchange.body,
@@ -116,16 +118,16 @@
             return Response(400, [], f"{error}\n".encode())
         is_duplicate = bool(call.is_repeat_of_key)
         if not is_duplicate:
-            self.environment.record.write(
+            self.environment.recorder.write(
                 EffectApplied(**call.identity, subject=headers.get("subject"), is_repeat_of_key=call.is_repeat_of_key)
             )
         kind = fault.kind if fault else None
-        if not head.notify or kind == "no_receipt":
+        if not head.receipt_to or kind == "no_receipt":
             return Response(200, [])
         return self._receipts.build(head, content, is_duplicate, kind)
 
     def end_outage(self, kind: str) -> None:
         """All endpoints are back: the partner warms up."""
-        if self.environment.seconds() > 0:
+        if self.environment.elapsed_s() > 0:
             self._slow_start.begin(now_ms())
-        self.environment.record.write(OutageChanged(partner=self.spec.name, is_on=False, kind=kind))
+        self.environment.recorder.write(OutageChanged(partner=self.spec.name, is_on=False, kind=kind))
--- a/linnetstile/emulators/partner_call.py
+++ b/linnetstile/emulators/partner_call.py
@@ -54,10 +54,10 @@
             "endpoint": self.endpoint,
             "message_id": self.message_id,
             "relay": self.exchange.head.headers.get("via").removeprefix("1.1 "),
-            "connection": id(self.exchange.conn) % CONNECTION_MODULUS,
+            "connection": id(self.exchange.connection) % CONNECTION_MODULUS,
         }
 
     @property
     def can_be_answered(self) -> bool:
         """Whether it has no answer yet and the relay still waits."""
-        return not self.exchange.answered and not self.exchange.conn.dead
+        return not self.exchange.answered and not self.exchange.connection.is_closing
--- a/linnetstile/emulators/partner_endpoint.py
+++ b/linnetstile/emulators/partner_endpoint.py
@@ -55,16 +55,16 @@
         self.waiting: deque[PartnerCall] = deque()
         self._server: server.Server | None = None
         self._busy = 0
-        self._record = behavior.environment.record
+        self._record = behavior.environment.recorder
 
     async def open(self) -> None:
         """Listen on the port."""
         listener = server.Server(
             self._request_arrived,
             self._head_arrived,
-            http1.Limits(body=MAX_BODY_BYTES),
-            server.Bounds(head_s=CONNECTION_TIMEOUT_S, idle_s=CONNECTION_TIMEOUT_S),
-            keys=self.behavior.tls,
+            http1.Limits(max_body_bytes=MAX_BODY_BYTES),
+            server.ServerLimits(head_timeout_s=CONNECTION_TIMEOUT_S, idle_timeout_s=CONNECTION_TIMEOUT_S),
+            tls=self.behavior.tls,
         )
         self.port = await listener.start(port=self.port)
         self._server = listener
@@ -90,10 +90,10 @@
         fault = self._fault(call)
         crawls = fault is not None and fault.kind == "crawl"
         began = CallBegan(
-            at_ms=exchange.began * 1000, **call.identity, subject=call.subject, reads_slowly=crawls or None
+            at_ms=exchange.started_at * 1000, **call.identity, subject=call.subject, reads_slowly=crawls or None
         )
         self._record.write(began)
-        exchange.on_gone = lambda: self._record.write(CallCut(**call.identity))
+        exchange.on_disconnect = lambda: self._record.write(CallCut(**call.identity))
         if fault is not None and crawls:
             read_slowly(exchange, fault.crawl_bytes_per_s, lambda: self._crawls(call))
 
@@ -103,7 +103,7 @@
 
     def _request_arrived(self, exchange: server.RequestContext) -> None:
         call = self._call(exchange)
-        exchange.on_gone = lambda: self._caller_gone(call)
+        exchange.on_disconnect = lambda: self._caller_gone(call)
         fault = self._fault(call)
         self.behavior.record_arrival()
         if self.behavior.is_overloaded or not self._meets_fault(call, fault):
@@ -125,7 +125,7 @@
             return False  # never answered
         if kind == "garbage":
             self._record.write(CallAnswered(**call.identity, status=0, how="garbage"))
-            call.exchange.conn.transport.write(NOT_HTTP)
+            call.exchange.connection.transport.write(NOT_HTTP)
             return False
         if fault is not None and kind == "crawl":
             # A body that came in one piece has not been read before its time either.
@@ -144,7 +144,7 @@
     def _caller_gone(self, call: PartnerCall) -> None:
         """The caller closed before it was answered: it gave the call up. What was begun may run on."""
         self._record.write(CallClosed(**call.identity))
-        call.exchange.conn.transport.abort()
+        call.exchange.connection.transport.abort()
 
     # -- its work --------------------------------------------------------------------------------------------
 
@@ -202,12 +202,12 @@
     def _lose_answer(self, call: PartnerCall, fault: Fault) -> None:
         self._record_lost(call, "lost")
         if fault.how == "reset":
-            call.exchange.conn.transport.abort()
+            call.exchange.connection.transport.abort()
 
     def _reset_within_answer(self, call: PartnerCall, response: Response, after_bytes: int) -> None:
-        data = http1.response(response.status, response.headers, response.body)[:after_bytes]
+        data = http1.encode_response(response.status, response.headers, response.body)[:after_bytes]
         self._record_lost(call, "reset")
-        transport = call.exchange.conn.transport
+        transport = call.exchange.connection.transport
         transport.write(data)
         if data:
             asyncio.get_running_loop().call_later(RESET_DELAY_S, transport.abort)
@@ -216,10 +216,10 @@
 
     async def _trickle(self, call: PartnerCall, response: Response) -> None:
         """Write the answer byte by byte."""
-        data = http1.response(response.status, response.headers, response.body)
-        connection = call.exchange.conn
+        data = http1.encode_response(response.status, response.headers, response.body)
+        connection = call.exchange.connection
         for position in range(len(data)):
-            if connection.dead:
+            if connection.is_closing:
                 return
             connection.transport.write(data[position : position + 1])
             await asyncio.sleep(TRICKLE_INTERVAL_S)
@@ -231,14 +231,14 @@
 
     def _post_receipt(self, call: PartnerCall, receipt: Response) -> None:
         url = urllib.parse.urlsplit(call.exchange.head.headers.get("receipt-delivery-option"))
-        data = http1.request("POST", url.path or "/", [("Host", url.netloc), *receipt.headers], receipt.body)
+        data = http1.encode_request("POST", url.path or "/", [("Host", url.netloc), *receipt.headers], receipt.body)
         identity, is_repeat_of_key = call.identity, call.is_repeat_of_key
         self.behavior.environment.pool.call(
             (url.hostname or "127.0.0.1", url.port or 80),
             "POST",
             data,
             lambda answer: self._record.write(
-                ReceiptPosted(**identity, how=answer.sight.value, is_repeat_of_key=is_repeat_of_key)
+                ReceiptPosted(**identity, how=answer.wire_result.value, is_repeat_of_key=is_repeat_of_key)
             ),
             asyncio.get_running_loop().time() + RECEIPT_TIMEOUT_S,
         )
--- a/linnetstile/emulators/partner_environment.py
+++ b/linnetstile/emulators/partner_environment.py
@@ -28,15 +28,15 @@
     def __init__(self, spec: PartnersSpec) -> None:
         self.spec = spec
         self.rng = random.Random(spec.seed)
-        self.record = Recorder(spec.record)
-        self.t0 = spec.t0_ms if spec.t0_ms is not None else now_ms()
-        self.pool = client.Pool()
+        self.recorder = Recorder(spec.record)
+        self.script_start_ms = spec.t0_ms if spec.t0_ms is not None else now_ms()
+        self.pool = client.ConnectionPool()
         has_forgery = any(fault.kind == "forged_receipt" for fault in spec.faults)
         self.forger = cms.make_identity("nobody") if has_forgery else None
 
-    def seconds(self) -> float:
+    def elapsed_s(self) -> float:
         """Return the time since the start of the script in s; negative before it."""
-        return (now_ms() - self.t0) / 1000
+        return (now_ms() - self.script_start_ms) / 1000
 
     def active_faults(self, partner: str, endpoint: int, elapsed_s: float) -> Iterator[Fault]:
         """Yield the faults that are on for an endpoint at a time, in the order of the script."""
@@ -46,7 +46,7 @@
 
     def fault_of_call(self, partner: str, endpoint: int, subject: str) -> Fault | None:
         """Draw the fault that one call meets: the first in the order of the script, or None."""
-        for fault in self.active_faults(partner, endpoint, self.seconds()):
+        for fault in self.active_faults(partner, endpoint, self.elapsed_s()):
             if fnmatch.fnmatchcase(subject, fault.subject) and self.rng.random() < fault.share:
                 return fault
         return None
--- a/linnetstile/emulators/partner_receipts.py
+++ b/linnetstile/emulators/partner_receipts.py
@@ -33,7 +33,9 @@
         self._forger = forger
         self._serial = itertools.count(1)
 
-    def build(self, head: as2.Head, content: bytes | None, is_duplicate: bool, fault: FaultKind | None) -> Response:
+    def build(
+        self, head: as2.As2Headers, content: bytes | None, is_duplicate: bool, fault: FaultKind | None
+    ) -> Response:
         """Build the receipt for a message.
 
         Args:
@@ -42,28 +44,28 @@
             is_duplicate: Whether it was processed before.
             fault: What is wrong with the receipt, if anything.
         """
-        micalg = head.wish.micalgs[0] if head.wish.micalgs else DEFAULT_DIGEST
+        micalg = head.receipt_options.micalgs[0] if head.receipt_options.micalgs else DEFAULT_DIGEST
         digested = content if content is not None and fault != "wrong_mic" else OTHER_CONTENT
         receipt = mdn.Mdn(
-            head.id,
+            head.message_id,
             head.receiver,
             modifier="warning" if is_duplicate else "",
             detail="duplicate-document" if is_duplicate else "",
             mic=cms.digest(digested, micalg),
             micalg=micalg,
         )
-        content_type, body = receipt.build()
+        content_type, body = receipt.encode()
         identity = self._forger if fault == "forged_receipt" else self._identity
-        if head.wish.signed and identity is not None:
+        if head.receipt_options.signed and identity is not None:
             entity = f"Content-Type: {content_type}\r\n\r\n".encode() + body
             content_type, body = cms.sign(entity, identity, micalg if micalg in SIGNATURE_DIGESTS else DEFAULT_DIGEST)
         return Response(200, self._headers(head, content_type), body)
 
-    def _headers(self, head: as2.Head, content_type: str) -> list[HeaderField]:
+    def _headers(self, head: as2.As2Headers, content_type: str) -> list[HeaderField]:
         return [
             ("Content-Type", content_type),
             ("AS2-Version", "1.2"),
-            ("AS2-From", as2.quoted(head.receiver)),
-            ("AS2-To", as2.quoted(head.sender)),
+            ("AS2-From", as2.quote_name(head.receiver)),
+            ("AS2-To", as2.quote_name(head.sender)),
             ("Message-ID", f"<{int(now_ms())}.{next(self._serial)}@{self._partner}>"),
         ]
--- a/linnetstile/emulators/partner_settings.py
+++ b/linnetstile/emulators/partner_settings.py
@@ -7,11 +7,11 @@
 
 from pydantic import Field
 
-from ..config.files import Strict
+from ..config.files import StrictModel
 from .faults import Fault
 
 
-class EndpointSpec(Strict):
+class EndpointSpec(StrictModel):
     """One endpoint; port 0 = any free one."""
 
     id: int
@@ -19,7 +19,7 @@
     zone: str = ""
 
 
-class PartnerSpec(Strict):
+class PartnerSpec(StrictModel):
     """One partner: its endpoints, how fast it works, what it limits, how it answers."""
 
     name: str
@@ -47,7 +47,7 @@
     fall_ms: float = 1500.0  # window in which those are counted
 
 
-class PartnersSpec(Strict):
+class PartnersSpec(StrictModel):
     """The file of one emulator process."""
 
     seed: int = 1
--- a/linnetstile/emulators/record.py
+++ b/linnetstile/emulators/record.py
@@ -51,7 +51,7 @@
     return row
 
 
-def read(path: Path) -> Iterator[dict[str, Any]]:
+def read_record(path: Path) -> Iterator[dict[str, Any]]:
     """Yield the rows of one record.
 
     A torn last line is passed over: its writer was killed.
--- a/linnetstile/emulators/registry.py
+++ b/linnetstile/emulators/registry.py
@@ -15,7 +15,7 @@
 
 from pydantic import Field
 
-from ..config.files import Strict
+from ..config.files import StrictModel
 from ..net import server
 from .record import Recorder, now_ms
 from .traffic_events import ListSent
@@ -31,7 +31,7 @@
 RegistryFaultKind = Literal["fail", "stale", "slow", "garbage"]
 
 
-class Change(Strict):
+class Change(StrictModel):
     """At `at_s` the entry `id` gets these values; a new id is an added endpoint."""
 
     at_s: float = Field(ge=0)
@@ -40,7 +40,7 @@
     entry: Entry | None = None  # the full entry, for an added one
 
 
-class RegistryFault(Strict):
+class RegistryFault(StrictModel):
     """One fault of the registry: from `at_s` for `for_s`, counted from the start of the run."""
 
     kind: RegistryFaultKind
@@ -52,7 +52,7 @@
         return self.at_s <= elapsed_s < self.at_s + self.for_s
 
 
-class RegisterSpec(Strict):
+class RegistrySpec(StrictModel):
     """The settings file of the registry emulator."""
 
     port: int = 0
@@ -80,10 +80,10 @@
 
 
 def _can_be_answered(exchange: server.RequestContext) -> bool:
-    return not exchange.answered and not exchange.conn.dead
+    return not exchange.answered and not exchange.connection.is_closing
 
 
-class RegisterStand:
+class RegistryEmulator:
     """Serves the list of endpoints.
 
     Attributes:
@@ -95,10 +95,10 @@
         port: Where it listens, once it does.
     """
 
-    def __init__(self, spec: RegisterSpec) -> None:
+    def __init__(self, spec: RegistrySpec) -> None:
         self.spec = spec
-        self.record = Recorder(spec.record)
-        self.t0 = spec.t0_ms if spec.t0_ms is not None else now_ms()
+        self.recorder = Recorder(spec.record)
+        self.script_start_ms = spec.t0_ms if spec.t0_ms is not None else now_ms()
         self.version = 1
         self.entries: dict[int, Entry] = {entry["id"]: dict(entry) for entry in spec.entries}
         self.port = spec.port
@@ -108,7 +108,7 @@
 
     async def start(self) -> int:
         """Listen; return the port."""
-        self._server = server.Server(self._request_arrived, bounds=server.Bounds(idle_s=IDLE_TIMEOUT_S))
+        self._server = server.Server(self._request_arrived, limits=server.ServerLimits(idle_timeout_s=IDLE_TIMEOUT_S))
         self.port = await self._server.start(port=self.spec.port)
         self._schedule_changes()
         return self.port
@@ -117,19 +117,19 @@
         loop = asyncio.get_running_loop()
         for change in self.spec.changes:
             delay_s = change.at_s + self.spec.lag_ms / 1000 - self._elapsed_s()
-            loop.call_later(max(0.0, delay_s), self.change, change)
+            loop.call_later(max(0.0, delay_s), self.apply_change, change)
 
     def _elapsed_s(self) -> float:
-        return (now_ms() - self.t0) / 1000
+        return (now_ms() - self.script_start_ms) / 1000
 
     def _fault(self) -> RegistryFaultKind | None:
         elapsed_s = self._elapsed_s()
         return next((fault.kind for fault in self.spec.troubles if fault.is_active(elapsed_s)), None)
 
-    def change(self, change: Change) -> None:
+    def apply_change(self, change: Change) -> None:
         """Apply a change now, or once the registry is no longer stale."""
         if self._fault() == "stale":
-            asyncio.get_running_loop().call_later(STALE_RETRY_S, self.change, change)
+            asyncio.get_running_loop().call_later(STALE_RETRY_S, self.apply_change, change)
             return
         self.version += 1
         self.entries.setdefault(change.id, {}).update(change.entry or {"id": change.id}, status=change.status)
@@ -197,7 +197,7 @@
             is_full=is_full,
             statuses={str(entry["id"]): entry["status"] for entry in entries},
         )
-        self.record.write(sent)
+        self.recorder.write(sent)
         body = json.dumps({"version": self.version, "entries": entries}).encode()
         exchange.reply(200, [("Content-Type", "application/json")], body)
 
@@ -205,4 +205,4 @@
         """End the listener and flush the record."""
         if self._server:
             self._server.close()
-        self.record.flush()
+        self.recorder.flush()
--- a/linnetstile/emulators/slow_reading.py
+++ b/linnetstile/emulators/slow_reading.py
@@ -13,19 +13,19 @@
 
     What the kernels of both ends buffer is full soon enough.
     """
-    connection, loop = exchange.conn, asyncio.get_running_loop()
-    connection.hungry = False
+    connection, loop = exchange.connection, asyncio.get_running_loop()
+    connection.uses_large_buffer = False
     receive = connection.received
 
     def resume() -> None:
-        if not connection.dead:
+        if not connection.is_closing:
             connection.transport.resume_reading()
 
     def receive_slowly(data: memoryview) -> None:
         receive(data)
-        if connection.current is not exchange:  # the next requests of the connection are read at full speed
+        if connection.current_request is not exchange:  # the next requests of the connection are read at full speed
             connection.received = receive  # type: ignore[method-assign]
-        elif not connection.read and is_on():
+        elif not connection.request_complete and is_on():
             connection.transport.pause_reading()
             loop.call_later(len(data) / bytes_per_s, resume)
 
--- a/linnetstile/engine/attempt_outcome.py
+++ b/linnetstile/engine/attempt_outcome.py
@@ -35,9 +35,9 @@
 class ReceiptStatus(Enum):
     """What receipt came with, or after, a 2xx answer."""
 
-    NOT_ASKED = "not_asked"
+    NOT_REQUESTED = "not_asked"
     MISSING = "missing"  # a receipt was requested, and none can be read
-    UNPROVEN = "unproven"  # unsigned, or signed by someone else, where a signature was requested
+    UNVERIFIED = "unproven"  # unsigned, or signed by someone else, where a signature was requested
     OTHER_MESSAGE = "other_message"  # names another Message-ID
     WRONG_MIC = "wrong_mic"
     POSITIVE = "positive"
@@ -61,7 +61,7 @@
     wire_result: WireResult
     status: int = 0
     retry_after_ms: float | None = None
-    receipt: ReceiptStatus = ReceiptStatus.NOT_ASKED
+    receipt: ReceiptStatus = ReceiptStatus.NOT_REQUESTED
     request_complete: bool = True
     after_deadline: bool = False
 
@@ -98,7 +98,7 @@
     WireResult.CANCELLED: AttemptVerdict(Outcome.CANCELLED, "cancelled: may have run"),
 }
 VERDICT_BY_RECEIPT = {
-    ReceiptStatus.NOT_ASKED: AttemptVerdict(Outcome.OK, "taken; no receipt was asked for", is_final=True),
+    ReceiptStatus.NOT_REQUESTED: AttemptVerdict(Outcome.OK, "taken; no receipt was asked for", is_final=True),
     ReceiptStatus.POSITIVE: AttemptVerdict(Outcome.OK, "receipt holds", is_final=True),
     # An earlier attempt took effect, of this relay or of one before it: delivered (RFC 4130, 7.5.4).
     ReceiptStatus.DUPLICATE: AttemptVerdict(Outcome.OK, "processed before: duplicate-document", is_final=True),
@@ -106,7 +106,7 @@
     ReceiptStatus.NEGATIVE: AttemptVerdict(Outcome.OK, "receipt says not processed", is_final=True),
     # The rest proves nothing about what was done with which bytes.
     ReceiptStatus.MISSING: AttemptVerdict(Outcome.ERROR, "2xx without the receipt asked for: may have run"),
-    ReceiptStatus.UNPROVEN: AttemptVerdict(Outcome.ERROR, "receipt not signed by the partner: may have run"),
+    ReceiptStatus.UNVERIFIED: AttemptVerdict(Outcome.ERROR, "receipt not signed by the partner: may have run"),
     ReceiptStatus.OTHER_MESSAGE: AttemptVerdict(Outcome.ERROR, "receipt of another message: may have run"),
     ReceiptStatus.WRONG_MIC: AttemptVerdict(Outcome.ERROR, "receipt for other content: may have run"),
 }
--- a/linnetstile/engine/fair_share.py
+++ b/linnetstile/engine/fair_share.py
@@ -161,7 +161,7 @@
             for node in root.descendants():
                 yield tree, node
 
-    def fair_part(self, node: ShareNode, resource: int) -> float:
+    def fair_share(self, node: ShareNode, resource: int) -> float:
         """Return the fair share of a node of one resource (`BYTES` or `MESSAGES`)."""
         return node.fair_share_of(self.capacity[resource])
 
@@ -270,7 +270,7 @@
         return any(self._exceeds_share(node, amount) for leaf in reservation.leaves for node in leaf.lineage())
 
     def _exceeds_share(self, node: ShareNode, amount: ResourceAmount) -> bool:
-        return any(node.used[resource] + amount[resource] > self.fair_part(node, resource) for resource in RESOURCES)
+        return any(node.used[resource] + amount[resource] > self.fair_share(node, resource) for resource in RESOURCES)
 
     def _count_underserved(self) -> None:
         requests = self.rotation.first_requests(MAX_UNDERSERVED_CHECKED)
--- a/linnetstile/engine/gossip.py
+++ b/linnetstile/engine/gossip.py
@@ -243,12 +243,12 @@
     health = _RouteHealth(outage_ages=[], slow_start_ages=[])
     for source, claim in claims:
         if not claim.claims_outage:
-            if claim.cold_age is not None:
-                health.slow_start_ages.append(claim.cold_age)
+            if claim.slow_start_age_ms is not None:
+                health.slow_start_ages.append(claim.slow_start_age_ms)
             continue
         reason = _outage_rejection_reason(source, claim, claims, distrusted)
         if reason is None:
-            health.outage_ages.append(min(claim.out_age or 0.0, MAX_OUTAGE_MS))
+            health.outage_ages.append(min(claim.outage_age_ms or 0.0, MAX_OUTAGE_MS))
         else:
             rejected.append(RejectedClaim(source.name, claim.partner, reason))
     return health
@@ -258,7 +258,7 @@
     source: ClaimSource, claim: RouteClaim, claims: list[AttributedClaim], distrusted: set[str]
 ) -> str | None:
     """Return why a claimed outage is not credible, or None."""
-    if evidence_weight(claim.failed_age) < MIN_EVIDENCE_WEIGHT:
+    if evidence_weight(claim.failure_age_ms) < MIN_EVIDENCE_WEIGHT:
         return STALE_OUTAGE
     if source.name in distrusted:
         return DISTRUSTED_SOURCE
@@ -272,22 +272,22 @@
     """Return the longest Retry-After (ms): one that this relay received in full, another one as a bounded caution."""
     longest = 0.0
     for source, claim in claims:
-        wait_ms = claim.wait_ms if source.own else min(claim.wait_ms, MAX_RETRY_AFTER_MS)
+        wait_ms = claim.retry_after_ms if source.own else min(claim.retry_after_ms, MAX_RETRY_AFTER_MS)
         longest = max(longest, wait_ms)
     return longest
 
 
 def _merge_rate(claims: list[AttributedClaim]) -> float:
-    return lower_median([claim.pace for _, claim in claims if claim.pace > 0 and claim.is_fresh])
+    return lower_median([claim.rate for _, claim in claims if claim.rate > 0 and claim.is_fresh])
 
 
 def merge_latency(claims: list[AttributedClaim]) -> MergedLatency:
     """Return the weighted median of the claimed latencies: one that is wrong, however far, moves it by one place."""
     latencies = sorted(
-        _WeightedLatency(claim.mean_ms, claim.dev_ms, claim.latency_weight)
+        _WeightedLatency(claim.latency_mean_ms, claim.latency_deviation_ms, claim.latency_weight)
         for _, claim in claims
         if claim.answers >= MIN_LATENCY_ANSWERS
-        and claim.mean_ms >= MIN_LATENCY_MS
+        and claim.latency_mean_ms >= MIN_LATENCY_MS
         and claim.latency_weight >= MIN_EVIDENCE_WEIGHT
     )
     total_weight = sum(latency.weight for latency in latencies)
--- a/linnetstile/engine/route_claims.py
+++ b/linnetstile/engine/route_claims.py
@@ -34,16 +34,16 @@
     # The endpoints that it was learned from. Where none of them is the partner's now, or an id belongs to another
     # partner since, the claim is about somebody else.
     endpoints: tuple[int, ...]
-    answered_age: float | None = None  # of the latest answer
-    failed_age: float | None = None  # of the latest failure that no rate limit explains
-    out_age: float | None = None  # of the first failure of the present outage
-    cold_age: float | None = None  # since the route returned from an outage
-    wait_ms: float = 0.0  # what is left of a Retry-After
-    mean_ms: float = 0.0  # mean latency
-    dev_ms: float = 0.0  # deviation of the latency
+    answer_age_ms: float | None = None  # of the latest answer
+    failure_age_ms: float | None = None  # of the latest failure that no rate limit explains
+    outage_age_ms: float | None = None  # of the first failure of the present outage
+    slow_start_age_ms: float | None = None  # since the route returned from an outage
+    retry_after_ms: float = 0.0  # what is left of a Retry-After
+    latency_mean_ms: float = 0.0  # mean latency
+    latency_deviation_ms: float = 0.0  # deviation of the latency
     answers: int = 0  # answers that the latency is from
-    knowers: float = 1.0  # relays that may know of the outage, those that were notified included
-    pace: float = 0.0  # requests a second to which rejections throttle it now; 0 = not throttled
+    aware_relays: float = 1.0  # relays that may know of the outage, those that were notified included
+    rate: float = 0.0  # requests a second to which rejections throttle it now; 0 = not throttled
 
     @property
     def key(self) -> RouteKey:
@@ -53,7 +53,7 @@
     @property
     def latest_evidence_age_ms(self) -> float:
         """Age (ms) of the youngest evidence, infinite without any."""
-        ages = (self.answered_age, self.failed_age, self.cold_age)
+        ages = (self.answer_age_ms, self.failure_age_ms, self.slow_start_age_ms)
         return min((age for age in ages if age is not None), default=NEVER_AGE_MS)
 
     @property
@@ -64,31 +64,37 @@
     @property
     def latency_weight(self) -> float:
         """Weight of the latency, by the age of the latest answer."""
-        return evidence_weight(self.answered_age, LATENCY_HALF_LIFE_MS)
+        return evidence_weight(self.answer_age_ms, LATENCY_HALF_LIFE_MS)
 
     @property
     def claims_outage(self) -> bool:
         """Whether it says that the route is out now: no answer came since the outage began."""
-        if self.out_age is None:
+        if self.outage_age_ms is None:
             return False
-        return self.answered_age is None or self.answered_age >= self.out_age
+        return self.answer_age_ms is None or self.answer_age_ms >= self.outage_age_ms
 
     @property
     def is_plausible(self) -> bool:
         """Whether all ages and figures are in their possible ranges."""
-        ages = (self.answered_age, self.failed_age, self.out_age, self.cold_age)
-        figures = [*(age for age in ages if age is not None), self.wait_ms, self.dev_ms, self.knowers, self.pace]
+        ages = (self.answer_age_ms, self.failure_age_ms, self.outage_age_ms, self.slow_start_age_ms)
+        figures = [
+            *(age for age in ages if age is not None),
+            self.retry_after_ms,
+            self.latency_deviation_ms,
+            self.aware_relays,
+            self.rate,
+        ]
         if not all(0 <= figure < float("inf") for figure in figures):
             return False
-        return 0 <= self.mean_ms <= MAX_LATENCY_MS
+        return 0 <= self.latency_mean_ms <= MAX_LATENCY_MS
 
     def contradicts(self, claim: RouteClaim) -> bool:
         """Whether this claim has a recent answer of the same route after the latest failure of the other claim."""
         if self.partner != claim.partner or self.route != claim.route:
             return False
-        if self.answered_age is None or evidence_weight(self.answered_age) < MIN_EVIDENCE_WEIGHT:
+        if self.answer_age_ms is None or evidence_weight(self.answer_age_ms) < MIN_EVIDENCE_WEIGHT:
             return False
-        return claim.failed_age is None or self.answered_age < claim.failed_age
+        return claim.failure_age_ms is None or self.answer_age_ms < claim.failure_age_ms
 
     def aged(self, ms: float) -> RouteClaim:
         """Return the claim as it is so much later."""
@@ -98,11 +104,11 @@
 
         return replace(
             self,
-            answered_age=older(self.answered_age),
-            failed_age=older(self.failed_age),
-            out_age=older(self.out_age),
-            cold_age=older(self.cold_age),
-            wait_ms=max(0.0, self.wait_ms - ms),
+            answer_age_ms=older(self.answer_age_ms),
+            failure_age_ms=older(self.failure_age_ms),
+            outage_age_ms=older(self.outage_age_ms),
+            slow_start_age_ms=older(self.slow_start_age_ms),
+            retry_after_ms=max(0.0, self.retry_after_ms - ms),
         )
 
 
--- a/linnetstile/engine/watch_policy.py
+++ b/linnetstile/engine/watch_policy.py
@@ -32,7 +32,7 @@
 
 
 def watch_deadline(
-    last_byte_at: float, useful: bool, element_started_at: float | None, asked: float | None = None
+    last_byte_at: float, useful: bool, element_started_at: float | None, opened_at: float | None = None
 ) -> float:
     """Return how long to wait for a watch, as a time (s). It bounds silence, and also data that trickles.
 
@@ -41,13 +41,13 @@
         useful: Whether what the watch asked for at its opening has come.
         element_started_at: Time (s) at which the element that is incomplete began, None between elements. The elements
             of a long list are progress: the time starts again with each of them.
-        asked: Time (s) at which the watch was opened, where it resumes from a version and no more than its head has
+        opened_at: Time (s) at which the watch was opened, where it resumes from a version and no more than its head has
             come: it leads somewhere, and may have nothing to deliver. Else None.
     """
     if element_started_at is not None:
         return min(last_byte_at + ELEMENT_STALL_S, element_started_at + WATCH_SILENCE_S)
-    if not useful and asked is not None:
-        return asked + WATCH_SILENCE_S
+    if not useful and opened_at is not None:
+        return opened_at + WATCH_SILENCE_S
     return last_byte_at + (WATCH_SILENCE_S if useful else FIRST_ELEMENT_S)
 
 
@@ -97,12 +97,12 @@
     """Guards against a list older than the current one, which would bring back endpoints that have left.
 
     Attributes:
-        newest: Version of the last list that was read to its end; None without one.
+        newest_version: Version of the last list that was read to its end; None without one.
         older_list_rejected: Whether the last full list was older and rejected.
     """
 
     def __init__(self) -> None:
-        self.newest: int | None = None
+        self.newest_version: int | None = None
         self.older_list_rejected = False
 
     def accepts(self, version: int | None, is_full: bool) -> bool:
@@ -115,7 +115,7 @@
             version: Version of the list; None without one.
             is_full: Whether it is a full list, not changes.
         """
-        is_older = version is not None and self.newest is not None and version < self.newest
+        is_older = version is not None and self.newest_version is not None and version < self.newest_version
         if not is_older or (is_full and self.older_list_rejected):
             return True
         self.older_list_rejected = self.older_list_rejected or is_full
@@ -129,4 +129,4 @@
         if version is None:
             return  # there is nothing to compare later lists with
         self.older_list_rejected = False
-        self.newest = version
+        self.newest_version = version
