--- a/linnetstile/net/client.py
+++ b/linnetstile/net/client.py
@@ -9,30 +9,30 @@
 import asyncio
 
 from ..codec import http1
-from .client_call import Address, Answer, Call, RequestBytes, TlsParameters, shown
+from .client_call import Address, Call, CallResult, RequestBytes, TlsParameters, format_address
 from .client_connection import ClientConnection
-from .client_pool import Pool, Rates
+from .client_pool import ConnectionPool, MinimumRates
 
 __all__ = [
     "Address",
-    "Answer",
+    "CallResult",
     "Call",
     "ClientConnection",
-    "Pool",
-    "Rates",
+    "ConnectionPool",
+    "MinimumRates",
     "RequestBytes",
     "TlsParameters",
-    "once",
-    "shown",
+    "call_once",
+    "format_address",
 ]
 
 
-async def once(
+async def call_once(
     address: Address, method: str, data: RequestBytes, seconds: float, limits: http1.Limits | None = None
-) -> Answer:
+) -> CallResult:
     """Make one call, with a timeout in seconds, on a connection of its own; for tools."""
-    answered: asyncio.Future[Answer] = asyncio.get_running_loop().create_future()
-    pool = Pool(limits=limits)
+    answered: asyncio.Future[CallResult] = asyncio.get_running_loop().create_future()
+    pool = ConnectionPool(limits=limits)
     try:
         pool.call(address, method, data, answered.set_result, asyncio.get_running_loop().time() + seconds)
         return await answered
--- a/linnetstile/net/client_call.py
+++ b/linnetstile/net/client_call.py
@@ -10,7 +10,7 @@
 
 from ..codec import http1
 from ..engine.attempt_outcome import WireResult
-from .tls_context import Keys
+from .tls_context import TlsContextFiles
 
 if TYPE_CHECKING:
     from .client_connection import ClientConnection
@@ -21,33 +21,33 @@
 # The bytes of a request: in one piece, or its head and its body.
 RequestBytes = bytes | tuple[bytes, bytes]
 # The TLS context to connect with, and the name that the peer's certificate is to show.
-TlsParameters = tuple[Keys, str]
+TlsParameters = tuple[TlsContextFiles, str]
 
 
-def shown(address: Address) -> str:
+def format_address(address: Address) -> str:
     """Return the address as `HOST:PORT`, or the path of a local socket."""
     return address if isinstance(address, str) else f"{address[0]}:{address[1]}"
 
 
 @dataclass(frozen=True, slots=True)
-class Answer:
+class CallResult:
     """How a call ended."""
 
-    sight: WireResult
+    wire_result: WireResult
     head: http1.Response | None = None  # only where the call was answered
     body: bytes = b""
     # The last byte of the request had left this process, so that the peer may have had all of it.
-    whole: bool = True
+    request_complete: bool = True
     # The status in the first line of a response whose rest has not come or can't be read; 0 = none can be read.
-    claimed: int = 0
-    reused: bool = False  # it went out on a connection kept from an earlier call
+    claimed_status: int = 0
+    reused_connection: bool = False  # it went out on a connection kept from an earlier call
 
 
 class Call:
-    """One request on its way. Its callback is called once, never from within `Pool.call`."""
+    """One request on its way. Its callback is called once, never from within `ConnectionPool.call`."""
 
-    def __init__(self, done: Callable[[Answer], None]) -> None:
-        self.done: Callable[[Answer], None] | None = done
+    def __init__(self, on_done: Callable[[CallResult], None]) -> None:
+        self.on_done: Callable[[CallResult], None] | None = on_done
         self.connection: ClientConnection | None = None
         self.connecting: asyncio.Task[None] | None = None
         self.reused_connection = False
@@ -55,25 +55,25 @@
         self.send_before = math.inf  # loop time, s
         self.timer: asyncio.TimerHandle | None = None
 
-    def finish(self, result: Answer) -> None:
+    def finish(self, result: CallResult) -> None:
         """Tell the caller, if it still waits, how the call ended."""
-        done, self.done = self.done, None
+        done, self.on_done = self.on_done, None
         if self.timer:
             self.timer.cancel()
         if done:
-            done(replace(result, reused=True) if self.reused_connection else result)
+            done(replace(result, reused_connection=True) if self.reused_connection else result)
 
-    def forget(self) -> None:
+    def detach(self) -> None:
         """Call nobody back; the connection may still end its exchange in order and be kept."""
-        self.done = None
+        self.on_done = None
 
     def abort(self, result: WireResult) -> None:
         """End the call now, with this result unless the request can't have been sent."""
         self._end(self._unsent_result() or result)
 
-    def recall(self) -> None:
+    def cancel_if_unsent(self) -> None:
         """End the call as not sent if the peer can't have had all of the request; else change nothing."""
-        if self.done is not None and self._unsent_result():
+        if self.on_done is not None and self._unsent_result():
             self._end(WireResult.NOT_SENT)
 
     def _unsent_result(self) -> WireResult | None:
@@ -83,7 +83,11 @@
         """
         if self.connecting:
             return WireResult.NO_CONNECTION
-        return WireResult.REQUEST_INCOMPLETE if self.connection is not None and self.connection.partial else None
+        return (
+            WireResult.REQUEST_INCOMPLETE
+            if self.connection is not None and self.connection.request_incomplete
+            else None
+        )
 
     def _end(self, result: WireResult) -> None:
         """Close the connection too: one on which a request is out can't be kept."""
@@ -93,6 +97,6 @@
         claimed_status = 0
         if connection:
             connection.call = None
-            claimed_status = connection.parser.claimed
+            claimed_status = connection.parser.early_status
             connection.transport.abort()
-        self.finish(Answer(result, claimed=claimed_status))
+        self.finish(CallResult(result, claimed_status=claimed_status))
--- a/linnetstile/net/client_connection.py
+++ b/linnetstile/net/client_connection.py
@@ -8,11 +8,11 @@
 
 from ..codec import http1
 from ..engine.attempt_outcome import WireResult
-from .client_call import Address, Answer, Call, RequestBytes
+from .client_call import Address, Call, CallResult, RequestBytes
 from .connection import BufferedConnection
 
 if TYPE_CHECKING:
-    from .client_pool import Pool
+    from .client_pool import ConnectionPool
 
 # What is left of a response that counts already may take so long, or its connection is closed.
 RESPONSE_TAIL_TIMEOUT_S = 1.0
@@ -21,7 +21,7 @@
 class ClientConnection(BufferedConnection):
     """A connection to a peer, in use by one call or idle in its pool."""
 
-    def __init__(self, pool: Pool, address: Address) -> None:
+    def __init__(self, pool: ConnectionPool, address: Address) -> None:
         self.pool = pool
         self.address = address
         self.parser = http1.Parser(client=True, limits=pool.limits)
@@ -30,21 +30,21 @@
         self.body_pieces: list[bytes] = []
         self.idle_since = 0.0  # loop time, s
         self.withheld_end = b""  # the last byte of a request, while it is held back
-        self.began = pool.loop.time()  # loop time, s, at which the current or last call was sent
-        self.start_rate_meters(pool.rates.response, pool.rates.request, pool.rates.grace_s)
+        self.call_started_at = pool.loop.time()  # loop time, s, at which the current or last call was sent
+        self.start_rate_meters(pool.rates.response_rate, pool.rates.request_rate, pool.rates.grace_s)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Enter the pool's set of open connections. Called by asyncio."""
         super().connection_made(transport)
-        self.pool.open.add(self)
+        self.pool.connections.add(self)
 
     @property
-    def partial(self) -> bool:
+    def request_incomplete(self) -> bool:
         """Whether a byte of the request has not left this process.
 
         RFC 9112, 8: what is not complete can't be acted on, and an AS2 message has its digest over all of it.
         """
-        return self.write_paused or self.queued > 0 or bool(self.withheld_end)
+        return self.write_paused or self.queued_bytes > 0 or bool(self.withheld_end)
 
     def abort_if_unsolicited_input(self) -> bool:
         """Close an idle connection whose peer has sent something, or has closed it.
@@ -55,7 +55,7 @@
         Returns:
             Whether it was closed.
         """
-        if self.speaks:
+        if self.has_unread_input:
             self.transport.abort()
             return True
         return False
@@ -66,38 +66,38 @@
         Returns:
             False if not a byte left: the connection had ended, or the first write met that it has, or it is too late.
         """
-        if self.dead or self.pool.loop.time() > call.send_before:
+        if self.is_closing or self.pool.loop.time() > call.send_before:
             return False
         self.call, call.connection = call, self
-        self.began = self.pool.loop.time()
-        self.came = self.metered_read_bytes = 0
+        self.call_started_at = self.pool.loop.time()
+        self.bytes_read = self.metered_read_bytes = 0
         self.read_meter.pause()
-        self.parser.expect(method)
+        self.parser.expect_response(method)
         if call.last_byte_delay_s > 0:
             self._put_all_but_last_byte(call, data)
         else:
-            self.put(data) if isinstance(data, bytes) else self.put(*data)
+            self.write(data) if isinstance(data, bytes) else self.write(*data)
         if self.transport.is_closing():  # the first write, into an empty buffer, failed as a whole
             self.call = call.connection = None
             return False
-        if self.partial and call.send_before < math.inf:
+        if self.request_incomplete and call.send_before < math.inf:
             self.pool.loop.call_at(call.send_before, self._abort_if_partial, call)
         return True
 
     def _put_all_but_last_byte(self, call: Call, data: RequestBytes) -> None:
         joined = data if isinstance(data, bytes) else b"".join(data)
         self.withheld_end = joined[-1:]
-        self.put(joined[:-1])
+        self.write(joined[:-1])
         self.pool.loop.call_later(call.last_byte_delay_s, self._put_last_byte, call)
 
     def _put_last_byte(self, call: Call) -> None:
         if self.call is call and self.withheld_end:
             withheld_end, self.withheld_end = self.withheld_end, b""
-            self.put(withheld_end)
+            self.write(withheld_end)
 
     def _abort_if_partial(self, call: Call) -> None:
         """What has not left by now must not: a peer that reads on, or a network that is back, would have all of it."""
-        if self.call is call and self.partial:
+        if self.call is call and self.request_incomplete:
             call.abort(WireResult.REQUEST_INCOMPLETE)
 
     def violated_rate(self, now_ms: float) -> str:
@@ -105,33 +105,33 @@
         if self.call is None:
             return ""
         written = self.take_written_bytes()
-        if self.partial:
+        if self.request_incomplete:
             return "request_rate" if self.write_meter.tick(now_ms, written) else ""
         self.write_meter.pause()
         read = self.take_read_bytes()
         # Until the first byte of a response a peer works, and its time is the caller's to bound.
-        return "response_rate" if self.came and self.read_meter.tick(now_ms, read) else ""
+        return "response_rate" if self.bytes_read and self.read_meter.tick(now_ms, read) else ""
 
     def received(self, data: memoryview) -> None:
         """Take bytes of a response."""
-        self.came += len(data)
+        self.bytes_read += len(data)
         if self.call is None:  # bytes that answer nothing: such a connection can't be trusted with a request
             self.transport.abort()
             return
         try:
             events = self.parser.feed(data)
-        except http1.ProtocolError:
+        except http1.Http1Error:
             events = []
         self._handle_events(events)
         call = self.call
         if call is None:
             return
-        if self.pool.eager and call.done is not None and self.parser.claimed == 200:
+        if self.pool.finish_at_status_line and call.on_done is not None and self.parser.early_status == 200:
             # Its first line is true whatever follows: the peer's slot is free, and so is ours. The rest is only read to
             # see whether the connection can be used again.
-            call.finish(Answer(WireResult.ANSWERED, self.head, b"", not self.partial, 200))
+            call.finish(CallResult(WireResult.ANSWERED, self.head, b"", not self.request_incomplete, 200))
             call.timer = self.pool.loop.call_later(RESPONSE_TAIL_TIMEOUT_S, call.abort, WireResult.TIMED_OUT)
-        if self.parser.failed:
+        if self.parser.error:
             call.abort(WireResult.MALFORMED)
 
     def _handle_events(self, events: list[http1.Event]) -> None:
@@ -140,7 +140,7 @@
                 self.head = event
             elif isinstance(event, http1.Data):
                 self.body_pieces.append(event.data)
-            elif isinstance(event, http1.End):
+            elif isinstance(event, http1.EndOfMessage):
                 self._finish_response()
 
     def _finish_response(self) -> None:
@@ -150,28 +150,34 @@
         assert call is not None
         assert head is not None
         call.connection = None
-        request_incomplete = self.partial  # a response that came before the request was out
-        if head.keep_alive and self.parser.idle and not self.parser.failed and not request_incomplete and not self.dead:
+        request_incomplete = self.request_incomplete  # a response that came before the request was out
+        if (
+            head.keep_alive
+            and self.parser.is_idle
+            and not self.parser.error
+            and not request_incomplete
+            and not self.is_closing
+        ):
             self.pool.keep(self)
         else:
             self.transport.abort() if request_incomplete else self.transport.close()
-        call.finish(Answer(WireResult.ANSWERED, head, body, not request_incomplete))
+        call.finish(CallResult(WireResult.ANSWERED, head, body, not request_incomplete))
 
     def eof_received(self) -> None:
         """End a response that has no length with its connection. Called by asyncio."""
-        if self.call is not None and not self.parser.failed:
+        if self.call is not None and not self.parser.error:
             try:
                 self._handle_events(self.parser.eof())
-            except http1.ProtocolError:
+            except http1.Http1Error:
                 return
 
     def connection_lost(self, exc: Exception | None) -> None:
         """Leave the pool, and end the call that was out. Called by asyncio."""
-        request_incomplete = self.partial
+        request_incomplete = self.request_incomplete
         super().connection_lost(exc)
         self.pool.drop(self)
         call, self.call = self.call, None
         if call is not None:
             call.connection = None
             result = WireResult.REQUEST_INCOMPLETE if request_incomplete else WireResult.CONNECTION_LOST
-            call.finish(Answer(result, claimed=self.parser.claimed))
+            call.finish(CallResult(result, claimed_status=self.parser.early_status))
--- a/linnetstile/net/client_pool.py
+++ b/linnetstile/net/client_pool.py
@@ -10,9 +10,9 @@
 
 from ..codec import http1
 from ..engine.attempt_outcome import WireResult
-from .client_call import Address, Answer, Call, RequestBytes, TlsParameters
+from .client_call import Address, Call, CallResult, RequestBytes, TlsParameters
 from .client_connection import ClientConnection
-from .tls import Tls
+from .tls import TlsTransport
 
 DEFAULT_CONNECT_TIMEOUT_S = 3.0
 DEFAULT_IDLE_TIMEOUT_S = 15.0
@@ -24,15 +24,15 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Rates:
+class MinimumRates:
     """Minimum rates in bytes a second (0 = none), and the stall in seconds that they forgive."""
 
-    request: float = 0.0  # at which a peer reads
-    response: float = 0.0  # at which it responds, from the first byte of its response on
+    request_rate: float = 0.0  # at which a peer reads
+    response_rate: float = 0.0  # at which it responds, from the first byte of its response on
     grace_s: float = 5.0
 
 
-class Pool:
+class ConnectionPool:
     """Connections by address: idle ones are used again, the newest first.
 
     Attributes:
@@ -41,38 +41,38 @@
 
     def __init__(
         self,
-        connect_s: float = DEFAULT_CONNECT_TIMEOUT_S,
-        idle_s: float = DEFAULT_IDLE_TIMEOUT_S,
+        connect_timeout_s: float = DEFAULT_CONNECT_TIMEOUT_S,
+        idle_timeout_s: float = DEFAULT_IDLE_TIMEOUT_S,
         limits: http1.Limits | None = None,
-        rates: Rates | None = None,
+        rates: MinimumRates | None = None,
         on_slow: Callable[[ClientConnection, str], None] | None = None,
-        eager: bool = False,
-        most_idle: int = UNLIMITED_IDLE,
+        finish_at_status_line: bool = False,
+        max_idle: int = UNLIMITED_IDLE,
     ) -> None:
         """Start an empty pool on the running event loop.
 
         Args:
-            connect_s: Time in seconds that a connection, with its TLS handshake, may take to be made.
-            idle_s: Time in seconds that an idle connection is kept at most.
+            connect_timeout_s: Time in seconds that a connection, with its TLS handshake, may take to be made.
+            idle_timeout_s: Time in seconds that an idle connection is kept at most.
             limits: Limits on the size of responses.
             rates: Minimum rates that peers have to keep.
             on_slow: Called with a connection and the name of the limit that it is closed for.
-            eager: Report a 200 as soon as its first line can be read (the platform's peers mean it).
-            most_idle: Idle connections that are kept at most; the oldest is closed first.
+            finish_at_status_line: Report a 200 as soon as its first line can be read (the platform's peers mean it).
+            max_idle: Idle connections that are kept at most; the oldest is closed first.
         """
-        self.eager = eager
-        self.max_idle = most_idle
+        self.finish_at_status_line = finish_at_status_line
+        self.max_idle = max_idle
         self.loop = asyncio.get_running_loop()
-        self.connect_timeout_s = connect_s
-        self.idle_timeout_s = idle_s
+        self.connect_timeout_s = connect_timeout_s
+        self.idle_timeout_s = idle_timeout_s
         self.limits = limits or http1.Limits()
-        self.rates = rates or Rates()
+        self.rates = rates or MinimumRates()
         self.on_slow = on_slow or (lambda connection, limit: None)
-        self.idle: dict[Address, list[ClientConnection]] = {}
-        self.resting = 0
-        self.open: set[ClientConnection] = set()
+        self.idle_connections: dict[Address, list[ClientConnection]] = {}
+        self.idle_count = 0
+        self.connections: set[ClientConnection] = set()
         self.counts = {"connects": 0, "reused": 0, "failed": 0, "no_descriptors": 0}
-        has_rates = self.rates.request or self.rates.response
+        has_rates = self.rates.request_rate or self.rates.response_rate
         self._sweep_interval_s = SWEEP_INTERVAL_WITH_RATES_S if has_rates else SWEEP_INTERVAL_S
         self._sweep_timer = self.loop.call_later(self._sweep_interval_s, self._sweep)
 
@@ -81,11 +81,11 @@
         address: Address,
         method: str,
         data: RequestBytes,
-        done: Callable[[Answer], None],
-        until: float | None = None,
-        secure: TlsParameters | None = None,
-        hold_s: float = 0.0,
-        begin_by: float = math.inf,
+        on_done: Callable[[CallResult], None],
+        timeout_at: float | None = None,
+        tls: TlsParameters | None = None,
+        last_byte_delay_s: float = 0.0,
+        send_before: float = math.inf,
     ) -> Call:
         """Send one request.
 
@@ -93,31 +93,31 @@
             address: The peer.
             method: The request's method, which the response is read by.
             data: The bytes of the request.
-            done: Called once with the end of the call, never from within this method.
-            until: Loop time (s) at which the call times out; None = never.
-            secure: Makes new connections with TLS.
-            hold_s: Time in seconds that the last byte is held back for. A connection that ends before
+            on_done: Called once with the end of the call, never from within this method.
+            timeout_at: Loop time (s) at which the call times out; None = never.
+            tls: Makes new connections with TLS.
+            last_byte_delay_s: Time in seconds that the last byte is held back for. A connection that ends before
                 then, as one does that had been closed, had no request.
-            begin_by: Loop time (s) by which the request has left or does not leave at all, however long a connection
+            send_before: Loop time (s) by which the request has left or does not leave at all, however long a connection
                 takes to be made.
         """
-        call = Call(done)
-        if until is not None:
-            call.timer = self.loop.call_at(until, call.abort, WireResult.TIMED_OUT)
-        idle = self.idle.get(address, [])
-        call.last_byte_delay_s, call.send_before = hold_s, begin_by
-        while idle and self.loop.time() <= begin_by:
+        call = Call(on_done)
+        if timeout_at is not None:
+            call.timer = self.loop.call_at(timeout_at, call.abort, WireResult.TIMED_OUT)
+        idle = self.idle_connections.get(address, [])
+        call.last_byte_delay_s, call.send_before = last_byte_delay_s, send_before
+        while idle and self.loop.time() <= send_before:
             connection = idle.pop()
-            self.resting -= 1
+            self.idle_count -= 1
             # Under TLS there may be records that are not for us.
-            if connection.dead or (secure is None and connection.abort_if_unsolicited_input()):
+            if connection.is_closing or (tls is None and connection.abort_if_unsolicited_input()):
                 continue
             if connection.send(call, method, data):
                 self.counts["reused"] += 1
                 call.reused_connection = True
                 return call
             # Not a byte left: another connection is no second attempt.
-        call.connecting = self.loop.create_task(self._connect(call, address, method, data, secure))
+        call.connecting = self.loop.create_task(self._connect(call, address, method, data, tls))
         return call
 
     async def _connect(
@@ -142,20 +142,20 @@
             self.counts["failed"] += 1
             call.connecting = None
             too_late = self.loop.time() >= call.send_before
-            call.finish(Answer(WireResult.NOT_SENT if too_late else failure))
+            call.finish(CallResult(WireResult.NOT_SENT if too_late else failure))
             return
         call.connecting = None
-        if call.done is None:
+        if call.on_done is None:
             connection.transport.close()
         elif not connection.send(call, method, data):
-            if not connection.dead:
+            if not connection.is_closing:
                 self.keep(connection)  # too late for this call, and good for another one
-            call.finish(Answer(WireResult.NOT_SENT))
+            call.finish(CallResult(WireResult.NOT_SENT))
 
     async def _free_descriptors(self) -> None:
         """Close all idle connections."""
         self.counts["no_descriptors"] += 1
-        for address in list(self.idle):
+        for address in list(self.idle_connections):
             self.close_idle(address)
         await asyncio.sleep(0)  # the loop closes their sockets in its next pass
 
@@ -180,7 +180,7 @@
                 handshake.set_result(failure)
 
         await self.loop.create_connection(
-            lambda: Tls(connection, keys.context, False, server_name, on_handshake), address[0], address[1]
+            lambda: TlsTransport(connection, keys.context, False, server_name, on_handshake), address[0], address[1]
         )
         try:
             failure = await handshake
@@ -195,27 +195,27 @@
     def keep(self, connection: ClientConnection) -> None:
         """Keep a connection whose exchange has ended for another call."""
         connection.idle_since = self.loop.time()
-        self.idle.setdefault(connection.address, []).append(connection)
-        self.resting += 1
-        if self.resting > self.max_idle:
-            oldest = min((idle[0] for idle in self.idle.values() if idle), key=lambda each: each.idle_since)
+        self.idle_connections.setdefault(connection.address, []).append(connection)
+        self.idle_count += 1
+        if self.idle_count > self.max_idle:
+            oldest = min((idle[0] for idle in self.idle_connections.values() if idle), key=lambda each: each.idle_since)
             self.drop(oldest)
             oldest.transport.close()
 
     def drop(self, connection: ClientConnection) -> None:
         """Forget a connection that has ended or is being closed."""
-        self.open.discard(connection)
-        idle = self.idle.get(connection.address, [])
+        self.connections.discard(connection)
+        idle = self.idle_connections.get(connection.address, [])
         if connection in idle:
             idle.remove(connection)
-            self.resting -= 1
+            self.idle_count -= 1
         if not idle:
-            self.idle.pop(connection.address, None)
+            self.idle_connections.pop(connection.address, None)
 
     def close_idle(self, address: Address) -> int:
         """Close the idle connections to an address; return their number."""
-        connections = self.idle.pop(address, [])
-        self.resting -= len(connections)
+        connections = self.idle_connections.pop(address, [])
+        self.idle_count -= len(connections)
         for connection in connections:
             connection.transport.close()
         return len(connections)
@@ -227,13 +227,15 @@
 
     def _close_long_idle(self) -> None:
         oldest_kept = self.loop.time() - self.idle_timeout_s
-        for connection in [each for idle in self.idle.values() for each in idle if each.idle_since < oldest_kept]:
+        for connection in [
+            each for idle in self.idle_connections.values() for each in idle if each.idle_since < oldest_kept
+        ]:
             self.drop(connection)
             connection.transport.close()
 
     def _abort_slow_calls(self) -> None:
         now_ms = self.loop.time() * 1000
-        for connection in list(self.open):
+        for connection in list(self.connections):
             rate = connection.violated_rate(now_ms)
             if rate and connection.call is not None:
                 self.on_slow(connection, rate)
@@ -242,5 +244,5 @@
     def close(self) -> None:
         """End every connection at once, with or without a call."""
         self._sweep_timer.cancel()
-        for connection in list(self.open):
+        for connection in list(self.connections):
             connection.transport.abort()
--- a/linnetstile/net/connection.py
+++ b/linnetstile/net/connection.py
@@ -64,8 +64,8 @@
     """
 
     transport: Transport
-    lost = False  # the loop has told the end of the connection
-    hungry = False  # reads by whole buffers
+    is_lost = False  # the loop has told the end of the connection
+    uses_large_buffer = False  # reads by whole buffers
     write_paused = False  # the kernel has not taken all that the transport was given
     closing_when_written = False  # closes once all has been written
 
@@ -79,23 +79,23 @@
         """
         self.read_meter = MinimumRateMeter(read_rate, grace_s * 1000)
         self.write_meter = MinimumRateMeter(write_rate, grace_s * 1000)
-        self.came = 0  # bytes received
+        self.bytes_read = 0  # bytes received
         self.metered_read_bytes = 0  # those of them that the meter has seen
         self.metered_written_bytes = 0  # bytes that had left when the meter last looked
 
     def take_read_bytes(self) -> int:
         """Return the bytes received since the last call."""
-        count, self.metered_read_bytes = self.came - self.metered_read_bytes, self.came
+        count, self.metered_read_bytes = self.bytes_read - self.metered_read_bytes, self.bytes_read
         return count
 
     def take_written_bytes(self) -> int:
         """Return the bytes that the kernel took since the last call."""
-        written = self.submitted_bytes - self.unsent
+        written = self.submitted_bytes - self.unsent_bytes
         count, self.metered_written_bytes = written - self.metered_written_bytes, written
         return count
 
     @property
-    def patience(self) -> float:
+    def remaining_patience(self) -> float:
         """What the minimum rates have left of the stall that they forgive: 1 = all, 0 = about to be closed."""
         return 1 - max(self.read_meter.patience_used_ms, self.write_meter.patience_used_ms) / self.read_meter.grace_ms
 
@@ -105,12 +105,12 @@
         # We are called at once when the kernel takes no more, and when it has taken the last byte.
         self.transport.set_write_buffer_limits(high=0)
         self.write_queue: deque[memoryview] = deque()
-        self.queued = 0  # bytes in the write queue
+        self.queued_bytes = 0  # bytes in the write queue
         self.submitted_bytes = 0  # bytes written since the connection began, whether they have left or not
 
     def get_buffer(self, sizehint: int) -> memoryview:
         """Return the buffer that the next bytes are read into. Called by asyncio."""
-        return LARGE_BUFFER if self.hungry else SMALL_BUFFER
+        return LARGE_BUFFER if self.uses_large_buffer else SMALL_BUFFER
 
     def buffer_updated(self, nbytes: int) -> None:
         """Hand on the bytes that were read into the buffer. Called by asyncio."""
@@ -120,9 +120,9 @@
         """Take bytes that have arrived. The view is valid during the call only."""
         raise NotImplementedError
 
-    def put(self, head: bytes, body: bytes = b"") -> None:
+    def write(self, head: bytes, body: bytes = b"") -> None:
         """Write both in order; a large body is neither joined to its head nor copied here."""
-        if self.lost:
+        if self.is_lost:
             return
         size = len(head) + len(body)
         self.submitted_bytes += size
@@ -130,24 +130,24 @@
             self.transport.write(head + body)
             return
         self.write_queue.extend(memoryview(piece) for piece in (head, body) if piece)
-        self.queued += size
+        self.queued_bytes += size
         self._write_queued()
 
     def _write_queued(self) -> None:
-        while self.write_queue and not self.write_paused and not self.dead:
+        while self.write_queue and not self.write_paused and not self.is_closing:
             piece = self.write_queue.popleft()
             if len(piece) > WRITE_SLICE_BYTES:
                 self.write_queue.appendleft(piece[WRITE_SLICE_BYTES:])
                 piece = piece[:WRITE_SLICE_BYTES]
-            self.queued -= len(piece)
+            self.queued_bytes -= len(piece)
             self.transport.write(piece)
-        if self.closing_when_written and not self.write_queue and not self.dead:
+        if self.closing_when_written and not self.write_queue and not self.is_closing:
             self.transport.close()
 
     @property
-    def unsent(self) -> int:
+    def unsent_bytes(self) -> int:
         """Bytes that the kernel has not taken: the peer can't have the whole message while there are any."""
-        return self.queued + self.transport.get_write_buffer_size()
+        return self.queued_bytes + self.transport.get_write_buffer_size()
 
     def pause_writing(self) -> None:
         """Queue further bytes here: the kernel takes no more. Called by asyncio."""
@@ -161,21 +161,21 @@
     def close_when_written(self) -> None:
         """Close once all that was written has left."""
         self.closing_when_written = True
-        if not self.write_queue and not self.dead:
+        if not self.write_queue and not self.is_closing:
             self.transport.close()
 
     def connection_lost(self, exc: Exception | None) -> None:
         """Drop what is queued: the connection has ended. Called by asyncio."""
-        self.lost = True
+        self.is_lost = True
         self.write_queue.clear()
 
     @property
-    def dead(self) -> bool:
+    def is_closing(self) -> bool:
         """Whether the connection has ended or is being closed: nothing more can be written."""
-        return self.lost or self.transport.is_closing()
+        return self.is_lost or self.transport.is_closing()
 
     @property
-    def speaks(self) -> bool:
+    def has_unread_input(self) -> bool:
         """Whether the kernel holds bytes, or the end, of this connection that nobody has read.
 
         What is closed over unread bytes is reset, and what was written before may go with it.
@@ -188,11 +188,11 @@
         poll.register(descriptor, select.POLLIN)
         return bool(poll.poll(0))
 
-    def peer(self) -> str:
+    def peer_address(self) -> str:
         """Return the peer's address as `HOST:PORT`, or `?` for a local socket."""
         name = self.transport.get_extra_info("peername")
         return f"{name[0]}:{name[1]}" if isinstance(name, tuple) else "?"
 
     def peer_host(self) -> str:
         """Return the peer's address without its port: limits by client use it until the client has told a name."""
-        return self.peer().rpartition(":")[0]
+        return self.peer_address().rpartition(":")[0]
--- a/linnetstile/net/connection_registry.py
+++ b/linnetstile/net/connection_registry.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 
 from ..engine.connection_eviction import IdleConnection, connections_to_evict
-from .server_connection import Connection
+from .server_connection import ServerConnection
 
 # A connection has so long to show what it is for before it gives way like the others.
 NEW_CONNECTION_GRACE_S = 0.5
@@ -22,7 +22,7 @@
         loop: asyncio.AbstractEventLoop,
         max_connections: int,
         candidates_per_ranking: int,
-        on_evict: Callable[[Connection], None],
+        on_evict: Callable[[ServerConnection], None],
     ) -> None:
         """Start empty.
 
@@ -32,29 +32,29 @@
             candidates_per_ranking: How many connections one ranking chooses.
             on_evict: Called before a connection is closed for another one.
         """
-        self.connections: set[Connection] = set()
+        self.connections: set[ServerConnection] = set()
         self._loop = loop
         self._max_connections = max_connections
         self._candidates_per_ranking = candidates_per_ranking
         self._on_evict = on_evict
         self._count_by_host: dict[str, int] = {}
-        self._candidates: list[tuple[str, Connection]] = []  # hosts and connections; the last gives way first
+        self._candidates: list[tuple[str, ServerConnection]] = []  # hosts and connections; the last gives way first
         self._ranked_at = 0.0  # loop time, s
 
-    def add(self, connection: Connection) -> None:
+    def add(self, connection: ServerConnection) -> None:
         """Count a new connection."""
         self.connections.add(connection)
-        self._count_by_host[connection.where] = self._count_by_host.get(connection.where, 0) + 1
+        self._count_by_host[connection.host] = self._count_by_host.get(connection.host, 0) + 1
 
-    def remove(self, connection: Connection) -> None:
+    def remove(self, connection: ServerConnection) -> None:
         """Count a connection no more, if it was counted."""
         if connection in self.connections:
             self.connections.remove(connection)
-            self._count_by_host[connection.where] -= 1
-            if not self._count_by_host[connection.where]:
-                del self._count_by_host[connection.where]
+            self._count_by_host[connection.host] -= 1
+            if not self._count_by_host[connection.host]:
+                del self._count_by_host[connection.host]
 
-    def make_room_for(self, connection: Connection) -> bool:
+    def make_room_for(self, connection: ServerConnection) -> bool:
         """Close, where all places are taken, one connection without an obligation; return whether there is a place.
 
         So half-open connections don't keep others out.
@@ -67,21 +67,21 @@
             host, candidate = self._candidates.pop()
             if not self._may_evict(candidate):
                 continue
-            crowds_out = self._count_by_host.get(connection.where, 0) > self._count_by_host.get(host, 0) + 1
+            crowds_out = self._count_by_host.get(connection.host, 0) > self._count_by_host.get(host, 0) + 1
             if crowds_out and candidate.had_complete_request:
                 break  # a host may not crowd out another host's connections
             self._evict(candidate)
             return True
         return False
 
-    def _may_evict(self, candidate: Connection) -> bool:
+    def _may_evict(self, candidate: ServerConnection) -> bool:
         """Whether a connection still is as it was when it was ranked."""
-        if candidate.dead or candidate.has_obligation or candidate not in self.connections:
+        if candidate.is_closing or candidate.has_obligation or candidate not in self.connections:
             return False
-        next_request_arrived = candidate.had_complete_request and candidate.speaks
+        next_request_arrived = candidate.had_complete_request and candidate.has_unread_input
         return not next_request_arrived
 
-    def _evict(self, connection: Connection) -> None:
+    def _evict(self, connection: ServerConnection) -> None:
         self._on_evict(connection)
         connection.transport.abort()
         # Now, and not when the loop tells of its end: the new connection counts already.
@@ -93,15 +93,15 @@
         now = self._ranked_at = self._loop.time()
         idle = [
             IdleConnection(
-                each.where,
+                each.host,
                 each.had_complete_request,
-                now - each.opened < NEW_CONNECTION_GRACE_S,
-                each.came / (now - each.opened + 1),
-                each.since,
+                now - each.opened_at < NEW_CONNECTION_GRACE_S,
+                each.bytes_read / (now - each.opened_at + 1),
+                each.phase_started_at,
                 each,
             )
             for each in self.connections
-            if not each.has_obligation and not each.dead
+            if not each.has_obligation and not each.is_closing
         ]
         ranked = connections_to_evict(self._count_by_host, idle, self._candidates_per_ranking)
         self._candidates = [(place.host, place.token) for place in ranked]
--- a/linnetstile/net/response_writer.py
+++ b/linnetstile/net/response_writer.py
@@ -9,7 +9,7 @@
 
 if TYPE_CHECKING:
     from .request_context import RequestContext
-    from .server_connection import Connection
+    from .server_connection import ServerConnection
 
 # Up to here the body of a request that was rejected by its head is read and dropped; in front of a larger one the
 # connection is closed. A larger one is also read by whole buffers.
@@ -19,7 +19,7 @@
 
 
 def write_response(
-    connection: Connection,
+    connection: ServerConnection,
     request: RequestContext,
     status: int,
     headers: Iterable[tuple[str, str]],
@@ -27,24 +27,29 @@
     close: bool,
 ) -> bool:
     """Write the response to the current request of a connection; return False if the client has gone."""
-    if connection.dead:
+    if connection.is_closing:
         return False
-    early = not connection.read
+    early = not connection.request_complete
     connection.waiting_for_capacity = False
     close = close or connection.peer_half_closed or not request.head.keep_alive
     if early:
         close = close or not _can_skip_body(request)
     fields = [*headers, ("Connection", "close")] if close else headers
-    connection.put(*http1.response_parts(status, fields, body, request.head.method == "HEAD"))
+    connection.write(*http1.encode_response_parts(status, fields, body, request.head.method == "HEAD"))
     if early:
         connection.skipping_body = True
         connection.body_pieces.clear()
-        connection.hungry = False
+        connection.uses_large_buffer = False
     else:
-        connection.read, connection.current = False, None
+        connection.request_complete, connection.current_request = False, None
     if close:
         finish(connection, linger=early)
-    elif connection.pending or connection.parser.buffered or connection.reading_paused or connection.parser.failed:
+    elif (
+        connection.pending_events
+        or connection.parser.buffered_bytes
+        or connection.reading_paused
+        or connection.parser.error
+    ):
         connection.schedule_processing()
     return True
 
@@ -54,18 +59,18 @@
 
     That needs a body that is known to be small, and a client that does not wait to be asked for it.
     """
-    small = request.length is not None and request.length <= SMALL_BODY_BYTES
+    small = request.content_length is not None and request.content_length <= SMALL_BODY_BYTES
     return small and not request.head.headers.get("expect")
 
 
-def write_final_response(connection: Connection, status: int, text: str) -> None:
+def write_final_response(connection: ServerConnection, status: int, text: str) -> None:
     """Write a response of plain text, and close."""
     headers = [("Content-Type", "text/plain"), ("Connection", "close")]
-    connection.put(*http1.response_parts(status, headers, f"{text}\n".encode()))
+    connection.write(*http1.encode_response_parts(status, headers, f"{text}\n".encode()))
     finish(connection, linger=True)
 
 
-def finish(connection: Connection, linger: bool = False) -> None:
+def finish(connection: ServerConnection, linger: bool = False) -> None:
     """Write what is left, then close; what the peer still sends is dropped.
 
     Args:
@@ -74,8 +79,8 @@
             response might never be read.
     """
     connection.finished = True
-    connection.pending.clear()
-    if connection.dead:
+    connection.pending_events.clear()
+    if connection.is_closing:
         return
     transport = connection.transport
     if linger and not connection.peer_half_closed and not connection.write_queue and transport.can_write_eof():
@@ -89,7 +94,7 @@
         connection.close_when_written()
 
 
-def discard_input(connection: Connection, size_bytes: int) -> None:
+def discard_input(connection: ServerConnection, size_bytes: int) -> None:
     """Drop bytes that came after the last response; abort a peer that does not stop."""
     connection.discarded_bytes += size_bytes
     if connection.discarded_bytes > MAX_DISCARDED_BYTES:
--- a/linnetstile/net/server_limits.py
+++ b/linnetstile/net/server_limits.py
@@ -8,7 +8,7 @@
 from . import connection_phase
 
 if TYPE_CHECKING:
-    from .server_connection import Connection
+    from .server_connection import ServerConnection
 
 # What a peer still sends is dropped for so long, so that it can read why its request was rejected.
 LINGER_TIMEOUT_S = 2.0
@@ -29,47 +29,47 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Bounds:
+class ServerLimits:
     """Limits of one listener: times in seconds, rates in bytes a second (0 = none).
 
     A connection over one of them is closed.
     """
 
-    connections: int = 4096
-    head_s: float = 10.0  # from the first byte of a head to its end, and from the connection's start
-    idle_s: float = 60.0  # between two requests
-    body_rate: float = 0.0  # minimum rate of a body
-    answer_rate: float = 0.0  # minimum rate at which a response is read
-    grace_s: float = 5.0  # of a stall that the minimum rates forgive
-    pipelined: int = 32  # events, or 512 bytes each, that wait behind a request that is not answered yet
-    write_bytes: int = 256 * 1024  # of responses that a peer has not read, before no more is read from it
-    sweep_s: float = 1.0  # how often the limits are looked at
+    max_connections: int = 4096
+    head_timeout_s: float = 10.0  # from the first byte of a head to its end, and from the connection's start
+    idle_timeout_s: float = 60.0  # between two requests
+    min_body_rate: float = 0.0  # minimum rate of a body
+    min_response_rate: float = 0.0  # minimum rate at which a response is read
+    rate_grace_s: float = 5.0  # of a stall that the minimum rates forgive
+    max_pipelined_events: int = 32  # events, or 512 bytes each, that wait behind a request that is not answered yet
+    max_unsent_bytes: int = 256 * 1024  # of responses that a peer has not read, before no more is read from it
+    sweep_interval_s: float = 1.0  # how often the limits are looked at
 
 
-def violated_limit(connection: Connection, now: float) -> str:
+def violated_limit(connection: ServerConnection, now: float) -> str:
     """Tick the rate meters of a connection; return the name of the limit that it is over, or an empty string.
 
     Args:
         connection: The connection to look at.
         now: Loop time in seconds.
     """
-    limits, phase = connection.server.bounds, connection.phase
+    limits, phase = connection.server.limits, connection.phase
     written, read = connection.take_written_bytes(), connection.take_read_bytes()
-    if not connection.unsent:
+    if not connection.unsent_bytes:
         connection.write_meter.pause()
     elif connection.write_meter.tick(now * 1000, written):
         return ANSWER_RATE
-    request = connection.current
-    if request is not None and not connection.response_pending and (request.until or now) < now:
+    request = connection.current_request
+    if request is not None and not connection.response_pending and (request.body_deadline or now) < now:
         return BODY_TIME
     if phase == connection_phase.READING_BODY and not connection.reading_paused:
         return BODY_RATE if connection.read_meter.tick(now * 1000, read) else ""
     connection.read_meter.last_tick_at = None
     if connection.linger_started_at is not None:
         return LINGER if now - connection.linger_started_at > LINGER_TIMEOUT_S else ""
-    phase_duration_s = now - connection.since
+    phase_duration_s = now - connection.phase_started_at
     if phase == connection_phase.READING_HEAD:
-        return HEAD if phase_duration_s > limits.head_s else ""
+        return HEAD if phase_duration_s > limits.head_timeout_s else ""
     if phase == connection_phase.HANDSHAKE:
-        return HANDSHAKE if phase_duration_s > limits.head_s else ""
-    return IDLE if phase == connection_phase.IDLE and phase_duration_s > limits.idle_s else ""
+        return HANDSHAKE if phase_duration_s > limits.head_timeout_s else ""
+    return IDLE if phase == connection_phase.IDLE and phase_duration_s > limits.idle_timeout_s else ""
--- a/linnetstile/net/tls.py
+++ b/linnetstile/net/tls.py
@@ -14,15 +14,15 @@
 
 from .connection import BufferedConnection
 from .receive_buffer import LARGE_BUFFER, LARGE_BUFFER_BYTES, SMALL_BUFFER
-from .tls_context import Keys, TlsError
+from .tls_context import TlsContextFiles, TlsError
 
-__all__ = ["HandshakeCallback", "Keys", "Tls", "TlsError"]
+__all__ = ["HandshakeCallback", "TlsContextFiles", "TlsTransport", "TlsError"]
 
 # Called once: with None after the handshake, or with the reason why there is none.
 HandshakeCallback = Callable[[str | None], None]
 
 
-class Tls(asyncio.BufferedProtocol):
+class TlsTransport(asyncio.BufferedProtocol):
     """The protocol that asyncio sees, and the transport that the connection sees.
 
     The methods that asyncio calls and those of `Transport` have the meaning that asyncio documents.
@@ -66,7 +66,7 @@
 
     def get_buffer(self, sizehint: int) -> memoryview:
         """Return the buffer that the next encrypted bytes are read into."""
-        return SMALL_BUFFER if self.reading_paused or not self.connection.hungry else LARGE_BUFFER
+        return SMALL_BUFFER if self.reading_paused or not self.connection.uses_large_buffer else LARGE_BUFFER
 
     def buffer_updated(self, nbytes: int) -> None:
         """Take encrypted bytes."""
@@ -209,7 +209,7 @@
         """Information about the transport below."""
         return self.raw.get_extra_info(name, default)
 
-    def certificate(self) -> str:
+    def peer_subject(self) -> str:
         """Return the subject of the peer's verified certificate as `CN=...`; empty if it showed none."""
         if not self.handshake_done:
             return ""
--- a/linnetstile/net/tls_context.py
+++ b/linnetstile/net/tls_context.py
@@ -13,7 +13,7 @@
     """Keys or certificates that can't be used; the message says which file and why."""
 
 
-class Keys:
+class TlsContextFiles:
     """A TLS context made of files, made anew when they change.
 
     Attributes:
--- a/linnetstile/platform_relay/config.py
+++ b/linnetstile/platform_relay/config.py
@@ -69,7 +69,7 @@
     return host, int(port)
 
 
-def one_a_call(settings: Settings) -> Settings:
+def without_batches(settings: Settings) -> Settings:
     """Return the settings as they hold on sockets: a call to an endpoint carries one message.
 
     So PROTOCOL has it, relays to endpoints, also where a destination takes several. Guards slots and limits, which
@@ -168,7 +168,7 @@
 
 def _engine_settings(settings: dict[str, Any]) -> Settings:
     try:
-        return one_a_call(platform.settings_from(settings))
+        return without_batches(platform.settings_from(settings))
     except platform.SettingsError as error:
         raise ConfigError(f"settings: {error}", field="settings") from error
 
--- a/linnetstile/platform_relay/delivery.py
+++ b/linnetstile/platform_relay/delivery.py
@@ -74,7 +74,7 @@
     def _start(self, send: Send, unix_ms: float) -> _StartedAttempt | None:
         """Journal an attempt; None if it does not begin now."""
         message = self._accepted.by_id.get(send.id)
-        address = self._directory.place(send.endpoint)
+        address = self._directory.address_of(send.endpoint)
         if message is None or address is None:  # cancelled in this turn, or the endpoint has just gone
             self._post_not_sent(send, message.journaled.attempts if message else 0)
             return None
@@ -180,4 +180,4 @@
             del self.waiting_for_order[message.ordering_key]
             self._post_not_sent(waiting, message.journaled.attempts)
         elif message.attempt and message.attempt.call:
-            message.attempt.call.recall()
+            message.attempt.call.cancel_if_unsent()
--- a/linnetstile/platform_relay/directory.py
+++ b/linnetstile/platform_relay/directory.py
@@ -89,12 +89,12 @@
         row = (endpoint_id & MAX_ROWS) - 1
         return self.records[row] if 0 <= row < len(self.records) and self.row_id(row) == endpoint_id else None
 
-    def number(self, name: str) -> int:
+    def id_of(self, name: str) -> int:
         """Return the id of the endpoint of this name; 0 = none."""
         row = self.find_row(_encoded(name))
         return 0 if row is None else self.row_id(row)
 
-    def place(self, endpoint_id: int) -> EndpointAddress | None:
+    def address_of(self, endpoint_id: int) -> EndpointAddress | None:
         """Return where to call an endpoint; None once it has gone."""
         record = self._record_of(endpoint_id)
         return None if record is None else address_from_record(endpoint_id, record)
@@ -104,13 +104,13 @@
         record = self._record_of(endpoint_id)
         return None if record is None else endpoint_from_record(endpoint_id, record)
 
-    def knows(self, destination: int) -> bool:
+    def knows_destination(self, destination: int) -> bool:
         """Return whether a destination is listed, or was a while ago."""
         return destination in self.destinations
 
     # -- lists -----------------------------------------------------------------------------------------------
 
-    def begin(self, raw_list: object, cached: bool = False) -> ListUpdate:
+    def begin_update(self, raw_list: object, cached: bool = False) -> ListUpdate:
         """Begin a list: an object of discovery, or the members that stand before its servers.
 
         Args:
@@ -126,7 +126,7 @@
         if isinstance(version, bool) or not isinstance(version, int):
             version = None
         if not cached and not self.version_guard.accepts(version, is_full):
-            newest = self.version_guard.newest
+            newest = self.version_guard.newest_version
             raise InvalidListError(
                 f"version: expected {newest} or later, found {version}",
                 field="version",
@@ -135,7 +135,7 @@
             )
         return ListUpdate(self, is_full=is_full, version=version, cached=cached)
 
-    def take(self, raw_list: object, cached: bool = False) -> EndpointList:
+    def apply_list(self, raw_list: object, cached: bool = False) -> EndpointList:
         """Read a complete object of discovery at once, as one event with whatever it changes.
 
         Raises:
@@ -144,10 +144,10 @@
         servers = raw_list.get("servers") if isinstance(raw_list, dict) else None
         if not isinstance(servers, list):
             raise InvalidListError("expected an object with a list of servers")
-        update = self.begin(raw_list, cached)
-        changed = update.take(servers)
-        while not update.over:
-            changed += update.sweep()
+        update = self.begin_update(raw_list, cached)
+        changed = update.add_entries(servers)
+        while not update.is_complete:
+            changed += update.remove_missing()
         return EndpointList(ListKind.CACHED if cached else ListKind.CHANGES, tuple(changed))
 
     # -- rows, for list updates ------------------------------------------------------------------------------
@@ -216,9 +216,9 @@
         self.next_row = 0  # to be looked at by the next step of the end
         self.entries_read = self.entries_skipped = 0
         self.first_fault = ""
-        self.over = False  # once the list is in force, and complete
+        self.is_complete = False  # once the list is in force, and complete
 
-    def take(self, servers: list[Any]) -> list[Endpoint]:
+    def add_entries(self, servers: list[Any]) -> list[Endpoint]:
         """Read some entries; the last word on each endpoint counts.
 
         An entry that cannot be read leaves its endpoint as it was.
@@ -245,7 +245,7 @@
         if row is not None:
             self._mark_named(row)
 
-    def sweep(self) -> list[Endpoint]:
+    def remove_missing(self) -> list[Endpoint]:
         """Take one step of the list's end: remove endpoints that a full list did not name.
 
         Returns:
@@ -259,7 +259,7 @@
                 gone.append(directory.drop_row(self.next_row))
             self.next_row += 1
         if self.next_row == len(self.named_rows):  # which is empty for a list of changes
-            self.over = True
+            self.is_complete = True
             if not self.cached:
                 directory.version_guard.list_read(self.version)
         return gone
--- a/linnetstile/platform_relay/discovery.py
+++ b/linnetstile/platform_relay/discovery.py
@@ -11,19 +11,19 @@
 from linnetstile.engine.events import Endpoint, EndpointList, EndpointStatus, ListKind
 
 from ..codec import http1
-from ..codec.objects import Objects, Part
+from ..codec.json_stream import JsonStreamReader, ObjectPart
 from ..engine.resource_limits import WATCH_BACKOFF_MS, WATCH_CONNECT_TIMEOUT_S, backoff_ms
 from ..engine.watch_policy import ELEMENT_STALL_S, ENTRIES_PER_EVENT, ResumePolicy, watch_deadline
 from ..net.connection import BufferedConnection
 from .config import Address
 from .directory import Directory, InvalidListError, ListUpdate
 
-LIST = 8 * 1024 * 1024  # bytes: a longer object is no list, where it can't be read in parts
+MAX_LIST_BYTES = 8 * 1024 * 1024  # bytes: a longer object is no list, where it can't be read in parts
 UNBOUNDED_BODY_BYTES = 1 << 60  # a watch's answer has no end
 MAX_REASON_CHARACTERS = 200  # of a rejected list in the log
 
 
-def told(entries: Iterable[Endpoint]) -> Iterator[EndpointList]:
+def change_events(entries: Iterable[Endpoint]) -> Iterator[EndpointList]:
     """Yield what has changed, in events of bounded size: first what ends, so that none is replaced before it has."""
     changed = sorted(entries, key=lambda entry: entry.status is EndpointStatus.READY)
     for at in range(0, len(changed), ENTRIES_PER_EVENT):
@@ -56,9 +56,9 @@
     def __init__(self, watch: Watch, resume_version: int | None) -> None:
         self.watch = watch
         self.resume_version = resume_version
-        self.parser = http1.Parser(client=True, limits=http1.Limits(body=UNBOUNDED_BODY_BYTES))
-        self.parser.expect("GET")
-        self.objects = Objects(watch.max_list_bytes, "servers", ("version", "full"))
+        self.parser = http1.Parser(client=True, limits=http1.Limits(max_body_bytes=UNBOUNDED_BODY_BYTES))
+        self.parser.expect_response("GET")
+        self.objects = JsonStreamReader(watch.max_list_bytes, "servers", ("version", "full"))
         self.last_byte_at = watch.loop.time()
         self.incomplete_since: float | None = None
         self.head_received = False
@@ -75,7 +75,7 @@
     @property
     def is_midway(self) -> bool:
         """Whether something has begun and is not complete."""
-        return self.parser.midway or self.objects.part or self.update is not None
+        return self.parser.has_partial_input or self.objects.is_mid_value or self.update is not None
 
     def received(self, data: memoryview) -> None:
         """Take bytes of the answer."""
@@ -84,9 +84,9 @@
         self.last_byte_at = self.watch.loop.time()
         try:
             self._parse(self.parser.feed(data))
-            if self.parser.failed:
-                raise self.parser.failed
-        except (http1.ProtocolError, ValueError) as error:
+            if self.parser.error:
+                raise self.parser.error
+        except (http1.Http1Error, ValueError) as error:
             self.pending_values.append(error)
         if not self.step_scheduled:
             self._run_steps()
@@ -105,9 +105,9 @@
             elif isinstance(event, http1.Data):
                 self.is_useful = self.is_useful or self.resume_version is not None
                 self.pending_values.extend(self.objects.feed(event.data))
-                if self.objects.failed:
-                    raise self.objects.failed
-            elif isinstance(event, http1.End):
+                if self.objects.error:
+                    raise self.objects.error
+            elif isinstance(event, http1.EndOfMessage):
                 self.pending_values.append(None)
 
     # -- steps -----------------------------------------------------------------------------------------------
@@ -126,13 +126,13 @@
                     self._apply_value(self.pending_values.popleft())
                 else:
                     break
-        except (http1.ProtocolError, ValueError) as error:
+        except (http1.Http1Error, ValueError) as error:
             self.watch.list_rejected(self, error)
             self.is_valid = False
             self.close()
 
     def _schedule_step(self) -> None:
-        if not self.reading_paused and not self.dead:
+        if not self.reading_paused and not self.is_closing:
             self.transport.pause_reading()
             self.reading_paused = True
         self.step_scheduled = True
@@ -141,7 +141,7 @@
     def _run_scheduled_step(self) -> None:
         self.last_byte_at = self.watch.loop.time()  # it was not listened to
         self._run_steps()
-        if self.reading_paused and not self.step_scheduled and not self.dead:
+        if self.reading_paused and not self.step_scheduled and not self.is_closing:
             self.transport.resume_reading()
             self.reading_paused = False
         if not self.step_scheduled:
@@ -153,36 +153,36 @@
             self.close()
         elif isinstance(value, Exception):
             raise value
-        elif isinstance(value, Part):
+        elif isinstance(value, ObjectPart):
             self._apply_part(value)
         else:
             self._apply_object(value)
 
-    def _apply_part(self, part: Part) -> None:
-        if part.first:
-            self.update = self.watch.directory.begin(part.head)
+    def _apply_part(self, part: ObjectPart) -> None:
+        if part.is_first:
+            self.update = self.watch.directory.begin_update(part.members)
             self.is_small = False
         assert self.update is not None
-        self.watch.publish(self.update.take(part.elements))
-        self.list_complete = part.last
+        self.watch.publish(self.update.add_entries(part.elements))
+        self.list_complete = part.is_last
         self.incomplete_since = None  # it goes forward
 
     def _apply_object(self, value: object) -> None:
         servers = value.get("servers") if isinstance(value, dict) else None
         if not isinstance(servers, list):
             raise InvalidListError("servers: expected an object with a list of them", field="servers")
-        self.update, self.is_small = self.watch.directory.begin(value), True
-        changed = self.update.take(servers)
+        self.update, self.is_small = self.watch.directory.begin_update(value), True
+        changed = self.update.add_entries(servers)
         if len(changed) <= ENTRIES_PER_EVENT:
-            changed += self.update.sweep()  # what replaces one and what it replaces are published together
+            changed += self.update.remove_missing()  # what replaces one and what it replaces are published together
         self.watch.publish(changed)
         self.list_complete = True
         self.incomplete_since = None
 
     def _finish_list(self, update: ListUpdate) -> None:
-        if not update.over:
-            self.watch.publish(update.sweep())
-        if update.over:
+        if not update.is_complete:
+            self.watch.publish(update.remove_missing())
+        if update.is_complete:
             self.update = None
             self.is_useful = self.list_received = True
             self.watch.list_read(update, self.is_small)
@@ -193,7 +193,7 @@
         """End it: whatever comes on it from now on is not heard."""
         if not self.closed.done():
             self.closed.set_result(None)
-        if not self.lost:
+        if not self.is_lost:
             self.transport.abort()
 
     def connection_lost(self, exc: Exception | None) -> None:
@@ -226,7 +226,7 @@
         rng: random.Random,
         log: Callable[..., None] = lambda event, **fields: None,
         *,
-        max_list_bytes: int = LIST,
+        max_list_bytes: int = MAX_LIST_BYTES,
     ) -> None:
         self.loop = asyncio.get_running_loop()
         self.directory = directory
@@ -238,7 +238,7 @@
         self.connection: _WatchConnection | None = None
         self.task: asyncio.Task[None] | None = None
         self.resume_policy = ResumePolicy()
-        self.first = asyncio.Event()  # set once a list was read to its end
+        self.first_list_read = asyncio.Event()  # set once a list was read to its end
         self.failures = 0
         self.watches_opened = self.lists_rejected = 0
 
@@ -270,7 +270,7 @@
 
     def publish(self, entries: Iterable[Endpoint]) -> None:
         """Tell the engine of endpoints that changed."""
-        for event in told(entries):
+        for event in change_events(entries):
             self.on_event(event)
 
     def list_read(self, update: ListUpdate, is_small: bool) -> None:
@@ -281,9 +281,9 @@
             )
         if update.is_full:
             self.resume_policy.full_list_read(is_small)
-        if not self.first.is_set():
+        if not self.first_list_read.is_set():
             self.on_event(EndpointList(ListKind.CHANGES))  # discovery has answered, whatever it said
-            self.first.set()
+            self.first_list_read.set()
 
     def list_rejected(self, connection: _WatchConnection, why: Exception) -> None:
         """Take note that what came is no list, or none that counts: the latest good one stays in force."""
@@ -297,7 +297,7 @@
     async def _run(self) -> None:
         while True:
             is_useful, connection = False, None
-            since = self.resume_policy.resume_version(self.directory.version_guard.newest)
+            since = self.resume_policy.resume_version(self.directory.version_guard.newest_version)
             try:
                 async with asyncio.timeout(WATCH_CONNECT_TIMEOUT_S):
                     _, connection = await self.loop.create_connection(
@@ -318,7 +318,7 @@
             self.resume_policy.watch_ended(False, True, False)
             return
         self.resume_policy.watch_ended(is_useful, connection.is_valid, connection.is_midway)
-        if connection.is_valid and (connection.update is not None or connection.objects.part):
+        if connection.is_valid and (connection.update is not None or connection.objects.is_mid_value):
             entries = connection.update.entries_read if connection.update else 0
             self.log("list_truncated", entries=entries, why="expected the rest of the list")
 
@@ -341,7 +341,7 @@
     def _send_request(self, connection: _WatchConnection) -> None:
         host, port = self.address
         since = "" if connection.resume_version is None else f"&since={connection.resume_version}"
-        connection.put(http1.request("GET", f"/api/targets?follow=1{since}", [("Host", f"{host}:{port}")]))
+        connection.write(http1.encode_request("GET", f"/api/targets?follow=1{since}", [("Host", f"{host}:{port}")]))
 
     @staticmethod
     def _deadline(connection: _WatchConnection, asked_at: float) -> float:
--- a/linnetstile/platform_relay/endpoint_client.py
+++ b/linnetstile/platform_relay/endpoint_client.py
@@ -48,12 +48,12 @@
         engine_settings = settings.engine_settings
         idle_ms = engine_settings.idle_timeout_ms
         self.load_report_fields = settings.load_report_fields
-        self.pool = client.Pool(
+        self.pool = client.ConnectionPool(
             engine_settings.connect_timeout_ms / 1000 or DEFAULT_CONNECT_TIMEOUT_S,
             idle_ms * IDLE_REUSE_FRACTION / 1000 if idle_ms else DEFAULT_IDLE_TIMEOUT_S,  # the engine counts on no more
-            http1.Limits(body=MAX_BODY_BYTES, head=MAX_HEAD_BYTES),
-            eager=True,
-            most_idle=limits.max_idle_connections,
+            http1.Limits(max_body_bytes=MAX_BODY_BYTES, max_head_bytes=MAX_HEAD_BYTES),
+            finish_at_status_line=True,
+            max_idle=limits.max_idle_connections,
         )
 
     def send(
@@ -87,32 +87,32 @@
         now = self.pool.loop.time()
         deadline = now + remaining_ms / 1000
 
-        def answered(answer: client.Answer) -> None:
+        def answered(answer: client.CallResult) -> None:
             self._judge(answer, self.pool.loop.time() >= deadline, on_ended)
 
         return self.pool.call(
             (address.host, address.port, address.id),
             "POST",
-            http1.request_parts("POST", "/events", lines, body),
+            http1.encode_request_parts("POST", "/events", lines, body),
             answered,
             now + max(0.0, timeout_ms) / 1000,
-            hold_s=last_byte_delay_ms / 1000,
-            begin_by=now + send_within_ms / 1000,
+            last_byte_delay_s=last_byte_delay_ms / 1000,
+            send_before=now + send_within_ms / 1000,
         )
 
-    def _judge(self, answer: client.Answer, after_deadline: bool, on_ended: AttemptCallback) -> None:
+    def _judge(self, answer: client.CallResult, after_deadline: bool, on_ended: AttemptCallback) -> None:
         head = answer.head
         observation = AttemptObservation(
-            answer.sight,
+            answer.wire_result,
             head.status if head else 0,
             parse_retry_after_ms(head.headers) if head else None,
-            request_complete=answer.whole,
+            request_complete=answer.request_complete,
             after_deadline=after_deadline,
         )
         slots_exhausted = head is not None and head.headers.get("slots-taken") == "1"
-        verdict = judge_endpoint_attempt(observation, answer.claimed, slots_exhausted)
+        verdict = judge_endpoint_attempt(observation, answer.claimed_status, slots_exhausted)
         load_report = parse_load_report(head.headers, self.load_report_fields) if head else ()
-        on_ended(verdict, load_report, answer.reused)
+        on_ended(verdict, load_report, answer.reused_connection)
 
     def close_idle(self, address: EndpointAddress) -> None:
         """Close the idle connections to an endpoint."""
--- a/linnetstile/platform_relay/http_frontend.py
+++ b/linnetstile/platform_relay/http_frontend.py
@@ -71,7 +71,7 @@
 
 
 def _single(headers: http1.Headers, name: str) -> str:
-    values = headers.all(name)
+    values = headers.get_all(name)
     if len(values) != 1 or not values[0]:
         raise BadRequestError(400, f"{name}: expected once")
     return values[0]
@@ -155,7 +155,7 @@
 
     @staticmethod
     def _idempotency_key(headers: http1.Headers, message_class: MessageClass) -> str:
-        keys = headers.all("Idempotency-Key")
+        keys = headers.get_all("Idempotency-Key")
         required = message_class.effect is Effect.DEDUPLICATED
         if len(keys) > 1 or (keys and not IDENTIFIER.match(keys[0])) or (required and not keys):
             raise BadRequestError(400, "Idempotency-Key: expected once in this class, at most 128 visible characters")
@@ -198,14 +198,19 @@
         self.server = server.Server(
             self._on_request,
             self._on_head,
-            http1.Limits(line=MAX_HEAD_LINE_BYTES, head=MAX_HEAD_BYTES, fields=MAX_HEAD_FIELDS, body=MAX_BODY_BYTES),
-            server.Bounds(
+            http1.Limits(
+                max_line_bytes=MAX_HEAD_LINE_BYTES,
+                max_head_bytes=MAX_HEAD_BYTES,
+                max_fields=MAX_HEAD_FIELDS,
+                max_body_bytes=MAX_BODY_BYTES,
+            ),
+            server.ServerLimits(
                 limits.max_client_connections,
                 REQUEST_TIMEOUT_S,
                 CLIENT_IDLE_TIMEOUT_S,
-                pipelined=MAX_PIPELINED_REQUESTS,
-                write_bytes=MAX_BODY_BYTES,
-                sweep_s=SWEEP_INTERVAL_S,
+                max_pipelined_events=MAX_PIPELINED_REQUESTS,
+                max_unsent_bytes=MAX_BODY_BYTES,
+                sweep_interval_s=SWEEP_INTERVAL_S,
             ),
         )
 
@@ -221,19 +226,19 @@
     def stop_accepting(self) -> None:
         """Accept no connection any more, and reject requests that are not complete."""
         self.server.stop_listening()
-        self.server.refuse_begun("refused: this relay ends")
+        self.server.reject_incomplete_requests("refused: this relay ends")
 
     def _on_head(self, request: server.RequestContext) -> None:
         """Reject by the head alone what can be: a bad client's body is not worth reading."""
         head = request.head
         # The whole request is owed to us by then, or an error to its client.
-        request.until = request.began + REQUEST_TIMEOUT_S
+        request.body_deadline = request.started_at + REQUEST_TIMEOUT_S
         if head.target.partition("?")[0] in HEALTH_PATHS:
             if head.method not in ("GET", "HEAD"):
                 self._reject(request, 405, "GET is expected here")
             return
         try:
-            request.who = self.reader.read(head)
+            request.submission = self.reader.read(head)
         except BadRequestError as error:
             self._reject(request, error.status, error.text)
 
@@ -244,8 +249,8 @@
     def _on_request(self, request: server.RequestContext) -> None:
         if request.answered:
             return
-        if isinstance(request.who, Submission):
-            self.on_submission(request, request.who)
+        if isinstance(request.submission, Submission):
+            self.on_submission(request, request.submission)
         elif request.head.target.startswith(READY_PATH):
             ready = self.is_ready()
             reply(request, 200 if ready else 503, "ready" if ready else "not ready")
--- a/linnetstile/platform_relay/intake.py
+++ b/linnetstile/platform_relay/intake.py
@@ -65,13 +65,13 @@
 
     def submit(self, request: server.RequestContext, submission: Submission) -> None:
         """Take a submission that could be read; it is rejected here only where the engine could not judge it."""
-        remaining_ms = submission.remaining_ms - (self._loop.time() - request.began) * 1000
+        remaining_ms = submission.remaining_ms - (self._loop.time() - request.started_at) * 1000
         if not self.is_open or self._is_closing():
             reply(request, 503, "refused: this relay is not taking messages on", close=True)
         elif submission.submission_id in self._accepted.submission_ids:
             self._counts["known"] += 1
             reply(request, 409, "X-Correlation-Id: was handed in before", close=True)
-        elif not self._directory.knows(submission.destination):
+        elif not self._directory.knows_destination(submission.destination):
             self._counts["nowhere"] += 1
             reply(request, 503, "refused: no such destination is listed")
         elif self._journal.message_bytes + len(request.body) > self._max_message_bytes:
--- a/linnetstile/platform_relay/journal.py
+++ b/linnetstile/platform_relay/journal.py
@@ -38,9 +38,9 @@
     compaction_bytes: int
     size: int = 0
     message_bytes: int = 0
-    failed: int = 0  # writes that failed
+    failed_writes: int = 0  # writes that failed
     damaged_bytes: int = 0
-    error: str = ""  # why the latest write failed that did
+    last_error: str = ""  # why the latest write failed that did
     _descriptor: int = -1
     _unwritten: list[bytes] = field(default_factory=list)
 
@@ -80,10 +80,10 @@
             if written == len(data):
                 self.size += written
                 return True
-            self.error = NO_SPACE
+            self.last_error = NO_SPACE
         except OSError as error:
-            self.error = error.strerror or repr(error)
-        self.failed += 1
+            self.last_error = error.strerror or repr(error)
+        self.failed_writes += 1
         with contextlib.suppress(OSError):  # half a record is no promise: reading would only have to search past it
             os.ftruncate(self._descriptor, min(self.size, os.fstat(self._descriptor).st_size))
         self._request_rewrite()
@@ -108,8 +108,8 @@
         try:
             descriptor = self._replace_file(data)
         except OSError as error:
-            self.failed += 1
-            self.error = error.strerror or str(error)
+            self.failed_writes += 1
+            self.last_error = error.strerror or str(error)
             return
         if self._descriptor >= 0:
             os.close(self._descriptor)
--- a/linnetstile/platform_relay/notices.py
+++ b/linnetstile/platform_relay/notices.py
@@ -36,7 +36,7 @@
     def __init__(self, address: Address, on_delivered: Callable[[list[int]], None], rng: random.Random) -> None:
         self.address = address
         self.on_delivered = on_delivered
-        self.pool = client.Pool(NOTICE_TIMEOUT_S, IDLE_TIMEOUT_S)
+        self.pool = client.ConnectionPool(NOTICE_TIMEOUT_S, IDLE_TIMEOUT_S)
         self.pending: dict[int, bytes] = {}
         self.in_flight: list[int] = []
         self.failures = 0
@@ -77,7 +77,7 @@
         host, port = self.address
         body = b"".join(self.pending[message_id] for message_id in self.in_flight)
         headers = [("Host", f"{host}:{port}"), ("Content-Type", "application/x-ndjson")]
-        request = http1.request("POST", NOTICES_PATH, headers, body)
+        request = http1.encode_request("POST", NOTICES_PATH, headers, body)
         self.pool.call(self.address, "POST", request, self._on_answer, self._loop.time() + NOTICE_TIMEOUT_S)
 
     def _choose_batch(self) -> None:
@@ -88,9 +88,9 @@
                 break
             self.in_flight.append(message_id)
 
-    def _on_answer(self, answer: client.Answer) -> None:
+    def _on_answer(self, answer: client.CallResult) -> None:
         message_ids, self.in_flight = self.in_flight, []
-        status = answer.head.status if answer.sight is WireResult.ANSWERED and answer.head else 0
+        status = answer.head.status if answer.wire_result is WireResult.ANSWERED and answer.head else 0
         if 200 <= status < 300 or (status == BAD_REQUEST and len(message_ids) == 1):
             self._on_confirmed(message_ids, unreadable=status == BAD_REQUEST)
         else:
--- a/linnetstile/platform_relay/process.py
+++ b/linnetstile/platform_relay/process.py
@@ -66,10 +66,10 @@
             "held": len(relay.accepted),
             "busy": relay.engine.in_flight,
             "notices": len(relay.reporter.pending_notices),
-            "clients": len(relay.frontend.server.open),
+            "clients": len(relay.frontend.server.connections),
             "bad": relay.frontend.bad_requests,
-            "calls": len(relay.endpoint_client.pool.open),
-            "idle": relay.endpoint_client.pool.resting,
+            "calls": len(relay.endpoint_client.pool.connections),
+            "idle": relay.endpoint_client.pool.idle_count,
             "sick": sum(route.health.ejected for route in routes),
             "journal": relay.journal.size,
         }
--- a/linnetstile/platform_relay/recovery.py
+++ b/linnetstile/platform_relay/recovery.py
@@ -22,13 +22,13 @@
     """Wait for discovery's list; return False if it does not come within the grace time."""
     loop = asyncio.get_running_loop()
     began = loop.time()
-    while not watch.first.is_set():
+    while not watch.first_list_read.is_set():
         grace_s = LONG_LIST_GRACE_S if watch.is_reading_list else DISCOVERY_GRACE_S
         left_s = began + grace_s - loop.time()
         if left_s <= 0:
             return False
         with contextlib.suppress(TimeoutError):
-            await asyncio.wait_for(watch.first.wait(), min(left_s, DISCOVERY_GRACE_S / 10))
+            await asyncio.wait_for(watch.first_list_read.wait(), min(left_s, DISCOVERY_GRACE_S / 10))
     return True
 
 
@@ -91,5 +91,5 @@
         )
 
     def _unclear_endpoint(self, unclear: JournaledAttempt, destination: int) -> Endpoint:
-        endpoint_id = self._directory.number(unclear.endpoint_name)
+        endpoint_id = self._directory.id_of(unclear.endpoint_name)
         return Endpoint(endpoint_id, destination, EndpointStatus.READY, zone=unclear.zone)
--- a/linnetstile/platform_relay/relay.py
+++ b/linnetstile/platform_relay/relay.py
@@ -123,7 +123,7 @@
         self.intake.is_open = True
         self.log(
             "ready",
-            listening=client.shown(self.settings.listen),
+            listening=client.format_address(self.settings.listen),
             endpoints=len(self.directory),
             resumed=len(self.accepted),
             notices=len(self.reporter.pending_notices),
@@ -132,13 +132,13 @@
 
     def _load_known_list(self) -> None:
         with contextlib.suppress(InvalidListError):  # the platform knows none
-            self._on_list_event(self.directory.take(self.settings.known_list, cached=True))
+            self._on_list_event(self.directory.apply_list(self.settings.known_list, cached=True))
         # As text it takes ten times the memory of the directory.
         self.settings = replace(self.settings, known_list={})
 
     def move_discovery(self, discovery: Address) -> None:
         """Follow discovery, which answers at another address from now on."""
-        self.log("discovery_moved", to=client.shown(discovery))
+        self.log("discovery_moved", to=client.format_address(discovery))
         self.watch.move(discovery)
         self.notice_sender.move(discovery)
 
@@ -197,7 +197,7 @@
                 self.log("engine", text=text)
 
     def _close_idle(self, endpoint_id: int) -> None:
-        address = self.directory.place(endpoint_id)
+        address = self.directory.address_of(endpoint_id)
         if address is not None:
             self.endpoint_client.close_idle(address)
 
--- a/linnetstile/platform_relay/shutdown.py
+++ b/linnetstile/platform_relay/shutdown.py
@@ -42,7 +42,7 @@
     def _advance(self) -> None:
         elapsed_ms = self._elapsed_ms()
         # Whether requests are unread is a look at each connection: asked at the end alone.
-        unread = elapsed_ms >= EXIT_MS and self._frontend.server.unread
+        unread = elapsed_ms >= EXIT_MS and self._frontend.server.has_unread_input
         phase = shutdown_phase(elapsed_ms, unread)
         if not phase.admits:
             self._frontend.stop_admitting()
--- a/linnetstile/testbed/day.py
+++ b/linnetstile/testbed/day.py
@@ -8,7 +8,7 @@
 
 from pydantic import Field, model_validator
 
-from ..config.files import Strict
+from ..config.files import StrictModel
 from ..config.relay import ClassSettings, SafetySettings
 from ..emulators.faults import Fault
 
@@ -22,7 +22,7 @@
     kinds: list[str] = []  # of partners that get it; none = all
 
 
-class PartnerGroup(Strict):
+class PartnerGroup(StrictModel):
     """A group of partners alike, named NAME-1, NAME-2 and so on."""
 
     name: str = Field(pattern=r"^[a-z][a-z0-9-]{0,40}$")
@@ -42,7 +42,7 @@
     receipts: Literal["sync", "async"] = "sync"
 
 
-class TrafficSettings(Strict):
+class TrafficSettings(StrictModel):
     """What the clients submit."""
 
     per_s: float = Field(gt=0, le=5000)
@@ -55,7 +55,7 @@
     tries: int = Field(3, ge=1)
 
 
-class FleetFault(Strict):
+class FleetFault(StrictModel):
     """A fault that is not a partner's own."""
 
     kind: Literal[
@@ -77,7 +77,7 @@
     down_s: float = Field(0.5, gt=0)  # balancer_roll: of each relay
 
 
-class Day(Strict):
+class Day(StrictModel):
     """The settings of one run."""
 
     name: str = Field(pattern=r"^[a-z0-9-]{1,60}$")
--- a/linnetstile/testbed/rule_checker.py
+++ b/linnetstile/testbed/rule_checker.py
@@ -11,32 +11,29 @@
 from pathlib import Path
 from typing import NamedTuple
 
-from ..emulators.record import RecordError, read
+from ..emulators.record import RecordError, read_record
 from .message_rules import AnswerRule, EffectRule, check_one_attempt, check_order
 from .partner_rules import DrainRule, RetryAfterRule, ReturnRule
 from .recorded_traffic import RecordedTraffic, Row
 from .run_figures import RunFigures, compute_figures
-from .slow_start_budget import slow_start_call_budget
 from .verdict import Verdict as Verdict
 
 FACTS_FILE = "run.json"
 RECORDS = ("partners", "clients", "register")  # a file NAME.jsonl each
 REQUIRED_FACTS = ("classes", "safety", "partners", "attempts", "relays")
 
-cold_calls = slow_start_call_budget  # the name that the report of scale runs imports
-
 
 @dataclass(slots=True)
-class Run:
+class RunRecord:
     """All records of a run, as they were read: rows in the order of their times."""
 
     facts: Row
     partners: list[Row]
     clients: list[Row]
-    register: list[Row]
+    registry: list[Row]
 
     @classmethod
-    def load(cls, folder: Path) -> Run:
+    def load(cls, folder: Path) -> RunRecord:
         """Read the folder of a run.
 
         Raises:
@@ -44,7 +41,7 @@
         """
         try:
             facts = json.loads((folder / FACTS_FILE).read_text(encoding="utf-8"))
-            records = [list(read(folder / f"{name}.jsonl")) for name in RECORDS]
+            records = [list(read_record(folder / f"{name}.jsonl")) for name in RECORDS]
         except (OSError, ValueError) as error:
             raise RecordError(f"{folder}: not a run's record: {error}") from error
         for key in REQUIRED_FACTS:
@@ -53,7 +50,7 @@
         return cls(facts, *(sorted(rows, key=lambda row: float(row["t"])) for rows in records))
 
 
-class Judge:
+class RuleChecker:
     """Checks one run by all rules.
 
     Raises:
@@ -61,10 +58,10 @@
         ValueError: A field has no valid value.
     """
 
-    def __init__(self, run: Run) -> None:
-        self.traffic = RecordedTraffic(run.facts, run.partners, run.clients, run.register)
+    def __init__(self, run: RunRecord) -> None:
+        self.traffic = RecordedTraffic(run.facts, run.partners, run.clients, run.registry)
 
-    def judge(self) -> list[Verdict]:
+    def check_rules(self) -> list[Verdict]:
         """Return a verdict for each rule, in the order in which they are shown."""
         return [
             AnswerRule(self.traffic).check(),
@@ -90,9 +87,9 @@
     Raises:
         RecordError: Its record cannot be read.
     """
-    run = Run.load(folder)
+    run = RunRecord.load(folder)
     try:
-        judge = Judge(run)
-        return CheckedRun(judge.judge(), compute_figures(judge.traffic))
+        judge = RuleChecker(run)
+        return CheckedRun(judge.check_rules(), compute_figures(judge.traffic))
     except (KeyError, TypeError, ValueError) as error:
         raise RecordError(f"{folder}: a row of the record lacks or garbles {error}") from error
--- a/linnetstile/testbed/run_folder.py
+++ b/linnetstile/testbed/run_folder.py
@@ -40,7 +40,7 @@
         """Return the file with key and certificate of a name, made at the first call."""
         path = self.path / "keys" / f"{name}.pem"
         if not path.exists():
-            path.write_bytes(cms.save(cms.make_identity(name)))
+            path.write_bytes(cms.encode_identity(cms.make_identity(name)))
         return str(path)
 
     def _write(self, name: str, settings: dict[str, Any]) -> Path:
--- a/linnetstile/testbed/scale/cold_returns.py
+++ b/linnetstile/testbed/scale/cold_returns.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass
 
 from ...engine.settings import SafetyLimits
-from ..rule_checker import cold_calls
+from ..slow_start_budget import slow_start_call_budget
 from .report_schema import ColdReturnJson, ColdReturnsJson
 from .report_statistics import spread
 from .trace import ColdCall, RelayTrace
@@ -97,7 +97,7 @@
     for last, call in enumerate(ordered):
         while ordered[first].at_ms <= call.at_ms - safety.overload_window_ms:
             first += 1
-        budget = cold_calls(
+        budget = slow_start_call_budget(
             world.discovery.rate(outage.destination, call.at_ms),
             call.at_ms - outage.end_ms,
             safety.slow_start_fraction,
--- a/linnetstile/testbed/scale/comparison.py
+++ b/linnetstile/testbed/scale/comparison.py
@@ -14,11 +14,11 @@
 from pathlib import Path
 from typing import Any
 
-from ...emulators.discovery import DiscoveryStand
+from ...emulators.discovery import DiscoveryEmulator
 from .comparison_bench import CHANGE_TIMEOUT_S, MEMORY_BYTES, ComparisonBench, WorldSource
 from .discovery_model import NO_ENDPOINT as NO_GENERATION
 from .discovery_model import ChangeKind, EndpointChange
-from .options import Sizes
+from .options import ScaleOptions
 from .reference_model import NO_ENDPOINT, ReferenceModel
 from .relay_process import ProcessMemory, RelayProcess
 from .world_model import World
@@ -159,7 +159,7 @@
         }
 
 
-async def compare(options: Sizes, folder: Path, report_progress: Callable[[str], None]) -> Comparison:
+async def compare(options: ScaleOptions, folder: Path, report_progress: Callable[[str], None]) -> Comparison:
     """Run the comparison; files go to the folder.
 
     Raises:
@@ -172,8 +172,8 @@
         if run.result.list_taken_by_models:
             await run.play_changes()
         await run.break_watches()
-        run.result.sent_bytes = run.discovery.sent
-        run.result.watches = len(run.discovery.asked)
+        run.result.sent_bytes = run.discovery.sent_bytes
+        run.result.watches = len(run.discovery.requested_targets)
         run.result.seconds = round(time.monotonic() - began, 1)
         bench.check_running()
         return run.result
@@ -182,7 +182,9 @@
         await asyncio.sleep(CLOSE_S)  # the emulators see that their connections are gone
 
 
-async def _start(bench: ComparisonBench, options: Sizes, report_progress: Callable[[str], None]) -> ComparisonRun:
+async def _start(
+    bench: ComparisonBench, options: ScaleOptions, report_progress: Callable[[str], None]
+) -> ComparisonRun:
     """Start emulators, relay processes and reference models, and let all read the list."""
     ports = await bench.start_endpoint(), await bench.start_endpoint()
     # As many relays as there are here: the rate limit of few messages is then no part of the times.
@@ -210,7 +212,7 @@
     return ComparisonRun(bench, discovery, source, processes, models, rng, result)
 
 
-async def _start_baseline(bench: ComparisonBench, options: Sizes, ports: tuple[int, int]) -> RelayProcess:
+async def _start_baseline(bench: ComparisonBench, options: ScaleOptions, ports: tuple[int, int]) -> RelayProcess:
     """Start the relay process with few destinations, and its discovery."""
     world = World(replace(options, destinations=BASELINE_DESTINATIONS), ports)
     _, discovery_port = await bench.start_discovery(WorldSource(world))
@@ -253,7 +255,7 @@
     """
 
     bench: ComparisonBench
-    discovery: DiscoveryStand
+    discovery: DiscoveryEmulator
     source: WorldSource
     processes: list[RelayProcess]
     models: list[ReferenceModel]
@@ -285,10 +287,10 @@
         """Break all watches, so that a change is missed; see what relays ask for then, and whether they have it."""
         listed = self.result.list_taken_by_models
         missed = self._change(ChangeKind.REPLACED, self.destinations[-2]) if listed else None
-        asked_before = len(self.discovery.asked)
-        self.discovery.drop()
+        asked_before = len(self.discovery.requested_targets)
+        self.discovery.drop_watches()
         await self._wait_reopened(asked_before + len(self.processes))
-        reopened = self.discovery.asked[asked_before:]
+        reopened = self.discovery.requested_targets[asked_before:]
         self.result.reopened_watches = reopened
         self.result.resumes_by_version = bool(reopened) and all("since=" in target for target in reopened)
         if missed is None:
@@ -302,7 +304,7 @@
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(CHANGE_TIMEOUT_S):
                 # The emulator only keeps a list of what it was asked: there is no event to wait for.
-                while len(self.discovery.asked) < watches:  # noqa: ASYNC110 (see above)
+                while len(self.discovery.requested_targets) < watches:  # noqa: ASYNC110 (see above)
                     await asyncio.sleep(REOPEN_POLL_S)
 
     def _change(self, kind: ChangeKind, destination: int) -> EndpointChange:
@@ -314,7 +316,7 @@
     def _announce(self, change: EndpointChange) -> None:
         for model in self.models:
             model.read(change.line, self.now_ms)
-        self.discovery.tell(change.line)
+        self.discovery.publish(change.line)
 
     async def _send_change(self, kind: ChangeKind, destination: int) -> None:
         change = self._change(kind, destination)
--- a/linnetstile/testbed/scale/comparison_bench.py
+++ b/linnetstile/testbed/scale/comparison_bench.py
@@ -8,10 +8,10 @@
 from pathlib import Path
 
 from ...codec import http1
-from ...emulators.discovery import DiscoveryStand, Source
+from ...emulators.discovery import DiscoveryEmulator, Source
 from ...net import client, server
 from .discovery_model import FIRST_VERSION
-from .errors import NotStarted
+from .errors import RelayStartError
 from .reference_model import MESSAGE_DEADLINE_MS, NO_ENDPOINT
 from .relay_process import RelayConfig, RelayProcess
 from .world_model import World
@@ -56,9 +56,9 @@
         self.folder = folder
         self.memory_bytes = memory_bytes
         self.relays: list[RelayProcess] = []
-        self.discoveries: list[DiscoveryStand] = []
+        self.discoveries: list[DiscoveryEmulator] = []
         self.endpoints: list[server.Server] = []
-        self.pool = client.Pool()
+        self.pool = client.ConnectionPool()
         self._arrivals: dict[str, asyncio.Future[str]] = {}  # message -> where it went
         self._sent = 0
 
@@ -79,9 +79,9 @@
         if arrival is not None and not arrival.done():
             arrival.set_result(where)
 
-    async def start_discovery(self, source: WorldSource) -> tuple[DiscoveryStand, int]:
+    async def start_discovery(self, source: WorldSource) -> tuple[DiscoveryEmulator, int]:
         """Start a discovery emulator; returns it and its port."""
-        discovery = DiscoveryStand(source)
+        discovery = DiscoveryEmulator(source)
         discovery.on_notice = lambda message, result: self._arrived(message, NO_ENDPOINT)
         self.discoveries.append(discovery)
         return discovery, await discovery.start()
@@ -103,7 +103,7 @@
         while (event := relay.find_ready_event()) is None:
             if relay.process.poll() is not None or time.monotonic() > until:
                 tail = relay.log.read_text(errors="replace")[-LOG_TAIL:].strip()
-                raise NotStarted(f"{relay.name} did not start: {tail or 'it wrote nothing'}")
+                raise RelayStartError(f"{relay.name} did not start: {tail or 'it wrote nothing'}")
             await asyncio.sleep(START_POLL_S)
         relay.ready = event
 
@@ -125,7 +125,7 @@
         loop = asyncio.get_running_loop()
         status: asyncio.Future[int] = loop.create_future()
 
-        def done(answer: client.Answer) -> None:
+        def done(answer: client.CallResult) -> None:
             if not status.done():
                 status.set_result(answer.head.status if answer.head else 0)
 
@@ -137,7 +137,7 @@
             ("X-Time-Left", f"{MESSAGE_DEADLINE_MS:.0f}m"),
             ("Envelope", f"dest={destination}"),
         ]
-        request = http1.request("POST", "/api", headers, b"hello")
+        request = http1.encode_request("POST", "/api", headers, b"hello")
         self.pool.call(("127.0.0.1", relay.port), "POST", request, done, loop.time() + HTTP_TIMEOUT_S)
         return await status
 
@@ -163,7 +163,7 @@
         """
         for relay in self.relays:
             if relay.process.poll() is not None:
-                raise NotStarted(f"{relay.name} ended by itself with {relay.process.returncode}")
+                raise RelayStartError(f"{relay.name} ended by itself with {relay.process.returncode}")
 
     def close(self) -> None:
         """End the processes, each by its handle, and all connections; no message in them is waited for."""
--- a/linnetstile/testbed/scale/errors.py
+++ b/linnetstile/testbed/scale/errors.py
@@ -15,9 +15,9 @@
         )
 
 
-class Failed(LinnetstileError):  # noqa: N818 (cli/scale.py uses the name)
+class RunFailedError(LinnetstileError):
     """A process of the run ended by itself, or did not end in time."""
 
 
-class NotStarted(LinnetstileError):  # noqa: N818 (cli/scale.py uses the name)
+class RelayStartError(LinnetstileError):
     """A relay process of the comparison did not start, or ended by itself."""
--- a/linnetstile/testbed/scale/fleet.py
+++ b/linnetstile/testbed/scale/fleet.py
@@ -11,10 +11,10 @@
 from multiprocessing.process import BaseProcess
 
 from . import comparison_bench
-from .errors import Failed
+from .errors import RunFailedError
 from .list_cost import ListCost
 from .membership_simulation import MembershipResult
-from .options import Sizes
+from .options import ScaleOptions
 from .trace import RelayTrace
 from .worker import COSTS_JOB, MEMBERSHIP_JOB, RELAYS_JOB, Job, PeakMemory, WorkerError, WorkerMessage, run_job
 from .world_model import World
@@ -54,7 +54,7 @@
         fingerprint = world.fingerprint()
         for trace in self.traces:
             if trace.world_fingerprint != fingerprint:
-                raise Failed(f"relay {trace.relay} played another world: the program was changed while it ran")
+                raise RunFailedError(f"relay {trace.relay} played another world: the program was changed while it ran")
 
 
 @dataclass(frozen=True, slots=True)
@@ -69,7 +69,11 @@
     """The workers of one run. Leave it by `close`, whatever happens."""
 
     def __init__(
-        self, options: Sizes, resumes_by_version: bool, seconds_left: float, report_progress: Callable[[str], None]
+        self,
+        options: ScaleOptions,
+        resumes_by_version: bool,
+        seconds_left: float,
+        report_progress: Callable[[str], None],
     ) -> None:
         """Start the workers; `report_progress` gets a line now and then."""
         self.options = options
@@ -102,7 +106,9 @@
                 self._receive(pipe, running)
             now = time.monotonic()
             if now > self.until:
-                raise Failed("the time is up: " + ", ".join(each.name for each in running.values()) + " did not end")
+                raise RunFailedError(
+                    "the time is up: " + ", ".join(each.name for each in running.values()) + " did not end"
+                )
             if now - reported > PROGRESS_INTERVAL_S:
                 reported = now
                 self._report_progress(now, running)
@@ -115,7 +121,7 @@
             self._record(name, pipe.recv())
         except EOFError:
             if name not in self.result.peak_memory:
-                raise Failed(f"{name}: the process ended by itself") from None
+                raise RunFailedError(f"{name}: the process ended by itself") from None
             del running[pipe]
 
     def _record(self, name: str, message: WorkerMessage) -> None:
@@ -129,7 +135,7 @@
             case PeakMemory(size):
                 self.result.peak_memory[name] = size
             case WorkerError(text):
-                raise Failed(text)
+                raise RunFailedError(text)
 
     def _report_progress(self, now: float, running: dict[Connection, Worker]) -> None:
         at_work = ", ".join(sorted(each.name for each in running.values()))
@@ -146,7 +152,7 @@
             pipe.close()
 
 
-def _jobs(options: Sizes, resumes_by_version: bool, seconds_left: float) -> list[Job]:
+def _jobs(options: ScaleOptions, resumes_by_version: bool, seconds_left: float) -> list[Job]:
     """Lists and membership have a worker each; relays are dealt out to the others."""
     relays = options.simulated_relays
     count = min(options.workers, len(relays))
--- a/linnetstile/testbed/scale/list_cost.py
+++ b/linnetstile/testbed/scale/list_cost.py
@@ -12,7 +12,7 @@
 from ...engine.engine import DeliveryEngine
 from . import scenarios
 from .discovery_model import FIRST_VERSION, ChangeKind
-from .options import RACK_FAILURE_SCENARIO, Sizes
+from .options import RACK_FAILURE_SCENARIO, ScaleOptions
 from .relay_engine import create_engine
 from .watch_reader import WatchReader
 from .world_model import World
@@ -64,7 +64,7 @@
         return row
 
 
-def measure_list_cost(options: Sizes, destinations: int) -> ListCost:
+def measure_list_cost(options: ScaleOptions, destinations: int) -> ListCost:
     """Measure what the list of so many destinations costs: reading it, one change of each kind, and its memory."""
     world = scenarios.build(replace(options, destinations=destinations, in_use=2, scenes=(RACK_FAILURE_SCENARIO,)))
     line = world.discovery.full_list(FIRST_VERSION)
--- a/linnetstile/testbed/scale/membership_simulation.py
+++ b/linnetstile/testbed/scale/membership_simulation.py
@@ -14,7 +14,8 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from ...as2_relay.gossip import ASK_S, FORMAT
+from ...as2_relay.gossip_document import DOCUMENT_FORMAT
+from ...as2_relay.gossip_polling import POLL_TIMEOUT_S
 from ...engine.membership import Membership, PeerStatus
 from .workload import TARGET_RELAYS, WATCH_START_DELAY_MS
 from .world_model import Lifetime, Scenario, World
@@ -135,7 +136,7 @@
 def empty_document_bytes(peers: list[str]) -> int:
     """Bytes of a gossip document without claims."""
     document = {
-        "format": FORMAT,
+        "format": DOCUMENT_FORMAT,
         "relay": "relay-000",
         "run": "0" * 16,
         "version": 1,
@@ -216,7 +217,7 @@
         if peer in self.members and self.world.can_reach_relay(poll.relay, peer, now_ms):
             self._add(now_ms + self.rng.uniform(*ROUND_TRIP_MS), PollEnds(poll, peer, answered=True))
         else:
-            self._add(now_ms + 1000 * ASK_S, PollEnds(poll, peer, answered=False))
+            self._add(now_ms + 1000 * POLL_TIMEOUT_S, PollEnds(poll, peer, answered=False))
 
     def _end_poll(self, now_ms: float, event: PollEnds) -> None:
         member, peer = self.members[event.poll.relay], event.peer
--- a/linnetstile/testbed/scale/options.py
+++ b/linnetstile/testbed/scale/options.py
@@ -12,7 +12,7 @@
 from .errors import OptionError
 from .workload import CHANGES_A_DAY, TARGET_RELAYS
 
-RANGES: dict[str, tuple[int, int]] = {
+OPTION_RANGES: dict[str, tuple[int, int]] = {
     "seed": (0, 2**31),
     "relays": (2, 2_000),
     "destinations": (12, 200_000),
@@ -38,7 +38,7 @@
 ZONE_FAILURE_SCENARIO = "zone"
 PARTITION_SCENARIO = "parted"
 BACKLOG_RESTART_SCENARIO = "hands"
-SCENES = (
+SCENARIOS = (
     DAY_SCENARIO,
     RACK_FAILURE_SCENARIO,
     ZONE_FAILURE_SCENARIO,
@@ -49,7 +49,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Sizes:
+class ScaleOptions:
     """The options of one scale run.
 
     Attributes:
@@ -90,7 +90,7 @@
     parted_s: int = 600
     held: int = 20
     cost_most: int = 16_000
-    scenes: tuple[str, ...] = SCENES
+    scenes: tuple[str, ...] = SCENARIOS
 
     def check(self) -> None:
         """Check each option alone and against the others.
@@ -100,11 +100,11 @@
         """
         self._check_ranges()
         self._check_against_each_other()
-        if not self.scenes or len(set(self.scenes)) < len(self.scenes) or not set(self.scenes) <= set(SCENES):
-            raise OptionError("scenes", f"some of {','.join(SCENES)}, each once", ",".join(self.scenes))
+        if not self.scenes or len(set(self.scenes)) < len(self.scenes) or not set(self.scenes) <= set(SCENARIOS):
+            raise OptionError("scenes", f"some of {','.join(SCENARIOS)}, each once", ",".join(self.scenes))
 
     def _check_ranges(self) -> None:
-        for name, (least, most) in RANGES.items():
+        for name, (least, most) in OPTION_RANGES.items():
             value = getattr(self, name)
             if not least <= value <= most:
                 raise OptionError(option_name(name), f"a whole number from {least} to {most}", value)
--- a/linnetstile/testbed/scale/report_costs.py
+++ b/linnetstile/testbed/scale/report_costs.py
@@ -5,7 +5,7 @@
 import math
 from collections import Counter
 
-from ...as2_relay.gossip import CLAIMS_MAX
+from ...as2_relay.gossip_document import MAX_CLAIMS
 from ...engine.membership import POLL_INTERVAL_MS
 from .fleet import FleetResult
 from .list_cost import ListCost
@@ -77,7 +77,7 @@
     return {
         "claim_bytes": round(claim_bytes, 1),
         "claims_a_round": round(called),
-        "claims_most": CLAIMS_MAX,
+        "claims_most": MAX_CLAIMS,
         "bytes_a_second": round(called * claim_bytes / round_s),
     }
 
--- a/linnetstile/testbed/scale/run.py
+++ b/linnetstile/testbed/scale/run.py
@@ -15,10 +15,8 @@
 
 from . import report, scenarios
 from .comparison import compare
-from .errors import Failed as Failed  # for cli/scale.py
-from .errors import NotStarted as NotStarted  # for cli/scale.py
 from .fleet import Fleet, FleetResult
-from .options import Sizes
+from .options import ScaleOptions
 from .report_schema import ReportJson
 
 REPORT_S = 45.0
@@ -28,14 +26,14 @@
 END_SIGNALS = (signal.SIGTERM, signal.SIGINT)
 
 
-class Ended(KeyboardInterrupt):
+class RunInterrupted(KeyboardInterrupt):
     """A signal ended the run; its number is the argument."""
 
 
 def _end(number: int, frame: FrameType | None) -> None:
     for each in END_SIGNALS:  # a second one must not stop the clean-up half-way
         signal.signal(each, signal.SIG_IGN)
-    raise Ended(number)
+    raise RunInterrupted(number)
 
 
 @contextmanager
@@ -49,7 +47,7 @@
             signal.signal(each, handler)
 
 
-def run(sizes: Sizes, folder: Path, say: Callable[[str], None]) -> ReportJson:
+def run(sizes: ScaleOptions, folder: Path, say: Callable[[str], None]) -> ReportJson:
     """Play a run and write the report into the folder.
 
     Args:
@@ -83,7 +81,7 @@
 
 
 def _play_fleet(
-    options: Sizes, resumes_by_version: bool, seconds_left: float, report_progress: Callable[[str], None]
+    options: ScaleOptions, resumes_by_version: bool, seconds_left: float, report_progress: Callable[[str], None]
 ) -> FleetResult:
     fleet = Fleet(options, resumes_by_version, seconds_left, report_progress)
     try:
--- a/linnetstile/testbed/scale/scenarios.py
+++ b/linnetstile/testbed/scale/scenarios.py
@@ -14,7 +14,7 @@
     PARTITION_SCENARIO,
     RACK_FAILURE_SCENARIO,
     ZONE_FAILURE_SCENARIO,
-    Sizes,
+    ScaleOptions,
 )
 from .workload import OUTAGE_KINDS, OUTAGE_PACKETS_LOST, ZONES, region_of, zone_of
 from .world_model import Lifetime, PlannedOutage, Scenario, World
@@ -78,7 +78,7 @@
 ScenarioBuilder = Callable[[World, Scenario, random.Random, Downtimes], None]
 
 
-def build(options: Sizes, ports: tuple[int, int] | None = None) -> World:
+def build(options: ScaleOptions, ports: tuple[int, int] | None = None) -> World:
     """Draw the world of a run.
 
     Args:
@@ -101,7 +101,7 @@
     return world
 
 
-def _scenario_lengths(options: Sizes) -> dict[str, float]:
+def _scenario_lengths(options: ScaleOptions) -> dict[str, float]:
     """Length of each scenario in ms."""
     return {
         DAY_SCENARIO: options.day_s * 1e3,
@@ -146,7 +146,7 @@
     world.destinations_in_use = sorted(chosen)
 
 
-def _draw_outages(options: Sizes, day_ms: float, rng: random.Random) -> dict[int, PlannedOutage]:
+def _draw_outages(options: ScaleOptions, day_ms: float, rng: random.Random) -> dict[int, PlannedOutage]:
     """The first outage of each destination that has one within the day, in ms since the day begins."""
     outages: dict[int, PlannedOutage] = {}
     mean_time_between_ms = MEAN_OUTAGE_MS * (1 / UNAVAILABLE_SHARE - 1)
--- a/linnetstile/testbed/scale/watch_reader.py
+++ b/linnetstile/testbed/scale/watch_reader.py
@@ -5,7 +5,7 @@
 
 from __future__ import annotations
 
-from ...codec.objects import Objects, Part
+from ...codec.json_stream import JsonStreamReader, ObjectPart
 from ...engine.events import EndpointList, ListKind
 from ...platform_relay import discovery
 from ...platform_relay.directory import Directory, ListUpdate
@@ -24,7 +24,7 @@
 
     def reopen(self) -> None:
         """Begin another watch: its stream starts anew, and a list that was coming in is dropped."""
-        self._objects = Objects(discovery.LIST, "servers", ("version", "full"))
+        self._objects = JsonStreamReader(discovery.MAX_LIST_BYTES, "servers", ("version", "full"))
         self._update: ListUpdate | None = None
 
     def read(self, data: bytes) -> list[EndpointList]:
@@ -36,19 +36,21 @@
         events: list[EndpointList] = []
         for start in range(0, len(data), READ_BYTES):
             for value in self._objects.feed(data[start : start + READ_BYTES]):
-                events += self._read_part(value) if isinstance(value, Part) else [self.directory.take(value)]
-        if self._objects.failed:
-            raise self._objects.failed
+                events += (
+                    self._read_part(value) if isinstance(value, ObjectPart) else [self.directory.apply_list(value)]
+                )
+        if self._objects.error:
+            raise self._objects.error
         return events
 
-    def _read_part(self, part: Part) -> list[EndpointList]:
-        if part.first:
-            self._update = self.directory.begin(part.head)
+    def _read_part(self, part: ObjectPart) -> list[EndpointList]:
+        if part.is_first:
+            self._update = self.directory.begin_update(part.members)
         assert self._update is not None
-        events = list(discovery.told(self._update.take(part.elements)))
-        while part.last and not self._update.over:
-            events += discovery.told(self._update.sweep())
-        if part.last:  # the list was read, whatever it changed
+        events = list(discovery.change_events(self._update.add_entries(part.elements)))
+        while part.is_last and not self._update.is_complete:
+            events += discovery.change_events(self._update.remove_missing())
+        if part.is_last:  # the list was read, whatever it changed
             events.append(EndpointList(ListKind.CHANGES))
         return events
 
@@ -59,18 +61,18 @@
 
     def endpoint_name(self, endpoint: int) -> str:
         """Name of an endpoint by its number; empty if it is not known."""
-        place = self.directory.place(endpoint)
+        place = self.directory.address_of(endpoint)
         return place.name if place else ""
 
     def endpoint_number(self, name: str) -> int:
         """Number of an endpoint by its name."""
-        return self.directory.number(name)
+        return self.directory.id_of(name)
 
     def endpoint_port(self, endpoint: int) -> int:
         """Port of an endpoint by its number; 0 if it is not known."""
-        place = self.directory.place(endpoint)
+        place = self.directory.address_of(endpoint)
         return place.port if place else 0
 
     def is_listed(self, destination: int) -> bool:
         """Whether the directory knows a destination."""
-        return self.directory.knows(destination)
+        return self.directory.knows_destination(destination)
--- a/linnetstile/testbed/scale/watch_simulation.py
+++ b/linnetstile/testbed/scale/watch_simulation.py
@@ -5,7 +5,7 @@
 import time
 from collections.abc import Callable, Iterable
 
-from ...emulators.discovery import chunk
+from ...emulators.discovery import http_chunk
 from ...engine.events import Event
 from ...engine.resource_limits import WATCH_BACKOFF_MS, backoff_ms
 from ...engine.watch_policy import watch_deadline
@@ -136,7 +136,7 @@
         return True
 
     def _count_bytes(self, now_ms: float, line: bytes, is_full: bool) -> None:
-        size = len(chunk(line))
+        size = len(http_chunk(line))
         self.runtime.trace.control_bytes[int(now_ms // 1000)] += size
         self.runtime.count(Count.FULL_LIST_BYTES if is_full else Count.CHANGE_BYTES, size)
         self.runtime.count(Count.FULL_LISTS if is_full else Count.CHANGES)
--- a/linnetstile/testbed/scale/worker.py
+++ b/linnetstile/testbed/scale/worker.py
@@ -15,7 +15,7 @@
 from . import membership_simulation, scenarios
 from .list_cost import ListCost, measure_list_cost
 from .membership_simulation import MembershipResult
-from .options import Sizes
+from .options import ScaleOptions
 from .simulated_relay import SimulatedRelay
 from .trace import RelayTrace
 
@@ -60,7 +60,7 @@
 
     name: str
     kind: str
-    options: Sizes
+    options: ScaleOptions
     relays: list[int]
     resumes_by_version: bool
     seconds_left: float
--- a/linnetstile/testbed/scale/world_model.py
+++ b/linnetstile/testbed/scale/world_model.py
@@ -14,13 +14,9 @@
 
 from ...config import platform
 from ...engine.settings import Settings
-from ...platform_relay.config import one_a_call
+from ...platform_relay.config import without_batches
 from .discovery_model import DiscoveryModel
-from .errors import OptionError as OptionError  # for cli/scale.py
-from .options import RANGES as RANGES  # for cli/scale.py
-from .options import SCENES as SCENES  # for cli/scale.py
-from .options import Sizes as ScaleOptions
-from .options import Sizes as Sizes  # for cli/scale.py
+from .options import ScaleOptions as ScaleOptions
 from .workload import NOTIFICATION_DELAY_MS, SETTINGS_DOCUMENT, region_of, zone_of
 
 
@@ -140,7 +136,7 @@
 
     def settings(self, relay: int) -> Settings:
         """Engine settings of a relay."""
-        return one_a_call(platform.settings_from({**self.settings_document, "az": zone_of(relay)}))
+        return without_batches(platform.settings_from({**self.settings_document, "az": zone_of(relay)}))
 
     def scenario_at(self, at_ms: float) -> int:
         """Number of the scenario of a moment; -1 before the first."""
--- a/tests/as2_relay/test_process.py
+++ b/tests/as2_relay/test_process.py
@@ -41,7 +41,7 @@
 def test_a_relay_survives_a_full_log_and_running_out_of_descriptors(tmp_path: Path, fault: str) -> None:
     async def test() -> None:
         async with RelayTestbed(tmp_path) as testbed:
-            settings = testbed.settings("r1").model_dump(mode="json", by_alias=True)
+            settings = testbed.relay_settings("r1").model_dump(mode="json", by_alias=True)
             (tmp_path / "relay.yaml").write_text(yaml.safe_dump(settings))
 
             def limit_descriptors() -> None:
@@ -66,9 +66,9 @@
             await asyncio.sleep(0.3)
             for connection in connections:
                 connection.close()
-            answer = await testbed.post(address, testbed.make("safe"))
+            answer = await testbed.post(address, testbed.make_message("safe"))
             while answer_kind(answer) == "refused":  # the list of partners is read while it starts
-                answer = await testbed.post(address, testbed.make("safe"))
+                answer = await testbed.post(address, testbed.make_message("safe"))
             assert answer_kind(answer) == "delivered"
             child.terminate()
             assert await asyncio.wait_for(child.wait(), 20) == 0
@@ -87,7 +87,7 @@
     async def test() -> None:
         faults = [{"kind": "forged_receipt", "at_s": 0, "for_s": 60, "partners": ["firma"]}]
         async with RelayTestbed(tmp_path, faults=faults) as testbed:
-            answer = await testbed.hand(testbed.make("unsafe"))
+            answer = await testbed.submit(testbed.make_message("unsafe"))
             assert answer_kind(answer) == "failed"
             assert b"1 attempt, the last one: receipt not signed by the partner" in answer.body
 
--- a/tests/codec/test_as2.py
+++ b/tests/codec/test_as2.py
@@ -24,14 +24,14 @@
     [("abc", "abc"), ('"a b"', "a b"), ('"a\\"b\\\\"', 'a"b\\'), ("x" * 128, "x" * 128), ("Firma#1", "Firma#1")],
 )
 def test_name_is_unquoted_and_quoted_again(text: str, plain: str) -> None:
-    assert as2.name(text, "AS2-From") == plain
-    assert as2.name(as2.quoted(plain), "AS2-To") == plain
+    assert as2.parse_name(text, "AS2-From") == plain
+    assert as2.parse_name(as2.quote_name(plain), "AS2-To") == plain
 
 
 @pytest.mark.parametrize("text", ["", "a b", '"', '""', "x" * 129, '"a"b"', "a\\b", "é", '"' + "x" * 129 + '"'])
 def test_invalid_name_is_rejected_with_its_field(text: str) -> None:
     with pytest.raises(as2.As2Error, match="AS2-From: expected"):
-        as2.name(text, "AS2-From")
+        as2.parse_name(text, "AS2-From")
 
 
 BASE = {"AS2-From": "a", "AS2-To": "b", "Message-ID": "<1@a>", "AS2-Version": "1.2"}
@@ -53,9 +53,9 @@
 )
 def test_error_names_the_invalid_field(field: str, value: str) -> None:
     with pytest.raises(as2.As2Error, match=field):
-        as2.Head.of(Headers([*{**BASE, field: value}.items()]))
+        as2.As2Headers.parse(Headers([*{**BASE, field: value}.items()]))
     with pytest.raises(as2.As2Error, match="AS2-To: expected once"):
-        as2.Head.of(Headers([*BASE.items(), ("AS2-To", "c")]))
+        as2.As2Headers.parse(Headers([*BASE.items(), ("AS2-To", "c")]))
 
 
 def test_receipt_options_are_parsed() -> None:
@@ -75,18 +75,18 @@
     ],
 )
 def test_receipt_is_read_back(found: mdn.Mdn) -> None:
-    kind, body = found.build()
+    kind, body = found.encode()
     read = mdn.parse(kind, body)
-    assert (read.original_id, read.kind, read.modifier, read.detail, read.mic, read.micalg) == (
-        found.original_id,
-        found.kind,
+    assert (read.original_message_id, read.disposition_type, read.modifier, read.detail, read.mic, read.micalg) == (
+        found.original_message_id,
+        found.disposition_type,
         found.modifier,
         found.detail,
         found.mic,
         found.micalg,
     )
-    assert read.positive == (found.kind == "processed" and found.modifier in ("", "warning"))
-    assert as2.name(read.recipient, "Final-Recipient") == found.recipient
+    assert read.is_positive == (found.disposition_type == "processed" and found.modifier in ("", "warning"))
+    assert as2.parse_name(read.recipient, "Final-Recipient") == found.recipient
 
 
 def test_receipt_in_base64_with_bare_line_feeds_is_read() -> None:
@@ -100,7 +100,7 @@
         b"preamble\n--B\nContent-Type: text/plain\n\nhello\n--B\nContent-Type: message/disposition-notification\n"
         b"Content-Transfer-Encoding: base64\n\n" + inner + b"--B--\nepilogue"
     )
-    assert mdn.parse('multipart/report; boundary="B"', body).positive
+    assert mdn.parse('multipart/report; boundary="B"', body).is_positive
 
 
 @pytest.mark.parametrize("micalg", ["sha-256", "sha-384", "sha-512"])
@@ -108,7 +108,7 @@
     content = b"Content-Type: text/plain\r\n\r\nhello\r\n"
     for signer in (ALICE, OPENER):
         kind, body = cms.sign(content, signer, micalg)
-        got, der = cms.signed_content(kind, body)
+        got, der = cms.split_signed(kind, body)
         assert got == content
         assert cms.verify(got, der, signer.certificate) == cms.HASH_NAMES[micalg]
         with pytest.raises(cms.CmsError):
@@ -121,7 +121,7 @@
     from asn1crypto import cms as asn1
 
     kind, body = cms.sign(b"x", OPENER)
-    _, der = cms.signed_content(kind, body)
+    _, der = cms.split_signed(kind, body)
     info = asn1.ContentInfo.load(der)
     signer = info["content"]["signer_infos"][0]
     signer["digest_algorithm"] = {"algorithm": "sha1"}
@@ -135,7 +135,7 @@
 @pytest.mark.parametrize("compress", [False, True])
 @pytest.mark.parametrize("encrypt", [False, True])
 def test_any_mix_of_layers_opens_to_what_the_receipt_is_over(sign: bool, compress: bool, encrypt: bool) -> None:
-    made = messages.make(
+    made = messages.build_message(
         "a",
         "b",
         "<1@a>",
@@ -146,10 +146,10 @@
         encrypt_to=OPENER.certificate if encrypt else None,
     )
     kind = Headers(made.headers).get("content-type")
-    opened, _ = cms.opened(kind, "", made.body, OPENER)
-    assert opened == made.opened
-    closed, _ = cms.opened(kind, "", made.body, None)
-    assert closed == (None if encrypt else made.opened)
+    opened, _ = cms.open_layers(kind, "", made.body, OPENER)
+    assert opened == made.digested_content
+    closed, _ = cms.open_layers(kind, "", made.body, None)
+    assert closed == (None if encrypt else made.digested_content)
 
 
 def test_compression_bomb_is_rejected() -> None:
@@ -170,25 +170,27 @@
 
 
 def receipt_of(found: mdn.Mdn, signer: cms.Identity | None) -> tuple[Headers, bytes]:
-    kind, body = found.build()
+    kind, body = found.encode()
     if signer is not None:
         kind, body = cms.sign(f"Content-Type: {kind}\r\n\r\n".encode() + body, signer)
     return Headers([("Content-Type", kind)]), body
 
 
 def test_client_judges_a_receipt() -> None:
-    made = messages.make("a", "b", "<1@a>", "s", b"hello")
+    made = messages.build_message("a", "b", "<1@a>", "s", b"hello")
     good = mdn.Mdn("<1@a>", "b", mic=cms.digest(b"hello", "sha-256"), micalg="sha-256")
     for found, signer, expected in [
         (good, ALICE, ReceiptStatus.POSITIVE),
-        (good, MALLORY, ReceiptStatus.UNPROVEN),
-        (good, None, ReceiptStatus.UNPROVEN),
+        (good, MALLORY, ReceiptStatus.UNVERIFIED),
+        (good, None, ReceiptStatus.UNVERIFIED),
         (mdn.Mdn("<2@a>", "b"), ALICE, ReceiptStatus.OTHER_MESSAGE),
         (mdn.Mdn("<1@a>", "b", mic=b"x" * 32, micalg="sha-256"), ALICE, ReceiptStatus.WRONG_MIC),
         (mdn.Mdn("<1@a>", "b", "failed", "failure"), ALICE, ReceiptStatus.NEGATIVE),
     ]:
-        assert messages.check(made, *receipt_of(found, signer), ALICE.certificate)[0] is expected
-    assert messages.check(made, Headers([("Content-Type", "text/plain")]), b"ok", None)[0] is ReceiptStatus.MISSING
+        assert messages.check_receipt(made, *receipt_of(found, signer), ALICE.certificate)[0] is expected
+    assert (
+        messages.check_receipt(made, Headers([("Content-Type", "text/plain")]), b"ok", None)[0] is ReceiptStatus.MISSING
+    )
 
 
 FIXED = receipt_of(mdn.Mdn("<1@a>", "b", mic=b"x" * 32, micalg="sha-256"), ALICE)
@@ -204,8 +206,8 @@
         raw[at : at + data.draw(st.integers(0, 40))] = data.draw(st.binary(max_size=20))
         raw = raw or bytearray(b"x")
     try:
-        content, der = cms.signed_content(kind.get("content-type"), bytes(raw))
-        inner = mime.entity(content)
+        content, der = cms.split_signed(kind.get("content-type"), bytes(raw))
+        inner = mime.parse_entity(content)
         mdn.parse(inner.headers.get("content-type"), inner.body)
         cms.verify(content, der, ALICE.certificate)
     except (cms.CmsError, mime.MimeError, mdn.MdnError):
@@ -229,4 +231,4 @@
 )
 def test_any_bytes_are_opened_or_rejected(body: bytes, kind: str, encoding: str) -> None:
     with contextlib.suppress(cms.CmsError, mime.MimeError):
-        cms.opened(kind, encoding, body.replace(b"|", b"\r\n--B\r\n"), OPENER)
+        cms.open_layers(kind, encoding, body.replace(b"|", b"\r\n--B\r\n"), OPENER)
--- a/tests/codec/test_errors.py
+++ b/tests/codec/test_errors.py
@@ -5,12 +5,12 @@
 import pytest
 
 from linnetstile import errors
-from linnetstile.codec import as2, cms, http1, mdn, mime, objects
+from linnetstile.codec import as2, cms, http1, json_stream, mdn, mime
 
 
 @pytest.mark.parametrize(
     "error_type",
-    [as2.As2Error, cms.CmsError, http1.ProtocolError, mdn.MdnError, mime.MimeError, objects.JsonStreamError],
+    [as2.As2Error, cms.CmsError, http1.Http1Error, mdn.MdnError, mime.MimeError, json_stream.JsonStreamError],
 )
 def test_codec_error_is_a_protocol_error_and_a_value_error(error_type: type[Exception]) -> None:
     assert issubclass(error_type, errors.ProtocolError)
@@ -25,7 +25,7 @@
 
 def test_http_error_says_status_field_expected_and_found() -> None:
     parser = http1.Parser()
-    with pytest.raises(http1.ProtocolError) as caught:
+    with pytest.raises(http1.Http1Error) as caught:
         parser.feed(b"GET / HTTP/1.1\r\nHost: a\r\nExpect: tea\r\n\r\n")
     error = caught.value
     assert str(error) == error.text == "an expectation other than 100-continue"
@@ -33,7 +33,7 @@
 
 
 def test_receipt_error_keeps_the_field_of_its_cause() -> None:
-    report = mdn.Mdn("no brackets", "b").build()
+    report = mdn.Mdn("no brackets", "b").encode()
     with pytest.raises(mdn.MdnError, match="Original-Message-ID: expected an identifier") as caught:
         mdn.parse(*report)
     assert (caught.value.field, caught.value.found) == ("Original-Message-ID", "no brackets")
@@ -41,10 +41,10 @@
 
 
 def test_json_stream_error_is_the_same_for_good() -> None:
-    reader = objects.Objects(10)
-    with pytest.raises(objects.JsonStreamError, match="a value of more than 10 bytes") as caught:
+    reader = json_stream.JsonStreamReader(10)
+    with pytest.raises(json_stream.JsonStreamError, match="a value of more than 10 bytes") as caught:
         reader.feed(b"[" + b" " * 20)
     assert (caught.value.expected, caught.value.found) == ("<= 10 bytes", "21 bytes")
-    with pytest.raises(objects.JsonStreamError) as repeated:
+    with pytest.raises(json_stream.JsonStreamError) as repeated:
         reader.feed(b"")
     assert repeated.value is caught.value
--- a/tests/codec/test_http1.py
+++ b/tests/codec/test_http1.py
@@ -8,7 +8,9 @@
 
 from linnetstile.codec import http1
 
-LIMITS = http1.Limits(line=200, head=400, fields=8, body=1000, chunk_line=32)
+LIMITS = http1.Limits(
+    max_line_bytes=200, max_head_bytes=400, max_fields=8, max_body_bytes=1000, max_chunk_line_bytes=32
+)
 HOST = b"Host: a\r\n"
 
 
@@ -18,13 +20,13 @@
     """Return the events, with neighbouring data joined, and the status of the error (0 = none)."""
     parser = http1.Parser(client, LIMITS)
     for method in methods:
-        parser.expect(method)
+        parser.expect_response(method)
     events: list[http1.Event] = []
     edges = [0, *sorted(cuts or []), len(data)]
     for start, end in zip(edges, edges[1:], strict=False):
         try:
             events += parser.feed(data[start:end])
-        except http1.ProtocolError:
+        except http1.Http1Error:
             break
     joined: list[http1.Event] = []
     for event in events:
@@ -32,7 +34,7 @@
             joined[-1] = http1.Data(joined[-1].data + event.data)
         else:
             joined.append(event)
-    return joined, parser.failed.status if parser.failed else 0
+    return joined, parser.error.status if parser.error else 0
 
 
 VALID_REQUESTS = [
@@ -108,7 +110,7 @@
     whole, status = read_all(data)
     assert status == 0
     assert isinstance(whole[0], http1.Request)
-    assert isinstance(whole[-1], http1.End)
+    assert isinstance(whole[-1], http1.EndOfMessage)
     assert b"".join(event.data for event in whole if isinstance(event, http1.Data)) == body
     assert read_all(data, list(range(len(data)))) == (whole, 0)
 
@@ -139,12 +141,12 @@
     def feed_without_end() -> None:
         for _ in range(10_000):
             parser.feed(b"GET /" + b"a" * 50)
-            assert parser.buffered <= LIMITS.head + 55
+            assert parser.buffered_bytes <= LIMITS.max_head_bytes + 55
 
-    with pytest.raises(http1.ProtocolError) as caught:
+    with pytest.raises(http1.Http1Error) as caught:
         feed_without_end()
     assert caught.value.status == 431
-    assert parser.buffered == 0
+    assert parser.buffered_bytes == 0
 
 
 def test_pipelined_requests_are_read_in_order() -> None:
@@ -173,19 +175,19 @@
         head = events[0]
         assert error == 0
         assert isinstance(head, http1.Response)
-        assert isinstance(events[-1], http1.End)
+        assert isinstance(events[-1], http1.EndOfMessage)
         assert (head.status, head.keep_alive) == (status, keep)
         assert b"".join(event.data for event in events if isinstance(event, http1.Data)) == body
 
 
 def test_response_without_a_length_lasts_until_the_end_of_the_stream() -> None:
     parser = http1.Parser(True, LIMITS)
-    parser.expect("POST")
+    parser.expect_response("POST")
     events = parser.feed(b"HTTP/1.1 200 OK\r\n\r\nabc")
     assert isinstance(events[0], http1.Response)
     assert not events[0].keep_alive
     assert events[1:] == [http1.Data(b"abc")]
-    assert parser.eof() == [http1.End()]
+    assert parser.eof() == [http1.EndOfMessage()]
 
 
 @pytest.mark.parametrize(
@@ -208,16 +210,16 @@
 
 def test_end_of_stream_inside_a_message_is_an_error() -> None:
     parser = http1.Parser(True, LIMITS)
-    parser.expect("POST")
+    parser.expect_response("POST")
     parser.feed(b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nabc")
-    with pytest.raises(http1.ProtocolError):
+    with pytest.raises(http1.Http1Error):
         parser.eof()
 
 
 @pytest.mark.parametrize("field", [("X", "a\r\nY: b"), ("X\r\nY", "b"), ("X", "a\nb"), ("", "a")])
 def test_header_field_that_would_split_a_message_is_not_sent(field: tuple[str, str]) -> None:
     with pytest.raises(http1.UnsendableMessageError, match="can't be sent"):
-        http1.request("POST", "/", [field])
+        http1.encode_request("POST", "/", [field])
 
 
 @settings(max_examples=300)
--- a/tests/codec/test_objects.py
+++ b/tests/codec/test_json_stream.py
@@ -11,8 +11,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from linnetstile.codec import objects
-from linnetstile.codec.objects import DEFAULT_STEP_BYTES, MAX_DEPTH, JsonStreamError, Objects, Part
+from linnetstile.codec import json_stream
+from linnetstile.codec.json_stream import DEFAULT_STEP_BYTES, MAX_DEPTH, JsonStreamError, JsonStreamReader, ObjectPart
 
 TEXT = st.text(st.characters(codec="utf-8"), max_size=4)
 JSON = st.recursive(
@@ -31,11 +31,11 @@
         json.dumps(value, indent=indent, ensure_ascii=data.draw(st.booleans())) + between for value in values
     ).encode()
     cuts = sorted(data.draw(st.lists(st.integers(0, len(stream)), max_size=6)))
-    reader, found = Objects(1 << 20), []
+    reader, found = JsonStreamReader(1 << 20), []
     for begin, end in zip([0, *cuts], [*cuts, len(stream)], strict=True):
         found += reader.feed(stream[begin:end])
     assert found == values
-    assert not reader.part
+    assert not reader.is_mid_value
 
 
 @pytest.mark.parametrize(
@@ -59,7 +59,7 @@
 )
 @pytest.mark.parametrize("step", [1, 1 << 20])
 def test_invalid_stream_raises_for_good(stream: bytes, step: int) -> None:
-    reader = Objects(1000)
+    reader = JsonStreamReader(1000)
     values: list[Any] = []
 
     def feed_all() -> None:
@@ -70,13 +70,13 @@
     with pytest.raises(JsonStreamError):
         feed_all()
     assert len(values) <= 1
-    assert not reader.part
+    assert not reader.is_mid_value
     with pytest.raises(JsonStreamError):
         reader.feed(b"{}")
 
 
 def test_values_before_a_fault_are_returned_first() -> None:
-    reader = Objects(1000)
+    reader = JsonStreamReader(1000)
     assert reader.feed(b'{"a": 1}\n{"b": 2}oops') == [{"a": 1}, {"b": 2}]
     with pytest.raises(JsonStreamError):
         reader.feed(b"")
@@ -88,28 +88,28 @@
 
 
 def read_all(stream: bytes, cuts: Iterable[int], step: int = 64, most: int = 2000) -> list[Any]:
-    """Return the values, the parts of each object joined, and then the type of the fault or `Objects.part`."""
-    reader = Objects(most, "servers", NAMES, step)
+    """Return the values, the parts of each object joined, and then the type of the fault or `is_mid_value`."""
+    reader = JsonStreamReader(most, "servers", NAMES, step)
     cuts = [*cuts]
     found: list[Any] = []
     try:
         for begin, end in zip([0, *cuts], [*cuts, len(stream)], strict=True):
             for value in reader.feed(stream[begin:end]):
-                if not isinstance(value, Part):
+                if not isinstance(value, ObjectPart):
                     found.append(value)
-                elif value.first:
-                    assert "servers" not in value.head
-                    found.append([dict(value.head), list(value.elements), value.last])
+                elif value.is_first:
+                    assert "servers" not in value.members
+                    found.append([dict(value.members), list(value.elements), value.is_last])
                 else:
-                    assert found[-1][0] == value.head
+                    assert found[-1][0] == value.members
                     assert not found[-1][2]
                     found[-1][1] += value.elements
-                    found[-1][2] = value.last
+                    found[-1][2] = value.is_last
         reader.feed(b"")
     except ValueError as error:
-        assert not reader.part
+        assert not reader.is_mid_value
         return [*found, "fault", type(error)]
-    return [*found, reader.part]
+    return [*found, reader.is_mid_value]
 
 
 ELEMENTS: list[Any] = [{"a": 1}, {}, 7, "x},{", [1, [2, {"b": "]"}]], None, {"c": '\\"},'}, {"d": {"e": {}}}, "", -1e3]
@@ -120,7 +120,7 @@
 def test_long_object_comes_in_parts_that_are_the_same_for_any_split(
     indent: int | None, elements: list[Any], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(objects, "BATCH_PARSE_BYTES", 24)
+    monkeypatch.setattr(json_stream, "BATCH_PARSE_BYTES", 24)
     told = {"version": 7, "full": True, "servers": elements}
     short = {"version": 8, "full": False, "servers": [{}]}
     stream = b"\n".join(json.dumps(each, indent=indent).encode() for each in (told, short, told)) + b"\n"
@@ -194,7 +194,7 @@
 def test_elements_before_a_fault_in_a_long_array_are_returned_first(
     fault: bytes, quick: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(objects, "BATCH_PARSE_BYTES", quick)
+    monkeypatch.setattr(json_stream, "BATCH_PARSE_BYTES", quick)
     stream = SOUND + fault + b"\n{}"
     expected = read_all(stream, range(1, len(stream)))
     assert expected[-2:] == ["fault", JsonStreamError]
@@ -209,20 +209,20 @@
 
 
 def test_long_object_counts_as_incomplete_until_its_end() -> None:
-    reader = Objects(1000, "servers", NAMES, 64)
+    reader = JsonStreamReader(1000, "servers", NAMES, 64)
     assert reader.feed(SOUND)[0].elements == [{"id": 1}] * 20
-    assert reader.part  # though no byte of it is held
+    assert reader.is_mid_value  # though no byte of it is held
     last_part = reader.feed(b"{}]}")[-1]
-    assert isinstance(last_part, Part)
-    assert last_part.last
-    assert not reader.part
+    assert isinstance(last_part, ObjectPart)
+    assert last_part.is_last
+    assert not reader.is_mid_value
 
 
 def test_long_object_is_read_in_bounded_memory_and_linear_time() -> None:
     """Element by element in drops, and whole: the bytes that are held, and the time against half the length."""
 
     def read(size: int, piece: int) -> float:
-        reader, held, count = Objects(1 << 20, "servers", NAMES), 0, 0
+        reader, held, count = JsonStreamReader(1 << 20, "servers", NAMES), 0, 0
         stream = (
             b'{"version":1,"full":true,"servers":['
             + b",".join(b'{"id":"s-%08d","addr":"10.0.0.1:3000","state":"SERVING"}' % number for number in range(size))
@@ -235,7 +235,7 @@
             held = max(held, len(reader._buffer))
         assert count == size
         assert held <= 2 * DEFAULT_STEP_BYTES
-        assert not reader.part
+        assert not reader.is_mid_value
         return time.process_time() - began
 
     for piece in (7, 16 * 1024):
@@ -245,20 +245,20 @@
 
 def test_long_element_in_small_pieces_is_not_parsed_again_and_again(monkeypatch: pytest.MonkeyPatch) -> None:
     looked = 0
-    take_several = Objects._take_several
+    take_several = JsonStreamReader._take_several
 
-    def counted(self: Objects, elements: list[Any]) -> bool:
+    def counted(self: JsonStreamReader, elements: list[Any]) -> bool:
         nonlocal looked
         looked += len(self._buffer)
         return take_several(self, elements)
 
-    monkeypatch.setattr(Objects, "_take_several", counted)
+    monkeypatch.setattr(JsonStreamReader, "_take_several", counted)
     element = b'{"a":[' + b'{"b":1},' * 6000 + b"0]}"
     stream = b'{"version":1,"full":true,"servers":[' + b",".join([b"{}"] * 30_000) + b"," + element + b",{}]}"
     for step in (16, 1024):
         looked = 0
-        reader = Objects(1 << 20, "servers", NAMES)
+        reader = JsonStreamReader(1 << 20, "servers", NAMES)
         for at in range(0, len(stream), step):
             reader.feed(stream[at : at + step])
-        assert not reader.part
+        assert not reader.is_mid_value
         assert looked < 3 * len(stream)
--- a/tests/config/test_files.py
+++ b/tests/config/test_files.py
@@ -33,11 +33,11 @@
 
 def test_valid_file_becomes_the_settings_of_the_engine(tmp_path: Path) -> None:
     relay = load(write(tmp_path, VALID_SETTINGS), RelaySettings)
-    engine = relay.module()
+    engine = relay.engine_settings()
     assert engine.classes[0].name == "a"
     assert engine.max_in_flight == 8
     assert engine.polls_for_list
-    assert relay.router_rules()[0].sender == "x*"
+    assert relay.routing_rules()[0].sender == "x*"
 
 
 @pytest.mark.parametrize(
--- a/tests/emulators/test_discovery.py
+++ b/tests/emulators/test_discovery.py
@@ -7,7 +7,7 @@
 import random
 from collections.abc import Callable
 
-from linnetstile.emulators.discovery import DiscoveryStand
+from linnetstile.emulators.discovery import DiscoveryEmulator
 from linnetstile.engine.events import EndpointList
 from linnetstile.platform_relay.directory import Directory
 from linnetstile.platform_relay.discovery import Watch
@@ -53,27 +53,27 @@
 def test_a_watch_hears_the_list_and_changes_and_comes_again_when_it_breaks() -> None:
     async def run() -> None:
         source, updates = ListSource(), list[EndpointList]()
-        emulator = DiscoveryStand(source)
+        emulator = DiscoveryEmulator(source)
         port = await emulator.start()
         directory = Directory(("k",), ("z",))
         watch = Watch(directory, ("127.0.0.1", port), updates.append, random.Random(1))
         watch.start()
         try:
-            await wait_until(watch.first.is_set)
+            await wait_until(watch.first_list_read.is_set)
             updates.clear()
             source.version = 2
-            emulator.tell(source.line(2, False))
+            emulator.publish(source.line(2, False))
             await wait_until(lambda: updates)
             assert [entry.destination for event in updates for entry in event.endpoints] == [2]
-            assert directory.knows(1)
-            assert directory.knows(2)
+            assert directory.knows_destination(1)
+            assert directory.knows_destination(2)
             assert len(directory) == 2
-            emulator.drop()
-            await wait_until(lambda: len(emulator.asked) == 2 and emulator.watches)
-            emulator.silent = True  # it says nothing more: the watch gives up, and what it opens anew gets no answer
-            await wait_until(lambda: len(emulator.asked) >= 4)
-            source.version, emulator.silent = 3, False
-            await wait_until(lambda: directory.knows(3))
+            emulator.drop_watches()
+            await wait_until(lambda: len(emulator.requested_targets) == 2 and emulator.watches)
+            emulator.is_silent = True  # it says nothing more: the watch gives up, and what it opens anew gets no answer
+            await wait_until(lambda: len(emulator.requested_targets) >= 4)
+            source.version, emulator.is_silent = 3, False
+            await wait_until(lambda: directory.knows_destination(3))
         finally:
             watch.close()
             emulator.close()
@@ -86,7 +86,7 @@
     async def run() -> None:
         source, ended = ListSource(), list[tuple[str, str]]()
         source.version = 3
-        emulator = DiscoveryStand(source)
+        emulator = DiscoveryEmulator(source)
         emulator.on_notice = lambda ref, result: ended.append((ref, result))
         port = await emulator.start()
         try:
--- a/tests/engine/test_attempt_outcome.py
+++ b/tests/engine/test_attempt_outcome.py
@@ -19,7 +19,7 @@
 
 
 def answered(
-    status: int, receipt: ReceiptStatus = ReceiptStatus.NOT_ASKED, request_complete: bool = True
+    status: int, receipt: ReceiptStatus = ReceiptStatus.NOT_REQUESTED, request_complete: bool = True
 ) -> AttemptObservation:
     return AttemptObservation(WireResult.ANSWERED, status=status, receipt=receipt, request_complete=request_complete)
 
@@ -38,13 +38,13 @@
         (answered(status), Outcome.ERROR, False)
         for status in (301, 400, 401, 403, 404, 408, 409, 413, 415, 422, 500, 501, 502, 504)
     ),
-    (answered(200, ReceiptStatus.NOT_ASKED), Outcome.OK, True),
+    (answered(200, ReceiptStatus.NOT_REQUESTED), Outcome.OK, True),
     (answered(200, ReceiptStatus.POSITIVE), Outcome.OK, True),
     (answered(202, ReceiptStatus.POSITIVE), Outcome.OK, True),
     (answered(200, ReceiptStatus.DUPLICATE), Outcome.OK, True),
     (answered(200, ReceiptStatus.NEGATIVE), Outcome.OK, True),
     (answered(200, ReceiptStatus.MISSING), Outcome.ERROR, False),
-    (answered(200, ReceiptStatus.UNPROVEN), Outcome.ERROR, False),
+    (answered(200, ReceiptStatus.UNVERIFIED), Outcome.ERROR, False),
     (answered(200, ReceiptStatus.OTHER_MESSAGE), Outcome.ERROR, False),
     (answered(200, ReceiptStatus.WRONG_MIC), Outcome.ERROR, False),
 ]
--- a/tests/engine/test_fair_share.py
+++ b/tests/engine/test_fair_share.py
@@ -76,8 +76,8 @@
     for tenant, partner in (("big", "p"), ("small", "q")):
         request(shares, "s", partner, 1, tenant=tenant)
     big, small = shares.trees["from"].children["big"], shares.trees["from"].children["small"]
-    assert shares.fair_part(big, BYTES) == 90
-    assert shares.fair_part(small, BYTES) == 30
+    assert shares.fair_share(big, BYTES) == 90
+    assert shares.fair_share(small, BYTES) == 30
 
 
 def test_many_senders_of_one_tenant_get_the_share_of_one_tenant() -> None:
@@ -100,10 +100,10 @@
     request(shares, "a", "quick", 1)
     request(shares, "a", "slow", 1)
     partners = shares.trees["to"].children
-    before = shares.fair_part(partners["slow"], BYTES)
+    before = shares.fair_share(partners["slow"], BYTES)
     shares.set_weight("to", "slow", 0.25)
-    assert shares.fair_part(partners["slow"], BYTES) == 20 < before
-    assert shares.fair_part(partners["quick"], BYTES) == 80
+    assert shares.fair_share(partners["slow"], BYTES) == 20 < before
+    assert shares.fair_share(partners["quick"], BYTES) == 80
     shares.verify_invariants()
 
 
--- a/tests/engine/test_gossip.py
+++ b/tests/engine/test_gossip.py
@@ -27,7 +27,7 @@
 
 
 def healthy_claim(age: float = 100.0, mean: float = 100.0) -> RouteClaim:
-    return RouteClaim("p", -1, (11, 12), answered_age=age, mean_ms=mean, dev_ms=30.0, answers=9)
+    return RouteClaim("p", -1, (11, 12), answer_age_ms=age, latency_mean_ms=mean, latency_deviation_ms=30.0, answers=9)
 
 
 def outage_claim(age: float = 100.0, since: float = 3000.0) -> RouteClaim:
@@ -35,13 +35,13 @@
         "p",
         -1,
         (11, 12),
-        answered_age=since + 500,
-        failed_age=age,
-        out_age=since,
-        mean_ms=100,
-        dev_ms=30,
+        answer_age_ms=since + 500,
+        failure_age_ms=age,
+        outage_age_ms=since,
+        latency_mean_ms=100,
+        latency_deviation_ms=30,
         answers=9,
-        knowers=2.0,
+        aware_relays=2.0,
     )
 
 
@@ -80,14 +80,16 @@
 
 
 def test_route_that_returned_for_one_peer_is_in_slow_start_and_not_out() -> None:
-    back = RouteClaim("p", -1, (11,), answered_age=300, cold_age=900, answers=1, mean_ms=100, knowers=4.0)
+    back = RouteClaim(
+        "p", -1, (11,), answer_age_ms=300, slow_start_age_ms=900, answers=1, latency_mean_ms=100, aware_relays=4.0
+    )
     route, _ = merge(outage_claim(age=1200, since=5000), back)
     assert route is not None
     assert (route.outage_age_ms, route.slow_start_age_ms, route.aware_relays) == (None, 900, 10.0)
 
 
 def test_own_retry_after_binds_and_another_relays_is_bounded() -> None:
-    claim = RouteClaim("p", -1, (11,), wait_ms=500_000)
+    claim = RouteClaim("p", -1, (11,), retry_after_ms=500_000)
     for own, expected in [(True, 500_000), (False, 60_000)]:
         route, _ = merge(claim, own=own)
         assert route is not None
@@ -96,10 +98,10 @@
 
 def test_claim_of_unknown_routes_or_endpoints_or_with_impossible_ages_is_rejected() -> None:
     for claim, reason in [
-        (RouteClaim("p", -1, (99,), failed_age=1, out_age=1), "not its own"),
-        (RouteClaim("q", -1, (11,), failed_age=1, out_age=1), "no such partner"),
-        (RouteClaim("p", -1, (11,), failed_age=float("nan"), out_age=1), "can't be"),
-        (RouteClaim("p", -1, (11,), failed_age=-5, out_age=1), "can't be"),
+        (RouteClaim("p", -1, (99,), failure_age_ms=1, outage_age_ms=1), "not its own"),
+        (RouteClaim("q", -1, (11,), failure_age_ms=1, outage_age_ms=1), "no such partner"),
+        (RouteClaim("p", -1, (11,), failure_age_ms=float("nan"), outage_age_ms=1), "can't be"),
+        (RouteClaim("p", -1, (11,), failure_age_ms=-5, outage_age_ms=1), "can't be"),
     ]:
         route, rejected = merge(claim)
         assert route is None
@@ -124,9 +126,9 @@
                     f"p{n}",
                     -1,
                     (n,),
-                    answered_age=4000 if out else 50,
-                    failed_age=100 if out else None,
-                    out_age=3000 if out else None,
+                    answer_age_ms=4000 if out else 50,
+                    failure_age_ms=100 if out else None,
+                    outage_age_ms=3000 if out else None,
                 )
                 for n in range(10)
             ),
@@ -192,7 +194,7 @@
 
 def test_rate_and_connection_limits_are_medians() -> None:
     def throttled_claim(rate: float, age: float = 100.0) -> RouteClaim:
-        return RouteClaim("p", -1, (11,), answered_age=age, pace=rate)
+        return RouteClaim("p", -1, (11,), answer_age_ms=age, rate=rate)
 
     for rates, expected in [((3.0,), 3.0), ((3.0, 0.001, 4.0), 3.0), ((3.0, 9e8, 4.0), 4.0), ((0.0, 0.0), 0.0)]:
         route, _ = merge(*(throttled_claim(rate) for rate in rates))
@@ -286,7 +288,7 @@
     assert not harness.engine.routes[1][-1].health.ejected
     (claim,) = gossip_export.export_claims(harness.engine, harness.now, {1: "p"})
     assert claim.answers > 3
-    assert claim.out_age is None
+    assert claim.outage_age_ms is None
     assert claim.endpoints == (11,)
     other = fresh(outage_age_ms=4000.0)
     assert gossip_export.export_claims(other.engine, other.now, {1: "p"}) == []
@@ -301,7 +303,9 @@
         harness.advance(600, 20)
         if message_id in harness.in_flight:
             harness.end_attempt(message_id, Outcome.CONNECT_FAILED)
-    before = gossip_export.export_claims(harness.engine, harness.now, {1: "p"})[0].knowers
+    before = gossip_export.export_claims(harness.engine, harness.now, {1: "p"})[0].aware_relays
     for _ in range(5):
         harness.handle(GossipSent(((1, -1), (7, -1))))
-    assert gossip_export.export_claims(harness.engine, harness.now, {1: "p"})[0].knowers == pytest.approx(before + 5)
+    assert gossip_export.export_claims(harness.engine, harness.now, {1: "p"})[0].aware_relays == pytest.approx(
+        before + 5
+    )
--- a/tests/faults/relay_testbed.py
+++ b/tests/faults/relay_testbed.py
@@ -10,14 +10,14 @@
 
 from linnetstile.as2_relay.relay import As2Relay
 from linnetstile.codec import cms, http1
-from linnetstile.config.relay import RelaySettings, split
+from linnetstile.config.relay import RelaySettings, split_address
 from linnetstile.emulators import messages
-from linnetstile.emulators.partner import PartnersSpec, Stand
-from linnetstile.emulators.record import Recorder, now_ms, read
-from linnetstile.emulators.registry import Change, RegisterSpec, RegisterStand
+from linnetstile.emulators.partner import PartnerEmulator, PartnersSpec
+from linnetstile.emulators.record import Recorder, now_ms, read_record
+from linnetstile.emulators.registry import Change, RegistryEmulator, RegistrySpec
 from linnetstile.net import client
 from linnetstile.telemetry.log import logger
-from linnetstile.testbed.rule_checker import Judge, Run, Verdict
+from linnetstile.testbed.rule_checker import RuleChecker, RunRecord, Verdict
 
 TEST_TIMEOUT_S = 40
 ANSWER_TIMEOUT_S = 12
@@ -108,7 +108,7 @@
         self.folder = folder
         self.keys = {name: cms.make_identity(name) for name in IDENTITIES}
         for name, identity in self.keys.items():
-            (folder / f"{name}.pem").write_bytes(cms.save(identity))
+            (folder / f"{name}.pem").write_bytes(cms.encode_identity(identity))
         self.relay_count = relays
         self.fleet = fleet or relays
         self.faults = faults or []
@@ -125,14 +125,14 @@
             **(partner or {}),
         }
         self.loop_errors: list[str] = []
-        self.services: list[As2Relay] = []
+        self.relays: list[As2Relay] = []
         self.serial_numbers = itertools.count(1)
         self.client_record = Recorder(folder / "clients.jsonl")
         self.relay_lifetimes: dict[str, list[list[Any]]] = {}
 
     async def __aenter__(self) -> RelayTestbed:
         asyncio.get_running_loop().set_exception_handler(self._on_loop_error)
-        self.stand = Stand(
+        self.partner_emulator = PartnerEmulator(
             PartnersSpec.model_validate(
                 {
                     "record": self.folder / "partners.jsonl",
@@ -142,9 +142,9 @@
                 }
             )
         )
-        self.ports = await self.stand.start()
-        self.registry = RegisterStand(
-            RegisterSpec.model_validate(
+        self.ports = await self.partner_emulator.start()
+        self.registry = RegistryEmulator(
+            RegistrySpec.model_validate(
                 {
                     "lag_ms": 0,
                     "record": self.folder / "register.jsonl",
@@ -154,25 +154,25 @@
             )
         )
         await self.registry.start()
-        self.pool = client.Pool()
+        self.pool = client.ConnectionPool()
         for _ in range(self.relay_count):
-            await self.relay(knowledge=self.knowledge)
+            await self.start_relay(knowledge=self.knowledge)
         if self.warm:
             await self._warm_up()
         # The script's clock starts once everything stands, and the relays know the usual latency.
-        self.stand.t0 = self.registry.t0 = now_ms()
-        self.stand.plan()
+        self.partner_emulator.script_start_ms = self.registry.script_start_ms = now_ms()
+        self.partner_emulator.schedule_outages()
         return self
 
     async def __aexit__(self, *error: object) -> None:
         self.pool.close()
-        for relay in self.services:
+        for relay in self.relays:
             relay.close()
         self.registry.close()
-        self.stand.close()
+        self.partner_emulator.close()
         self.client_record.flush()
         await asyncio.sleep(0.02)
-        self.stand.record.flush()  # what the end of its connections showed
+        self.partner_emulator.recorder.flush()  # what the end of its connections showed
         assert not self.loop_errors, self.loop_errors[:3]
 
     def _on_loop_error(self, _: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
@@ -180,7 +180,7 @@
 
     async def _warm_up(self) -> None:
         for number in range(WARM_UP_MESSAGES * self.relay_count):
-            answer = await self.hand(self.make("safe"), number % self.relay_count)
+            answer = await self.submit(self.make_message("safe"), number % self.relay_count)
             assert answer_kind(answer) == "delivered"
 
     # -- the fleet -------------------------------------------------------------------------------------------
@@ -196,7 +196,7 @@
             "rate": self.partner["rate"] or 50.0,
         }
 
-    def settings(self, name: str, **more: Any) -> RelaySettings:
+    def relay_settings(self, name: str, **more: Any) -> RelaySettings:
         """Return the settings of a relay; `more` has fields that are added or replaced."""
         return RelaySettings.model_validate(
             {
@@ -219,50 +219,50 @@
             }
         )
 
-    async def relay(self, wait: bool = True, knowledge: dict[str, Any] | None = None) -> As2Relay:
+    async def start_relay(self, wait: bool = True, knowledge: dict[str, Any] | None = None) -> As2Relay:
         """Start one more relay; with `wait`, return once it has the endpoint list."""
-        name = f"r{len(self.services) + 1}"
+        name = f"r{len(self.relays) + 1}"
         more = {"knowledge": knowledge} if knowledge else {}
-        relay = As2Relay(self.settings(name, **more), logger("error"), seed=len(self.services))
+        relay = As2Relay(self.relay_settings(name, **more), logger("error"), seed=len(self.relays))
         await relay.start()
-        self.services.append(relay)
+        self.relays.append(relay)
         self.relay_lifetimes[name] = [[now_ms(), None, ""]]
         if wait:
-            await wait_until(lambda: relay.register.version >= 0)
+            await wait_until(lambda: relay.registry.version >= 0)
         return relay
 
     def kill_relay(self, index: int) -> None:
         """End everything of a relay at once, as its sockets show it."""
-        self.services[index].close()
+        self.relays[index].close()
         self.relay_lifetimes[f"r{index + 1}"][-1][1:] = [now_ms(), "killed"]
 
     def change_endpoint(self, endpoint: int, status: str) -> None:
         """Change the status of an endpoint in the registry."""
-        self.registry.change(Change.model_validate({"at_s": 0, "id": endpoint, "status": status}))
+        self.registry.apply_change(Change.model_validate({"at_s": 0, "id": endpoint, "status": status}))
 
-    def seconds(self) -> float:
+    def elapsed_s(self) -> float:
         """Return the time since the end of the start."""
-        return self.stand.seconds()
+        return self.partner_emulator.elapsed_s()
 
-    async def until(self, seconds: float) -> None:
+    async def sleep_until(self, seconds: float) -> None:
         """Sleep until so long after the end of the start."""
-        await asyncio.sleep(max(0.0, seconds - self.seconds()))
+        await asyncio.sleep(max(0.0, seconds - self.elapsed_s()))
 
     # -- messages --------------------------------------------------------------------------------------------
 
-    def make(self, message_class: str, content: bytes = b"ISA*00~", **more: Any) -> messages.Made:
+    def make_message(self, message_class: str, content: bytes = b"ISA*00~", **more: Any) -> messages.BuiltMessage:
         """Make a message from "office" to the partner, under a fresh identifier unless `ident` is given."""
         more.setdefault("ident", f"<{next(self.serial_numbers)}@office>")
         ident = more.pop("ident")
-        return messages.make("office", more.pop("to", "firma"), ident, message_class, content, **more)
+        return messages.build_message("office", more.pop("to", "firma"), ident, message_class, content, **more)
 
-    async def hand(self, message: messages.Made, relay: int = 0) -> client.Answer:
+    async def submit(self, message: messages.BuiltMessage, relay: int = 0) -> client.CallResult:
         """Submit a message, wait for the answer on the connection, and record both."""
         mark = f"h{next(self.serial_numbers)}"
         self.client_record(
             "hand",
             hand=mark,
-            mid=message.head.id,
+            mid=message.head.message_id,
             relay=f"r{relay + 1}",
             cls=message.head.subject,
             again=False,
@@ -270,14 +270,14 @@
             receiver="firma",
             wait="",
         )
-        answer = await self.post(self.services[relay].address, message)
+        answer = await self.post(self.relays[relay].address, message)
         if answer.head is None:
-            self.client_record("lost", hand=mark, mid=message.head.id, sight=answer.sight.value)
+            self.client_record("lost", hand=mark, mid=message.head.message_id, sight=answer.wire_result.value)
         else:
             self.client_record(
                 "final",
                 hand=mark,
-                mid=message.head.id,
+                mid=message.head.message_id,
                 kind=answer_kind(answer),
                 status=answer.head.status,
                 receipt=self._receipt_status(message, answer),
@@ -285,49 +285,53 @@
             )
         return answer
 
-    def _receipt_status(self, message: messages.Made, answer: client.Answer) -> str:
+    def _receipt_status(self, message: messages.BuiltMessage, answer: client.CallResult) -> str:
         """Return what the receipt in an answer is worth to the client."""
-        if answer.head is None or answer.head.status != 200 or not message.head.notify:
+        if answer.head is None or answer.head.status != 200 or not message.head.receipt_to:
             return "none"
         signer = "relay" if answer_kind(answer) in ("failed", "refused") else "firma"
-        return messages.check(message, answer.head.headers, answer.body, self.keys[signer].certificate)[0].value
+        return messages.check_receipt(message, answer.head.headers, answer.body, self.keys[signer].certificate)[0].value
 
-    async def post(self, address: str, message: messages.Made, path: str = "/as2") -> client.Answer:
+    async def post(self, address: str, message: messages.BuiltMessage, path: str = "/as2") -> client.CallResult:
         """Post a message to an address and return the answer."""
         loop = asyncio.get_running_loop()
-        done: asyncio.Future[client.Answer] = loop.create_future()
+        done: asyncio.Future[client.CallResult] = loop.create_future()
 
-        def on_answer(answer: client.Answer) -> None:
+        def on_answer(answer: client.CallResult) -> None:
             if not done.done():
                 done.set_result(answer)
 
-        data = http1.request("POST", path, [("Host", address), *message.headers], message.body)
-        self.pool.call(split(address), "POST", data, on_answer, loop.time() + ANSWER_TIMEOUT_S)
+        data = http1.encode_request("POST", path, [("Host", address), *message.headers], message.body)
+        self.pool.call(split_address(address), "POST", data, on_answer, loop.time() + ANSWER_TIMEOUT_S)
         return await done
 
-    async def load(
+    async def submit_evenly(
         self, message_class: str, per_s: float, seconds: float, relays: int | None = None
-    ) -> list[client.Answer]:
+    ) -> list[client.CallResult]:
         """Submit evenly spaced messages to the relays in turn, and return all answers."""
-        tasks, start = [], self.seconds()
+        tasks, start = [], self.elapsed_s()
         for number in range(int(per_s * seconds)):
-            await self.until(start + number / per_s)
+            await self.sleep_until(start + number / per_s)
             relay = number % (relays or self.relay_count)
-            tasks.append(asyncio.create_task(self.hand(self.make(message_class), relay)))
+            tasks.append(asyncio.create_task(self.submit(self.make_message(message_class), relay)))
         return list(await asyncio.gather(*tasks))
 
     # -- records ---------------------------------------------------------------------------------------------
 
-    def rows(self, event: str) -> list[dict[str, Any]]:
+    def partner_records(self, event: str) -> list[dict[str, Any]]:
         """Return the partner's records of an event since the end of the start."""
-        self.stand.record.flush()
-        records = read(self.folder / "partners.jsonl")
-        return [record for record in records if record["ev"] == event and record["t"] >= self.stand.t0]
+        self.partner_emulator.recorder.flush()
+        records = read_record(self.folder / "partners.jsonl")
+        return [
+            record
+            for record in records
+            if record["ev"] == event and record["t"] >= self.partner_emulator.script_start_ms
+        ]
 
     def check_rules(self) -> list[Verdict]:
         """Check the rules by the records; call it after the fleet has ended."""
         records = [
-            sorted(read(self.folder / f"{name}.jsonl"), key=lambda record: float(record["t"]))
+            sorted(read_record(self.folder / f"{name}.jsonl"), key=lambda record: float(record["t"]))
             for name in ("partners", "clients", "register")
         ]
         classes = {
@@ -340,16 +344,16 @@
             "relays": self.relay_lifetimes,
             "partners": {"firma": {"rate": self.partner["rate"]}},
         }
-        return Judge(Run(facts, *records)).judge()
+        return RuleChecker(RunRecord(facts, *records)).check_rules()
 
-    def broken(self) -> list[str]:
+    def broken_rules(self) -> list[str]:
         """Return what broke a rule; call it after the fleet has ended."""
         return [text for verdict in self.check_rules() for text in verdict.findings]
 
 
-def answer_kind(answer: client.Answer) -> str:
+def answer_kind(answer: client.CallResult) -> str:
     """Return the kind of an answer, or how the call ended without one."""
-    return answer.head.headers.get("linnetstile-answer") if answer.head else answer.sight.value
+    return answer.head.headers.get("linnetstile-answer") if answer.head else answer.wire_result.value
 
 
 async def wait_until(condition: Callable[[], bool], poll_s: float = 0.005) -> None:
--- a/tests/faults/test_fleet.py
+++ b/tests/faults/test_fleet.py
@@ -16,7 +16,7 @@
 
 from linnetstile.as2_relay.relay import As2Relay
 from linnetstile.codec import http1
-from linnetstile.config.relay import split
+from linnetstile.config.relay import split_address
 from linnetstile.net import client, server
 from linnetstile.telemetry.log import logger
 
@@ -27,21 +27,21 @@
 def test_a_draining_or_removed_endpoint_gets_no_new_requests_under_load(tmp_path: Path, status: str) -> None:
     async def test() -> None:
         async with RelayTestbed(tmp_path, relays=2, endpoints=2) as testbed:
-            load = asyncio.create_task(testbed.load("safe", 30, 2.0))
-            await testbed.until(0.7)
-            used = testbed.rows("began")[-1]["endpoint"]  # by chance: both relays may use the same
+            load = asyncio.create_task(testbed.submit_evenly("safe", 30, 2.0))
+            await testbed.sleep_until(0.7)
+            used = testbed.partner_records("began")[-1]["endpoint"]  # by chance: both relays may use the same
             testbed.change_endpoint(used, status)
-            await testbed.until(1.4)
+            await testbed.sleep_until(1.4)
             testbed.change_endpoint(used, "ready")
             assert Counter(map(answer_kind, await load)) == {"delivered": 60}
             gap = [
                 row
-                for row in testbed.rows("began")
-                if row["endpoint"] == used and 800 < row["t"] - testbed.stand.t0 < 1400
+                for row in testbed.partner_records("began")
+                if row["endpoint"] == used and 800 < row["t"] - testbed.partner_emulator.script_start_ms < 1400
             ]
             assert not gap
-            assert {row["endpoint"] for row in testbed.rows("began")} == {1, 2}
-        assert testbed.broken() == []
+            assert {row["endpoint"] for row in testbed.partner_records("began")} == {1, 2}
+        assert testbed.broken_rules() == []
 
     run_test(test)
 
@@ -51,10 +51,14 @@
     async def test() -> None:
         faults = [{"kind": what, "at_s": 0.3, "for_s": 2.5, "partners": ["firma"]}]
         async with RelayTestbed(tmp_path, relays=3, faults=faults, partner={"rate": 15.0}) as testbed:
-            await testbed.load("safe", 12, 7.0)
-            assert not testbed.rows("fallen")
-            assert [row for row in testbed.rows("began") if row["t"] - testbed.stand.t0 > 4000]
-        assert testbed.broken() == []
+            await testbed.submit_evenly("safe", 12, 7.0)
+            assert not testbed.partner_records("fallen")
+            assert [
+                row
+                for row in testbed.partner_records("began")
+                if row["t"] - testbed.partner_emulator.script_start_ms > 4000
+            ]
+        assert testbed.broken_rules() == []
 
     run_test(test)
 
@@ -67,16 +71,16 @@
                 "troubles": [{"kind": "fail", "at_s": 0, "for_s": 0.6}, {"kind": "garbage", "at_s": 0.6, "for_s": 0.5}]
             },
         ) as testbed:
-            late_relay = await testbed.relay(wait=False)
-            answer = await testbed.hand(testbed.make("safe"), 1)
+            late_relay = await testbed.start_relay(wait=False)
+            answer = await testbed.submit(testbed.make_message("safe"), 1)
             assert answer_kind(answer) == "refused"
             assert answer.head is not None
             assert answer.head.status == 503
-            await testbed.until(3.0)
-            assert late_relay.register.version == 1
-            assert late_relay.register.list_counts.failed >= 2
-            assert answer_kind(await testbed.hand(testbed.make("safe"), 1)) == "delivered"
-        assert testbed.broken() == []
+            await testbed.sleep_until(3.0)
+            assert late_relay.registry.version == 1
+            assert late_relay.registry.list_counts.failed >= 2
+            assert answer_kind(await testbed.submit(testbed.make_message("safe"), 1)) == "delivered"
+        assert testbed.broken_rules() == []
 
     run_test(test)
 
@@ -86,14 +90,14 @@
         async with RelayTestbed(tmp_path, endpoints=2) as testbed:
             testbed.change_endpoint(2, "gone")
             await asyncio.sleep(0.1)
-            relay = testbed.services[0]
-            assert relay.register.version == 2
+            relay = testbed.relays[0]
+            assert relay.registry.version == 2
             testbed.registry.version, testbed.registry.entries[2]["status"] = 1, "ready"
-            relay.register.is_watching = False
-            relay.register.watch()
+            relay.registry.is_watching = False
+            relay.registry.watch()
             await asyncio.sleep(0.1)
-            assert relay.register.version == 2
-            assert relay.register.list_counts.failed >= 1
+            assert relay.registry.version == 2
+            assert relay.registry.list_counts.failed >= 1
             testbed.registry.version = 3
 
     run_test(test)
@@ -102,18 +106,18 @@
 def test_shutdown_rejects_new_messages_and_finishes_accepted_ones(tmp_path: Path) -> None:
     async def test() -> None:
         async with RelayTestbed(tmp_path, partner={"work_ms": 400}) as testbed:
-            relay = testbed.services[0]
-            submissions = [asyncio.create_task(testbed.hand(testbed.make("unsafe"))) for _ in range(3)]
+            relay = testbed.relays[0]
+            submissions = [asyncio.create_task(testbed.submit(testbed.make_message("unsafe"))) for _ in range(3)]
             await asyncio.sleep(0.1)
             relay.stop()
-            rejected = await testbed.hand(testbed.make("safe"))
+            rejected = await testbed.submit(testbed.make_message("safe"))
             assert rejected.head is not None
             assert rejected.head.status == 503
             assert b"stopping" in rejected.body
             assert [answer_kind(answer) for answer in await asyncio.gather(*submissions)] == ["delivered"] * 3
             await asyncio.wait_for(relay.stopped.wait(), 5)
             assert not relay.accepted
-        assert testbed.broken() == []
+        assert testbed.broken_rules() == []
 
     run_test(test)
 
@@ -122,11 +126,11 @@
     async def test() -> None:
         faults = [{"kind": "hang", "at_s": 0, "for_s": 60, "partners": ["firma"]}]
         async with RelayTestbed(tmp_path, faults=faults, limits={"stop_ms": 300}) as testbed:
-            waiting = asyncio.create_task(testbed.hand(testbed.make("unsafe")))
+            waiting = asyncio.create_task(testbed.submit(testbed.make_message("unsafe")))
             await asyncio.sleep(0.1)
-            testbed.services[0].stop()
-            await asyncio.wait_for(testbed.services[0].stopped.wait(), 2)
-            assert len(testbed.services[0].accepted) == 1
+            testbed.relays[0].stop()
+            await asyncio.wait_for(testbed.relays[0].stopped.wait(), 2)
+            assert len(testbed.relays[0].accepted) == 1
             testbed.kill_relay(0)
             assert answer_kind(await waiting) == "lost"
 
@@ -138,7 +142,7 @@
 
     async def test() -> None:
         async with RelayTestbed(tmp_path, partner={"work_ms": 600}) as testbed:
-            settings = testbed.settings("r1").model_dump(mode="json", by_alias=True)
+            settings = testbed.relay_settings("r1").model_dump(mode="json", by_alias=True)
             (tmp_path / "relay.yaml").write_text(yaml.safe_dump(settings))
 
             async def start() -> tuple[asyncio.subprocess.Process, str]:
@@ -156,7 +160,7 @@
                 return child, json.loads(await asyncio.wait_for(child.stdout.readline(), 20))["listening"]
 
             child, address = await start()
-            deduplicated, non_idempotent = testbed.make("keyed"), testbed.make("unsafe")
+            deduplicated, non_idempotent = testbed.make_message("keyed"), testbed.make_message("unsafe")
 
             async def submit_until_accepted(message: Any) -> Any:
                 answer = await testbed.post(address, message)
@@ -168,7 +172,7 @@
             answers = [
                 asyncio.create_task(submit_until_accepted(message)) for message in (deduplicated, non_idempotent)
             ]
-            await wait_until(lambda: len(testbed.rows("began")) >= 2, poll_s=0.02)
+            await wait_until(lambda: len(testbed.partner_records("began")) >= 2, poll_s=0.02)
             child.send_signal(signal.SIGKILL)
             await child.wait()
             assert [answer_kind(answer) for answer in await asyncio.gather(*answers)] == ["lost", "lost"]
@@ -178,9 +182,9 @@
                 retried = await testbed.post(address, deduplicated)
             assert answer_kind(retried) == "delivered"
             assert b"duplicate-document" in retried.body
-            assert Counter(row["mid"] for row in testbed.rows("effect")) == {
-                deduplicated.head.id: 1,
-                non_idempotent.head.id: 1,
+            assert Counter(row["mid"] for row in testbed.partner_records("effect")) == {
+                deduplicated.head.message_id: 1,
+                non_idempotent.head.message_id: 1,
             }
             child.send_signal(signal.SIGTERM)
             assert await asyncio.wait_for(child.wait(), 20) == 0
@@ -191,13 +195,13 @@
 def test_a_full_listener_evicts_half_open_connections_and_serves_on(tmp_path: Path) -> None:
     async def test() -> None:
         async with RelayTestbed(tmp_path, limits={"connections": 8}) as testbed:
-            host, port = split(testbed.services[0].address)
+            host, port = split_address(testbed.relays[0].address)
             idle = [await asyncio.open_connection(host, port) for _ in range(20)]
             await asyncio.sleep(0.1)
-            assert len(testbed.services[0].listener.open) <= 8
+            assert len(testbed.relays[0].listener.connections) <= 8
             # Half-open connections are evicted, the oldest first: they can't keep a client out.
-            assert testbed.services[0].listener.counts["let_go_full"] >= 12
-            assert answer_kind(await testbed.hand(testbed.make("safe"))) == "delivered"
+            assert testbed.relays[0].listener.counts["let_go_full"] >= 12
+            assert answer_kind(await testbed.submit(testbed.make_message("safe"))) == "delivered"
             for _, writer in idle:
                 writer.close()
 
@@ -208,7 +212,9 @@
     async def test() -> None:
         listener = server.Server(
             lambda request: None,
-            bounds=server.Bounds(head_s=0.2, idle_s=0.3, body_rate=100, grace_s=0.2, sweep_s=0.05),
+            limits=server.ServerLimits(
+                head_timeout_s=0.2, idle_timeout_s=0.3, min_body_rate=100, rate_grace_s=0.2, sweep_interval_s=0.05
+            ),
         )
         port = await listener.start()
         for first in (b"", b"GET / HT", b"POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 9\r\n\r\nabc"):
@@ -237,19 +243,21 @@
 
         listener = server.Server(take)
         port = await listener.start()
-        pool = client.Pool()
+        pool = client.ConnectionPool()
 
-        async def call(target: str) -> client.Answer:
-            done: asyncio.Future[client.Answer] = asyncio.get_running_loop().create_future()
-            pool.call(("127.0.0.1", port), "POST", http1.request("POST", target, [("Host", "x")]), done.set_result)
+        async def call(target: str) -> client.CallResult:
+            done: asyncio.Future[client.CallResult] = asyncio.get_running_loop().create_future()
+            pool.call(
+                ("127.0.0.1", port), "POST", http1.encode_request("POST", target, [("Host", "x")]), done.set_result
+            )
             return await asyncio.wait_for(done, 5)
 
         await call("/1")
-        (kept,) = pool.idle[("127.0.0.1", port)]
+        (kept,) = pool.idle_connections[("127.0.0.1", port)]
         kept.transport.abort()  # dead, and connection_lost has not run yet
         assert (await call("/2")).head is not None
         assert seen == ["/1", "/2"]
-        for conn in list(listener.open):
+        for conn in list(listener.connections):
             conn.transport.abort()
         await asyncio.sleep(0.05)
         assert (await call("/3")).head is not None
@@ -264,7 +272,7 @@
 def test_a_port_in_use_is_reported_as_one_clear_error(tmp_path: Path) -> None:
     async def test() -> None:
         async with RelayTestbed(tmp_path) as testbed:
-            settings = testbed.settings("r9", listen=testbed.services[0].address)
+            settings = testbed.relay_settings("r9", listen=testbed.relays[0].address)
             with pytest.raises(OSError, match="address already in use"):
                 await As2Relay(settings, logger("error")).start()
 
--- a/tests/faults/test_fuzz.py
+++ b/tests/faults/test_fuzz.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from linnetstile.config.relay import split
+from linnetstile.config.relay import split_address
 
 from .relay_testbed import RelayTestbed, answer_kind, run_test, wait_until
 
@@ -41,8 +41,10 @@
 
 
 async def run_faulty_client(testbed: RelayTestbed, rng: random.Random) -> None:
-    reader, writer = await asyncio.open_connection(*split(testbed.services[0].address))
-    message = testbed.make(rng.choice(("safe", "keyed", "unsafe")), rng.randbytes(rng.choice((10, 3000, 120_000))))
+    reader, writer = await asyncio.open_connection(*split_address(testbed.relays[0].address))
+    message = testbed.make_message(
+        rng.choice(("safe", "keyed", "unsafe")), rng.randbytes(rng.choice((10, 3000, 120_000)))
+    )
     lines = [f"{name}: {value}" for name, value in [("Host", "x"), *message.headers]]
     chunked = rng.random() < 0.3
     stated_size = len(message.body) + rng.choice((0, 0, 0, 7, -3))
@@ -80,7 +82,7 @@
         async with RelayTestbed(
             tmp_path, limits=LIMITS, faults=FAULTS, partner={"rate": 200.0, "work_ms": 5}
         ) as testbed:
-            relay = testbed.services[0]
+            relay = testbed.relays[0]
             before = len(asyncio.all_tasks())
 
             async def run_one(client_rng: random.Random) -> None:
@@ -88,13 +90,13 @@
                     await run_faulty_client(testbed, client_rng)
 
             tasks = []
-            while testbed.seconds() < 4.0:
+            while testbed.elapsed_s() < 4.0:
                 tasks.append(asyncio.create_task(run_one(random.Random(rng.random()))))
                 await asyncio.sleep(rng.choice((0.0, 0.01, 0.03)))
             await asyncio.gather(*tasks)
             assert len(tasks) > 100
             assert relay.counts["taken"] > 20
-            await testbed.until(6.0)
+            await testbed.sleep_until(6.0)
             await wait_until(lambda: not relay.accepted, poll_s=0.05)  # the longest deadline is 8 s
             await asyncio.sleep(1.2)
             relay.verify_invariants()
@@ -107,10 +109,10 @@
             assert not relay.engine.queues.messages
             assert not relay.engine.queues.queues
             assert all(not partner.in_flight for partner in relay.admission.slow_partners.partners.values())
-            assert not [connection for connection in relay.listener.open if connection.phase != "idle"]
-            assert not [connection for connection in relay.pool.open if connection.call is not None]
+            assert not [connection for connection in relay.listener.connections if connection.phase != "idle"]
+            assert not [connection for connection in relay.pool.connections if connection.call is not None]
             assert len(asyncio.all_tasks()) <= before
-            assert answer_kind(await testbed.hand(testbed.make("safe"))) == "delivered"
-        assert not [text for text in testbed.broken() if "no final answer" not in text]
+            assert answer_kind(await testbed.submit(testbed.make_message("safe"))) == "delivered"
+        assert not [text for text in testbed.broken_rules() if "no final answer" not in text]
 
     run_test(test)
--- a/tests/faults/test_gossip.py
+++ b/tests/faults/test_gossip.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from linnetstile.as2_relay.gossip import FORMAT, parse
+from linnetstile.as2_relay.gossip_document import DOCUMENT_FORMAT, parse
 from linnetstile.as2_relay.relay import As2Relay
 from linnetstile.net import server
 from linnetstile.storage import snapshot
@@ -43,7 +43,7 @@
 
 def document_json(*claims: dict[str, Any], **more: Any) -> dict[str, Any]:
     return {
-        "format": FORMAT,
+        "format": DOCUMENT_FORMAT,
         "relay": "peer",
         "run": "x",
         "version": 1,
@@ -77,11 +77,11 @@
 async def wait_for_polls(relay: As2Relay, count: int = 1, seconds: float = 4.0) -> None:
     """Wait until so many polls of a relay have ended, with or without an answer."""
     for _ in range(int(seconds / 0.02)):
-        counts = relay.knowledge.counts
+        counts = relay.gossip.counts
         if counts["answered"] + counts["no_answer"] + counts["unreadable"] >= count:
             return
         await asyncio.sleep(0.02)
-    raise AssertionError(f"no peer was asked: {relay.knowledge.counts}")
+    raise AssertionError(f"no peer was asked: {relay.gossip.counts}")
 
 
 def test_a_new_relay_spares_a_partner_whose_outage_peers_report(tmp_path: Path) -> None:
@@ -90,28 +90,28 @@
         async with RelayTestbed(
             tmp_path, relays=2, fleet=3, faults=faults, partner={"rate": 15.0}, knowledge=token_settings(tmp_path)
         ) as testbed:
-            before = asyncio.create_task(testbed.load("safe", 8, 2.0))
-            await testbed.until(2.0)
-            old_relay = testbed.services[0]
+            before = asyncio.create_task(testbed.submit_evenly("safe", 8, 2.0))
+            await testbed.sleep_until(2.0)
+            old_relay = testbed.relays[0]
             assert old_relay.engine.routes[0][-1].health.ejected
-            new_relay = await testbed.relay(knowledge=token_settings(tmp_path) | {"peers": [old_relay.address]})
+            new_relay = await testbed.start_relay(knowledge=token_settings(tmp_path) | {"peers": [old_relay.address]})
             await wait_for_polls(new_relay)
             await asyncio.sleep(0.05)
             route = new_relay.engine.routes[0][-1]
             assert route.health.ejected
             assert route.health.from_gossip
-            outage_age_ms = new_relay.knowledge.merged["firma", -1].route.outage_age_ms
+            outage_age_ms = new_relay.gossip.merged["firma", -1].route.outage_age_ms
             assert outage_age_ms is not None
             assert outage_age_ms > 1000
             assert old_relay.engine.routes[0][-1].health.notified_relays >= 1  # the new relay knows of the outage now
-            assert new_relay.knowledge.document()["claims"] == []  # it has no evidence of its own
-            began = len(testbed.rows("began"))
-            task = asyncio.create_task(testbed.load("safe", 20, 1.0, 3))
+            assert new_relay.gossip.document()["claims"] == []  # it has no evidence of its own
+            began = len(testbed.partner_records("began"))
+            task = asyncio.create_task(testbed.submit_evenly("safe", 20, 1.0, 3))
             await asyncio.sleep(0.9)
-            new_relay_rows = [row for row in testbed.rows("began")[began:] if row["relay"] == "r3"]
+            new_relay_rows = [row for row in testbed.partner_records("began")[began:] if row["relay"] == "r3"]
             assert len(new_relay_rows) <= 5
             assert all(answer_kind(answer) in ("delivered", "refused") for answer in [*await task, *await before])
-        assert testbed.broken() == []
+        assert testbed.broken_rules() == []
 
     run_test(test)
 
@@ -121,18 +121,18 @@
         snapshot_settings = {"snapshot": tmp_path / "know", "snapshot_every_ms": 200}
         faults = [{"kind": "shut", "at_s": 0, "for_s": 6, "partners": ["firma"]}]
         async with RelayTestbed(tmp_path, faults=faults, knowledge=snapshot_settings) as testbed:
-            waiting = asyncio.create_task(testbed.hand(testbed.make("safe")))
+            waiting = asyncio.create_task(testbed.submit(testbed.make_message("safe")))
             await asyncio.sleep(0.8)
             testbed.kill_relay(0)
             await waiting
-            restarted = await testbed.relay(knowledge=snapshot_settings)
+            restarted = await testbed.start_relay(knowledge=snapshot_settings)
             await asyncio.sleep(0.05)
             left = restarted.engine.routes[0][-1].retry_after_until - restarted.loop.time() * 1000
             assert 3000 < left < 6000  # it was sent to this relay before it was killed, so it still binds
-            answer = await testbed.hand(testbed.make("safe"), 1)
+            answer = await testbed.submit(testbed.make_message("safe"), 1)
             assert answer_kind(answer) == "delivered"
-            assert testbed.seconds() > 5.9
-        assert testbed.broken() == []
+            assert testbed.elapsed_s() > 5.9
+        assert testbed.broken_rules() == []
 
     run_test(test)
 
@@ -152,8 +152,8 @@
             snapshot.read(path)
         async with RelayTestbed(tmp_path, knowledge={"snapshot": path}) as testbed:
             assert (tmp_path / "know.bad").exists()
-            assert testbed.services[0].knowledge.loaded_snapshot is None
-            assert answer_kind(await testbed.hand(testbed.make("safe"))) == "delivered"
+            assert testbed.relays[0].gossip.loaded_snapshot is None
+            assert answer_kind(await testbed.submit(testbed.make_message("safe"))) == "delivered"
 
     run_test(test)
 
@@ -163,8 +163,8 @@
         snapshot_settings = {"snapshot": tmp_path / "none" / "know", "snapshot_every_ms": 200}
         async with RelayTestbed(tmp_path, knowledge=snapshot_settings) as testbed:
             await asyncio.sleep(0.5)
-            assert testbed.services[0].knowledge.counts["snapshots_failed"] >= 1
-            assert answer_kind(await testbed.hand(testbed.make("safe"))) == "delivered"
+            assert testbed.relays[0].gossip.counts["snapshots_failed"] >= 1
+            assert answer_kind(await testbed.submit(testbed.make_message("safe"))) == "delivered"
 
     run_test(test)
 
@@ -178,8 +178,8 @@
 
 
 def reply_with_half(request: server.RequestContext) -> None:
-    request.conn.transport.write(b"HTTP/1.1 200 OK\r\nContent-Length: 5000\r\n\r\n{")
-    asyncio.get_running_loop().call_later(0.05, request.conn.transport.abort)
+    request.connection.transport.write(b"HTTP/1.1 200 OK\r\nContent-Length: 5000\r\n\r\n{")
+    asyncio.get_running_loop().call_later(0.05, request.connection.transport.abort)
 
 
 @pytest.mark.parametrize(
@@ -203,13 +203,13 @@
     async def test() -> None:
         listener, address = await start_peer(reply)
         async with RelayTestbed(tmp_path, warm=False) as testbed:
-            new_relay = await testbed.relay(knowledge={"peers": [address]})
+            new_relay = await testbed.start_relay(knowledge={"peers": [address]})
             for _ in range(3):  # traffic goes on meanwhile
-                assert answer_kind(await testbed.hand(testbed.make("safe"), 1)) == "delivered"
+                assert answer_kind(await testbed.submit(testbed.make_message("safe"), 1)) == "delivered"
             await wait_for_polls(new_relay)
-            assert new_relay.knowledge.counts[counted] == 1
-            assert not new_relay.knowledge.merged
-            assert new_relay.knowledge.state()["peers"][0]["standing"] == "suspected"
+            assert new_relay.gossip.counts[counted] == 1
+            assert not new_relay.gossip.merged
+            assert new_relay.gossip.state()["peers"][0]["standing"] == "suspected"
         listener.close()
 
     run_test(test)
@@ -221,16 +221,16 @@
     async def test() -> None:
         listener, address = await start_peer(reply_with(document_json(claim_json(out_age=8_000, wait_ms=700))))
         async with RelayTestbed(tmp_path, warm=False, partner={"rate": 200.0}) as testbed:
-            new_relay = await testbed.relay(knowledge={"peers": [address]})
+            new_relay = await testbed.start_relay(knowledge={"peers": [address]})
             await wait_for_polls(new_relay)
             await asyncio.sleep(0.05)
             assert is_ejected(new_relay)
-            assert answer_kind(await testbed.hand(testbed.make("safe"), 1)) == "delivered"
+            assert answer_kind(await testbed.submit(testbed.make_message("safe"), 1)) == "delivered"
             assert not is_ejected(new_relay)
             assert new_relay.engine.routes[0][-1].health.failure_score < 0.5
-            assert answer_kind(await testbed.hand(testbed.make("unsafe"), 1)) == "delivered"
+            assert answer_kind(await testbed.submit(testbed.make_message("unsafe"), 1)) == "delivered"
         listener.close()
-        assert testbed.broken() == []
+        assert testbed.broken_rules() == []
 
     run_test(test)
 
@@ -238,16 +238,16 @@
 def test_relays_that_start_together_learn_peers_from_peers(tmp_path: Path) -> None:
     async def test() -> None:
         async with RelayTestbed(tmp_path, knowledge=token_settings(tmp_path)) as testbed:
-            first = testbed.services[0]
+            first = testbed.relays[0]
             gossip_settings = token_settings(tmp_path)
-            second = await testbed.relay(knowledge=gossip_settings | {"peers": [first.address]})
+            second = await testbed.start_relay(knowledge=gossip_settings | {"peers": [first.address]})
             await wait_for_polls(second)
-            third = await testbed.relay(knowledge=gossip_settings | {"peers": [second.address]})
+            third = await testbed.start_relay(knowledge=gossip_settings | {"peers": [second.address]})
             await wait_for_polls(third, 2)  # the second named the first
-            assert first.address in third.knowledge.poller.membership.peers  # type: ignore[union-attr]
+            assert first.address in third.gossip.poller.membership.peers  # type: ignore[union-attr]
             for n in range(3):
-                assert answer_kind(await testbed.hand(testbed.make("safe"), n)) == "delivered"
-        assert testbed.broken() == []
+                assert answer_kind(await testbed.submit(testbed.make_message("safe"), n)) == "delivered"
+        assert testbed.broken_rules() == []
 
     run_test(test)
 
@@ -255,13 +255,13 @@
 def test_a_delta_document_holds_only_changed_claims(tmp_path: Path) -> None:
     async def test() -> None:
         async with RelayTestbed(tmp_path, knowledge=token_settings(tmp_path)) as testbed:
-            gossip_settings = testbed.services[0].knowledge
+            gossip_settings = testbed.relays[0].gossip
             complete = parse(gossip_settings.document())
             assert len(complete.claims) == 1
             assert complete.claims[0].answers >= 6
             assert parse(gossip_settings.document(complete.version)).claims == []
             await asyncio.sleep(2.1)
-            await testbed.hand(testbed.make("safe"))
+            await testbed.submit(testbed.make_message("safe"))
             changed = parse(gossip_settings.document(complete.version))
             assert len(changed.claims) == 1
             assert changed.version > complete.version
@@ -272,7 +272,7 @@
 def test_a_wrong_token_is_denied_and_operators_do_not_count_as_relays(tmp_path: Path) -> None:
     async def test() -> None:
         async with RelayTestbed(tmp_path, knowledge=token_settings(tmp_path)) as testbed:
-            relay = testbed.services[0]
+            relay = testbed.relays[0]
             (tmp_path / "wrong").write_text("guess")
 
             async def command(*args: str) -> subprocess.CompletedProcess[str]:
@@ -314,7 +314,7 @@
             reply_with(document_json(claim_json(out_age=8_000), claim_json(partner="other"), relays=9))
         )
         async with RelayTestbed(tmp_path, warm=False) as testbed:
-            new_relay = await testbed.relay(knowledge=token_settings(tmp_path) | {"peers": [address]})
+            new_relay = await testbed.start_relay(knowledge=token_settings(tmp_path) | {"peers": [address]})
             await wait_for_polls(new_relay)
             completed = await asyncio.to_thread(
                 subprocess.run,
@@ -352,16 +352,16 @@
             reply_with(document_json(claim_json(failed_age=3_600_000, out_age=3_600_500, answered_age=3_700_000)))
         )
         async with RelayTestbed(tmp_path, warm=False) as testbed:
-            new_relay = await testbed.relay(knowledge={"peers": [address, old_address]})
+            new_relay = await testbed.start_relay(knowledge={"peers": [address, old_address]})
             await wait_for_polls(new_relay, 2)
             await asyncio.sleep(0.05)
             assert not any(route.health.ejected for route, _ in new_relay.engine.routing_table.known_routes(0).values())
-            reasons = {claim.reason for claim in new_relay.knowledge.rejected}
+            reasons = {claim.reason for claim in new_relay.gossip.rejected}
             assert reasons == {"learned from endpoints that are not its own now", "says out, too long ago"}
-            assert answer_kind(await testbed.hand(testbed.make("unsafe"), 1)) == "delivered"
+            assert answer_kind(await testbed.submit(testbed.make_message("unsafe"), 1)) == "delivered"
         listener.close()
         old_relay.close()
-        assert testbed.broken() == []
+        assert testbed.broken_rules() == []
 
     run_test(test)
 
@@ -369,7 +369,7 @@
 def test_without_a_token_the_gossip_endpoint_is_not_found(tmp_path: Path) -> None:
     async def test() -> None:
         async with RelayTestbed(tmp_path) as testbed:
-            reader, writer = await asyncio.open_connection(*testbed.services[0].address.split(":"))
+            reader, writer = await asyncio.open_connection(*testbed.relays[0].address.split(":"))
             writer.write(b"GET /knowledge HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer \r\n\r\n")
             assert b" 404 " in await reader.read(100)
             writer.close()
