--- a/tests/net/test_client.py
+++ b/tests/net/test_client.py
@@ -13,7 +13,7 @@
 from linnetstile.net import client
 
 RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
-REQUEST = http1.request("POST", "/", [("Host", "x")], b"body")
+REQUEST = http1.encode_request("POST", "/", [("Host", "x")], b"body")
 
 
 class ScriptedPeer:
@@ -47,12 +47,12 @@
 
 
 def run_scenario(
-    scenario: Callable[[ScriptedPeer, client.Pool, client.Address], Awaitable[None]], most_idle: int = 100
+    scenario: Callable[[ScriptedPeer, client.ConnectionPool, client.Address], Awaitable[None]], most_idle: int = 100
 ) -> None:
     async def run() -> None:
         peer = ScriptedPeer()
         server = await asyncio.start_server(peer.serve, "127.0.0.1", 0)
-        pool = client.Pool(eager=True, most_idle=most_idle)
+        pool = client.ConnectionPool(finish_at_status_line=True, max_idle=most_idle)
         host, port = server.sockets[0].getsockname()[:2]
         try:
             await scenario(peer, pool, (host, port, 1))
@@ -67,57 +67,57 @@
 
 
 async def send_request(
-    pool: client.Pool,
+    pool: client.ConnectionPool,
     address: client.Address,
     last_byte_delay_s: float = 0.0,
     send_within_s: float = 9.0,
     data: bytes = REQUEST,
-) -> client.Answer:
-    answered: asyncio.Future[client.Answer] = asyncio.get_running_loop().create_future()
+) -> client.CallResult:
+    answered: asyncio.Future[client.CallResult] = asyncio.get_running_loop().create_future()
     pool.call(
         address,
         "POST",
         data,
         answered.set_result,
         pool.loop.time() + 3,
-        hold_s=last_byte_delay_s,
-        begin_by=pool.loop.time() + send_within_s,
+        last_byte_delay_s=last_byte_delay_s,
+        send_before=pool.loop.time() + send_within_s,
     )
     return await answered
 
 
 def test_delayed_last_byte_completes_the_request() -> None:
-    async def scenario(peer: ScriptedPeer, pool: client.Pool, address: client.Address) -> None:
+    async def scenario(peer: ScriptedPeer, pool: client.ConnectionPool, address: client.Address) -> None:
         answer = await send_request(pool, address, 0.05)
-        assert answer.sight is WireResult.ANSWERED
+        assert answer.wire_result is WireResult.ANSWERED
         assert peer.received_pieces == [REQUEST[:-1], REQUEST[-1:]]
-        assert (await send_request(pool, address, 0.05)).reused
+        assert (await send_request(pool, address, 0.05)).reused_connection
         assert peer.connections == 1
 
     run_scenario(scenario)
 
 
 def test_connection_that_ends_before_the_last_byte_leaves_the_request_incomplete() -> None:
-    async def scenario(peer: ScriptedPeer, pool: client.Pool, address: client.Address) -> None:
+    async def scenario(peer: ScriptedPeer, pool: client.ConnectionPool, address: client.Address) -> None:
         peer.reset_on_bytes = True
-        assert (await send_request(pool, address, 0.5)).sight is WireResult.REQUEST_INCOMPLETE
+        assert (await send_request(pool, address, 0.5)).wire_result is WireResult.REQUEST_INCOMPLETE
         assert peer.complete_requests == 0
         # Without the delay the end proves nothing.
-        assert (await send_request(pool, address)).sight is WireResult.CONNECTION_LOST
+        assert (await send_request(pool, address)).wire_result is WireResult.CONNECTION_LOST
 
     run_scenario(scenario)
 
 
 def test_idle_connection_with_unread_input_is_not_reused() -> None:
-    async def scenario(peer: ScriptedPeer, pool: client.Pool, address: client.Address) -> None:
+    async def scenario(peer: ScriptedPeer, pool: client.ConnectionPool, address: client.Address) -> None:
         await send_request(pool, address)
-        (connection,) = pool.idle[address]
+        (connection,) = pool.idle_connections[address]
         peer.writers[0].write(RESPONSE)  # as an answer to a request that is still to come
         connection.transport.pause_reading()
         await asyncio.sleep(0.05)
         answer = await send_request(pool, address)
-        assert answer.sight is WireResult.ANSWERED
-        assert not answer.reused
+        assert answer.wire_result is WireResult.ANSWERED
+        assert not answer.reused_connection
         assert peer.connections == 2
         assert peer.complete_requests == 2
 
@@ -125,29 +125,29 @@
 
 
 def test_bytes_after_a_response_end_the_connection() -> None:
-    async def scenario(peer: ScriptedPeer, pool: client.Pool, address: client.Address) -> None:
+    async def scenario(peer: ScriptedPeer, pool: client.ConnectionPool, address: client.Address) -> None:
         for extra in (RESPONSE, b"\x00noise", b"\r\n"):
             peer.extra_bytes = [extra]
-            assert (await send_request(pool, address)).sight is WireResult.ANSWERED
-            assert not pool.idle.get(address)
+            assert (await send_request(pool, address)).wire_result is WireResult.ANSWERED
+            assert not pool.idle_connections.get(address)
         assert peer.connections == 3
 
     run_scenario(scenario)
 
 
 def test_idle_connections_are_limited_and_not_reused_for_a_successor_of_the_peer() -> None:
-    async def scenario(peer: ScriptedPeer, pool: client.Pool, address: client.Address) -> None:
+    async def scenario(peer: ScriptedPeer, pool: client.ConnectionPool, address: client.Address) -> None:
         await asyncio.gather(*(send_request(pool, address) for _ in range(5)))
-        assert pool.resting == len(pool.idle[address]) == 2
+        assert pool.idle_count == len(pool.idle_connections[address]) == 2
         other = (str(address[0]), int(address[1]), 3)
         both = [asyncio.ensure_future(send_request(pool, address, 0.2)) for _ in range(2)]  # an address with none idle
         answers = await asyncio.gather(*(send_request(pool, other) for _ in range(4)), *both)
-        assert {answer.sight for answer in answers} == {WireResult.ANSWERED}
-        assert pool.resting == sum(map(len, pool.idle.values())) == 2
+        assert {answer.wire_result for answer in answers} == {WireResult.ANSWERED}
+        assert pool.idle_count == sum(map(len, pool.idle_connections.values())) == 2
         successor = (str(address[0]), int(address[1]), 2)
-        assert not (await send_request(pool, successor)).reused
+        assert not (await send_request(pool, successor)).reused_connection
         pool.close_idle(successor)
-        assert pool.resting == sum(map(len, pool.idle.values()))
+        assert pool.idle_count == sum(map(len, pool.idle_connections.values()))
 
     run_scenario(scenario, most_idle=2)
 
@@ -156,16 +156,16 @@
 def test_connection_made_too_late_sends_nothing(
     connect_delay_s: float, result: WireResult, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    open_connection = client.Pool._open
+    open_connection = client.ConnectionPool._open
 
-    async def open_slowly(pool: client.Pool, *address: Any) -> client.ClientConnection:
+    async def open_slowly(pool: client.ConnectionPool, *address: Any) -> client.ClientConnection:
         await asyncio.sleep(connect_delay_s)
         return await open_connection(pool, *address)
 
-    monkeypatch.setattr(client.Pool, "_open", open_slowly)
+    monkeypatch.setattr(client.ConnectionPool, "_open", open_slowly)
 
-    async def scenario(peer: ScriptedPeer, pool: client.Pool, address: client.Address) -> None:
-        assert (await send_request(pool, address, send_within_s=0.3)).sight is result
+    async def scenario(peer: ScriptedPeer, pool: client.ConnectionPool, address: client.Address) -> None:
+        assert (await send_request(pool, address, send_within_s=0.3)).wire_result is result
         await asyncio.sleep(connect_delay_s)
         assert peer.complete_requests == (result is WireResult.ANSWERED)
 
@@ -173,14 +173,14 @@
 
 
 def test_connection_made_at_the_last_moment_stays_open_for_another_call() -> None:
-    async def scenario(peer: ScriptedPeer, pool: client.Pool, address: client.Address) -> None:
+    async def scenario(peer: ScriptedPeer, pool: client.ConnectionPool, address: client.Address) -> None:
         connection = await pool._open(address, None)
-        answered: asyncio.Future[client.Answer] = pool.loop.create_future()
+        answered: asyncio.Future[client.CallResult] = pool.loop.create_future()
         call = client.Call(answered.set_result)
         call.send_before = pool.loop.time() - 0.001
         assert not connection.send(call, "POST", REQUEST)
-        assert not connection.dead
-        assert (await send_request(pool, address, send_within_s=-0.001)).sight is WireResult.NOT_SENT
+        assert not connection.is_closing
+        assert (await send_request(pool, address, send_within_s=-0.001)).wire_result is WireResult.NOT_SENT
         await asyncio.sleep(0.05)
         assert peer.complete_requests == 0
         assert not peer.received_pieces
@@ -190,11 +190,17 @@
 
 @pytest.mark.parametrize("last_byte_delay_s", [0.0, 5.0])
 def test_last_byte_that_has_not_left_in_time_is_never_sent(last_byte_delay_s: float) -> None:
-    data = REQUEST if last_byte_delay_s else http1.request("POST", "/", [("Host", "x")], bytes(16_000_000) + b"body")
+    data = (
+        REQUEST
+        if last_byte_delay_s
+        else http1.encode_request("POST", "/", [("Host", "x")], bytes(16_000_000) + b"body")
+    )
 
-    async def scenario(peer: ScriptedPeer, pool: client.Pool, address: client.Address) -> None:
+    async def scenario(peer: ScriptedPeer, pool: client.ConnectionPool, address: client.Address) -> None:
         peer.may_read = asyncio.Event()
-        assert (await send_request(pool, address, last_byte_delay_s, 0.2, data)).sight is WireResult.REQUEST_INCOMPLETE
+        assert (
+            await send_request(pool, address, last_byte_delay_s, 0.2, data)
+        ).wire_result is WireResult.REQUEST_INCOMPLETE
         peer.may_read.set()
         await asyncio.sleep(0.1)
         assert peer.complete_requests == 0
@@ -212,19 +218,23 @@
     ],
 )
 def test_cancelled_call_is_not_sent_unless_its_last_byte_has_left(stage: str, result: WireResult) -> None:
-    data = REQUEST if stage != "blocked" else http1.request("POST", "/", [("Host", "x")], bytes(16_000_000) + b"body")
+    data = (
+        REQUEST
+        if stage != "blocked"
+        else http1.encode_request("POST", "/", [("Host", "x")], bytes(16_000_000) + b"body")
+    )
 
-    async def scenario(peer: ScriptedPeer, pool: client.Pool, address: client.Address) -> None:
+    async def scenario(peer: ScriptedPeer, pool: client.ConnectionPool, address: client.Address) -> None:
         peer.may_read = asyncio.Event()
-        answered: asyncio.Future[client.Answer] = pool.loop.create_future()
-        call = pool.call(address, "POST", data, answered.set_result, hold_s=0.3 if stage == "held" else 0.0)
+        answered: asyncio.Future[client.CallResult] = pool.loop.create_future()
+        call = pool.call(address, "POST", data, answered.set_result, last_byte_delay_s=0.3 if stage == "held" else 0.0)
         if stage != "connecting":
             await asyncio.sleep(0.1)
-        call.recall()
+        call.cancel_if_unsent()
         peer.may_read.set()
-        assert (await answered).sight is result
+        assert (await answered).wire_result is result
         await asyncio.sleep(0.3)
         assert peer.complete_requests == (stage == "out")
-        call.recall()  # a call that has ended stays as it is
+        call.cancel_if_unsent()  # a call that has ended stays as it is
 
     run_scenario(scenario)
--- a/tests/net/test_tls.py
+++ b/tests/net/test_tls.py
@@ -14,9 +14,9 @@
 from linnetstile.codec import http1
 from linnetstile.engine.attempt_outcome import WireResult
 from linnetstile.net import client, server
-from linnetstile.net.tls import Keys, TlsError
+from linnetstile.net.tls import TlsContextFiles, TlsError
 
-from ..faults.rig import Rig, kind, run
+from ..faults.relay_testbed import RelayTestbed, answer_kind, run_test
 from .certificates import CertificateFiles, make_certificate, write_pem
 
 
@@ -24,33 +24,33 @@
     files: CertificateFiles,
     *,
     limits: http1.Limits | None = None,
-    bounds: server.Bounds | None = None,
-    on_error: Callable[[str, http1.ProtocolError], None] | None = None,
+    bounds: server.ServerLimits | None = None,
+    on_error: Callable[[str, http1.Http1Error], None] | None = None,
     need_client: bool = False,
 ) -> server.Server:
     """A server with TLS that answers with the body reversed and the subject of the client's certificate."""
 
     def answer(request: server.RequestContext) -> None:
-        subject = request.conn.tls.certificate() if request.conn.tls else ""
+        subject = request.connection.tls.peer_subject() if request.connection.tls else ""
         request.reply(200, [("X-Shown", subject)], bytes(request.body[::-1]))
 
-    keys = Keys(True, files.server, None, files.authority, need_client)
-    return server.Server(answer, limits=limits, bounds=bounds, on_error=on_error, keys=keys)
+    keys = TlsContextFiles(True, files.server, None, files.authority, need_client)
+    return server.Server(answer, http_limits=limits, limits=bounds, on_error=on_error, tls=keys)
 
 
 async def send_request(
     port: int,
-    keys: Keys,
+    keys: TlsContextFiles,
     name: str = "relay",
     body: bytes = b"abc",
-    pool: client.Pool | None = None,
-) -> client.Answer:
-    answered: asyncio.Future[client.Answer] = asyncio.get_running_loop().create_future()
-    used = pool or client.Pool(connect_s=1.0)
+    pool: client.ConnectionPool | None = None,
+) -> client.CallResult:
+    answered: asyncio.Future[client.CallResult] = asyncio.get_running_loop().create_future()
+    used = pool or client.ConnectionPool(connect_timeout_s=1.0)
     used.call(
         ("127.0.0.1", port),
         "POST",
-        http1.request_parts("POST", "/", [("Host", "x")], body),
+        http1.encode_request_parts("POST", "/", [("Host", "x")], body),
         answered.set_result,
         asyncio.get_running_loop().time() + 8,
         (keys, name),
@@ -62,17 +62,17 @@
 
 
 def run_with_files(test: Callable[[CertificateFiles], Any], tmp_path: Path) -> None:
-    async def run_test() -> None:
+    async def scenario() -> None:
         await test(CertificateFiles(tmp_path))
 
-    run(run_test)
+    run_test(scenario)
 
 
 def test_bodies_of_all_sizes_pass_over_one_connection(tmp_path: Path) -> None:
     async def test(files: CertificateFiles) -> None:
-        limits = http1.Limits(body=2**24)
-        listener, pool = make_server(files, limits=limits), client.Pool(limits=limits)
-        port, keys = await listener.start(), Keys(False, authorities=files.authority)
+        limits = http1.Limits(max_body_bytes=2**24)
+        listener, pool = make_server(files, limits=limits), client.ConnectionPool(limits=limits)
+        port, keys = await listener.start(), TlsContextFiles(False, authorities=files.authority)
         for size in (0, 1, 70_000, 5_000_000):
             answer = await send_request(port, keys, body=os.urandom(size), pool=pool)
             assert answer.head is not None
@@ -89,10 +89,10 @@
     async def test(files: CertificateFiles) -> None:
         listener = make_server(files, need_client=True)
         port = await listener.start()
-        answer = await send_request(port, Keys(False, files.client, None, files.authority))
+        answer = await send_request(port, TlsContextFiles(False, files.client, None, files.authority))
         assert answer.head is not None
         assert answer.head.headers.get("x-shown") == "CN=office"
-        without_certificate = await send_request(port, Keys(False, authorities=files.authority))
+        without_certificate = await send_request(port, TlsContextFiles(False, authorities=files.authority))
         assert without_certificate.head is None
         await asyncio.sleep(0.05)
         assert listener.counts["handshakes_failed"] == 1
@@ -109,15 +109,15 @@
         listener = make_server(files)
         if defect == "expired":  # it was good when it was loaded; the peer must see it as what it is
             write_pem(make_certificate("relay", files.root, (-9, -1)), files.server)
-            assert listener.keys is not None
-            listener.keys.context.load_cert_chain(files.server)
+            assert listener.tls is not None
+            listener.tls.context.load_cert_chain(files.server)
         if defect == "plain":
-            listener.keys = None
+            listener.tls = None
         port = await listener.start()
         stranger = write_pem(make_certificate("stranger"), files.folder / "stranger.pem")
-        keys = Keys(False, authorities=stranger if defect == "authority" else files.authority)
+        keys = TlsContextFiles(False, authorities=stranger if defect == "authority" else files.authority)
         answer = await send_request(port, keys, "other" if defect == "name" else "relay")
-        assert answer.sight is WireResult.NO_CONNECTION
+        assert answer.wire_result is WireResult.NO_CONNECTION
         listener.close()
 
     run_with_files(test, tmp_path)
@@ -125,9 +125,11 @@
 
 def test_incomplete_handshakes_are_limited_and_time_out(tmp_path: Path) -> None:
     async def test(files: CertificateFiles) -> None:
-        listener = make_server(files, bounds=server.Bounds(connections=20, head_s=0.6, sweep_s=0.05))
+        listener = make_server(
+            files, bounds=server.ServerLimits(max_connections=20, head_timeout_s=0.6, sweep_interval_s=0.05)
+        )
         port = await listener.start()
-        outgoing, keys = ssl.MemoryBIO(), Keys(False, authorities=files.authority)
+        outgoing, keys = ssl.MemoryBIO(), TlsContextFiles(False, authorities=files.authority)
         handshake = keys.context.wrap_bio(ssl.MemoryBIO(), outgoing, server_hostname="relay")
         with pytest.raises(ssl.SSLWantReadError):
             handshake.do_handshake()
@@ -136,13 +138,13 @@
         for n, (_, writer) in enumerate(incomplete):
             writer.write(client_hello[:n])
         await asyncio.sleep(0.1)
-        assert len(listener.open) <= 20
-        assert {connection.phase for connection in listener.open} == {"handshake"}
+        assert len(listener.connections) <= 20
+        assert {connection.phase for connection in listener.connections} == {"handshake"}
         answer = await send_request(port, keys)  # the oldest of them gives way
         assert answer.head is not None
         assert answer.head.status == 200
         await asyncio.sleep(1.0)
-        assert not [each for each in listener.open if each.phase == "handshake"]
+        assert not [each for each in listener.connections if each.phase == "handshake"]
         assert listener.counts["let_go_handshake"] >= 10
         for _, writer in incomplete:
             writer.close()
@@ -177,42 +179,45 @@
         (tmp_path / "absent.pem", "No such file"),
     ):
         with pytest.raises(TlsError, match=reason) as error:
-            Keys(True, path)
+            TlsContextFiles(True, path)
         assert str(path) in str(error.value)
     other = write_pem(make_certificate("other", files.root), tmp_path / "other.pem")
     with pytest.raises(TlsError, match="MISMATCH"):
-        Keys(True, files.server, other)
+        TlsContextFiles(True, files.server, other)
 
 
 def test_certificates_are_reloaded_in_service_and_unusable_ones_change_nothing(tmp_path: Path) -> None:
     async def test() -> None:
         files = CertificateFiles(tmp_path)
-        async with Rig(tmp_path, partner={"work_ms": 150}, limits={"slots": 32}) as rig:
+        async with RelayTestbed(tmp_path, partner={"work_ms": 150}, limits={"slots": 32}) as rig:
             from linnetstile.as2_relay.relay import As2Relay
             from linnetstile.telemetry.log import logger
 
-            settings = rig.settings("t", tls={"certificate": str(files.server)})
+            settings = rig.relay_settings("t", tls={"certificate": str(files.server)})
             service = As2Relay(settings, logger("critical"), seed=9)
             port = int((await service.start()).rpartition(":")[2])
-            while service.register.version < 0:  # noqa: ASYNC110  (the registry client has no event for its first list)
+            while service.registry.version < 0:  # noqa: ASYNC110  (the registry client has no event for its first list)
                 await asyncio.sleep(0.01)
-            pool, answers = client.Pool(), []
-            old_authority_only, new_root = Keys(False, authorities=files.authority), make_certificate("root2")
+            pool, answers = client.ConnectionPool(), []
+            old_authority_only, new_root = (
+                TlsContextFiles(False, authorities=files.authority),
+                make_certificate("root2"),
+            )
             both_authorities = files.folder / "both.pem"
             both_authorities.write_bytes(
                 files.authority.read_bytes() + write_pem(new_root, tmp_path / "root2.pem").read_bytes()
             )
-            trusting_both = Keys(False, authorities=both_authorities)
+            trusting_both = TlsContextFiles(False, authorities=both_authorities)
 
             async def submit() -> None:
-                message = rig.make("safe")
-                answered: asyncio.Future[client.Answer] = asyncio.get_running_loop().create_future()
+                message = rig.make_message("safe")
+                answered: asyncio.Future[client.CallResult] = asyncio.get_running_loop().create_future()
                 # A connection of its own each time: every message meets the keys of its moment.
                 fields = [("Host", "x"), ("Connection", "close"), *message.headers]
                 pool.call(
                     ("127.0.0.1", port),
                     "POST",
-                    http1.request("POST", "/as2", fields, message.body),
+                    http1.encode_request("POST", "/as2", fields, message.body),
                     answered.set_result,
                     asyncio.get_running_loop().time() + 9,
                     (trusting_both, "relay"),
@@ -228,14 +233,14 @@
                     write_pem(make_certificate("relay", new_root), files.server)
                 await asyncio.sleep(0.06)
             await asyncio.gather(*tasks)
-            assert [kind(each) for each in answers] == ["delivered"] * 60
+            assert [answer_kind(each) for each in answers] == ["delivered"] * 60
             assert service.counts["tls_keys_refused"] == 1
             refused = await send_request(port, old_authority_only)
-            assert refused.sight is WireResult.NO_CONNECTION  # the new certificate is in service
+            assert refused.wire_result is WireResult.NO_CONNECTION  # the new certificate is in service
             pool.close()
             service.close()
 
-    run(test)
+    run_test(test)
 
 
 @pytest.mark.parametrize("trusted", [True, False])
@@ -244,16 +249,16 @@
         files = CertificateFiles(tmp_path)
         certificate = files.client if trusted else None
         tls = {"authorities": files.authority, "name": "relay", "certificate": certificate}
-        async with Rig(
+        async with RelayTestbed(
             tmp_path, warm=trusted, tls=tls, partner={"tls_pem": files.server, "tls_clients": files.authority}
         ) as rig:
             if trusted:
-                assert kind(await rig.hand(rig.make("unsafe", b"x" * 500_000))) == "delivered"
-                assert len(rig.rows("effect")) == 1
+                assert answer_kind(await rig.submit(rig.make_message("unsafe", b"x" * 500_000))) == "delivered"
+                assert len(rig.partner_records("effect")) == 1
                 return
             # Without a certificate the partner ends the handshake; in TLS 1.3 that shows after the first write.
-            assert kind(await rig.hand(rig.make("safe"))) in ("refused", "failed")
-            assert not rig.rows("began")
-        assert not rig.broken()
+            assert answer_kind(await rig.submit(rig.make_message("safe"))) in ("refused", "failed")
+            assert not rig.partner_records("began")
+        assert not rig.broken_rules()
 
-    run(test)
+    run_test(test)
--- a/tests/platform_relay/world.py
+++ b/tests/platform_relay/relay_testbed.py
@@ -18,7 +18,7 @@
     {"name": "state", "effect": "repeatable", "aim-ms": 1000.0, "deadline-ms": 6000.0},
     {"name": "charge", "effect": "once", "aim-ms": 1000.0, "deadline-ms": 6000.0, "by-arrival": True},
 ]
-RAW: dict[str, Any] = {
+SETTINGS: dict[str, Any] = {
     "classes": CLASSES,
     "kinds": ["k"],
     "zones": ["z"],
@@ -66,7 +66,7 @@
         self.writers: set[asyncio.StreamWriter] = set()
         self.relays: list[PlatformRelay] = []
         self.endpoint_connections = 0  # made to endpoints
-        self.settings = RAW  # the settings of the next relay
+        self.settings = SETTINGS  # the settings of the next relay
 
     async def listen(self, serve: Serve) -> int:
         async def serve_connection(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
--- a/tests/platform_relay/test_at_most_once.py
+++ b/tests/platform_relay/test_at_most_once.py
@@ -22,7 +22,7 @@
 from linnetstile.platform_relay.journal import Journal
 from linnetstile.platform_relay.relay import PlatformRelay
 
-from .world import OK_RESPONSE, RelayTestbed, read_http, request_status, submission, wait_until
+from .relay_testbed import OK_RESPONSE, RelayTestbed, read_http, request_status, submission, wait_until
 
 BUSY_RESPONSE = b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"
 WINDOW_S = 4.0  # of the class "order" in the testbed's settings
@@ -177,7 +177,7 @@
             assert await request_status(first, submission(f"w{number}", body=b"warm")) == 202
             await wait_until(lambda: not first.accepted)
         if self.connection == "new":
-            first.endpoint_client.pool.close_idle(next(iter(first.endpoint_client.pool.idle)))
+            first.endpoint_client.pool.close_idle(next(iter(first.endpoint_client.pool.idle_connections)))
         elif self.connection == "held":
             # Many connections were met closed: the last byte of calls that must not run twice waits.
             first.engine.connections.stale_ratio = 1.0
--- a/tests/platform_relay/test_directory.py
+++ b/tests/platform_relay/test_directory.py
@@ -39,17 +39,17 @@
 
 
 def addresses(directory: Directory) -> dict[str, EndpointAddress]:
-    return {address.name: address for address in map(directory.place, directory) if address}
+    return {address.name: address for address in map(directory.address_of, directory) if address}
 
 
 def piecewise(
     directory: Directory, servers: list[Any], size: int, version: int = 1, full: bool = True, upto: int | None = None
 ) -> tuple[ListUpdate, list[list[Endpoint]]]:
     """The steps of a list; of its first `upto` entries, and then no more, where that is told."""
-    reading = directory.begin({"version": version, "full": full})
-    steps = [reading.take(servers[:upto][at : at + size]) for at in range(0, len(servers[:upto]), size)]
-    while upto is None and not reading.over:
-        steps.append(reading.sweep())
+    reading = directory.begin_update({"version": version, "full": full})
+    steps = [reading.add_entries(servers[:upto][at : at + size]) for at in range(0, len(servers[:upto]), size)]
+    while upto is None and not reading.is_complete:
+        steps.append(reading.remove_missing())
     return reading, steps
 
 
@@ -135,11 +135,11 @@
                 life["weight"],
             )
             assert address.zone == listed.zone
-            assert directory.number(name) == address.id
+            assert directory.id_of(name) == address.id
             assert (listed.status is EndpointStatus.DRAINING) == (life["state"] == "DRAINING")
             assert lives.setdefault(address.id, name) == name, "a number is used twice"
-        assert all(directory.place(number) is None for number in lives.keys() - set(directory))
-        assert {cell for cell in range(6) if directory.knows(cell)} == model.known
+        assert all(directory.address_of(number) is None for number in lives.keys() - set(directory))
+        assert {cell for cell in range(6) if directory.knows_destination(cell)} == model.known
 
 
 @pytest.mark.parametrize("piece", [1, 100, 5000])
@@ -161,7 +161,7 @@
         (numbers[78], EndpointStatus.READY, 78),
         (numbers[-1], EndpointStatus.GONE, gone["cell"]),
     ]
-    moved = directory.place(numbers[79])
+    moved = directory.address_of(numbers[79])
     assert moved
     assert moved.host == "10.0.0.9"
 
@@ -205,8 +205,8 @@
     assert max(map(len, sweeps)) == ENTRIES_PER_EVENT
     assert len(flat(sweeps)) == 4999
     assert len(directory) == 1
-    assert not any(directory.place(each.id) for each in flat(sweeps))
-    assert directory.knows(7)
+    assert not any(directory.address_of(each.id) for each in flat(sweeps))
+    assert directory.knows_destination(7)
 
 
 @pytest.mark.parametrize("upto", [0, 1, 2500, 5000])
@@ -216,16 +216,16 @@
     servers = [*fleet(2500), *(entry(f"n-{number}", cell=7) for number in range(2500))]
     servers[10] = entry("s-10", "DRAINING")
     reading, steps = piecewise(directory, servers, 500, 6, upto=upto)
-    assert not reading.over
-    assert directory.version_guard.newest == 5
+    assert not reading.is_complete
+    assert directory.version_guard.newest_version == 5
     assert len(directory) == 5000 + max(0, upto - 2500)
-    drained = directory.endpoint(directory.number("s-10"))
+    drained = directory.endpoint(directory.id_of("s-10"))
     assert drained
     assert (drained.status is EndpointStatus.DRAINING) == (upto > 10)
     assert not any(each.status is EndpointStatus.GONE for each in flat(steps))
     piecewise(directory, servers, 500, 6)
     assert addresses(directory).keys() == {each["id"] for each in servers}
-    assert directory.version_guard.newest == 6
+    assert directory.version_guard.newest_version == 6
 
 
 def test_older_list_is_rejected_at_its_head_before_any_entry() -> None:
@@ -233,14 +233,14 @@
     piecewise(directory, fleet(3), 500, 5)
     for full in (False, True):
         with pytest.raises(InvalidListError, match="version: expected 5 or later, found 4"):
-            directory.begin({"version": 4, "full": full})
+            directory.begin_update({"version": 4, "full": full})
     # Told twice: discovery has begun anew. It is in force as it is read, and newest once it has been.
     reading, _ = piecewise(directory, [entry("n")], 1, 3, upto=1)
-    assert not reading.over
-    assert directory.version_guard.newest == 5
+    assert not reading.is_complete
+    assert directory.version_guard.newest_version == 5
     assert len(directory) == 4
     piecewise(directory, [entry("n")], 1, 3)
-    assert directory.version_guard.newest == 3
+    assert directory.version_guard.newest_version == 3
     assert [*addresses(directory)] == ["n"]
 
 
@@ -276,19 +276,19 @@
 
 def test_endpoint_whose_destination_changes_is_another_one_as_is_one_that_takes_a_name_or_an_address() -> None:
     directory = Directory(KINDS, ZONES)
-    directory.take(raw_list(entry("a"), entry("b", cell=2)))
-    event = directory.take(raw_list(entry("a", cell=3), version=2, full=False))
+    directory.apply_list(raw_list(entry("a"), entry("b", cell=2)))
+    event = directory.apply_list(raw_list(entry("a", cell=3), version=2, full=False))
     assert event.kind is ListKind.CHANGES
     gone, new = event.endpoints
     assert (gone.id, gone.status, gone.destination) == (1, EndpointStatus.GONE, 1)
-    assert (new.id, new.status, new.destination) == (directory.number("a"), EndpointStatus.READY, 3)
+    assert (new.id, new.status, new.destination) == (directory.id_of("a"), EndpointStatus.READY, 3)
     assert new.id != 1
-    assert directory.place(1) is None
-    assert directory.knows(1)
+    assert directory.address_of(1) is None
+    assert directory.knows_destination(1)
     seen = {1, 2, new.id}
     for version in range(3, 40):  # the same name, address and row again and again
-        directory.take(raw_list(entry("a", "DELETED"), entry("a", cell=3), version=version, full=False))
-        number = directory.number("a")
+        directory.apply_list(raw_list(entry("a", "DELETED"), entry("a", cell=3), version=version, full=False))
+        number = directory.id_of("a")
         assert number not in seen
         seen.add(number)
     assert len(directory.records) == 2
@@ -296,28 +296,28 @@
 
 def test_draining_endpoint_is_reported_once_keeps_its_id_and_may_come_back() -> None:
     directory = Directory(KINDS, ZONES)
-    directory.take(raw_list(entry("a")))
+    directory.apply_list(raw_list(entry("a")))
     drains = raw_list(entry("a", "DRAINING", cell=9), full=False)  # that it ends is all that is read
-    assert [(each.id, each.status, each.destination) for each in directory.take(drains).endpoints] == [
+    assert [(each.id, each.status, each.destination) for each in directory.apply_list(drains).endpoints] == [
         (1, EndpointStatus.DRAINING, 1)
     ]
-    assert not directory.take(drains).endpoints
+    assert not directory.apply_list(drains).endpoints
     assert len(directory) == 1
-    address = directory.place(1)
+    address = directory.address_of(1)
     assert address
     assert address.destination == 1
-    assert [(each.id, each.status) for each in directory.take(raw_list(entry("a"))).endpoints] == [
+    assert [(each.id, each.status) for each in directory.apply_list(raw_list(entry("a"))).endpoints] == [
         (1, EndpointStatus.READY)
     ]
 
 
 def test_cached_list_is_one_event_and_its_version_counts_for_nothing() -> None:
     directory = Directory(KINDS, ZONES)
-    event = directory.take(raw_list(*fleet(600), version=50), cached=True)
+    event = directory.apply_list(raw_list(*fleet(600), version=50), cached=True)
     assert event.kind is ListKind.CACHED
     assert len(event.endpoints) == 600
-    assert directory.version_guard.newest is None
-    assert not directory.take(raw_list(*fleet(600), version=3)).endpoints
+    assert directory.version_guard.newest_version is None
+    assert not directory.apply_list(raw_list(*fleet(600), version=3)).endpoints
 
 
 def test_unlisted_destinations_stay_known_for_a_while() -> None:
@@ -345,8 +345,8 @@
     many = tuple(f"k{number}" for number in range(70_000))
     directory = Directory(many, ("z",))
     long = "n" * 250 + "ü"
-    directory.take(raw_list(entry(long, kind="k69999", addr="h" * 200 + ".example:1"), entry("b", kind="k300")))
-    address, listed = directory.place(1), directory.endpoint(1)
+    directory.apply_list(raw_list(entry(long, kind="k69999", addr="h" * 200 + ".example:1"), entry("b", kind="k300")))
+    address, listed = directory.address_of(1), directory.endpoint(1)
     assert address
     assert listed
     assert (address.name, address.host, address.port) == (long, "h" * 200 + ".example", 1)
@@ -354,5 +354,5 @@
     two = directory.endpoint(2)
     assert two
     assert two.kind == 300
-    assert directory.number(long) == 1
-    assert not directory.number("\ud800")
+    assert directory.id_of(long) == 1
+    assert not directory.id_of("\ud800")
--- a/tests/platform_relay/test_discovery.py
+++ b/tests/platform_relay/test_discovery.py
@@ -26,7 +26,7 @@
 from linnetstile.platform_relay.discovery import Watch
 from linnetstile.platform_relay.endpoint_record import EndpointAddress
 
-from .world import wait_until
+from .relay_testbed import wait_until
 
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
@@ -142,7 +142,7 @@
 
 
 def addresses(directory: Directory) -> list[EndpointAddress]:
-    return [address for address in map(directory.place, directory) if address]
+    return [address for address in map(directory.address_of, directory) if address]
 
 
 def discovery_state(each: Endpoint | None) -> str:
@@ -154,7 +154,7 @@
     *script: tuple[bytes, bool],
     indent: int | None = None,
     more: int = 0,
-    max_list_bytes: int = discovery.LIST,
+    max_list_bytes: int = discovery.MAX_LIST_BYTES,
 ) -> None:
     async def run() -> None:
         emulator = DiscoveryEmulator()
@@ -277,7 +277,7 @@
         emulator.script = [(HEAD + chunk(older), False)]
         emulator.watches[0].close()
         await wait_until(lambda: len(emulator.watches) == 3)
-        assert not testbed.directory.number("b")  # also between the two
+        assert not testbed.directory.id_of("b")  # also between the two
         await wait_until(testbed.agrees)
         emulator.version, emulator.entries = 3, {"d": entry("d", cell=4)}  # it has begun anew
         emulator.watches[-1].close()
@@ -352,7 +352,7 @@
 @pytest.mark.parametrize("whole", [True, False])
 def test_malformed_entry_is_skipped_alone(odd: Any, whole: bool) -> None:
     directory = Directory(("k",), ("z",))
-    event = directory.take({"version": 1, "full": whole, "servers": [entry("a"), odd, entry("b")]})
+    event = directory.apply_list({"version": 1, "full": whole, "servers": [entry("a"), odd, entry("b")]})
     assert [address.name for address in addresses(directory)] == ["a", "b"]
     assert directory.skipped_entries == 1
     assert [each.id for each in event.endpoints] == list(directory)
@@ -360,18 +360,20 @@
 
 @pytest.mark.parametrize("weight", [None, "5", float("inf"), float("nan"), [1], True])
 def test_weight_that_is_no_number_advertises_no_rate(weight: Any) -> None:
-    (each,) = Directory(("k",), ("z",)).take({"full": True, "servers": [entry("a", weight=weight)]}).endpoints
+    (each,) = Directory(("k",), ("z",)).apply_list({"full": True, "servers": [entry("a", weight=weight)]}).endpoints
     assert each.advertised_rate in (0.0, 1.0)
 
 
 def test_entry_that_ends_an_endpoint_needs_its_name_alone_and_a_malformed_one_ends_none() -> None:
     directory = Directory(("k",), ("z",))
-    directory.take({"full": True, "servers": [entry("a"), entry("b"), entry("c")]})
-    event = directory.take({"full": True, "servers": [{"id": "a", "state": "DRAINING"}, entry("b", "?"), entry("c")]})
+    directory.apply_list({"full": True, "servers": [entry("a"), entry("b"), entry("c")]})
+    event = directory.apply_list(
+        {"full": True, "servers": [{"id": "a", "state": "DRAINING"}, entry("b", "?"), entry("c")]}
+    )
     assert [(each.id, each.status) for each in event.endpoints] == [(1, EndpointStatus.DRAINING)]  # all that changes
     assert [address.name for address in addresses(directory)] == ["a", "b", "c"]
     assert directory.skipped_entries == 1
-    event = directory.take({"servers": [{"id": "a", "state": "DELETED"}, {"id": "z", "state": "DELETED"}]})
+    event = directory.apply_list({"servers": [{"id": "a", "state": "DELETED"}, {"id": "z", "state": "DELETED"}]})
     assert [(each.id, each.status) for each in event.endpoints] == [(1, EndpointStatus.GONE)]
     assert list(directory) == [2, 3]
 
@@ -382,8 +384,8 @@
 @pytest.mark.parametrize("whole", [True, False])
 def test_endpoint_that_comes_back_under_its_name_in_one_list_is_another(servers: list[Any], whole: bool) -> None:
     directory = Directory(("k",), ("z",))
-    directory.take({"full": True, "servers": [entry("a")]})
-    event = directory.take({"full": whole, "servers": servers})
+    directory.apply_list({"full": True, "servers": [entry("a")]})
+    event = directory.apply_list({"full": whole, "servers": servers})
     (address,) = addresses(directory)
     assert address.id != 1
     assert address.destination == 2
@@ -391,14 +393,14 @@
         1: EndpointStatus.GONE,
         address.id: EndpointStatus.READY,
     }
-    assert directory.place(1) is None
+    assert directory.address_of(1) is None
     assert directory.endpoint(1) is None
 
 
 def test_last_entry_of_an_endpoint_counts() -> None:
     directory = Directory(("k",), ("z",))
-    directory.take({"full": True, "servers": [entry("a")]})
-    event = directory.take({"servers": [entry("a"), entry("a", "DELETED")]})
+    directory.apply_list({"full": True, "servers": [entry("a")]})
+    event = directory.apply_list({"servers": [entry("a"), entry("a", "DELETED")]})
     assert [each.status for each in event.endpoints] == [EndpointStatus.GONE]
     assert not len(directory)
 
@@ -406,9 +408,9 @@
 @pytest.mark.parametrize("raw_list", [None, 7, [], "x", {}, {"servers": None}, {"servers": {}}, {"version": 1}])
 def test_object_that_is_no_list_changes_nothing(raw_list: object) -> None:
     directory = Directory(("k",), ("z",))
-    directory.take({"version": 1, "full": True, "servers": [entry("a")]})
+    directory.apply_list({"version": 1, "full": True, "servers": [entry("a")]})
     with pytest.raises(InvalidListError):
-        directory.take(raw_list)
+        directory.apply_list(raw_list)
     assert list(directory) == [1]
 
 
@@ -428,7 +430,7 @@
 def test_long_list_is_published_in_bounded_events_and_a_watch_resumes_from_its_version(indent: int | None) -> None:
     async def scenario(emulator: DiscoveryEmulator, testbed: WatchTestbed) -> None:
         await wait_until(testbed.agrees)
-        await wait_until(testbed.watch.first.is_set)
+        await wait_until(testbed.watch.first_list_read.is_set)
         assert len(testbed.events) > LONG / ENTRIES_PER_EVENT
         assert not testbed.logged
         testbed.events.clear()
@@ -456,12 +458,12 @@
 
 def test_resumed_watch_may_get_the_full_list_and_one_that_changes_nothing_publishes_nothing() -> None:
     async def scenario(emulator: DiscoveryEmulator, testbed: WatchTestbed) -> None:
-        await wait_until(lambda: testbed.agrees() and testbed.watch.first.is_set())
+        await wait_until(lambda: testbed.agrees() and testbed.watch.first_list_read.is_set())
         emulator.forgets = True
         testbed.events.clear()
         emulator.version = 47
         emulator.watches[0].close()
-        await wait_until(lambda: testbed.directory.version_guard.newest == 47)
+        await wait_until(lambda: testbed.directory.version_guard.newest_version == 47)
         assert not testbed.events
         assert testbed.agrees()
         emulator.change(entry("s-9", "DELETED"), entry("new", cell=9))
@@ -524,7 +526,7 @@
     """Each is told in one line, and asked for whole after growing pauses."""
 
     async def scenario(emulator: DiscoveryEmulator, testbed: WatchTestbed) -> None:
-        await wait_until(lambda: testbed.agrees() and testbed.watch.first.is_set())
+        await wait_until(lambda: testbed.agrees() and testbed.watch.first_list_read.is_set())
         before = dict(emulator.entries)
         emulator.forgets = since
         emulator.change(entry("s-1", "DRAINING"), entry("s-2", "DELETED"), entry("s-3", cell=77), entry("a", "DELETED"))
@@ -537,13 +539,13 @@
                 emulator.watches[-1].close()
             if again < 3:
                 await wait_until(opened(emulator, 2 + again))
-                assert testbed.directory.version_guard.newest == 40
+                assert testbed.directory.version_guard.newest_version == 40
                 mine = {address.name for address in addresses(testbed.directory)}
                 assert mine == set(before), "an endpoint that was not named has gone"
-                listed = testbed.directory.endpoint(testbed.directory.number("s-1"))
+                listed = testbed.directory.endpoint(testbed.directory.id_of("s-1"))
                 assert listed
                 assert (listed.status is EndpointStatus.DRAINING) == (said is not short)
-        await wait_until(lambda: testbed.agrees() and testbed.directory.version_guard.newest == 41)
+        await wait_until(lambda: testbed.agrees() and testbed.directory.version_guard.newest_version == 41)
         assert [event for event, _ in testbed.logged] == [log] * 3
         assert all(fields["why"] and (fields["entries"] > 1000 or said is short) for _, fields in testbed.logged)
         assert emulator.asked == [ALL, f"{ALL}&since=40", ALL, ALL, ALL]
@@ -554,7 +556,7 @@
 
 def test_older_long_list_is_rejected_before_any_entry_and_requested_again() -> None:
     async def scenario(emulator: DiscoveryEmulator, testbed: WatchTestbed) -> None:
-        await wait_until(lambda: testbed.agrees() and testbed.watch.first.is_set())
+        await wait_until(lambda: testbed.agrees() and testbed.watch.first_list_read.is_set())
         testbed.events.clear()
         older = emulator.text(
             {"version": 39, "full": True, "servers": [entry(name, "DRAINING") for name in emulator.entries]}
@@ -573,13 +575,13 @@
 
 def test_broken_entries_among_many_are_one_line() -> None:
     async def scenario(emulator: DiscoveryEmulator, testbed: WatchTestbed) -> None:
-        await wait_until(lambda: testbed.agrees() and testbed.watch.first.is_set())
+        await wait_until(lambda: testbed.agrees() and testbed.watch.first_list_read.is_set())
         held = dict(emulator.entries)
         emulator.entries["s-3000"] = entry("s-3000", cell="x")
         emulator.entries["s-4000"] = entry("s-4000", addr="nowhere")
         emulator.version = 41
         emulator.watches[0].write(chunk(emulator.full_list()))
-        await wait_until(lambda: testbed.directory.version_guard.newest == 41)
+        await wait_until(lambda: testbed.directory.version_guard.newest_version == 41)
         emulator.entries = held
         assert testbed.agrees()
         assert len(emulator.watches) == 1
@@ -599,7 +601,7 @@
 
 def test_long_list_that_can_not_be_read_in_parts_is_bounded() -> None:
     async def scenario(emulator: DiscoveryEmulator, testbed: WatchTestbed) -> None:
-        await wait_until(lambda: testbed.agrees() and testbed.watch.first.is_set())
+        await wait_until(lambda: testbed.agrees() and testbed.watch.first_list_read.is_set())
         late = json.dumps({"servers": list(emulator.entries.values()), "version": 50, "full": True}).encode()
         emulator.watches[0].write(chunk(late))
         await wait_until(lambda: testbed.logged)
@@ -615,7 +617,7 @@
     sweep would take it away."""
 
     async def scenario(emulator: DiscoveryEmulator, testbed: WatchTestbed) -> None:
-        await wait_until(lambda: testbed.agrees() and testbed.watch.first.is_set())
+        await wait_until(lambda: testbed.agrees() and testbed.watch.first_list_read.is_set())
         testbed.events.clear()
         emulator.version += 1
         emulator.entries = {"a": entry("a"), "b": entry("b", cell=2)}
@@ -636,13 +638,13 @@
 
 def test_move_in_the_middle_of_a_long_list_ignores_the_rest_of_it() -> None:
     async def scenario(emulator: DiscoveryEmulator, testbed: WatchTestbed) -> None:
-        await wait_until(lambda: testbed.agrees() and testbed.watch.first.is_set())
+        await wait_until(lambda: testbed.agrees() and testbed.watch.first_list_read.is_set())
         emulator.version += 1
         held = dict(emulator.entries)
         emulator.entries = {"z": entry("z", "DRAINING")} | held
         del emulator.entries["s-4"]
         emulator.watches[0].write(half(emulator.full_list()))
-        await wait_until(lambda: testbed.directory.number("z"))
+        await wait_until(lambda: testbed.directory.id_of("z"))
         assert testbed.watch.is_reading_list
         emulator.entries = held
         testbed.watch.move(await emulator.start())
@@ -677,23 +679,23 @@
 def test_list_counts_by_its_head_and_its_version_once_it_has_been_read() -> None:
     versions = ListVersionGuard()
     assert versions.accepts(5, True)
-    assert versions.newest is None
+    assert versions.newest_version is None
     versions.list_read(5)
     assert not versions.accepts(4, False)
     assert not versions.accepts(4, True)
     assert versions.accepts(4, True)
     assert versions.accepts(3, True)
-    assert versions.newest == 5
+    assert versions.newest_version == 5
     versions.list_read(3)
     versions.list_read(None)
-    assert versions.newest == 3
+    assert versions.newest_version == 3
     assert not versions.accepts(2, True)
 
 
 def test_resumed_watch_is_waited_for_once_its_head_has_come() -> None:
-    assert watch_deadline(10.0, False, None, asked=9.2) == 9.2 + WATCH_SILENCE_S
-    assert watch_deadline(10.0, True, None, asked=9.2) == 10 + WATCH_SILENCE_S
-    assert watch_deadline(10.0, False, 9.9, asked=9.2) == 10 + ELEMENT_STALL_S
+    assert watch_deadline(10.0, False, None, opened_at=9.2) == 9.2 + WATCH_SILENCE_S
+    assert watch_deadline(10.0, True, None, opened_at=9.2) == 10 + WATCH_SILENCE_S
+    assert watch_deadline(10.0, False, 9.9, opened_at=9.2) == 10 + ELEMENT_STALL_S
 
 
 # -- the clock ----------------------------------------------------------------------------------------------------
@@ -829,7 +831,7 @@
         watch = Watch(Directory(("k",), ("z",)), ("h", 1), lambda event: None, random.Random(1))
         directory_of.append(watch.directory)
         watch.start()
-        await watch.first.wait()
+        await watch.first_list_read.wait()
         watch.close()
 
     try:
@@ -840,4 +842,4 @@
     assert begun == 0
     assert slow[-2][0] + ELEMENT_STALL_S <= again < slow[-2][0] + ELEMENT_STALL_S + 0.2
     assert len(directory_of[0]) == LONG
-    assert directory_of[0].version_guard.newest == 41
+    assert directory_of[0].version_guard.newest_version == 41
--- a/tests/platform_relay/test_journal.py
+++ b/tests/platform_relay/test_journal.py
@@ -174,7 +174,7 @@
     monkeypatch.setattr(os, "write", lambda file, data: write(file, data[: len(data) // 2]))
     kept.add(accepted(1, b"lost"))
     assert not kept.flush()
-    assert kept.failed == 1
+    assert kept.failed_writes == 1
     monkeypatch.undo()
     kept.add(accepted(2, b"kept"))
     assert kept.flush()
--- a/tests/platform_relay/test_old_state.py
+++ b/tests/platform_relay/test_old_state.py
@@ -31,7 +31,7 @@
     PendingNotice,
 )
 
-from .world import RelayTestbed, delivered_ids, is_idle, run_scenario, wait_until
+from .relay_testbed import RelayTestbed, delivered_ids, is_idle, run_scenario, wait_until
 
 DATA = Path(__file__).parent.parent / "data" / "platform_state"
 KILL: dict[str, Any] = json.loads((DATA / "kill.json").read_text())
--- a/tests/platform_relay/test_process.py
+++ b/tests/platform_relay/test_process.py
@@ -14,7 +14,7 @@
 
 import pytest
 
-from .world import RAW
+from .relay_testbed import SETTINGS
 
 VALID_CONFIG: dict[str, Any] = {
     "name": "n0",
@@ -23,7 +23,7 @@
     "seed": "ff",
     "limits": {"sockets": 256, "memory_mb": 64, "disk_mb": 1},
     "known": {},
-    "settings": RAW,
+    "settings": SETTINGS,
 }
 
 
@@ -43,11 +43,11 @@
         ({**VALID_CONFIG, "listen": "nowhere"}, "listen: expected HOST:PORT"),
         ({**VALID_CONFIG, "seed": "xyz"}, "seed: expected a hexadecimal number"),
         ({**VALID_CONFIG, "limits": {"sockets": "many"}}, "limits.sockets: expected a number"),
-        ({**VALID_CONFIG, "settings": {**RAW, "classes": [{"name": "x"}]}}, "settings: "),
-        ({**VALID_CONFIG, "settings": {**RAW, "extra": {}}}, "settings: 'call-slots' is missing"),
-        ({**VALID_CONFIG, "settings": {**RAW, "zones": None}}, "settings.zones: expected a list"),
+        ({**VALID_CONFIG, "settings": {**SETTINGS, "classes": [{"name": "x"}]}}, "settings: "),
+        ({**VALID_CONFIG, "settings": {**SETTINGS, "extra": {}}}, "settings: 'call-slots' is missing"),
+        ({**VALID_CONFIG, "settings": {**SETTINGS, "zones": None}}, "settings.zones: expected a list"),
         (
-            {**VALID_CONFIG, "settings": {**RAW, "orgs": [{"name": "a", "quota-per-s": "x"}]}},
+            {**VALID_CONFIG, "settings": {**SETTINGS, "orgs": [{"name": "a", "quota-per-s": "x"}]}},
             "tenants.quota_per_s: must be",
         ),
         ({**VALID_CONFIG, "discovery": "a b:80"}, "discovery: expected HOST:PORT"),
--- a/tests/platform_relay/test_race_conditions.py
+++ b/tests/platform_relay/test_race_conditions.py
@@ -21,9 +21,9 @@
 from linnetstile.platform_relay.http_frontend import Submission
 from linnetstile.platform_relay.relay import PlatformRelay
 
-from .world import (
+from .relay_testbed import (
     OK_RESPONSE,
-    RAW,
+    SETTINGS,
     RelayTestbed,
     delivered_ids,
     is_idle,
@@ -88,15 +88,15 @@
 
 
 def expire_idle_connections(relay: PlatformRelay) -> None:
-    for conn in relay.frontend.server.open:
-        conn.let_go("idle")
+    for conn in relay.frontend.server.connections:
+        conn.close_for_limit("idle")
 
 
 CLOSE_REASONS: dict[str, Callable[[PlatformRelay], object]] = {
     "the relay shuts down": lambda relay: relay.frontend.stop_admitting(),
     "its idle timeout is over": expire_idle_connections,
-    "another one needs its descriptor": lambda relay: relay.frontend.server.room_for(
-        next(iter(relay.frontend.server.open))
+    "another one needs its descriptor": lambda relay: relay.frontend.server.make_room_for(
+        next(iter(relay.frontend.server.connections))
     ),
 }
 
@@ -142,7 +142,9 @@
         whole = submission("half", body=b"x" * 1000)
         for (_, writer), size in zip(clients, (20, len(whole) - 1, 0), strict=True):
             writer.write(whole[:size])
-        await wait_until(lambda: sorted(conn.phase for conn in relay.frontend.server.open) == ["body", "head", "idle"])
+        await wait_until(
+            lambda: sorted(conn.phase for conn in relay.frontend.server.connections) == ["body", "head", "idle"]
+        )
         relay.frontend.stop_admitting()
         relay.frontend.stop_accepting()
         assert [await response_status(reader) for reader, _ in clients[:2]] == [503, 503]
@@ -192,7 +194,7 @@
         relay = await testbed.start_relay()
         _, writer = await idle_client(relay)
         await wait_until(lambda: is_idle(relay))
-        ends = [*relay.frontend.server.open, *relay.endpoint_client.pool.open]
+        ends = [*relay.frontend.server.connections, *relay.endpoint_client.pool.connections]
         assert len(ends) == 2
         for end in ends:
             connection = end.transport.get_extra_info("socket")
@@ -251,7 +253,7 @@
         await wait_until(lambda: is_idle(relay))  # it proved no effect: the message goes out once
         assert delivered_ids(testbed) == ["m"]
         assert not testbed.notices
-        await wait_until(lambda: len(relay.endpoint_client.pool.open) == relay.endpoint_client.pool.resting)
+        await wait_until(lambda: len(relay.endpoint_client.pool.connections) == relay.endpoint_client.pool.idle_count)
 
     run_scenario(tmp_path, scenario)
 
@@ -262,14 +264,14 @@
     async def scenario(testbed: RelayTestbed) -> None:
         relay = await testbed.start_relay()
         assert await request_status(relay, submission("first")) == 202
-        await wait_until(lambda: is_idle(relay) and relay.endpoint_client.pool.resting)
+        await wait_until(lambda: is_idle(relay) and relay.endpoint_client.pool.idle_count)
         (number,) = relay.directory
-        address = relay.directory.place(number)
+        address = relay.directory.address_of(number)
         assert address is not None
         ended: list[AttemptVerdict] = []
         (peer,) = testbed.writers - set(testbed.watch_writers)
         with monkeypatch.context() as patch:
-            patch.setattr(client.ClientConnection, "speaks", False)  # the check came before
+            patch.setattr(client.ClientConnection, "has_unread_input", False)  # the check came before
             peer.get_extra_info("socket").shutdown(socket.SHUT_RDWR)  # its end is in our kernel, and not read
             relay.endpoint_client.send(
                 address,
@@ -294,11 +296,13 @@
         testbed.scripted_answers[1] = [b"HTTP/1.1 200 OK\r\nContent-Length: 16\r\n\r\nhalf"]
         assert await request_status(relay, submission("m", "pay")) == 202
         await wait_until(lambda: is_idle(relay))
-        assert len(relay.endpoint_client.pool.open) == 1
-        assert not relay.endpoint_client.pool.resting
+        assert len(relay.endpoint_client.pool.connections) == 1
+        assert not relay.endpoint_client.pool.idle_count
         assert await request_status(relay, submission("n", "pay")) == 202  # on a connection of its own
         await wait_until(lambda: is_idle(relay))
-        await wait_until(lambda: len(relay.endpoint_client.pool.open) == relay.endpoint_client.pool.resting == 1)
+        await wait_until(
+            lambda: len(relay.endpoint_client.pool.connections) == relay.endpoint_client.pool.idle_count == 1
+        )
         assert delivered_ids(testbed) == ["m", "n"]
         assert not testbed.notices
 
@@ -331,17 +335,18 @@
 
 def test_flood_of_requests_on_one_connection_does_not_delay_others(tmp_path: Path) -> None:
     async def scenario(testbed: RelayTestbed) -> None:
-        testbed.settings = RAW | {"limits": RAW["limits"] | {"open-cap": 100_000}}
+        testbed.settings = SETTINGS | {"limits": SETTINGS["limits"] | {"open-cap": 100_000}}
         relay = await testbed.start_relay()
         _, flood = await asyncio.open_connection("127.0.0.1", port_of(relay))
         flood.write(b"".join(submission(f"f{n}", destination=9, left="500m") for n in range(3000)))
         for n in range(20):
             assert await request_status(relay, submission(f"m{n}"), 0.4) == 202
             assert all(
-                conn.parser.buffered < 200_000 and len(conn.pending) < 100 for conn in relay.frontend.server.open
+                conn.parser.buffered_bytes < 200_000 and len(conn.pending_events) < 100
+                for conn in relay.frontend.server.connections
             )
         flood.transport.abort()
-        await wait_until(lambda: is_idle(relay) and not relay.frontend.server.open)
+        await wait_until(lambda: is_idle(relay) and not relay.frontend.server.connections)
         assert len([each for each in delivered_ids(testbed) if each.startswith("m")]) == 20
 
     run_scenario(tmp_path, scenario)
@@ -353,7 +358,11 @@
         {"name": f"{name}-{effect}", "effect": effect, "aim-ms": 1000.0, "deadline-ms": 4000.0, "window-ms": 900.0}
         for effect in effects
     ]
-    return RAW | {"classes": classes, "orgs": [{"name": f"{name}-org", "quota-per-s": 9.0}], "zones": [f"{name}-zone"]}
+    return SETTINGS | {
+        "classes": classes,
+        "orgs": [{"name": f"{name}-org", "quota-per-s": 9.0}],
+        "zones": [f"{name}-zone"],
+    }
 
 
 def container_ids(engine: object) -> set[int]:
--- a/tests/platform_relay/test_recovery.py
+++ b/tests/platform_relay/test_recovery.py
@@ -11,9 +11,9 @@
 
 from linnetstile.platform_relay import clock
 
-from .world import (
+from .relay_testbed import (
     CLASSES,
-    RAW,
+    SETTINGS,
     RelayTestbed,
     delivered_ids,
     is_idle,
@@ -31,16 +31,16 @@
 
 
 CHANGES: dict[str, dict[str, Any]] = {
-    "nothing": RAW,
-    "classes in another order": RAW | {"classes": CLASSES[::-1]},
-    "a class gone": renamed(RAW, "classes", "state"),
-    "all classes gone": RAW | {"classes": [{**CLASSES[1], "name": "other"}]},
-    "the tenant gone": renamed(RAW, "orgs", "acme"),
-    "no tenants": {key: value for key, value in RAW.items() if key != "orgs"},
-    "another zone": RAW | {"zones": ["y", "z"]},
-    "other kinds": RAW | {"kinds": ["j"]},
-    "fewer slots": RAW | {"extra": {"call-slots": 1}},
-    "a smaller hold": RAW | {"limits": RAW["limits"] | {"open-cap": 14}},
+    "nothing": SETTINGS,
+    "classes in another order": SETTINGS | {"classes": CLASSES[::-1]},
+    "a class gone": renamed(SETTINGS, "classes", "state"),
+    "all classes gone": SETTINGS | {"classes": [{**CLASSES[1], "name": "other"}]},
+    "the tenant gone": renamed(SETTINGS, "orgs", "acme"),
+    "no tenants": {key: value for key, value in SETTINGS.items() if key != "orgs"},
+    "another zone": SETTINGS | {"zones": ["y", "z"]},
+    "other kinds": SETTINGS | {"kinds": ["j"]},
+    "fewer slots": SETTINGS | {"extra": {"call-slots": 1}},
+    "a smaller hold": SETTINGS | {"limits": SETTINGS["limits"] | {"open-cap": 14}},
 }
 
 
@@ -120,7 +120,7 @@
         assert await request_status(first, submission("m", "state")) == 202
         await wait_until(lambda: testbed.endpoint_calls if risky else first.counts.get("ended_full"))
         testbed.kill_relay(first, tmp_path / "as killed")
-        testbed.settings = renamed(RAW, "classes", "state")
+        testbed.settings = renamed(SETTINGS, "classes", "state")
         second = await testbed.start_relay(discovery_address)
         assert await request_status(second, submission("n", "")) == 400  # nobody can name that class
         await wait_until(lambda: is_idle(second))
@@ -143,7 +143,7 @@
         monkeypatch.setattr(os, "rename", full)
         second = await testbed.start_relay(discovery_address)
         assert len(second.accepted) == COUNT
-        assert second.journal.failed
+        assert second.journal.failed_writes
         monkeypatch.setattr(os, "rename", rename)
         await wait_until(lambda: is_idle(second))
         assert len(set(delivered_ids(testbed))) == COUNT
--- a/tests/platform_relay/test_relay.py
+++ b/tests/platform_relay/test_relay.py
@@ -23,9 +23,9 @@
 from linnetstile.platform_relay.records import Notice, NoticeResult, PendingNotice
 from linnetstile.platform_relay.relay import PlatformRelay
 
-from .world import (
+from .relay_testbed import (
     OK_RESPONSE,
-    RAW,
+    SETTINGS,
     RelayTestbed,
     delivered_ids,
     is_idle,
@@ -162,7 +162,9 @@
 
 def test_idle_client_connections_stay_below_the_clients_third_of_descriptors(tmp_path: Path) -> None:
     async def scenario(testbed: RelayTestbed) -> None:
-        testbed.settings = RAW | {"limits": RAW["limits"] | {"open-cap": 200}}  # none is refused for want of room
+        testbed.settings = SETTINGS | {
+            "limits": SETTINGS["limits"] | {"open-cap": 200}
+        }  # none is refused for want of room
         relay = await testbed.start_relay(sockets=120)
         kept = []
         for number in range(60):  # each asks once and stays
@@ -170,9 +172,9 @@
             writer.write(submission(f"m{number}"))
             assert b" 202 " in await reader.readline()
             kept.append(writer)
-            assert len(relay.frontend.server.open) <= 40
+            assert len(relay.frontend.server.connections) <= 40
         await asyncio.sleep(2.5)  # and none of them for good
-        assert not relay.frontend.server.open
+        assert not relay.frontend.server.connections
         for writer in kept:
             writer.close()
 
@@ -314,8 +316,8 @@
         await wait_until(lambda: not relay.accepted)
         old = testbed.entries[0]
         testbed.send_list(testbed.watch_writers[-1], [{**old, "state": "DELETED"}, {**old, "id": "s-new"}])
-        await wait_until(lambda: relay.directory.number("s-new"))
-        assert not relay.directory.number(old["id"])
+        await wait_until(lambda: relay.directory.id_of("s-new"))
+        assert not relay.directory.id_of(old["id"])
         assert await request_status(relay, submission("b")) == 202
         await wait_until(lambda: not relay.accepted)
         assert testbed.endpoint_connections == 2
@@ -356,12 +358,12 @@
         await testbed.add_endpoint(7, "DRAINING")  # known, and nothing may be sent there
         relay = await testbed.start_relay()
         _, writer = await asyncio.open_connection("127.0.0.1", port_of(relay))
-        await wait_until(lambda: relay.frontend.server.open)
+        await wait_until(lambda: relay.frontend.server.connections)
         take = relay.frontend.on_submission
 
         def late(request: server.RequestContext, submitted: Submission) -> None:
             take(request, submitted)
-            request.conn.transport.abort()
+            request.connection.transport.abort()
 
         relay.frontend.on_submission = late
         writer.write(submission("m", destination=listed))
@@ -417,7 +419,7 @@
 ) -> None:
     """The fleet's case: a second try was decided inside the key's window, its connection took a second to be made
     (the listener's queue was full), and the request left outside the window."""
-    raw = json.loads(json.dumps(RAW))
+    raw = json.loads(json.dumps(SETTINGS))
     raw["classes"][0]["window-ms"] = 1200.0
     raw["limits"]["connect-timeout-ms"] = 3000.0
 
@@ -459,7 +461,7 @@
 
 def test_list_of_1024_endpoints_is_applied_and_half_of_them_leave(tmp_path: Path) -> None:
     async def scenario(testbed: RelayTestbed) -> None:
-        testbed.settings = {**RAW, "balancers": 1024}
+        testbed.settings = {**SETTINGS, "balancers": 1024}
         others = [
             {
                 **testbed.entries[0],
@@ -584,7 +586,7 @@
     """The messages of a batch went out as calls of their own: more at once than slots, which the platform rejects."""
 
     async def scenario(testbed: RelayTestbed) -> None:
-        testbed.settings = RAW | {"extra": {"call-slots": 2, "per-call": [10]}, "weight-kind": "silent"}
+        testbed.settings = SETTINGS | {"extra": {"call-slots": 2, "per-call": [10]}, "weight-kind": "silent"}
         out: list[int] = [0]
 
         async def slowly(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -609,7 +611,7 @@
 
 def test_scarce_connections_are_reused_for_waiting_messages_and_closed_after_them(tmp_path: Path) -> None:
     async def scenario(testbed: RelayTestbed) -> None:
-        testbed.settings = RAW | {"extra": {"call-slots": 1}}
+        testbed.settings = SETTINGS | {"extra": {"call-slots": 1}}
         made: list[str] = []
 
         async def slowly(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -628,7 +630,7 @@
         ) == {202}
         await wait_until(partial(is_idle, relay))
         assert len(made) == 1
-        assert not relay.endpoint_client.pool.resting
+        assert not relay.endpoint_client.pool.idle_count
         assert await request_status(relay, submission("m4", destination=2)) == 202
         await wait_until(partial(is_idle, relay))
         assert len(made) == 2
--- a/tests/storage/test_snapshot.py
+++ b/tests/storage/test_snapshot.py
@@ -12,7 +12,7 @@
 from hypothesis import strategies as st
 
 from linnetstile import errors
-from linnetstile.as2_relay import gossip
+from linnetstile.as2_relay.gossip_document import parse
 from linnetstile.storage import snapshot
 
 # Written by the program of commit ea85c36, with the boot id and the clocks that its header has.
@@ -112,7 +112,7 @@
     assert [claim["partner"] for claim in payload["claims"]] == ["firma", "Müller & Söhne"]
     assert payload["few_connections"] == {"firma": 0.25}
     assert age_ms is None or age_ms > 0  # not of this boot: None as long as the wall clock is before its time
-    gossip.parse(payload)
+    parse(payload)
 
 
 @pytest.mark.usefixtures("recorded_clocks")
--- a/tests/testbed/test_play.py
+++ b/tests/testbed/test_play.py
@@ -65,7 +65,7 @@
     assert verdict["by_answer"]["delivered"] > 0.7 * verdict["messages"]
     facts = json.loads((tmp_path / "record" / "run.json").read_text())
     assert [life[2] for life in facts["relays"]["r2"]] == ["killed", "stopped"]
-    assert "knowledge_snapshot_read" in (tmp_path / "record" / "r2.log").read_text()
+    assert "gossip_snapshot_loaded" in (tmp_path / "record" / "r2.log").read_text()
     again = play(tmp_path, DAY)
     assert again.returncode == 2
     assert "expected a new or empty folder" in again.stderr
--- a/tests/testbed/test_rule_checker.py
+++ b/tests/testbed/test_rule_checker.py
@@ -10,8 +10,8 @@
 
 import pytest
 
-from linnetstile.emulators.record import RecordError, read
-from linnetstile.testbed.rule_checker import Judge, Run, check
+from linnetstile.emulators.record import RecordError, read_record
+from linnetstile.testbed.rule_checker import RuleChecker, RunRecord, check
 
 Row = dict[str, Any]
 FACTS: Row = {
@@ -128,14 +128,14 @@
         call = {"partner": "p", "endpoint": endpoint, "mid": message_id, "relay": "r1", "conn": connection}
         self.partners += [{"ev": "began", "t": at_ms, **call}, {"ev": "cut", "t": seen_at_ms, **call}]
 
-    def run(self) -> Run:
+    def run(self) -> RunRecord:
         def sort(rows: list[Row]) -> list[Row]:
             return sorted(rows, key=lambda row: float(row["t"]))
 
-        return Run(self.facts, sort(self.partners), sort(self.clients), sort(self.register))
+        return RunRecord(self.facts, sort(self.partners), sort(self.clients), sort(self.register))
 
     def broken(self) -> dict[str, list[str]]:
-        return {verdict.rule: verdict.findings for verdict in Judge(self.run()).judge() if verdict.broken}
+        return {verdict.rule: verdict.findings for verdict in RuleChecker(self.run()).check_rules() if verdict.broken}
 
 
 def run_that_keeps_every_rule() -> Records:
@@ -347,7 +347,7 @@
 def write_run(records: Records, folder: Path) -> None:
     run = records.run()
     (folder / "run.json").write_text(json.dumps(run.facts))
-    for name, rows in (("partners", run.partners), ("clients", run.clients), ("register", run.register)):
+    for name, rows in (("partners", run.partners), ("clients", run.clients), ("register", run.registry)):
         (folder / f"{name}.jsonl").write_text("".join(json.dumps(row) + "\n" for row in rows))
 
 
@@ -367,7 +367,7 @@
     write_run(run_that_keeps_every_rule(), tmp_path)
     (tmp_path / "clients.jsonl").write_text('{"ev": "hand"}\nnot json\n{}\n')
     with pytest.raises(RecordError, match=r"clients.jsonl: line 2"):
-        list(read(tmp_path / "clients.jsonl"))
+        list(read_record(tmp_path / "clients.jsonl"))
     (tmp_path / "clients.jsonl").write_text('{"ev": "hand", "t": 1}\n')
     with pytest.raises(RecordError, match="lacks or garbles"):
         check(tmp_path)
--- a/tests/testbed/test_scale.py
+++ b/tests/testbed/test_scale.py
@@ -21,9 +21,9 @@
 from linnetstile.testbed.scale.cold_returns import judge_cold_returns
 from linnetstile.testbed.scale.comparison import ChangeResult, Comparison, EndpointCount
 from linnetstile.testbed.scale.discovery_model import ChangeKind
-from linnetstile.testbed.scale.errors import Failed
+from linnetstile.testbed.scale.errors import RunFailedError
 from linnetstile.testbed.scale.fleet import Fleet, FleetResult
-from linnetstile.testbed.scale.options import SCENES, Sizes
+from linnetstile.testbed.scale.options import SCENARIOS, ScaleOptions
 from linnetstile.testbed.scale.relay_process import ProcessMemory
 from linnetstile.testbed.scale.report_text import format_report
 from linnetstile.testbed.scale.simulated_relay import SimulatedRelay
@@ -32,7 +32,7 @@
 from linnetstile.testbed.scale.workload import region_of
 from linnetstile.testbed.scale.world_model import World
 
-TINY = Sizes(
+TINY = ScaleOptions(
     relays=10,
     destinations=200,
     real=1,
@@ -52,7 +52,7 @@
 """Fields of a trace that differ from run to run."""
 
 
-def arguments(options: Sizes) -> list[str]:
+def arguments(options: ScaleOptions) -> list[str]:
     """The command line of these options."""
     words = []
     for each in fields(options):
@@ -62,7 +62,7 @@
     return words
 
 
-def start_run(folder: Path, options: Sizes) -> subprocess.Popen[str]:
+def start_run(folder: Path, options: ScaleOptions) -> subprocess.Popen[str]:
     """Start a run as a process of its own."""
     return subprocess.Popen(
         [sys.executable, "-m", "linnetstile.cli.main", "scale", *arguments(options), "--out", str(folder)],
@@ -72,7 +72,9 @@
     )
 
 
-def play(options: Sizes, relay: int = 0, resumes_by_version: bool = False, world: World | None = None) -> RelayTrace:
+def play(
+    options: ScaleOptions, relay: int = 0, resumes_by_version: bool = False, world: World | None = None
+) -> RelayTrace:
     """Play one relay to the end."""
     return SimulatedRelay(world or scenarios.build(options), relay, resumes_by_version, lambda: False).play()
 
@@ -92,7 +94,7 @@
     assert first["relays_played"] == 10
     assert found["left_out"]["relays"] == 0
     assert first["lists_refused"] == 0
-    assert [scene["scene"] for scene in first["scenes"]] == list(SCENES)
+    assert [scene["scene"] for scene in first["scenes"]] == list(SCENARIOS)
     by_name = {scene["scene"]: scene for scene in first["scenes"]}
     day = by_name["day"]
     assert day["changes"]["changes"] == 20
@@ -281,7 +283,7 @@
 def test_a_worker_that_has_drawn_another_world_ends_the_run() -> None:
     world, other = scenarios.build(TINY), scenarios.build(replace(TINY, seed=2))
     played = FleetResult([RelayTrace(0, world.fingerprint()), RelayTrace(3, other.fingerprint())])
-    with pytest.raises(Failed, match="relay 3 played another world"):
+    with pytest.raises(RunFailedError, match="relay 3 played another world"):
         played.check(world)
     played.traces.pop()
     played.check(scenarios.build(TINY))
@@ -296,7 +298,7 @@
     try:
         if killed:
             processes[-1].kill()
-        with pytest.raises(Failed, match="ended by itself|more than"):
+        with pytest.raises(RunFailedError, match="ended by itself|more than"):
             played.play()
     finally:
         played.close()
