--- a/linnetstile/as2_relay/gossip_service.py
+++ b/linnetstile/as2_relay/gossip_service.py
@@ -13,11 +13,10 @@
 from dataclasses import dataclass
 from typing import Any
 
-from linnetstile.engine.events import Event, GossipReceived, GossipSent, RouteFacts
-
 from ..config.relay import KnowledgeSettings
 from ..engine import gossip_export
 from ..engine.engine import DeliveryEngine
+from ..engine.events import Event, GossipReceived, GossipSent, RouteFacts
 from ..engine.gossip import (
     OWN_OBSERVATION_WINS,
     ClaimSource,
--- a/linnetstile/as2_relay/registry.py
+++ b/linnetstile/as2_relay/registry.py
@@ -14,10 +14,9 @@
 
 from pydantic import BaseModel, Field, ValidationError
 
-from linnetstile.engine.events import Endpoint, EndpointList, EndpointStatus, ListKind
-
 from ..codec import http1
 from ..config.relay import PartnerUrl, require_loopback, split_address
+from ..engine.events import Endpoint, EndpointList, EndpointStatus, ListKind
 from ..net import client
 from ..telemetry import log_events
 from ..telemetry.log import Logger
--- a/linnetstile/as2_relay/relay.py
+++ b/linnetstile/as2_relay/relay.py
@@ -7,7 +7,9 @@
 from collections import Counter
 from collections.abc import Callable
 
-from linnetstile.engine.actions import (
+from ..codec import http1
+from ..config.relay import RelaySettings, split_address
+from ..engine.actions import (
     Action,
     Cancel,
     CancelIfUnsent,
@@ -18,11 +20,8 @@
     Send,
     WatchEndpoints,
 )
-from linnetstile.engine.events import EndpointList, EndpointStatus, Event
-
-from ..codec import http1
-from ..config.relay import RelaySettings, split_address
 from ..engine.engine import DeliveryEngine
+from ..engine.events import EndpointList, EndpointStatus, Event
 from ..net import client, server
 from ..net.engine_loop import EngineLoop
 from ..telemetry import log_events
--- a/linnetstile/config/platform.py
+++ b/linnetstile/config/platform.py
@@ -7,7 +7,7 @@
 
 from typing import Any
 
-from linnetstile.engine.settings import (
+from ..engine.settings import (
     DeduplicationScope,
     DestinationKind,
     Effect,
@@ -19,7 +19,6 @@
     Tenant,
     ValueDecay,
 )
-
 from ..errors import ConfigError
 
 EFFECTS = {"repeatable": Effect.IDEMPOTENT, "by_key": Effect.DEDUPLICATED, "once": Effect.NON_IDEMPOTENT}
--- a/linnetstile/net/engine_loop.py
+++ b/linnetstile/net/engine_loop.py
@@ -6,10 +6,9 @@
 from collections.abc import Callable
 from dataclasses import replace
 
-from linnetstile.engine.actions import Action, HealthCheck, SetTimer
-from linnetstile.engine.events import Event, HealthCheckEnded, Message, MessageRecovered, Outcome, TimerFired
-
+from ..engine.actions import Action, HealthCheck, SetTimer
 from ..engine.engine import DeliveryEngine
+from ..engine.events import Event, HealthCheckEnded, Message, MessageRecovered, Outcome, TimerFired
 
 
 def age_event(event: Event, elapsed_ms: float) -> Event:
--- a/linnetstile/platform_relay/config.py
+++ b/linnetstile/platform_relay/config.py
@@ -9,9 +9,8 @@
 from pathlib import Path
 from typing import Any
 
-from linnetstile.engine.settings import Settings
-
 from ..config import platform
+from ..engine.settings import Settings
 from ..errors import ConfigError
 
 Address = tuple[str, int]
--- a/linnetstile/platform_relay/delivery.py
+++ b/linnetstile/platform_relay/delivery.py
@@ -7,10 +7,9 @@
 from dataclasses import dataclass
 from functools import partial
 
-from linnetstile.engine.actions import Send
-from linnetstile.engine.events import AttemptEnded, Outcome
-
+from ..engine.actions import Send
 from ..engine.attempt_outcome import AttemptVerdict, WireResult
+from ..engine.events import AttemptEnded, Outcome
 from ..net.engine_loop import EngineLoop
 from . import clock, journal_codec
 from .accepted import AcceptedMessage, AcceptedMessages, Attempt
--- a/linnetstile/platform_relay/directory.py
+++ b/linnetstile/platform_relay/directory.py
@@ -11,8 +11,7 @@
 from collections.abc import Iterator
 from typing import Any
 
-from linnetstile.engine.events import Endpoint, EndpointList, EndpointStatus, ListKind
-
+from ..engine.events import Endpoint, EndpointList, EndpointStatus, ListKind
 from ..engine.linear_hash import LinearHashTable
 from ..engine.watch_policy import ENTRIES_PER_EVENT, ROWS_PER_SWEEP, ListVersionGuard
 from ..errors import ProtocolError
--- a/linnetstile/platform_relay/discovery.py
+++ b/linnetstile/platform_relay/discovery.py
@@ -8,10 +8,9 @@
 from collections.abc import Callable, Iterable, Iterator
 from functools import partial
 
-from linnetstile.engine.events import Endpoint, EndpointList, EndpointStatus, ListKind
-
 from ..codec import http1
 from ..codec.json_stream import JsonStreamReader, ObjectPart
+from ..engine.events import Endpoint, EndpointList, EndpointStatus, ListKind
 from ..engine.resource_limits import WATCH_BACKOFF_MS, WATCH_CONNECT_TIMEOUT_S, backoff_ms
 from ..engine.watch_policy import ELEMENT_STALL_S, ENTRIES_PER_EVENT, ResumePolicy, watch_deadline
 from ..net.connection import BufferedConnection
--- a/linnetstile/platform_relay/endpoint_record.py
+++ b/linnetstile/platform_relay/endpoint_record.py
@@ -10,7 +10,7 @@
 import struct
 from dataclasses import dataclass
 
-from linnetstile.engine.events import Endpoint, EndpointStatus
+from ..engine.events import Endpoint, EndpointStatus
 
 NARROW_LAYOUT, WIDE_LAYOUT = struct.Struct("<BIHBBd"), struct.Struct("<BIHIId")
 FLAG_DRAINING = 1
--- a/linnetstile/platform_relay/http_frontend.py
+++ b/linnetstile/platform_relay/http_frontend.py
@@ -9,8 +9,6 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from linnetstile.engine.settings import Effect, MessageClass, Settings
-
 from ..codec import http1
 from ..engine.resource_limits import (
     CLIENT_IDLE_TIMEOUT_S,
@@ -20,6 +18,7 @@
     REQUEST_TIMEOUT_S,
     ResourceLimits,
 )
+from ..engine.settings import Effect, MessageClass, Settings
 from ..errors import ProtocolError
 from ..net import server
 
--- a/linnetstile/platform_relay/intake.py
+++ b/linnetstile/platform_relay/intake.py
@@ -7,10 +7,9 @@
 from collections import Counter
 from collections.abc import Callable, Iterable
 
-from linnetstile.engine.events import ClientCancelled, Event, Message
-from linnetstile.engine.settings import MessageClass, Settings
-
+from ..engine.events import ClientCancelled, Event, Message
 from ..engine.resource_limits import ResourceLimits
+from ..engine.settings import MessageClass, Settings
 from ..net import server
 from . import clock, journal_codec
 from .accepted import AcceptedMessage, AcceptedMessages
--- a/linnetstile/platform_relay/list_entry.py
+++ b/linnetstile/platform_relay/list_entry.py
@@ -6,8 +6,7 @@
 from collections.abc import Mapping
 from typing import Any
 
-from linnetstile.engine.events import EndpointStatus
-
+from ..engine.events import EndpointStatus
 from .config import parse_address
 from .endpoint_record import EndpointDetails
 
--- a/linnetstile/platform_relay/recovery.py
+++ b/linnetstile/platform_relay/recovery.py
@@ -6,8 +6,7 @@
 import contextlib
 from collections.abc import Callable, Mapping
 
-from linnetstile.engine.events import Endpoint, EndpointStatus, Event, Message, MessageRecovered
-
+from ..engine.events import Endpoint, EndpointStatus, Event, Message, MessageRecovered
 from ..engine.resource_limits import DISCOVERY_GRACE_S, LONG_LIST_GRACE_S
 from . import clock
 from .accepted import AcceptedMessage, AcceptedMessages
--- a/linnetstile/platform_relay/relay.py
+++ b/linnetstile/platform_relay/relay.py
@@ -12,10 +12,9 @@
 from collections.abc import Callable
 from dataclasses import replace
 
-from linnetstile.engine.actions import Action, Cancel, CancelIfUnsent, CloseIdle, Fail, Log, Reject, Send
-from linnetstile.engine.events import EndpointList, EndpointStatus, Event
-
+from ..engine.actions import Action, Cancel, CancelIfUnsent, CloseIdle, Fail, Log, Reject, Send
 from ..engine.engine import DeliveryEngine
+from ..engine.events import EndpointList, EndpointStatus, Event
 from ..engine.resource_limits import resource_limits
 from ..engine.unknown_class import unknown_class
 from ..net import client
--- a/linnetstile/platform_relay/shutdown.py
+++ b/linnetstile/platform_relay/shutdown.py
@@ -5,8 +5,7 @@
 import asyncio
 from collections.abc import Callable
 
-from linnetstile.engine.events import Event, ShutdownStarted
-
+from ..engine.events import Event, ShutdownStarted
 from ..engine.graceful_shutdown import EXIT_MS, shutdown_phase
 from .http_frontend import HttpFrontend
 
