--- a/linnetstile/emulators/partner.py
+++ b/linnetstile/emulators/partner.py
@@ -90,7 +90,7 @@
             self.recorder.write(OutageChanged(partner=outage.partner.name, is_on=True, kind=kind))
         for endpoint in outage.endpoints:
             if kind == "crash":
-                endpoint.close()
+                endpoint.crash()
             elif kind in ("hang", "vanish"):
                 endpoint.waiting.clear()
 
--- a/linnetstile/emulators/partner_endpoint.py
+++ b/linnetstile/emulators/partner_endpoint.py
@@ -4,6 +4,7 @@
 
 import asyncio
 import email.utils
+import socket
 import time
 import urllib.parse
 from collections import deque
@@ -19,6 +20,7 @@
 from .slow_reading import read_slowly
 from .traffic_events import CallAnswered, CallBegan, CallClosed, CallCut, ReceiptPosted
 
+LOOPBACK = "127.0.0.1"
 MAX_BODY_BYTES = 256 << 20
 CONNECTION_TIMEOUT_S = 120.0  # for a head, and between two requests
 CRAWL_DELAY_BYTES = 16384  # a body that came in one piece delays the work of a crawling partner by no more than these
@@ -54,6 +56,7 @@
         self.port = spec.port
         self.waiting: deque[PartnerCall] = deque()
         self._server: server.Server | None = None
+        self._reserved_port: socket.socket | None = None
         self._busy = 0
         self._record = behavior.environment.recorder
 
@@ -68,14 +71,28 @@
         )
         self.port = await listener.start(port=self.port)
         self._server = listener
+        self._release_port()
 
     def close(self) -> None:
-        """End the listener and all calls, as a crash would."""
+        """End the listener and all calls."""
         if self._server:
             self._server.close()
         self._server = None
         self._busy = 0
         self.waiting.clear()
+        self._release_port()
+
+    def crash(self) -> None:
+        """End the listener and all calls; until it opens again, connections are refused and no one else gets its port."""
+        self.close()
+        self._reserved_port = socket.socket()
+        self._reserved_port.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+        self._reserved_port.bind((LOOPBACK, self.port))  # bound and not listening
+
+    def _release_port(self) -> None:
+        if self._reserved_port:
+            self._reserved_port.close()
+        self._reserved_port = None
 
     # -- a call arrives --------------------------------------------------------------------------------------
 
