--- a/linnetstile/emulators/partner_endpoint.py
+++ b/linnetstile/emulators/partner_endpoint.py
@@ -83,7 +83,7 @@
         self._release_port()
 
     def crash(self) -> None:
-        """End the listener and all calls; until it opens again, connections are refused and no one else gets its port."""
+        """End the listener and all calls; until it opens again, connections are refused and the port is kept."""
         self.close()
         self._reserved_port = socket.socket()
         self._reserved_port.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
--- a/linnetstile/engine/outlier_detection.py
+++ b/linnetstile/engine/outlier_detection.py
@@ -20,7 +20,7 @@
 FAILURE_WEIGHT = 0.3  # weight of one failure: two in a row make an outage
 EJECTION_THRESHOLD = 0.5  # failure score above which a route is ejected
 LONE_FAILURE_WEIGHT = EJECTION_THRESHOLD + 0.05  # weight of a failure that nothing contradicts: it ejects at once
-MAX_EJECTED_SCORE = 0.7  # an ejected route's score rises no higher: two answers bring it back
+MAX_EJECTED_SCORE = 0.7  # an ejected route's score rises no higher: one answer brings it below the threshold
 TRUST_THRESHOLD = 0.25  # failure score below which a message that must not run twice may be risked again
 TRIAL_JITTER = (0.7, 1.3)  # trial calls of many relays do not come in step
 
--- a/tests/emulators/test_discovery.py
+++ b/tests/emulators/test_discovery.py
@@ -1,4 +1,4 @@
-"""The stand-in of discovery, with the shipped watch at its other end."""
+"""The emulator of discovery, with the shipped watch at its other end."""
 
 from __future__ import annotations
 
--- a/tests/engine/test_connection_scarcity.py
+++ b/tests/engine/test_connection_scarcity.py
@@ -1,4 +1,4 @@
-"""Which refusals mean that connections are short, and which a limit or a queue."""
+"""Which rejections mean that connections are scarce, and which come from a limit or a queue."""
 
 from linnetstile.engine.actions import Action, CloseIdle, Send
 from linnetstile.engine.connection_scarcity import SCARCITY_EXIT, ConnectionScarcity
--- a/tests/engine/test_destinations.py
+++ b/tests/engine/test_destinations.py
@@ -49,7 +49,7 @@
 
 @pytest.fixture
 def evict_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Every lane that may rest does so in its next turn."""
+    """Every route that may be evicted is evicted in its next turn."""
     monkeypatch.setattr(idle_routes, "MAX_RESIDENT_ROUTES", 0)
 
 
@@ -117,7 +117,7 @@
 
 
 def work_of_a_turn(relay: DeliveryEngine, monkeypatch: pytest.MonkeyPatch, now: float, *events: Event) -> int:
-    """Rows of the index that a turn looks at, with the lanes that it makes and the queues that it looks at."""
+    """Rows of the index that a turn looks at, with the routes that it makes and the queues that it looks at."""
     count = 0
 
     def counted(owner: Any, name: str) -> None:
@@ -172,7 +172,7 @@
         relay = DeliveryEngine(make_settings(max_pending_messages=10_000), 1)
         relay.handle(0.0, [changes(*(entry(identifier, identifier) for identifier in range(size + 1)))])
         relay.handle(1.0, [Message(number, number, IDEMPOTENT, 1e4) for number in range(size)])
-        for step in range(200):  # as many are out as there are slots: all are told to wait
+        for step in range(200):  # as many are out as there are slots: each gets a Retry-After
             for identifier, held in list(relay.queues.messages.items()):
                 if held.call is not None:
                     relay.handle(
@@ -416,7 +416,7 @@
 
 @pytest.mark.parametrize("used", [True, False])
 def test_a_destination_replaced_at_once_while_evicted_has_its_first_call_at_once(used: bool) -> None:
-    """What was saved up while it was quiet counts, whether it had a lane or not: else the first message would wait for
+    """What was saved up while it was quiet counts, whether it had a route or not: else the first message would wait for
     the cold budget of one relay of many, longer than its time."""
     harness = EngineHarness(make_settings(relay_count=400))
     harness.list_endpoints((11, 1))
--- a/tests/engine/test_platform_decisions.py
+++ b/tests/engine/test_platform_decisions.py
@@ -1,4 +1,4 @@
-"""Decisions that the platform's relay asks for: what its answers prove, resuming, closed connections, leaving."""
+"""Decisions for the platform relay: verdicts of its answers, recovery, stale connections, graceful shutdown."""
 
 from __future__ import annotations
 
--- a/tests/engine/test_send_order.py
+++ b/tests/engine/test_send_order.py
@@ -1,4 +1,4 @@
-"""Who is refused when the hold fills: by the turn that each message would have, not by the length of its queue."""
+"""Which message is shed when the relay is full: by its expected time of sending, not by the length of its queue."""
 
 from dataclasses import replace
 
--- a/tests/invariant_checker.py
+++ b/tests/invariant_checker.py
@@ -1,4 +1,4 @@
-"""An independent watch over the six rules: sees what a relay is told and what it does, nothing inside."""
+"""An independent check of the six delivery rules: sees the events and actions of an engine, nothing inside."""
 
 from __future__ import annotations
 
@@ -39,8 +39,8 @@
     drained_since: dict[int, float] = field(default_factory=dict)
     retry_after_until: dict[int, float] = field(default_factory=dict)
     ordering_pauses: dict[int, float] = field(default_factory=dict)
-    connect_failures: dict[int, int] = field(default_factory=dict)  # lane -> connections failed in a row
-    slow_start_until: dict[int, float] = field(default_factory=dict)  # lane -> end of the cold time after an outage
+    connect_failures: dict[int, int] = field(default_factory=dict)  # route -> connections failed in a row
+    slow_start_until: dict[int, float] = field(default_factory=dict)  # route -> end of the slow start after an outage
     send_times: dict[int, list[float]] = field(default_factory=dict)
 
     def route(self, endpoint: int) -> int:
@@ -122,7 +122,7 @@
         if endpoint in self.drained_since and now > self.drained_since[endpoint] + self.settings.safety.drain_grace_ms:
             raise RuleViolationError("drain: sent to a draining endpoint")
         if now < self.retry_after_until.get(self.route(endpoint), 0.0):
-            raise RuleViolationError("wait: sent before a told wait was over")
+            raise RuleViolationError("wait: sent before a Retry-After was over")
         if message_class.in_order and seen.message.ordering_key:
             for other_id, earlier in self.messages.items():
                 if other_id == seen.message.id:
--- a/tests/net/test_engine_loop.py
+++ b/tests/net/test_engine_loop.py
@@ -16,7 +16,7 @@
 
 
 @pytest.mark.parametrize(
-    ("told", "heard"),
+    ("posted", "handled"),
     [
         (MESSAGE, Message(1, 1, 0, 480.0)),
         (Message(1, 1, 0, 5.0), Message(1, 1, 0, 0.0)),
@@ -25,16 +25,18 @@
         (ClientCancelled(1), ClientCancelled(1)),
     ],
 )
-def test_turn_that_comes_late_takes_the_time_off(told: Event, heard: Event, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_turn_that_comes_late_takes_the_time_off(
+    posted: Event, handled: Event, monkeypatch: pytest.MonkeyPatch
+) -> None:
     clock, found = [1000.0], []
     monkeypatch.setattr(EngineLoop, "now", property(lambda turns: clock[0]))
 
     async def story() -> None:
         turns = EngineLoop(DeliveryEngine(make_settings(), 1), lambda events, actions: found.extend(events))
-        turns.post(told)
+        turns.post(posted)
         clock[0] += 20.0
         await asyncio.sleep(0)
         turns.close()
 
     asyncio.run(story())
-    assert found == [heard]
+    assert found == [handled]
--- a/tests/test_delivery_rules.py
+++ b/tests/test_delivery_rules.py
@@ -1,4 +1,4 @@
-"""The six rules, by effect kind and outcome; with lanes kept as usual, and with each laid to rest as soon as it may."""
+"""Delivery rules by effect and outcome, with routes kept resident and with each evicted as soon as possible."""
 
 import pytest
 
@@ -10,7 +10,7 @@
 from .conftest import CLASSES, DEDUPLICATED, IDEMPOTENT, NON_IDEMPOTENT, UNCLEAR_OUTCOMES, EngineHarness, make_settings
 
 
-@pytest.fixture(autouse=True, params=[idle_routes.MAX_RESIDENT_ROUTES, 0], ids=["in use", "at rest"])
+@pytest.fixture(autouse=True, params=[idle_routes.MAX_RESIDENT_ROUTES, 0], ids=["resident", "evicted"])
 def resident_routes(request: pytest.FixtureRequest, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(idle_routes, "MAX_RESIDENT_ROUTES", request.param)
 
--- a/tests/test_engine_invariants.py
+++ b/tests/test_engine_invariants.py
@@ -1,4 +1,4 @@
-"""Random legal events against the module, watched by the checker; and the checker against each breach."""
+"""Random legal events against the engine, watched by the checker; and the checker against each violation."""
 
 from __future__ import annotations
 
--- a/tests/test_engine_under_faults.py
+++ b/tests/test_engine_under_faults.py
@@ -1,4 +1,4 @@
-"""What the module does, and must not do, under each kind of symptom."""
+"""What the engine does, and must not do, under each kind of fault."""
 
 import pytest
 
