--- a/tests/platform_relay/test_race_conditions.py
+++ b/tests/platform_relay/test_race_conditions.py
@@ -17,6 +17,7 @@
 from linnetstile.engine.attempt_outcome import AttemptVerdict, WireResult
 from linnetstile.engine.events import Outcome
 from linnetstile.engine.graceful_shutdown import EXIT_MS, STOP_ACCEPTING_MS, STOP_ADMITTING_MS
+from linnetstile.engine.retry_policy import DEADLINE_MARGIN_MS
 from linnetstile.net import client, server
 from linnetstile.platform_relay.http_frontend import Submission
 from linnetstile.platform_relay.relay import PlatformRelay
@@ -37,6 +38,9 @@
 
 Client = tuple[asyncio.StreamReader, asyncio.StreamWriter]
 
+NOTICE_GRACE_S = 0.3  # the platform counts a notice that comes so long after the deadline
+CLOCK_ROUNDING_MS = 1.0  # deadlines are journaled by the wall clock, in tenths of a ms
+
 
 async def idle_client(relay: PlatformRelay, submission_id: str = "first") -> Client:
     """A client's connection on which one request was answered. What it writes from now on is in the relay's kernel at
@@ -74,14 +78,23 @@
     run_scenario(tmp_path, scenario)
 
 
-def test_attempt_times_out_before_the_deadline_of_its_message(tmp_path: Path) -> None:
+def test_attempt_times_out_before_the_deadline_of_its_message(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario(testbed: RelayTestbed) -> None:
         relay = await testbed.start_relay()
         testbed.scripted_answers[1] = [None]
+        send, times_ms = relay.endpoint_client.send, []
+
+        def recorded(*args: Any, **options: Any) -> client.Call:
+            times_ms.append((options["timeout_ms"], options["remaining_ms"]))
+            return send(*args, **options)
+
+        monkeypatch.setattr(relay.endpoint_client, "send", recorded)
         began = time.monotonic()
         assert await request_status(relay, submission("m", "pay", left="400m")) == 202
         await wait_until(lambda: testbed.notices)
-        assert time.monotonic() - began < 0.4
+        ((timeout_ms, remaining_ms),) = times_ms
+        assert 0 < timeout_ms < remaining_ms - DEADLINE_MARGIN_MS + CLOCK_ROUNDING_MS
+        assert time.monotonic() - began < 0.4 + NOTICE_GRACE_S
         assert testbed.notices == [{"ref": "m", "result": "dead"}]
 
     run_scenario(tmp_path, scenario)
