--- a/linnetstile/engine/admission.py
+++ b/linnetstile/engine/admission.py
@@ -2,8 +2,11 @@
 
 from __future__ import annotations
 
+import itertools
+import operator
 import random
 from dataclasses import dataclass
+from typing import NamedTuple
 
 from .actions import Action, Fail, Reject
 from .events import Message
@@ -38,6 +41,21 @@
     updated_at: float = 0.0
 
 
+class SheddableMessage(NamedTuple):
+    """A message that may be rejected to make room.
+
+    Attributes:
+        loss: What is lost by that: by its expected time of sending, then by its value now.
+        pending: The message.
+    """
+
+    loss: tuple[float, float]
+    pending: PendingMessage
+
+
+_loss_of = operator.attrgetter("loss")
+
+
 class AdmissionController:
     """Decides what a message is worth, and what is given up when the relay is full."""
 
@@ -87,40 +105,48 @@
             self.give_up(now, pending, actions)
 
     def shed_load(self, now: float, actions: list[Action]) -> None:
-        """Before the relay is full, reject what will be worth least once its turn to be sent comes."""
+        """Before the relay is full, reject what will be worth least once its turn to be sent comes.
+
+        All queues are read once a turn, and after a rejection only the queue that it changed: the others' send times
+        stay. Guards a relay that falls behind, whose turns have many messages to reject each.
+        """
         excess = len(self.queues.messages) - int(SHED_THRESHOLD * self.settings.max_pending_messages)
+        if excess <= 0:
+            return
+        candidates = {destination: self._sheddable(now, destination) for destination in self.queues.queues}
         for _ in range(excess):
-            pending = self._least_valuable(now)
-            if pending is not None:
-                self.give_up(now, pending, actions)
-
-    def _least_valuable(self, now: float) -> PendingMessage | None:
-        send_times: dict[int, float] = {}
-        sheddable: list[PendingMessage] = []
-        for destination, queue in self.queues.queues.items():
-            gap_ms = 1000 / self._expected_rate(now, destination)
-            send_times.update(expected_send_times(queue.values(), now, gap_ms, self.settings.value_decay))
-            sheddable += [pending for pending in queue.values() if self._may_shed(pending)]
-
-        def loss(pending: PendingMessage) -> list[float]:
-            return [self._loss(pending, now, at) for at in (send_times[pending.message.id], now)]
-
-        return min(sheddable, key=loss, default=None)
-
-    def _may_shed(self, pending: PendingMessage) -> bool:
-        is_owed_an_attempt = pending.recovered_untried and not pending.attempts
-        return self.retry_policy.may_reject(pending) and not is_owed_an_attempt
-
-    def _loss(self, pending: PendingMessage, now: float, delivered_at: float) -> float:
-        """Return what is lost if a message is rejected now that would else be delivered at `delivered_at`.
+            least = min(itertools.chain.from_iterable(candidates.values()), key=_loss_of, default=None)
+            if least is None:
+                return
+            destination = least.pending.message.destination
+            self.give_up(now, least.pending, actions)
+            candidates[destination] = self._sheddable(now, destination)
+
+    def _sheddable(self, now: float, destination: int) -> list[SheddableMessage]:
+        """Return the messages of a queue that may be rejected, in its order; one found untried is owed an attempt."""
+        queue = self.queues.queues.get(destination)
+        if not queue:
+            return []
+        gap_ms = 1000 / self._expected_rate(now, destination)
+        send_times = expected_send_times(queue.values(), now, gap_ms, self.settings.value_decay)
+        may_reject = self.retry_policy.may_reject
+        return [
+            SheddableMessage(self._loss(pending, now, send_times[pending.message.id]), pending)
+            for pending in queue.values()
+            if may_reject(pending) and (pending.attempts or not pending.recovered_untried)
+        ]
+
+    def _loss(self, pending: PendingMessage, now: float, send_at: float) -> tuple[float, float]:
+        """Return what is lost if a message is rejected now: by its expected time of sending, then by its value now.
 
         What arrives while there is no room is rejected at once, at no cost, unless it is worth more than what an early
         return of another costs.
         """
-        lifetime_ms = pending.deadline - pending.accepted_at
-        is_early = pending.accepted_at < now < pending.accepted_at + EARLY_RETURN_FRACTION * lifetime_ms
-        cost = EARLY_RETURN_COST * pending.priority_weight if is_early else 0.0
-        return pending.value_at(delivered_at, self.settings.value_decay) + cost
+        decay = self.settings.value_decay
+        accepted_at = pending.accepted_at
+        early_until = accepted_at + EARLY_RETURN_FRACTION * (pending.deadline - accepted_at)
+        cost = EARLY_RETURN_COST * pending.priority_weight if accepted_at < now < early_until else 0.0
+        return pending.value_at(send_at, decay) + cost, pending.value_at(now, decay) + cost
 
     def _expected_rate(self, now: float, destination: int) -> float:
         """Return the calls a second that this relay may expect to send to a destination."""
