--- a/linnetstile/engine/admission.py
+++ b/linnetstile/engine/admission.py
@@ -3,8 +3,8 @@
 from __future__ import annotations
 
 import itertools
-import operator
 import random
+from collections.abc import Iterable
 from dataclasses import dataclass
 from typing import NamedTuple
 
@@ -45,17 +45,14 @@
     """A message that may be rejected to make room.
 
     Attributes:
-        loss: What is lost by that: by its expected time of sending, then by its value now.
+        loss: What is lost by that, by its expected time of sending.
         pending: The message.
     """
 
-    loss: tuple[float, float]
+    loss: float
     pending: PendingMessage
 
 
-_loss_of = operator.attrgetter("loss")
-
-
 class AdmissionController:
     """Decides what a message is worth, and what is given up when the relay is full."""
 
@@ -115,13 +112,25 @@
             return
         candidates = {destination: self._sheddable(now, destination) for destination in self.queues.queues}
         for _ in range(excess):
-            least = min(itertools.chain.from_iterable(candidates.values()), key=_loss_of, default=None)
+            least = self._least_loss(now, itertools.chain.from_iterable(candidates.values()))
             if least is None:
                 return
             destination = least.pending.message.destination
             self.give_up(now, least.pending, actions)
             candidates[destination] = self._sheddable(now, destination)
 
+    def _least_loss(self, now: float, candidates: Iterable[SheddableMessage]) -> SheddableMessage | None:
+        """Return the first of those that lose least; of equal ones, of those that lose least by their value now."""
+        equal: list[SheddableMessage] = []
+        for candidate in candidates:
+            if not equal or candidate.loss < equal[0].loss:
+                equal = [candidate]
+            elif candidate.loss == equal[0].loss:
+                equal.append(candidate)
+        if len(equal) <= 1:
+            return equal[0] if equal else None
+        return min(equal, key=lambda candidate: self._loss(candidate.pending, now, now))
+
     def _sheddable(self, now: float, destination: int) -> list[SheddableMessage]:
         """Return the messages of a queue that may be rejected, in its order; one found untried is owed an attempt."""
         queue = self.queues.queues.get(destination)
@@ -136,17 +145,16 @@
             if may_reject(pending) and (pending.attempts or not pending.recovered_untried)
         ]
 
-    def _loss(self, pending: PendingMessage, now: float, send_at: float) -> tuple[float, float]:
-        """Return what is lost if a message is rejected now: by its expected time of sending, then by its value now.
+    def _loss(self, pending: PendingMessage, now: float, delivered_at: float) -> float:
+        """Return what is lost if a message is rejected now that would else be delivered at `delivered_at`.
 
         What arrives while there is no room is rejected at once, at no cost, unless it is worth more than what an early
         return of another costs.
         """
-        decay = self.settings.value_decay
         accepted_at = pending.accepted_at
         early_until = accepted_at + EARLY_RETURN_FRACTION * (pending.deadline - accepted_at)
         cost = EARLY_RETURN_COST * pending.priority_weight if accepted_at < now < early_until else 0.0
-        return pending.value_at(send_at, decay) + cost, pending.value_at(now, decay) + cost
+        return pending.value_at(delivered_at, self.settings.value_decay) + cost
 
     def _expected_rate(self, now: float, destination: int) -> float:
         """Return the calls a second that this relay may expect to send to a destination."""
