--- a/linnetstile/testbed/message_rules.py
+++ b/linnetstile/testbed/message_rules.py
@@ -13,7 +13,6 @@
 from .verdict import Verdict
 
 CLIENT_SLACK_MS = 250.0  # a client's own delay in reading an answer, on a machine that runs the whole fleet
-KILL_LEAD_MS = 50  # a relay may have been killed so long before a submission reached it
 ANSWERS_WITHOUT_PROMISE = ("refused", "conflict")  # a later answer may differ from these
 VALID_RECEIPTS = (
     "none",
@@ -57,7 +56,7 @@
             return
         end_ms = lost.at_ms if lost else submission.at_ms + self._limit_ms(submission)
         processes = self._traffic.facts.processes
-        if not processes.was_killed(submission.relay, submission.at_ms - KILL_LEAD_MS, end_ms):
+        if not processes.was_killed(submission.relay, submission.at_ms, end_ms):
             how = f"connection {lost.wire_result}" if lost else "none"
             self._verdict.breach(f"{submission.message_id} handed to {submission.relay}: no final answer ({how})")
 
--- a/linnetstile/testbed/processes.py
+++ b/linnetstile/testbed/processes.py
@@ -107,14 +107,18 @@
             raise PlayError(f"{process.name} ended by itself; see {self.log_file(process.name)}")
 
     async def end(self, process: ManagedProcess, how: ProcessEnd) -> None:
-        """End a process of this run by its own handle, and wait until it is gone."""
+        """End a process of this run by its own handle, and wait until it is gone.
+
+        Its lifetime ends once it is gone, not with the signal: on a busy machine a killed process may still accept
+        connections for some 100 ms.
+        """
         if not process.has_ended:
             with contextlib.suppress(ProcessLookupError):
                 process.child.send_signal(signal.SIGKILL if how is ProcessEnd.KILLED else signal.SIGTERM)
-        if lifetimes := self.lifetimes.get(process.name):
-            lifetimes[-1] = replace(lifetimes[-1], end_ms=now_ms(), end=how)
         with contextlib.suppress(TimeoutError):
             await asyncio.wait_for(process.child.wait(), END_TIMEOUT_S)
+        if lifetimes := self.lifetimes.get(process.name):
+            lifetimes[-1] = replace(lifetimes[-1], end_ms=now_ms(), end=how)
         if process in self._running:
             self._running.remove(process)
 
--- a/linnetstile/testbed/relay_lifetime.py
+++ b/linnetstile/testbed/relay_lifetime.py
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RelayLifetime:
-    """One process of a relay, in ms of the clock of the run."""
+    """One process of a relay, in ms of the clock of the run: from its ready line until it is gone."""
 
     start_ms: float
     end_ms: float = math.inf
@@ -56,7 +56,7 @@
         return f"{relay}#{bisect.bisect_right(starts, at_ms)}"
 
     def was_killed(self, relay: str, start_ms: float, end_ms: float) -> bool:
-        """Whether a process of a relay was killed in a time, or shortly after."""
+        """Whether a killed process of a relay was gone within a time, or shortly after."""
         return any(
             lifetime.end is ProcessEnd.KILLED and start_ms <= lifetime.end_ms <= end_ms + KILL_NOTICE_MS
             for lifetime in self._lifetimes.get(relay, [])
--- a/tests/testbed/test_rule_checker.py
+++ b/tests/testbed/test_rule_checker.py
@@ -335,6 +335,15 @@
     assert records.broken() == {}
 
 
+@pytest.mark.parametrize(("gone_at_ms", "broken"), [(9001.0, []), (8999.0, ["answers"])])
+def test_a_submission_may_be_lost_to_a_kill_until_the_process_is_gone(gone_at_ms: float, broken: list[str]) -> None:
+    records = run_that_keeps_every_rule()
+    records.submit(9000, "x", "k", relay="r2")
+    records.clients.append({"ev": "lost", "t": 9000.5, "hand": "x", "mid": "x", "sight": "lost"})
+    records.facts["relays"]["r2"] = [[0.0, gone_at_ms, "killed"], [9900.0, None, ""]]
+    assert list(records.broken()) == broken
+
+
 def test_strangers_to_an_outage_may_push_a_partner_over() -> None:
     records = run_that_keeps_every_rule()
     for number in range(12):
