--- a/linnetstile/config/platform.py
+++ b/linnetstile/config/platform.py
@@ -11,6 +11,7 @@
     DeduplicationScope,
     DestinationKind,
     Effect,
+    LoadReportFields,
     MessageClass,
     RateTrust,
     SafetyLimits,
@@ -106,10 +107,12 @@
     )
 
 
-def _load_report_fields(names: list[str]) -> tuple[int, int] | None:
+def _load_report_fields(names: list[str]) -> LoadReportFields | None:
     """Return where the two fields stand in a load report; None if it does not have both."""
-    first, second = LOAD_FIELDS
-    return (names.index(first), names.index(second)) if {first, second} <= set(names) else None
+    remaining, limit = LOAD_FIELDS
+    if remaining not in names or limit not in names:
+        return None
+    return LoadReportFields(names.index(remaining), names.index(limit))
 
 
 def _safety_limits(raw: dict[str, Any]) -> SafetyLimits:
--- a/linnetstile/engine/admission.py
+++ b/linnetstile/engine/admission.py
@@ -18,7 +18,7 @@
 from .route_state import RouteState
 from .send_order import expected_send_times
 from .settings import Settings
-from .time_points import NEVER
+from .time_points import MS_PER_SECOND, NEVER
 
 SHED_THRESHOLD = 0.85  # part of the pending messages from which the least valuable is rejected to make room
 # A message given back within the first part of its time costs the second part of its value more.
@@ -80,7 +80,7 @@
         bucket = self.tenant_buckets[message.tenant]
         quota_per_s = self.settings.tenants[message.tenant].quota_per_s / self.settings.relay_count
         most = max(1.0, 2 * quota_per_s)  # a message fits, if late, however small the quota
-        tokens = min(most, bucket.tokens + quota_per_s * (now - bucket.updated_at) / 1000)
+        tokens = min(most, bucket.tokens + quota_per_s * (now - bucket.updated_at) / MS_PER_SECOND)
         is_within_quota = tokens >= 1
         is_charged = not (message.is_retry or message.from_dead_relay)  # a retry belongs to its first submission
         bucket.tokens = tokens - (is_charged and is_within_quota)
@@ -136,7 +136,7 @@
         queue = self.queues.queues.get(destination)
         if not queue:
             return []
-        gap_ms = 1000 / self._expected_rate(now, destination)
+        gap_ms = MS_PER_SECOND / self._expected_rate(now, destination)
         send_times = expected_send_times(queue.values(), now, gap_ms, self.settings.value_decay)
         may_reject = self.retry_policy.may_reject
         return [
@@ -159,7 +159,7 @@
     def _expected_rate(self, now: float, destination: int) -> float:
         """Return the calls a second that this relay may expect to send to a destination."""
         routes = self.routes.get(destination, {}).values()
-        rates = [self.rate_limiter.allowance(now, route, is_suspected(route, now))[0] for route in routes]
+        rates = [self.rate_limiter.allowance(now, route, is_suspected(route, now)).calls_per_s for route in routes]
         return sum(rates) or MIN_RATE_PER_S
 
     def _retry_after_ms(self, now: float, destination: int, deadline: float) -> float:
@@ -173,6 +173,6 @@
         routes = self.routes.get(destination, {}).values()
         retry_after_until = min((route.retry_after_until for route in routes), default=NEVER)
         waiting = len(self.queues.queues.get(destination, ()))
-        queue_ms = 1000 * waiting / self._expected_rate(now, destination)
+        queue_ms = MS_PER_SECOND * waiting / self._expected_rate(now, destination)
         delay_ms = max(retry_after_until - now, queue_ms) * self.rng.uniform(*ADVICE_JITTER)
         return max(0.0, min(delay_ms, longest_ms, deadline - now - DEADLINE_MARGIN_MS))
--- a/linnetstile/engine/endpoint_selection.py
+++ b/linnetstile/engine/endpoint_selection.py
@@ -2,6 +2,8 @@
 
 from __future__ import annotations
 
+from typing import NamedTuple
+
 from .connection_policy import IDLE_REUSE_FRACTION, ConnectionPolicy
 from .pending_message import PendingMessage
 from .retry_policy import RetryPolicy
@@ -9,18 +11,32 @@
 from .settings import Settings
 
 RECENT_REJECTION_MS = 4000.0  # an endpoint that rejected a new connection is avoided for so long
-# Costs of an endpoint, in calls in flight: a failure of the message's own class counts most.
-SAME_CLASS_FAILURE_COST = 8.0
-CLASS_FAILURE_COST = 2.0
-CONNECTION_REJECTED_COST = 2.0
-NEW_CONNECTION_COST = 0.9
-FEE_COST = 1.5
+# Costs of an endpoint, each equivalent to so many calls in flight.
+SAME_CLASS_FAILURE_COST = 8.0  # the latest call of the message's own class has failed
+CLASS_FAILURE_COST = 2.0  # for each class whose latest call has failed
+CONNECTION_REJECTED_COST = 2.0  # it has rejected a new connection while connections are scarce
+NEW_CONNECTION_COST = 0.9  # no idle connection can be reused
+FEE_COST = 1.5  # the call costs a fee
+
+
+class EndpointCost(NamedTuple):
+    """Cost of sending a message to one endpoint; of two costs the fields are compared in this order.
+
+    Attributes:
+        calls: Load and risks of the endpoint, as an equivalent number of calls in flight.
+        fee: Fee of the call.
+        tie_breaker: The endpoint's own random number.
+    """
+
+    calls: float
+    fee: float
+    tie_breaker: float
 
 
 class EndpointSelector:
-    """Chooses by recent failures, load, idle connections and fees; equal endpoints by chance.
+    """Chooses by recent failures, load, idle connections and fees, and at random between equal endpoints.
 
-    Were it not for chance, all relays would use the same one of several equal endpoints.
+    Without the random choice all relays would use the same one of several equal endpoints.
     """
 
     def __init__(self, settings: Settings, retry_policy: RetryPolicy, connections: ConnectionPolicy) -> None:
@@ -39,18 +55,25 @@
         class_index = pending.message.class_index
         return min(usable, key=lambda endpoint: self._cost(now, class_index, endpoint, is_scarce))
 
-    def _cost(
-        self, now: float, class_index: int, endpoint: EndpointState, is_scarce: bool
-    ) -> tuple[float, float, float]:
+    def _cost(self, now: float, class_index: int, endpoint: EndpointState, is_scarce: bool) -> EndpointCost:
+        self._drop_expired_connections(now, endpoint)
+        failing_classes = [index for index, at in endpoint.class_failures.items() if now - at < EVIDENCE_TTL_MS]
+        was_rejected_lately = now - endpoint.rejected_at < RECENT_REJECTION_MS
+        fee = self._fee(endpoint.info.zone)
+        cost = endpoint.in_flight + SAME_CLASS_FAILURE_COST * (class_index in failing_classes)
+        cost += CLASS_FAILURE_COST * len(failing_classes)
+        cost += CONNECTION_REJECTED_COST * (is_scarce and was_rejected_lately)
+        cost += NEW_CONNECTION_COST * (not endpoint.idle_connections)
+        cost += FEE_COST * (fee > 0)
+        return EndpointCost(cost, fee, endpoint.tie_breaker)
+
+    def _drop_expired_connections(self, now: float, endpoint: EndpointState) -> None:
+        """Forget idle connections that the endpoint may have closed by now."""
+        reusable_ms = self.settings.idle_timeout_ms * IDLE_REUSE_FRACTION
+        endpoint.idle_connections = [used_at for used_at in endpoint.idle_connections if now - used_at < reusable_ms]
+
+    def _fee(self, zone: int) -> float:
+        """Return the fee of a call into a zone."""
         settings = self.settings
-        zone = endpoint.info.zone
         fee = settings.route_fees[zone] if zone < len(settings.route_fees) else 0.0
-        fee += settings.cross_zone_price * (zone != settings.zone)
-        reusable_ms = settings.idle_timeout_ms * IDLE_REUSE_FRACTION
-        endpoint.idle_connections = [at for at in endpoint.idle_connections if now - at < reusable_ms]
-        failing = [index for index, at in endpoint.class_failures.items() if now - at < EVIDENCE_TTL_MS]
-        cost = endpoint.in_flight + SAME_CLASS_FAILURE_COST * (class_index in failing)
-        cost += CLASS_FAILURE_COST * len(failing)
-        cost += CONNECTION_REJECTED_COST * (is_scarce and now - endpoint.rejected_at < RECENT_REJECTION_MS)
-        cost += NEW_CONNECTION_COST * (not endpoint.idle_connections)
-        return cost + FEE_COST * (fee > 0), fee, endpoint.tie_breaker
+        return fee + settings.cross_zone_price * (zone != settings.zone)
--- a/linnetstile/engine/engine.py
+++ b/linnetstile/engine/engine.py
@@ -35,7 +35,7 @@
 from .message_queues import MessageQueues
 from .outlier_detection import OutlierDetector
 from .pending_message import PendingMessage
-from .rate_limiter import RateLimiter
+from .rate_limiter import LoadReport, RateLimiter
 from .recovery_throttle import tokens_after_recovery
 from .retry_policy import RetryPolicy
 from .route_factory import RouteFactory
@@ -303,5 +303,6 @@
         fields = self.settings.load_report_fields
         if fields is None or len(event.load_report) <= max(fields):
             return
-        remaining, limit = (event.load_report[field] for field in fields)
-        self.rate_limiter.record_load_report(route, remaining, limit)
+        remaining_index, limit_index = fields
+        report = LoadReport(event.load_report[remaining_index], event.load_report[limit_index])
+        self.rate_limiter.record_load_report(route, report)
--- a/linnetstile/engine/latency.py
+++ b/linnetstile/engine/latency.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 from dataclasses import dataclass
+from typing import NamedTuple
 
 from .route_state import LatencyEstimate
 
@@ -11,22 +12,33 @@
 INITIAL_DEVIATION_MS = 250.0
 TIMEOUT_DEVIATIONS = 10.0  # a time-out lies so many mean deviations above the mean: latency has a long tail
 OVERDUE_DEVIATIONS = 4.0  # an answer is overdue so many mean deviations above the mean
-MAX_TIMEOUT_MULTIPLIER = 8.0  # time-outs double while calls time out (slow is not down), up to this factor
+MAX_TIMEOUT_MULTIPLIER = 8.0  # the time-out doubles with each call that times out, up to this factor
 FLEET_GAIN = 0.05  # weight of one answer in the estimate over all destinations
-MIN_ROUTE_GAIN = 0.15  # least weight of one answer in the estimate of its route; the first ones weigh more
+MIN_ROUTE_GAIN = 0.15  # least weight of one answer in the estimate of its route; the first answers weigh more
 CALL_TIME_GAIN = 0.15  # weight of one call in the mean time that calls hold a slot
 
 
-def moving_average(mean: float, deviation: float, value: float, gain: float) -> tuple[float, float]:
-    """Return mean and mean deviation after one more value that weighs `gain`."""
-    return mean + gain * (value - mean), deviation + gain * (abs(value - mean) - deviation)
+class MeanAndDeviation(NamedTuple):
+    """A moving mean, and the moving mean of the absolute deviation from it."""
+
+    mean: float
+    deviation: float
+
+    def updated(self, value: float, gain: float) -> MeanAndDeviation:
+        """Return both after one more value that weighs `gain`."""
+        return MeanAndDeviation(
+            self.mean + gain * (value - self.mean),
+            self.deviation + gain * (abs(value - self.mean) - self.deviation),
+        )
 
 
 def record_answer(estimate: LatencyEstimate, latency_ms: float) -> None:
-    """Count one answer; time-outs are no longer stretched."""
+    """Count one answer; it resets the multiplier of the time-out."""
     estimate.answers += 1
     gain = max(MIN_ROUTE_GAIN, 1 / (estimate.answers + 1))
-    estimate.mean_ms, estimate.deviation_ms = moving_average(estimate.mean_ms, estimate.deviation_ms, latency_ms, gain)
+    updated = MeanAndDeviation(estimate.mean_ms, estimate.deviation_ms).updated(latency_ms, gain)
+    estimate.mean_ms = updated.mean
+    estimate.deviation_ms = updated.deviation
     estimate.timeout_multiplier = 1.0
 
 
@@ -53,7 +65,7 @@
 
 @dataclass(slots=True)
 class FleetLatency:
-    """Latency over all destinations: what one that was not called yet is taken for.
+    """Latency over all destinations, which is the first estimate for a destination that was not called yet.
 
     Attributes:
         mean_ms: Moving mean.
@@ -67,5 +79,7 @@
 
     def record_answer(self, latency_ms: float, tick_ms: float) -> None:
         """Count one answer; latencies below the clock's tick count as one tick."""
-        self.mean_ms, self.deviation_ms = moving_average(self.mean_ms, self.deviation_ms, latency_ms, FLEET_GAIN)
+        updated = MeanAndDeviation(self.mean_ms, self.deviation_ms).updated(latency_ms, FLEET_GAIN)
+        self.mean_ms = updated.mean
+        self.deviation_ms = updated.deviation
         self.mean_inverse += FLEET_GAIN * (1 / max(latency_ms, tick_ms) - self.mean_inverse)
--- a/linnetstile/engine/message_queues.py
+++ b/linnetstile/engine/message_queues.py
@@ -4,22 +4,37 @@
 
 import heapq
 from collections.abc import Iterator
+from typing import NamedTuple
 
 from .pending_message import PendingMessage
 
 
+class QueueCheck(NamedTuple):
+    """A time at which a queue is to be checked for messages that may be sent."""
+
+    at: float
+    destination: int
+
+
+class MessageExpiry(NamedTuple):
+    """A time at which a message is given up, unless it is in flight then."""
+
+    at: float
+    message_id: int
+
+
 class MessageQueues:
-    """Owns all pending messages, and knows when a queue has to be looked at and when a message expires.
+    """Owns all pending messages, and knows when a queue is due to be checked and when a message expires.
 
     Attributes:
         messages: All pending messages by id.
         queues: Destination -> the messages that wait for it, by id, in the order in which they began to wait.
-        due_at: Destination -> when its queue is looked at again; 0 = in the next turn.
+        due_at: Destination -> when its queue is checked next; 0 = with the next batch of events.
         creation_order: Destination -> how many queues had been created before its own.
-        due_now: Destinations whose queue is looked at in the next turn.
-        due_heap: (time, destination) of looks to come, with some that no longer hold.
+        due_now: Destinations whose queue is checked with the next batch of events.
+        due_heap: Heap of later checks; an entry that differs from `due_at` is obsolete.
         ordered_ids: Ordering key -> ids of its messages in the order of arrival.
-        expiry_heap: (time, message id) of expiries, with some that no longer hold.
+        expiry_heap: Heap of expiries; an entry of a message that has ended is obsolete.
     """
 
     def __init__(self) -> None:
@@ -28,13 +43,13 @@
         self.due_at: dict[int, float] = {}
         self.creation_order: dict[int, int] = {}
         self.due_now: set[int] = set()
-        self.due_heap: list[tuple[float, int]] = []
+        self.due_heap: list[QueueCheck] = []
         self.ordered_ids: dict[int, list[int]] = {}
-        self.expiry_heap: list[tuple[float, int]] = []
+        self.expiry_heap: list[MessageExpiry] = []
         self._queues_created = 0
 
     def add(self, pending: PendingMessage) -> None:
-        """Take a message in; it waits only once it is enqueued."""
+        """Add a message; it does not wait for a slot before it is enqueued."""
         self.messages[pending.message.id] = pending
         if pending.ordering_key:
             self.ordered_ids.setdefault(pending.ordering_key, []).append(pending.message.id)
@@ -62,7 +77,7 @@
             self.due_now.discard(destination)
 
     def remove(self, pending: PendingMessage) -> None:
-        """Forget a message that has ended; the next one of its ordering key may go."""
+        """Remove a message that has ended; the next one of its ordering key may be sent then."""
         del self.messages[pending.message.id]
         self.dequeue(pending)
         if not pending.ordering_key:
@@ -79,49 +94,49 @@
         return bool(pending.ordering_key) and len(self.ordered_ids[pending.ordering_key]) > 1
 
     def schedule(self, destination: int, at: float = 0.0) -> None:
-        """Have the destination's queue, if it has one, looked at then; 0 = in the next turn."""
+        """Have the destination's queue, if it has one, checked at a time; 0 = with the next batch of events."""
         if destination not in self.queues:
             return
         self.due_at[destination] = at
         if at:
             self.due_now.discard(destination)
-            heapq.heappush(self.due_heap, (at, destination))
+            heapq.heappush(self.due_heap, QueueCheck(at, destination))
         else:
             self.due_now.add(destination)
 
     def due_destinations(self, now: float) -> list[int]:
-        """Return the destinations to look at, the longest-standing queue first; costs what is due."""
+        """Return the destinations whose queue is due, the oldest queue first; the cost grows with these alone."""
         self._advance(now)
         return sorted(self.due_now, key=self.creation_order.__getitem__)
 
     def next_due_at(self, now: float) -> float | None:
         """Return when the next queue will be due, of those that are not due yet."""
         self._advance(now)
-        return self.due_heap[0][0] if self.due_heap else None
+        return self.due_heap[0].at if self.due_heap else None
 
     def _advance(self, now: float) -> None:
-        """Move looks whose time has come to `due_now`, and drop heads of the heap that no longer hold."""
+        """Move checks whose time has come to `due_now`, and drop obsolete entries from the head of the heap."""
         while self.due_heap:
-            at, destination = self.due_heap[0]
-            holds = self.due_at.get(destination) == at
-            if holds and at > now:
+            check = self.due_heap[0]
+            is_valid = self.due_at.get(check.destination) == check.at
+            if is_valid and check.at > now:
                 return
             heapq.heappop(self.due_heap)
-            if holds:
-                self.due_now.add(destination)
+            if is_valid:
+                self.due_now.add(check.destination)
 
     def schedule_expiry(self, message_id: int, at: float) -> None:
-        """Have a message expire then, unless it has ended or is in flight."""
-        heapq.heappush(self.expiry_heap, (at, message_id))
+        """Have a message expire at a time, unless it has ended or is in flight then."""
+        heapq.heappush(self.expiry_heap, MessageExpiry(at, message_id))
 
     def pop_expired(self, now: float) -> Iterator[PendingMessage]:
         """Yield the messages that can no longer be delivered in time; one in flight waits for its outcome."""
-        while self.expiry_heap and self.expiry_heap[0][0] <= now:
-            _, message_id = heapq.heappop(self.expiry_heap)
-            pending = self.messages.get(message_id)
+        while self.expiry_heap and self.expiry_heap[0].at <= now:
+            expiry = heapq.heappop(self.expiry_heap)
+            pending = self.messages.get(expiry.message_id)
             if pending is not None and pending.call is None:
                 yield pending
 
     def next_expiry_at(self) -> float | None:
         """Return when the next message may expire."""
-        return self.expiry_heap[0][0] if self.expiry_heap else None
+        return self.expiry_heap[0].at if self.expiry_heap else None
--- a/linnetstile/engine/minimum_rate.py
+++ b/linnetstile/engine/minimum_rate.py
@@ -7,7 +7,7 @@
 
 from dataclasses import dataclass
 
-MS_PER_SECOND = 1000.0
+from .time_points import MS_PER_SECOND
 
 
 @dataclass(slots=True)
--- a/linnetstile/engine/rate_limiter.py
+++ b/linnetstile/engine/rate_limiter.py
@@ -1,45 +1,89 @@
 """Rate limits of destinations: tokens, learned and advertised rates, throttling after rejections, load reports.
 
-A destination's limit holds for all relays together, and mostly nobody says what it is. A relay begins with an equal
-share of what is advertised, or with rare calls that go unpaced; a rejection throttles it, success while it is bound
-raises its rate again. An ejected route and one in slow start get this relay's share of the slow-start budget.
+The limit of a destination holds for all relays together, and is mostly not advertised. A relay begins with an equal
+share of the advertised rate or, without one, with rare calls that are not paced. A rejection throttles the route; each
+success of a route that has no whole token left raises its rate again. An ejected route, and one in slow start, get this
+relay's share of the slow-start budget.
 """
 
 from __future__ import annotations
 
 import random
+from typing import NamedTuple
 
 from .endpoint_index import EndpointIndex
-from .route_state import EVIDENCE_TTL_MS, DecayingCounter, RateState, RouteState
+from .route_state import EVIDENCE_TTL_MS, DecayingCounter, HealthState, RateState, RouteState
 from .settings import RateTrust, Settings
 from .slow_start import budget_share, count_aware_relays, initial_budget
+from .time_points import MS_PER_SECOND
 
-# A rejection throttles for so long: the time of a burst. Doubles while calls are rejected, up to the maximum.
+# How long a rejection throttles a route: about the time of a burst. It doubles while calls are rejected.
 MIN_THROTTLE_MS = 4000.0
 MAX_THROTTLE_MS = 16000.0
-THROTTLE_JITTER = (0.5, 1.5)  # relays that were rejected at once do not come back at once
-TOKENS_AFTER_REJECTION = (-0.5, 0.5)  # drawn: rejected relays do not send their next call in step
-BURST_S = 2.0  # tokens are saved up for a burst of so many seconds of the rate
-MIN_BURST = 3.0  # or of so many calls, if that is more
-UNPACED_RATE = 0.5  # calls a second that one of many relays may send unpaced, until one is rejected
-RATE_GAIN = 0.5  # part of the rate gained with each success that finds it bound and not throttled of late
-THROTTLED_RATE_GAIN = 0.1  # the same while it is throttled
-REJECTION_FACTOR = 0.7  # part of the rate that is kept after a rejection above the limit
-MIN_SHARE_DIVISOR = 3  # rejections and load reports push the rate no lower than so small a part of the equal share
-MAX_LIMIT_SPAN_MS = 2500.0  # longer than any span over which a limit counts
-TRIAL_EXPIRY_MS = 1000.0  # a trial call not used for so long is drawn anew: they are not saved up while slots are busy
+THROTTLE_JITTER = (0.5, 1.5)  # random factor: relays that were rejected together do not return together
+TOKENS_AFTER_REJECTION = (-0.5, 0.5)  # random bound of the tokens: rejected relays do not send their next call in step
+BURST_S = 2.0  # the token bucket holds the calls of this many seconds,
+MIN_BURST = 3.0  # but no fewer than this
+UNPACED_RATE = 0.5  # calls a second that one of many relays may send without pacing, until one is rejected
+RATE_GAIN = 0.5  # fraction by which a success raises a rate that has no whole token left
+THROTTLED_RATE_GAIN = 0.1  # the same while the route is throttled
+REJECTION_FACTOR = 0.7  # fraction of the rate that is kept after a rejection
+MIN_SHARE_DIVISOR = 3  # rejections and load reports lower the rate to this part of the equal share at most
+MAX_LIMIT_SPAN_MS = 2500.0  # longer than any time window over which a destination counts calls for its limit
+TRIAL_EXPIRY_MS = 1000.0  # a trial call that is overdue for so long is scheduled anew: trials do not accumulate
+
+
+class RateAllowance(NamedTuple):
+    """What a route may get now.
+
+    Attributes:
+        calls_per_s: Calls a second.
+        burst: Calls that may be sent at once.
+    """
+
+    calls_per_s: float
+    burst: float
+
+
+class NextCall(NamedTuple):
+    """When a route may get its next call.
+
+    Attributes:
+        at: Time of a call within the tokens.
+        overdraw_at: Time of an urgent call, which may overdraw the tokens; no later than `at`.
+    """
+
+    at: float
+    overdraw_at: float
+
+
+class LoadReport(NamedTuple):
+    """What an answer reports of its destination's rate limit.
+
+    Attributes:
+        remaining_fraction: Fraction of the limit that is left.
+        limit_per_s: The limit in calls a second; 0 if there is none, or none is known.
+    """
+
+    remaining_fraction: float
+    limit_per_s: float
 
 
 class RateLimiter:
-    """Says when a route may get its next call."""
+    """Decides when a route may get its next call.
+
+    Attributes:
+        answer_counter: Recent answers of all destinations.
+        unpaced_rates: By kind of destination, the calls a second that need no pacing; `UNPACED_RATE` if missing.
+    """
 
     def __init__(self, settings: Settings, rng: random.Random, index: EndpointIndex) -> None:
         self.settings = settings
         self.slow_start_ms = settings.safety.slow_start_ms
         self.rng = rng
         self.index = index
-        self.answer_counter = DecayingCounter()  # answers of all destinations
-        self.unpaced_rates: dict[int, float] = {}  # kind of destination -> calls a second that may go unpaced
+        self.answer_counter = DecayingCounter()
+        self.unpaced_rates: dict[int, float] = {}
 
     def initial_state(self, advertised_rate: float, tokens_at: float) -> RateState:
         """Return the state of a route that was not used before; `advertised_rate` is 0 if none can be trusted."""
@@ -64,55 +108,75 @@
             rate.own_rate = rate.own_rate * advertised_rate / rate.fleet_rate
             rate.fleet_rate = advertised_rate
 
-    def allowance(self, now: float, route: RouteState, is_down: bool) -> tuple[float, float]:
-        """Return the calls a second, and the calls in one go, that the route may get.
+    def _unpaced_rate(self, kind: int) -> float:
+        return self.unpaced_rates.get(kind, UNPACED_RATE)
+
+    def allowance(self, now: float, route: RouteState, is_down: bool) -> RateAllowance:
+        """Return what the route may get now.
 
         For a route that is down or in slow start it is this relay's share of the slow-start budget, so that all relays
-        that know of the outage stay within the budget.
+        that know of the outage stay within the budget together.
         """
-        health = route.health
-        may_return = health.outage_since is not None and self._may_return_any_moment(now, route, health.outage_since)
-        if is_down or may_return:
+        if is_down or self._may_return_any_moment(now, route):
             budget = initial_budget(route, self.settings)
-            return budget / count_aware_relays(now, route, self.settings.relay_count), 1.0
+            return RateAllowance(budget / count_aware_relays(now, route, self.settings.relay_count), burst=1.0)
         rate = route.rate
-        # Rare calls fit a limit unpaced, unless many are rejected.
-        unpaced_rate = self.unpaced_rates.get(route.kind, UNPACED_RATE)
-        allowed = max(rate.own_rate, unpaced_rate) if now > rate.throttled_until else rate.own_rate
-        if now < health.slow_start_since + self.slow_start_ms:
-            return min(allowed, budget_share(now, route, self.settings)), 1.0
-        return allowed, max(1.0, MIN_BURST * unpaced_rate / UNPACED_RATE, allowed * BURST_S)
+        unpaced_rate = self._unpaced_rate(route.kind)
+        is_throttled = now <= rate.throttled_until
+        allowed = rate.own_rate if is_throttled else max(rate.own_rate, unpaced_rate)
+        if now < route.health.slow_start_since + self.slow_start_ms:
+            return RateAllowance(min(allowed, budget_share(now, route, self.settings)), burst=1.0)
+        burst = max(1.0, MIN_BURST * unpaced_rate / UNPACED_RATE, allowed * BURST_S)
+        return RateAllowance(allowed, burst)
 
     @staticmethod
-    def _may_return_any_moment(now: float, route: RouteState, outage_since: float) -> bool:
-        """Return whether it failed or was rejected (again, where a rate is advertised) and no answer came for long."""
-        health, rate = route.health, route.rate
-        if now - outage_since <= MAX_LIMIT_SPAN_MS:
+    def _may_return_any_moment(now: float, route: RouteState) -> bool:
+        """Return whether an outage lasts longer than a rate limit explains, so that its end begins a slow start.
+
+        Its calls failed or were rejected; where a rate is advertised, a single rejection does not count.
+        """
+        health = route.health
+        if health.outage_since is None or now - health.outage_since <= MAX_LIMIT_SPAN_MS:
             return False
-        return health.failed_at > health.last_success_at or rate.throttle_ms > MIN_THROTTLE_MS * rate.is_advertised
+        has_failed = health.failed_at > health.last_success_at
+        explained_throttle_ms = MIN_THROTTLE_MS if route.rate.is_advertised else 0.0
+        return has_failed or route.rate.throttle_ms > explained_throttle_ms
+
+    def next_call(self, now: float, route: RouteState, is_down: bool) -> NextCall:
+        """Bring the tokens of a route up to date, and return when it may get its next call."""
+        allowance = self.allowance(now, route, is_down)
+        rate = route.rate
+        self._withhold_initial_burst(now, route)
+        rate.tokens = min(allowance.burst, rate.tokens + allowance.calls_per_s * (now - rate.tokens_at) / MS_PER_SECOND)
+        rate.tokens_at = now
+        if is_down:
+            next_trial_at = self._next_trial_at(now, route.health, allowance.calls_per_s)
+            return NextCall(next_trial_at, next_trial_at)
+        at = now + max(0.0, 1 - rate.tokens) / allowance.calls_per_s * MS_PER_SECOND
+        if allowance.burst == 1.0:
+            return NextCall(at, at)
+        return NextCall(at, at - MIN_BURST / allowance.calls_per_s * MS_PER_SECOND)
+
+    def _withhold_initial_burst(self, now: float, route: RouteState) -> None:
+        """Let a route start with its random part of one token where load reports say that little of limits is left.
 
-    def next_call_at(self, now: float, route: RouteState, is_down: bool) -> tuple[float, float]:
-        """Return when the route takes its next call, and when it takes one that overdraws its tokens."""
-        calls_per_s, burst = self.allowance(now, route, is_down)
+        The first calls of many relays are spread over time then, too.
+        """
         rate = route.rate
-        if rate.initial_tokens < 1 and self.unpaced_rates.get(route.kind, UNPACED_RATE) < UNPACED_RATE / 2:
-            # The first call is spread over time too.
+        if rate.initial_tokens < 1 and self._unpaced_rate(route.kind) < UNPACED_RATE / 2:
             rate.tokens = min(rate.tokens, rate.initial_tokens)
             rate.initial_tokens = 1.0
             rate.tokens_at = now
-        rate.tokens = min(burst, rate.tokens + calls_per_s * (now - rate.tokens_at) / 1000)
-        rate.tokens_at = now
-        if is_down:
-            health = route.health
-            if now > health.next_trial_at + TRIAL_EXPIRY_MS:
-                health.next_trial_at = now + 1000 / calls_per_s * self.rng.random()
-            return health.next_trial_at, health.next_trial_at
-        at = now + max(0.0, 1 - rate.tokens) / calls_per_s * 1000
-        return at, at if burst == 1.0 else at - MIN_BURST / calls_per_s * 1000
+
+    def _next_trial_at(self, now: float, health: HealthState, calls_per_s: float) -> float:
+        """Return when a route that is down gets its next trial call; one that is long overdue is scheduled anew."""
+        if now > health.next_trial_at + TRIAL_EXPIRY_MS:
+            health.next_trial_at = now + MS_PER_SECOND / calls_per_s * self.rng.random()
+        return health.next_trial_at
 
     def trial_interval_ms(self, now: float, route: RouteState) -> float:
         """Return the mean time between two trial calls of this relay to a route that is down."""
-        return 1000 / self.allowance(now, route, True)[0]
+        return MS_PER_SECOND / self.allowance(now, route, is_down=True).calls_per_s
 
     def record_answer(self, now: float, route: RouteState) -> None:
         """Count an answer."""
@@ -121,10 +185,11 @@
 
     @staticmethod
     def raise_rate(now: float, rate: RateState) -> None:
-        """Raise the rate after a success that found it bound."""
+        """Raise the rate after a success, if less than one token is left: only then has the rate held calls back."""
         if rate.tokens >= 1:
             return
-        gain = RATE_GAIN if now > rate.throttled_until else THROTTLED_RATE_GAIN
+        is_throttled = now <= rate.throttled_until
+        gain = THROTTLED_RATE_GAIN if is_throttled else RATE_GAIN
         raised = rate.own_rate * (1 + gain)
         rate.own_rate = min(rate.fleet_rate, raised) if rate.is_advertised else raised
 
@@ -134,44 +199,53 @@
         reduced = rate.own_rate * REJECTION_FACTOR
         was_paced = now < rate.throttled_until or equal_share > UNPACED_RATE
         if was_paced:
-            rate.own_rate = max(equal_share / MIN_SHARE_DIVISOR, min(reduced, (rate.own_rate * equal_share) ** 0.5))
-        else:  # the equal share is the first guess
-            rate.own_rate = equal_share
+            geometric_mean = (rate.own_rate * equal_share) ** 0.5
+            rate.own_rate = max(equal_share / MIN_SHARE_DIVISOR, min(reduced, geometric_mean))
+        else:
+            rate.own_rate = equal_share  # the first estimate
         rate.throttle_ms = min(MAX_THROTTLE_MS, max(MIN_THROTTLE_MS, 2 * rate.throttle_ms))
         rate.throttled_until = now + rate.throttle_ms * self.rng.uniform(*THROTTLE_JITTER)
         rate.tokens = min(rate.tokens, self.rng.uniform(*TOKENS_AFTER_REJECTION))
 
     def adopt_rate(self, now: float, rate: RateState, calls_per_s: float) -> None:
-        """Take over a rate to which rejections hold another relay."""
+        """Adopt the rate to which rejections throttle another relay."""
         rate.own_rate = calls_per_s
         rate.throttled_until = now + MIN_THROTTLE_MS * self.rng.uniform(*THROTTLE_JITTER)
 
-    def record_load_report(self, route: RouteState, remaining: float, limit: float) -> None:
-        """Follow a load report: the part of the limit that is left, and the limit in calls a second (0 = none told)."""
-        if limit <= 0:
+    def record_load_report(self, route: RouteState, report: LoadReport) -> None:
+        """Adjust the rate to a load report."""
+        if report.limit_per_s <= 0:
             return
         rate = route.rate
-        equal_share = limit / self.settings.relay_count
         rate.is_advertised = True
-        rate.own_rate = rate.own_rate * limit / rate.fleet_rate
-        rate.fleet_rate = limit
-        change = 1 + THROTTLED_RATE_GAIN * (4 * remaining - 2)
-        # Guards limits that rejected calls use up: where a kind reports little left, no call goes unpaced.
-        unpaced_rate = min(UNPACED_RATE, self.unpaced_rates.get(route.kind, UNPACED_RATE) * change)
-        self.unpaced_rates[route.kind] = max(UNPACED_RATE / self.settings.relay_count, unpaced_rate)
-        if change < 1 or rate.tokens < 1:
-            rate.own_rate = min(limit, max(rate.own_rate * change, equal_share / MIN_SHARE_DIVISOR))
+        rate.own_rate = rate.own_rate * report.limit_per_s / rate.fleet_rate
+        rate.fleet_rate = report.limit_per_s
+        change = 1 + THROTTLED_RATE_GAIN * (4 * report.remaining_fraction - 2)  # no change where half is left
+        self._adjust_unpaced_rate(route.kind, change)
+        has_no_whole_token = rate.tokens < 1
+        if change < 1 or has_no_whole_token:
+            equal_share = report.limit_per_s / self.settings.relay_count
+            rate.own_rate = min(report.limit_per_s, max(rate.own_rate * change, equal_share / MIN_SHARE_DIVISOR))
+
+    def _adjust_unpaced_rate(self, kind: int, change: float) -> None:
+        """Change the rate that needs no pacing.
+
+        Where rejected calls use up a limit too, no call should go unpaced while little of the limit is left.
+        """
+        raised = min(UNPACED_RATE, self._unpaced_rate(kind) * change)
+        self.unpaced_rates[kind] = max(UNPACED_RATE / self.settings.relay_count, raised)
 
     def estimate_fleet_rate(self, now: float, route: RouteState) -> None:
-        """Stand in for a rate that nobody advertises: recent own answers times the relays.
+        """Estimate a rate that nobody advertises: the recent answers to this relay times the number of relays.
 
-        The answers of a usual destination are the prior. Over all relays that adds up to what the destination was seen
-        to do, however uneven the relays are. Guards the slow-start budget; the estimate stays as it was while the
-        destination is down or in slow start.
+        The answers of a mean destination are the prior, so that the sum over all relays approaches what the destination
+        has answered, however unevenly the relays call it. The slow-start budget depends on the estimate, which
+        therefore stays as it is during an outage and a slow start.
         """
         if now < route.health.slow_start_since + self.slow_start_ms:
             return
         destinations = max(1, self.index.destination_count)
-        usual = max(1.0, self.answer_counter.count(now, EVIDENCE_TTL_MS)) / destinations
-        seen = (route.rate.answer_counter.count(now, EVIDENCE_TTL_MS) + 1) / (1 + 1 / usual)
-        route.rate.fleet_rate = self.settings.relay_count * seen * 1000 / EVIDENCE_TTL_MS
+        mean_answers = max(1.0, self.answer_counter.count(now, EVIDENCE_TTL_MS)) / destinations
+        own_answers = route.rate.answer_counter.count(now, EVIDENCE_TTL_MS)
+        expected_answers = (own_answers + 1) / (1 + 1 / mean_answers)
+        route.rate.fleet_rate = self.settings.relay_count * expected_answers * MS_PER_SECOND / EVIDENCE_TTL_MS
--- a/linnetstile/engine/scheduler.py
+++ b/linnetstile/engine/scheduler.py
@@ -104,7 +104,7 @@
             is_down = is_suspected(route, now)
             if self._has_its_slots(route, is_down) or self._must_yield(now, route):
                 continue
-            next_call_at, overdraw_at = self.rate_limiter.next_call_at(now, route, is_down)
+            next_call = self.rate_limiter.next_call(now, route, is_down)
             cost_ms = self._slot_time_ms(route)
             is_risky = is_down or not is_trusted(route)
             is_barred = is_risky and not route.health.last_failure_had_no_effect
@@ -113,7 +113,7 @@
                 at = max(
                     pending.not_before,
                     route.retry_after_until,
-                    overdraw_at if self._is_urgent(pending) else next_call_at,
+                    next_call.overdraw_at if self._is_urgent(pending) else next_call.at,
                     ordering_allowed_at(pending),
                 )
                 if is_barred and pending.message_class.effect is Effect.NON_IDEMPOTENT:
--- a/linnetstile/engine/settings.py
+++ b/linnetstile/engine/settings.py
@@ -7,6 +7,7 @@
 
 from dataclasses import dataclass
 from enum import Enum
+from typing import NamedTuple
 
 from ..errors import ConfigError
 
@@ -159,9 +160,21 @@
     worst_tenant: float = 0.0
 
 
+class LoadReportFields(NamedTuple):
+    """Indexes of the figures in a load report that the engine uses.
+
+    Attributes:
+        remaining: Index of the fraction of the rate limit that is left.
+        limit: Index of the rate limit in calls a second.
+    """
+
+    remaining: int
+    limit: int
+
+
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """All that an engine is told before its first event.
+    """Everything that an engine is configured with.
 
     Attributes:
         classes: Message classes; a message names one by its index.
@@ -186,7 +199,7 @@
         max_retry_after_ms: Longest Retry-After that clients heed; 0 = they heed none.
         cross_zone_price: Fee of a call into another zone.
         route_fees: Fee of a call by zone.
-        load_report_fields: Where a load report holds the share of the limit that is left and the limit a second.
+        load_report_fields: Indexes of the used figures in a load report; None = load reports are not used.
         safety: Figures of the delivery rules.
         score_weights: Weights of the parts of the score.
     """
@@ -213,7 +226,7 @@
     max_retry_after_ms: float = 0.0
     cross_zone_price: float = 0.0
     route_fees: tuple[float, ...] = ()
-    load_report_fields: tuple[int, int] | None = None
+    load_report_fields: LoadReportFields | None = None
     safety: SafetyLimits = SafetyLimits()
     score_weights: ScoreWeights = ScoreWeights()
 
--- a/linnetstile/engine/slow_start.py
+++ b/linnetstile/engine/slow_start.py
@@ -8,6 +8,7 @@
 
 from .route_state import EVIDENCE_TTL_MS, RouteState
 from .settings import RateTrust, Settings
+from .time_points import MS_PER_SECOND
 
 # Part of the calls since an outage began that another relay made: so many relays may know of it.
 CALLS_BY_OTHERS = 0.5
@@ -21,7 +22,7 @@
     since = now if health.outage_since is None else health.outage_since
     since = max(min(since, health.last_success_at), since - EVIDENCE_TTL_MS)  # it may have begun at the last answer
     most = max(float(relay_count), health.notified_relays)  # others may know of more relays than the settings do
-    failed_calls = CALLS_BY_OTHERS * route.rate.fleet_rate * (now - since) / 1000
+    failed_calls = CALLS_BY_OTHERS * route.rate.fleet_rate * (now - since) / MS_PER_SECOND
     return min(most, 1 + failed_calls + health.notified_relays)
 
 
