--- /dev/null
+++ b/linnetstile/codec/http1/input_buffer.py
@@ -0,0 +1,82 @@
+"""The bytes of a stream that have not become an event yet, and the blocks of lines that are cut from them."""
+
+from __future__ import annotations
+
+import re
+
+from .errors import Http1Error
+
+BARE_LINE_FEED = re.compile(rb"(?<!\r)\n")
+END_OF_BLOCK = b"\r\n\r\n"
+
+
+class InputBuffer:
+    """A buffer that is appended to at its end and consumed from its start.
+
+    Attributes:
+        data: The bytes; appended to in place.
+    """
+
+    __slots__ = ("_scanned_bytes", "data")
+
+    def __init__(self) -> None:
+        self.data = bytearray()
+        self._scanned_bytes = 0  # of the data, in which no end of a block was found
+
+    def discard(self, size: int) -> None:
+        """Remove bytes from the start."""
+        del self.data[:size]
+        self._scanned_bytes = 0
+
+    def take_up_to(self, max_bytes: int) -> bytes:
+        """Remove and return bytes from the start: as many as there are, but not more than `max_bytes`."""
+        data = self.data
+        if len(data) <= max_bytes:
+            taken = bytes(data)
+            data.clear()
+        else:
+            with memoryview(data) as view:
+                taken = bytes(view[:max_bytes])
+            del data[:max_bytes]
+        return taken
+
+    def take_block(self, max_bytes: int) -> list[bytes] | None:
+        """Remove and return the lines up to the next empty line; None while that has not come.
+
+        Raises:
+            Http1Error: The block is longer than `max_bytes`, or has a line end other than CRLF.
+        """
+        data = self.data
+        end = data.find(END_OF_BLOCK, max(0, self._scanned_bytes - 3))
+        if self._has_bare_line_feed(end, max_bytes):
+            raise Http1Error(400, "a line feed without a carriage return", expected="CRLF", found="LF")
+        self._scanned_bytes = len(data)
+        if (end < 0 and len(data) >= max_bytes) or end + 4 > max_bytes:
+            found_bytes = len(data) if end < 0 else end + 4
+            raise Http1Error(
+                431,
+                f"a head of more than {max_bytes} bytes",
+                expected=f"<= {max_bytes} bytes",
+                found=f">= {found_bytes} bytes",
+            )
+        if end < 0:
+            return None
+        block = bytes(data[:end])
+        del data[: end + 4]
+        self._scanned_bytes = 0
+        lines = block.split(b"\r\n")
+        if block.count(b"\r") != len(lines) - 1:
+            raise Http1Error(400, "a carriage return without a line feed", expected="CRLF", found="CR")
+        return lines
+
+    def _has_bare_line_feed(self, end: int, max_bytes: int) -> bool:
+        """Tell whether a line feed stands alone before `end`, or in all that was received where `end` is negative."""
+        data = self.data
+        if end >= 0:
+            stop = min(max_bytes, end + 4)
+            return data.count(b"\n", 0, stop) != data.count(b"\r\n", 0, stop)
+        stop = min(max_bytes, len(data))
+        if not BARE_LINE_FEED.search(data, max(0, self._scanned_bytes - 1), stop):
+            return False
+        # A search from the middle does not see the carriage return just before it: this one decides.
+        return BARE_LINE_FEED.search(data, 0, stop) is not None
