--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -20,17 +20,47 @@
     Outcome,
     TimerFired,
 )
+from linnetstile.engine.route_state import RouteState
 from linnetstile.engine.settings import DestinationKind, Effect, MessageClass, RateTrust, SafetyLimits, Settings
 
 hypothesis_settings.register_profile("fixed", derandomize=True, deadline=None, database=None)
 hypothesis_settings.load_profile("fixed")
 
-CLASSES = tuple(MessageClass(effect.value, effect, 1000.0, 10000.0, 1.0, 0.5, 3000.0) for effect in Effect)
+
+def make_message_class(effect: Effect, **overrides: Any) -> MessageClass:
+    """Make a message class with an objective of 1 s, a deadline of 10 s and a deduplication window of 3 s."""
+    values: dict[str, Any] = {
+        "name": effect.value,
+        "effect": effect,
+        "latency_objective_ms": 1000.0,
+        "deadline_ms": 10000.0,
+        "priority_weight": 1.0,
+        "late_value_fraction": 0.5,
+        "deduplication_window_ms": 3000.0,
+    }
+    return MessageClass(**{**values, **overrides})
+
+
+CLASSES = tuple(make_message_class(effect) for effect in Effect)
 IDEMPOTENT, DEDUPLICATED, NON_IDEMPOTENT = range(3)
 UNCLEAR_OUTCOMES = (Outcome.ERROR, Outcome.TIMEOUT, Outcome.RESET)
+ADVERTISED_RATE = 20.0  # calls a second
+
+
+def make_endpoint(
+    endpoint_id: int, destination: int, status: EndpointStatus = EndpointStatus.READY, **overrides: Any
+) -> Endpoint:
+    """Make an entry of the endpoint list that advertises 20 calls a second."""
+    return Endpoint(endpoint_id, destination, status, **{"advertised_rate": ADVERTISED_RATE, **overrides})
+
 
+def make_list_changes(*endpoints: Endpoint) -> EndpointList:
+    """Make the event that reports changes of some entries of the endpoint list."""
+    return EndpointList(ListKind.CHANGES, endpoints)
 
-def make_settings(**more: Any) -> Settings:
+
+def make_settings(**overrides: Any) -> Settings:
+    """Make engine settings for one of two relays with 8 slots and room for 40 pending messages."""
     values: dict[str, Any] = {
         "classes": CLASSES,
         "kinds": (DestinationKind("k"),),
@@ -41,23 +71,32 @@
         "rate_trust": RateTrust.NOMINAL,
         "idle_timeout_ms": 10000.0,
         "tick_ms": 5.0,
-        "safety": SafetyLimits(20.0, 250.0, 0.2, 9000.0, 2.0, 1500.0, 10000.0, 100.0),
+        "safety": SafetyLimits(
+            answer_slack_ms=20.0,
+            drain_grace_ms=250.0,
+            slow_start_fraction=0.2,
+            slow_start_ms=9000.0,
+            overload_multiple=2.0,
+            overload_window_ms=1500.0,
+            poll_within_ms=10000.0,
+            ordering_pause_ms=100.0,
+        ),
     }
-    return Settings(**{**values, **more})
+    return Settings(**{**values, **overrides})
 
 
 @dataclass
 class EngineHarness:
-    """Drives one engine by hand: a clock, what it has sent and answered so far; no servers are played.
+    """Drive one engine by hand and record its actions, with a clock of its own; no servers are played.
 
     Attributes:
-        settings: What the engine was told.
+        settings: The settings of the engine.
         now: The clock, in ms.
         seed: Seed of the engine.
         sends: Each send with its time.
-        final_answers: The final answer of each message that has ended, by id.
+        final_answers: The rejection or failure of each message that has ended with one, by id.
         other_actions: All other actions with their time.
-        attempts: Attempts of each message, by id.
+        attempts: Number of attempts of each message, by id.
         last_id: Id of the message submitted last.
         in_flight: Sends without an outcome, by message id.
     """
@@ -76,7 +115,7 @@
         self.engine = DeliveryEngine(self.settings, self.seed)
 
     def handle(self, *events: Event) -> list[Action]:
-        """Feed events at the present time; return the actions, which are kept as well."""
+        """Feed events at the present time; record the actions and return them."""
         actions = self.engine.handle(self.now, list(events))
         for action in actions:
             if isinstance(action, Send):
@@ -90,16 +129,23 @@
                 self.other_actions.append((self.now, action))
         return actions
 
-    def list_endpoints(self, *endpoints: tuple[int, int], advertised_rate: float = 20.0, kind: int = 0) -> None:
-        self.handle(
-            EndpointList(
-                ListKind.CACHED,
-                tuple(
-                    Endpoint(endpoint_id, destination, EndpointStatus.READY, kind, 0, advertised_rate)
-                    for endpoint_id, destination in endpoints
-                ),
-            )
+    def list_endpoints(
+        self, *endpoints: tuple[int, int], advertised_rate: float = ADVERTISED_RATE, kind: int = 0
+    ) -> None:
+        """List endpoints, each given as its id and its destination, as all that there are."""
+        entries = tuple(
+            make_endpoint(endpoint_id, destination, kind=kind, advertised_rate=advertised_rate)
+            for endpoint_id, destination in endpoints
         )
+        self.handle(EndpointList(ListKind.CACHED, entries))
+
+    def change_endpoints(self, *endpoints: Endpoint) -> list[Action]:
+        """Report changes of some entries of the endpoint list."""
+        return self.handle(make_list_changes(*endpoints))
+
+    def route(self, destination: int = 1) -> RouteState:
+        """Return the resident route of a destination whose endpoints share one."""
+        return self.engine.routes[destination][-1]
 
     def submit(
         self,
@@ -109,6 +155,7 @@
         ordering_key: int = 0,
         tenant: int = 0,
     ) -> int:
+        """Submit a new message; return its id."""
         self.last_id += 1
         self.handle(Message(self.last_id, destination, class_index, remaining_ms, tenant, ordering_key))
         return self.last_id
@@ -122,7 +169,15 @@
 
     def last_send(self, message_id: int) -> tuple[float, Send]:
         """Return the latest send of a message, with its time."""
-        return [entry for entry in self.sends if entry[1].id == message_id][-1]
+        return self.sends_of(message_id)[-1]
+
+    def sends_of(self, message_id: int) -> list[tuple[float, Send]]:
+        """Return each send of a message, with its time."""
+        return [(at, send) for at, send in self.sends if send.id == message_id]
+
+    def sends_since(self, start: int) -> list[Send]:
+        """Return the sends after the first `start` ones."""
+        return [send for _, send in self.sends[start:]]
 
     def end_attempt(
         self,
@@ -131,7 +186,9 @@
         retry_after_ms: float = 0.0,
         latency_ms: float = 100.0,
         load_report: tuple[float, ...] = (),
+        connection_reused: bool = False,
     ) -> list[Action]:
+        """Report the outcome of the attempt of a message that is in flight; success is its end."""
         send = self.in_flight.pop(message_id)
         return self.handle(
             AttemptEnded(
@@ -140,14 +197,20 @@
                 send.endpoint,
                 outcome,
                 latency_ms,
-                outcome is Outcome.OK,
-                retry_after_ms,
+                is_final=outcome is Outcome.OK,
+                retry_after_ms=retry_after_ms,
                 load_report=load_report,
+                connection_reused=connection_reused,
             )
         )
 
+    def end_attempts_in_flight(self, outcome: Outcome = Outcome.OK, load_report: tuple[float, ...] = ()) -> None:
+        """Report the same outcome for each attempt that is in flight now."""
+        for message_id in list(self.in_flight):
+            self.end_attempt(message_id, outcome, load_report=load_report)
+
     def warm_up(self, destination: int = 1, calls: int = 6) -> None:
-        """Some quick answers, so that the destination is known and well."""
+        """Let a destination answer some calls within 100 ms, so that it is known and healthy."""
         for _ in range(calls):
             message_id = self.submit(IDEMPOTENT, destination)
             while not self.attempts.get(message_id):
--- a/tests/engine/test_connection_scarcity.py
+++ b/tests/engine/test_connection_scarcity.py
@@ -1,5 +1,7 @@
 """Which rejections mean that connections are scarce, and which come from a limit or a queue."""
 
+import pytest
+
 from linnetstile.engine.actions import Action, CloseIdle, Send
 from linnetstile.engine.connection_scarcity import SCARCITY_EXIT, ConnectionScarcity
 from linnetstile.engine.events import AttemptEnded, Endpoint, EndpointList, EndpointStatus, ListKind, Outcome
@@ -138,3 +140,18 @@
     assert pace(reused=True) < 1.0
     assert pace(wait=500.0) < 1.0  # a scarcity does neither
     assert pace(late=4000.0) < 1.0  # nobody was answered of late: it may be shut
+
+
+@pytest.mark.parametrize("one_connect_fails", [False, True])
+def test_idle_connections_are_closed_where_connects_of_that_kind_fail(one_connect_fails: bool) -> None:
+    """Idle connections of many relays exhaust endpoints that accept few connections."""
+    harness = EngineHarness(make_settings(relay_count=100))
+    harness.list_endpoints((11, 1), (12, 2), (13, 3))
+    for number in range(6):
+        harness.submit(destination=1 + number % 3)
+        harness.advance(50)
+        harness.end_attempts_in_flight(Outcome.CONNECT_FAILED if one_connect_fails and number == 2 else Outcome.OK)
+        harness.advance(4000, 500)
+    closed = {action.endpoint for _, action in harness.other_actions if isinstance(action, CloseIdle)}
+    assert bool(closed) == one_connect_fails
+    assert closed <= {11, 12, 13}
--- a/tests/engine/test_destinations.py
+++ b/tests/engine/test_destinations.py
@@ -401,19 +401,6 @@
     assert 99 not in harness.engine.routing_table.evicted
 
 
-def test_a_new_destination_has_time_though_others_answer_quickly() -> None:
-    """What a usual one answers in says nothing of it: its first call was given up after a tenth of the time before."""
-    given = []
-    for quick in (0, 40):
-        harness = EngineHarness()
-        harness.list_endpoints((11, 1), (21, 2))
-        if quick:
-            harness.warm_up(1, quick)
-        start, identifier = harness.now, harness.submit(IDEMPOTENT, destination=2, remaining_ms=9000.0)
-        given.append(harness.last_send(identifier)[1].timeout_at_ms - start)
-    assert given[0] == given[1] >= 2000.0
-
-
 @pytest.mark.parametrize("used", [True, False])
 def test_a_destination_replaced_at_once_while_evicted_has_its_first_call_at_once(used: bool) -> None:
     """What was saved up while it was quiet counts, whether it had a route or not: else the first message would wait for
--- /dev/null
+++ b/tests/engine/test_outlier_detection.py
@@ -0,0 +1,174 @@
+"""Outages of destinations and failing endpoints: detection, trial calls and slow start after the return."""
+
+from __future__ import annotations
+
+import pytest
+
+from linnetstile.engine.events import ClientCancelled, EndpointStatus, Outcome
+from linnetstile.engine.settings import RateTrust
+
+from ..conftest import DEDUPLICATED, IDEMPOTENT, NON_IDEMPOTENT, EngineHarness, make_endpoint, make_settings
+
+
+def test_silent_destination_gets_few_trial_calls_and_no_non_idempotent_message() -> None:
+    harness = EngineHarness()
+    harness.list_endpoints((11, 1))
+    harness.warm_up()
+    for _ in range(2):
+        harness.submit(IDEMPOTENT)
+    harness.advance(2000)
+    start = len(harness.sends)
+    non_idempotent = {harness.submit(NON_IDEMPOTENT) for _ in range(4)}
+    for _ in range(6):
+        harness.submit(IDEMPOTENT)
+    harness.advance(1500)
+    assert not non_idempotent & {send.id for _, send in harness.sends}
+    assert len(harness.sends) - start <= 3
+
+
+def test_failing_endpoint_of_a_healthy_destination_is_avoided() -> None:
+    harness = EngineHarness()
+    harness.list_endpoints((11, 1), (12, 1))
+    harness.warm_up()
+    start = len(harness.sends)
+    for _ in range(20):
+        message_id = harness.submit(IDEMPOTENT)
+        harness.advance(100)
+        if harness.attempts.get(message_id):
+            is_failing = harness.last_send(message_id)[1].endpoint == 11
+            harness.end_attempt(message_id, Outcome.RESET if is_failing else Outcome.OK)
+        harness.advance(200)
+    endpoints = [send.endpoint for send in harness.sends_since(start + 10)]
+    assert endpoints.count(12) > 4 * endpoints.count(11)
+
+
+def test_class_that_fails_at_one_endpoint_alone_goes_to_the_other() -> None:
+    harness = EngineHarness()
+    harness.list_endpoints((11, 1), (12, 1))
+    harness.warm_up()
+    used: list[tuple[int, int]] = []  # (class, endpoint) of each call
+    for number in range(24):
+        class_index = DEDUPLICATED if number % 2 else IDEMPOTENT
+        message_id = harness.submit(class_index)
+        harness.advance(100)
+        send = harness.in_flight.get(message_id)
+        if send is None:
+            continue
+        used.append((class_index, send.endpoint))
+        times_out = class_index == DEDUPLICATED and send.endpoint == 11
+        harness.advance(900 if times_out else 10)
+        harness.end_attempt(message_id, Outcome.TIMEOUT if times_out else Outcome.OK)
+        harness.handle(ClientCancelled(message_id))
+    deduplicated = [endpoint for class_index, endpoint in used if class_index == DEDUPLICATED]
+    assert len(used) >= 22  # no false outage
+    assert deduplicated.count(11) <= 3  # and the class avoids the endpoint
+
+
+@pytest.mark.parametrize(("idle_ms", "is_outage"), [(4000.0, False), (20000.0, True)])
+def test_one_failure_of_a_rare_call_is_an_outage_unless_an_answer_is_recent(idle_ms: float, is_outage: bool) -> None:
+    """One of many relays calls a destination too seldom to see two failures in a row."""
+    harness = EngineHarness(make_settings(relay_count=100))
+    harness.list_endpoints((11, 1), advertised_rate=100.0)
+    harness.warm_up()
+    harness.advance(idle_ms, 500)
+    failed = harness.submit()
+    harness.advance(500)
+    harness.end_attempt(failed, Outcome.TIMEOUT)
+    harness.advance(200)
+    assert harness.attempts[failed] == 2
+    later = harness.submit()
+    harness.advance(200)
+    assert (later not in harness.attempts) == is_outage
+
+
+def test_trial_calls_to_an_ejected_destination_do_not_accumulate() -> None:
+    """Many relays whose next trial is long due must not all call a returning destination at once."""
+    immediate_sends = 0
+    for seed in range(40):
+        harness = EngineHarness(make_settings(relay_count=40), seed=seed)
+        harness.list_endpoints((11, 1), advertised_rate=10.0)
+        for _ in range(2):
+            message_id = harness.submit()
+            harness.advance(3000, 50)
+            if message_id in harness.in_flight:
+                harness.end_attempt(message_id, Outcome.CONNECT_FAILED)
+            harness.handle(ClientCancelled(message_id))
+        harness.advance(30000, 500)
+        start = len(harness.sends)
+        harness.submit()
+        harness.advance(200, 50)
+        immediate_sends += len(harness.sends) - start
+    assert immediate_sends <= 20
+
+
+SLOW_START_MULTIPLE = 2.0 * 0.2  # the overload multiple of the settings, and the capacity right after an outage
+CHANCE = 2.0  # as much again for the random spread over the relays
+
+
+def sends_to_an_ejected_destination(relay_count: int, seed: int) -> int:
+    """Return how many calls one relay makes in the last 10 of 12 s of an outage, while eight messages wait."""
+    harness = EngineHarness(make_settings(relay_count=relay_count, rate_trust=RateTrust.NONE), seed=seed)
+    harness.list_endpoints((11, 1), *((20 + number, 2 + number) for number in range(9)), advertised_rate=1.0)
+    for number in range(20):
+        message_id = harness.submit(destination=1 if number % 10 == 0 else 2 + number % 9)  # each gets a call in 12 s
+        harness.advance(100, 50)
+        harness.end_attempt(message_id)
+        harness.advance(1100, 100)
+    for _ in range(8):
+        harness.submit()
+    start = harness.now
+    while harness.now < start + 12000:
+        harness.end_attempts_in_flight(Outcome.CONNECT_FAILED)
+        harness.advance(50, 50)
+    return len([sent_at for sent_at, _ in harness.sends if sent_at > start + 2000])
+
+
+def test_ejected_destination_without_an_advertised_rate_gets_no_more_than_its_own_rate() -> None:
+    """Many relays know of the outage, and messages wait in all of them."""
+    relay_count = 60
+    sends = sum(sends_to_an_ejected_destination(relay_count, seed) for seed in range(relay_count))
+    assert sends <= 10 * SLOW_START_MULTIPLE * relay_count / 12 * CHANCE
+
+
+def sends_to_a_rejecting_destination(relay_count: int, seed: int) -> int:
+    """Return how many calls one relay makes in 3 s for a message to a destination that has only rejected."""
+    harness = EngineHarness(make_settings(relay_count=relay_count, rate_trust=RateTrust.NONE), seed=seed)
+    harness.list_endpoints((11, 1), (12, 2), advertised_rate=1.0)
+    for number in range(6):
+        message_id = harness.submit(destination=1 + number % 2)  # each gets a call in 8 s
+        harness.advance(100, 50)
+        harness.end_attempt(message_id)
+        harness.advance(3900, 100)
+    harness.end_attempt(harness.submit(remaining_ms=100.0), Outcome.REJECTED)
+    harness.advance(5000, 50)
+    start = len(harness.sends)
+    harness.submit(remaining_ms=20000.0)
+    harness.advance(3000, 50)
+    return len(harness.sends) - start
+
+
+def test_rejecting_destination_without_an_advertised_rate_is_called_as_in_slow_start() -> None:
+    """A hung destination whose queue is full answers nothing but rejections, and may be about to return."""
+    relay_count = 40
+    sends = sum(sends_to_a_rejecting_destination(relay_count, seed) for seed in range(relay_count))
+    assert sends <= 3 * SLOW_START_MULTIPLE * relay_count / 8 * CHANCE
+
+
+def sends_after_a_replacement(gap_ms: float) -> int:
+    """Return how many of 12 messages are sent in 600 ms once another endpoint replaces the only one after a gap."""
+    harness = EngineHarness()
+    harness.list_endpoints((11, 1))
+    harness.warm_up(calls=6)
+    if gap_ms:
+        harness.change_endpoints(make_endpoint(11, 1, EndpointStatus.GONE))
+    for _ in range(12):
+        harness.submit()
+    harness.advance(gap_ms)
+    start = len(harness.sends) if gap_ms else 0
+    harness.change_endpoints(make_endpoint(12, 1))
+    harness.advance(600)
+    return len([send for send in harness.sends_since(start) if send.id > 6])
+
+
+def test_endpoint_that_replaces_the_only_one_after_a_gap_is_in_slow_start() -> None:
+    assert 1 <= sends_after_a_replacement(4000.0) < sends_after_a_replacement(0.0)
