--- a/tests/engine/test_platform_decisions.py
+++ b/tests/engine/test_platform_decisions.py
@@ -2,15 +2,12 @@
 
 from __future__ import annotations
 
-import time
-
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
 
 from linnetstile.engine.actions import Action, CancelIfUnsent, Fail, Reject
 from linnetstile.engine.attempt_outcome import AttemptObservation, WireResult, judge_endpoint_attempt
-from linnetstile.engine.engine import DeliveryEngine
 from linnetstile.engine.events import (
     AttemptEnded,
     Endpoint,
@@ -32,7 +29,7 @@
 from linnetstile.engine.resource_limits import resource_limits
 from linnetstile.engine.time_points import NEVER
 
-from ..conftest import CLASSES, DEDUPLICATED, IDEMPOTENT, NON_IDEMPOTENT, EngineHarness, make_settings
+from ..conftest import CLASSES, DEDUPLICATED, IDEMPOTENT, NON_IDEMPOTENT, EngineHarness
 
 
 @pytest.mark.parametrize(
@@ -232,20 +229,3 @@
     assert cancelled_unsent(harness, harness.handle(EndpointList(ListKind.CHANGES, changes))) == [near[2], far]
     assert cancelled_unsent(harness, harness.end_attempt(far, Outcome.NOT_SENT)) == []
     assert harness.engine.routes[2][-1].health.failed_at == NEVER  # a recalled call says nothing of its destination
-
-
-def test_a_list_of_1024_that_loses_half_costs_no_more_than_some_lists_that_bring_them() -> None:
-    """A ratio within this run: each endpoint that left used to cost a look at every destination, 50 lists in all."""
-
-    def took(relay: DeliveryEngine, now: float, first: int) -> float:
-        entries = tuple(
-            Endpoint(message_id, message_id // 2, EndpointStatus.READY, 0, 0, 20.0) for message_id in range(first, 1024)
-        )
-        began = time.perf_counter()
-        relay.handle(now, [EndpointList(ListKind.FULL, entries)])
-        return time.perf_counter() - began
-
-    relays = [DeliveryEngine(make_settings(relay_count=1024), 1) for _ in range(3)]
-    whole = min(took(relay, 0.0, 0) for relay in relays)
-    assert min(took(relay, 10.0, 512) for relay in relays) < 10 * whole
-    assert all(len(relay.routing_table.index) == 512 for relay in relays)
