--- a/tests/engine/test_attempt_outcome.py
+++ b/tests/engine/test_attempt_outcome.py
@@ -1,4 +1,4 @@
-"""What the end of an attempt proves."""
+"""What the end of an attempt proves: its outcome, whether it is final, and its Retry-After."""
 
 from __future__ import annotations
 
@@ -12,6 +12,7 @@
     ReceiptStatus,
     WireResult,
     judge_attempt,
+    judge_endpoint_attempt,
 )
 from linnetstile.engine.events import Outcome
 
@@ -24,7 +25,7 @@
     return AttemptObservation(WireResult.ANSWERED, status=status, receipt=receipt, request_complete=request_complete)
 
 
-ROWS = [
+RECEIPT_ROWS = [
     (AttemptObservation(WireResult.NOT_SENT), Outcome.NOT_SENT, False),
     (AttemptObservation(WireResult.NO_CONNECTION), Outcome.CONNECT_FAILED, False),
     (AttemptObservation(WireResult.CONNECTION_LOST), Outcome.RESET, False),
@@ -50,7 +51,7 @@
 ]
 
 
-@pytest.mark.parametrize(("observation", "outcome", "is_final"), ROWS)
+@pytest.mark.parametrize(("observation", "outcome", "is_final"), RECEIPT_ROWS)
 def test_observation_has_the_outcome_of_its_row(
     observation: AttemptObservation, outcome: Outcome, is_final: bool
 ) -> None:
@@ -69,7 +70,7 @@
         request_complete=st.booleans(),
     )
 )
-def test_only_proof_counts_as_proof(observation: AttemptObservation) -> None:
+def test_outcome_proves_no_effect_only_if_the_observation_does(observation: AttemptObservation) -> None:
     verdict = judge_attempt(observation)
     if verdict.outcome.proves_no_effect:
         was_never_complete = observation.wire_result in NEVER_COMPLETE or not observation.request_complete
@@ -77,3 +78,31 @@
     assert verdict.is_final == (verdict.outcome is Outcome.OK)
     assert 0 <= verdict.retry_after_ms <= MAX_RETRY_AFTER_MS
     assert verdict.retry_after_ms == 0 or verdict.outcome is Outcome.REJECTED
+
+
+ENDPOINT_ROWS = [
+    (AttemptObservation(WireResult.ANSWERED, 200), 0, False, Outcome.OK, True),
+    (AttemptObservation(WireResult.MALFORMED), 200, False, Outcome.OK, True),
+    (AttemptObservation(WireResult.TIMED_OUT), 200, False, Outcome.OK, True),
+    (AttemptObservation(WireResult.CONNECTION_LOST), 200, False, Outcome.OK, True),
+    # The platform may not count a late 200: a final notice is still due.
+    (AttemptObservation(WireResult.ANSWERED, 200, after_deadline=True), 200, False, Outcome.TIMEOUT, False),
+    (AttemptObservation(WireResult.TIMED_OUT, after_deadline=True), 200, False, Outcome.TIMEOUT, False),
+    (AttemptObservation(WireResult.ANSWERED, 503, after_deadline=True), 0, False, Outcome.REJECTED, False),
+    (AttemptObservation(WireResult.MALFORMED), 503, False, Outcome.RESET, False),
+    (AttemptObservation(WireResult.ANSWERED, 500), 0, False, Outcome.ERROR, False),
+    (AttemptObservation(WireResult.ANSWERED, 429, 300.0), 0, False, Outcome.REJECTED, False),
+    (AttemptObservation(WireResult.ANSWERED, 503), 0, False, Outcome.REJECTED, False),
+    (AttemptObservation(WireResult.ANSWERED, 503), 0, True, Outcome.NOT_SENT, False),
+    (AttemptObservation(WireResult.ANSWERED, 504), 0, False, Outcome.NOT_SENT, False),
+    (AttemptObservation(WireResult.ANSWERED, 410), 0, False, Outcome.NOT_SENT, True),
+    (AttemptObservation(WireResult.REQUEST_INCOMPLETE), 0, False, Outcome.CONNECT_FAILED, False),
+]
+
+
+@pytest.mark.parametrize(("observation", "claimed_status", "slots_exhausted", "outcome", "is_final"), ENDPOINT_ROWS)
+def test_observation_at_a_platform_endpoint_has_the_outcome_of_its_row(
+    observation: AttemptObservation, claimed_status: int, slots_exhausted: bool, outcome: Outcome, is_final: bool
+) -> None:
+    verdict = judge_endpoint_attempt(observation, claimed_status, slots_exhausted)
+    assert (verdict.outcome, verdict.is_final, verdict.slots_exhausted) == (outcome, is_final, slots_exhausted)
--- a/tests/engine/test_resource_limits.py
+++ b/tests/engine/test_resource_limits.py
@@ -1,8 +1,21 @@
-"""Identifiers of submissions: open ones stay known, however many there are."""
+"""Limits of connections, memory and disk, and the bounded memory of submission identifiers."""
 
 from __future__ import annotations
 
-from linnetstile.engine.resource_limits import MAX_ENDED_IDS, SubmissionIds
+from hypothesis import given
+from hypothesis import strategies as st
+
+from linnetstile.engine.resource_limits import MAX_ENDED_IDS, SubmissionIds, resource_limits
+
+
+@given(st.integers(64, 65536), st.floats(0.01, 1e3), st.integers(1, 64))
+def test_resource_limits_leave_descriptors_for_calls_and_disk_for_two_journals(
+    sockets: int, disk_mb: float, slots: int
+) -> None:
+    limits = resource_limits(sockets, disk_mb * 1e6, slots)
+    assert 0 < limits.max_client_connections < sockets / 3
+    assert limits.max_idle_connections >= slots
+    assert limits.max_message_bytes + limits.compaction_bytes <= disk_mb * 1e6
 
 
 def test_all_open_identifiers_are_known_beyond_the_limit_of_ended_ones() -> None:
