--- a/tests/invariant_checker.py
+++ b/tests/invariant_checker.py
@@ -16,144 +16,217 @@
     Message,
     Outcome,
 )
-from linnetstile.engine.settings import DeduplicationScope, Effect, Settings
+from linnetstile.engine.settings import DeduplicationScope, Effect, MessageClass, Settings
+
+FAILURES_OF_AN_OUTAGE = 3  # connections that failed in a row
+SLOW_START_SLACK = 3  # calls above the budget that one relay may make
+OUTCOMES_WITH_WORK_GOING_ON = (Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED)
 
 
 class RuleViolationError(AssertionError):
     """A rule was broken; the first word names it."""
 
 
+@dataclass
+class ObservedAttempt:
+    """An attempt of a message; `outcome` is None while it is in flight."""
+
+    sent_at: float
+    endpoint: int
+    outcome: Outcome | None = None
+
+    @property
+    def may_have_run(self) -> bool:
+        """Whether the message may have had its effect by this attempt."""
+        return self.outcome is None or not self.outcome.proves_no_effect
+
+
 @dataclass
 class ObservedMessage:
+    """A message with its attempts so far."""
+
     message: Message
     deadline: float
-    attempts: list[tuple[float, int, Outcome | None]] = field(default_factory=list)
+    attempts: list[ObservedAttempt] = field(default_factory=list)
     has_ended: bool = False
 
+    @property
+    def is_in_flight(self) -> bool:
+        """Whether an attempt has no outcome yet."""
+        return any(attempt.outcome is None for attempt in self.attempts)
+
+    @property
+    def unclear_attempts(self) -> list[ObservedAttempt]:
+        """The attempts that may have run."""
+        return [attempt for attempt in self.attempts if attempt.may_have_run]
+
 
 @dataclass
 class InvariantChecker:
+    """Raise `RuleViolationError` at the first action that breaks a rule.
+
+    Attributes:
+        settings: The settings of the engine.
+        messages: All messages by id, in the order of their submission.
+        endpoints: Each endpoint that was ever listed, by id.
+        drained_since: When an endpoint was listed as ready no more, by id.
+        retry_after_until: End of the latest Retry-After, by route.
+        ordering_pauses: End of the pause of each ordering key.
+        connect_failures: Connections that failed in a row, by route.
+        slow_start_since: When a route returned from an outage.
+        send_times: Times of all calls, by route.
+    """
+
     settings: Settings
     messages: dict[int, ObservedMessage] = field(default_factory=dict)
     endpoints: dict[int, Endpoint] = field(default_factory=dict)
     drained_since: dict[int, float] = field(default_factory=dict)
     retry_after_until: dict[int, float] = field(default_factory=dict)
     ordering_pauses: dict[int, float] = field(default_factory=dict)
-    connect_failures: dict[int, int] = field(default_factory=dict)  # route -> connections failed in a row
-    slow_start_until: dict[int, float] = field(default_factory=dict)  # route -> end of the slow start after an outage
+    connect_failures: dict[int, int] = field(default_factory=dict)
+    slow_start_since: dict[int, float] = field(default_factory=dict)
     send_times: dict[int, list[float]] = field(default_factory=dict)
 
-    def route(self, endpoint: int) -> int:
-        entry = self.endpoints[endpoint]
-        return -1 - endpoint if self.settings.kinds[entry.kind].separate_routes else entry.destination
+    def route_of(self, endpoint_id: int) -> int:
+        """Return the route of an endpoint: its destination, or a negative number where it has a route of its own."""
+        endpoint = self.endpoints[endpoint_id]
+        has_own_route = self.settings.kinds[endpoint.kind].separate_routes
+        return -1 - endpoint_id if has_own_route else endpoint.destination
+
+    def class_of(self, observed: ObservedMessage) -> MessageClass:
+        """Return the class of a message."""
+        return self.settings.classes[observed.message.class_index]
 
     def observe_event(self, now: float, event: Event) -> None:
+        """Take note of an event before the engine handles it."""
         match event:
             case Message():
                 self.messages[event.id] = ObservedMessage(event, now + event.remaining_ms)
             case EndpointList(kind, entries) if kind is not ListKind.FAILED:
-                named = {e.id for e in entries if e.status is EndpointStatus.READY}
-                known = {e.id for e in entries} if kind is ListKind.CHANGES else set(self.endpoints)
-                gone = known - named
-                for entry in entries:
-                    self.endpoints.setdefault(entry.id, entry)
-                for message_id in gone:
-                    self.drained_since.setdefault(message_id, now)
-                for message_id in named:
-                    self.drained_since.pop(message_id, None)
+                self._observe_list(now, kind, entries)
             case ClientCancelled(message_id):
                 self.messages[message_id].has_ended = True
             case AttemptEnded():
-                seen = self.messages[event.id]
-                sent, endpoint, _ = seen.attempts[event.attempt]
-                seen.attempts[event.attempt] = (sent, endpoint, event.outcome)
-                seen.has_ended |= event.is_final
-                route = self.route(endpoint)
-                if event.outcome is Outcome.CONNECT_FAILED:
-                    self.connect_failures[route] = self.connect_failures.get(route, 0) + 1
-                elif event.outcome is Outcome.OK:
-                    if self.connect_failures.get(route, 0) >= 3:
-                        self.slow_start_until[route] = now
-                    self.connect_failures[route] = 0
-                if event.retry_after_ms:
-                    self.retry_after_until[route] = max(
-                        self.retry_after_until.get(route, 0.0), now + event.retry_after_ms
-                    )
-                lingers = event.outcome in (Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED)
-                if lingers and self.settings.classes[seen.message.class_index].in_order:
-                    self.ordering_pauses[seen.message.ordering_key] = now + self.settings.safety.ordering_pause_ms
-
-    def unclear_attempts(self, seen: ObservedMessage) -> list[tuple[float, int]]:
-        return [(at, e) for at, e, out in seen.attempts if out is None or not out.proves_no_effect]
+                self._observe_outcome(now, event)
+
+    def _observe_list(self, now: float, kind: ListKind, entries: tuple[Endpoint, ...]) -> None:
+        ready = {entry.id for entry in entries if entry.status is EndpointStatus.READY}
+        covered = {entry.id for entry in entries} if kind is ListKind.CHANGES else set(self.endpoints)
+        for entry in entries:
+            self.endpoints.setdefault(entry.id, entry)
+        for endpoint_id in covered - ready:
+            self.drained_since.setdefault(endpoint_id, now)
+        for endpoint_id in ready:
+            self.drained_since.pop(endpoint_id, None)
+
+    def _observe_outcome(self, now: float, event: AttemptEnded) -> None:
+        observed = self.messages[event.id]
+        attempt = observed.attempts[event.attempt]
+        attempt.outcome = event.outcome
+        observed.has_ended |= event.is_final
+        route = self.route_of(attempt.endpoint)
+        self._observe_health(now, route, event.outcome)
+        if event.retry_after_ms:
+            until = now + event.retry_after_ms
+            self.retry_after_until[route] = max(self.retry_after_until.get(route, 0.0), until)
+        if event.outcome in OUTCOMES_WITH_WORK_GOING_ON and self.class_of(observed).in_order:
+            self.ordering_pauses[observed.message.ordering_key] = now + self.settings.safety.ordering_pause_ms
+
+    def _observe_health(self, now: float, route: int, outcome: Outcome) -> None:
+        failures = self.connect_failures.get(route, 0)
+        if outcome is Outcome.CONNECT_FAILED:
+            self.connect_failures[route] = failures + 1
+        elif outcome is Outcome.OK:
+            if failures >= FAILURES_OF_AN_OUTAGE:
+                self.slow_start_since[route] = now
+            self.connect_failures[route] = 0
 
     def observe_action(self, now: float, action: Action) -> None:
+        """Check an action of the engine, and take note of it."""
         match action:
-            case Send(message_id, endpoint, _):
-                self.observe_send(now, self.messages[message_id], endpoint)
+            case Send(message_id, endpoint_id, _):
+                self._observe_send(now, self.messages[message_id], endpoint_id)
             case Reject(message_id) | Fail(message_id):
-                seen = self.messages[message_id]
-                if seen.has_ended:
-                    raise RuleViolationError("lost: a second final answer")
-                effect = self.settings.classes[seen.message.class_index].effect
-                if isinstance(action, Reject) and self.unclear_attempts(seen) and effect is not Effect.IDEMPOTENT:
-                    raise RuleViolationError("twice: refused though it may have run")
-                seen.has_ended = True
-
-    def observe_send(self, now: float, seen: ObservedMessage, endpoint: int) -> None:
-        message_class = self.settings.classes[seen.message.class_index]
-        entry = self.endpoints[endpoint]
-        if seen.has_ended:
+                self._observe_final_answer(self.messages[message_id], isinstance(action, Reject))
+
+    def _observe_final_answer(self, observed: ObservedMessage, is_rejection: bool) -> None:
+        if observed.has_ended:
+            raise RuleViolationError("lost: a second final answer")
+        effect = self.class_of(observed).effect
+        if is_rejection and observed.unclear_attempts and effect is not Effect.IDEMPOTENT:
+            raise RuleViolationError("twice: rejected though it may have run")
+        observed.has_ended = True
+
+    def _observe_send(self, now: float, observed: ObservedMessage, endpoint_id: int) -> None:
+        self._check_attempt_is_permitted(observed, endpoint_id)
+        self._check_effect(now, observed, endpoint_id)
+        self._check_endpoint(now, endpoint_id)
+        self._check_order(now, observed)
+        self._check_slow_start_budget(now, endpoint_id)
+        observed.attempts.append(ObservedAttempt(now, endpoint_id))
+
+    def _check_attempt_is_permitted(self, observed: ObservedMessage, endpoint_id: int) -> None:
+        if observed.has_ended:
             raise RuleViolationError("lost: sent after its end")
-        if entry.destination != seen.message.destination:
+        if self.endpoints[endpoint_id].destination != observed.message.destination:
             raise RuleViolationError("fault: not an endpoint of its destination")
-        if any(out is None for _, _, out in seen.attempts):
-            raise RuleViolationError("twice: two attempts out at once")
-        if len(seen.attempts) >= self.settings.max_attempts:
+        if observed.is_in_flight:
+            raise RuleViolationError("twice: two attempts in flight at once")
+        if len(observed.attempts) >= self.settings.max_attempts:
             raise RuleViolationError("fault: too many attempts")
-        for at, other in self.unclear_attempts(seen):
+
+    def _check_effect(self, now: float, observed: ObservedMessage, endpoint_id: int) -> None:
+        message_class = self.class_of(observed)
+        zone = self.endpoints[endpoint_id].zone
+        for attempt in observed.unclear_attempts:
             if message_class.effect is Effect.NON_IDEMPOTENT:
-                raise RuleViolationError("twice: unsafe message may have run")
+                raise RuleViolationError("twice: non-idempotent message may have run")
             if message_class.effect is Effect.DEDUPLICATED:
-                zones = self.endpoints[other].zone == entry.zone
-                if now - at > message_class.deduplication_window_ms:
-                    raise RuleViolationError("twice: outside the key's window")
-                if message_class.deduplication_scope is DeduplicationScope.ZONE and not zones:
-                    raise RuleViolationError("twice: outside the key's zone")
-        if endpoint in self.drained_since and now > self.drained_since[endpoint] + self.settings.safety.drain_grace_ms:
+                if now - attempt.sent_at > message_class.deduplication_window_ms:
+                    raise RuleViolationError("twice: outside the deduplication window")
+                is_same_zone = self.endpoints[attempt.endpoint].zone == zone
+                if message_class.deduplication_scope is DeduplicationScope.ZONE and not is_same_zone:
+                    raise RuleViolationError("twice: outside the zone of the deduplication key")
+
+    def _check_endpoint(self, now: float, endpoint_id: int) -> None:
+        drained_since = self.drained_since.get(endpoint_id)
+        if drained_since is not None and now > drained_since + self.settings.safety.drain_grace_ms:
             raise RuleViolationError("drain: sent to a draining endpoint")
-        if now < self.retry_after_until.get(self.route(endpoint), 0.0):
+        if now < self.retry_after_until.get(self.route_of(endpoint_id), 0.0):
             raise RuleViolationError("wait: sent before a Retry-After was over")
-        if message_class.in_order and seen.message.ordering_key:
-            for other_id, earlier in self.messages.items():
-                if other_id == seen.message.id:
-                    break
-                same = (
-                    earlier.message.ordering_key == seen.message.ordering_key
-                    and self.settings.classes[earlier.message.class_index].in_order
-                )
-                if same and (not earlier.has_ended or any(out is None for _, _, out in earlier.attempts)):
-                    raise RuleViolationError("order: an earlier message of its key is open")
-            if not seen.attempts and now < self.ordering_pauses.get(seen.message.ordering_key, 0.0):
-                raise RuleViolationError("order: its key must rest")
-        self.check_slow_start_budget(now, self.route(endpoint), entry.advertised_rate)
-        seen.attempts.append((now, endpoint, None))
-
-    def check_slow_start_budget(self, now: float, route: int, rate: float) -> None:
-        """The own part of the budget at a destination that was down, and three calls of slack."""
+
+    def _check_order(self, now: float, observed: ObservedMessage) -> None:
+        ordering_key = observed.message.ordering_key
+        if not self.class_of(observed).in_order or not ordering_key:
+            return
+        for message_id, earlier in self.messages.items():
+            if message_id == observed.message.id:
+                break
+            is_same_key = earlier.message.ordering_key == ordering_key and self.class_of(earlier).in_order
+            if is_same_key and (not earlier.has_ended or earlier.is_in_flight):
+                raise RuleViolationError("order: an earlier message of its key is open")
+        if not observed.attempts and now < self.ordering_pauses.get(ordering_key, 0.0):
+            raise RuleViolationError("order: its key has to pause")
+
+    def _check_slow_start_budget(self, now: float, endpoint_id: int) -> None:
+        """Check the relay's part of the budget of a destination that was down, with three calls of slack."""
         safety = self.settings.safety
+        route = self.route_of(endpoint_id)
         sends = self.send_times.setdefault(route, [])
         sends.append(now)
-        if route in self.slow_start_until and now < self.slow_start_until[route] + safety.slow_start_ms:
-            warm = (now - self.slow_start_until[route]) / safety.slow_start_ms
-            share = safety.slow_start_fraction + (1 - safety.slow_start_fraction) * warm
-            budget = (
-                safety.overload_multiple * share * rate / self.settings.relay_count * safety.overload_window_ms / 1000
-            )
-            recent = [at for at in sends if at > max(self.slow_start_until[route], now - safety.overload_window_ms)]
-            if len(recent) > budget + 3:
-                raise RuleViolationError("failback: over the budget of a cold destination")
+        since = self.slow_start_since.get(route)
+        if since is None or now >= since + safety.slow_start_ms:
+            return
+        progress = (now - since) / safety.slow_start_ms
+        capacity = safety.slow_start_fraction + (1 - safety.slow_start_fraction) * progress
+        fleet_rate = safety.overload_multiple * capacity * self.endpoints[endpoint_id].advertised_rate
+        budget = fleet_rate / self.settings.relay_count * safety.overload_window_ms / 1000
+        recent = [sent_at for sent_at in sends if sent_at > max(since, now - safety.overload_window_ms)]
+        if len(recent) > budget + SLOW_START_SLACK:
+            raise RuleViolationError("failback: over the budget of a destination in slow start")
 
     def check_deadlines(self, now: float) -> None:
-        for seen in self.messages.values():
-            if not seen.has_ended and now > seen.deadline + self.settings.safety.answer_slack_ms:
+        """Check that each message whose deadline has passed has its final answer."""
+        for observed in self.messages.values():
+            if not observed.has_ended and now > observed.deadline + self.settings.safety.answer_slack_ms:
                 raise RuleViolationError("lost: no final answer in time")
