--- a/tests/test_delivery_rules.py
+++ b/tests/test_delivery_rules.py
@@ -1,174 +1,212 @@
 """Delivery rules by effect and outcome, with routes kept resident and with each evicted as soon as possible."""
 
+from __future__ import annotations
+
 import pytest
 
 from linnetstile.engine import idle_routes
 from linnetstile.engine.actions import Fail, Reject, WatchEndpoints
 from linnetstile.engine.events import ClientCancelled, Endpoint, EndpointList, EndpointStatus, ListKind, Outcome
-from linnetstile.engine.settings import DeduplicationScope, DestinationKind, Effect, MessageClass
-
-from .conftest import CLASSES, DEDUPLICATED, IDEMPOTENT, NON_IDEMPOTENT, UNCLEAR_OUTCOMES, EngineHarness, make_settings
+from linnetstile.engine.settings import DeduplicationScope, DestinationKind, Effect
+
+from .conftest import (
+    CLASSES,
+    DEDUPLICATED,
+    IDEMPOTENT,
+    NON_IDEMPOTENT,
+    UNCLEAR_OUTCOMES,
+    EngineHarness,
+    make_endpoint,
+    make_list_changes,
+    make_message_class,
+    make_settings,
+)
+
+OUTCOMES_WITHOUT_EFFECT = (Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT)
+DEDUPLICATION_WINDOW_MS = CLASSES[DEDUPLICATED].deduplication_window_ms
+ORDERING_PAUSE_MS = 100.0
 
 
 @pytest.fixture(autouse=True, params=[idle_routes.MAX_RESIDENT_ROUTES, 0], ids=["resident", "evicted"])
-def resident_routes(request: pytest.FixtureRequest, monkeypatch: pytest.MonkeyPatch) -> None:
+def max_resident_routes(request: pytest.FixtureRequest, monkeypatch: pytest.MonkeyPatch) -> None:
+    """Run each test with routes that stay resident, and with routes evicted as soon as possible."""
     monkeypatch.setattr(idle_routes, "MAX_RESIDENT_ROUTES", request.param)
 
 
-PROOFS_OF_NO_EFFECT = (Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT)
+# -- attempts and final answers ------------------------------------------------------------------------------
 
 
 @pytest.mark.parametrize("class_index", [IDEMPOTENT, DEDUPLICATED, NON_IDEMPOTENT])
-@pytest.mark.parametrize("outcome", [*UNCLEAR_OUTCOMES, Outcome.CANCELLED, *PROOFS_OF_NO_EFFECT])
-def test_what_each_outcome_permits(class_index: int, outcome: Outcome) -> None:
+@pytest.mark.parametrize("outcome", [*UNCLEAR_OUTCOMES, Outcome.CANCELLED, *OUTCOMES_WITHOUT_EFFECT])
+def test_message_is_retried_only_if_its_effect_and_the_outcome_permit_it(class_index: int, outcome: Outcome) -> None:
     harness = EngineHarness()
     harness.list_endpoints((11, 1))
     harness.warm_up()
     message_id = harness.submit(class_index)
     harness.advance(100)
     harness.end_attempt(message_id, outcome)
-    first = harness.last_send(message_id)[0]
+    first_sent_at = harness.last_send(message_id)[0]
     harness.advance(9900)
-    if class_index == NON_IDEMPOTENT and outcome not in PROOFS_OF_NO_EFFECT:
+    may_have_run = outcome not in OUTCOMES_WITHOUT_EFFECT
+    if class_index == NON_IDEMPOTENT and may_have_run:
         assert harness.attempts[message_id] == 1
         assert isinstance(harness.final_answers[message_id], Fail)
     else:
         assert harness.attempts[message_id] == 2
-        if class_index == DEDUPLICATED and outcome not in PROOFS_OF_NO_EFFECT:
-            assert harness.last_send(message_id)[0] - first < CLASSES[DEDUPLICATED].deduplication_window_ms
+        if class_index == DEDUPLICATED and may_have_run:
+            assert harness.last_send(message_id)[0] - first_sent_at < DEDUPLICATION_WINDOW_MS
 
 
 @pytest.mark.parametrize("class_index", [IDEMPOTENT, DEDUPLICATED, NON_IDEMPOTENT])
-def test_every_message_ends_once_before_its_time_is_up(class_index: int) -> None:
+def test_every_message_ends_once_before_its_deadline(class_index: int) -> None:
     harness = EngineHarness()
     harness.list_endpoints((11, 1))
     message_ids = [harness.submit(class_index, remaining_ms=2000.0) for _ in range(6)]
-    nowhere = harness.submit(class_index, destination=99, remaining_ms=2000.0)
-    sent = {e[1].id for e in harness.sends}
+    unroutable = harness.submit(class_index, destination=99, remaining_ms=2000.0)
+    sent_at_once = {send.id for _, send in harness.sends}
     harness.advance(2000)
-    for message_id in [*message_ids, nowhere]:
-        if message_id not in sent and message_id not in harness.final_answers:
+    for message_id in [*message_ids, unroutable]:
+        if message_id not in sent_at_once and message_id not in harness.final_answers:
             assert harness.last_send(message_id)[1].timeout_at_ms <= 3000.0
-    assert isinstance(harness.final_answers[nowhere], Reject)
-    for message_id in {e[1].id for e in harness.sends} - set(harness.final_answers):
+    assert isinstance(harness.final_answers[unroutable], Reject)
+    for message_id in {send.id for _, send in harness.sends} - set(harness.final_answers):
         harness.end_attempt(message_id, Outcome.TIMEOUT)
-    assert set(harness.final_answers) == {*message_ids, nowhere}
+    assert set(harness.final_answers) == {*message_ids, unroutable}
+
 
+def advance_until_sent_or_ended(harness: EngineHarness, message_id: int, end_ms: float) -> None:
+    while (
+        message_id not in harness.final_answers
+        and harness.attempts[message_id] == len(harness.sends_of(message_id))
+        and harness.now < end_ms
+        and message_id not in harness.in_flight
+    ):
+        harness.advance(20)
 
-def test_a_deduplicated_message_is_not_resent_after_its_window() -> None:
+
+def test_deduplicated_message_is_not_retried_after_its_window() -> None:
     harness = EngineHarness()
     harness.list_endpoints((11, 1))
     message_id = harness.submit(DEDUPLICATED)
     start = harness.now
     for _ in range(4):
-        while (
-            message_id not in harness.final_answers
-            and harness.attempts[message_id] == len([e for e in harness.sends if e[1].id == message_id])
-            and harness.now < start + 9000
-            and message_id not in harness.in_flight
-        ):
-            harness.advance(20)
+        advance_until_sent_or_ended(harness, message_id, start + 9000)
         if message_id in harness.final_answers:
             break
         harness.advance(900)
         harness.end_attempt(message_id, Outcome.TIMEOUT)
-    assert all(at - start < CLASSES[DEDUPLICATED].deduplication_window_ms for at, send in harness.sends)
+    assert all(sent_at - start < DEDUPLICATION_WINDOW_MS for sent_at, _ in harness.sends)
     assert len(harness.sends) >= 2
     assert message_id in harness.final_answers
 
 
 @pytest.mark.parametrize("scope", [DeduplicationScope.ZONE, DeduplicationScope.ENDPOINT])
-def test_a_deduplication_window_of_one_zone_binds_the_retry_to_it(scope: DeduplicationScope) -> None:
-    keyed = MessageClass("k", Effect.DEDUPLICATED, 1000.0, 10000.0, 1.0, 0.5, 6000.0, scope)
-    harness = EngineHarness(make_settings(classes=(keyed,)))
-    harness.handle(
-        EndpointList(
-            ListKind.CACHED,
-            tuple(
-                Endpoint(message_id, 1, EndpointStatus.READY, 0, zone, 20.0) for message_id, zone in ((11, 0), (12, 1))
-            ),
-        )
-    )
+def test_retry_stays_within_the_scope_of_its_deduplication_key(scope: DeduplicationScope) -> None:
+    message_class = make_message_class(Effect.DEDUPLICATED, deduplication_window_ms=6000.0, deduplication_scope=scope)
+    harness = EngineHarness(make_settings(classes=(message_class,)))
+    harness.handle(EndpointList(ListKind.CACHED, (make_endpoint(11, 1, zone=0), make_endpoint(12, 1, zone=1))))
     message_id = harness.submit(0)
-    first = harness.last_send(message_id)[1].endpoint
+    first_endpoint = harness.last_send(message_id)[1].endpoint
     harness.advance(100)
     harness.end_attempt(message_id, Outcome.RESET)
-    harness.handle(EndpointList(ListKind.CHANGES, (Endpoint(first, 1, EndpointStatus.DRAINING),)))
+    harness.change_endpoints(Endpoint(first_endpoint, 1, EndpointStatus.DRAINING))
     harness.advance(9900)
     assert harness.attempts[message_id] == 1
     assert isinstance(harness.final_answers[message_id], Fail)
 
 
-def test_a_retry_after_binds_the_whole_destination() -> None:
+# -- Retry-After, draining, order, slow start ----------------------------------------------------------------
+
+
+def test_retry_after_binds_the_whole_destination() -> None:
     harness = EngineHarness()
     harness.list_endpoints((11, 1), (12, 1))
     harness.warm_up()
     message_id = harness.submit(IDEMPOTENT)
     harness.advance(50)
     harness.end_attempt(message_id, Outcome.REJECTED, retry_after_ms=800.0)
-    answer = harness.now
+    rejected_at = harness.now
     for _ in range(4):
         harness.submit(IDEMPOTENT)
     harness.advance(4000)
-    after = [at for at, _ in harness.sends if at > answer]
-    assert after
-    assert min(after) >= answer + 800.0
+    later_sends = [sent_at for sent_at, _ in harness.sends if sent_at > rejected_at]
+    assert later_sends
+    assert min(later_sends) >= rejected_at + 800.0
 
 
-def test_a_retry_after_binds_one_route_where_routes_are_separate() -> None:
+def test_retry_after_binds_one_endpoint_where_endpoints_have_routes_of_their_own() -> None:
     harness = EngineHarness(make_settings(kinds=(DestinationKind("k", separate_routes=True),)))
     harness.list_endpoints((11, 1), (12, 1))
     message_id = harness.submit(IDEMPOTENT)
-    route = harness.last_send(message_id)[1].endpoint
+    rejecting_endpoint = harness.last_send(message_id)[1].endpoint
     harness.advance(50)
     harness.end_attempt(message_id, Outcome.REJECTED, retry_after_ms=2000.0)
-    answer = harness.now
+    rejected_at = harness.now
     harness.advance(1500)
-    assert harness.last_send(message_id)[0] > answer
-    assert harness.last_send(message_id)[1].endpoint != route
-
-
-@pytest.mark.parametrize("listing", [EndpointStatus.DRAINING, EndpointStatus.GONE, None])
-def test_a_draining_endpoint_gets_no_call_from_then_on(listing: EndpointStatus | None) -> None:
+    sent_at, send = harness.last_send(message_id)
+    assert sent_at > rejected_at
+    assert send.endpoint != rejecting_endpoint
+
+
+@pytest.mark.parametrize(
+    "event",
+    [
+        make_list_changes(Endpoint(11, 1, EndpointStatus.DRAINING)),
+        make_list_changes(Endpoint(11, 1, EndpointStatus.GONE)),
+        EndpointList(ListKind.FULL, (make_endpoint(12, 1),)),
+    ],
+    ids=["draining", "gone", "missing in a full list"],
+)
+def test_draining_or_removed_endpoint_gets_no_new_call(event: EndpointList) -> None:
     harness = EngineHarness()
     harness.list_endpoints((11, 1), (12, 1))
     harness.warm_up()
-    if listing is None:
-        harness.handle(EndpointList(ListKind.FULL, (Endpoint(12, 1, EndpointStatus.READY, 0, 0, 20.0),)))
-    else:
-        harness.handle(EndpointList(ListKind.CHANGES, (Endpoint(11, 1, listing),)))
+    harness.handle(event)
     start = len(harness.sends)
     for _ in range(8):
         harness.submit()
         harness.advance(100)
-    assert {send.endpoint for _, send in harness.sends[start:]} == {12}
+    assert {send.endpoint for send in harness.sends_since(start)} == {12}
 
 
 def test_messages_of_one_ordering_key_keep_their_order_and_pause() -> None:
-    ordered = MessageClass("o", Effect.IDEMPOTENT, 1000.0, 10000.0, 1.0, 0.5, 0.0, in_order=True)
+    ordered = make_message_class(Effect.IDEMPOTENT, deduplication_window_ms=0.0, in_order=True)
     harness = EngineHarness(make_settings(classes=(ordered,)))
     harness.list_endpoints((11, 1), (12, 2))
     harness.warm_up(1)
     harness.warm_up(2)
-    first, second, other = (
-        harness.submit(0, 1, ordering_key=5),
-        harness.submit(0, 2, ordering_key=5),
-        harness.submit(0, 2, ordering_key=6),
-    )
+    first = harness.submit(0, 1, ordering_key=5)
+    second = harness.submit(0, 2, ordering_key=5)
+    other_key = harness.submit(0, 2, ordering_key=6)
     harness.advance(300)
     assert harness.attempts.get(first) == 1
     assert second not in harness.attempts
-    assert harness.attempts.get(other) == 1
+    assert harness.attempts.get(other_key) == 1
     harness.handle(ClientCancelled(first))
     harness.advance(300)
-    assert second not in harness.attempts  # the earlier one still has a call out
+    assert second not in harness.attempts  # the first one still has a call in flight
     harness.end_attempt(first, Outcome.TIMEOUT)
-    answer = harness.now
+    ended_at = harness.now
     harness.advance(1000)
-    assert harness.last_send(second)[0] >= answer + 100.0
+    assert harness.last_send(second)[0] >= ended_at + ORDERING_PAUSE_MS
+
+
+def send_times_after_a_return(harness: EngineHarness, duration_ms: float) -> list[float]:
+    """Answer each call after 50 ms from now on; return the times of all calls."""
+    start = harness.now
+    answered: set[tuple[int, int]] = set()  # message and time of each call
+    while harness.now < start + duration_ms:
+        harness.advance(50)
+        for sent_at, send in harness.sends:
+            call = (send.id, int(sent_at))
+            if call not in answered and sent_at >= start and harness.now - sent_at >= 50:
+                answered.add(call)
+                if send.id in harness.in_flight:
+                    harness.end_attempt(send.id)
+    return [sent_at for sent_at, _ in harness.sends if sent_at >= start]
 
 
-def test_a_return_from_an_outage_stays_within_the_slow_start_budget() -> None:
+def test_return_from_an_outage_stays_within_the_slow_start_budget() -> None:
     harness = EngineHarness()
     harness.list_endpoints((11, 1))
     harness.warm_up()
@@ -179,31 +217,30 @@
             harness.end_attempt(message_id, Outcome.CONNECT_FAILED)
     for _ in range(30):
         harness.submit(IDEMPOTENT)
-    back = harness.now
-    answered: set[tuple[int, int]] = set()
-    while harness.now < back + 4000:
-        harness.advance(50)
-        for at, send in harness.sends:
-            if (send.id, int(at)) not in answered and at >= back and harness.now - at >= 50:
-                answered.add((send.id, int(at)))
-                if send.id in harness.in_flight:
-                    harness.end_attempt(send.id)
-    times = [at for at, _ in harness.sends if at >= back]
-    budget = 2.0 * 20.0 / 2 * 1.5  # multiple x own part of the rate x span, at full capacity
-    cold = [t for t in times if t < back + 1500]
-    assert 1 <= len(cold) <= budget * (0.2 + 0.8 * 1500 / 9000 / 2) + 1  # it warms up meanwhile
-    assert len(times) > len(cold)
+    returned_at = harness.now
+    send_times = send_times_after_a_return(harness, 4000)
+    budget = 2.0 * 20.0 / 2 * 1.5  # multiple x own part of the rate x window, at full capacity
+    in_first_window = [sent_at for sent_at in send_times if sent_at < returned_at + 1500]
+    assert 1 <= len(in_first_window) <= budget * (0.2 + 0.8 * 1500 / 9000 / 2) + 1  # the capacity grows meanwhile
+    assert len(send_times) > len(in_first_window)
+
+
+# -- the endpoint list ---------------------------------------------------------------------------------------
+
+
+def poll_times(harness: EngineHarness) -> list[float]:
+    return [now for now, action in harness.other_actions if isinstance(action, WatchEndpoints)]
 
 
-def test_polling_starts_at_once_and_again_after_a_failure() -> None:
+def test_list_is_polled_at_once_and_again_after_a_failure() -> None:
     harness = EngineHarness(make_settings(polls_for_list=True))
     assert harness.handle()
     assert isinstance(harness.other_actions[0][1], WatchEndpoints)
     for _ in range(4):
-        before = harness.now
-        asked = len([1 for _, a in harness.other_actions if isinstance(a, WatchEndpoints)])
+        failed_at = harness.now
+        polls_before = len(poll_times(harness))
         harness.handle(EndpointList(ListKind.FAILED))
         harness.advance(3000)
-        later = [at for at, a in harness.other_actions if isinstance(a, WatchEndpoints)]
-        assert len(later) > asked
-        assert later[asked] > before
+        polls = poll_times(harness)
+        assert len(polls) > polls_before
+        assert polls[polls_before] > failed_at
