--- a/tests/engine/test_connection_scarcity.py
+++ b/tests/engine/test_connection_scarcity.py
@@ -1,77 +1,108 @@
-"""Which rejections mean that connections are scarce, and which come from a limit or a queue."""
+"""Connection scarcity: which rejections show it, which idle connections it closes, and what it does to the rate."""
+
+from __future__ import annotations
+
+from collections.abc import Iterable
+from typing import NamedTuple
 
 import pytest
 
 from linnetstile.engine.actions import Action, CloseIdle, Send
 from linnetstile.engine.connection_scarcity import SCARCITY_EXIT, ConnectionScarcity
-from linnetstile.engine.events import AttemptEnded, Endpoint, EndpointList, EndpointStatus, ListKind, Outcome
+from linnetstile.engine.events import AttemptEnded, EndpointList, ListKind, Outcome
 from linnetstile.engine.settings import DestinationKind
 
-from ..conftest import IDEMPOTENT, EngineHarness, make_settings
+from ..conftest import IDEMPOTENT, EngineHarness, make_endpoint, make_settings
+
+
+class CallRecord(NamedTuple):
+    """One call as `ConnectionScarcity.record` takes it."""
+
+    is_reused: bool
+    is_rejected: bool = False
+    has_retry_after: bool = False
+
 
+NEW, NEW_REJECTED = CallRecord(is_reused=False), CallRecord(is_reused=False, is_rejected=True)
+NEW_RETRY_AFTER = CallRecord(is_reused=False, is_rejected=True, has_retry_after=True)
+REUSED, REUSED_REJECTED = CallRecord(is_reused=True), CallRecord(is_reused=True, is_rejected=True)
 
-def scarcity_after(places: ConnectionScarcity, *calls: tuple[bool, bool, bool]) -> bool:
-    for kept, refused, waits in calls:
-        places.record(kept, refused, waits)
-    return places.is_scarce
 
+def record_calls(scarcity: ConnectionScarcity, calls: Iterable[CallRecord]) -> None:
+    for call in calls:
+        scarcity.record(call.is_reused, call.is_rejected, call.has_retry_after)
 
-NEW, NEW_REFUSED, NEW_WAIT = (False, False, False), (False, True, False), (False, True, True)
-KEPT, KEPT_REFUSED = (True, False, False), (True, True, False)
+
+def is_scarce_after(*calls: CallRecord) -> bool:
+    scarcity = ConnectionScarcity()
+    record_calls(scarcity, calls)
+    return scarcity.is_scarce
+
+
+def make_scarce(harness: EngineHarness) -> None:
+    """Record so many rejections on new connections of the first kind that its connections count as scarce."""
+    record_calls(harness.engine.connections.scarcity[0], [NEW_REJECTED] * 20)
 
 
 def test_rejections_on_new_connections_alone_are_a_scarcity() -> None:
-    assert not scarcity_after(ConnectionScarcity(), NEW_REFUSED)  # one shows nothing
-    assert scarcity_after(ConnectionScarcity(), *[NEW_REFUSED] * 2)
-    assert scarcity_after(ConnectionScarcity(), NEW, *[KEPT] * 5, *[NEW_REFUSED] * 4)
+    assert not is_scarce_after(NEW_REJECTED)  # one shows nothing
+    assert is_scarce_after(*[NEW_REJECTED] * 2)
+    assert is_scarce_after(NEW, *[REUSED] * 5, *[NEW_REJECTED] * 4)
 
 
-def test_a_limit_rejects_on_reused_connections_too_or_sends_a_retry_after() -> None:
-    assert not scarcity_after(ConnectionScarcity(), *[KEPT_REFUSED] * 3, *[NEW_REFUSED] * 10)
-    assert not scarcity_after(ConnectionScarcity(), *[NEW_WAIT] * 20)
-    assert not scarcity_after(ConnectionScarcity(), *[NEW, NEW_REFUSED] * 20)
+def test_rejections_on_reused_connections_or_with_a_retry_after_are_no_scarcity() -> None:
+    """They come from a limit or a queue of the destination."""
+    assert not is_scarce_after(*[REUSED_REJECTED] * 3, *[NEW_REJECTED] * 10)
+    assert not is_scarce_after(*[NEW_RETRY_AFTER] * 20)
+    assert not is_scarce_after(*[NEW, NEW_REJECTED] * 20)
 
 
-def test_a_scarcity_ends_when_new_connections_are_hardly_rejected_and_does_not_flap() -> None:
-    places = ConnectionScarcity()
-    assert scarcity_after(places, *[NEW_REFUSED] * 20)
-    assert scarcity_after(places, *[NEW] * 10)  # far below the way in
-    assert places.new.ratio > SCARCITY_EXIT
-    assert not scarcity_after(places, *[NEW] * 60)
-    assert not scarcity_after(places, NEW_REFUSED)
+def test_scarcity_ends_once_few_new_connections_are_rejected_and_does_not_flap() -> None:
+    scarcity = ConnectionScarcity()
+    record_calls(scarcity, [NEW_REJECTED] * 20)
+    assert scarcity.is_scarce
+    record_calls(scarcity, [NEW] * 10)
+    assert scarcity.is_scarce  # far below the bound of its beginning
+    assert scarcity.new.ratio > SCARCITY_EXIT
+    record_calls(scarcity, [NEW] * 60)
+    assert not scarcity.is_scarce
+    record_calls(scarcity, [NEW_REJECTED])
+    assert not scarcity.is_scarce
 
 
-def answered(
-    harness: EngineHarness, destination: int, outcome: Outcome = Outcome.OK, reused: bool = False
+def submit_and_end(
+    harness: EngineHarness, destination: int, outcome: Outcome = Outcome.OK, connection_reused: bool = False
 ) -> list[Action]:
-    """Hands a message in, and ends it with its first answer."""
+    """Submit a message and end it with its first attempt; return the actions that follow."""
     message_id = harness.submit(IDEMPOTENT, destination)
     for _ in range(400):
         if message_id in harness.in_flight:
             break
         harness.advance(20)
     send = harness.in_flight.pop(message_id)
-    return harness.handle(AttemptEnded(message_id, 0, send.endpoint, outcome, 100.0, True, connection_reused=reused))
+    return harness.handle(
+        AttemptEnded(message_id, 0, send.endpoint, outcome, 100.0, is_final=True, connection_reused=connection_reused)
+    )
 
 
 def test_idle_connections_are_closed_where_only_new_ones_are_rejected() -> None:
-    """190 relays kept one each at endpoints that hold eight, and used them for 50 ms in 700."""
+    """190 relays kept one connection each at endpoints that accept eight, and used them for 50 ms in 700."""
     harness = EngineHarness(make_settings(kinds=(DestinationKind("few"), DestinationKind("many"))))
     harness.list_endpoints((11, 1), (12, 2))
-    harness.handle(EndpointList(ListKind.CHANGES, (Endpoint(13, 3, EndpointStatus.READY, 1, 0, 20.0),)))
-    assert not any(isinstance(action, CloseIdle) for action in answered(harness, 1))
+    harness.change_endpoints(make_endpoint(13, 3, kind=1))
+    assert not any(isinstance(action, CloseIdle) for action in submit_and_end(harness, 1))
     for _ in range(3):
-        answered(harness, 2, Outcome.REJECTED)
-    assert CloseIdle(11) in answered(harness, 1, reused=True)
-    assert not any(isinstance(action, CloseIdle) for action in answered(harness, 3))  # another kind
+        submit_and_end(harness, 2, Outcome.REJECTED)
+    assert CloseIdle(11) in submit_and_end(harness, 1, connection_reused=True)
+    assert not any(isinstance(action, CloseIdle) for action in submit_and_end(harness, 3))  # another kind
 
 
-def test_a_connection_on_which_the_next_call_goes_out_at_once_is_not_closed() -> None:
+def test_connection_that_the_next_call_reuses_at_once_is_not_closed() -> None:
     harness = EngineHarness(make_settings(max_in_flight=1))
     harness.list_endpoints((11, 1), (12, 2))
     harness.warm_up(1)
     for _ in range(20):
-        answered(harness, 2, Outcome.REJECTED)
+        submit_and_end(harness, 2, Outcome.REJECTED)
     first, second = harness.submit(IDEMPOTENT, 1), harness.submit(IDEMPOTENT, 1)
     harness.advance(100)
     actions = harness.end_attempt(first)
@@ -81,65 +112,70 @@
 
 
 def test_relays_do_not_all_use_the_same_one_of_two_equal_endpoints() -> None:
-    """The lower number was used first by every relay: harmless in one, and one endpoint for all in hundreds."""
-    first = []
+    """Every relay once used the lower id first: harmless for one relay, and one endpoint for all of hundreds."""
+    first_endpoints = []
     for seed in range(40):
         harness = EngineHarness(seed=seed)
         harness.list_endpoints((11, 1), (12, 1))
         harness.submit(IDEMPOTENT)
         harness.advance(20)
-        first.append(harness.sends[0][1].endpoint)
-    assert 10 <= first.count(11) <= 30
-
-
-def test_an_endpoint_without_a_connection_left_comes_after_the_others_for_a_while() -> None:
-    def used(short: bool, fee: float) -> list[int]:
-        harness = EngineHarness(make_settings(route_fees=(0.0, fee)))
-        harness.handle(
-            EndpointList(
-                ListKind.CACHED,
-                (
-                    Endpoint(11, 1, EndpointStatus.READY, 0, 0, 20.0),
-                    Endpoint(12, 1, EndpointStatus.READY, 0, 1, 20.0),
-                ),
-            )
-        )
-        for _ in range(20 if short else 0):
-            harness.engine.connections.scarcity[0].record(is_reused=False, is_rejected=True, has_retry_after=False)
-        answered(harness, 1, Outcome.REJECTED)
-        answered(harness, 1)
-        harness.advance(5000)
-        answered(harness, 1)
-        return [send.endpoint for _, send in harness.sends]
-
-    assert used(short=True, fee=0.02) == [11, 12, 11]
-    assert used(short=False, fee=0.02) == [11, 11, 11]  # a limit is the whole destination's: no reason to pay
-
-
-def test_a_rejection_that_a_scarcity_explains_does_not_lower_the_rate() -> None:
-    """1,636 refusals on new connections and none on kept ones held their senders to a cut pace for 4 s and longer."""
-
-    def pace(late: float = 0.0, reused: bool = False, wait: float = 0.0, short: bool = True) -> float:
-        harness = EngineHarness()
-        harness.list_endpoints((11, 1))
-        harness.warm_up(1)
-        for _ in range(20 if short else 0):
-            harness.engine.connections.scarcity[0].record(is_reused=False, is_rejected=True, has_retry_after=False)
-        harness.advance(late, 50)
-        message_id = harness.submit(IDEMPOTENT)
-        harness.advance(20)
-        send, route = harness.in_flight.pop(message_id), harness.engine.routes[1][-1]
-        before = route.rate.own_rate
-        harness.handle(
-            AttemptEnded(message_id, 0, send.endpoint, Outcome.REJECTED, 5.0, False, wait, connection_reused=reused)
-        )
-        return route.rate.own_rate / before
-
-    assert pace() == 1.0
-    assert pace(short=False) < 1.0  # a limit's
-    assert pace(reused=True) < 1.0
-    assert pace(wait=500.0) < 1.0  # a scarcity does neither
-    assert pace(late=4000.0) < 1.0  # nobody was answered of late: it may be shut
+        first_endpoints.append(harness.sends[0][1].endpoint)
+    assert 10 <= first_endpoints.count(11) <= 30
+
+
+@pytest.mark.parametrize(
+    ("is_scarce", "endpoints"),
+    [
+        (True, [11, 12, 11]),
+        (False, [11, 11, 11]),  # a limit is the whole destination's: no reason to pay a fee
+    ],
+)
+def test_endpoint_that_rejects_for_scarcity_is_avoided_for_a_while(is_scarce: bool, endpoints: list[int]) -> None:
+    harness = EngineHarness(make_settings(route_fees=(0.0, 0.02)))
+    harness.handle(EndpointList(ListKind.CACHED, (make_endpoint(11, 1, zone=0), make_endpoint(12, 1, zone=1))))
+    if is_scarce:
+        make_scarce(harness)
+    submit_and_end(harness, 1, Outcome.REJECTED)
+    submit_and_end(harness, 1)
+    harness.advance(5000)
+    submit_and_end(harness, 1)
+    assert [send.endpoint for _, send in harness.sends] == endpoints
+
+
+def rate_after_a_rejection(
+    is_scarce: bool = True, idle_ms: float = 0.0, connection_reused: bool = False, retry_after_ms: float = 0.0
+) -> float:
+    """Return the rate of a route after a rejection, as a part of its rate before."""
+    harness = EngineHarness()
+    harness.list_endpoints((11, 1))
+    harness.warm_up(1)
+    if is_scarce:
+        make_scarce(harness)
+    harness.advance(idle_ms, 50)
+    message_id = harness.submit(IDEMPOTENT)
+    harness.advance(20)
+    route = harness.route()
+    rate_before = route.rate.own_rate
+    harness.end_attempt(
+        message_id,
+        Outcome.REJECTED,
+        latency_ms=5.0,
+        retry_after_ms=retry_after_ms,
+        connection_reused=connection_reused,
+    )
+    return route.rate.own_rate / rate_before
+
+
+def test_rejection_for_scarcity_does_not_lower_the_rate() -> None:
+    """After 1,636 rejections on new connections and none on reused ones, relays kept a lowered rate for 4 s or more."""
+    assert rate_after_a_rejection() == 1.0
+
+
+def test_rejection_without_signs_of_scarcity_lowers_the_rate() -> None:
+    assert rate_after_a_rejection(is_scarce=False) < 1.0  # by a limit
+    assert rate_after_a_rejection(connection_reused=True) < 1.0
+    assert rate_after_a_rejection(retry_after_ms=500.0) < 1.0
+    assert rate_after_a_rejection(idle_ms=4000.0) < 1.0  # without a recent answer, the destination may be down
 
 
 @pytest.mark.parametrize("one_connect_fails", [False, True])
--- a/tests/engine/test_gossip.py
+++ b/tests/engine/test_gossip.py
@@ -1,4 +1,4 @@
-"""What a relay takes over from others: by age, by agreement, and never against own evidence."""
+"""Gossip: how claims of other relays are merged, bounded and rejected, and what merged claims do in the engine."""
 
 from __future__ import annotations
 
@@ -52,7 +52,7 @@
     return (merged[0] if merged else None), rejected
 
 
-def test_one_credible_peer_is_enough_for_a_caution_and_all_relays_may_know_of_it() -> None:
+def test_outage_that_one_peer_claims_is_accepted_and_all_relays_count_as_aware() -> None:
     route, _ = merge(outage_claim())
     assert route is not None
     assert route.outage_age_ms == 3000
@@ -62,7 +62,7 @@
     assert route.outage_age_ms == 3000  # one contradiction is not agreement
 
 
-def test_two_peers_with_answers_since_outweigh_a_claimed_outage() -> None:
+def test_two_peers_with_later_answers_outweigh_a_claimed_outage() -> None:
     route, rejected = merge(outage_claim(age=500), healthy_claim(50), healthy_claim(60))
     assert route is not None
     assert route.outage_age_ms is None
@@ -72,40 +72,45 @@
     assert route.outage_age_ms == 3000
 
 
-@pytest.mark.parametrize(("age", "taken"), [(19_900, True), (20_100, False), (3_600_000, False)])
-def test_stale_outage_is_rejected(age: float, taken: bool) -> None:
+@pytest.mark.parametrize(("age", "is_accepted"), [(19_900, True), (20_100, False), (3_600_000, False)])
+def test_stale_outage_is_rejected(age: float, is_accepted: bool) -> None:
     route, rejected = merge(outage_claim(age, since=age + 100))
-    assert (route is not None and route.outage_age_ms is not None) == taken
-    assert bool(rejected) != taken
+    assert (route is not None and route.outage_age_ms is not None) == is_accepted
+    assert bool(rejected) != is_accepted
 
 
-def test_route_that_returned_for_one_peer_is_in_slow_start_and_not_out() -> None:
-    back = RouteClaim(
+def test_route_that_returned_for_one_peer_is_in_slow_start_and_not_ejected() -> None:
+    returned_claim = RouteClaim(
         "p", -1, (11,), answer_age_ms=300, slow_start_age_ms=900, answers=1, latency_mean_ms=100, aware_relays=4.0
     )
-    route, _ = merge(outage_claim(age=1200, since=5000), back)
+    route, _ = merge(outage_claim(age=1200, since=5000), returned_claim)
     assert route is not None
     assert (route.outage_age_ms, route.slow_start_age_ms, route.aware_relays) == (None, 900, 10.0)
 
 
-def test_own_retry_after_binds_and_another_relays_is_bounded() -> None:
-    claim = RouteClaim("p", -1, (11,), retry_after_ms=500_000)
-    for own, expected in [(True, 500_000), (False, 60_000)]:
-        route, _ = merge(claim, own=own)
-        assert route is not None
-        assert route.retry_after_ms == expected
+@pytest.mark.parametrize(("own", "merged_retry_after_ms"), [(True, 500_000), (False, 60_000)])
+def test_retry_after_of_another_relay_is_bounded_and_the_own_one_is_not(
+    own: bool, merged_retry_after_ms: float
+) -> None:
+    route, _ = merge(RouteClaim("p", -1, (11,), retry_after_ms=500_000), own=own)
+    assert route is not None
+    assert route.retry_after_ms == merged_retry_after_ms
 
 
-def test_claim_of_unknown_routes_or_endpoints_or_with_impossible_ages_is_rejected() -> None:
-    for claim, reason in [
+@pytest.mark.parametrize(
+    ("claim", "reason"),
+    [
         (RouteClaim("p", -1, (99,), failure_age_ms=1, outage_age_ms=1), "not its own"),
         (RouteClaim("q", -1, (11,), failure_age_ms=1, outage_age_ms=1), "no such partner"),
         (RouteClaim("p", -1, (11,), failure_age_ms=float("nan"), outage_age_ms=1), "can't be"),
         (RouteClaim("p", -1, (11,), failure_age_ms=-5, outage_age_ms=1), "can't be"),
-    ]:
-        route, rejected = merge(claim)
-        assert route is None
-        assert reason in rejected[0].reason
+    ],
+    ids=["unknown endpoint", "unknown partner", "age is no number", "negative age"],
+)
+def test_claim_with_unknown_names_or_impossible_ages_is_rejected(claim: RouteClaim, reason: str) -> None:
+    route, rejected = merge(claim)
+    assert route is None
+    assert reason in rejected[0].reason
 
 
 def test_own_observation_wins() -> None:
@@ -114,40 +119,41 @@
     assert rejected[0].reason == "own observation wins"
 
 
-def test_peer_that_claims_most_outages_alone_is_distrusted() -> None:
-    routes = {(f"p{n}", -1): {n} for n in range(10)}
-
-    def source_of_all_routes(name: str, out: bool) -> ClaimSource:
-        return ClaimSource(
-            name,
-            False,
-            tuple(
-                RouteClaim(
-                    f"p{n}",
-                    -1,
-                    (n,),
-                    answer_age_ms=4000 if out else 50,
-                    failure_age_ms=100 if out else None,
-                    outage_age_ms=3000 if out else None,
-                )
-                for n in range(10)
-            ),
+def source_of_ten_routes(name: str, claims_outages: bool) -> ClaimSource:
+    """Return a peer that claims outages of ten routes, or recent answers of them."""
+    claims = (
+        RouteClaim(
+            f"p{number}",
+            -1,
+            (number,),
+            answer_age_ms=4000 if claims_outages else 50,
+            failure_age_ms=100 if claims_outages else None,
+            outage_age_ms=3000 if claims_outages else None,
         )
-
-    merged, rejected = merge_claims(
-        [source_of_all_routes("liar", True), source_of_all_routes("b", False)], routes, set(), 10
+        for number in range(10)
     )
-    assert not [route for route in merged if route.outage_age_ms is not None]
+    return ClaimSource(name, False, tuple(claims))
+
+
+def merge_ten_routes(*sources: ClaimSource) -> tuple[int, list[RejectedClaim]]:
+    """Return how many of the ten routes count as down, and the rejected claims."""
+    routes = {(f"p{number}", -1): {number} for number in range(10)}
+    merged, rejected = merge_claims(list(sources), routes, set(), 10)
+    return len([route for route in merged if route.outage_age_ms is not None]), rejected
+
+
+def test_peer_that_alone_claims_most_outages_is_distrusted() -> None:
+    outages, rejected = merge_ten_routes(source_of_ten_routes("liar", True), source_of_ten_routes("b", False))
+    assert outages == 0
     assert {claim.source for claim in rejected} == {"liar"}
-    merged, _ = merge_claims([source_of_all_routes("a", True), source_of_all_routes("b", True)], routes, set(), 10)
-    assert len([route for route in merged if route.outage_age_ms is not None]) == 10  # no other contradicts it
-    merged, _ = merge_claims([source_of_all_routes("alone", True)], routes, set(), 10)
-    assert (
-        len([route for route in merged if route.outage_age_ms is not None]) == 10
-    )  # there is no other to contradict it
 
 
-def test_one_wrong_latency_moves_the_median_by_one_place() -> None:
+def test_outages_of_most_routes_that_nobody_contradicts_are_accepted() -> None:
+    assert merge_ten_routes(source_of_ten_routes("a", True), source_of_ten_routes("b", True))[0] == 10
+    assert merge_ten_routes(source_of_ten_routes("only", True))[0] == 10
+
+
+def test_one_wrong_latency_does_not_move_the_merged_latency_beyond_the_others() -> None:
     route, _ = merge(healthy_claim(mean=100), healthy_claim(mean=120), healthy_claim(mean=100_000))
     assert route is not None
     assert route.latency_mean_ms == 120
@@ -192,27 +198,42 @@
         assert 0 <= route.latency_mean_ms <= 120_000
 
 
-def test_rate_and_connection_limits_are_medians() -> None:
-    def throttled_claim(rate: float, age: float = 100.0) -> RouteClaim:
-        return RouteClaim("p", -1, (11,), answer_age_ms=age, rate=rate)
+def throttled_claim(rate: float, age: float = 100.0) -> RouteClaim:
+    return RouteClaim("p", -1, (11,), answer_age_ms=age, rate=rate)
+
+
+@pytest.mark.parametrize(
+    ("rates", "merged_rate"),
+    [((3.0,), 3.0), ((3.0, 0.001, 4.0), 3.0), ((3.0, 9e8, 4.0), 4.0), ((0.0, 0.0), 0.0)],
+)
+def test_merged_rate_is_the_median_of_the_claims(rates: tuple[float, ...], merged_rate: float) -> None:
+    route, _ = merge(*(throttled_claim(rate) for rate in rates))
+    assert (route.rate if route else 0.0) == merged_rate
 
-    for rates, expected in [((3.0,), 3.0), ((3.0, 0.001, 4.0), 3.0), ((3.0, 9e8, 4.0), 4.0), ((0.0, 0.0), 0.0)]:
-        route, _ = merge(*(throttled_claim(rate) for rate in rates))
-        assert (route.rate if route else 0.0) == expected
-    assert merge(throttled_claim(3.0, age=30_000))[0] is None  # the rejections were too long ago
+
+def test_rate_of_a_relay_whose_rejections_are_long_ago_is_not_merged() -> None:
+    assert merge(throttled_claim(3.0, age=30_000))[0] is None
+
+
+def test_merged_connection_limits_are_medians_without_impossible_values() -> None:
     assert merge_connection_limits([{"a": 0.5, "b": 0.1}, {"a": 0.0}, {"a": 7.0}]) == {"a": 0.0, "b": 0.1}
 
 
+def sends_of_a_fresh_relay(rate: float) -> int:
+    """Return how many of 20 messages a fresh relay sends in 900 ms, given the rate that others were held to."""
+    harness = fresh_relay(rate=rate)
+    for _ in range(20):
+        harness.submit(IDEMPOTENT)
+    harness.advance(900)
+    return len(harness.sends)
+
+
 def test_merged_rate_throttles_a_fresh_relay() -> None:
-    sends = []
-    for rate in (0.0, 1.0):
-        harness = fresh(rate=rate)
-        for _ in range(20):
-            harness.submit(IDEMPOTENT)
-        harness.advance(900)
-        sends.append(len(harness.sends))
-    assert sends[1] < sends[0]
-    harness = fresh()
+    assert sends_of_a_fresh_relay(rate=1.0) < sends_of_a_fresh_relay(rate=0.0)
+
+
+def test_merged_connection_limit_closes_the_idle_connection_of_a_fresh_relay() -> None:
+    harness = fresh_relay()
     harness.handle(GossipReceived((), connection_limited=((0, 0.5),)))
     message_id = harness.submit(IDEMPOTENT)
     harness.advance(50)
@@ -226,34 +247,34 @@
 # -- in the engine ---------------------------------------------------------------------------------------
 
 
-def fresh(relays: int = 4, **fact: Any) -> EngineHarness:
-    harness = EngineHarness(make_settings(relay_count=relays))
+def fresh_relay(relay_count: int = 4, **facts: Any) -> EngineHarness:
+    """Return a relay that has made no call; with facts, it has received gossip with them about its destination."""
+    harness = EngineHarness(make_settings(relay_count=relay_count))
     harness.list_endpoints((11, 1))
-    if fact:
-        harness.handle(GossipReceived((RouteFacts(1, **fact),)))
+    if facts:
+        harness.handle(GossipReceived((RouteFacts(1, **facts),)))
     return harness
 
 
-def test_fresh_relay_that_learned_of_an_outage_sends_trials_within_the_slow_start_budget() -> None:
-    sends = []
-    facts: list[dict[str, Any]] = [{}, {"outage_age_ms": 4000.0, "aware_relays": 4.0}]
-    for fact in facts:
-        harness = fresh(**fact)
-        for _ in range(30):
-            harness.submit(IDEMPOTENT)
-            harness.advance(100)
-            for message_id in list(harness.in_flight):
-                harness.end_attempt(message_id)
-        sends.append(len(harness.sends))
-    assert sends[0] == 30
-    # 3 s of the cold budget (20 a second, a fifth, twice), shared by four: 6 calls, warming meanwhile.
-    assert sends[1] <= 10
-
-
-def test_larger_relay_count_of_others_is_taken_over() -> None:
-    harness = fresh(relays=4, outage_age_ms=4000.0, aware_relays=40.0)
+def sends_in_three_seconds(harness: EngineHarness) -> int:
+    """Return how many calls are made in 3 s with 30 messages, each call answered within 100 ms."""
+    for _ in range(30):
+        harness.submit(IDEMPOTENT)
+        harness.advance(100)
+        harness.end_attempts_in_flight()
+    return len(harness.sends)
+
+
+def test_fresh_relay_that_received_gossip_of_an_outage_sends_trials_within_the_slow_start_budget() -> None:
+    assert sends_in_three_seconds(fresh_relay()) == 30
+    # 3 s of the slow-start budget (20 a second, a fifth, twice), shared by four: 6 calls, growing meanwhile.
+    assert sends_in_three_seconds(fresh_relay(outage_age_ms=4000.0, aware_relays=4.0)) <= 10
+
+
+def test_larger_count_of_aware_relays_is_adopted() -> None:
+    harness = fresh_relay(relay_count=4, outage_age_ms=4000.0, aware_relays=40.0)
     assert known_aware_relays(harness) == 40.0
-    harness = fresh(relays=4)
+    harness = fresh_relay(relay_count=4)
     assert known_aware_relays(harness) <= 4.0
 
 
@@ -264,7 +285,7 @@
 
 
 def test_non_idempotent_messages_wait_where_others_claim_an_outage() -> None:
-    harness = fresh(outage_age_ms=4000.0, aware_relays=4.0)
+    harness = fresh_relay(outage_age_ms=4000.0, aware_relays=4.0)
     message_id = harness.submit(NON_IDEMPOTENT)
     harness.advance(4000, 20)
     assert message_id not in harness.attempts
@@ -272,8 +293,8 @@
     assert message_id in harness.attempts
 
 
-def test_merged_retry_after_binds() -> None:
-    harness = fresh(retry_after_ms=2000.0)
+def test_merged_retry_after_applies() -> None:
+    harness = fresh_relay(retry_after_ms=2000.0)
     message_id = harness.submit(IDEMPOTENT)
     harness.advance(1990)
     assert message_id not in harness.attempts
@@ -281,8 +302,8 @@
     assert message_id in harness.attempts
 
 
-def test_own_evidence_is_not_overruled_and_merged_claims_are_not_exported() -> None:
-    harness = fresh()
+def test_merged_claims_neither_overrule_own_evidence_nor_are_exported() -> None:
+    harness = fresh_relay()
     harness.warm_up()
     harness.handle(GossipReceived((RouteFacts(1, outage_age_ms=100.0), RouteFacts(9, outage_age_ms=1.0))))
     assert not harness.engine.routes[1][-1].health.ejected
@@ -290,13 +311,13 @@
     assert claim.answers > 3
     assert claim.outage_age_ms is None
     assert claim.endpoints == (11,)
-    other = fresh(outage_age_ms=4000.0)
+    other = fresh_relay(outage_age_ms=4000.0)
     assert gossip_export.export_claims(other.engine, other.now, {1: "p"}) == []
     assert gossip_export.known_routes(other.engine, {1: "p"})[1] == set()
 
 
 def test_notified_relays_count_as_aware() -> None:
-    harness = fresh(relays=50)
+    harness = fresh_relay(relay_count=50)
     harness.warm_up()
     for _ in range(2):
         message_id = harness.submit(IDEMPOTENT)
