--- /dev/null
+++ b/tests/platform_relay/watch_testbed.py
@@ -0,0 +1,120 @@
+"""A watch beside the discovery emulator, and the endpoints as the engine knows them from its events."""
+
+from __future__ import annotations
+
+import asyncio
+import random
+from collections.abc import Awaitable, Callable
+from typing import Any
+
+from linnetstile.engine.events import Endpoint, EndpointList, EndpointStatus, ListKind
+from linnetstile.engine.watch_policy import ENTRIES_PER_EVENT
+from linnetstile.platform_relay import discovery
+from linnetstile.platform_relay.directory import Directory
+from linnetstile.platform_relay.discovery import Watch
+
+from .discovery_emulator import DiscoveryEmulator
+from .list_factories import list_entry, listed_addresses
+from .relay_testbed import wait_until
+
+LONG_LIST_SIZE = 5000
+"""Endpoints: some 600 KB, which are read in parts."""
+STATE_NAMES = {EndpointStatus.READY: "SERVING", EndpointStatus.DRAINING: "DRAINING"}
+
+
+class WatchTestbed:
+    """A watch that is started, and what it published.
+
+    Attributes:
+        engine_view: The endpoints as the events made them, by id.
+        events: All events.
+        log_events: Names and fields of what was logged.
+    """
+
+    def __init__(self, emulator: DiscoveryEmulator, discovery_address: tuple[str, int], max_list_bytes: int) -> None:
+        self.emulator = emulator
+        self.directory = Directory(("k",), ("z",))
+        self.engine_view: dict[int, Endpoint] = {}
+        self.events: list[EndpointList] = []
+        self.log_events: list[tuple[str, dict[str, Any]]] = []
+        self.watch = Watch(
+            self.directory,
+            discovery_address,
+            self.apply_event,
+            random.Random(1),
+            self.log,
+            max_list_bytes=max_list_bytes,
+        )
+        self.watch.start()
+
+    def log(self, event: str, **fields: Any) -> None:
+        self.log_events.append((event, fields))
+
+    def apply_event(self, event: EndpointList) -> None:
+        assert event.kind is ListKind.CHANGES
+        assert len(event.endpoints) <= ENTRIES_PER_EVENT
+        self.events.append(event)
+        for endpoint in event.endpoints:
+            self.engine_view[endpoint.id] = endpoint
+            if endpoint.status is EndpointStatus.GONE:
+                del self.engine_view[endpoint.id]
+
+    def matches_discovery(self) -> bool:
+        """Return whether directory and engine know what discovery knows."""
+        directory_entries = {
+            address.name: (self._state_name(address.id), address.destination)
+            for address in listed_addresses(self.directory)
+        }
+        discovery_entries = {name: (entry["state"], entry["cell"]) for name, entry in self.emulator.entries.items()}
+        directory_endpoints = {endpoint_id: self.directory.endpoint(endpoint_id) for endpoint_id in self.directory}
+        return directory_entries == discovery_entries and self.engine_view == directory_endpoints
+
+    def _state_name(self, endpoint_id: int) -> str:
+        endpoint = self.engine_view.get(endpoint_id)
+        return STATE_NAMES[endpoint.status] if endpoint else "unknown"
+
+    def is_watch_useful(self) -> bool:
+        return self.watch.connection is not None and self.watch.connection.is_useful
+
+    async def wait_for_match(self, seconds: float = 5.0) -> None:
+        await wait_until(self.matches_discovery, seconds)
+
+    async def wait_for_first_list(self) -> None:
+        """Wait until the first list has been read to its end."""
+        await wait_until(lambda: self.matches_discovery() and self.watch.first_list_read.is_set())
+
+    async def wait_for_watches(self, count: int) -> None:
+        """Wait until exactly so many watches have been opened."""
+        await wait_until(lambda: len(self.emulator.watch_writers) == count)
+
+    async def wait_for_version(self, version: int) -> None:
+        await wait_until(lambda: self.directory.version_guard.newest_version == version)
+
+
+WatchScenario = Callable[[DiscoveryEmulator, WatchTestbed], Awaitable[None]]
+
+
+def run_watch_scenario(
+    scenario: WatchScenario,
+    *scripted_responses: tuple[bytes, bool],
+    indent: int | None = None,
+    extra_endpoints: int = 0,
+    max_list_bytes: int = discovery.MAX_LIST_BYTES,
+) -> None:
+    """Run a scenario with a discovery that knows the endpoints a and b, and `extra_endpoints` named s-0, s-1, ..."""
+
+    async def run() -> None:
+        emulator = DiscoveryEmulator()
+        emulator.scripted_responses, emulator.indent = list(scripted_responses), indent
+        emulator.entries = {"a": list_entry("a"), "b": list_entry("b", destination=2)}
+        for number in range(extra_endpoints):
+            emulator.entries[f"s-{number}"] = list_entry(f"s-{number}", destination=number % 50)
+        testbed = WatchTestbed(emulator, await emulator.start(), max_list_bytes)
+        try:
+            await scenario(emulator, testbed)
+        finally:
+            testbed.watch.close()
+            emulator.close()
+            await asyncio.sleep(0)
+
+    asyncio.run(run())
