--- a/tests/platform_relay/relay_testbed.py
+++ b/tests/platform_relay/relay_testbed.py
@@ -6,12 +6,16 @@
 import json
 import shutil
 from collections.abc import Awaitable, Callable
+from dataclasses import dataclass
 from pathlib import Path
 from typing import Any
 
 from linnetstile.platform_relay import config
 from linnetstile.platform_relay.relay import PlatformRelay
 
+from .http_messages import CHUNKED_RESPONSE_HEAD, OK_RESPONSE, read_http
+from .list_factories import list_entry
+
 CLASSES = [
     {"name": "order", "effect": "by_key", "aim-ms": 1000.0, "deadline-ms": 6000.0, "window-ms": 4000.0},
     {"name": "pay", "effect": "once", "aim-ms": 1000.0, "deadline-ms": 6000.0},
@@ -35,40 +39,74 @@
     },
     "safety": {"drain-grace-ms": 250.0, "cold-from": 0.2, "cold-ms": 5000.0, "fall-multiple": 2.0},
 }
-OK_RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
+NOTICE_PATH = "/v2/finals"
+NOTICE_ACCEPTED = 204
+
+Address = tuple[str, int]
 Serve = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
 
 
-async def read_http(reader: asyncio.StreamReader) -> tuple[str, dict[str, str], bytes]:
-    """Read one request or response with a length: first line, fields in lower case, body."""
-    head = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1").split("\r\n")
-    fields = {k.lower(): v.strip() for k, _, v in (line.partition(":") for line in head[1:] if line)}
-    return head[0], fields, await reader.readexactly(int(fields.get("content-length", "0")))
+@dataclass(frozen=True)
+class EndpointCall:
+    """A call that an endpoint received; names of `fields` are in lower case."""
+
+    destination: int
+    fields: dict[str, str]
+    body: bytes
+
+    @property
+    def submission_id(self) -> str:
+        """The client's identifier of the message."""
+        return self.fields["x-correlation-id"]
+
+
+def with_limits(**limits: Any) -> dict[str, Any]:
+    """Return the settings with other limits; _ stands for - in their names."""
+    return SETTINGS | {"limits": SETTINGS["limits"] | {name.replace("_", "-"): limits[name] for name in limits}}
+
+
+def with_state(entries: list[dict[str, Any]], state: str) -> list[dict[str, Any]]:
+    """Return entries of a list, each in the given state."""
+    return [{**entry, "state": state} for entry in entries]
 
 
 class RelayTestbed:
     """Relays, and the platform around them.
 
-    `scripted_answers` has, by destination, the answers still to give, as bytes; None gives none. Without one left: 200.
+    Attributes:
+        state_folder: Folder of the next relay's journal.
+        settings: Settings of the next relay.
+        entries: Entries of discovery's list.
+        scripted_responses: By destination, the responses still to be given; None gives none. Without one left: 200.
+        endpoint_calls: Calls that endpoints received.
+        endpoint_connections: Number of connections made to endpoints.
+        notices: Notices that the platform accepted.
+        notice_statuses: Statuses with which notices are answered; the last one stays.
+        watch_writers: The connection of each watch.
+        stalled_watch_responses: A watch gets the next one of these and no more.
     """
 
-    def __init__(self, state: Path) -> None:
-        self.state = state
-        self.scripted_answers: dict[int, list[bytes | None]] = {}
-        self.endpoint_calls: list[tuple[int, dict[str, str], bytes]] = []
+    def __init__(self, state_folder: Path) -> None:
+        self.state_folder = state_folder
+        self.settings = SETTINGS
+        self.entries: list[dict[str, Any]] = []
+        self.scripted_responses: dict[int, list[bytes | None]] = {}
+        self.endpoint_calls: list[EndpointCall] = []
+        self.endpoint_connections = 0
         self.notices: list[dict[str, Any]] = []
+        self.notice_statuses = [NOTICE_ACCEPTED]
         self.watch_writers: list[asyncio.StreamWriter] = []
-        self.entries: list[dict[str, Any]] = []
-        self.notice_status = [204]
-        self.stalled_answers: list[bytes] = []  # a watch says this and no more, one after the other
+        self.stalled_watch_responses: list[bytes] = []
         self.list_version = 1
         self.servers: list[asyncio.Server] = []
         self.writers: set[asyncio.StreamWriter] = set()
         self.relays: list[PlatformRelay] = []
-        self.endpoint_connections = 0  # made to endpoints
-        self.settings = SETTINGS  # the settings of the next relay
+
+    # -- servers -------------------------------------------------------------------------------------------------
 
     async def listen(self, serve: Serve) -> int:
+        """Serve connections on a new port; return it."""
+
         async def serve_connection(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             self.writers.add(writer)
             try:
@@ -84,62 +122,66 @@
         return int(server.sockets[0].getsockname()[1])
 
     async def add_endpoint(self, destination: int, state: str = "SERVING", serve: Serve | None = None) -> None:
-        async def scripted(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Add an endpoint to discovery's list; without `serve` it gives the scripted responses."""
+
+        async def serve_scripted(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             self.endpoint_connections += 1
             while True:
                 _, fields, body = await read_http(reader)
-                self.endpoint_calls.append((destination, fields, body))
-                answer = (
-                    self.scripted_answers[destination].pop(0) if self.scripted_answers.get(destination) else OK_RESPONSE
-                )
-                if answer is not None:
-                    writer.write(answer)
-
-        port = await self.listen(serve or scripted)
-        self.entries.append(
-            {
-                "id": f"s-{len(self.entries)}",
-                "addr": f"127.0.0.1:{port}",
-                "zone": "z",
-                "kind": "k",
-                "cell": destination,
-                "state": state,
-                "weight": 50.0,
-                "started_ms": 0,
-            }
-        )
+                self.endpoint_calls.append(EndpointCall(destination, fields, body))
+                responses = self.scripted_responses.get(destination)
+                response = responses.pop(0) if responses else OK_RESPONSE
+                if response is not None:
+                    writer.write(response)
+
+        port = await self.listen(serve or serve_scripted)
+        name = f"s-{len(self.entries)}"
+        address = f"127.0.0.1:{port}"
+        self.entries.append(list_entry(name, state, destination, addr=address, weight=50.0, started_ms=0))
+
+    async def start_discovery(self) -> Address:
+        """Start a server for watches and notices; return its address."""
 
-    async def start_discovery(self) -> tuple[str, int]:
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             while True:
-                first, _, body = await read_http(reader)
-                if first.startswith("POST /v2/finals"):
-                    status = self.notice_status.pop(0) if len(self.notice_status) > 1 else self.notice_status[0]
-                    if status == 204:
-                        self.notices += [json.loads(line) for line in body.splitlines()]
-                    writer.write(
-                        b"HTTP/1.1 %d X\r\n%s\r\n" % (status, b"" if status == 204 else b"Content-Length: 0\r\n")
-                    )
+                request_line, _, body = await read_http(reader)
+                if request_line.startswith(f"POST {NOTICE_PATH}"):
+                    self._receive_notices(writer, body)
                 else:
-                    self.watch_writers.append(writer)
-                    if self.stalled_answers:
-                        writer.write(self.stalled_answers.pop(0))
-                        continue
-                    writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-                    self.send_list(writer, self.entries, True)
+                    self._open_watch(writer)
 
         return "127.0.0.1", await self.listen(serve)
 
-    def send_list(self, writer: asyncio.StreamWriter, entries: list[dict[str, Any]], full: bool = False) -> None:
+    def _receive_notices(self, writer: asyncio.StreamWriter, body: bytes) -> None:
+        statuses = self.notice_statuses
+        status = statuses.pop(0) if len(statuses) > 1 else statuses[0]
+        if status == NOTICE_ACCEPTED:
+            self.notices += [json.loads(line) for line in body.splitlines()]
+            writer.write(b"HTTP/1.1 204 X\r\n\r\n")
+        else:
+            writer.write(b"HTTP/1.1 %d X\r\nContent-Length: 0\r\n\r\n" % status)
+
+    def _open_watch(self, writer: asyncio.StreamWriter) -> None:
+        self.watch_writers.append(writer)
+        if self.stalled_watch_responses:
+            writer.write(self.stalled_watch_responses.pop(0))
+            return
+        writer.write(CHUNKED_RESPONSE_HEAD)
+        self.send_list(self.entries, full=True)
+
+    def send_list(self, entries: list[dict[str, Any]], full: bool = False) -> None:
+        """Send a list, or changes of it, to the watch opened last."""
         self.list_version += 1
         line = json.dumps({"version": self.list_version, "full": full, "servers": entries}).encode() + b"\n"
-        writer.write(b"%x\r\n%s\r\n" % (len(line), line))
+        self.watch_writers[-1].write(b"%x\r\n%s\r\n" % (len(line), line))
 
-    async def start_relay(self, discovery: tuple[str, int] | None = None, **limits: Any) -> PlatformRelay:
-        """Start a relay and wait until it is ready."""
-        host, port = discovery or await self.start_discovery()
-        self.state.parent.mkdir(parents=True, exist_ok=True)
-        path = self.state.parent / "config.json"
+    # -- relays --------------------------------------------------------------------------------------------------
+
+    async def start_relay(self, discovery_address: Address | None = None, **limits: Any) -> PlatformRelay:
+        """Start a relay and wait until it is ready; `limits` are those of its process."""
+        host, port = discovery_address or await self.start_discovery()
+        self.state_folder.parent.mkdir(parents=True, exist_ok=True)
+        path = self.state_folder.parent / "config.json"
         path.write_text(
             json.dumps(
                 {
@@ -152,21 +194,21 @@
                 }
             )
         )
-        settings = config.load({"GW_CONFIG": str(path), "GW_STATE": str(self.state)})
+        settings = config.load({"GW_CONFIG": str(path), "GW_STATE": str(self.state_folder)})
         relay = PlatformRelay(settings, lambda event, **fields: None)
         await relay.start()
         self.relays.append(relay)
         return relay
 
     def stop_relay(self, relay: PlatformRelay) -> None:
-        """End a relay in order; its folder is there for the next one."""
+        """Close a relay; the next one gets its folder."""
         self.relays.remove(relay)
         relay.close()
 
     def kill_relay(self, relay: PlatformRelay, folder: Path) -> None:
-        """End a relay as a kill does: its folder as it is now is there for the next one, copied to `folder`."""
-        shutil.copytree(self.state, folder)
-        self.state = folder
+        """End a relay as a kill does: the next one gets its folder as it is now, copied to `folder`."""
+        shutil.copytree(self.state_folder, folder)
+        self.state_folder = folder
         self.stop_relay(relay)
 
     def close(self) -> None:
@@ -178,58 +220,31 @@
             server.close()
 
 
-def port_of(relay: PlatformRelay) -> int:
-    listening = relay.frontend.server._server
-    assert listening is not None
-    return int(listening.sockets[0].getsockname()[1])
-
-
-def submission(
-    submission_id: str,
-    class_: str = "state",
-    destination: int = 1,
-    body: bytes = b"hello",
-    left: str = "5000m",
-    path: str = "/api",
-    **more: str,
-) -> bytes:
-    fields = {
-        "Host": "api.internal",
-        "X-Correlation-Id": submission_id,
-        "X-Service-Class": class_,
-        "X-Account": "acme",
-        "X-Time-Left": left,
-        "Envelope": f"dest={destination}",
-        "Content-Length": str(len(body)),
-    }
-    if class_ == "order":
-        fields["Idempotency-Key"] = f"key-{submission_id}"
-    fields |= {name.replace("_", "-"): value for name, value in more.items()}
-    head = "".join(f"{name}: {value}\r\n" for name, value in fields.items() if value)
-    return f"POST {path} HTTP/1.1\r\n{head}\r\n".encode() + body
-
-
-async def request_status(relay: PlatformRelay, data: bytes, seconds: float = 3.0) -> int:
-    """The status of the answer; 0 = closed without one. Raises TimeoutError."""
-    reader, writer = await asyncio.open_connection("127.0.0.1", port_of(relay))
-    try:
-        writer.write(data)
-        async with asyncio.timeout(seconds):
-            try:
-                first = await reader.readline()
-            except ConnectionError:
-                first = b""
-        return int(first.split()[1]) if first else 0
-    finally:
-        writer.close()
-
+async def wait_until(condition: Callable[[], object], seconds: float = 5.0) -> None:
+    """Wait until a condition holds.
 
-async def wait_until(done: Callable[[], object], seconds: float = 5.0) -> None:
+    Raises:
+        TimeoutError: It did not hold in time.
+    """
     async with asyncio.timeout(seconds):
-        while not done():  # noqa: ASYNC110  what is waited for is any state, not an event
+        while not condition():  # noqa: ASYNC110  what is waited for is any state, not an event
             await asyncio.sleep(0.005)
 
 
+def is_idle(relay: PlatformRelay) -> bool:
+    """Return whether a relay has neither accepted messages nor pending notices."""
+    return not relay.accepted and not relay.reporter.pending_notices
+
+
+async def wait_until_idle(relay: PlatformRelay, seconds: float = 5.0) -> None:
+    await wait_until(lambda: is_idle(relay), seconds)
+
+
+def delivered_ids(testbed: RelayTestbed) -> list[str]:
+    """Return the ids of the submissions that endpoints received, once for each attempt."""
+    return [call.submission_id for call in testbed.endpoint_calls]
+
+
 Scenario = Callable[[RelayTestbed], Awaitable[None]]
 
 
@@ -246,13 +261,3 @@
             await asyncio.sleep(0)
 
     asyncio.run(run())
-
-
-def is_idle(relay: PlatformRelay) -> bool:
-    """Return whether a relay owes nothing, neither messages nor notices."""
-    return not relay.accepted and not relay.reporter.pending_notices
-
-
-def delivered_ids(testbed: RelayTestbed) -> list[str]:
-    """Return the ids of the submissions that endpoints got, once for each attempt."""
-    return [fields["x-correlation-id"] for _, fields, _ in testbed.endpoint_calls]
--- a/tests/platform_relay/test_at_most_once.py
+++ b/tests/platform_relay/test_at_most_once.py
@@ -22,7 +22,8 @@
 from linnetstile.platform_relay.journal import Journal
 from linnetstile.platform_relay.relay import PlatformRelay
 
-from .relay_testbed import OK_RESPONSE, RelayTestbed, read_http, request_status, submission, wait_until
+from .http_messages import OK_RESPONSE, read_http, request_status, submission
+from .relay_testbed import RelayTestbed, wait_until
 
 BUSY_RESPONSE = b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"
 WINDOW_S = 4.0  # of the class "order" in the testbed's settings
@@ -183,8 +184,8 @@
             first.engine.connections.stale_ratio = 1.0
         endpoint.calls.clear()
         endpoint.faults = [self.fault] + [Fault("said", "", BUSY_RESPONSE)] * (8 if self.full else 0)
-        self.watched_folder = testbed.state
-        assert await request_status(first, submission("m", self.class_, left=TIME_LEFT)) == 202
+        self.watched_folder = testbed.state_folder
+        assert await request_status(first, submission("m", self.class_, time_left=TIME_LEFT)) == 202
         await self.wait_for_end(first, discovery_address, "again")
         self.watched_folder = None
         self.update_last_snapshot()
@@ -193,7 +194,7 @@
         before_kill = endpoint.calls, testbed.notices
         for folder, calls, notice_count in self.snapshots:
             endpoint.calls, testbed.notices = before_kill[0][:calls], before_kill[1][:notice_count]
-            testbed.state, endpoint.faults = folder, []
+            testbed.state_folder, endpoint.faults = folder, []
             second = await testbed.start_relay(discovery_address)
             await self.wait_for_end(second, discovery_address, folder.name)
             found += [
@@ -214,9 +215,9 @@
         """Wait until a relay owes nothing; a client whose message was rejected submits it to another relay."""
         await wait_until(lambda: not relay.accepted and not relay.reporter.pending_notices, 8.0)
         if ("m", "bounced") in self.notices and all(call.submission_id == "m" for call in self.endpoint.calls):
-            self.endpoint.faults, self.testbed.state = [], self.folder / f"{name}-other"
+            self.endpoint.faults, self.testbed.state_folder = [], self.folder / f"{name}-other"
             other = await self.testbed.start_relay(discovery_address)
-            assert await request_status(other, submission(name, self.class_, left=TIME_LEFT)) == 202
+            assert await request_status(other, submission(name, self.class_, time_left=TIME_LEFT)) == 202
             await wait_until(lambda: not other.accepted and not other.reporter.pending_notices, 8.0)
 
 
@@ -243,7 +244,7 @@
         if (connection == "held") <= (class_ == "pay") and (fault.stage == "accepted") <= (connection != "kept")
     ]
     kept = [scenario for scenario in all_scenarios if keep(scenario)]
-    homes = {scenario.testbed.state: scenario for scenario in kept}
+    homes = {scenario.testbed.state_folder: scenario for scenario in kept}
 
     def flushed(journal: Journal) -> bool:
         size, done = journal.size, flush(journal)
--- /dev/null
+++ b/tests/platform_relay/test_client_connections.py
@@ -0,0 +1,217 @@
+"""Clients of the relay: malformed requests, idle and silent connections, clients that disconnect, floods."""
+
+from __future__ import annotations
+
+import asyncio
+import contextlib
+import socket
+from collections.abc import Callable
+from pathlib import Path
+
+import pytest
+
+from linnetstile.net import server
+from linnetstile.platform_relay.http_frontend import Submission
+from linnetstile.platform_relay.relay import PlatformRelay
+
+from .http_messages import connect, connect_and_submit, read_status, request_status, submission
+from .relay_testbed import RelayTestbed, delivered_ids, is_idle, run_scenario, wait_until, wait_until_idle, with_limits
+
+BAD_REQUESTS = [
+    b"\x00\x01\x02 not http\r\n\r\n",
+    b"POST /api HTTP/1.1\r\nHost: x\r\nX: " + b"a" * 40_000,
+    submission("x", Content_Length="-1"),
+    submission("x", Content_Length="99999999999999999999"),
+    submission("x", Content_Length="62914560"),
+    submission("x", Transfer_Encoding="chunked"),
+    submission("x", "nonsense"),
+    submission("x", destination=999),
+    submission("x", Envelope="dest=one"),
+    submission("x", time_left="soon"),
+    submission("x", time_left="-5m"),
+    submission("x", time_left="99999999m"),
+    submission(""),
+    submission("x", X_Account="nobody"),
+    submission("x", "order", Idempotency_Key=""),
+    submission("x").replace(b"/api", b"/other"),
+    submission("x").replace(b"POST", b"GET"),
+    submission("x", Content_Length="500"),
+]
+
+
+@pytest.mark.parametrize("number", range(len(BAD_REQUESTS)))
+def test_bad_request_gets_an_error_or_a_close_in_time_and_nothing_is_accepted(tmp_path: Path, number: int) -> None:
+    async def scenario(testbed: RelayTestbed) -> None:
+        relay = await testbed.start_relay()
+        assert await request_status(relay, BAD_REQUESTS[number], 3.0) not in (200, 202)
+        assert not relay.accepted
+        assert not testbed.endpoint_calls
+        assert await request_status(relay, submission("good")) == 202
+
+    run_scenario(tmp_path, scenario)
+
+
+def test_idle_client_connections_stay_below_the_clients_third_of_descriptors(tmp_path: Path) -> None:
+    async def scenario(testbed: RelayTestbed) -> None:
+        testbed.settings = with_limits(open_cap=200)  # so that no message is rejected for lack of capacity
+        relay = await testbed.start_relay(sockets=120)
+        writers = []
+        for number in range(60):  # each client submits one message and stays connected
+            reader, writer = await connect(relay)
+            writer.write(submission(f"m{number}"))
+            assert b" 202 " in await reader.readline()
+            writers.append(writer)
+            assert len(relay.frontend.server.connections) <= 40
+        await asyncio.sleep(2.5)  # none of them stays open for good
+        assert not relay.frontend.server.connections
+        for writer in writers:
+            writer.close()
+
+    run_scenario(tmp_path, scenario)
+
+
+def test_silent_clients_are_disconnected(tmp_path: Path) -> None:
+    async def scenario(testbed: RelayTestbed) -> None:
+        relay = await testbed.start_relay(sockets=128)
+        silent_clients = [await connect(relay) for _ in range(100)]
+        assert await request_status(relay, submission("m")) == 202
+        async with asyncio.timeout(3.0):
+            for reader, _ in silent_clients:
+                with contextlib.suppress(ConnectionError):
+                    assert await reader.read() == b""
+        for _, writer in silent_clients:
+            writer.close()
+
+    run_scenario(tmp_path, scenario)
+
+
+def test_submission_id_of_a_pending_message_is_not_accepted_again(tmp_path: Path) -> None:
+    async def scenario(testbed: RelayTestbed) -> None:
+        relay = await testbed.start_relay(sockets=128)
+        testbed.scripted_responses[1] = [None]
+        assert await request_status(relay, submission("m")) == 202
+        assert await request_status(relay, submission("m", body=b"other")) == 409
+
+    run_scenario(tmp_path, scenario)
+
+
+def expire_idle_connections(relay: PlatformRelay) -> None:
+    for connection in relay.frontend.server.connections:
+        connection.close_for_limit("idle")
+
+
+def make_room_for_a_connection(relay: PlatformRelay) -> None:
+    arriving_connection = next(iter(relay.frontend.server.connections))
+    relay.frontend.server.make_room_for(arriving_connection)
+
+
+CLOSE_REASONS: dict[str, Callable[[PlatformRelay], None]] = {
+    "shutdown": lambda relay: relay.frontend.stop_admitting(),
+    "idle timeout": expire_idle_connections,
+    "eviction for another connection": make_room_for_a_connection,
+}
+
+
+@pytest.mark.parametrize("reason", CLOSE_REASONS)
+def test_request_that_arrives_as_its_idle_connection_is_closed_is_answered(tmp_path: Path, reason: str) -> None:
+    async def scenario(testbed: RelayTestbed) -> None:
+        relay = await testbed.start_relay(sockets=64)
+        client_count = relay.limits.max_client_connections if reason.startswith("eviction") else 1
+        clients = [await connect_and_submit(relay, f"m{number}") for number in range(client_count)]
+        for number, (_, writer) in enumerate(clients):
+            writer.write(submission(f"next{number}"))
+        CLOSE_REASONS[reason](relay)
+        statuses = [await read_status(reader) for reader, _ in clients]
+        assert statuses == ([503] if reason == "shutdown" else [202] * len(clients))
+        for _, writer in clients:
+            writer.close()
+
+    run_scenario(tmp_path, scenario)
+
+
+@pytest.mark.parametrize("destination", [1, 7])
+def test_client_that_disconnects_before_its_response_leaves_no_message(tmp_path: Path, destination: int) -> None:
+    async def scenario(testbed: RelayTestbed) -> None:
+        await testbed.add_endpoint(7, "DRAINING")  # a known destination to which nothing may be sent
+        relay = await testbed.start_relay()
+        _, writer = await connect(relay)
+        await wait_until(lambda: relay.frontend.server.connections)
+        on_submission = relay.frontend.on_submission
+
+        def submit_and_disconnect(request: server.RequestContext, submitted: Submission) -> None:
+            on_submission(request, submitted)
+            request.connection.transport.abort()
+
+        relay.frontend.on_submission = submit_and_disconnect
+        writer.write(submission("m", destination=destination))
+        await wait_until(lambda: relay.counts.get("unheard"))
+        await asyncio.sleep(0.05)
+        assert not relay.accepted
+        assert not relay.engine.queues.messages
+        assert relay.journal.message_bytes == 0
+        assert not relay.engine.in_flight
+        assert not testbed.endpoint_calls
+        assert not testbed.notices
+        writer.close()
+
+    run_scenario(tmp_path, scenario)
+
+
+def test_message_whose_client_closes_as_it_is_acknowledged_has_one_result(tmp_path: Path) -> None:
+    """The close has arrived and is not read as the 202 is written: the message is accepted."""
+
+    async def scenario(testbed: RelayTestbed) -> None:
+        relay = await testbed.start_relay()
+        _, writer = await connect_and_submit(relay)
+        await wait_until_idle(relay)
+        on_submission = relay.frontend.on_submission
+
+        def submit_and_close(request: server.RequestContext, submitted: Submission) -> None:
+            on_submission(request, submitted)
+            writer.close()  # arrives before the turn that answers
+
+        relay.frontend.on_submission = submit_and_close
+        writer.write(submission("m", "pay"))
+        await wait_until(lambda: "m" in relay.accepted.submission_ids)
+        await wait_until_idle(relay)
+        assert delivered_ids(testbed).count("m") == 1
+        assert not testbed.notices
+        assert not relay.engine.queues.messages
+
+    run_scenario(tmp_path, scenario)
+
+
+def test_flood_of_requests_on_one_connection_does_not_delay_other_clients(tmp_path: Path) -> None:
+    async def scenario(testbed: RelayTestbed) -> None:
+        testbed.settings = with_limits(open_cap=100_000)
+        relay = await testbed.start_relay()
+        _, flooding_writer = await connect(relay)
+        requests = [submission(f"f{number}", destination=9, time_left="500m") for number in range(3000)]
+        flooding_writer.write(b"".join(requests))
+        for number in range(20):
+            assert await request_status(relay, submission(f"m{number}"), 0.4) == 202
+            connections = relay.frontend.server.connections
+            assert all(connection.parser.buffered_bytes < 200_000 for connection in connections)
+            assert all(len(connection.pending_events) < 100 for connection in connections)
+        flooding_writer.transport.abort()
+        await wait_until(lambda: is_idle(relay) and not relay.frontend.server.connections)
+        assert len([submission_id for submission_id in delivered_ids(testbed) if submission_id.startswith("m")]) == 20
+
+    run_scenario(tmp_path, scenario)
+
+
+def test_small_writes_are_sent_without_delay(tmp_path: Path) -> None:
+    """Closing a connection with unread bytes resets it, and the kernel drops what it has not sent yet."""
+
+    async def scenario(testbed: RelayTestbed) -> None:
+        relay = await testbed.start_relay()
+        _, writer = await connect_and_submit(relay)
+        await wait_until_idle(relay)
+        connections = [*relay.frontend.server.connections, *relay.endpoint_client.pool.connections]
+        assert len(connections) == 2
+        for connection in connections:
+            kernel_socket = connection.transport.get_extra_info("socket")
+            assert kernel_socket.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)  # type: ignore[attr-defined]
+        writer.close()
+
+    run_scenario(tmp_path, scenario)
--- a/tests/platform_relay/test_old_state.py
+++ b/tests/platform_relay/test_old_state.py
@@ -107,8 +107,8 @@
         if destination > 1:  # which each testbed has
             await testbed.add_endpoint(destination)
     testbed.settings = KILL["settings"]
-    testbed.state = tmp_path / folder
-    shutil.copytree(DATA / folder, testbed.state)
+    testbed.state_folder = tmp_path / folder
+    shutil.copytree(DATA / folder, testbed.state_folder)
 
 
 @pytest.fixture
@@ -137,12 +137,12 @@
 def test_message_behind_an_old_notice_waits_until_the_platform_has_it(tmp_path: Path) -> None:
     async def scenario(testbed: RelayTestbed) -> None:
         await prepare_platform(testbed, tmp_path, "killed")
-        testbed.notice_status = [500]
+        testbed.notice_statuses = [500]
         relay = await testbed.start_relay()
         await wait_until(lambda: relay.delivery.waiting_for_order)
         await asyncio.sleep(0.1)
         assert "behind-charge" not in delivered_ids(testbed)
-        testbed.notice_status = [204]
+        testbed.notice_statuses = [204]
         await wait_until(lambda: "behind-charge" in delivered_ids(testbed))
         assert "rejected-charge" in {notice["ref"] for notice in testbed.notices}
 
--- a/tests/platform_relay/test_recovery.py
+++ b/tests/platform_relay/test_recovery.py
@@ -1,9 +1,12 @@
-"""Recovery: every accepted message without an attempt is sent after a restart, whatever has changed meanwhile."""
+"""Recovery: accepted messages after a kill or a restart, whatever has changed meanwhile."""
 
 from __future__ import annotations
 
 import asyncio
+import errno
 import os
+import shutil
+from dataclasses import dataclass
 from pathlib import Path
 from typing import Any
 
@@ -11,162 +14,247 @@
 
 from linnetstile.platform_relay import clock
 
+from .http_messages import MALFORMED_RESPONSE, OK_RESPONSE, rejection, request_status, submission
+from .journal_hooks import call_after_each_write
 from .relay_testbed import (
     CLASSES,
     SETTINGS,
+    Address,
     RelayTestbed,
     delivered_ids,
-    is_idle,
-    request_status,
     run_scenario,
-    submission,
     wait_until,
+    wait_until_idle,
+    with_limits,
+    with_state,
 )
 
-COUNT = 12
+MESSAGE_COUNT = 12
 
 
-def renamed(raw: dict[str, Any], part: str, name: str) -> dict[str, Any]:
-    return raw | {part: [{**each, "name": "new"} if each["name"] == name else each for each in raw[part]]}
+def with_renamed(part: str, name: str) -> dict[str, Any]:
+    """Return the settings with another name for the item `name` of a part."""
+    return SETTINGS | {part: [{**item, "name": "new"} if item["name"] == name else item for item in SETTINGS[part]]}
 
 
-CHANGES: dict[str, dict[str, Any]] = {
-    "nothing": SETTINGS,
+SETTINGS_AFTER_RESTART: dict[str, dict[str, Any]] = {
+    "unchanged": SETTINGS,
     "classes in another order": SETTINGS | {"classes": CLASSES[::-1]},
-    "a class gone": renamed(SETTINGS, "classes", "state"),
-    "all classes gone": SETTINGS | {"classes": [{**CLASSES[1], "name": "other"}]},
-    "the tenant gone": renamed(SETTINGS, "orgs", "acme"),
+    "one class removed": with_renamed("classes", "state"),
+    "all classes removed": SETTINGS | {"classes": [{**CLASSES[1], "name": "other"}]},
+    "tenant removed": with_renamed("orgs", "acme"),
     "no tenants": {key: value for key, value in SETTINGS.items() if key != "orgs"},
     "another zone": SETTINGS | {"zones": ["y", "z"]},
     "other kinds": SETTINGS | {"kinds": ["j"]},
-    "fewer slots": SETTINGS | {"extra": {"call-slots": 1}},
-    "a smaller hold": SETTINGS | {"limits": SETTINGS["limits"] | {"open-cap": 14}},
+    "fewer calls in flight": SETTINGS | {"extra": {"call-slots": 1}},
+    "fewer pending messages": with_limits(open_cap=14),
 }
 
 
-async def kill_with_untried_messages(testbed: RelayTestbed, state: Path) -> tuple[str, int]:
+async def kill_with_unsent_messages(testbed: RelayTestbed, folder: Path) -> Address:
     """Kill a relay that accepted messages of each class and sent none; return discovery's address."""
     discovery_address = await testbed.start_discovery()
     first = await testbed.start_relay(discovery_address)
-    testbed.send_list(testbed.watch_writers[-1], [{**each, "state": "DRAINING"} for each in testbed.entries])
+    testbed.send_list(with_state(testbed.entries, "DRAINING"))
     await wait_until(lambda: not len(first.engine.routing_table.index))
-    for n in range(COUNT):
-        assert (
-            await request_status(first, submission(f"m{n}", str(CLASSES[n % len(CLASSES)]["name"]), left="5500m"))
-            == 202
-        )
-    testbed.kill_relay(first, state / "as killed")
+    for number in range(MESSAGE_COUNT):
+        class_name = str(CLASSES[number % len(CLASSES)]["name"])
+        assert await request_status(first, submission(f"m{number}", class_name, time_left="5500m")) == 202
+    testbed.kill_relay(first, folder / "as killed")
     assert not testbed.endpoint_calls
     return discovery_address
 
 
-@pytest.mark.parametrize("change", CHANGES)
+@pytest.mark.parametrize("change", SETTINGS_AFTER_RESTART)
 def test_accepted_message_without_an_attempt_is_sent_after_a_restart(tmp_path: Path, change: str) -> None:
     async def scenario(testbed: RelayTestbed) -> None:
-        discovery_address = await kill_with_untried_messages(testbed, tmp_path)
-        testbed.settings = CHANGES[change]
+        discovery_address = await kill_with_unsent_messages(testbed, tmp_path)
+        testbed.settings = SETTINGS_AFTER_RESTART[change]
         second = await testbed.start_relay(discovery_address)
-        assert len(second.accepted) == COUNT
-        await wait_until(lambda: is_idle(second))
-        assert sorted(set(delivered_ids(testbed))) == sorted(f"m{n}" for n in range(COUNT))
+        assert len(second.accepted) == MESSAGE_COUNT
+        await wait_until_idle(second)
+        assert sorted(set(delivered_ids(testbed))) == sorted(f"m{number}" for number in range(MESSAGE_COUNT))
         assert not testbed.notices
 
     run_scenario(tmp_path, scenario)
 
 
+@pytest.mark.parametrize(("class_name", "is_retried"), [("state", True), ("order", True), ("pay", False)])
+def test_message_in_flight_at_a_kill_is_retried_or_notified_after_it(
+    tmp_path: Path, class_name: str, is_retried: bool
+) -> None:
+    async def scenario(testbed: RelayTestbed) -> None:
+        discovery_address = await testbed.start_discovery()
+        first = await testbed.start_relay(discovery_address)
+        testbed.scripted_responses[1] = [None]
+        assert await request_status(first, submission("m", class_name)) == 202
+        await wait_until(lambda: testbed.endpoint_calls)
+        testbed.kill_relay(first, tmp_path / "as killed")
+        second = await testbed.start_relay(discovery_address)
+        assert await request_status(second, submission("m", class_name)) == 409
+        await wait_until_idle(second)
+        assert delivered_ids(testbed) == ["m"] * (1 + is_retried)
+        assert testbed.notices == ([] if is_retried else [{"ref": "m", "result": "dead"}])
+
+    run_scenario(tmp_path, scenario)
+
+
+@dataclass(frozen=True)
+class JournalSnapshot:
+    """The state folder after a write, and how many calls endpoints had received until then."""
+
+    folder: Path
+    call_count: int
+
+
+async def record_snapshots(
+    testbed: RelayTestbed, class_name: str, monkeypatch: pytest.MonkeyPatch
+) -> list[JournalSnapshot]:
+    """Deliver a message whose first attempt is unclear; return the state after each write."""
+    snapshots: list[JournalSnapshot] = []
+    recorded_folder = testbed.state_folder
+
+    def record(folder: Path) -> None:
+        if folder == recorded_folder:
+            copy = folder.parent / f"kill-{len(snapshots)}"
+            shutil.copytree(folder, copy)
+            snapshots.append(JournalSnapshot(copy, len(testbed.endpoint_calls)))
+
+    call_after_each_write(monkeypatch, record)
+    relay = await testbed.start_relay()
+    testbed.scripted_responses[1] = [MALFORMED_RESPONSE, OK_RESPONSE]
+    assert await request_status(relay, submission("m", class_name)) == 202
+    await wait_until_idle(relay)
+    await asyncio.sleep(0.05)
+    testbed.stop_relay(relay)
+    return snapshots
+
+
+@pytest.mark.parametrize("class_name", ["pay", "state"])
+def test_message_has_one_result_and_no_second_effect_after_a_kill_at_any_write(
+    tmp_path: Path, class_name: str, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """A kill leaves the folder as it is after one of the writes that a message causes."""
+
+    async def scenario(testbed: RelayTestbed) -> None:
+        snapshots = await record_snapshots(testbed, class_name, monkeypatch)
+        assert len(snapshots) >= 4
+        discovery_address = await testbed.start_discovery()
+        for number, snapshot in enumerate(snapshots):
+            testbed.state_folder = snapshot.folder
+            testbed.endpoint_calls.clear()
+            testbed.notices.clear()
+            relay = await testbed.start_relay(discovery_address)
+            await wait_until_idle(relay)
+            testbed.stop_relay(relay)
+            sent_count, notice_count = len(testbed.endpoint_calls), len(testbed.notices)
+            is_attempted = snapshot.call_count > 0 or number > 0  # the second write has the start of an attempt
+            if class_name == "pay":
+                assert sent_count == (0 if is_attempted else 1)
+                assert sent_count + notice_count <= 1
+            else:
+                assert sent_count <= 1
+                assert not notice_count
+
+    run_scenario(tmp_path, scenario)
+
+
 @pytest.mark.parametrize("listed", ["later", "draining at first"])
-def test_destination_that_is_not_there_yet_is_waited_for(tmp_path: Path, listed: str) -> None:
+def test_message_waits_for_a_destination_that_has_no_endpoint_yet(tmp_path: Path, listed: str) -> None:
     async def scenario(testbed: RelayTestbed) -> None:
-        discovery_address = await kill_with_untried_messages(testbed, tmp_path)
+        discovery_address = await kill_with_unsent_messages(testbed, tmp_path)
         entries = testbed.entries
-        testbed.entries = [] if listed == "later" else [{**each, "state": "DRAINING"} for each in entries]
+        testbed.entries = [] if listed == "later" else with_state(entries, "DRAINING")
         second = await testbed.start_relay(discovery_address)
-        assert len(second.accepted) == COUNT
+        assert len(second.accepted) == MESSAGE_COUNT
         assert not testbed.endpoint_calls
-        testbed.send_list(testbed.watch_writers[-1], entries)
-        await wait_until(lambda: is_idle(second))
-        assert len(set(delivered_ids(testbed))) == COUNT
+        testbed.send_list(entries)
+        await wait_until_idle(second)
+        assert len(set(delivered_ids(testbed))) == MESSAGE_COUNT
         assert not testbed.notices
 
     run_scenario(tmp_path, scenario)
 
 
-@pytest.mark.parametrize("moved_ms", [-3_600_000.0, 0.0])
+@pytest.mark.parametrize("clock_shift_ms", [-3_600_000.0, 0.0])
 def test_clock_that_was_set_back_gives_no_message_more_time_than_it_had(
-    tmp_path: Path, moved_ms: float, monkeypatch: pytest.MonkeyPatch
+    tmp_path: Path, clock_shift_ms: float, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def scenario(testbed: RelayTestbed) -> None:
-        discovery_address = await kill_with_untried_messages(testbed, tmp_path)
+        discovery_address = await kill_with_unsent_messages(testbed, tmp_path)
         unix_ms = clock.unix_ms
-        monkeypatch.setattr(clock, "unix_ms", lambda: unix_ms() + moved_ms)
-        testbed.entries = [{**each, "state": "DRAINING"} for each in testbed.entries]
+        monkeypatch.setattr(clock, "unix_ms", lambda: unix_ms() + clock_shift_ms)
+        testbed.entries = with_state(testbed.entries, "DRAINING")
         second = await testbed.start_relay(discovery_address)
         await asyncio.sleep(0)
-        held = second.engine.queues.messages.values()
-        assert len(held) == COUNT
-        assert all(0 < each.deadline - second.engine_loop.now <= 5500 for each in held)
+        messages = second.engine.queues.messages.values()
+        assert len(messages) == MESSAGE_COUNT
+        assert all(0 < message.deadline - second.engine_loop.now <= 5500 for message in messages)
 
     run_scenario(tmp_path, scenario)
 
 
-@pytest.mark.parametrize("risky", [True, False])
-def test_message_of_a_removed_class_is_sent_but_never_retried_once_it_may_have_run(tmp_path: Path, risky: bool) -> None:
+@pytest.mark.parametrize("may_have_run", [True, False])
+def test_message_of_a_removed_class_is_sent_but_never_retried_once_it_may_have_run(
+    tmp_path: Path, may_have_run: bool
+) -> None:
     async def scenario(testbed: RelayTestbed) -> None:
         discovery_address = await testbed.start_discovery()
         first = await testbed.start_relay(discovery_address)
-        testbed.scripted_answers[1] = [
-            None if risky else b"HTTP/1.1 429 X\r\nRetry-After: 1\r\nContent-Length: 0\r\n\r\n"
-        ]
+        testbed.scripted_responses[1] = [None if may_have_run else rejection(429, retry_after_s=1)]
         assert await request_status(first, submission("m", "state")) == 202
-        await wait_until(lambda: testbed.endpoint_calls if risky else first.counts.get("ended_full"))
+        await wait_until(lambda: testbed.endpoint_calls if may_have_run else first.counts.get("ended_full"))
         testbed.kill_relay(first, tmp_path / "as killed")
-        testbed.settings = renamed(SETTINGS, "classes", "state")
+        testbed.settings = with_renamed("classes", "state")
         second = await testbed.start_relay(discovery_address)
-        assert await request_status(second, submission("n", "")) == 400  # nobody can name that class
-        await wait_until(lambda: is_idle(second))
-        assert delivered_ids(testbed) == (["m"] if risky else ["m", "m"])
-        assert testbed.notices == ([{"ref": "m", "result": "dead"}] if risky else [])
+        assert await request_status(second, submission("n", "")) == 400  # no client can name the removed class
+        await wait_until_idle(second)
+        assert delivered_ids(testbed) == (["m"] if may_have_run else ["m", "m"])
+        assert testbed.notices == ([{"ref": "m", "result": "dead"}] if may_have_run else [])
 
     run_scenario(tmp_path, scenario)
 
 
-def test_relay_starts_on_what_there_is_where_the_disk_takes_no_new_file(
+def test_relay_starts_with_the_old_journal_if_the_disk_has_no_room_for_a_new_one(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def scenario(testbed: RelayTestbed) -> None:
-        discovery_address = await kill_with_untried_messages(testbed, tmp_path)
+        discovery_address = await kill_with_unsent_messages(testbed, tmp_path)
         rename = os.rename
 
-        def full(*names: Any) -> None:
-            raise OSError(28, "No space left on device")
+        def fail(*paths: Any) -> None:
+            raise OSError(errno.ENOSPC, "No space left on device")
 
-        monkeypatch.setattr(os, "rename", full)
+        monkeypatch.setattr(os, "rename", fail)
         second = await testbed.start_relay(discovery_address)
-        assert len(second.accepted) == COUNT
+        assert len(second.accepted) == MESSAGE_COUNT
         assert second.journal.failed_writes
         monkeypatch.setattr(os, "rename", rename)
-        await wait_until(lambda: is_idle(second))
-        assert len(set(delivered_ids(testbed))) == COUNT
+        await wait_until_idle(second)
+        assert len(set(delivered_ids(testbed))) == MESSAGE_COUNT
         assert not testbed.notices
         assert second.journal.size <= second.journal.compaction_bytes  # rewritten as soon as there was room
 
     run_scenario(tmp_path, scenario)
 
 
-def test_identifier_that_ended_before_a_restart_is_a_new_one_after_it(tmp_path: Path) -> None:
-    """What it costs that ended identifiers are not kept: work that may run only once runs again for a client that
-    hands in the same identifier after the end and after a restart, which the platform's page rules out."""
+def test_submission_id_of_a_completed_message_is_accepted_again_after_a_restart(tmp_path: Path) -> None:
+    """Completed ids are not journaled, so that a non-idempotent message can run twice.
+
+    This needs a client that submits the same id after the completion and after a restart, which the platform's rules
+    exclude.
+    """
 
     async def scenario(testbed: RelayTestbed) -> None:
         discovery_address = await testbed.start_discovery()
         first = await testbed.start_relay(discovery_address)
         assert await request_status(first, submission("m", "pay")) == 202
-        await wait_until(lambda: is_idle(first))
+        await wait_until_idle(first)
         assert await request_status(first, submission("m", "pay")) == 409
         testbed.stop_relay(first)
         second = await testbed.start_relay(discovery_address)
         assert await request_status(second, submission("m", "pay")) == 202
-        await wait_until(lambda: is_idle(second))
+        await wait_until_idle(second)
         assert delivered_ids(testbed) == ["m", "m"]
         assert await request_status(second, submission("m", "pay")) == 409
 
