--- a/linnetstile/testbed/scale/comparison_bench.py
+++ b/linnetstile/testbed/scale/comparison_bench.py
@@ -12,58 +12,63 @@
 from ...net import client, server
 from .discovery_model import FIRST_VERSION
 from .errors import RelayStartError
-from .reference_model import MESSAGE_DEADLINE_MS, NO_ENDPOINT
+from .platform_model import PlatformModel
+from .reference_model import MESSAGE_DEADLINE_MS, NO_ENDPOINT, Delivery
 from .relay_process import RelayConfig, RelayProcess
-from .world_model import World
 
 MEMORY_BYTES = 3 * 1000**3
 """Memory of all relay processes together."""
 START_TIMEOUT_S = 20.0
 START_POLL_S = 0.02
 CHANGE_TIMEOUT_S = 6.0
-"""A change that a relay does not act on within this time is given up."""
+"""Time limit for a relay to act on a change."""
 MESSAGE_INTERVAL_S = 0.06
 """Between two messages that look for the endpoint in force."""
 HTTP_TIMEOUT_S = 2.0
 LOG_TAIL = 300
 """Characters of the log in the error of a relay that did not start."""
 LOST = "lost"
-"""Where a message went of which nothing was heard."""
+"""Stands for the endpoint of a message without a result."""
 ACCEPTED_STATUSES = (200, 202)
 
 
 @dataclass(slots=True)
-class WorldSource(Source):
-    """The list of a world, as the discovery emulator asks for it."""
+class PlatformSource(Source):
+    """The list of a platform, as the discovery emulator asks for it."""
 
-    world: World
+    platform: PlatformModel
     version: int = FIRST_VERSION
 
     def whole(self) -> bytes:
         """The full list."""
-        return self.world.discovery.full_list(self.version)
+        return self.platform.discovery.full_list(self.version)
 
     def since(self, version: int) -> bytes | None:
         """The changes after a version."""
-        return b"".join(change.line for change in self.world.discovery.changes_between(version, self.version))
+        return b"".join(change.line for change in self.platform.discovery.changes_between(version, self.version))
 
 
 class ComparisonBench:
-    """Owns the emulators and processes of one comparison; leave it by `close`."""
+    """Owns the emulators and processes of one comparison; `close` ends them."""
 
     def __init__(self, folder: Path, memory_bytes: int) -> None:
-        """Make an empty bench: files go to the folder, each process may use so many bytes."""
+        """Make an empty bench.
+
+        Args:
+            folder: Where the files of the processes go.
+            memory_bytes: Address space of each process.
+        """
         self.folder = folder
         self.memory_bytes = memory_bytes
         self.relays: list[RelayProcess] = []
         self.discoveries: list[DiscoveryEmulator] = []
         self.endpoints: list[server.Server] = []
         self.pool = client.ConnectionPool()
-        self._arrivals: dict[str, asyncio.Future[str]] = {}  # message -> where it went
+        self._arrivals: dict[str, asyncio.Future[str]] = {}  # by message: the port that it was delivered to
         self._sent = 0
 
     async def start_endpoint(self) -> int:
-        """Start an endpoint that takes each call; returns its port."""
+        """Start an endpoint that accepts every call; return its port."""
 
         def answer(request: server.RequestContext) -> None:
             self._arrived(request.head.headers.get("x-correlation-id"), str(port))
@@ -74,22 +79,24 @@
         port = await endpoint.start()
         return port
 
-    def _arrived(self, message: str, where: str) -> None:
+    def _arrived(self, message: str, endpoint: str) -> None:
         arrival = self._arrivals.pop(message, None)
         if arrival is not None and not arrival.done():
-            arrival.set_result(where)
+            arrival.set_result(endpoint)
 
-    async def start_discovery(self, source: WorldSource) -> tuple[DiscoveryEmulator, int]:
+    async def start_discovery(self, source: PlatformSource) -> tuple[DiscoveryEmulator, int]:
         """Start a discovery emulator; returns it and its port."""
         discovery = DiscoveryEmulator(source)
         discovery.on_notice = lambda message, result: self._arrived(message, NO_ENDPOINT)
         self.discoveries.append(discovery)
         return discovery, await discovery.start()
 
-    def start_relay(self, world: World, relay: int, name: str, discovery_port: int, seed: int) -> RelayProcess:
+    def start_relay(
+        self, platform: PlatformModel, relay: int, name: str, discovery_port: int, seed: int
+    ) -> RelayProcess:
         """Start a relay process; `wait_ready` waits until it serves."""
         config = RelayConfig(name, relay, discovery_port, seed, self.memory_bytes)
-        process = RelayProcess.start(config, world, self.folder)
+        process = RelayProcess.start(config, platform, self.folder)
         self.relays.append(process)
         return process
 
@@ -97,7 +104,7 @@
         """Wait until a relay is ready.
 
         Raises:
-            NotStarted: It ended, or took too long.
+            RelayStartError: It ended, or took too long.
         """
         until = time.monotonic() + START_TIMEOUT_S
         while (event := relay.find_ready_event()) is None:
@@ -108,7 +115,7 @@
         relay.ready = event
 
     async def find_endpoint(self, relay: RelayProcess, destination: int) -> str:
-        """Submit one message; returns the port where it went, `NO_ENDPOINT` or `LOST`."""
+        """Submit one message; return the port that it was delivered to, `NO_ENDPOINT` or `LOST`."""
         self._sent += 1
         message = f"{self._sent:016x}"
         arrival = self._arrivals[message] = asyncio.get_running_loop().create_future()
@@ -141,32 +148,28 @@
         self.pool.call(("127.0.0.1", relay.port), "POST", request, done, loop.time() + HTTP_TIMEOUT_S)
         return await status
 
-    async def await_endpoint(self, relay: RelayProcess, destination: int, expected: str) -> tuple[str, float]:
-        """Submit messages until one goes where it is expected or the time is up.
-
-        Returns:
-            Where the last one went, and after how many ms.
-        """
+    async def await_endpoint(self, relay: RelayProcess, destination: int, expected: str) -> Delivery:
+        """Submit messages until one is delivered to the expected endpoint or the time is up; return the last result."""
         began = time.monotonic()
         while True:
-            where = await self.find_endpoint(relay, destination)
+            endpoint = await self.find_endpoint(relay, destination)
             elapsed_s = time.monotonic() - began
-            if where == expected or elapsed_s > CHANGE_TIMEOUT_S:
-                return where, elapsed_s * 1000
+            if endpoint == expected or elapsed_s > CHANGE_TIMEOUT_S:
+                return Delivery(endpoint, elapsed_s * 1000)
             await asyncio.sleep(MESSAGE_INTERVAL_S)
 
     def check_running(self) -> None:
         """Check that all relays still run.
 
         Raises:
-            NotStarted: One of them has ended.
+            RelayStartError: One of them has ended.
         """
         for relay in self.relays:
             if relay.process.poll() is not None:
                 raise RelayStartError(f"{relay.name} ended by itself with {relay.process.returncode}")
 
     def close(self) -> None:
-        """End the processes, each by its handle, and all connections; no message in them is waited for."""
+        """Kill the processes, each by its handle, and close all connections; open messages are dropped."""
         for relay in self.relays:
             relay.process.kill()
         for relay in self.relays:
--- a/linnetstile/testbed/scale/destination_model.py
+++ b/linnetstile/testbed/scale/destination_model.py
@@ -1,4 +1,4 @@
-"""What a destination answers to a call, and when, as the world has it."""
+"""How and when a call to a simulated destination ends."""
 
 from __future__ import annotations
 
@@ -7,8 +7,8 @@
 
 from ...engine.actions import Send
 from ...engine.events import Outcome
+from .platform_model import Outage, PlatformModel
 from .workload import OUTAGE_ERRORS, OUTAGE_HANGS, OUTAGE_PACKETS_LOST, OUTAGE_REFUSED, region_of
-from .world_model import Outage, World
 
 SAME_REGION_MS = 2.0
 """Round trip within a region."""
@@ -27,7 +27,7 @@
         outcome: How it ends.
         at_ms: When it ends.
         outage: The outage that it met.
-        endpoint_gone: The endpoint had left the list, and no call is taken there any more.
+        endpoint_gone: The endpoint has left the list and accepts no calls any more.
     """
 
     outcome: Outcome
@@ -55,21 +55,21 @@
     now_ms: float
 
 
-def answer_call(world: World, call: Call, connect_timeout_ms: float, rng: random.Random) -> CallResult:
+def answer_call(platform: PlatformModel, call: Call, connect_timeout_ms: float, rng: random.Random) -> CallResult:
     """Play one call; draws its work."""
     round_trip_ms = SAME_REGION_MS if region_of(call.destination) == call.region else OTHER_REGION_MS
     work_ms = min(rng.expovariate(1 / MEAN_WORK_MS), LONGEST_WORK_MS)
     answered_at_ms = call.now_ms + (round_trip_ms + work_ms + call.send.last_byte_delay_ms)
-    outage = world.current_outage(call.destination, call.region, call.now_ms)
+    outage = platform.current_outage(call.destination, call.region, call.now_ms)
     endpoint_gone = False
     if outage:
         outcome, at_ms = _answer_in_outage(outage, call, round_trip_ms, answered_at_ms, connect_timeout_ms)
-    elif not world.discovery.is_reachable(call.endpoint, call.destination, call.now_ms):
+    elif not platform.discovery.is_reachable(call.endpoint, call.destination, call.now_ms):
         endpoint_gone = True
         outcome, at_ms = Outcome.CONNECT_FAILED, call.now_ms + round_trip_ms
     else:
         outcome, at_ms = Outcome.OK, answered_at_ms
-        broken_at_ms = world.next_outage_at(call.destination, call.region, call.now_ms)
+        broken_at_ms = platform.next_outage_at(call.destination, call.region, call.now_ms)
         if broken_at_ms < at_ms:
             outcome, at_ms = Outcome.RESET, broken_at_ms
     outcome, at_ms = _apply_limits(call, outcome, at_ms)
--- a/linnetstile/testbed/scale/discovery_model.py
+++ b/linnetstile/testbed/scale/discovery_model.py
@@ -56,6 +56,22 @@
     entry: bytes
 
 
+@dataclass(frozen=True, slots=True)
+class GenerationChange:
+    """From `since_ms` on, this generation of the endpoint of a destination is in force."""
+
+    since_ms: float
+    generation: int
+
+
+@dataclass(frozen=True, slots=True)
+class RateChange:
+    """From `since_ms` on, a destination advertises this rate, in calls a second."""
+
+    since_ms: float
+    rate: float
+
+
 def endpoint_name(destination: int, generation: int) -> str:
     """Identifier of the n-th endpoint of a destination."""
     return f"s-{destination:06x}{generation % 256:02x}"
@@ -68,7 +84,7 @@
     before. Times are simulated ms.
 
     Attributes:
-        ports: All endpoints lie on these two loopback ports by turns; None = at addresses that nobody calls.
+        ports: The endpoints alternate between these two loopback ports; None = they have addresses that are not called.
         destination_count: Destinations so far; grows with the changes that add one.
         changes: All changes, in the order of their versions.
         drained_endpoints: Destination and generation of the endpoints that drain beside their successor.
@@ -80,14 +96,14 @@
         self.initial_count = self.destination_count = destinations
         self.changes: list[EndpointChange] = []
         self.drained_endpoints: set[tuple[int, int]] = set()
-        self._generations: dict[int, list[tuple[float, int]]] = {}  # destination -> since when which one
-        self._rates: dict[int, list[tuple[float, float]]] = {}  # destination -> since when which advertised rate
+        self._generations: dict[int, list[GenerationChange]] = {}  # by destination, in the order of the times
+        self._rates: dict[int, list[RateChange]] = {}  # by destination
         self._initial_entries = [self._entry(destination, 0) for destination in range(destinations)]
         self._cached_list: tuple[int, bytes] = (0, b"")
 
     def rate(self, destination: int, at_ms: float) -> float:
         """Calls a second that a destination advertises at a moment."""
-        rates = [rate for since, rate in self._rates.get(destination, ()) if since <= at_ms]
+        rates = [change.rate for change in self._rates.get(destination, ()) if change.since_ms <= at_ms]
         return rates[-1] if rates else round(LISTED_RATE, 3)
 
     def generation(self, destination: int, at_ms: float) -> int:
@@ -96,8 +112,8 @@
         generations = self._generations.get(destination)
         if generations is None:
             return initial
-        found = bisect_right(generations, at_ms, key=lambda each: each[0])
-        return generations[found - 1][1] if found else initial
+        found = bisect_right(generations, at_ms, key=lambda change: change.since_ms)
+        return generations[found - 1].generation if found else initial
 
     def is_reachable(self, name: str, destination: int, at_ms: float) -> bool:
         """Whether an endpoint still takes calls: it is in force, or drains beside its successor."""
@@ -141,7 +157,7 @@
         return FIRST_VERSION + bisect_right(self.changes, at_ms, key=lambda change: change.at_ms)
 
     def full_list(self, version: int) -> bytes:
-        """The line with the full list as of a version; endpoints that were replaced are not in it, drained or not."""
+        """Return the line with the full list at a version; replaced endpoints are not in it, draining or not."""
         if self._cached_list[0] != version:
             self._cached_list = version, self._build_full_list(version)
         return self._cached_list[1]
@@ -154,24 +170,24 @@
         destination = self.destination_count
         self.destination_count += 1
         entry = self._entry(destination, 0)
-        self._generations[destination] = [(since_ms, 0)]
+        self._generations[destination] = [GenerationChange(since_ms, 0)]
         return entry
 
     def _change_rate(self, destination: int, at_ms: float, since_ms: float, rng: random.Random) -> bytes:
         rate = round(LISTED_RATE * rng.uniform(*LISTED_RATE_SPREAD), 3)
-        self._rates.setdefault(destination, []).append((since_ms, rate))
+        self._rates.setdefault(destination, []).append(RateChange(since_ms, rate))
         return self._entry(destination, self.generation(destination, at_ms))
 
     def _remove(self, destination: int, at_ms: float, since_ms: float) -> bytes:
         entry = self._entry(destination, self.generation(destination, at_ms), EntryState.DELETED)
-        self._generations.setdefault(destination, []).append((since_ms, NO_ENDPOINT))
+        self._generations.setdefault(destination, []).append(GenerationChange(since_ms, NO_ENDPOINT))
         return entry
 
     def _replace(self, destination: int, at_ms: float, since_ms: float, drained: bool) -> list[bytes]:
         generation = self.generation(destination, at_ms)
         old_state = EntryState.DRAINING if drained else EntryState.DELETED
         entries = [self._entry(destination, generation, old_state), self._entry(destination, generation + 1)]
-        self._generations.setdefault(destination, []).append((since_ms, generation + 1))
+        self._generations.setdefault(destination, []).append(GenerationChange(since_ms, generation + 1))
         if drained:
             self.drained_endpoints.add((destination, generation))
         return entries
@@ -186,7 +202,7 @@
         return b'{"version":%d,"full":true,"servers":[%s]}\n' % (version, listed)
 
     def _entry(self, destination: int, generation: int, state: EntryState = EntryState.SERVING) -> bytes:
-        """One entry as it travels, with the rate that was advertised last."""
+        """Return one entry as discovery sends it, with the rate that was advertised last."""
         return json.dumps(
             {
                 "id": endpoint_name(destination, generation),
--- a/linnetstile/testbed/scale/fleet.py
+++ b/linnetstile/testbed/scale/fleet.py
@@ -1,4 +1,4 @@
-"""Plays the simulated fleet in worker processes, bounded in time and memory; none of them outlives the run."""
+"""Simulates the fleet in worker processes, bounded in time and memory; none of them outlives the run."""
 
 from __future__ import annotations
 
@@ -15,18 +15,20 @@
 from .list_cost import ListCost
 from .membership_simulation import MembershipResult
 from .options import ScaleOptions
+from .platform_model import PlatformModel
 from .trace import RelayTrace
 from .worker import COSTS_JOB, MEMBERSHIP_JOB, RELAYS_JOB, Job, PeakMemory, WorkerError, WorkerMessage, run_job
-from .world_model import World
 
 MEMORY_BYTES = 12 * 1000**3
 """Memory of the whole run."""
 RESERVED_MEMORY_BYTES = 1000**3 + comparison_bench.MEMORY_BYTES
-"""Of it, for the first process with the report, and for relay processes."""
+"""Part of it for the main process with the report, and for the relay processes."""
 PROGRESS_INTERVAL_S = 2.0
 GRACE_S = 20.0
-"""Beyond its time, for a worker that is in the middle of a list."""
+"""Time beyond the limit for a worker that is in the middle of a list."""
 JOIN_S = 5.0
+FIXED_JOBS = 2
+"""Jobs beside those that simulate relays: list costs and membership."""
 
 
 @dataclass(slots=True)
@@ -45,15 +47,15 @@
     membership: MembershipResult | None = None
     peak_memory: dict[str, int] = field(default_factory=dict)
 
-    def check(self, world: World) -> None:
-        """Check that all workers have played this world: their figures are held against its changes and outages.
+    def check(self, platform: PlatformModel) -> None:
+        """Check that all workers have simulated this platform: the report compares their traces with its outages.
 
         Raises:
-            Failed: A worker has played another world.
+            RunFailedError: A worker has simulated another one.
         """
-        fingerprint = world.fingerprint()
+        fingerprint = platform.fingerprint()
         for trace in self.traces:
-            if trace.world_fingerprint != fingerprint:
+            if trace.platform_fingerprint != fingerprint:
                 raise RunFailedError(f"relay {trace.relay} played another world: the program was changed while it ran")
 
 
@@ -97,18 +99,18 @@
         """Wait until all workers have ended.
 
         Raises:
-            Failed: A worker failed or did not end in time.
+            RunFailedError: A worker failed or did not end in time.
         """
-        running, reported = dict(self.workers), time.monotonic()
+        running = dict(self.workers)
+        reported = time.monotonic()
         while running:
             for pipe in wait(list(running), timeout=PROGRESS_INTERVAL_S):
                 assert isinstance(pipe, Connection)
                 self._receive(pipe, running)
             now = time.monotonic()
             if now > self.until:
-                raise RunFailedError(
-                    "the time is up: " + ", ".join(each.name for each in running.values()) + " did not end"
-                )
+                unfinished = ", ".join(worker.name for worker in running.values())
+                raise RunFailedError(f"the time is up: {unfinished} did not end")
             if now - reported > PROGRESS_INTERVAL_S:
                 reported = now
                 self._report_progress(now, running)
@@ -138,7 +140,7 @@
                 raise RunFailedError(text)
 
     def _report_progress(self, now: float, running: dict[Connection, Worker]) -> None:
-        at_work = ", ".join(sorted(each.name for each in running.values()))
+        at_work = ", ".join(sorted(worker.name for worker in running.values()))
         total = len(self.options.simulated_relays)
         played = len(self.result.traces)
         self.report_progress(f"{now - self.began:6.1f} s  {played} of {total} relays played; at work: {at_work}")
@@ -153,15 +155,16 @@
 
 
 def _jobs(options: ScaleOptions, resumes_by_version: bool, seconds_left: float) -> list[Job]:
-    """Lists and membership have a worker each; relays are dealt out to the others."""
+    """Return a job for the list costs, one for the membership, and jobs that share the simulated relays."""
     relays = options.simulated_relays
-    count = min(options.workers, len(relays))
-    shares: list[tuple[str, str, list[int]]] = [
-        (COSTS_JOB, COSTS_JOB, []),
-        (MEMBERSHIP_JOB, MEMBERSHIP_JOB, []),
-        *((f"{RELAYS_JOB}-{number + 1}", RELAYS_JOB, relays[number::count]) for number in range(count)),
-    ]
-    memory_bytes = (MEMORY_BYTES - RESERVED_MEMORY_BYTES) // len(shares)
+    relay_jobs = min(options.workers, len(relays))
+    memory_bytes = (MEMORY_BYTES - RESERVED_MEMORY_BYTES) // (FIXED_JOBS + relay_jobs)
+
+    def job(name: str, kind: str, relays: list[int]) -> Job:
+        return Job(name, kind, options, relays, resumes_by_version, seconds_left, memory_bytes)
+
     return [
-        Job(name, kind, options, share, resumes_by_version, seconds_left, memory_bytes) for name, kind, share in shares
+        job(COSTS_JOB, COSTS_JOB, []),
+        job(MEMBERSHIP_JOB, MEMBERSHIP_JOB, []),
+        *(job(f"{RELAYS_JOB}-{number + 1}", RELAYS_JOB, relays[number::relay_jobs]) for number in range(relay_jobs)),
     ]
--- a/linnetstile/testbed/scale/list_cost.py
+++ b/linnetstile/testbed/scale/list_cost.py
@@ -13,11 +13,11 @@
 from . import scenarios
 from .discovery_model import FIRST_VERSION, ChangeKind
 from .options import RACK_FAILURE_SCENARIO, ScaleOptions
+from .platform_model import PlatformModel
 from .relay_engine import create_engine
 from .watch_reader import WatchReader
-from .world_model import World
 
-CHANGES_OF_EACH_KIND = 24
+CHANGES_PER_KIND = 24
 """Changes of each kind that are measured; their mean counts."""
 MEASURED_KINDS = (ChangeKind.NEW_WEIGHT, ChangeKind.REPLACED, ChangeKind.DRAINED, ChangeKind.ADDED)
 CHANGE_SEED = 1
@@ -35,7 +35,7 @@
         list_ms: Processor time of reading the list.
         change_ms: By kind of change, processor time of one.
         change_bytes: Mean bytes of a change as it travels.
-        memory_bytes: Bytes that directory and engine hold, as the interpreter allots them.
+        memory_bytes: Bytes that the interpreter has allocated for directory and engine.
         peak_memory_bytes: The same at its largest, while the list was read.
     """
 
@@ -66,50 +66,51 @@
 
 def measure_list_cost(options: ScaleOptions, destinations: int) -> ListCost:
     """Measure what the list of so many destinations costs: reading it, one change of each kind, and its memory."""
-    world = scenarios.build(replace(options, destinations=destinations, in_use=2, scenes=(RACK_FAILURE_SCENARIO,)))
-    line = world.discovery.full_list(FIRST_VERSION)
+    platform = scenarios.build(replace(options, destinations=destinations, in_use=2, scenes=(RACK_FAILURE_SCENARIO,)))
+    line = platform.discovery.full_list(FIRST_VERSION)
     began = time.thread_time()
-    reader, engine = _read_list(world, line)
+    reader, engine = _read_list(platform, line)
     cost = ListCost(destinations, len(line), reader.endpoint_count, (time.thread_time() - began) * 1000)
     if reader.endpoint_count:
-        _measure_changes(cost, world, reader, engine)
+        _measure_changes(cost, platform, reader, engine)
     del reader, engine
-    _measure_memory(cost, world, line)
+    _measure_memory(cost, platform, line)
     return cost
 
 
-def _measure_changes(cost: ListCost, world: World, reader: WatchReader, engine: DeliveryEngine) -> None:
+def _measure_changes(cost: ListCost, platform: PlatformModel, reader: WatchReader, engine: DeliveryEngine) -> None:
     rng = random.Random(CHANGE_SEED)
     for kind in MEASURED_KINDS:
         changes = [
-            world.discovery.change(kind, rng.randrange(cost.destinations), 1.0, rng)
-            for _ in range(CHANGES_OF_EACH_KIND)
+            platform.discovery.change(kind, rng.randrange(cost.destinations), 1.0, rng) for _ in range(CHANGES_PER_KIND)
         ]
         began = time.thread_time()
         for change in changes:
             for event in reader.read(change.line):
                 engine.handle(1.0, [event])
-        cost.change_ms[kind] = (time.thread_time() - began) * 1000 / CHANGES_OF_EACH_KIND
-        mean_bytes = sum(len(change.line) for change in changes) / CHANGES_OF_EACH_KIND
+        cost.change_ms[kind] = (time.thread_time() - began) * 1000 / CHANGES_PER_KIND
+        mean_bytes = sum(len(change.line) for change in changes) / CHANGES_PER_KIND
         cost.change_bytes += mean_bytes / len(MEASURED_KINDS)
 
 
-def _measure_memory(cost: ListCost, world: World, line: bytes) -> None:
+def _measure_memory(cost: ListCost, platform: PlatformModel, line: bytes) -> None:
     gc.collect()
     tracemalloc.start()
     before, _ = tracemalloc.get_traced_memory()
-    reader, engine = _read_list(world, line)
+    reader, engine = _read_list(platform, line)
     gc.collect()
     current, peak = tracemalloc.get_traced_memory()
     tracemalloc.stop()
-    cost.memory_bytes, cost.peak_memory_bytes = current - before, peak - before
+    cost.memory_bytes = current - before
+    cost.peak_memory_bytes = peak - before
     assert reader.endpoint_count == cost.endpoint_count
     del engine  # it had to live until the memory was read
 
 
-def _read_list(world: World, line: bytes) -> tuple[WatchReader, DeliveryEngine]:
-    """A relay that has read one list, if it takes it."""
-    reader, engine = WatchReader(), create_engine(world, 0, ENGINE_SEED)
+def _read_list(platform: PlatformModel, line: bytes) -> tuple[WatchReader, DeliveryEngine]:
+    """Return the reader and engine of a relay after one list, which it may have refused."""
+    reader = WatchReader()
+    engine = create_engine(platform, 0, ENGINE_SEED)
     with contextlib.suppress(ValueError):
         for event in reader.read(line):
             engine.handle(0.0, [event])
--- a/linnetstile/testbed/scale/membership_simulation.py
+++ b/linnetstile/testbed/scale/membership_simulation.py
@@ -1,7 +1,7 @@
-"""What relays would know of each other: the shipped membership on the simulated clock, all relays in one process.
+"""The membership protocol of the AS2 relay, simulated for all relays of the fleet in one process.
 
-Relays on the platform run no membership (UDP and TCP between them are allowed, nothing uses them); the AS2 relay does.
-Each poll takes a round trip; a poll of a relay that is not reached fails when the AS2 relay gives it up.
+Relays on the platform run no membership (the network would allow UDP and TCP between them); the AS2 relay does. The
+simulation shows what it would notice. A poll takes one round trip; a poll of an unreachable relay fails at its timeout.
 """
 
 from __future__ import annotations
@@ -12,24 +12,24 @@
 from collections import Counter
 from collections.abc import Callable
 from dataclasses import dataclass, field
-from typing import Any
 
 from ...as2_relay.gossip_document import DOCUMENT_FORMAT
 from ...as2_relay.gossip_polling import POLL_TIMEOUT_S
 from ...engine.membership import Membership, PeerStatus
+from .platform_model import Lifetime, PlatformModel, Scenario
+from .report_schema import MembershipJson, ScenarioMembershipJson
 from .workload import TARGET_RELAYS, WATCH_START_DELAY_MS
-from .world_model import Lifetime, Scenario, World
 
 ROUND_TRIP_MS = 30.0, 60.0
 REQUEST_BYTES = 180
 """A poll with its head, as the AS2 relay writes it; its answer's head is as long."""
 OBSERVERS = 64
-"""Relays that are looked at for what they know of others."""
+"""Relays whose knowledge of the others is recorded."""
 IDLE_CHECK_MS = 1000.0
-"""A relay that has no peer to poll looks again after this time at the least."""
+"""A relay without a peer to poll checks again after this time at the earliest."""
 MAX_PEERS_SENT = 32
 EVENTS_BETWEEN_CHECKS = 512
-"""Events between two looks at the time limit."""
+"""Events between two checks of the time limit."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -79,8 +79,8 @@
     polls: int
     bytes: int
 
-    def to_json(self) -> dict[str, Any]:
-        """The row of the report."""
+    def to_json(self) -> ScenarioMembershipJson:
+        """Return the row of the report."""
         return {
             "scene": self.scenario,
             "pairs": self.pairs,
@@ -100,7 +100,7 @@
         polls: Polls of the whole fleet in the run.
         polls_in_largest_second: Most polls in one second.
         empty_document_bytes: Bytes of an answer without claims.
-        cut_at_ms: When the play was cut as its time was up; None = it was played to the end.
+        cut_at_ms: When the simulation was cut short at the time limit; None = it was complete.
     """
 
     scenarios: list[ScenarioMembership]
@@ -109,8 +109,8 @@
     empty_document_bytes: int
     cut_at_ms: float | None
 
-    def to_json(self) -> dict[str, Any]:
-        """The section of the report, without the rows of the scenarios."""
+    def to_json(self) -> MembershipJson:
+        """Return the section of the report, without the rows of the scenarios."""
         return {
             "asks": self.polls,
             "largest_second": self.polls_in_largest_second,
@@ -119,6 +119,15 @@
         }
 
 
+@dataclass(frozen=True, slots=True)
+class NoticedFailure:
+    """A failure that one relay has noticed: number of the scenario, the observer and the failed relay."""
+
+    scenario: int
+    observer: int
+    failed_relay: int
+
+
 @dataclass(slots=True)
 class PollCounts:
     """Polls and bytes so far, by scenario and second."""
@@ -152,26 +161,26 @@
 class MembershipSimulation:
     """The memberships of all relays on one clock."""
 
-    def __init__(self, world: World, is_overdue: Callable[[], bool]) -> None:
-        """Prepare the play of a world; it is cut once `is_overdue` says so."""
-        self.world = world
+    def __init__(self, platform: PlatformModel, is_overdue: Callable[[], bool]) -> None:
+        """Prepare the simulation; it is cut short once `is_overdue` says so."""
+        self.platform = platform
         self.is_overdue = is_overdue
-        self.rng = random.Random(f"{world.options.seed}:members")
-        relays = range(world.options.relays)
+        self.rng = random.Random(f"{platform.options.seed}:members")
+        relays = range(platform.options.relays)
         self.addresses = [relay_address(relay) for relay in relays]
         self.numbers = {name: relay for relay, name in enumerate(self.addresses)}
         self.members: dict[int, Membership] = {}
         self.incarnations: dict[int, int] = {}
         self.counts = PollCounts()
         self.observers = self.rng.sample(relays, min(OBSERVERS, len(relays)))
-        self.noticed: dict[tuple[int, int, int], float] = {}  # scenario, observer, failed relay -> after so long
+        self.noticed_after_ms: dict[NoticedFailure, float] = {}
         self._heap: list[tuple[float, int, MembershipEvent]] = []
         self._added = 0
 
     def play(self) -> MembershipResult:
         """Play all scenarios."""
-        for relay in range(self.world.options.relays):
-            for lifetime in self.world.lifetimes[relay]:
+        for relay in range(self.platform.options.relays):
+            for lifetime in self.platform.lifetimes[relay]:
                 self._add(lifetime.begin_ms + WATCH_START_DELAY_MS, RelayStarts(relay, lifetime))
         return self._result(cut_at_ms=self._run())
 
@@ -181,7 +190,7 @@
 
     def _run(self) -> float | None:
         """Play all events; returns when the play was cut, if it was."""
-        while self._heap and self._heap[0][0] < self.world.end_ms:
+        while self._heap and self._heap[0][0] < self.platform.end_ms:
             now_ms, serial, event = heapq.heappop(self._heap)
             if serial % EVENTS_BETWEEN_CHECKS == 0 and self.is_overdue():
                 return now_ms
@@ -211,19 +220,20 @@
         if address is None:
             self._add(max(member.next_poll_at, now_ms + IDLE_CHECK_MS), poll)
             return
-        self.counts.by_scenario[self.world.scenario_at(now_ms)] += 1
+        self.counts.by_scenario[self.platform.scenario_at(now_ms)] += 1
         self.counts.by_second[int(now_ms // 1000)] += 1
         peer = self.numbers[address]
-        if peer in self.members and self.world.can_reach_relay(poll.relay, peer, now_ms):
+        if peer in self.members and self.platform.can_reach_relay(poll.relay, peer, now_ms):
             self._add(now_ms + self.rng.uniform(*ROUND_TRIP_MS), PollEnds(poll, peer, answered=True))
         else:
             self._add(now_ms + 1000 * POLL_TIMEOUT_S, PollEnds(poll, peer, answered=False))
 
     def _end_poll(self, now_ms: float, event: PollEnds) -> None:
-        member, peer = self.members[event.poll.relay], event.peer
+        member = self.members[event.poll.relay]
+        peer = event.peer
         if event.answered:
             alive = self.members[peer].alive_peers()[:MAX_PEERS_SENT]
-            scenario = self.world.scenario_at(now_ms)
+            scenario = self.platform.scenario_at(now_ms)
             self.counts.bytes_by_scenario[scenario] += 2 * REQUEST_BYTES + empty_document_bytes(alive)
             member.poll_answered(now_ms, self.addresses[peer], str(self.incarnations[peer]), alive)
         else:
@@ -232,16 +242,17 @@
         self._add(member.next_poll_at, event.poll)
 
     def _record_noticed(self, now_ms: float, observer: int, peer: int) -> None:
-        number = self.world.scenario_at(now_ms)
+        number = self.platform.scenario_at(now_ms)
         if number < 0 or observer not in self.observers:
             return
-        scenario = self.world.scenarios[number]
+        scenario = self.platform.scenarios[number]
         if peer in scenario.failed_relays and now_ms >= scenario.failed_at_ms:
-            self.noticed.setdefault((number, observer, peer), now_ms - scenario.failed_at_ms)
+            failure = NoticedFailure(number, observer, peer)
+            self.noticed_after_ms.setdefault(failure, now_ms - scenario.failed_at_ms)
 
     def _result(self, cut_at_ms: float | None) -> MembershipResult:
         return MembershipResult(
-            scenarios=[self._scenario_result(n, scenario) for n, scenario in enumerate(self.world.scenarios)],
+            scenarios=[self._scenario_result(n, scenario) for n, scenario in enumerate(self.platform.scenarios)],
             polls=self.counts.by_scenario.total(),
             polls_in_largest_second=max(self.counts.by_second.values(), default=0),
             empty_document_bytes=empty_document_bytes(self.addresses[:MAX_PEERS_SENT]),
@@ -250,7 +261,7 @@
 
     def _scenario_result(self, number: int, scenario: Scenario) -> ScenarioMembership:
         staying = [relay for relay in self.observers if relay not in scenario.failed_relays]
-        noticed = sorted(ms for (noticed_in, _, _), ms in self.noticed.items() if noticed_in == number)
+        noticed = sorted(ms for failure, ms in self.noticed_after_ms.items() if failure.scenario == number)
         return ScenarioMembership(
             scenario=scenario.name,
             pairs=len(staying) * len(scenario.failed_relays),
@@ -265,9 +276,9 @@
         assert statuses <= set(PeerStatus)
 
 
-def play(world: World, is_overdue: Callable[[], bool]) -> MembershipResult:
-    """Play the memberships of a world; the play is cut once `is_overdue` says so."""
-    simulation = MembershipSimulation(world, is_overdue)
+def play(platform: PlatformModel, is_overdue: Callable[[], bool]) -> MembershipResult:
+    """Simulate the membership of all relays; cut short once `is_overdue` says so."""
+    simulation = MembershipSimulation(platform, is_overdue)
     result = simulation.play()
     simulation.check_invariants()
     return result
--- a/linnetstile/testbed/scale/options.py
+++ b/linnetstile/testbed/scale/options.py
@@ -1,8 +1,7 @@
 """The options of `linnetstile scale`: their names, ranges and defaults.
 
-The fields of `Sizes` carry the names of the command-line options (`in_use` is `--in-use`) and are written to the
-report under these names. Everything else in this package uses its own terms; the options meet them here and where an
-option is read.
+The fields of `ScaleOptions` have the names of the command-line options (`in_use` is `--in-use`) and are written to the
+report under these names. The rest of this package uses its own terms.
 """
 
 from __future__ import annotations
@@ -53,7 +52,7 @@
     """The options of one scale run.
 
     Attributes:
-        seed: Seed of the world and of everything that is drawn.
+        seed: Seed of all random numbers.
         relays: Relays of the fleet.
         destinations: Destinations on the endpoint list.
         real: Relay processes in the comparison with the reference model.
@@ -99,27 +98,27 @@
             OptionError: An option is out of its range, or larger than another option allows.
         """
         self._check_ranges()
-        self._check_against_each_other()
+        self._check_combinations()
         if not self.scenes or len(set(self.scenes)) < len(self.scenes) or not set(self.scenes) <= set(SCENARIOS):
             raise OptionError("scenes", f"some of {','.join(SCENARIOS)}, each once", ",".join(self.scenes))
 
     def _check_ranges(self) -> None:
-        for name, (least, most) in OPTION_RANGES.items():
+        for name, (minimum, maximum) in OPTION_RANGES.items():
             value = getattr(self, name)
-            if not least <= value <= most:
-                raise OptionError(option_name(name), f"a whole number from {least} to {most}", value)
+            if not minimum <= value <= maximum:
+                raise OptionError(option_name(name), f"a whole number from {minimum} to {maximum}", value)
 
-    def _check_against_each_other(self) -> None:
-        limits = (
+    def _check_combinations(self) -> None:
+        upper_limits = (
             ("played", self.relays, "--relays"),
             ("in_use", self.destinations, "--destinations"),
             ("rack", self.relays - 1, "--relays less one"),
             ("restarts", self.relays - self.failing, "--relays less --failing"),
         )
-        for name, most, reason in limits:
+        for name, maximum, reason in upper_limits:
             value = getattr(self, name)
-            if value > most:
-                raise OptionError(option_name(name), f"no more than {reason} ({most})", value)
+            if value > maximum:
+                raise OptionError(option_name(name), f"no more than {reason} ({maximum})", value)
 
     @property
     def simulated_relays(self) -> list[int]:
@@ -130,5 +129,5 @@
 
 
 def option_name(field_name: str) -> str:
-    """Name of the option for a field of `Sizes`, without its dashes."""
+    """Return the name of the option for a field of `ScaleOptions`, without its dashes."""
     return field_name.replace("_", "-")
--- a/linnetstile/testbed/scale/world_model.py
+++ b/linnetstile/testbed/scale/platform_model.py
@@ -1,7 +1,7 @@
 """The state of the simulated platform at each moment: destinations, outages, changes, relay lifetimes, partitions.
 
-Nothing here knows of the relays' decisions. Times are simulated ms since the run began; the same seed and options draw
-the same world on any machine.
+It does not depend on the decisions of the relays. Times are simulated ms since the run began; the same seed and options
+draw the same platform on any machine.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from ...config import platform
+from ...config.platform import settings_from
 from ...engine.settings import Settings
 from ...platform_relay.config import without_batches
 from .discovery_model import DiscoveryModel
@@ -20,18 +20,30 @@
 from .workload import NOTIFICATION_DELAY_MS, SETTINGS_DOCUMENT, region_of, zone_of
 
 
+@dataclass(frozen=True, slots=True)
+class TimeSpan:
+    """A half-open span of time."""
+
+    begin_ms: float
+    end_ms: float
+
+    def contains(self, at_ms: float) -> bool:
+        """Whether a moment lies in it."""
+        return self.begin_ms <= at_ms < self.end_ms
+
+
 @dataclass(frozen=True, slots=True)
 class Outage:
     """A time in which calls to a destination fail.
 
     Attributes:
-        number: Number of the outage, unique in its world.
+        number: Number of the outage, unique in the model.
         destination: The destination that is down.
         begin_ms: When it begins.
         end_ms: When it is over.
         kind: How calls fail; one of `workload.OUTAGE_KINDS`.
-        region: Only relays of this region see it; None = all relays do.
-        is_cold_return: The destination itself was down, and warms up when it is back.
+        region: Only calls from this region fail; None = all calls do.
+        has_slow_start: The destination itself was down, and begins a slow start when it is back.
     """
 
     number: int
@@ -40,10 +52,10 @@
     end_ms: float
     kind: str
     region: int | None = None
-    is_cold_return: bool = True
+    has_slow_start: bool = True
 
-    def is_seen_from(self, region: int) -> bool:
-        """Whether relays of a region see it."""
+    def affects_calls_from(self, region: int) -> bool:
+        """Whether calls of the relays of a region fail."""
         return self.region in (None, region)
 
 
@@ -64,7 +76,7 @@
         begin_ms: Start of the process.
         end_ms: End of the process.
         keeps_state: It finds the journal of the process before it.
-        backlog: Messages for each destination in use that its journal holds besides.
+        backlog: Messages for each destination in use that are added to its journal.
     """
 
     begin_ms: float
@@ -72,6 +84,10 @@
     keeps_state: bool = False
     backlog: int = 0
 
+    def contains(self, at_ms: float) -> bool:
+        """Whether the process runs at a moment."""
+        return self.begin_ms <= at_ms < self.end_ms
+
 
 @dataclass(slots=True)
 class Scenario:
@@ -96,7 +112,7 @@
         return self.begin_ms <= at_ms < self.end_ms
 
 
-class World:
+class PlatformModel:
     """The simulated platform.
 
     Attributes:
@@ -114,14 +130,14 @@
     """
 
     def __init__(self, options: ScaleOptions, ports: tuple[int, int] | None = None) -> None:
-        """Make a world without events; `scenarios.build` fills it. `ports` as in `DiscoveryModel`."""
+        """Make a platform without events; `scenarios.build` adds them. `ports` as in `DiscoveryModel`."""
         self.options = options
         self.settings_document: dict[str, Any] = {**SETTINGS_DOCUMENT, "balancers": options.relays}
         self.discovery = DiscoveryModel(options.destinations, ports)
         self.outages: list[Outage] = []
         self.lifetimes: dict[int, list[Lifetime]] = {}
-        self.discovery_outages: dict[int, list[tuple[float, float]]] = {}
-        self.partitions: list[tuple[float, float]] = []
+        self.discovery_outages: dict[int, list[TimeSpan]] = {}
+        self.partitions: list[TimeSpan] = []
         self.scenarios: list[Scenario] = []
         self.destinations_in_use: list[int] = []
         self.planned_outages: dict[int, PlannedOutage] = {}
@@ -129,14 +145,14 @@
         self._outages_by_destination: dict[int, list[Outage]] = {}
 
     def fingerprint(self) -> int:
-        """A number that two processes share if they have drawn the same world."""
+        """Return a number that two processes share if they have drawn the same platform."""
         changes = zlib.crc32(b"".join(change.line for change in self.discovery.changes))
         events = (self.outages, self.lifetimes, self.destinations_in_use, self.end_ms)
         return zlib.crc32(repr(events).encode(), changes)
 
     def settings(self, relay: int) -> Settings:
         """Engine settings of a relay."""
-        return without_batches(platform.settings_from({**self.settings_document, "az": zone_of(relay)}))
+        return without_batches(settings_from({**self.settings_document, "az": zone_of(relay)}))
 
     def scenario_at(self, at_ms: float) -> int:
         """Number of the scenario of a moment; -1 before the first."""
@@ -146,18 +162,20 @@
 
     def can_reach_discovery(self, relay: int, at_ms: float) -> bool:
         """Whether the agent of a relay reaches discovery."""
-        silences = self.discovery_outages.get(region_of(relay), ())
-        return not any(begin <= at_ms < end for begin, end in silences)
+        return not any(outage.contains(at_ms) for outage in self._discovery_outages_of(relay))
 
     def discovery_reachable_at(self, relay: int, at_ms: float) -> float:
-        """From when on a relay can hear of a change: the end of the silence that the moment lies in, if it does."""
-        silences = self.discovery_outages.get(region_of(relay), ())
-        return next((end for begin, end in silences if begin <= at_ms < end), at_ms)
+        """When a relay can be notified of a change at the earliest: at once, or at the end of the discovery outage."""
+        outages = self._discovery_outages_of(relay)
+        return next((outage.end_ms for outage in outages if outage.contains(at_ms)), at_ms)
 
     def next_discovery_outage(self, relay: int, at_ms: float) -> float | None:
         """When discovery next becomes unreachable for a relay, if ever."""
-        silences = self.discovery_outages.get(region_of(relay), ())
-        return next((begin for begin, _ in silences if begin > at_ms), None)
+        outages = self._discovery_outages_of(relay)
+        return next((outage.begin_ms for outage in outages if outage.begin_ms > at_ms), None)
+
+    def _discovery_outages_of(self, relay: int) -> list[TimeSpan]:
+        return self.discovery_outages.get(region_of(relay), [])
 
     def notified_at(self, relay: int, at_ms: float) -> float:
         """When the agent of a relay has what discovery had at a moment, while it reaches discovery."""
@@ -172,10 +190,10 @@
         end_ms: float,
         kind: str,
         region: int | None = None,
-        is_cold_return: bool = True,
+        has_slow_start: bool = True,
     ) -> None:
         """Add an outage; see `Outage` for the arguments."""
-        outage = Outage(len(self.outages), destination, begin_ms, end_ms, kind, region, is_cold_return)
+        outage = Outage(len(self.outages), destination, begin_ms, end_ms, kind, region, has_slow_start)
         self.outages.append(outage)
         self._outages_by_destination.setdefault(destination, []).append(outage)
 
@@ -186,7 +204,7 @@
     def current_outage(self, destination: int, region: int, at_ms: float) -> Outage | None:
         """The outage that calls from a region meet at a moment."""
         for outage in self.outages_of(destination):
-            if outage.begin_ms <= at_ms < outage.end_ms and outage.is_seen_from(region):
+            if outage.begin_ms <= at_ms < outage.end_ms and outage.affects_calls_from(region):
                 return outage
         return None
 
@@ -196,7 +214,7 @@
             (
                 outage.begin_ms
                 for outage in self.outages_of(destination)
-                if outage.begin_ms > at_ms and outage.is_seen_from(region)
+                if outage.begin_ms > at_ms and outage.affects_calls_from(region)
             ),
             default=float("inf"),
         )
@@ -205,16 +223,17 @@
 
     def can_reach_relay(self, relay: int, other: int, at_ms: float) -> bool:
         """Whether the other relay is up and in a region that is not cut off."""
-        is_cut = region_of(relay) != region_of(other) and any(begin <= at_ms < end for begin, end in self.partitions)
-        return not is_cut and any(life.begin_ms <= at_ms < life.end_ms for life in self.lifetimes[other])
+        is_partitioned = region_of(relay) != region_of(other) and any(span.contains(at_ms) for span in self.partitions)
+        return not is_partitioned and any(lifetime.contains(at_ms) for lifetime in self.lifetimes[other])
 
     def is_up_throughout(self, relay: int, begin_ms: float, end_ms: float) -> bool:
         """Whether one process of a relay runs from begin to end."""
-        return any(life.begin_ms <= begin_ms and end_ms <= life.end_ms for life in self.lifetimes[relay])
+        return any(lifetime.begin_ms <= begin_ms and end_ms <= lifetime.end_ms for lifetime in self.lifetimes[relay])
 
     def seconds_up(self, relay: int, begin_ms: float, end_ms: float) -> float:
         """Seconds between begin and end in which a relay is up."""
-        return (
-            sum(max(0.0, min(end_ms, life.end_ms) - max(begin_ms, life.begin_ms)) for life in self.lifetimes[relay])
-            / 1000
+        milliseconds_up = sum(
+            max(0.0, min(end_ms, lifetime.end_ms) - max(begin_ms, lifetime.begin_ms))
+            for lifetime in self.lifetimes[relay]
         )
+        return milliseconds_up / 1000
--- a/linnetstile/testbed/scale/reference_model.py
+++ b/linnetstile/testbed/scale/reference_model.py
@@ -2,25 +2,35 @@
 
 from __future__ import annotations
 
+from dataclasses import dataclass
+
 from ...engine.actions import Action, Fail, Reject, Send, SetTimer
 from ...engine.events import AttemptEnded, Message, Outcome, TimerFired
+from .platform_model import PlatformModel
 from .relay_engine import create_engine
 from .watch_reader import WatchReader
-from .world_model import World
 
 MESSAGE_DEADLINE_MS = 1500.0
 """Deadline of a message that looks for the endpoint in force; the relay process gets the same."""
 ANSWER_MS = 1.0
 NO_ENDPOINT = "none"
-"""Where a message goes that is rejected or fails."""
+"""Stands for the endpoint of a message that is rejected or fails."""
+
+
+@dataclass(frozen=True, slots=True)
+class Delivery:
+    """Where a message was delivered to, and how long after its submission, in ms."""
+
+    endpoint: str
+    after_ms: float
 
 
 class ReferenceModel:
     """Directory and engine with the settings and seed of a relay process, on a simulated clock."""
 
-    def __init__(self, world: World, relay: int, seed: int) -> None:
+    def __init__(self, platform: PlatformModel, relay: int, seed: int) -> None:
         self.reader = WatchReader()
-        self.engine = create_engine(world, relay, seed)
+        self.engine = create_engine(platform, relay, seed)
         self.last_message = 0
 
     def read(self, line: bytes, now_ms: float) -> bool:
@@ -33,24 +43,24 @@
             self.engine.handle(now_ms, [event])
         return bool(events)
 
-    def find_endpoint(self, destination: int, now_ms: float) -> tuple[str, float]:
-        """Submit a message; returns the port where it goes, or `NO_ENDPOINT`, and after how many simulated ms."""
+    def find_endpoint(self, destination: int, now_ms: float) -> Delivery:
+        """Submit a message; return the port that it is delivered to, or `NO_ENDPOINT`."""
         if not self.reader.is_listed(destination):
-            return NO_ENDPOINT, 0.0
+            return Delivery(NO_ENDPOINT, 0.0)
         self.last_message += 1
         began_ms = now_ms
         actions = self.engine.handle(now_ms, [Message(self.last_message, destination, 0, MESSAGE_DEADLINE_MS)])
         while now_ms < began_ms + 2 * MESSAGE_DEADLINE_MS:
             for action in actions:
                 if (port := self._endpoint_of(action, now_ms)) is not None:
-                    return port, now_ms - began_ms
+                    return Delivery(port, now_ms - began_ms)
             delays_ms = [action.delay_ms for action in actions if isinstance(action, SetTimer)]
             now_ms += delays_ms[-1] if delays_ms else MESSAGE_DEADLINE_MS
             actions = self.engine.handle(now_ms, [TimerFired(0)])
-        return NO_ENDPOINT, now_ms - began_ms
+        return Delivery(NO_ENDPOINT, now_ms - began_ms)
 
     def _endpoint_of(self, action: Action, now_ms: float) -> str | None:
-        """Where an action ends the last message; None if it does not. A call is answered at once."""
+        """Return the endpoint at which an action ends the last message, or None; a call is answered at once."""
         match action:
             case Send(message_id, endpoint) if message_id == self.last_message:
                 port = str(self.reader.endpoint_port(endpoint))
--- a/linnetstile/testbed/scale/relay_engine.py
+++ b/linnetstile/testbed/scale/relay_engine.py
@@ -10,13 +10,13 @@
 from ...engine.engine import DeliveryEngine
 from ...engine.outlier_detection import is_suspected
 from ...engine.unknown_class import unknown_class
+from .platform_model import PlatformModel
 from .trace import GossipSize
-from .world_model import World
 
 
-def create_engine(world: World, relay: int, seed: int) -> DeliveryEngine:
+def create_engine(platform: PlatformModel, relay: int, seed: int) -> DeliveryEngine:
     """The engine of a relay, made as the platform relay makes it."""
-    settings = world.settings(relay)
+    settings = platform.settings(relay)
     return DeliveryEngine(replace(settings, classes=(*settings.classes, unknown_class(settings.classes))), seed)
 
 
--- a/linnetstile/testbed/scale/relay_process.py
+++ b/linnetstile/testbed/scale/relay_process.py
@@ -1,4 +1,4 @@
-"""A real relay: a process of `python -m linnetstile.platform_relay`, and what the system tells of it."""
+"""A relay process (`python -m linnetstile.platform_relay`), and what the operating system reports of it."""
 
 from __future__ import annotations
 
@@ -13,8 +13,9 @@
 from pathlib import Path
 from typing import Any
 
+from .platform_model import PlatformModel
+from .report_schema import ProcessMemoryJson
 from .workload import zone_of
-from .world_model import World
 
 CPU_FIELDS = 11, 12
 """User and system time in /proc/PID/stat, counted behind the name of the program."""
@@ -29,8 +30,8 @@
     current: int
     peak: int
 
-    def to_json(self) -> dict[str, int]:
-        """The entry of the report."""
+    def to_json(self) -> ProcessMemoryJson:
+        """Return the entry of the report."""
         return {"now": self.current, "largest": self.peak}
 
 
@@ -52,7 +53,7 @@
     seed: int
     memory_bytes: int
 
-    def document(self, world: World, port: int) -> str:
+    def document(self, platform: PlatformModel, port: int) -> str:
         """The JSON file that the platform gives a relay."""
         return json.dumps(
             {
@@ -61,7 +62,7 @@
                 "discovery": f"127.0.0.1:{self.discovery_port}",
                 "seed": f"{self.seed:x}",
                 "limits": LIMITS,
-                "settings": {**world.settings_document, "az": zone_of(self.relay)},
+                "settings": {**platform.settings_document, "az": zone_of(self.relay)},
             }
         )
 
@@ -85,13 +86,13 @@
     ready: dict[str, Any] = field(default_factory=dict)
 
     @classmethod
-    def start(cls, config: RelayConfig, world: World, folder: Path) -> RelayProcess:
+    def start(cls, config: RelayConfig, platform: PlatformModel, folder: Path) -> RelayProcess:
         """Start a relay with its files in a folder."""
         state = folder / config.name
         state.mkdir(parents=True)
         port = free_port()
         config_file = folder / f"{config.name}.json"
-        config_file.write_text(config.document(world, port))
+        config_file.write_text(config.document(platform, port))
         log = folder / f"{config.name}.log"
         paths = {"GW_CONFIG": str(config_file), "GW_STATE": str(state), "GW_NAME": config.name}
         with log.open("wb") as file:
--- a/linnetstile/testbed/scale/relay_runtime.py
+++ b/linnetstile/testbed/scale/relay_runtime.py
@@ -9,11 +9,11 @@
 from ...engine.actions import Send
 from ...engine.events import Outcome
 from .discovery_model import EndpointChange
+from .platform_model import PlatformModel
 from .relay_engine import create_engine
 from .trace import RelayTrace
 from .watch_reader import WatchReader
 from .workload import region_of
-from .world_model import World
 
 
 @dataclass(frozen=True, slots=True)
@@ -93,10 +93,10 @@
     """State of one simulated relay that outlives its processes, and the engine of the process that runs.
 
     Attributes:
-        world: The world that it lives in.
+        platform: The simulated platform.
         relay: Its number.
         region: Its region.
-        rng: Draws all that chance decides for it.
+        rng: Source of all its random numbers.
         queue: Its events to come.
         trace: What it did.
         scenario: Number of the scenario of the current moment.
@@ -104,22 +104,22 @@
         engine: Engine of the current process.
     """
 
-    def __init__(self, world: World, relay: int) -> None:
-        self.world = world
+    def __init__(self, platform: PlatformModel, relay: int) -> None:
+        self.platform = platform
         self.relay = relay
         self.region = region_of(relay)
         # The label is part of the seed: another one would draw another run.
-        self.rng = random.Random(f"{world.options.seed}:hollow:{relay}")
+        self.rng = random.Random(f"{platform.options.seed}:hollow:{relay}")
         self.queue = EventQueue()
-        self.trace = RelayTrace(relay, world.fingerprint())
+        self.trace = RelayTrace(relay, platform.fingerprint())
         self.scenario = -1
         self.reader = WatchReader()
-        self.engine = create_engine(world, relay, 0)
+        self.engine = create_engine(platform, relay, 0)
 
     def start_process(self) -> None:
         """Begin another process: a new directory and a new engine."""
         self.reader = WatchReader()
-        self.engine = create_engine(self.world, self.relay, self.rng.getrandbits(32))
+        self.engine = create_engine(self.platform, self.relay, self.rng.getrandbits(32))
 
     def count(self, name: str, number: int = 1) -> None:
         """Count something in the current scenario."""
--- a/linnetstile/testbed/scale/report.py
+++ b/linnetstile/testbed/scale/report.py
@@ -1,7 +1,7 @@
 """The report of a scale run: scale.json, scale.txt and plots.
 
 `simulated` follows from options and program alone. `measured` (processor time, memory) differs from run to run.
-`forecast` is calculated from both, in proportion, and was not played.
+`forecast` is extrapolated from both and was not simulated.
 """
 
 from __future__ import annotations
@@ -11,8 +11,9 @@
 from dataclasses import asdict
 from pathlib import Path
 
-from .comparison import Comparison
+from .comparison_result import Comparison
 from .fleet import FleetResult
+from .platform_model import PlatformModel
 from .report_bounds import build_bounds
 from .report_costs import build_measured, forecast_control, forecast_gossip
 from .report_plots import write_plots
@@ -20,24 +21,23 @@
 from .report_schema import ReportJson
 from .report_text import format_report
 from .workload import TARGET_DESTINATIONS, TARGET_RELAYS
-from .world_model import World
 
 Samples = dict[str, ScenarioSamples]
 
 
-def build(world: World, played: FleetResult, comparison: Comparison | None) -> tuple[ReportJson, Samples]:
+def build(platform: PlatformModel, played: FleetResult, comparison: Comparison | None) -> tuple[ReportJson, Samples]:
     """The whole report, and samples for the plots by scenario."""
-    simulated, samples = build_simulated(world, played)
-    measured = build_measured(world, played)
+    simulated, samples = build_simulated(platform, played)
+    measured = build_measured(platform, played)
     resumes_by_version = bool(comparison and comparison.resumes_by_version)
     report: ReportJson = {
-        "sizes": asdict(world.options),
+        "sizes": asdict(platform.options),
         "target": {"relays": TARGET_RELAYS, "destinations": TARGET_DESTINATIONS},
         "simulated": simulated,
         "measured": measured,
         "telling": forecast_gossip(played.traces),
         "compared": comparison.to_json() if comparison else None,
-        "left_out": {"relays": len(world.options.simulated_relays) - simulated["relays_played"]},
+        "left_out": {"relays": len(platform.options.simulated_relays) - simulated["relays_played"]},
         "forecast": forecast_control(played.costs, measured["resume_us_a_message"], resumes_by_version),
         "bounds": [],
     }
--- a/linnetstile/testbed/scale/report_bounds.py
+++ b/linnetstile/testbed/scale/report_bounds.py
@@ -1,4 +1,4 @@
-"""The users' bounds beside what was simulated, measured or forecast."""
+"""The users' bounds, beside the values that were simulated, measured or forecast."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def build_bounds(report: ReportJson) -> list[BoundJson]:
-    """All bounds that the report has a figure for."""
+    """Return all bounds that the report has a value for."""
     bounds = [bound for scenario in report["simulated"]["scenes"] for bound in _scenario_bounds(scenario)]
     bounds += [
         *_control_bound(report),
@@ -25,66 +25,70 @@
     return bounds
 
 
-def _bound(what: str, value: float, bound: float, unit: str, how: str) -> BoundJson:
+def _bound(subject: str, value: float, bound: float, unit: str, source: str) -> BoundJson:
     return {
-        "what": what,
+        "what": subject,
         "value": value,
         "bound": bound,
         "unit": unit,
         "ratio": round(value / bound, 3),
-        "how": how,
+        "how": source,
     }
 
 
 def _scenario_bounds(scenario: ScenarioJson) -> list[BoundJson]:
-    name, bounds = scenario["scene"], []
+    name = scenario["scene"]
+    bounds = []
     in_force_ms = scenario["changes"]["since_told_ms"].get("last")
     if in_force_ms is not None:
-        what = f"{name}: change in force at the last relay, since it could be told"
-        bounds.append(_bound(what, in_force_ms, CHANGE_IN_FORCE_BOUND_MS, "ms", "simulated"))
-    most_bytes = scenario["control"]["bytes_a_second"].get("last")
-    if name != DAY_SCENARIO and most_bytes is not None:  # changes of the day come within minutes: see the forecast
-        what = f"{name}: control bytes of the relay that got most"
-        how = "simulated, over the scene, at the size played"
-        bounds.append(_bound(what, most_bytes, CONTROL_BYTES_BOUND, "bytes/s", how))
-    cold = scenario["cold"]
-    if cold["calls"] and cold["judged"]:
-        what = f"{name}: calls to a cold destination, the worst window of all returns"
-        how = "simulated, the whole fleet"
-        bounds.append(_bound(what, cold["worst_of_allowed"], 1.0, "of N + 2*sqrt(N) + 2", how))
+        subject = f"{name}: change in force at the last relay, since it could be told"
+        bounds.append(_bound(subject, in_force_ms, CHANGE_IN_FORCE_BOUND_MS, "ms", "simulated"))
+    largest_bytes = scenario["control"]["bytes_a_second"].get("last")
+    if name != DAY_SCENARIO and largest_bytes is not None:  # changes of the day come within minutes: see the forecast
+        subject = f"{name}: control bytes of the relay that got most"
+        source = "simulated, over the scene, at the size played"
+        bounds.append(_bound(subject, largest_bytes, CONTROL_BYTES_BOUND, "bytes/s", source))
+    slow_starts = scenario["cold"]
+    if slow_starts["calls"] and slow_starts["judged"]:
+        subject = f"{name}: calls to a cold destination, the worst window of all returns"
+        source = "simulated, the whole fleet"
+        bounds.append(_bound(subject, slow_starts["worst_of_allowed"], 1.0, "of N + 2*sqrt(N) + 2", source))
     return bounds
 
 
 def _control_bound(report: ReportJson) -> list[BoundJson]:
     share = report["measured"]["control_share_of_a_core"]
-    what = "control, share of a core over the run"
-    return [_bound(what, share, CORE_SHARE_BOUND, "cores", "measured, changes of a day in short")]
+    subject = "control, share of a core over the run"
+    return [_bound(subject, share, CORE_SHARE_BOUND, "cores", "measured, changes of a day in short")]
 
 
 def _process_memory_bound(report: ReportJson) -> list[BoundJson]:
     compared = report["compared"]
     if not compared or not compared["list_taken_by_hollow"]:
         return []
-    what = f"memory of a real relay with {report['sizes']['destinations']} destinations, beyond one with few"
-    grown = max(each["now"] for each in compared["memory"]) - compared["memory_small"]["now"]
-    return [_bound(what, grown, MEMORY_BOUND_BYTES, "bytes", "measured")]
+    subject = f"memory of a real relay with {report['sizes']['destinations']} destinations, beyond one with few"
+    growth_bytes = max(memory["now"] for memory in compared["memory"]) - compared["memory_small"]["now"]
+    return [_bound(subject, growth_bytes, MEMORY_BOUND_BYTES, "bytes", "measured")]
 
 
 def _gossip_bound(report: ReportJson) -> list[BoundJson]:
     gossip = report["telling"]
     if not gossip:
         return []
-    what, how = "telling others of destinations at the target", "forecast: not done on the platform"
-    return [_bound(what, gossip["bytes_a_second"], CONTROL_BYTES_BOUND, "bytes/s", how)]
+    subject = "telling others of destinations at the target"
+    source = "forecast: not done on the platform"
+    return [_bound(subject, gossip["bytes_a_second"], CONTROL_BYTES_BOUND, "bytes/s", source)]
 
 
 def _forecast_bounds(report: ReportJson) -> list[BoundJson]:
     forecast = report["forecast"]
     if not forecast:
         return []
-    rows = (
-        ("memory of directory and module at the target", "memory_bytes", MEMORY_BOUND_BYTES, "bytes"),
-        ("control bytes at the target, an ordinary day", "bytes_a_second", CONTROL_BYTES_BOUND, "bytes/s"),
-        ("control, share of a core at the target", "core_share", CORE_SHARE_BOUND, "cores"),
-    )
-    return [_bound(what, forecast[name], bound, unit, "forecast") for what, name, bound, unit in rows]
+    memory = "memory of directory and module at the target"
+    control = "control bytes at the target, an ordinary day"
+    core_share = "control, share of a core at the target"
+    return [
+        _bound(memory, forecast["memory_bytes"], MEMORY_BOUND_BYTES, "bytes", "forecast"),
+        _bound(control, forecast["bytes_a_second"], CONTROL_BYTES_BOUND, "bytes/s", "forecast"),
+        _bound(core_share, forecast["core_share"], CORE_SHARE_BOUND, "cores", "forecast"),
+    ]
--- a/linnetstile/testbed/scale/report_costs.py
+++ b/linnetstile/testbed/scale/report_costs.py
@@ -1,15 +1,18 @@
-"""The measured part of the report, and what is forecast from it for the target's size."""
+"""The measured part of the report, and the forecast for the target size that is extrapolated from it."""
 
 from __future__ import annotations
 
 import math
 from collections import Counter
+from collections.abc import Callable
 
 from ...as2_relay.gossip_document import MAX_CLAIMS
 from ...engine.membership import POLL_INTERVAL_MS
+from .discovery_model import ChangeKind
 from .fleet import FleetResult
 from .list_cost import ListCost
-from .report_schema import MeasuredJson
+from .platform_model import PlatformModel
+from .report_schema import ControlForecastJson, GossipForecastJson, MeasuredJson
 from .report_statistics import extrapolate
 from .scenarios import CHANGE_MIX, SECONDS_A_DAY
 from .trace import RelayTrace, TurnKind
@@ -23,25 +26,24 @@
     TARGET_RELAYS,
     ZONES,
 )
-from .world_model import World
 
 CONTROL_BYTES_BOUND = 3_000.0
 """The users' bound on the control bytes of one relay a second."""
 RESTARTS_A_DAY = 84
-"""Of the whole fleet, on an ordinary day."""
-BACKLOG_MESSAGES = 1.1e9 / TARGET_RELAYS
+"""Restarts in the whole fleet on an ordinary day."""
+MAX_RECOVERED_MESSAGES = 1.1e9 / TARGET_RELAYS
 """Messages that one relay recovers at the most."""
 ROUNDS_JITTER = 1.25
 """Mean time between two polls of the AS2 relay, in poll intervals."""
 NS_PER_MS = 1e6
 
 
-def build_measured(world: World, played: FleetResult) -> MeasuredJson:
+def build_measured(platform: PlatformModel, played: FleetResult) -> MeasuredJson:
     """Processor time and memory of this run."""
     traces = played.traces
     cpu_ns: Counter[TurnKind] = sum((trace.cpu_ns for trace in traces), Counter())
     turns: Counter[TurnKind] = sum((trace.turns for trace in traces), Counter())
-    seconds_up = sum(world.seconds_up(trace.relay, 0.0, world.end_ms) for trace in traces)
+    seconds_up = sum(platform.seconds_up(trace.relay, 0.0, platform.end_ms) for trace in traces)
     recovered = sum(start.recovered for trace in traces for start in trace.starts)
     list_ns = cpu_ns[TurnKind.FULL_LIST] + cpu_ns[TurnKind.CHANGE]
     return {
@@ -63,10 +65,10 @@
     return max((trace.longest_list_ns[kind] for trace in traces), default=0)
 
 
-def forecast_gossip(traces: list[RelayTrace]) -> dict[str, float]:
-    """What gossip would cost a relay at the target, if it were done as the AS2 relay does.
+def forecast_gossip(traces: list[RelayTrace]) -> GossipForecastJson:
+    """Forecast the cost of gossip in one relay at the target size, with the protocol of the AS2 relay.
 
-    In each round a relay polls one peer for what has changed, which is whatever the peer has called since.
+    In each round a relay polls one peer for its new claims, one for each destination that the peer has called since.
     """
     claims = sum(trace.gossip.claims for trace in traces)
     if not claims:
@@ -82,39 +84,50 @@
     }
 
 
-def forecast_control(costs: list[ListCost], recovery_us: float | None, resumes_by_version: bool) -> dict[str, float]:
-    """One relay's control at the target, on a straight line through what lists of three sizes cost in this run.
+def forecast_control(costs: list[ListCost], recovery_us: float | None, resumes_by_version: bool) -> ControlForecastJson:
+    """Forecast the cost of control in one relay at the target size, by a straight line through the costs of this run.
 
     Args:
-        costs: Cost of the lists.
+        costs: Cost of the lists of several sizes.
         recovery_us: Processor time of recovering one message; of a backlog, only the engine's part is forecast.
-        resumes_by_version: Watches that are opened anew ask for the changes since a version.
+        resumes_by_version: Watches that are opened again ask for the changes since a version.
     """
-    taken = [cost for cost in costs if cost.endpoint_count]
-    if not taken:
+    accepted = [cost for cost in costs if cost.endpoint_count]
+    if not accepted:
         return {}
-    rows = [cost.to_json() for cost in taken]
-
-    def at_target(name: str) -> float:
-        return extrapolate([(row["destinations"], row[name]) for row in rows], TARGET_DESTINATIONS)
-
-    change_ms = sum(at_target(f"{kind.value}_ms") for kind in CHANGE_MIX) / len(CHANGE_MIX)
-    restarts_a_day, list_bytes, list_ms = RESTARTS_A_DAY / TARGET_RELAYS, at_target("list_bytes"), at_target("list_ms")
-    change_bytes = sum(cost.change_bytes for cost in taken) / len(taken)
+    list_bytes = _at_target(accepted, lambda cost: cost.list_bytes)
+    list_ms = _at_target(accepted, lambda cost: cost.list_ms)
+    change_ms = _mean_change_ms(accepted)
+    change_bytes = sum(cost.change_bytes for cost in accepted) / len(accepted)
+    restarts_a_day = RESTARTS_A_DAY / TARGET_RELAYS
     day_bytes = CHANGES_A_DAY * change_bytes + restarts_a_day * list_bytes
     day_ms = CHANGES_A_DAY * change_ms + restarts_a_day * list_ms
-    joined_bytes = 0 if resumes_by_version else round(list_bytes * TARGET_RELAYS / REGIONS / DISCOVERY_MACHINES)
+    rejoin_bytes = 0 if resumes_by_version else round(list_bytes * TARGET_RELAYS / REGIONS / DISCOVERY_MACHINES)
     return {
-        "memory_bytes": round(at_target("bytes")),
+        "memory_bytes": round(_at_target(accepted, lambda cost: cost.memory_bytes)),
         "list_bytes": round(list_bytes),
         "list_ms": round(list_ms, 1),
         "change_ms": round(change_ms, 4),
-        "drain_ms": round(at_target("drain_ms"), 4),
+        "drain_ms": round(_at_target(accepted, lambda cost: cost.change_ms[ChangeKind.DRAINED]), 4),
         "bytes_a_second": round(day_bytes / SECONDS_A_DAY + KEEPALIVE_BYTES_PER_S, 2),
         "core_share": round(day_ms / 1000 / SECONDS_A_DAY, 7),
         "list_at_bound_s": round(list_bytes / CONTROL_BYTES_BOUND, 1),
         "machine_day_bytes_a_second": round(day_bytes / SECONDS_A_DAY * TARGET_RELAYS / DISCOVERY_MACHINES, 1),
         "machine_zone_back_bytes": round(list_bytes * TARGET_RELAYS / ZONES / DISCOVERY_MACHINES),
-        "machine_joined_bytes": joined_bytes,
-        "backlog_resume_s": round(BACKLOG_MESSAGES * (recovery_us or 0.0) / 1e6, 1),
+        "machine_joined_bytes": rejoin_bytes,
+        "backlog_resume_s": round(MAX_RECOVERED_MESSAGES * (recovery_us or 0.0) / 1e6, 1),
     }
+
+
+def _at_target(costs: list[ListCost], value: Callable[[ListCost], float]) -> float:
+    """Extrapolate one value of the costs to the target's number of destinations."""
+    return extrapolate([(cost.destinations, value(cost)) for cost in costs], TARGET_DESTINATIONS)
+
+
+def _mean_change_ms(costs: list[ListCost]) -> float:
+    """Return the processor time of one change at the target size, weighted by how often each kind occurs."""
+    return sum(_change_ms_at_target(costs, kind) for kind in CHANGE_MIX) / len(CHANGE_MIX)
+
+
+def _change_ms_at_target(costs: list[ListCost], kind: ChangeKind) -> float:
+    return _at_target(costs, lambda cost: cost.change_ms[kind])
--- a/linnetstile/testbed/scale/report_plots.py
+++ b/linnetstile/testbed/scale/report_plots.py
@@ -9,7 +9,7 @@
 
 DOTS_PER_INCH = 100
 SMALLEST_RATIO = 1e-4
-"""A bar of the logarithmic scale is not shorter than this."""
+"""Shortest bar on the logarithmic scale."""
 
 
 def write_plots(bounds: list[BoundJson], samples: dict[str, ScenarioSamples], folder: Path) -> None:
@@ -22,12 +22,12 @@
 
     matplotlib.use("Agg")
     _plot_distribution(
-        {name: each.notified_ms for name, each in samples.items()},
+        {name: scenario.notified_ms for name, scenario in samples.items()},
         "a change is in force, since it could be told",
         folder / "in-force.png",
     )
     _plot_distribution(
-        {name: each.believed_down_ms for name, each in samples.items()},
+        {name: scenario.believed_down_ms for name, scenario in samples.items()},
         "a relay alone takes a destination as out",
         folder / "learned.png",
     )
--- a/linnetstile/testbed/scale/report_scenarios.py
+++ b/linnetstile/testbed/scale/report_scenarios.py
@@ -1,27 +1,34 @@
-"""The simulated part of the report: what happened in each scenario. A seed repeats these figures."""
+"""The simulated part of the report: what happened in each scenario. The same seed gives the same values."""
 
 from __future__ import annotations
 
 from collections import Counter
 from dataclasses import dataclass, field
-from typing import Any
 
-from .cold_returns import judge_cold_returns
 from .fleet import FleetResult
-from .report_schema import ChangesJson, ControlJson, OutagesJson, ScenarioJson, SimulatedJson, StartsJson
+from .platform_model import Outage, PlatformModel, Scenario
+from .report_schema import (
+    ChangesJson,
+    ControlJson,
+    OutagesJson,
+    ScenarioJson,
+    ScenarioMembershipJson,
+    SimulatedJson,
+    StartsJson,
+)
 from .report_statistics import spread
+from .slow_start_returns import judge_slow_starts
 from .trace import Count, RelayTrace
 from .workload import DISCOVERY_MACHINES, KEEPALIVE_BYTES_PER_S, LISTED_RATE, region_of
-from .world_model import Outage, Scenario, World
 
 CHANGE_IN_FORCE_BOUND_MS = 4_000.0
 """The users' bound from a change until it is in force."""
 WHOLE_FLEET_SHARE = 0.95
-"""Share of the relays that has to be played for what the whole fleet sends to be judged."""
+"""Share of the relays that has to be simulated before the load of the whole fleet is judged."""
 CHANGE_GRACE_MS = 6_000.0
-"""A relay that ends so soon after a change need not have had it."""
-BACKLOG_AFTER_MS = 60_000
-"""Calls for a backlog count so long after their scenario."""
+"""A relay that ends within this time after a change may not have received it."""
+BACKLOG_TAIL_MS = 60_000
+"""Calls for a backlog are still counted for this time after their scenario."""
 
 
 @dataclass(slots=True)
@@ -34,40 +41,42 @@
 
 @dataclass(slots=True)
 class FleetView:
-    """What the sections of the report look at.
+    """What the sections of the report are calculated from.
 
     Attributes:
-        world: The world that was played.
-        traces: The relays that were played to the end.
-        scale: Relays of the fleet for each that was played.
+        platform: The simulated platform.
+        traces: The relays that were simulated to the end.
+        scale: Relays of the fleet for each simulated one.
     """
 
-    world: World
+    platform: PlatformModel
     traces: list[RelayTrace]
     scale: float
 
     @classmethod
-    def of(cls, world: World, played: FleetResult) -> FleetView:
-        """The view of what was played."""
+    def of(cls, platform: PlatformModel, played: FleetResult) -> FleetView:
+        """Return the view of a simulated fleet."""
         traces = [trace for trace in played.traces if not trace.cut]
-        return cls(world, traces, world.options.relays / max(1, len(traces)))
+        return cls(platform, traces, platform.options.relays / max(1, len(traces)))
 
     @property
     def is_whole_fleet(self) -> bool:
-        """Whether enough relays were played for the whole fleet to be judged."""
-        return len(self.traces) >= WHOLE_FLEET_SHARE * self.world.options.relays
+        """Whether enough relays were simulated for the whole fleet to be judged."""
+        return len(self.traces) >= WHOLE_FLEET_SHARE * self.platform.options.relays
 
 
-def build_simulated(world: World, played: FleetResult) -> tuple[SimulatedJson, dict[str, ScenarioSamples]]:
+def build_simulated(platform: PlatformModel, played: FleetResult) -> tuple[SimulatedJson, dict[str, ScenarioSamples]]:
     """The simulated section, and samples for the plots by scenario."""
-    view = FleetView.of(world, played)
-    samples = {scenario.name: ScenarioSamples() for scenario in world.scenarios}
+    view = FleetView.of(platform, played)
+    samples = {scenario.name: ScenarioSamples() for scenario in platform.scenarios}
     membership = played.membership
-    rows = [_scenario(view, played, number, samples[each.name]) for number, each in enumerate(world.scenarios)]
+    rows = [
+        _scenario(view, played, number, samples[scenario.name]) for number, scenario in enumerate(platform.scenarios)
+    ]
     return {
         "relays_played": len(view.traces),
-        "relays": world.options.relays,
-        "in_use": len(world.destinations_in_use),
+        "relays": platform.options.relays,
+        "in_use": len(platform.destinations_in_use),
         "lists_refused": sum(trace.lists_refused for trace in view.traces),
         "known_at_the_end": spread(trace.endpoint_count for trace in view.traces),
         "scenes": rows,
@@ -76,7 +85,7 @@
 
 
 def _scenario(view: FleetView, played: FleetResult, number: int, samples: ScenarioSamples) -> ScenarioJson:
-    scenario = view.world.scenarios[number]
+    scenario = view.platform.scenarios[number]
     outages = _outages(view, scenario, samples)
     counts = _counts(view.traces, number)
     seconds_down = outages["seconds_down"]
@@ -88,7 +97,9 @@
         "changes": _changes(view, scenario, samples),
         "outages": outages,
         "calls_down_a_second": round(view.scale * calls_down / seconds_down, 3) if seconds_down else 0.0,
-        "cold": judge_cold_returns(view.world, _outages_in_use(view.world, scenario), view.traces, view.is_whole_fleet),
+        "cold": judge_slow_starts(
+            view.platform, _outages_in_use(view.platform, scenario), view.traces, view.is_whole_fleet
+        ),
         "starts": _starts(view, scenario),
         "control": _control(view, scenario),
         "counts": counts,
@@ -106,7 +117,7 @@
     return dict(sorted(counts.items()))
 
 
-def _membership(played: FleetResult, scenario: Scenario) -> dict[str, Any] | None:
+def _membership(played: FleetResult, scenario: Scenario) -> ScenarioMembershipJson | None:
     rows = played.membership.scenarios if played.membership else []
     return next((row.to_json() for row in rows if row.scenario == scenario.name), None)
 
@@ -116,18 +127,18 @@
 
     The samples count from when discovery could be reached, where that was later.
     """
-    world = view.world
-    changes = [change for change in world.discovery.changes if scenario.contains(change.at_ms)]
+    platform = view.platform
+    changes = [change for change in platform.discovery.changes if scenario.contains(change.at_ms)]
     in_force_ms: list[float] = []
     never = 0
     for change in changes:
         for trace in view.traces:
-            if not world.is_up_throughout(trace.relay, change.at_ms, change.at_ms + CHANGE_GRACE_MS):
+            if not platform.is_up_throughout(trace.relay, change.at_ms, change.at_ms + CHANGE_GRACE_MS):
                 continue
             if change.version in trace.in_force_ms:
                 at_ms = trace.in_force_ms[change.version]
                 in_force_ms.append(at_ms - change.at_ms)
-                samples.notified_ms.append(at_ms - world.discovery_reachable_at(trace.relay, change.at_ms))
+                samples.notified_ms.append(at_ms - platform.discovery_reachable_at(trace.relay, change.at_ms))
             else:
                 never += 1
     return {
@@ -139,16 +150,23 @@
     }
 
 
-def _outages_in_use(world: World, scenario: Scenario) -> list[Outage]:
-    in_use = set(world.destinations_in_use)
-    return [outage for outage in world.outages if outage.destination in in_use and scenario.contains(outage.begin_ms)]
+def _outages_in_use(platform: PlatformModel, scenario: Scenario) -> list[Outage]:
+    in_use = set(platform.destinations_in_use)
+    return [
+        outage for outage in platform.outages if outage.destination in in_use and scenario.contains(outage.begin_ms)
+    ]
 
 
 def _outages(view: FleetView, scenario: Scenario, samples: ScenarioSamples) -> OutagesJson:
-    """Each relay learns alone. A pair is a relay that was up all along and an outage that it could meet."""
+    """Report how relays learned of outages, each alone.
+
+    A pair is an outage and a relay that was up all along and whose calls could meet it.
+    """
     believed_up_ms: list[float] = []
-    pairs, without_message, seconds_down = 0, 0, 0.0
-    outages = _outages_in_use(view.world, scenario)
+    pairs = 0
+    without_message = 0
+    seconds_down = 0.0
+    outages = _outages_in_use(view.platform, scenario)
     for outage in outages:
         seconds_down += (outage.end_ms - outage.begin_ms) / 1000
         for trace in _relays_that_could_meet(view, outage):
@@ -174,8 +192,8 @@
     return [
         trace
         for trace in view.traces
-        if outage.is_seen_from(region_of(trace.relay))
-        and view.world.is_up_throughout(trace.relay, outage.begin_ms, outage.end_ms)
+        if outage.affects_calls_from(region_of(trace.relay))
+        and view.platform.is_up_throughout(trace.relay, outage.begin_ms, outage.end_ms)
     ]
 
 
@@ -191,24 +209,24 @@
         end.at_ms - scenario.failed_at_ms
         for trace in view.traces
         for end in trace.backlog_ends
-        if view.world.scenarios[end.scenario] is scenario
+        if view.platform.scenarios[end.scenario] is scenario
     ]
     return {
         "starts": len(starts),
         "ready_ms": spread(start.ready_ms - start.begin_ms for start in starts),
         "found": sum(start.recovered for start in starts),
         "ended_ms": spread(ends_ms),
-        "largest_second_at_one": round(view.scale * _most_backlog_calls(view.traces, scenario), 1),
+        "largest_second_at_one": round(view.scale * _peak_backlog_calls(view.traces, scenario), 1),
         "listed_rate": round(LISTED_RATE, 1),
     }
 
 
-def _most_backlog_calls(traces: list[RelayTrace], scenario: Scenario) -> int:
-    """Most calls for backlogs that one destination got in one second, of the relays that were played."""
+def _peak_backlog_calls(traces: list[RelayTrace], scenario: Scenario) -> int:
+    """Return the most calls for backlogs that one destination got in one second from the simulated relays."""
     calls: Counter[tuple[int, int]] = Counter()
     for trace in traces:
         for (destination, second), count in trace.backlog_calls.items():
-            if scenario.begin_ms <= second * 1000 < scenario.end_ms + BACKLOG_AFTER_MS:
+            if scenario.begin_ms <= second * 1000 < scenario.end_ms + BACKLOG_TAIL_MS:
                 calls[destination, second] += count
     return max(calls.values(), default=0)
 
@@ -223,11 +241,11 @@
             if scenario.contains(second * 1000):
                 received += size
                 by_second[second] += size
-        if seconds_up := view.world.seconds_up(trace.relay, scenario.begin_ms, scenario.end_ms):
+        if seconds_up := view.platform.seconds_up(trace.relay, scenario.begin_ms, scenario.end_ms):
             rates.append(received / seconds_up + KEEPALIVE_BYTES_PER_S)
     largest = max(by_second.values(), default=0)
     mean = sum(by_second.values()) * 1000 / (scenario.end_ms - scenario.begin_ms)
-    # The largest second of a part says nothing of the whole: one relay's start would count as many at once.
+    # The largest second can't be scaled up from a part: the start of one relay would count as several at once.
     is_whole_fleet = view.scale * WHOLE_FLEET_SHARE <= 1
     return {
         "bytes_a_second": spread(rates),
--- a/linnetstile/testbed/scale/report_schema.py
+++ b/linnetstile/testbed/scale/report_schema.py
@@ -1,15 +1,31 @@
 """The structure of scale.json: its names are stable, as docs/CAPACITY.md and earlier results use them.
 
-Names that differ from the terms of the code: `scene` is a scenario, `hollow` a simulated relay or reference model,
-`real` a relay process, `members` the membership, `telling` gossip, `starts` what the restarts of a scenario did.
+Names that differ from the terms of the code:
+
+- `scene`: a scenario
+- `hollow`: a simulated relay or reference model
+- `real`: a relay process
+- `cold`: a slow start; `falls`: overloads in it; `breaks`: overloads that break the rule
+- `members`: the membership; `asks`: polls; `bare_bytes`: bytes of an answer without claims
+- `telling`: gossip; `since_told_ms`: time since a relay could be notified
+- `starts`: the restarts of a scenario
+- `what`: the subject of a bound, or the kind of a change; `how`: the source of the value
+- `each`: the results of the single slow starts
 """
 
 from __future__ import annotations
 
 from typing import Any, NotRequired, TypedDict
 
-SpreadJson = dict[str, Any]
-"""`n`, and if it is not 0 `median`, `p99`, `last` and `mean`."""
+
+class SpreadJson(TypedDict):
+    """Number of samples; if it is not 0, their median, 99th percentile, largest (`last`) and mean."""
+
+    n: int
+    median: NotRequired[float]
+    p99: NotRequired[float]
+    last: NotRequired[float]
+    mean: NotRequired[float]
 
 
 class ChangesJson(TypedDict):
@@ -34,8 +50,8 @@
     back_known_ms: SpreadJson
 
 
-class ColdReturnJson(TypedDict):
-    """The worst window of calls to one destination that came back cold."""
+class SlowStartJson(TypedDict):
+    """The worst window of calls to one destination in slow start."""
 
     ratio: float
     calls: int
@@ -48,8 +64,8 @@
     met_by: int
 
 
-class ColdReturnsJson(TypedDict):
-    """All cold returns of one scenario; what is not required is there only if they are judged."""
+class SlowStartsJson(TypedDict):
+    """All slow starts of one scenario; the fields that are not required are there only if they are judged."""
 
     returns: int
     judged: bool
@@ -58,8 +74,8 @@
     worst_of_allowed: NotRequired[float]
     calls: int
     ratios: NotRequired[SpreadJson]
-    worst: NotRequired[ColdReturnJson | None]
-    each: NotRequired[list[ColdReturnJson]]
+    worst: NotRequired[SlowStartJson | None]
+    each: NotRequired[list[SlowStartJson]]
 
 
 class StartsJson(TypedDict):
@@ -81,6 +97,26 @@
     mean_a_machine: int
 
 
+class ScenarioMembershipJson(TypedDict):
+    """What the observers of the membership noticed in one scenario."""
+
+    scene: str
+    pairs: int
+    noticed: int
+    after_ms: list[float]
+    asks: int
+    bytes: int
+
+
+class MembershipJson(TypedDict, total=False):
+    """The membership of the whole fleet; empty if it was not simulated."""
+
+    asks: int
+    largest_second: int
+    bare_bytes: int
+    cut_at_ms: float | None
+
+
 class ScenarioJson(TypedDict):
     """One scenario."""
 
@@ -90,11 +126,11 @@
     changes: ChangesJson
     outages: OutagesJson
     calls_down_a_second: float
-    cold: ColdReturnsJson
+    cold: SlowStartsJson
     starts: StartsJson
     control: ControlJson
     counts: dict[str, int]
-    members: dict[str, Any] | None
+    members: ScenarioMembershipJson | None
 
 
 class SimulatedJson(TypedDict):
@@ -106,7 +142,7 @@
     lists_refused: int
     known_at_the_end: SpreadJson
     scenes: list[ScenarioJson]
-    members: dict[str, Any]
+    members: MembershipJson
 
 
 class MeasuredJson(TypedDict):
@@ -122,8 +158,93 @@
     peak_bytes_of_all: int
 
 
+class ProcessMemoryJson(TypedDict):
+    """Resident memory of a relay process in bytes."""
+
+    now: int
+    largest: int
+
+
+class EndpointCountJson(TypedDict):
+    """Endpoints that a relay process and its reference model know."""
+
+    real: int
+    hollow: int
+
+
+class ChangeResultJson(TypedDict):
+    """Where messages went at reference models and relay processes after one change."""
+
+    version: int
+    what: str
+    expected: str
+    hollow: list[str]
+    hollow_ms: list[float]
+    real: list[str]
+    real_ms: list[float]
+
+
+class BurstJson(TypedDict):
+    """Many changes at once."""
+
+    changes: int
+    until_next_shows_ms: float
+    cpu_s: list[float]
+
+
+class BurstEntryJson(TypedDict, total=False):
+    """The entry of a burst in a comparison; it is not there if the list was not accepted."""
+
+    burst: BurstJson
+
+
+class ComparisonJson(BurstEntryJson):
+    """Relay processes beside their reference models."""
+
+    relays: int
+    list_bytes: int
+    list_taken_by_hollow: bool
+    endpoints: list[EndpointCountJson]
+    start_cpu_s: list[float]
+    memory: list[ProcessMemoryJson]
+    memory_small: ProcessMemoryJson
+    changes: list[ChangeResultJson]
+    reopened: list[str]
+    since_version: bool
+    sent_bytes: int
+    watches: int
+    seconds: float
+    agrees: bool
+
+
+class GossipForecastJson(TypedDict, total=False):
+    """Cost of gossip in one relay at the target size; empty if no relay had a claim to share."""
+
+    claim_bytes: float
+    claims_a_round: int
+    claims_most: int
+    bytes_a_second: int
+
+
+class ControlForecastJson(TypedDict, total=False):
+    """Cost of control in one relay at the target size; empty if no list was accepted."""
+
+    memory_bytes: int
+    list_bytes: int
+    list_ms: float
+    change_ms: float
+    drain_ms: float
+    bytes_a_second: float
+    core_share: float
+    list_at_bound_s: float
+    machine_day_bytes_a_second: float
+    machine_zone_back_bytes: int
+    machine_joined_bytes: int
+    backlog_resume_s: float
+
+
 class BoundJson(TypedDict):
-    """A bound that the users state, beside what was found."""
+    """A bound that the users state, beside the value that was found."""
 
     what: str
     value: float
@@ -140,8 +261,8 @@
     target: dict[str, int]
     simulated: SimulatedJson
     measured: MeasuredJson
-    telling: dict[str, float]
-    compared: dict[str, Any] | None
+    telling: GossipForecastJson
+    compared: ComparisonJson | None
     left_out: dict[str, int]
-    forecast: dict[str, float]
+    forecast: ControlForecastJson
     bounds: list[BoundJson]
--- a/linnetstile/testbed/scale/report_statistics.py
+++ b/linnetstile/testbed/scale/report_statistics.py
@@ -9,12 +9,13 @@
 
 
 def spread(values: Iterable[float]) -> SpreadJson:
-    """Number of values; their median, 99th percentile, largest and mean, if there are any."""
+    """Return the number of values and, if there are any, their median, 99th percentile, largest and mean."""
     ordered = sorted(values)
     if not ordered:
         return {"n": 0}
 
     def percentile(share: float) -> float:
+        """Return the nearest-rank percentile."""
         return round(ordered[min(len(ordered) - 1, math.ceil(share * len(ordered)) - 1)], 1)
 
     return {
@@ -27,9 +28,10 @@
 
 
 def extrapolate(points: list[tuple[float, float]], at: float) -> float:
-    """Value at another place of the least-squares line through points; never below 0."""
+    """Return the value of the least-squares line through points at an x coordinate; never below 0."""
     count = len(points)
-    mean_x, mean_y = sum(x for x, _ in points) / count, sum(y for _, y in points) / count
+    mean_x = sum(x for x, _ in points) / count
+    mean_y = sum(y for _, y in points) / count
     variance_x = sum((x - mean_x) ** 2 for x, _ in points)
     slope = sum((x - mean_x) * (y - mean_y) for x, y in points) / variance_x if variance_x else 0.0
     return max(0.0, mean_y + slope * (at - mean_x))
--- a/linnetstile/testbed/scale/report_text.py
+++ b/linnetstile/testbed/scale/report_text.py
@@ -1,10 +1,8 @@
-"""The report as text for people. Times are median / 99th percentile / last."""
+"""The report as text. Times are median / 99th percentile / largest."""
 
 from __future__ import annotations
 
-from typing import Any
-
-from .report_schema import ReportJson, ScenarioJson, SpreadJson
+from .report_schema import ComparisonJson, ReportJson, ScenarioJson, SpreadJson
 from .report_statistics import spread
 from .workload import DISCOVERY_MACHINES, TARGET_DESTINATIONS
 
@@ -32,7 +30,8 @@
 
 
 def _summary(report: ReportJson) -> list[str]:
-    sizes, simulated = report["sizes"], report["simulated"]
+    sizes = report["sizes"]
+    simulated = report["simulated"]
     known = simulated["known_at_the_end"].get("median", 0)
     rows = [
         f"{simulated['relays']} relays ({simulated['relays_played']} played), {sizes['destinations']} destinations, "
@@ -53,7 +52,7 @@
         head,
         *_changes(scenario),
         *_outages(scenario),
-        *_cold_returns(scenario),
+        *_slow_starts(scenario),
         *_starts(scenario),
         _control(scenario),
         *_membership(scenario),
@@ -72,7 +71,8 @@
 
 
 def _outages(scenario: ScenarioJson) -> list[str]:
-    outages, counts = scenario["outages"], scenario["counts"]
+    outages = scenario["outages"]
+    counts = scenario["counts"]
     if not outages["outages"]:
         return []
     return [
@@ -86,21 +86,22 @@
     ]
 
 
-def _cold_returns(scenario: ScenarioJson) -> list[str]:
-    cold = scenario["cold"]
-    if not cold["calls"]:
+def _slow_starts(scenario: ScenarioJson) -> list[str]:
+    slow_starts = scenario["cold"]
+    if not slow_starts["calls"]:
         return []
-    if not cold["judged"]:
-        return [f"  {cold['returns']} returns, not judged: that takes the whole fleet"]
+    if not slow_starts["judged"]:
+        return [f"  {slow_starts['returns']} returns, not judged: that takes the whole fleet"]
     return [
-        f"  {cold['returns']} returns: {cold['falls']} get more calls than a cold one stands, "
-        f"{cold['breaks']} of them by relays that had met the outage (the rule); worst window "
-        f"{cold['worst_of_allowed']:.2f} of what is allowed: {cold['worst']}"
+        f"  {slow_starts['returns']} returns: {slow_starts['falls']} get more calls than a cold one stands, "
+        f"{slow_starts['breaks']} of them by relays that had met the outage (the rule); worst window "
+        f"{slow_starts['worst_of_allowed']:.2f} of what is allowed: {slow_starts['worst']}"
     ]
 
 
 def _starts(scenario: ScenarioJson) -> list[str]:
-    starts, rows = scenario["starts"], []
+    starts = scenario["starts"]
+    rows = []
     if starts["starts"]:
         rows.append(
             f"  {starts['starts']} starts, {starts['found']} messages found; ready after "
@@ -117,7 +118,8 @@
 
 def _control(scenario: ScenarioJson) -> str:
     control = scenario["control"]
-    rates, largest = control["bytes_a_second"], control["largest_second_a_machine"]
+    rates = control["bytes_a_second"]
+    largest = control["largest_second_a_machine"]
     row = (
         f"  control: {rates.get('median', 0):.0f} bytes/s a relay (median), "
         f"{rates.get('last', 0):.0f} (most); each of {DISCOVERY_MACHINES} machines "
@@ -153,7 +155,8 @@
 
 
 def _forecasts(report: ReportJson) -> list[str]:
-    rows, largest = [], report["sizes"]["cost_most"]
+    rows = []
+    largest = report["sizes"]["cost_most"]
     if report["forecast"]:
         rows += [
             "",
@@ -165,10 +168,10 @@
     return rows
 
 
-def _comparison(compared: dict[str, Any]) -> list[str]:
-    taken = "taken" if compared["list_taken_by_hollow"] else "REFUSED"
+def _comparison(compared: ComparisonJson) -> list[str]:
+    reception = "taken" if compared["list_taken_by_hollow"] else "REFUSED"
     rows = [
-        f"a list of {compared['list_bytes']} bytes, {taken} by the hollow twins; discovery sent "
+        f"a list of {compared['list_bytes']} bytes, {reception} by the hollow twins; discovery sent "
         f"{compared['sent_bytes']} bytes to the real ones in {compared['seconds']} s, over "
         f"{compared['watches']} watches",
         f"hollow beside real ({compared['relays']} processes): "
@@ -182,7 +185,7 @@
         for row in compared["changes"]
     ]
     rows.append(
-        f"  real, memory now: {[each['now'] for each in compared['memory']]} bytes, with few destinations "
+        f"  real, memory now: {[memory['now'] for memory in compared['memory']]} bytes, with few destinations "
         f"{compared['memory_small']['now']}; processor time of the start beyond that one: "
         f"{compared['start_cpu_s']} s"
     )
--- a/linnetstile/testbed/scale/run.py
+++ b/linnetstile/testbed/scale/run.py
@@ -20,7 +20,7 @@
 from .report_schema import ReportJson
 
 REPORT_S = 45.0
-"""Kept for the report, of a run of `REPORT_RUN_MINUTES`; less of a shorter one."""
+"""Time reserved for the report in a run of `REPORT_RUN_MINUTES`; less in proportion in a shorter one."""
 REPORT_RUN_MINUTES = 10
 COMPARISON_FOLDER = "real"
 END_SIGNALS = (signal.SIGTERM, signal.SIGINT)
@@ -31,20 +31,20 @@
 
 
 def _end(number: int, frame: FrameType | None) -> None:
-    for each in END_SIGNALS:  # a second one must not stop the clean-up half-way
-        signal.signal(each, signal.SIG_IGN)
+    for ignored in END_SIGNALS:  # a second one must not stop the clean-up half-way
+        signal.signal(ignored, signal.SIG_IGN)
     raise RunInterrupted(number)
 
 
 @contextmanager
 def _ended_by_signals() -> Iterator[None]:
-    """Raise `Ended` on a signal; restores the handlers afterwards."""
-    before = {each: signal.signal(each, _end) for each in END_SIGNALS}
+    """Raise `RunInterrupted` on a signal; restore the handlers afterwards."""
+    previous_handlers = {end_signal: signal.signal(end_signal, _end) for end_signal in END_SIGNALS}
     try:
         yield
     finally:
-        for each, handler in before.items():
-            signal.signal(each, handler)
+        for end_signal, handler in previous_handlers.items():
+            signal.signal(end_signal, handler)
 
 
 def run(sizes: ScaleOptions, folder: Path, say: Callable[[str], None]) -> ReportJson:
@@ -60,10 +60,10 @@
 
     Raises:
         OptionError: An option has a value that cannot be used.
-        NotStarted: A relay process did not start, or ended by itself.
-        Failed: Another process ended by itself.
+        RelayStartError: A relay process did not start, or ended by itself.
+        RunFailedError: Another process ended by itself.
         OSError: Files or sockets cannot be used.
-        Ended: A signal ended the run.
+        RunInterrupted: A signal ended the run.
     """
     sizes.check()
     until = time.monotonic() + 60.0 * sizes.minutes
@@ -73,9 +73,9 @@
         resumes_by_version = bool(comparison and comparison.resumes_by_version)
         seconds_left = until - REPORT_S * sizes.minutes / REPORT_RUN_MINUTES - time.monotonic()
         played = _play_fleet(sizes, resumes_by_version, seconds_left, say)
-        world = scenarios.build(sizes)
-        played.check(world)
-        found, samples = report.build(world, played, comparison)
+        platform = scenarios.build(sizes)
+        played.check(platform)
+        found, samples = report.build(platform, played, comparison)
         report.write(found, samples, folder, say)
         return found
 
--- a/linnetstile/testbed/scale/simulated_relay.py
+++ b/linnetstile/testbed/scale/simulated_relay.py
@@ -1,14 +1,15 @@
 """A simulated relay: the shipped engine, directory and watch rules on a simulated clock, without sockets.
 
-Given the world, relays act on each other only through what destinations get; that is summed up after the play by the
-report. So each relay is played alone and a process holds one at a time. What a destination answers follows from the
-world: it does not slow down or refuse under load, and a cold one that gets too much is counted, not taken down.
+The relays affect each other only by the load on destinations, which the report adds up afterwards. So each relay is
+simulated alone, and a worker process simulates one at a time. What a destination answers follows from the platform
+model: it does not slow down or reject calls under load, and an overload in slow start is counted, but has no effect.
 """
 
 from __future__ import annotations
 
 from collections.abc import Callable
 
+from .platform_model import Lifetime, PlatformModel
 from .relay_engine import gossip_size
 from .relay_runtime import (
     CallEnds,
@@ -24,25 +25,26 @@
 from .traffic_simulation import TrafficSimulation
 from .watch_simulation import WatchSimulation
 from .workload import WATCH_START_DELAY_MS
-from .world_model import Lifetime, World
 
 EVENTS_BETWEEN_CHECKS = 256
-"""Events between two looks at the time limit."""
+"""Events between two checks of the time limit."""
 
 
 class SimulatedRelay:
-    """One relay through all lifetimes that the world gives it."""
+    """One relay through all lifetimes that the platform model gives it."""
 
-    def __init__(self, world: World, relay: int, resumes_by_version: bool, is_overdue: Callable[[], bool]) -> None:
+    def __init__(
+        self, platform: PlatformModel, relay: int, resumes_by_version: bool, is_overdue: Callable[[], bool]
+    ) -> None:
         """Make a relay.
 
         Args:
-            world: The world that it lives in.
+            platform: The simulated platform.
             relay: Its number.
             resumes_by_version: A watch that is opened anew asks for the changes since its version, not for the list.
             is_overdue: Whether the time of the run is up; the play is cut then.
         """
-        self.runtime = RelayRuntime(world, relay)
+        self.runtime = RelayRuntime(platform, relay)
         self.traffic = TrafficSimulation(self.runtime)
         self.watch = WatchSimulation(self.runtime, resumes_by_version, self.traffic.engine_turn)
         self.is_overdue = is_overdue
@@ -51,13 +53,14 @@
 
     def play(self) -> RelayTrace:
         """Play all lifetimes; returns what the relay did."""
-        runtime, world = self.runtime, self.runtime.world
-        for lifetime in world.lifetimes[runtime.relay]:
+        runtime = self.runtime
+        platform = runtime.platform
+        for lifetime in platform.lifetimes[runtime.relay]:
             self._play_lifetime(lifetime)
             if runtime.trace.cut:
                 break
         runtime.trace.endpoint_count = runtime.reader.endpoint_count
-        runtime.trace.gossip = gossip_size(runtime.engine, world.end_ms, world.destinations_in_use)
+        runtime.trace.gossip = gossip_size(runtime.engine, platform.end_ms, platform.destinations_in_use)
         return runtime.trace
 
     def _play_lifetime(self, lifetime: Lifetime) -> None:
@@ -66,7 +69,7 @@
         played = 0
         while (due := runtime.queue.pop_before(lifetime.end_ms)) is not None:
             now_ms, event = due
-            runtime.scenario = runtime.world.scenario_at(now_ms)
+            runtime.scenario = runtime.platform.scenario_at(now_ms)
             played += 1
             if played % EVENTS_BETWEEN_CHECKS == 0 and self.is_overdue():
                 runtime.trace.cut = True
@@ -76,8 +79,9 @@
     def _start_process(self, lifetime: Lifetime) -> None:
         runtime = self.runtime
         runtime.queue.clear()
-        runtime.scenario = runtime.world.scenario_at(lifetime.begin_ms)
-        self.lifetime, self.is_recovered = lifetime, False
+        runtime.scenario = runtime.platform.scenario_at(lifetime.begin_ms)
+        self.lifetime = lifetime
+        self.is_recovered = False
         if not lifetime.keeps_state:
             self.traffic.lose_state()
         runtime.start_process()
--- a/linnetstile/testbed/scale/cold_returns.py
+++ b/linnetstile/testbed/scale/slow_start_returns.py
@@ -1,8 +1,9 @@
-"""Calls of the whole fleet to destinations that have just come back from an outage, against the rule for them.
+"""Check that the fleet does not overload destinations in slow start, right after their outages.
 
-A destination that comes back cold takes fewer calls until it is warm. One that gets too many within the window of the
-rules falls; that breaks the rule if over two thirds of the first such window's calls came from relays that had met the
-outage. A part of the fleet shows nothing of it: a few calls, times its share, are noise.
+A destination that returns from an outage has less capacity until its slow start is over. Calls beyond its budget within
+one window of the safety settings overload it. The rule is broken if over two thirds of the calls of the first such
+window came from relays that had met the outage. The calls of all relays count, so that a part of the fleet is not
+judged.
 """
 
 from __future__ import annotations
@@ -13,20 +14,20 @@
 
 from ...engine.settings import SafetyLimits
 from ..slow_start_budget import slow_start_call_budget
-from .report_schema import ColdReturnJson, ColdReturnsJson
+from .platform_model import Outage, PlatformModel
+from .report_schema import SlowStartJson, SlowStartsJson
 from .report_statistics import spread
-from .trace import ColdCall, RelayTrace
-from .world_model import Outage, World
+from .trace import RelayTrace, SlowStartCall
 
 
 @dataclass(frozen=True, slots=True, order=True)
 class CallWindow:
-    """Calls within one window of the rules.
+    """Calls to one destination within one window of the safety settings.
 
     Attributes:
-        ratio: Calls over what is allowed.
+        ratio: Calls divided by what is allowed: the budget and an allowance for random variation.
         calls: Calls within the window.
-        budget: Calls that the destination takes, without what chance may add.
+        budget: Calls that the destination takes, without the allowance.
         informed_calls: Calls of relays that had met the outage.
     """
 
@@ -41,19 +42,19 @@
         return self.informed_calls > self.calls * 2 / 3
 
 
-def judge_cold_returns(
-    world: World, outages: list[Outage], traces: list[RelayTrace], is_whole_fleet: bool
-) -> ColdReturnsJson:
-    """Judge all cold returns among some outages, if the whole fleet was played."""
-    safety = world.settings(0).safety
-    calls: defaultdict[int, list[ColdCall]] = defaultdict(list)
+def judge_slow_starts(
+    platform: PlatformModel, outages: list[Outage], traces: list[RelayTrace], is_whole_fleet: bool
+) -> SlowStartsJson:
+    """Return the report on the slow starts after some outages; judged only if the whole fleet was played."""
+    safety = platform.settings(0).safety
+    calls: defaultdict[int, list[SlowStartCall]] = defaultdict(list)
     for trace in traces:
-        for call in trace.cold_calls:
+        for call in trace.slow_start_calls:
             calls[call.outage].append(call)
     rows = [
-        _judge_return(world, outage, calls[outage.number], safety, traces)
+        _judge_return(platform, outage, calls[outage.number], safety, traces)
         for outage in outages
-        if outage.is_cold_return
+        if outage.has_slow_start
     ]
     all_calls = sum(row["all"] for row in rows)
     if not is_whole_fleet:
@@ -72,33 +73,36 @@
 
 
 def _judge_return(
-    world: World, outage: Outage, calls: list[ColdCall], safety: SafetyLimits, traces: list[RelayTrace]
-) -> ColdReturnJson:
-    windows = _windows(world, outage, calls, safety)
+    platform: PlatformModel, outage: Outage, calls: list[SlowStartCall], safety: SafetyLimits, traces: list[RelayTrace]
+) -> SlowStartJson:
+    windows = _windows(platform, outage, calls, safety)
     worst = max([CallWindow(), *windows])
-    first_over = next((window for window in windows if window.ratio > 1), None)
+    first_overload = next((window for window in windows if window.ratio > 1), None)
     return {
         "ratio": round(worst.ratio, 3),
         "calls": worst.calls,
         "by_relays_that_met_it": worst.informed_calls,
         "budget": round(worst.budget, 1),
         "all": len(calls),
-        "falls": first_over is not None,
-        "breaks": first_over is not None and first_over.breaks_rule,
+        "falls": first_overload is not None,
+        "breaks": first_overload is not None and first_overload.breaks_rule,
         "lasted_ms": round(outage.end_ms - outage.begin_ms),
         "met_by": sum(outage.number in trace.outages_met for trace in traces),
     }
 
 
-def _windows(world: World, outage: Outage, calls: list[ColdCall], safety: SafetyLimits) -> list[CallWindow]:
-    """The window that ends with each call."""
+def _windows(
+    platform: PlatformModel, outage: Outage, calls: list[SlowStartCall], safety: SafetyLimits
+) -> list[CallWindow]:
+    """Return the window that ends with each call."""
     ordered = sorted(calls, key=lambda call: (call.at_ms, call.had_met_outage))
-    windows, first = [], 0
+    windows = []
+    first = 0
     for last, call in enumerate(ordered):
         while ordered[first].at_ms <= call.at_ms - safety.overload_window_ms:
             first += 1
         budget = slow_start_call_budget(
-            world.discovery.rate(outage.destination, call.at_ms),
+            platform.discovery.rate(outage.destination, call.at_ms),
             call.at_ms - outage.end_ms,
             safety.slow_start_fraction,
             safety.slow_start_ms,
@@ -106,6 +110,7 @@
             safety.overload_window_ms,
         )
         count = last + 1 - first
-        informed = sum(each.had_met_outage for each in ordered[first : last + 1])
-        windows.append(CallWindow(count / (budget + 2 * math.sqrt(budget) + 2), count, budget, informed))
+        informed = sum(counted.had_met_outage for counted in ordered[first : last + 1])
+        ratio = count / (budget + 2 * math.sqrt(budget) + 2)
+        windows.append(CallWindow(ratio, count, budget, informed))
     return windows
--- a/linnetstile/testbed/scale/trace.py
+++ b/linnetstile/testbed/scale/trace.py
@@ -1,4 +1,4 @@
-"""What one simulated relay did: the record that goes from a worker process to the report."""
+"""What one simulated relay did: the record that a worker process sends to the report."""
 
 from __future__ import annotations
 
@@ -38,8 +38,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ColdCall:
-    """A call to a destination that has just come back from an outage.
+class SlowStartCall:
+    """A call to a destination in slow start after an outage.
 
     Attributes:
         outage: Number of the outage.
@@ -89,13 +89,13 @@
 
     Attributes:
         relay: Number of the relay.
-        world_fingerprint: Fingerprint of the world that it was played in.
+        platform_fingerprint: Fingerprint of the platform that it was simulated on.
         in_force_ms: By version of the list, when it was in force.
         believed_down_ms: By outage, when the engine took the destination to be down.
         believed_up_ms: By outage, the first success after it, where the relay had believed it down.
         outages_with_message: Outages in which it had a message for the destination.
         outages_met: Outages in which a call of its own failed.
-        cold_calls: Calls to destinations that had just come back.
+        slow_start_calls: Calls to destinations in slow start.
         starts: Starts of its process.
         backlog_ends: Ends of the messages of the backlog.
         backlog_calls: Calls for the backlog by destination and second.
@@ -111,13 +111,13 @@
     """
 
     relay: int
-    world_fingerprint: int
+    platform_fingerprint: int
     in_force_ms: dict[int, float] = field(default_factory=dict)
     believed_down_ms: dict[int, float] = field(default_factory=dict)
     believed_up_ms: dict[int, float] = field(default_factory=dict)
     outages_with_message: set[int] = field(default_factory=set)
     outages_met: set[int] = field(default_factory=set)
-    cold_calls: list[ColdCall] = field(default_factory=list)
+    slow_start_calls: list[SlowStartCall] = field(default_factory=list)
     starts: list[RelayStart] = field(default_factory=list)
     backlog_ends: list[BacklogEnd] = field(default_factory=list)
     backlog_calls: Counter[tuple[int, int]] = field(default_factory=Counter)
--- a/linnetstile/testbed/scale/traffic_simulation.py
+++ b/linnetstile/testbed/scale/traffic_simulation.py
@@ -1,4 +1,4 @@
-"""Messages and calls of a simulated relay, from submission to the end, and what it learns of outages by them."""
+"""Messages and calls of a simulated relay, from submission to the end, and what they show of outages."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
     TimerFired,
 )
 from .destination_model import Call, CallResult, answer_call
+from .platform_model import Lifetime
 from .relay_engine import believes_down
 from .relay_runtime import CallEnds, EngineTimerDue, MessageArrives, RelayRuntime
-from .trace import BacklogEnd, ColdCall, Count, TurnKind
+from .trace import BacklogEnd, Count, SlowStartCall, TurnKind
 from .workload import EVENTS_PER_DESTINATION_S, zone_of
-from .world_model import Lifetime
 
 MEAN_BACKLOG_AGE_MS = 30_000.0
 """Mean age of the messages of a backlog."""
@@ -31,7 +31,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Attempt:
-    """A call on its way: when it began, and the name of its endpoint."""
+    """A call in flight: when it began, and the name of its endpoint."""
 
     began_ms: float
     endpoint: str
@@ -44,10 +44,10 @@
     Attributes:
         message: The message.
         accepted_ms: When it was submitted.
-        deadline_ms: When it is worth nothing any more.
+        deadline_ms: When it expires.
         attempts: Calls so far.
-        in_flight: The call that is on its way.
-        first_unclear: The first call of which nobody knows whether it had an effect.
+        in_flight: The call that has not ended yet.
+        first_unclear: The first call whose end does not show whether it took effect.
     """
 
     message: Message
@@ -64,7 +64,7 @@
     def __init__(self, runtime: RelayRuntime) -> None:
         self.runtime = runtime
         self.accepted: dict[int, AcceptedMessage] = {}
-        self.backlog: set[int] = set()  # messages that a journal had besides those of this run
+        self.backlog: set[int] = set()  # messages that were added to the journal at a restart
         self.timer_serial = 0
         self.last_message = 0
 
@@ -72,31 +72,33 @@
 
     def start_process(self, now_ms: float) -> None:
         """Let clients submit messages for all destinations in use."""
-        for destination in self.runtime.world.destinations_in_use:
+        for destination in self.runtime.platform.destinations_in_use:
             self._schedule_message(destination, now_ms)
 
     def lose_state(self) -> None:
-        """The machine is gone, and its journal with it."""
+        """Drop all accepted messages: the journal is lost with its machine."""
         self.runtime.count(Count.LOST_WITH_STATE, len(self.accepted))
-        self.accepted, self.backlog = {}, set()
+        self.accepted = {}
+        self.backlog = set()
 
     def recover(self, now_ms: float, lifetime: Lifetime) -> list[Event]:
-        """What the journal holds, as events of recovery; they are the caller's to hand to the engine."""
+        """Return the events of recovery for all messages of the journal; the caller hands them to the engine."""
         if lifetime.backlog:
             self._add_backlog(now_ms, lifetime.backlog)
-        return [self._recover_message(now_ms, each) for each in self.accepted.values()]
+        return [self._recover_message(now_ms, accepted) for accepted in self.accepted.values()]
 
-    def _add_backlog(self, now_ms: float, messages_each: int) -> None:
+    def _add_backlog(self, now_ms: float, messages_per_destination: int) -> None:
         rng = self.runtime.rng
-        for destination in self.runtime.world.destinations_in_use:
-            for _ in range(messages_each):
+        for destination in self.runtime.platform.destinations_in_use:
+            for _ in range(messages_per_destination):
                 accepted_ms = now_ms - rng.expovariate(1 / MEAN_BACKLOG_AGE_MS)
                 self.backlog.add(self._accept(destination, now_ms, accepted_ms).id)
 
-    def _recover_message(self, now_ms: float, each: AcceptedMessage) -> MessageRecovered:
-        each.first_unclear = each.first_unclear or each.in_flight
-        each.in_flight = None
-        message, unclear = each.message, each.first_unclear
+    def _recover_message(self, now_ms: float, accepted: AcceptedMessage) -> MessageRecovered:
+        accepted.first_unclear = accepted.first_unclear or accepted.in_flight
+        accepted.in_flight = None
+        message = accepted.message
+        unclear = accepted.first_unclear
         endpoint = None
         if unclear:
             endpoint = Endpoint(
@@ -105,11 +107,11 @@
                 EndpointStatus.READY,
                 zone=zone_of(message.destination),
             )
-        remaining_ms = max(0.0, each.deadline_ms - now_ms)
+        remaining_ms = max(0.0, accepted.deadline_ms - now_ms)
         return MessageRecovered(
             Message(message.id, message.destination, message.class_index, remaining_ms),
-            now_ms - each.accepted_ms,
-            each.attempts,
+            now_ms - accepted.accepted_ms,
+            accepted.attempts,
             now_ms - unclear.began_ms if unclear else None,
             endpoint,
         )
@@ -124,12 +126,12 @@
             runtime.count(Count.NOT_LISTED)
             return
         runtime.count(Count.MESSAGES)
-        if outage := runtime.world.current_outage(destination, runtime.region, now_ms):
+        if outage := runtime.platform.current_outage(destination, runtime.region, now_ms):
             runtime.trace.outages_with_message.add(outage.number)
         self.engine_turn(now_ms, [self._accept(destination, now_ms, now_ms)], TurnKind.MESSAGE)
 
     def _schedule_message(self, destination: int, now_ms: float) -> None:
-        per_s = EVENTS_PER_DESTINATION_S / self.runtime.world.options.relays
+        per_s = EVENTS_PER_DESTINATION_S / self.runtime.platform.options.relays
         self.runtime.queue.add(now_ms + self.runtime.rng.expovariate(per_s) * 1000, MessageArrives(destination))
 
     def _accept(self, destination: int, now_ms: float, accepted_ms: float) -> Message:
@@ -183,15 +185,16 @@
     # -- calls --
 
     def _send(self, now_ms: float, send: Send) -> None:
-        runtime, accepted = self.runtime, self.accepted[send.id]
+        runtime = self.runtime
+        accepted = self.accepted[send.id]
         destination = accepted.message.destination
         endpoint = runtime.reader.endpoint_name(send.endpoint)
         accepted.attempts += 1
         accepted.in_flight = Attempt(now_ms, endpoint)
         call = Call(send, destination, endpoint, runtime.region, now_ms)
-        result = answer_call(runtime.world, call, runtime.engine.settings.connect_timeout_ms, runtime.rng)
+        result = answer_call(runtime.platform, call, runtime.engine.settings.connect_timeout_ms, runtime.rng)
         self._count_call(result)
-        self._record_cold_call(destination, now_ms)
+        self._record_slow_start_call(destination, now_ms)
         if send.id in self.backlog:
             runtime.trace.backlog_calls[destination, int(now_ms // 1000)] += 1
         runtime.queue.add(max(now_ms, result.at_ms), CallEnds(send, now_ms, result.outcome))
@@ -206,21 +209,24 @@
         elif result.endpoint_gone:
             runtime.count(Count.CALLS_GONE)
 
-    def _record_cold_call(self, destination: int, now_ms: float) -> None:
-        """Record a call to a destination that has just come back from an outage, cold."""
-        trace, slow_start_ms = self.runtime.trace, self.runtime.engine.settings.safety.slow_start_ms
-        for outage in self.runtime.world.outages_of(destination):
-            if outage.is_cold_return and outage.end_ms <= now_ms < outage.end_ms + slow_start_ms:
-                trace.cold_calls.append(ColdCall(outage.number, now_ms, outage.number in trace.outages_met))
+    def _record_slow_start_call(self, destination: int, now_ms: float) -> None:
+        """Record a call to a destination in slow start."""
+        trace = self.runtime.trace
+        slow_start_ms = self.runtime.engine.settings.safety.slow_start_ms
+        for outage in self.runtime.platform.outages_of(destination):
+            if outage.has_slow_start and outage.end_ms <= now_ms < outage.end_ms + slow_start_ms:
+                trace.slow_start_calls.append(SlowStartCall(outage.number, now_ms, outage.number in trace.outages_met))
                 return
 
     def call_ended(self, now_ms: float, event: CallEnds) -> None:
-        """A call has ended: tell the engine, and record what the relay has learned by it."""
-        send, outcome = event.send, event.outcome
+        """Notify the engine of the end of a call, and record what the relay learns from it."""
+        send = event.send
+        outcome = event.outcome
         accepted = self.accepted.get(send.id)
         if accepted is None:
             return
-        destination, succeeded = accepted.message.destination, outcome is Outcome.OK
+        destination = accepted.message.destination
+        succeeded = outcome is Outcome.OK
         if not outcome.proves_no_effect and accepted.first_unclear is None:
             accepted.first_unclear = accepted.in_flight
         accepted.in_flight = None
@@ -237,8 +243,9 @@
             self._record_failure(destination, event.began_ms, now_ms)
 
     def _record_failure(self, destination: int, began_ms: float, now_ms: float) -> None:
-        runtime, trace = self.runtime, self.runtime.trace
-        outage = runtime.world.current_outage(destination, runtime.region, began_ms)
+        runtime = self.runtime
+        trace = runtime.trace
+        outage = runtime.platform.current_outage(destination, runtime.region, began_ms)
         if outage is None:
             return
         trace.outages_met.add(outage.number)
@@ -247,13 +254,13 @@
             trace.believed_down_ms[outage.number] = now_ms
 
     def _outage_still_believed(self, destination: int, now_ms: float) -> int | None:
-        """The latest outage that is over, if this relay still takes the destination to be down."""
+        """Return the latest outage that has ended, if this relay still believes the destination down."""
         runtime = self.runtime
-        over = [
+        ended = [
             outage
-            for outage in runtime.world.outages_of(destination)
-            if outage.end_ms <= now_ms and outage.is_seen_from(runtime.region)
+            for outage in runtime.platform.outages_of(destination)
+            if outage.end_ms <= now_ms and outage.affects_calls_from(runtime.region)
         ]
-        if not over or over[-1].number not in runtime.trace.believed_down_ms:
+        if not ended or ended[-1].number not in runtime.trace.believed_down_ms:
             return None
-        return over[-1].number if believes_down(runtime.engine, destination, now_ms) else None
+        return ended[-1].number if believes_down(runtime.engine, destination, now_ms) else None
--- a/linnetstile/testbed/scale/watch_reader.py
+++ b/linnetstile/testbed/scale/watch_reader.py
@@ -1,6 +1,6 @@
 """Reads the bytes of a discovery watch with the shipped parser and directory.
 
-Whatever this package knows of the inside of the platform relay's endpoint directory stands here.
+It is the only module of this package that depends on the inside of the platform relay's endpoint directory.
 """
 
 from __future__ import annotations
@@ -12,11 +12,11 @@
 from .workload import DESTINATION_KINDS, ZONES
 
 READ_BYTES = 64 * 1024
-"""Bytes that a socket brings at a time."""
+"""Largest piece that is read from a socket at a time."""
 
 
 class WatchReader:
-    """Bytes of a watch in, events for the engine out; the directory of one relay."""
+    """Turns the bytes of a watch into events for the engine; owns the endpoint directory of one relay."""
 
     def __init__(self) -> None:
         self.directory = Directory(DESTINATION_KINDS, tuple(f"z{n}" for n in range(ZONES)))
@@ -61,8 +61,8 @@
 
     def endpoint_name(self, endpoint: int) -> str:
         """Name of an endpoint by its number; empty if it is not known."""
-        place = self.directory.address_of(endpoint)
-        return place.name if place else ""
+        address = self.directory.address_of(endpoint)
+        return address.name if address else ""
 
     def endpoint_number(self, name: str) -> int:
         """Number of an endpoint by its name."""
@@ -70,8 +70,8 @@
 
     def endpoint_port(self, endpoint: int) -> int:
         """Port of an endpoint by its number; 0 if it is not known."""
-        place = self.directory.address_of(endpoint)
-        return place.port if place else 0
+        address = self.directory.address_of(endpoint)
+        return address.port if address else 0
 
     def is_listed(self, destination: int) -> bool:
         """Whether the directory knows a destination."""
--- a/linnetstile/testbed/scale/watch_simulation.py
+++ b/linnetstile/testbed/scale/watch_simulation.py
@@ -3,7 +3,8 @@
 from __future__ import annotations
 
 import time
-from collections.abc import Callable, Iterable
+from collections.abc import Callable
+from dataclasses import dataclass
 
 from ...emulators.discovery import http_chunk
 from ...engine.events import Event
@@ -15,8 +16,7 @@
 from .workload import KEEPALIVE_INTERVAL_MS
 
 MAX_LISTS_REFUSED = 3
-"""Lists that a process refuses before the play stops offering them: each is the full list once more, which costs time
-and shows nothing new."""
+"""Lists that a process refuses before the simulation stops offering them: each would be the same full list again."""
 FULL_LIST_MARK = b'"full":true'
 FULL_LIST_MARK_WITHIN = 40
 NO_VERSION = 0
@@ -24,8 +24,16 @@
 EngineTurn = Callable[[float, list[Event], TurnKind], int]
 
 
+@dataclass(frozen=True, slots=True)
+class _WatchLine:
+    """A line that discovery sends, and the version of the list that it leads to."""
+
+    data: bytes
+    version: int
+
+
 class WatchSimulation:
-    """Opens watches, reads what they bring and hands it to the engine.
+    """Opens watches, reads the lists and changes, and hands their events to the engine.
 
     Attributes:
         version: Version of the list in force; `NO_VERSION` before the first.
@@ -48,29 +56,30 @@
         self.lists_refused = 0
 
     def start_process(self) -> None:
-        """Forget what the process before knew."""
+        """Forget what the previous process knew."""
         self.version = NO_VERSION
         self.lists_refused = 0
 
     def open(self, now_ms: float, failures: int) -> None:
-        """Open a watch: it leads somewhere, or is given up and opened anew after a backoff."""
-        runtime, world = self.runtime, self.runtime.world
+        """Open a watch; without an answer before its deadline, it is opened again after a backoff."""
+        runtime = self.runtime
+        platform = runtime.platform
         self.watch += 1
         self.failures = failures
         runtime.count(Count.WATCHES)
         deadline_ms = now_ms + 1000 * watch_deadline(0.0, False, None)
-        reachable_ms = world.discovery_reachable_at(runtime.relay, now_ms)
-        first_answer_ms = world.notified_at(runtime.relay, reachable_ms)
+        reachable_ms = platform.discovery_reachable_at(runtime.relay, now_ms)
+        first_answer_ms = platform.notified_at(runtime.relay, reachable_ms)
         if first_answer_ms >= deadline_ms:
             self._reopen_later(deadline_ms)
             return
         runtime.queue.add(first_answer_ms, WatchNotified(self.watch, None))
-        silent_from_ms = world.next_discovery_outage(runtime.relay, first_answer_ms)
+        silent_from_ms = platform.next_discovery_outage(runtime.relay, first_answer_ms)
         if silent_from_ms is not None:
             runtime.queue.add(silent_from_ms, DiscoverySilent(self.watch))
 
     def become_silent(self, now_ms: float, watch: int) -> None:
-        """Discovery can't be reached: the relay notices after the time that the rules give a silent watch."""
+        """Make discovery unreachable: the relay notices at the deadline of a silent watch."""
         if watch != self.watch:
             return
         last_heard_ms = now_ms - self.runtime.rng.uniform(0.0, KEEPALIVE_INTERVAL_MS)
@@ -78,11 +87,16 @@
         self.runtime.queue.add(max(now_ms, noticed_ms), WatchOpens(0))
 
     def receive(self, now_ms: float, watch: int, change: EndpointChange | None) -> bool:
-        """Read a change, or (None) what the opening asks for; False if the watch is over or discovery unreachable."""
-        runtime, world = self.runtime, self.runtime.world
-        if watch != self.watch or not world.can_reach_discovery(runtime.relay, now_ms):
+        """Read a change, or (None) the first answer of a watch.
+
+        Returns:
+            False if the watch has ended or discovery is unreachable.
+        """
+        runtime = self.runtime
+        platform = runtime.platform
+        if watch != self.watch or not platform.can_reach_discovery(runtime.relay, now_ms):
             return False
-        if all(self._read_line(now_ms, line, version) for line, version in self._lines(now_ms, change)):
+        if all(self._read_line(now_ms, watch_line) for watch_line in self._lines(now_ms, change)):
             self._await_next_change(now_ms)
         else:
             self.lists_refused += 1
@@ -90,21 +104,22 @@
                 self._reopen_later(now_ms)
         return True
 
-    def _lines(self, now_ms: float, change: EndpointChange | None) -> Iterable[tuple[bytes, int]]:
-        """The lines that come, each with the version that it makes."""
-        discovery = self.runtime.world.discovery
+    def _lines(self, now_ms: float, change: EndpointChange | None) -> list[_WatchLine]:
+        """Return the lines that discovery sends."""
+        discovery = self.runtime.platform.discovery
         until = discovery.version_at(now_ms) if change is None else change.version
         if change is None:
             self.runtime.reader.reopen()
         if change is not None or (self.version and self.resumes_by_version):
-            return [(each.line, each.version) for each in discovery.changes_between(self.version, until)]
-        return [(discovery.full_list(until), until)]
+            return [_WatchLine(sent.line, sent.version) for sent in discovery.changes_between(self.version, until)]
+        return [_WatchLine(discovery.full_list(until), until)]
 
     def _await_next_change(self, now_ms: float) -> None:
-        runtime, changes = self.runtime, self.runtime.world.discovery.changes
+        runtime = self.runtime
+        changes = runtime.platform.discovery.changes
         if self.version <= len(changes):
             following = changes[self.version - FIRST_VERSION]
-            notified_ms = runtime.world.notified_at(runtime.relay, following.at_ms)
+            notified_ms = runtime.platform.notified_at(runtime.relay, following.at_ms)
             runtime.queue.add(max(now_ms, notified_ms), WatchNotified(self.watch, following))
 
     def _reopen_later(self, now_ms: float) -> None:
@@ -112,8 +127,9 @@
         pause_ms = backoff_ms(failures, WATCH_BACKOFF_MS, self.runtime.rng)
         self.runtime.queue.add(now_ms + pause_ms, WatchOpens(failures))
 
-    def _read_line(self, now_ms: float, line: bytes, version: int) -> bool:
+    def _read_line(self, now_ms: float, watch_line: _WatchLine) -> bool:
         """Read one line of discovery, as a chunk of its watch; False if the relay refuses it."""
+        line = watch_line.data
         trace = self.runtime.trace
         is_full = FULL_LIST_MARK in line[:FULL_LIST_MARK_WITHIN]
         kind = TurnKind.FULL_LIST if is_full else TurnKind.CHANGE
@@ -130,9 +146,9 @@
             return False
         spent_ns += self.engine_turn(now_ms, events, kind)
         trace.longest_list_ns[kind] = max(trace.longest_list_ns[kind], spent_ns)
-        for each in range(max(FIRST_VERSION, self.version) + 1, version + 1):
-            trace.in_force_ms.setdefault(each, now_ms)
-        self.version = version
+        for version in range(max(FIRST_VERSION, self.version) + 1, watch_line.version + 1):
+            trace.in_force_ms.setdefault(version, now_ms)
+        self.version = watch_line.version
         return True
 
     def _count_bytes(self, now_ms: float, line: bytes, is_full: bool) -> None:
--- a/linnetstile/testbed/scale/worker.py
+++ b/linnetstile/testbed/scale/worker.py
@@ -1,4 +1,4 @@
-"""A process of a scale run: it plays its share and sends what it found through a pipe."""
+"""A worker process of a scale run: it does its job and sends the results through a pipe."""
 
 from __future__ import annotations
 
@@ -89,15 +89,15 @@
     elif job.kind == MEMBERSHIP_JOB:
         yield membership_simulation.play(scenarios.build(job.options), is_overdue)
     else:
-        world = scenarios.build(job.options)
+        platform = scenarios.build(job.options)
         for relay in job.relays:
             if is_overdue():
                 break
-            yield SimulatedRelay(world, relay, job.resumes_by_version, is_overdue).play()
+            yield SimulatedRelay(platform, relay, job.resumes_by_version, is_overdue).play()
 
 
 def _end_with_parent() -> None:
-    """The first process answers for SIGINT; when it is gone, so is this one."""
+    """Leave SIGINT to the main process, and exit when that has ended."""
     signal.signal(signal.SIGINT, signal.SIG_IGN)
     parent = multiprocessing.parent_process()
     assert parent is not None
--- a/tests/testbed/test_scale.py
+++ b/tests/testbed/test_scale.py
@@ -18,19 +18,19 @@
 from linnetstile.cli.main import main
 from linnetstile.engine.events import EndpointList
 from linnetstile.testbed.scale import fleet, membership_simulation, report, scenarios, watch_simulation
-from linnetstile.testbed.scale.cold_returns import judge_cold_returns
-from linnetstile.testbed.scale.comparison import ChangeResult, Comparison, EndpointCount
+from linnetstile.testbed.scale.comparison_result import ChangeResult, Comparison, EndpointCount
 from linnetstile.testbed.scale.discovery_model import ChangeKind
 from linnetstile.testbed.scale.errors import RunFailedError
 from linnetstile.testbed.scale.fleet import Fleet, FleetResult
 from linnetstile.testbed.scale.options import SCENARIOS, ScaleOptions
+from linnetstile.testbed.scale.platform_model import PlatformModel
 from linnetstile.testbed.scale.relay_process import ProcessMemory
 from linnetstile.testbed.scale.report_text import format_report
 from linnetstile.testbed.scale.simulated_relay import SimulatedRelay
-from linnetstile.testbed.scale.trace import ColdCall, RelayTrace
+from linnetstile.testbed.scale.slow_start_returns import judge_slow_starts
+from linnetstile.testbed.scale.trace import RelayTrace, SlowStartCall
 from linnetstile.testbed.scale.watch_reader import WatchReader
 from linnetstile.testbed.scale.workload import region_of
-from linnetstile.testbed.scale.world_model import World
 
 TINY = ScaleOptions(
     relays=10,
@@ -55,10 +55,10 @@
 def arguments(options: ScaleOptions) -> list[str]:
     """The command line of these options."""
     words = []
-    for each in fields(options):
-        value = getattr(options, each.name)
-        text = ",".join(value) if each.name == "scenes" else str(value)
-        words += [f"--{each.name.replace('_', '-')}", text]
+    for option in fields(options):
+        value = getattr(options, option.name)
+        text = ",".join(value) if option.name == "scenes" else str(value)
+        words += [f"--{option.name.replace('_', '-')}", text]
     return words
 
 
@@ -73,15 +73,15 @@
 
 
 def play(
-    options: ScaleOptions, relay: int = 0, resumes_by_version: bool = False, world: World | None = None
+    options: ScaleOptions, relay: int = 0, resumes_by_version: bool = False, platform: PlatformModel | None = None
 ) -> RelayTrace:
     """Play one relay to the end."""
-    return SimulatedRelay(world or scenarios.build(options), relay, resumes_by_version, lambda: False).play()
+    return SimulatedRelay(platform or scenarios.build(options), relay, resumes_by_version, lambda: False).play()
 
 
 def repeatable(trace: RelayTrace) -> dict[str, Any]:
     """The fields of a trace that a seed repeats."""
-    return {each.name: getattr(trace, each.name) for each in fields(trace) if each.name not in MEASURED}
+    return {field.name: getattr(trace, field.name) for field in fields(trace) if field.name not in MEASURED}
 
 
 def test_a_tiny_run_plays_every_scenario_and_simulation_and_processes_agree(tmp_path: Path) -> None:
@@ -94,23 +94,24 @@
     assert first["relays_played"] == 10
     assert found["left_out"]["relays"] == 0
     assert first["lists_refused"] == 0
-    assert [scene["scene"] for scene in first["scenes"]] == list(SCENARIOS)
-    by_name = {scene["scene"]: scene for scene in first["scenes"]}
+    assert [scenario["scene"] for scenario in first["scenes"]] == list(SCENARIOS)
+    by_name = {scenario["scene"]: scenario for scenario in first["scenes"]}
     day = by_name["day"]
     assert day["changes"]["changes"] == 20
     assert day["changes"]["never"] == 0
     assert 150 < day["changes"]["in_force_ms"]["n"] <= 200
     assert day["starts"]["starts"] == 2
     assert by_name["zone"]["starts"]["starts"] == by_name["zone"]["relays_down"]
-    for scene in first["scenes"]:
-        assert scene["changes"]["later_than_bound"] == 0, scene["scene"]
-        assert scene["cold"]["falls"] == 0, scene["cold"]
-        assert scene["outages"]["learned"] <= scene["outages"]["pairs"]
-        assert scene["counts"].get("calls_down", 0) <= scene["counts"]["calls"]
+    for scenario in first["scenes"]:
+        assert scenario["changes"]["later_than_bound"] == 0, scenario["scene"]
+        assert scenario["cold"]["falls"] == 0, scenario["cold"]
+        assert scenario["outages"]["learned"] <= scenario["outages"]["pairs"]
+        assert scenario["counts"].get("calls_down", 0) <= scenario["counts"]["calls"]
     assert by_name["zone"]["cold"]["returns"] == by_name["zone"]["outages"]["outages"] > 0
-    hands = by_name["hands"]
-    assert hands["starts"]["starts"] == hands["relays_down"] > 0
-    assert hands["starts"]["found"] >= hands["relays_down"] * 8 * 5 == hands["starts"]["ended_ms"]["n"]
+    backlog_restart = by_name["hands"]
+    starts = backlog_restart["starts"]
+    assert starts["starts"] == backlog_restart["relays_down"] > 0
+    assert starts["found"] >= backlog_restart["relays_down"] * 8 * 5 == starts["ended_ms"]["n"]
     assert compared["agrees"]
     assert [row["what"] for row in compared["changes"]].count("gone") == 1
     assert all(row["real"] == row["hollow"] == [row["expected"]] for row in compared["changes"])
@@ -130,7 +131,7 @@
     assert one == two != other
 
 
-def test_the_full_list_is_what_the_changes_make_of_the_first() -> None:
+def test_the_full_list_is_the_first_one_with_all_changes_applied() -> None:
     discovery = scenarios.build(replace(TINY, changes=60)).discovery
     steps, at_once = WatchReader(), WatchReader()
     steps.read(discovery.full_list(1))
@@ -146,78 +147,83 @@
     assert discovery.changes_between(5, 9)[0].version == 6
 
 
-def test_a_relay_that_was_partitioned_gets_what_it_missed() -> None:
+def test_a_relay_gets_the_missed_changes_after_a_partition() -> None:
     options = replace(TINY, scenes=("parted",), changes=86_400)
-    world = scenarios.build(options)
-    changes = world.discovery.changes
+    platform = scenarios.build(options)
+    changes = platform.discovery.changes
     far = next(relay for relay in range(10) if region_of(relay) == 1)
     for resumes_by_version, full_lists in ((False, 2), (True, 1)):
-        trace = play(options, far, resumes_by_version, world)
-        begin, end = world.discovery_outages[1][0]
+        trace = play(options, far, resumes_by_version, platform)
+        partition = platform.discovery_outages[1][0]
         assert len(trace.in_force_ms) == len(changes) > 10
-        assert all(at >= end for version, at in trace.in_force_ms.items() if changes[version - 2].at_ms > begin)
+        late_versions = [change.version for change in changes if change.at_ms > partition.begin_ms]
+        assert all(trace.in_force_ms[version] >= partition.end_ms for version in late_versions)
         assert sum(n for (_, name), n in trace.counts.items() if name == "wholes") == full_lists
-    near = play(options, 0, False, world)
-    assert sum(at < end for at in near.in_force_ms.values()) > 0
+    near = play(options, 0, False, platform)
+    assert sum(at_ms < partition.end_ms for at_ms in near.in_force_ms.values()) > 0
     assert len(near.in_force_ms) == len(changes)
 
 
-def test_a_list_that_is_refused_is_offered_a_few_times_and_reported(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_list_that_is_refused_is_offered_up_to_a_limit_and_reported(monkeypatch: pytest.MonkeyPatch) -> None:
     def refuse(self: WatchReader, data: bytes) -> list[EndpointList]:
         raise ValueError("too long")
 
     monkeypatch.setattr(WatchReader, "read", refuse)
-    options, most = replace(TINY, scenes=("rack",)), watch_simulation.MAX_LISTS_REFUSED
+    options = replace(TINY, scenes=("rack",))
+    limit = watch_simulation.MAX_LISTS_REFUSED
     trace = play(options, 9)
-    assert trace.lists_refused == most
+    assert trace.lists_refused == limit
     assert trace.endpoint_count == 0
     assert not trace.in_force_ms
     assert not any(name == "calls" for _, name in trace.counts)
     found, _ = report.build(scenarios.build(options), FleetResult([trace]), None)
-    assert found["simulated"]["lists_refused"] == most
+    assert found["simulated"]["lists_refused"] == limit
     assert "lists refused 3" in format_report(found)
     assert "NO LIST" in format_report(found)
     assert found["telling"] == {}
 
 
-def test_what_the_time_does_not_allow_is_left_out_and_reported() -> None:
-    world = scenarios.build(TINY)
-    trace = SimulatedRelay(world, 0, False, lambda: True).play()
+def test_relays_beyond_the_time_limit_are_left_out_and_reported() -> None:
+    platform = scenarios.build(TINY)
+    trace = SimulatedRelay(platform, 0, False, lambda: True).play()
     assert trace.cut
-    found, _ = report.build(world, FleetResult([trace, play(TINY, 1, world=world)]), None)
+    found, _ = report.build(platform, FleetResult([trace, play(TINY, 1, platform=platform)]), None)
     assert found["left_out"] == {"relays": 9}
     assert "LEFT OUT: 9 relays" in format_report(found)
 
 
-def test_membership_notices_what_stays_away() -> None:
-    world = scenarios.build(replace(TINY, scenes=("rack",)))
-    found = membership_simulation.play(world, lambda: False)
+def test_membership_notices_relays_that_failed() -> None:
+    platform = scenarios.build(replace(TINY, scenes=("rack",)))
+    found = membership_simulation.play(platform, lambda: False)
     (rack,) = found.scenarios
     assert rack.pairs == 16 >= len(rack.noticed_after_ms) > 8
     assert rack.polls > 0
     assert found.cut_at_ms is None
-    assert membership_simulation.play(world, lambda: False) == found
+    assert membership_simulation.play(platform, lambda: False) == found
 
 
-@pytest.mark.parametrize(("met", "breaks"), [(12, 1), (11, 0)])  # of the 17 calls that fell it: 16.8 are allowed
-def test_a_cold_destination_that_gets_too_much_is_counted(met: int, breaks: int) -> None:
-    world = scenarios.build(replace(TINY, played=1, relays=2, rack=1, restarts=0, scenes=("zone",)))
-    in_use = [each for each in world.outages if each.destination in world.destinations_in_use]
+@pytest.mark.parametrize(("met", "breaks"), [(12, 1), (11, 0)])  # of the 17 calls that overload it: 16.8 are allowed
+def test_an_overload_during_a_slow_start_is_counted(met: int, breaks: int) -> None:
+    platform = scenarios.build(replace(TINY, played=1, relays=2, rack=1, restarts=0, scenes=("zone",)))
+    in_use = [outage for outage in platform.outages if outage.destination in platform.destinations_in_use]
     outage = in_use[0]
-    safety = world.settings(0).safety
-    calls = [ColdCall(outage.number, outage.end_ms + n * 1e-3, n < met) for n in range(40)]
-    trace = RelayTrace(0, 0, cold_calls=calls, outages_met={outage.number})
-    cold = judge_cold_returns(world, in_use, [trace], is_whole_fleet=True)
-    worst = cold["worst"]
+    safety = platform.settings(0).safety
+    calls = [SlowStartCall(outage.number, outage.end_ms + n * 1e-3, n < met) for n in range(40)]
+    trace = RelayTrace(0, 0, slow_start_calls=calls, outages_met={outage.number})
+    slow_starts = judge_slow_starts(platform, in_use, [trace], is_whole_fleet=True)
+    worst = slow_starts["worst"]
     assert worst is not None
     assert worst["calls"] == 40
     assert worst["by_relays_that_met_it"] == met
-    assert cold["falls"] == 1
-    assert cold["breaks"] == breaks
+    assert slow_starts["falls"] == 1
+    assert slow_starts["breaks"] == breaks
     assert worst["met_by"] == 1
-    late = [ColdCall(outage.number, outage.end_ms + n * safety.overload_window_ms, True) for n in range(6)]
-    assert judge_cold_returns(world, in_use, [RelayTrace(0, 0, cold_calls=late)], is_whole_fleet=True)["falls"] == 0
-    part, _ = report.build(world, FleetResult([trace]), None)  # one relay of two: nothing is said of the fleet
+    late = [SlowStartCall(outage.number, outage.end_ms + n * safety.overload_window_ms, True) for n in range(6)]
+    assert (
+        judge_slow_starts(platform, in_use, [RelayTrace(0, 0, slow_start_calls=late)], is_whole_fleet=True)["falls"]
+        == 0
+    )
+    part, _ = report.build(platform, FleetResult([trace]), None)  # one relay of two: nothing is said of the fleet
     (scenario,) = part["simulated"]["scenes"]
     assert not scenario["cold"]["judged"]
     assert "not judged" in format_report(part)
@@ -256,7 +262,7 @@
     done = CliRunner().invoke(main, ["scale", "--out", str(tmp_path)])
     assert done.exit_code == 2
     assert "--out: expected a new or empty folder" in done.output
-    assert [each.name for each in tmp_path.iterdir()] == ["mine"]
+    assert [path.name for path in tmp_path.iterdir()] == ["mine"]
 
 
 def test_a_comparison_in_which_models_and_processes_differ_does_not_agree() -> None:
@@ -280,11 +286,11 @@
     assert last == "linnetstile scale: small did not start: it wrote nothing"
 
 
-def test_a_worker_that_has_drawn_another_world_ends_the_run() -> None:
-    world, other = scenarios.build(TINY), scenarios.build(replace(TINY, seed=2))
-    played = FleetResult([RelayTrace(0, world.fingerprint()), RelayTrace(3, other.fingerprint())])
+def test_a_worker_that_has_drawn_another_platform_ends_the_run() -> None:
+    platform, other = scenarios.build(TINY), scenarios.build(replace(TINY, seed=2))
+    played = FleetResult([RelayTrace(0, platform.fingerprint()), RelayTrace(3, other.fingerprint())])
     with pytest.raises(RunFailedError, match="relay 3 played another world"):
-        played.check(world)
+        played.check(platform)
     played.traces.pop()
     played.check(scenarios.build(TINY))
 
@@ -322,7 +328,7 @@
 @pytest.mark.parametrize(
     ("real", "line", "number"), [(1, "ready with", signal.SIGTERM), (0, "relays played", signal.SIGINT)]
 )
-def test_a_run_that_is_ended_leaves_no_process_behind(
+def test_a_run_that_is_ended_leaves_no_process_running(
     tmp_path: Path, real: int, line: str, number: signal.Signals
 ) -> None:
     process = start_run(tmp_path, replace(TINY, real=real, day_s=3_600, in_use=100))  # it would go on for long
