--- a/benchmarks/slopes/platform_emulator.py
+++ b/benchmarks/slopes/platform_emulator.py
@@ -79,14 +79,14 @@
         if self.is_tracking:
             self.first_calls.setdefault(identifier, time.monotonic())
 
-    def whole(self) -> bytes:
+    def full_list(self) -> bytes:
         """The full list, as the discovery emulator asks for it."""
         self.cached_list = self.cached_list or discovery_line(self.entries.values(), self.version, True)
         self.counts["wholes"] += 1
         self.counts["whole_bytes"] += len(self.cached_list)
         return self.cached_list
 
-    def since(self, version: int) -> bytes | None:
+    def changes_since(self, version: int) -> bytes | None:
         """The changes after a version, as the discovery emulator asks for them."""
         if not self.oldest_version <= version <= self.version:
             return None
--- a/linnetstile/emulators/client_settings.py
+++ b/linnetstile/emulators/client_settings.py
@@ -30,7 +30,7 @@
 
 
 class Surge(StrictModel):
-    """A time with a multiple of the normal traffic."""
+    """A span of time with a multiple of the normal traffic."""
 
     at_s: float = Field(ge=0)
     for_s: float = Field(gt=0)
@@ -44,7 +44,7 @@
 
 
 class ClassSpec(StrictModel):
-    """What clients know of a message class."""
+    """The properties of a message class that clients need."""
 
     effect: Literal["safe", "keyed", "unsafe"]
     deadline_ms: float
@@ -56,7 +56,7 @@
 
 
 class ClientSpec(StrictModel):
-    """The file of one emulator process."""
+    """The settings file of one emulator process; the aliases are its keys."""
 
     seed: int = 1
     t0_ms: float | None = None  # start of the script by the clock of the run; None = now
@@ -75,5 +75,5 @@
     asynchronous: float = Field(0.0, ge=0, le=1)  # of those, to a receipt address
     repeats: float = Field(0.02, ge=0, le=1)  # submitted twice to the same relay
     bytes: int = Field(600, ge=1)
-    tries: int = Field(3, ge=1)
-    back_ms: tuple[float, float] = (300.0, 900.0)  # backoff before another submission, at least
+    max_submissions: int = Field(3, ge=1, alias="tries")  # of one message
+    min_backoff_ms: tuple[float, float] = Field((300.0, 900.0), alias="back_ms")  # range; a longer Retry-After wins
--- a/linnetstile/emulators/discovery.py
+++ b/linnetstile/emulators/discovery.py
@@ -25,12 +25,12 @@
 class Source(Protocol):
     """Where the lists and changes come from: lines of JSON, each with its line feed."""
 
-    def whole(self) -> bytes:
+    def full_list(self) -> bytes:
         """Return the full list."""
         ...
 
-    def since(self, version: int) -> bytes | None:
-        """Return the changes after a version; None where that is not known any more."""
+    def changes_since(self, version: int) -> bytes | None:
+        """Return the changes after a version; None if that is not known any more."""
         ...
 
 
@@ -62,10 +62,10 @@
 
     Attributes:
         source: Where lists and changes come from.
-        silent: Whether it sends nothing; watches stay open.
-        asked: Targets of the requests for lists and watches, in their order.
-        sent: Bytes of lists and changes so far.
-        notices: How each message ended, by its reference.
+        is_silent: Whether it sends nothing; watches stay open.
+        requested_targets: Targets of the requests for lists and watches, in their order.
+        sent_bytes: Bytes of lists and changes so far.
+        notices: Result of each message, by its reference.
         on_notice: Is called with reference and result of each notice.
         watches: Connections with an open watch.
     """
@@ -76,7 +76,7 @@
         self.requested_targets: list[str] = []
         self.sent_bytes = 0
         self.notices: dict[str, str] = {}
-        self.on_notice: Callable[[str, str], None] = lambda ref, result: None
+        self.on_notice: Callable[[str, str], None] = lambda reference, result: None
         self.watches: set[asyncio.StreamWriter] = set()
         self._connections: set[asyncio.StreamWriter] = set()
         self._server: asyncio.Server | None = None
@@ -124,9 +124,9 @@
             writer.close()
 
     async def _answer(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, request: _Request) -> bool:
-        """Answer one request; return whether the connection is of further use."""
+        """Answer one request; return whether the connection can be used for another one."""
         if request.method == "POST" and request.path == "/v2/finals":
-            self._take_notices(request.body)
+            self._receive_notices(request.body)
             writer.write(b"HTTP/1.1 204 No Content\r\n\r\n")
             return True
         if request.method != "GET" or request.path != "/api/targets":
@@ -136,28 +136,29 @@
         while self.is_silent:  # noqa: ASYNC110 - a test sets the flag directly, and half a heartbeat of delay is fine
             await asyncio.sleep(SILENCE_POLL_S)
         if request.query.get("follow") != "1":
-            line = self.source.whole()
+            line = self.source.full_list()
             self._write(writer, b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(line), line))
             return True
         self._open_watch(writer, request.query.get("since", ""))
         await self._keep_watch(reader, writer)
         return False
 
-    def _take_notices(self, body: bytes) -> None:
+    def _receive_notices(self, body: bytes) -> None:
         for line in body.splitlines():
             notice = json.loads(line)
-            ref, result = str(notice["ref"]), str(notice["result"])
-            self.notices[ref] = result
-            self.on_notice(ref, result)
+            reference = str(notice["ref"])
+            result = str(notice["result"])
+            self.notices[reference] = result
+            self.on_notice(reference, result)
 
     def _open_watch(self, writer: asyncio.StreamWriter, since: str) -> None:
-        """Send what the watch has to start from; from then on it gets every change.
+        """Send the full list or the missed changes; from then on the watch gets every change.
 
         Nothing is awaited in between, so that no change is lost.
         """
-        changes = self.source.since(int(since)) if since.isdigit() else None
+        changes = self.source.changes_since(int(since)) if since.isdigit() else None
         writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-        for line in (self.source.whole() if changes is None else changes).splitlines(True):
+        for line in (self.source.full_list() if changes is None else changes).splitlines(True):
             self._write(writer, http_chunk(line))
         self.watches.add(writer)
 
--- a/linnetstile/emulators/faults.py
+++ b/linnetstile/emulators/faults.py
@@ -4,33 +4,39 @@
 
 import fnmatch
 from collections.abc import Iterable
+from enum import StrEnum
 from typing import Literal
 
 from pydantic import Field
 
 from ..config.files import StrictModel
 
-FaultKind = Literal[
-    "hang",
-    "vanish",
-    "reset",
-    "shut",
-    "fast_errors",
-    "slow",
-    "pauses",
-    "crash",
-    "answer_lost",
-    "class_fail",
-    "no_receipt",
-    "wrong_mic",
-    "forged_receipt",
-    "garbage",
-    "trickle",
-    "crawl",
-]
-OUTAGE_KINDS = ("hang", "vanish", "shut", "crash")  # a partner returns from these warming up
+
+class FaultKind(StrEnum):
+    """What a fault does; the values are those of settings files and records."""
+
+    HANG = "hang"  # no call is answered
+    VANISH = "vanish"  # the same; kept apart for records
+    RESET = "reset"  # the connection is reset within the answer
+    UNAVAILABLE = "shut"  # every call is rejected until the end of the fault
+    FAST_ERRORS = "fast_errors"  # calls are answered with status 500 at once
+    SLOW = "slow"  # the work takes a multiple of its normal time
+    PAUSES = "pauses"  # the work stalls once in each period
+    CRASH = "crash"  # connections are refused
+    ANSWER_LOST = "answer_lost"  # the message takes effect, the answer does not arrive
+    CLASS_FAILURE = "class_fail"  # messages of some subjects are not answered
+    NO_RECEIPT = "no_receipt"
+    WRONG_MIC = "wrong_mic"  # the digest in the receipt is that of other content
+    FORGED_RECEIPT = "forged_receipt"  # the receipt is signed by somebody else
+    GARBAGE = "garbage"  # the answer is not HTTP
+    DRIP_FEED = "trickle"  # the answer is written byte by byte
+    SLOW_READ = "crawl"  # the request is read slowly
+
+
+OUTAGE_KINDS = (FaultKind.HANG, FaultKind.VANISH, FaultKind.UNAVAILABLE, FaultKind.CRASH)
+"""A partner returns from these in slow start."""
 OUTAGE_ERROR_SHARE = 0.5  # fast errors for more than this share of the calls are an outage too
-DEFAULT_CRAWL_BYTES_PER_S = 200
+DEFAULT_SLOW_READ_BYTES_PER_S = 200
 
 
 def matches_any(partner: str, patterns: Iterable[str]) -> bool:
@@ -39,7 +45,7 @@
 
 
 class Fault(StrictModel):
-    """One fault at partners: from `at_s` for `for_s`, counted from the start of the run."""
+    """One fault of partners: from `at_s` for `for_s`, counted from the start of the run."""
 
     kind: FaultKind
     at_s: float = Field(ge=0)
@@ -64,10 +70,11 @@
 
     @property
     def is_outage(self) -> bool:
-        """Whether it takes the partner out, so that it returns warming up."""
-        return self.kind in OUTAGE_KINDS or self.kind == "fast_errors" and self.share > OUTAGE_ERROR_SHARE
+        """Whether the partner is down, so that it returns in slow start."""
+        is_error_outage = self.kind is FaultKind.FAST_ERRORS and self.share > OUTAGE_ERROR_SHARE
+        return self.kind in OUTAGE_KINDS or is_error_outage
 
     @property
-    def crawl_bytes_per_s(self) -> int:
-        """Rate at which a crawling partner reads a body."""
-        return self.bytes or DEFAULT_CRAWL_BYTES_PER_S
+    def slow_read_bytes_per_s(self) -> int:
+        """Rate at which a partner reads a body during a slow read."""
+        return self.bytes or DEFAULT_SLOW_READ_BYTES_PER_S
--- a/linnetstile/emulators/messages.py
+++ b/linnetstile/emulators/messages.py
@@ -20,7 +20,7 @@
         head: Its AS2 fields.
         headers: All header fields.
         body: The body of the request.
-        opened: The content that the digest in its receipt is over.
+        digested_content: What the digest in its receipt is calculated from.
     """
 
     head: as2.As2Headers
@@ -40,6 +40,46 @@
     return f"Content-Type: {content_type}\r\nContent-Transfer-Encoding: binary\r\n\r\n".encode() + content
 
 
+@dataclass(slots=True)
+class _Layers:
+    """The body of a message while its layers are put around the content, from the inside to the outside.
+
+    Attributes:
+        content_type: Media type of the outermost layer so far.
+        body: The outermost layer without its MIME headers.
+        entity: The outermost layer with its MIME headers, which the next layer encloses.
+        digested_content: What the digest in the receipt is calculated from.
+        is_plain: Whether the content has no layer around it yet.
+    """
+
+    content_type: str
+    body: bytes
+    entity: bytes
+    digested_content: bytes
+    is_plain: bool = True
+
+    @classmethod
+    def plain(cls, content_type: str, content: bytes) -> _Layers:
+        return cls(content_type, content, _binary_entity(content_type, content), content)
+
+    def compress(self) -> None:
+        self.is_plain = False
+        self.digested_content = self.entity
+        self.content_type, self.body = cms.compress(self.entity)
+        self.entity = _binary_entity(self.content_type, self.body)
+
+    def sign(self, identity: cms.Identity, micalg: str) -> None:
+        self.is_plain = False
+        self.digested_content = self.entity
+        self.content_type, self.body = cms.sign(self.entity, identity, micalg)
+        self.entity = f"Content-Type: {self.content_type}\r\n\r\n".encode() + self.body
+
+    def encrypt(self, certificate: object) -> None:
+        if self.is_plain:  # else the digest stays that of the signed or compressed entity
+            self.digested_content = self.entity
+        self.content_type, self.body = cms.encrypt(self.entity, certificate)  # type: ignore[arg-type]
+
+
 def build_message(
     sender: str,
     receiver: str,
@@ -75,20 +115,13 @@
         reply_to: URL for an asynchronous receipt; empty = on the connection.
         micalg: Digest algorithm of the signature and of the receipt.
     """
-    entity = _binary_entity(content_type, content)
-    body_type, body, opened = content_type, content, content
+    layers = _Layers.plain(content_type, content)
     if compress:
-        body_type, body = cms.compress(entity)
-        opened = entity
-        entity = _binary_entity(body_type, body)
+        layers.compress()
     if sign_by is not None:
-        opened = entity
-        body_type, body = cms.sign(entity, sign_by, micalg)
-        entity = f"Content-Type: {body_type}\r\n\r\n".encode() + body
+        layers.sign(sign_by, micalg)
     if encrypt_to is not None:
-        if sign_by is None and not compress:
-            opened = entity
-        body_type, body = cms.encrypt(entity, encrypt_to)  # type: ignore[arg-type]
+        layers.encrypt(encrypt_to)
     headers: list[HeaderField] = [
         ("AS2-Version", "1.2"),
         ("AS2-From", as2.quote_name(sender)),
@@ -96,13 +129,13 @@
         ("Message-ID", message_id),
         ("Subject", subject),
         ("MIME-Version", "1.0"),
-        ("Content-Type", body_type),
+        ("Content-Type", layers.content_type),
     ]
     if receipt:
         headers += _receipt_request(sender, micalg if signed_receipt else None)
     if reply_to:
         headers.append(("Receipt-Delivery-Option", reply_to))
-    return BuiltMessage(as2.As2Headers.parse(Headers(headers)), headers, body, opened)
+    return BuiltMessage(as2.As2Headers.parse(Headers(headers)), headers, layers.body, layers.digested_content)
 
 
 def _receipt_request(sender: str, signed_with: str | None) -> list[HeaderField]:
@@ -114,7 +147,7 @@
 
 
 def check_receipt(made: BuiltMessage, headers: Headers, body: bytes, signer: object | None) -> ReceiptCheck:
-    """Find out what a receipt proves to the program of the client.
+    """Check what a receipt proves to the client.
 
     Args:
         made: The message that it should be for.
@@ -122,27 +155,30 @@
         body: The body of the answer.
         signer: The certificate of who should have signed it.
     """
-    content_type, content, proven = headers.get("content-type"), body, not made.head.receipt_options.signed
+    content_type = headers.get("content-type")
+    content = body
+    is_proven = not made.head.receipt_options.signed
     try:
         if mime.parse_content_type(content_type).name == "multipart/signed":
             signed, signature = cms.split_signed(content_type, content)
             if signer is not None:
                 cms.verify(signed, signature, signer)  # type: ignore[arg-type]
-                proven = True
+                is_proven = True
             inner = mime.parse_entity(signed)
-            content_type, content = inner.headers.get("content-type"), inner.decoded_body()
+            content_type = inner.headers.get("content-type")
+            content = inner.decoded_body()
         receipt = mdn.parse(content_type, content)
     except cms.CmsError:
         return ReceiptCheck(ReceiptStatus.UNVERIFIED, None)
     except (mime.MimeError, mdn.MdnError):
         return ReceiptCheck(ReceiptStatus.MISSING, None)
-    return ReceiptCheck(_receipt_status(made, receipt, proven), receipt)
+    return ReceiptCheck(_receipt_status(made, receipt, is_proven), receipt)
 
 
-def _receipt_status(made: BuiltMessage, receipt: mdn.Mdn, proven: bool) -> ReceiptStatus:
+def _receipt_status(made: BuiltMessage, receipt: mdn.Mdn, is_proven: bool) -> ReceiptStatus:
     if receipt.original_message_id != made.head.message_id:
         return ReceiptStatus.OTHER_MESSAGE
-    if not proven:
+    if not is_proven:
         return ReceiptStatus.UNVERIFIED
     if not receipt.is_positive:
         return ReceiptStatus.NEGATIVE
--- a/linnetstile/emulators/partner.py
+++ b/linnetstile/emulators/partner.py
@@ -1,6 +1,6 @@
 """Partner emulator: AS2 endpoints with work to do, limits, key memory, an effects ledger and scripted faults.
 
-Written from RFC 4130 and the users' description of their partners; it knows nothing of the relay.
+Written from RFC 4130 and the users' description of their partners, independently of the relay.
 """
 
 from __future__ import annotations
@@ -8,7 +8,7 @@
 import asyncio
 from dataclasses import dataclass
 
-from .faults import Fault
+from .faults import Fault, FaultKind
 from .partner_behavior import PartnerBehavior
 from .partner_endpoint import Endpoint
 from .partner_environment import PartnerEnvironment
@@ -22,7 +22,7 @@
 
     def __init__(self, environment: PartnerEnvironment, spec: PartnerSpec) -> None:
         self.behavior = PartnerBehavior(environment, spec)
-        self.endpoints = [Endpoint(self.behavior, each) for each in spec.endpoints]
+        self.endpoints = [Endpoint(self.behavior, endpoint) for endpoint in spec.endpoints]
 
     @property
     def name(self) -> str:
@@ -36,14 +36,14 @@
 
 @dataclass(frozen=True, slots=True)
 class _Outage:
-    """A fault that takes endpoints of one partner out."""
+    """A fault that makes endpoints of one partner unavailable."""
 
     partner: Partner
     endpoints: list[Endpoint]
     fault: Fault
 
     @property
-    def is_whole_partner(self) -> bool:
+    def affects_all_endpoints(self) -> bool:
         return len(self.endpoints) == len(self.partner.endpoints)
 
 
@@ -52,7 +52,7 @@
 
     def __init__(self, spec: PartnersSpec) -> None:
         super().__init__(spec)
-        self.partners = [Partner(self, each) for each in spec.partners]
+        self.partners = [Partner(self, partner) for partner in spec.partners]
         self._timers: list[asyncio.TimerHandle] = []
 
     async def start(self) -> dict[int, int]:
@@ -66,7 +66,7 @@
         return [endpoint for partner in self.partners for endpoint in partner.endpoints]
 
     def schedule_outages(self) -> None:
-        """Set the timers of all outages anew, counted from the start of the script."""
+        """Replace the timers of all outages, counted from the start of the script."""
         loop = asyncio.get_running_loop()
         self._cancel_timers()
         for outage in self._outages():
@@ -86,18 +86,18 @@
 
     def _begin_outage(self, outage: _Outage) -> None:
         kind = outage.fault.kind
-        if outage.is_whole_partner:
+        if outage.affects_all_endpoints:
             self.recorder.write(OutageChanged(partner=outage.partner.name, is_on=True, kind=kind))
         for endpoint in outage.endpoints:
-            if kind == "crash":
+            if kind is FaultKind.CRASH:
                 endpoint.crash()
-            elif kind in ("hang", "vanish"):
+            elif kind in (FaultKind.HANG, FaultKind.VANISH):
                 endpoint.waiting.clear()
 
     def _end_outage(self, outage: _Outage) -> None:
-        if outage.is_whole_partner:
+        if outage.affects_all_endpoints:
             outage.partner.behavior.end_outage(outage.fault.kind)
-        if outage.fault.kind == "crash":
+        if outage.fault.kind is FaultKind.CRASH:
             for endpoint in outage.endpoints:
                 asyncio.get_running_loop().create_task(endpoint.open())
 
--- a/linnetstile/emulators/partner_behavior.py
+++ b/linnetstile/emulators/partner_behavior.py
@@ -7,7 +7,7 @@
 
 from ..codec import as2, cms, mime
 from ..net.tls import TlsContextFiles
-from .faults import Fault
+from .faults import Fault, FaultKind
 from .messages import HeaderField
 from .partner_call import PartnerCall
 from .partner_environment import PartnerEnvironment
@@ -33,7 +33,7 @@
     def __init__(self, environment: PartnerEnvironment, spec: PartnerSpec) -> None:
         self.environment = environment
         self.spec = spec
-        self.keys = KeyMemory(spec.keyed, spec.key_window_ms)
+        self.keys = KeyMemory(spec.deduplicated_subjects, spec.deduplication_window_ms)
         self.tls = (
             TlsContextFiles(True, spec.tls_pem, None, spec.tls_clients, spec.tls_clients is not None)
             if spec.tls_pem
@@ -47,7 +47,7 @@
 
     @property
     def is_overloaded(self) -> bool:
-        """Whether it got too many calls while it warmed up; it answers nothing any more."""
+        """Whether it got too many calls in slow start; it answers nothing any more."""
         return self._slow_start.is_overloaded
 
     def fault_of_call(self, endpoint: int, subject: str) -> Fault | None:
@@ -55,7 +55,7 @@
         return self.environment.fault_of_call(self.spec.name, endpoint, subject)
 
     def record_arrival(self) -> None:
-        """Count a call; too many while it warms up overload the partner."""
+        """Count a call; too many in slow start overload the partner."""
         if self._slow_start.record_arrival(now_ms()):
             self.environment.recorder.write(PartnerOverloaded(partner=self.spec.name))
 
@@ -69,27 +69,27 @@
         work_ms = self.spec.work_ms * self.environment.rng.lognormvariate(0, self.spec.spread)
         work_ms /= self._slow_start.capacity_fraction(now_ms())
         for fault in self.environment.active_faults(self.spec.name, endpoint, elapsed_s):
-            if fault.kind == "slow":
+            if fault.kind is FaultKind.SLOW:
                 work_ms *= fault.factor
-            elif fault.kind == "pauses":  # stands still for the first part of each period
+            elif fault.kind is FaultKind.PAUSES:  # stalls for the first part of each period
                 work_ms += max(0.0, fault.stall_ms - (elapsed_s - fault.at_s) * 1000 % fault.every_ms)
         return work_ms / 1000
 
-    def rejection_wait_ms(self, is_shut: bool) -> float | None:
+    def rejection_wait_ms(self, is_unavailable: bool) -> float | None:
         """Return None if the call is accepted, else the wait to advertise in ms, 0 = none."""
-        advertises = self.environment.rng.random() < self.spec.tell
-        wait_ms = self._shutdown_left_ms() if is_shut else self._rate_limit.try_acquire(now_ms())
+        advertises = self.environment.rng.random() < self.spec.retry_after_share
+        wait_ms = self._unavailable_left_ms() if is_unavailable else self._rate_limit.try_acquire(now_ms())
         if wait_ms is None or advertises:
             return wait_ms
         return 0.0
 
-    def _shutdown_left_ms(self) -> float:
+    def _unavailable_left_ms(self) -> float:
         elapsed_s = self.environment.elapsed_s()
         ends_s = max(
             (
                 fault.at_s + fault.for_s
                 for fault in self.environment.active_faults(self.spec.name, NO_ENDPOINT, elapsed_s)
-                if fault.kind == "shut"
+                if fault.kind is FaultKind.UNAVAILABLE
             ),
             default=0.0,
         )
@@ -99,8 +99,9 @@
         """Return the Retry-After field for a wait, as this partner writes it; none for 0."""
         if not wait_ms:
             return []
-        if self.spec.tell_as == "date":
-            return [("Retry-After", email.utils.formatdate(int(time.time() + wait_ms / 1000) + 1, usegmt=True))]
+        if self.spec.retry_after_format == "date":
+            retry_at_s = int(time.time() + wait_ms / 1000) + 1
+            return [("Retry-After", email.utils.formatdate(retry_at_s, usegmt=True))]
         return [("Retry-After", str(int(wait_ms / 1000) + 1))]
 
     def process(self, call: PartnerCall, fault: Fault | None) -> Response:
@@ -122,12 +123,12 @@
                 EffectApplied(**call.identity, subject=headers.get("subject"), is_repeat_of_key=call.is_repeat_of_key)
             )
         kind = fault.kind if fault else None
-        if not head.receipt_to or kind == "no_receipt":
+        if not head.receipt_to or kind is FaultKind.NO_RECEIPT:
             return Response(200, [])
         return self._receipts.build(head, content, is_duplicate, kind)
 
-    def end_outage(self, kind: str) -> None:
-        """All endpoints are back: the partner warms up."""
+    def end_outage(self, kind: FaultKind) -> None:
+        """Begin the slow start of the partner: all its endpoints are back."""
         if self.environment.elapsed_s() > 0:
             self._slow_start.begin(now_ms())
         self.environment.recorder.write(OutageChanged(partner=self.spec.name, is_on=False, kind=kind))
--- a/linnetstile/emulators/partner_environment.py
+++ b/linnetstile/emulators/partner_environment.py
@@ -8,19 +8,19 @@
 
 from ..codec import cms
 from ..net import client
-from .faults import Fault
+from .faults import Fault, FaultKind
 from .partner_settings import PartnersSpec
 from .record import Recorder, now_ms
 
 
 class PartnerEnvironment:
-    """Clock of the script, source of chance, traffic record, faults and outgoing connections.
+    """Clock of the script, random numbers, traffic record, faults and outgoing connections.
 
     Attributes:
         spec: The settings of the process.
-        rng: All draws of the process come from it, in the order of the calls.
-        record: Where its traffic goes.
-        t0: Start of the script, ms of the clock of the run.
+        rng: Source of all random numbers of the process, drawn in the order of the calls.
+        recorder: Records its traffic.
+        script_start_ms: Start of the script by the clock of the run.
         pool: Connections for asynchronous receipts.
         forger: The identity that signs forged receipts; None if no fault asks for one.
     """
@@ -31,7 +31,7 @@
         self.recorder = Recorder(spec.record)
         self.script_start_ms = spec.t0_ms if spec.t0_ms is not None else now_ms()
         self.pool = client.ConnectionPool()
-        has_forgery = any(fault.kind == "forged_receipt" for fault in spec.faults)
+        has_forgery = any(fault.kind is FaultKind.FORGED_RECEIPT for fault in spec.faults)
         self.forger = cms.make_identity("nobody") if has_forgery else None
 
     def elapsed_s(self) -> float:
--- a/linnetstile/emulators/partner_limits.py
+++ b/linnetstile/emulators/partner_limits.py
@@ -1,4 +1,4 @@
-"""What limits a partner: its rate, its capacity while it warms up, and how long it remembers keys."""
+"""What limits a partner: its rate limit, its capacity in slow start, and how long it remembers keys."""
 
 from __future__ import annotations
 
@@ -32,9 +32,9 @@
 class TokenBucket:
     """A plain rate with a burst of half a second."""
 
-    def __init__(self, rate_per_s: float, rejected_count: bool, now_ms: float) -> None:
+    def __init__(self, rate_per_s: float, rejected_calls_count: bool, now_ms: float) -> None:
         self._rate_per_s = rate_per_s
-        self._rejected_count = rejected_count
+        self._rejected_calls_count = rejected_calls_count
         self._burst = max(MIN_BURST_CALLS, rate_per_s * BURST_S)
         self._tokens = self._burst
         self._refilled_at_ms = now_ms
@@ -45,7 +45,7 @@
         self._tokens = min(self._burst, self._tokens + refill)
         self._refilled_at_ms = now_ms
         accepted = self._tokens >= 1
-        if accepted or (self._rejected_count and self._tokens > -self._burst):
+        if accepted or (self._rejected_calls_count and self._tokens > -self._burst):
             self._tokens -= 1
         return None if accepted else 1000 * max(1.0, 1 - self._tokens) / self._rate_per_s
 
@@ -53,10 +53,10 @@
 class FixedWindow:
     """A count of calls in each window of time."""
 
-    def __init__(self, rate_per_s: float, window_ms: float, rejected_count: bool) -> None:
+    def __init__(self, rate_per_s: float, window_ms: float, rejected_calls_count: bool) -> None:
         self._window_ms = window_ms
         self._max_calls = max(1, int(rate_per_s * window_ms / 1000))
-        self._rejected_count = rejected_count
+        self._rejected_calls_count = rejected_calls_count
         self._window = 0
         self._used = 0
 
@@ -64,9 +64,10 @@
         """Count the call if the window has not had all of its calls."""
         window = int(now_ms // self._window_ms)
         if window != self._window:
-            self._window, self._used = window, 0
+            self._window = window
+            self._used = 0
         accepted = self._used < self._max_calls
-        if accepted or self._rejected_count:
+        if accepted or self._rejected_calls_count:
             self._used += 1
         return None if accepted else (self._window + 1) * self._window_ms - now_ms
 
@@ -76,12 +77,12 @@
     if not spec.rate:
         return NoRateLimit()
     if spec.window_ms:
-        return FixedWindow(spec.rate, spec.window_ms, spec.refused_count)
-    return TokenBucket(spec.rate, spec.refused_count, now_ms)
+        return FixedWindow(spec.rate, spec.window_ms, spec.rejected_calls_count)
+    return TokenBucket(spec.rate, spec.rejected_calls_count, now_ms)
 
 
 class SlowStart:
-    """Capacity of a partner that has returned from an outage, and the overload that it does not survive."""
+    """Capacity of a partner that has returned from an outage, and its overload by too many calls."""
 
     def __init__(self, spec: PartnerSpec) -> None:
         self._spec = spec
@@ -90,24 +91,24 @@
         self.is_overloaded = False
 
     def begin(self, now_ms: float) -> None:
-        """Start to warm up: an outage has ended."""
+        """Begin the slow start: an outage has ended."""
         self._since_ms = now_ms
 
     def capacity_fraction(self, now_ms: float) -> float:
         """Return the part of its capacity that the partner has now."""
-        warmth = min(1.0, (now_ms - self._since_ms) / self._spec.cold_ms)
-        return self._spec.cold_share + (1 - self._spec.cold_share) * warmth
+        progress = min(1.0, (now_ms - self._since_ms) / self._spec.slow_start_ms)
+        return self._spec.slow_start_fraction + (1 - self._spec.slow_start_fraction) * progress
 
     def record_arrival(self, now_ms: float) -> bool:
         """Count a call; return whether it is the one that overloads the partner."""
         spec = self._spec
         self._arrivals.append(now_ms)
-        while self._arrivals[0] < now_ms - spec.fall_ms:
+        while self._arrivals[0] < now_ms - spec.overload_window_ms:
             self._arrivals.popleft()
-        is_warming_up = now_ms < self._since_ms + spec.cold_ms
-        if not spec.rate or self.is_overloaded or not is_warming_up:
+        is_in_slow_start = now_ms < self._since_ms + spec.slow_start_ms
+        if not spec.rate or self.is_overloaded or not is_in_slow_start:
             return False
-        budget = spec.fall_multiple * self.capacity_fraction(now_ms) * spec.rate * spec.fall_ms / 1000
+        budget = spec.overload_multiple * self.capacity_fraction(now_ms) * spec.rate * spec.overload_window_ms / 1000
         calls = sum(at_ms > self._since_ms for at_ms in self._arrivals)
         self.is_overloaded = calls > budget + QUEUED_BEYOND_BUDGET
         return self.is_overloaded
@@ -119,17 +120,17 @@
     def __init__(self, subjects: list[str], window_ms: float) -> None:
         self._subjects = subjects
         self._window_ms = window_ms
-        self._seen_at_ms: dict[str, float] = {}
+        self._remembered_at_ms: dict[str, float] = {}
 
     def is_repeat(self, message_id: str, subject: str, now_ms: float) -> bool:
         """Whether the key is known as the work begins; a new one is remembered from then on."""
         if not any(fnmatch.fnmatchcase(subject, pattern) for pattern in self._subjects):
             return False
-        if now_ms - self._seen_at_ms.get(message_id, float("-inf")) <= self._window_ms:
+        if now_ms - self._remembered_at_ms.get(message_id, float("-inf")) <= self._window_ms:
             return True
-        self._seen_at_ms[message_id] = now_ms
+        self._remembered_at_ms[message_id] = now_ms
         return False
 
     def forget(self, message_id: str) -> None:
         """Forget a key whose work was never done."""
-        self._seen_at_ms.pop(message_id, None)
+        self._remembered_at_ms.pop(message_id, None)
--- a/linnetstile/emulators/partner_receipts.py
+++ b/linnetstile/emulators/partner_receipts.py
@@ -12,7 +12,7 @@
 
 DEFAULT_DIGEST = "sha-256"
 SIGNATURE_DIGESTS = ("sha-256", "sha-384", "sha-512")
-OTHER_CONTENT = b"other"  # the digest of a wrong receipt is over this
+OTHER_CONTENT = b"other"  # what the digest of a wrong receipt is calculated from
 
 
 @dataclass(frozen=True, slots=True)
@@ -40,12 +40,12 @@
 
         Args:
             head: The fields of the message.
-            content: What the digest is over; None if the message could not be decrypted.
+            content: What the digest is calculated from; None if the message could not be decrypted.
             is_duplicate: Whether it was processed before.
             fault: What is wrong with the receipt, if anything.
         """
         micalg = head.receipt_options.micalgs[0] if head.receipt_options.micalgs else DEFAULT_DIGEST
-        digested = content if content is not None and fault != "wrong_mic" else OTHER_CONTENT
+        digested = content if content is not None and fault is not FaultKind.WRONG_MIC else OTHER_CONTENT
         receipt = mdn.Mdn(
             head.message_id,
             head.receiver,
@@ -55,10 +55,11 @@
             micalg=micalg,
         )
         content_type, body = receipt.encode()
-        identity = self._forger if fault == "forged_receipt" else self._identity
+        identity = self._forger if fault is FaultKind.FORGED_RECEIPT else self._identity
         if head.receipt_options.signed and identity is not None:
             entity = f"Content-Type: {content_type}\r\n\r\n".encode() + body
-            content_type, body = cms.sign(entity, identity, micalg if micalg in SIGNATURE_DIGESTS else DEFAULT_DIGEST)
+            signature_digest = micalg if micalg in SIGNATURE_DIGESTS else DEFAULT_DIGEST
+            content_type, body = cms.sign(entity, identity, signature_digest)
         return Response(200, self._headers(head, content_type), body)
 
     def _headers(self, head: as2.As2Headers, content_type: str) -> list[HeaderField]:
--- a/linnetstile/emulators/partner_settings.py
+++ b/linnetstile/emulators/partner_settings.py
@@ -20,7 +20,10 @@
 
 
 class PartnerSpec(StrictModel):
-    """One partner: its endpoints, how fast it works, what it limits, how it answers."""
+    """One partner: its endpoints, how fast it works, what it limits, how it answers.
+
+    The aliases are the keys of the settings file.
+    """
 
     name: str
     kind: str = ""
@@ -31,20 +34,20 @@
     queue: int = Field(32, ge=0)  # calls that wait at one endpoint; beyond: 503
     rate: float = Field(0.0, ge=0)  # calls a second from all relays; 0 = no limit but capacity
     window_ms: float = Field(0.0, ge=0)  # 0 = a token bucket, else a count in each window
-    tell: float = Field(0.5, ge=0, le=1)  # share of rejections with a Retry-After field
-    tell_as: Literal["seconds", "date"] = "seconds"
-    refused_count: bool = False  # rejected calls use up the limit too
-    keyed: list[str] = []  # subjects whose repeats are dropped
-    key_window_ms: float = 4000.0
+    retry_after_share: float = Field(0.5, ge=0, le=1, alias="tell")  # of the rejections, with a Retry-After field
+    retry_after_format: Literal["seconds", "date"] = Field("seconds", alias="tell_as")
+    rejected_calls_count: bool = Field(False, alias="refused_count")  # rejected calls use up the limit too
+    deduplicated_subjects: list[str] = Field([], alias="keyed")  # repeats of these are dropped
+    deduplication_window_ms: float = Field(4000.0, alias="key_window_ms")
     receipts: Literal["sync", "async"] = "sync"
     pem: Path | None = None
     decrypt_pem: Path | None = None
     tls_pem: Path | None = None  # speaks TLS with this key and certificate
     tls_clients: Path | None = None  # and asks for a client certificate that these authorities signed
-    cold_share: float = Field(0.2, gt=0, le=1)  # of its capacity, right after an outage
-    cold_ms: float = 10_000.0  # until it is warm
-    fall_multiple: float = 2.0  # of its capacity while warming up: more calls overload it
-    fall_ms: float = 1500.0  # window in which those are counted
+    slow_start_fraction: float = Field(0.2, gt=0, le=1, alias="cold_share")  # of its capacity, right after an outage
+    slow_start_ms: float = Field(10_000.0, alias="cold_ms")  # from an outage until it has its full capacity
+    overload_multiple: float = Field(2.0, alias="fall_multiple")  # of its capacity in slow start: more overload it
+    overload_window_ms: float = Field(1500.0, alias="fall_ms")  # window in which those calls are counted
 
 
 class PartnersSpec(StrictModel):
--- a/linnetstile/emulators/registry.py
+++ b/linnetstile/emulators/registry.py
@@ -10,6 +10,7 @@
 import json
 import urllib.parse
 from dataclasses import dataclass
+from enum import StrEnum
 from pathlib import Path
 from typing import Any, Literal
 
@@ -23,12 +24,19 @@
 Entry = dict[str, Any]  # as JSON: id, partner, url, status and more
 
 IDLE_TIMEOUT_S = 120.0
-STALE_RETRY_S = 0.2  # how often a change that is kept back tries again
+STALE_RETRY_S = 0.2  # between two attempts to apply a change that is held back
 SLOW_ANSWER_S = 3.0
 MAX_POLL_MS = 60_000
 INVALID_LIST = b'{"version": "seven", "entries": 5'
 
-RegistryFaultKind = Literal["fail", "stale", "slow", "garbage"]
+
+class RegistryFaultKind(StrEnum):
+    """What a fault of the registry does; the values are those of the settings file."""
+
+    FAIL = "fail"  # requests are answered with status 500
+    STALE = "stale"  # changes are held back
+    SLOW = "slow"  # requests are answered late
+    GARBAGE = "garbage"  # the list is not valid JSON
 
 
 class Change(StrictModel):
@@ -37,7 +45,7 @@
     at_s: float = Field(ge=0)
     id: int
     status: Literal["ready", "draining", "gone"]
-    entry: Entry | None = None  # the full entry, for an added one
+    entry: Entry | None = None  # the full entry of an added endpoint
 
 
 class RegistryFault(StrictModel):
@@ -53,7 +61,7 @@
 
 
 class RegistrySpec(StrictModel):
-    """The settings file of the registry emulator."""
+    """The settings file of the registry emulator; the alias is the key of the file."""
 
     port: int = 0
     t0_ms: float | None = None  # start of the script by the clock of the run; None = now
@@ -62,7 +70,7 @@
     keep: int = Field(1000, ge=1)  # changes it remembers
     entries: list[Entry] = []
     changes: list[Change] = []
-    troubles: list[RegistryFault] = []
+    faults: list[RegistryFault] = Field([], alias="troubles")
 
 
 @dataclass(frozen=True, slots=True)
@@ -124,17 +132,18 @@
 
     def _fault(self) -> RegistryFaultKind | None:
         elapsed_s = self._elapsed_s()
-        return next((fault.kind for fault in self.spec.troubles if fault.is_active(elapsed_s)), None)
+        return next((fault.kind for fault in self.spec.faults if fault.is_active(elapsed_s)), None)
 
     def apply_change(self, change: Change) -> None:
         """Apply a change now, or once the registry is no longer stale."""
-        if self._fault() == "stale":
+        if self._fault() is RegistryFaultKind.STALE:
             asyncio.get_running_loop().call_later(STALE_RETRY_S, self.apply_change, change)
             return
         self.version += 1
         self.entries.setdefault(change.id, {}).update(change.entry or {"id": change.id}, status=change.status)
         self._changes = [*self._changes, _LoggedChange(self.version, change.id)][-self.spec.keep :]
-        polls, self._polls = self._polls, []
+        polls = self._polls
+        self._polls = []
         for poll in polls:
             self._send_changes(poll.exchange, poll.since)
 
@@ -142,11 +151,11 @@
 
     def _request_arrived(self, exchange: server.RequestContext) -> None:
         fault = self._fault()
-        if fault == "fail":
+        if fault is RegistryFaultKind.FAIL:
             exchange.reply(500, [], b"register failed\n")
-        elif fault == "garbage":
+        elif fault is RegistryFaultKind.GARBAGE:
             exchange.reply(200, [], INVALID_LIST)
-        elif fault == "slow":
+        elif fault is RegistryFaultKind.SLOW:
             asyncio.get_running_loop().call_later(SLOW_ANSWER_S, self._answer, exchange)
         else:
             self._answer(exchange)
--- a/linnetstile/emulators/slow_reading.py
+++ b/linnetstile/emulators/slow_reading.py
@@ -1,4 +1,4 @@
-"""Reads the body of a request slowly, so that its sender meets a full socket buffer."""
+"""Reads the body of a request slowly, so that its sender meets back-pressure."""
 
 from __future__ import annotations
 
@@ -9,11 +9,12 @@
 
 
 def read_slowly(exchange: server.RequestContext, bytes_per_s: int, is_on: Callable[[], bool]) -> None:
-    """Read the body at a rate for as long as `is_on`.
+    """Read the body at a limited rate for as long as `is_on`.
 
-    What the kernels of both ends buffer is full soon enough.
+    The socket buffers of both ends are soon full, and then the sender has to wait.
     """
-    connection, loop = exchange.connection, asyncio.get_running_loop()
+    connection = exchange.connection
+    loop = asyncio.get_running_loop()
     connection.uses_large_buffer = False
     receive = connection.received
 
--- a/linnetstile/testbed/run_folder.py
+++ b/linnetstile/testbed/run_folder.py
@@ -59,7 +59,7 @@
                 "record": str(self.path / "partners.jsonl"),
                 "t0_ms": self.start_ms,
                 "partners": [self._partner_settings(partner) for partner in self._fleet.partners],
-                "faults": [fault.model_dump() for fault in self._day.faults],
+                "faults": [fault.model_dump(mode="json") for fault in self._day.faults],
             },
         )
 
--- a/linnetstile/testbed/scale/comparison.py
+++ b/linnetstile/testbed/scale/comparison.py
@@ -92,7 +92,7 @@
     source: PlatformSource, baseline: RelayProcess, processes: list[RelayProcess], models: list[ReferenceModel]
 ) -> Comparison:
     """Let the models read the list that the processes have read, and compare what they know then."""
-    line = source.whole()
+    line = source.full_list()
     accepted = [model.read(line, 0.0) for model in models]
     return Comparison(
         relays=len(processes),
--- a/linnetstile/testbed/scale/comparison_bench.py
+++ b/linnetstile/testbed/scale/comparison_bench.py
@@ -39,12 +39,12 @@
     platform: PlatformModel
     version: int = FIRST_VERSION
 
-    def whole(self) -> bytes:
-        """The full list."""
+    def full_list(self) -> bytes:
+        """Return the full list."""
         return self.platform.discovery.full_list(self.version)
 
-    def since(self, version: int) -> bytes | None:
-        """The changes after a version."""
+    def changes_since(self, version: int) -> bytes | None:
+        """Return the changes after a version."""
         return b"".join(change.line for change in self.platform.discovery.changes_between(version, self.version))
 
 
--- a/linnetstile/testbed/scale/comparison_run.py
+++ b/linnetstile/testbed/scale/comparison_run.py
@@ -85,7 +85,7 @@
             return
         for model in self.models:
             model.reader.reopen()
-            model.read(missed.line if self.result.resumes_by_version else self.source.whole(), self.now_ms)
+            model.read(missed.line if self.result.resumes_by_version else self.source.full_list(), self.now_ms)
         await self._compare_change(missed)
 
     async def _wait_reopened(self, watches: int) -> None:
--- a/tests/emulators/test_discovery.py
+++ b/tests/emulators/test_discovery.py
@@ -14,7 +14,7 @@
 
 
 class ListSource:
-    """Three versions; the whole list is known at each, changes only after the first."""
+    """Three versions of a list; the full list is known at each, changes only after the first."""
 
     def __init__(self) -> None:
         self.version = 1
@@ -26,10 +26,10 @@
         ]
         return json.dumps({"version": version, "full": full, "servers": servers}).encode() + b"\n"
 
-    def whole(self) -> bytes:
+    def full_list(self) -> bytes:
         return self.line(self.version, True)
 
-    def since(self, version: int) -> bytes | None:
+    def changes_since(self, version: int) -> bytes | None:
         return b"".join(self.line(n, False) for n in range(version + 1, self.version + 1)) if version else None
 
 
@@ -50,7 +50,7 @@
     return data
 
 
-def test_a_watch_hears_the_list_and_changes_and_comes_again_when_it_breaks() -> None:
+def test_a_watch_gets_the_list_and_changes_and_reopens_when_it_breaks() -> None:
     async def run() -> None:
         source, updates = ListSource(), list[EndpointList]()
         emulator = DiscoveryEmulator(source)
@@ -70,9 +70,10 @@
             assert len(directory) == 2
             emulator.drop_watches()
             await wait_until(lambda: len(emulator.requested_targets) == 2 and emulator.watches)
-            emulator.is_silent = True  # it says nothing more: the watch gives up, and what it opens anew gets no answer
+            emulator.is_silent = True  # the watch times out, and the next ones get no answer
             await wait_until(lambda: len(emulator.requested_targets) >= 4)
-            source.version, emulator.is_silent = 3, False
+            source.version = 3
+            emulator.is_silent = False
             await wait_until(lambda: directory.knows_destination(3))
         finally:
             watch.close()
@@ -82,12 +83,12 @@
     asyncio.run(run())
 
 
-def test_changes_after_a_version_the_whole_list_and_notices() -> None:
+def test_changes_after_a_version_the_full_list_and_notices() -> None:
     async def run() -> None:
         source, ended = ListSource(), list[tuple[str, str]]()
         source.version = 3
         emulator = DiscoveryEmulator(source)
-        emulator.on_notice = lambda ref, result: ended.append((ref, result))
+        emulator.on_notice = lambda reference, result: ended.append((reference, result))
         port = await emulator.start()
         try:
             data = await read_response(port, "/api/targets?follow=1&since=1", 2)
@@ -95,7 +96,7 @@
             assert b'"version": 3' in data
             assert b'"full": true' not in data
             assert b'"full": true' in await read_response(port, "/api/targets?follow=1&since=0", 1)
-            assert source.whole() in await read_response(port, "/api/targets", 1)
+            assert source.full_list() in await read_response(port, "/api/targets", 1)
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
             body = b'{"ref":"a","result":"dead"}\n{"ref":"b","result":"bounced"}\n'
             writer.write(b"POST /v2/finals HTTP/1.1\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body))
