--- /dev/null
+++ b/linnetstile/as2_relay/action_dispatcher.py
@@ -0,0 +1,95 @@
+"""Carries out the actions of the delivery engine: one branch for each kind of action."""
+
+from __future__ import annotations
+
+from collections.abc import Sequence
+
+from ..engine.actions import (
+    Action,
+    Cancel,
+    CancelIfUnsent,
+    CloseIdle,
+    Fail,
+    Log,
+    Reject,
+    Send,
+    WatchEndpoints,
+)
+from ..telemetry import log_events
+from .accepted_message import AcceptedMessage
+from .answers import AnswerKind, text_answer
+from .delivery import Delivery
+from .receipts import ReceiptIssuer
+from .registry import RegistryClient
+from .relay_context import RelayContext
+from .submissions import SubmissionHandler
+
+
+class ActionDispatcher:
+    """Passes each action to the part of the relay that carries it out."""
+
+    def __init__(
+        self,
+        context: RelayContext,
+        delivery: Delivery,
+        submissions: SubmissionHandler,
+        receipt_issuer: ReceiptIssuer,
+        registry: RegistryClient,
+    ) -> None:
+        """Take the parts that carry out actions.
+
+        Args:
+            context: What all parts of the relay share.
+            delivery: Starts and cancels attempts.
+            submissions: Takes the final answers of messages.
+            receipt_issuer: Issues the receipt of a message that failed.
+            registry: Watches the endpoint list.
+        """
+        self.context = context
+        self.delivery = delivery
+        self.submissions = submissions
+        self.receipt_issuer = receipt_issuer
+        self.registry = registry
+
+    def carry_out(self, actions: Sequence[Action]) -> None:
+        """Carry out what the engine decided in one turn, in its order."""
+        for action in actions:
+            self._carry_out_one(action)
+
+    def _carry_out_one(self, action: Action) -> None:
+        accepted = self.context.accepted
+        match action:
+            case Send():
+                self.delivery.send(accepted[action.id], action)
+            case Reject():
+                self._refuse(accepted[action.id], action.retry_after_ms)
+            case Fail():
+                self._fail(accepted[action.id])
+            case Cancel():
+                self.delivery.cancel(accepted.get(action.id), action.attempt)
+            case CancelIfUnsent():
+                self.delivery.cancel_if_unsent(accepted.get(action.id))
+            case CloseIdle():
+                self.delivery.close_idle(action.endpoint)
+            case WatchEndpoints():
+                self.registry.watch()
+            case Log():
+                self.context.log.info(log_events.ENGINE_MESSAGE, text=action.text)
+
+    def _refuse(self, message: AcceptedMessage, retry_after_ms: float) -> None:
+        """Answer that nothing was done."""
+        text = f"refused: {_explain_end(message)}; nothing was done, it may be handed in again"
+        self.submissions.complete(message, text_answer(503, text, AnswerKind.REFUSED, retry_after_ms))
+
+    def _fail(self, message: AcceptedMessage) -> None:
+        """Answer that the outcome is unclear."""
+        text = f"failed: {_explain_end(message)}; it may or may not have taken effect"
+        self.submissions.complete(message, self.receipt_issuer.failure(message.head, text))
+
+
+def _explain_end(message: AcceptedMessage) -> str:
+    """Return why a message was not delivered, for people."""
+    if not message.attempt_count:
+        return "no room, or no way to deliver it in time"
+    attempts = f"{message.attempt_count} attempt{'s' * (message.attempt_count > 1)}"
+    return f"{attempts}, the last one: {message.last_verdict}"
--- a/linnetstile/as2_relay/async_receipts.py
+++ b/linnetstile/as2_relay/async_receipts.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 import secrets
-from collections import Counter
 from collections.abc import Callable
 from dataclasses import dataclass
 
@@ -11,11 +10,11 @@
 from ..engine.attempt_outcome import AttemptObservation, ReceiptStatus, WireResult
 from ..net import server
 from ..telemetry import log_events
-from ..telemetry.log import Logger
 from .accepted_message import AcceptedMessage, Attempt
 from .admission import RequestOrigin
 from .answers import AnswerKind, ClientAnswer
 from .receipts import ReceiptVerifier, forwarded_receipt
+from .relay_context import RelayContext
 
 PATH_PREFIX = "/receipt/"
 TOKEN_BYTES = 18  # random bytes: an address that cannot be guessed
@@ -48,16 +47,22 @@
 
     def __init__(
         self,
+        context: RelayContext,
         verifier: ReceiptVerifier,
         on_receipt: ReceiptHandler,
-        counts: Counter[str],
-        log: Logger,
         max_receipt_bytes: int,
     ) -> None:
+        """Expect no receipts yet.
+
+        Args:
+            context: What all parts of the relay share.
+            verifier: Verifies receipts.
+            on_receipt: Takes each receipt that ends its attempt.
+            max_receipt_bytes: Size beyond which a receipt is not read.
+        """
+        self.context = context
         self.verifier = verifier
         self.on_receipt = on_receipt
-        self.counts = counts
-        self.log = log
         self.max_receipt_bytes = max_receipt_bytes
         self.pending: dict[str, PendingReceipt] = {}
         self.base_url = ""
@@ -96,8 +101,8 @@
         """Answer a receipt; it counts for the attempt whose address it was sent to, while that is in flight."""
         found = self.pending.get(request.head.target.removeprefix(PATH_PREFIX))
         if request.head.method != "POST" or found is None:
-            self.counts["receipts_without_attempt"] += 1
-            self.log.warning(
+            self.context.counts["receipts_without_attempt"] += 1
+            self.context.log.warning(
                 log_events.RECEIPT_IGNORED,
                 why="late, repeated or unknown receipt address",
                 sender=request.head.headers.get("as2-from")[:MAX_LOGGED_SENDER_CHARS],
@@ -109,8 +114,8 @@
         status = self.verifier.verify(message.head, message.headers, message.body, headers, request.body)
         request.reply(200)
         if status in UNTRUSTED_STATUSES:
-            self.counts["receipts_not_counted"] += 1
-            self.log.warning(log_events.RECEIPT_IGNORED, message=message.head.message_id, why=status.value)
+            self.context.counts["receipts_not_counted"] += 1
+            self.context.log.warning(log_events.RECEIPT_IGNORED, message=message.head.message_id, why=status.value)
             return
         observation = AttemptObservation(WireResult.ANSWERED, 200, None, status)
         answer = forwarded_receipt(200, headers, request.body, AnswerKind.UNSPECIFIED)
--- a/linnetstile/as2_relay/delivery.py
+++ b/linnetstile/as2_relay/delivery.py
@@ -2,26 +2,24 @@
 
 from __future__ import annotations
 
-import asyncio
 import email.utils
 import time
-from collections import Counter
 from collections.abc import Callable
 
 from ..codec import http1
 from ..config.relay import RelaySettings
 from ..engine.actions import Send
 from ..engine.attempt_outcome import AttemptObservation, AttemptVerdict, ReceiptStatus, WireResult, judge_attempt
-from ..engine.events import AttemptEnded, Event
+from ..engine.events import AttemptEnded
 from ..engine.slow_partners import SlowPartnerDetector
 from ..net import client
 from ..telemetry import log_events
-from ..telemetry.log import Logger
 from .accepted_message import AcceptedMessage, Attempt
 from .answers import AnswerKind, ClientAnswer
 from .async_receipts import AsyncReceiptEndpoint
 from .receipts import ReceiptVerifier, forwarded_receipt
 from .registry import EndpointAddress, RegistryClient
+from .relay_context import RelayContext
 from .tls_keys import TlsKeyStore
 
 # Hop by hop (RFC 9110, 7.6.1) or the relay's to set; all other fields of the client go on as they came.
@@ -58,31 +56,28 @@
 
     def __init__(
         self,
+        context: RelayContext,
         settings: RelaySettings,
         registry: RegistryClient,
         pool: client.ConnectionPool,
         tls_keys: TlsKeyStore,
         verifier: ReceiptVerifier,
         slow_partners: SlowPartnerDetector,
-        counts: Counter[str],
-        log: Logger,
-        post_event: Callable[[Event], None],
         complete: Callable[[AcceptedMessage, ClientAnswer], None],
     ) -> None:
         """Take the parts that attempts need.
 
         Args:
+            context: What all parts of the relay share.
             settings: Settings of the relay.
             registry: Knows where endpoints are reached.
             pool: Connections to partners.
             tls_keys: Keys for partners that are reached over TLS.
             verifier: Verifies receipts.
             slow_partners: Measures how long attempts take.
-            counts: Counters of the relay.
-            log: Logger of the relay.
-            post_event: Takes events for the delivery engine.
             complete: Takes the final answer of a message.
         """
+        self.context = context
         self.name = settings.name
         self.partner_settings = settings.partners
         self.registry = registry
@@ -90,47 +85,37 @@
         self.tls_keys = tls_keys
         self.verifier = verifier
         self.slow_partners = slow_partners
-        self.counts = counts
-        self.log = log
-        self.post_event = post_event
         self.complete = complete
-        self.loop = asyncio.get_running_loop()
         self.receipt_endpoint = AsyncReceiptEndpoint(
+            context=context,
             verifier=verifier,
             on_receipt=self.end_attempt,
-            counts=counts,
-            log=log,
             max_receipt_bytes=settings.limits.receipt_bytes,
         )
 
-    @property
-    def now_ms(self) -> float:
-        """The loop's time in ms."""
-        return self.loop.time() * 1000
-
     def send(self, message: AcceptedMessage, action: Send) -> None:
         """Start an attempt."""
         assert message.attempt is None, "two attempts at once"
-        attempt = Attempt(message.attempt_count, action.endpoint, self.now_ms)
+        attempt = Attempt(message.attempt_count, action.endpoint, self.context.now_ms)
         message.attempt_count += 1
         message.attempt = attempt
-        self.slow_partners.attempt_started(self.now_ms, message.head.receiver, id(attempt))
+        self.slow_partners.attempt_started(self.context.now_ms, message.head.receiver, id(attempt))
         address = self.registry.endpoints.get(action.endpoint)
         if address is None:
             self.end_attempt(message, attempt, AttemptObservation(WireResult.NOT_SENT), None)
             return
-        self.log.debug(
+        self.context.log.debug(
             log_events.ATTEMPT_STARTED,
             message=message.head.message_id,
             attempt=attempt.number,
             endpoint=action.endpoint,
-            until_ms=round(action.timeout_at_ms - self.now_ms),
+            until_ms=round(action.timeout_at_ms - self.context.now_ms),
         )
         tls = None
         if address.uses_tls:
             tls = self.tls_keys.for_partner(message.head.receiver, address)
             if tls is None:
-                self.log.error(
+                self.context.log.error(
                     log_events.FAULT, why=f"partners.{message.head.receiver}.tls is not set, its URL is https"
                 )
                 self.end_attempt(message, attempt, AttemptObservation(WireResult.NO_CONNECTION), None)
@@ -159,7 +144,7 @@
             send_before=action.send_before_ms / 1000,
         )
         if attempt.receipt_token:
-            attempt.receipt_timer = self.loop.call_at(timeout_at_s, self._on_receipt_timeout, message, attempt)
+            attempt.receipt_timer = self.context.loop.call_at(timeout_at_s, self._on_receipt_timeout, message, attempt)
 
     def _request_headers(
         self, message: AcceptedMessage, attempt: Attempt, address: EndpointAddress
@@ -178,6 +163,12 @@
         if attempt and attempt.number == attempt_number and attempt.call:
             attempt.call.abort(WireResult.CANCELLED)
 
+    def close_idle(self, endpoint_id: int) -> None:
+        """Close the idle connections to an endpoint, if it is still listed."""
+        endpoint = self.registry.endpoints.get(endpoint_id)
+        if endpoint is not None:
+            self.pool.close_idle(endpoint.address)
+
     def cancel_if_unsent(self, message: AcceptedMessage | None) -> None:
         """End the attempt in flight unless the partner may have had all of the request."""
         attempt = message.attempt if message is not None else None
@@ -215,9 +206,9 @@
         self._release_attempt(message, attempt, observation.wire_result)
         verdict = judge_attempt(observation)
         message.last_verdict = verdict.reason
-        latency_ms = self.now_ms - attempt.started_at_ms
+        latency_ms = self.context.now_ms - attempt.started_at_ms
         self._record_end(message, attempt, verdict, latency_ms)
-        self.post_event(
+        self.context.post_event(
             AttemptEnded(
                 message.id,
                 attempt.number,
@@ -236,7 +227,7 @@
     def _release_attempt(self, message: AcceptedMessage, attempt: Attempt, wire_result: WireResult) -> None:
         """Give back all that an attempt holds."""
         message.attempt = None
-        self.slow_partners.attempt_ended(self.now_ms, message.head.receiver, id(attempt))
+        self.slow_partners.attempt_ended(self.context.now_ms, message.head.receiver, id(attempt))
         self.receipt_endpoint.forget(attempt)
         if attempt.receipt_timer:
             attempt.receipt_timer.cancel()
@@ -251,8 +242,8 @@
     def _record_end(
         self, message: AcceptedMessage, attempt: Attempt, verdict: AttemptVerdict, latency_ms: float
     ) -> None:
-        self.counts[f"outcome_{verdict.outcome.value}"] += 1
-        self.log.info(
+        self.context.counts[f"outcome_{verdict.outcome.value}"] += 1
+        self.context.log.info(
             log_events.ATTEMPT_ENDED,
             message=message.head.message_id,
             attempt=attempt.number,
--- a/linnetstile/as2_relay/receipt_delivery.py
+++ b/linnetstile/as2_relay/receipt_delivery.py
@@ -4,7 +4,7 @@
 
 import asyncio
 import urllib.parse
-from collections import Counter, deque
+from collections import deque
 from collections.abc import Callable
 from dataclasses import dataclass
 
@@ -13,9 +13,9 @@
 from ..engine import receipt_retry
 from ..net import client
 from ..telemetry import log_events
-from ..telemetry.log import Logger
 from .answers import ANSWER_KIND_HEADER, AnswerKind, ClientAnswer
 from .receipts import ReceiptIssuer
+from .relay_context import RelayContext
 
 TIMEOUT_MARGIN_S = 1.0  # a call's own timeout comes first
 
@@ -47,30 +47,26 @@
 
     def __init__(
         self,
+        context: RelayContext,
         pool: client.ConnectionPool,
         issuer: ReceiptIssuer,
-        counts: Counter[str],
-        log: Logger,
         max_in_flight: int,
         on_progress: Callable[[], None],
     ) -> None:
         """Take the parts that posts need.
 
         Args:
+            context: What all parts of the relay share.
             pool: Connections for the posts.
             issuer: Issues the receipt that carries a refusal.
-            counts: Counters of the relay.
-            log: Logger of the relay.
             max_in_flight: Posts at the same time; guards descriptors, as a thousand answers may be due at once.
             on_progress: Called after each attempt.
         """
+        self.context = context
         self.pool = pool
         self.issuer = issuer
-        self.counts = counts
-        self.log = log
         self.max_in_flight = max_in_flight
         self.on_progress = on_progress
-        self.loop = asyncio.get_running_loop()
         self.timers: set[asyncio.TimerHandle] = set()
         self.in_flight = 0
         self.queued: deque[ReceiptPost] = deque()
@@ -100,8 +96,8 @@
             self.queued.append(post)
             return
         self.in_flight += 1
-        timeout_at = self.loop.time() + receipt_retry.ATTEMPT_TIMEOUT_MS / 1000
-        placeholder = self.loop.call_at(timeout_at + TIMEOUT_MARGIN_S, _do_nothing)
+        timeout_at = self.context.loop.time() + receipt_retry.ATTEMPT_TIMEOUT_MS / 1000
+        placeholder = self.context.loop.call_at(timeout_at + TIMEOUT_MARGIN_S, _do_nothing)
         self.timers.add(placeholder)
 
         def on_answer(answer: client.CallResult) -> None:
@@ -121,8 +117,8 @@
         if backoff_ms is not None:
             self._retry_later(post, attempts, backoff_ms)
         elif not was_delivered:
-            self.counts["handbacks_given_up"] += 1
-            self.log.warning(
+            self.context.counts["handbacks_given_up"] += 1
+            self.context.log.warning(
                 log_events.RECEIPT_DELIVERY_FAILED,
                 message=post.message_id,
                 attempts=attempts,
@@ -135,7 +131,7 @@
             self.timers.discard(timer)
             self._post(ReceiptPost(post.address, post.data, post.message_id, attempts))
 
-        timer = self.loop.call_later(backoff_ms / 1000, retry)
+        timer = self.context.loop.call_later(backoff_ms / 1000, retry)
         self.timers.add(timer)
 
     def close(self) -> None:
--- a/linnetstile/as2_relay/self_check.py
+++ b/linnetstile/as2_relay/self_check.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 from collections.abc import Mapping
+from dataclasses import dataclass
 
 from ..engine.engine import DeliveryEngine
 from ..net import client, server
@@ -13,28 +14,29 @@
 from .receipt_delivery import ReceiptDelivery
 
 
+@dataclass(frozen=True, slots=True)
 class SelfCheck:
-    """Asserts the invariants of a relay; it runs every `limits.self_check_ms`."""
+    """Asserts the invariants of a relay; it runs every `limits.self_check_ms`.
 
-    def __init__(
-        self,
-        accepted: Mapping[int, AcceptedMessage],
-        admission: AdmissionController,
-        engine: DeliveryEngine,
-        engine_loop: EngineLoop,
-        listener: server.Server,
-        pool: client.ConnectionPool,
-        receipt_endpoint: AsyncReceiptEndpoint,
-        receipt_delivery: ReceiptDelivery,
-    ) -> None:
-        self.accepted = accepted
-        self.admission = admission
-        self.engine = engine
-        self.engine_loop = engine_loop
-        self.listener = listener
-        self.pool = pool
-        self.receipt_endpoint = receipt_endpoint
-        self.receipt_delivery = receipt_delivery
+    Attributes:
+        accepted: The messages that have no final answer.
+        admission: Knows the memory that is reserved.
+        engine: Knows the slots in use.
+        engine_loop: Holds the events that the engine has not seen yet.
+        listener: The connections of clients, and their requests.
+        pool: The connections to partners, and their calls.
+        receipt_endpoint: The receipt addresses that are open.
+        receipt_delivery: The receipts that are being posted.
+    """
+
+    accepted: Mapping[int, AcceptedMessage]
+    admission: AdmissionController
+    engine: DeliveryEngine
+    engine_loop: EngineLoop
+    listener: server.Server
+    pool: client.ConnectionPool
+    receipt_endpoint: AsyncReceiptEndpoint
+    receipt_delivery: ReceiptDelivery
 
     def run(self) -> None:
         """Check all invariants; raises AssertionError."""
--- a/linnetstile/as2_relay/shutdown.py
+++ b/linnetstile/as2_relay/shutdown.py
@@ -3,11 +3,10 @@
 from __future__ import annotations
 
 import asyncio
-from collections.abc import Callable, Mapping
+from collections.abc import Callable
 
 from ..telemetry import log_events
-from ..telemetry.log import Logger
-from .accepted_message import AcceptedMessage
+from .relay_context import RelayContext
 
 ANSWER_POLL_S = 0.05  # how often the listener is asked whether clients have read their answers
 DEADLINE_MARGIN_MS = 1000.0  # beyond the longest deadline, if the settings name no time
@@ -23,39 +22,35 @@
 
     def __init__(
         self,
-        accepted: Mapping[int, AcceptedMessage],
+        context: RelayContext,
         timeout_ms: float,
         is_idle: Callable[[], bool],
         has_unsent_answers: Callable[[], bool],
-        log: Logger,
     ) -> None:
         """Take what tells that work is left.
 
         Args:
-            accepted: The messages that have no final answer.
+            context: What all parts of the relay share.
             timeout_ms: How long the relay may take.
             is_idle: Whether no message and no receipt delivery is left.
             has_unsent_answers: Whether a client has not read its answer.
-            log: Logger of the relay.
         """
-        self.accepted = accepted
+        self.context = context
         self.timeout_ms = timeout_ms
         self.is_idle = is_idle
         self.has_unsent_answers = has_unsent_answers
-        self.log = log
-        self.loop = asyncio.get_running_loop()
         self.has_started = False
         self.completed = asyncio.Event()
 
     def start(self) -> None:
         """Accept no more messages from now on."""
         self.has_started = True
-        self.log.info(log_events.STOPPING, accepted=len(self.accepted), within_ms=self.timeout_ms)
-        self.loop.call_later(self.timeout_ms / 1000, self._on_timeout)
+        self.context.log.info(log_events.STOPPING, accepted=len(self.context.accepted), within_ms=self.timeout_ms)
+        self.context.loop.call_later(self.timeout_ms / 1000, self._on_timeout)
 
     def _on_timeout(self) -> None:
-        for message in self.accepted.values():
-            self.log.error(
+        for message in self.context.accepted.values():
+            self.context.log.error(
                 log_events.UNFINISHED_AT_SHUTDOWN,
                 message=message.head.message_id,
                 partner=message.head.receiver,
@@ -67,11 +62,11 @@
     def check_progress(self) -> None:
         """Complete the shutdown if no work is left; called whenever some of it has ended."""
         if self.has_started and self.is_idle():
-            self.loop.call_later(ANSWER_POLL_S, self._wait_for_clients)
+            self.context.loop.call_later(ANSWER_POLL_S, self._wait_for_clients)
 
     def _wait_for_clients(self) -> None:
         """Complete once the last answers have left; a client that reads too slowly is evicted by its rate."""
         if self.has_unsent_answers():
-            self.loop.call_later(ANSWER_POLL_S, self._wait_for_clients)
+            self.context.loop.call_later(ANSWER_POLL_S, self._wait_for_clients)
         else:
             self.completed.set()
--- a/linnetstile/as2_relay/submissions.py
+++ b/linnetstile/as2_relay/submissions.py
@@ -2,26 +2,24 @@
 
 from __future__ import annotations
 
-import asyncio
 import hashlib
-from collections import Counter
-from collections.abc import Callable, Sequence
+from collections.abc import Sequence
 from dataclasses import dataclass, field
 
 from ..codec import as2
 from ..engine.deduplication import SubmissionStatus, SubmissionTable
-from ..engine.events import Event, Message
+from ..engine.events import Message
 from ..engine.routing import Rule
 from ..engine.settings import MessageClass
 from ..net import server
 from ..telemetry import log_events
-from ..telemetry.log import Logger
 from .accepted_message import AcceptedMessage
 from .admission import AdmissionController, RequestOrigin
 from .answers import AnswerKind, ClientAnswer, send_answer, text_answer
 from .receipt_delivery import ReceiptDelivery
 from .receipts import ReceiptIssuer
 from .registry import RegistryClient
+from .relay_context import RelayContext
 from .shutdown import GracefulShutdown
 
 NO_LIST_RETRY_AFTER_MS = 1000.0
@@ -50,66 +48,51 @@
 
     def __init__(
         self,
+        context: RelayContext,
         classes: Sequence[MessageClass],
         known: KnownSubmissions,
-        accepted: dict[int, AcceptedMessage],
         admission: AdmissionController,
         registry: RegistryClient,
         receipt_issuer: ReceiptIssuer,
         receipt_delivery: ReceiptDelivery,
         shutdown: GracefulShutdown,
-        counts: Counter[str],
-        log: Logger,
-        post_event: Callable[[Event], None],
     ) -> None:
         """Take the parts that submissions need.
 
         Args:
+            context: What all parts of the relay share.
             classes: Message classes of the engine.
             known: Identifiers of the messages that were submitted, with their answers.
-            accepted: The messages that have no final answer, by their number.
             admission: Holds the memory of requests and messages.
             registry: Knows which partners are listed.
             receipt_issuer: Issues the receipt for a repeat whose answer is not stored any more.
             receipt_delivery: Posts the answers of messages that name a receipt address.
             shutdown: Knows whether the relay is stopping, and checks its progress when a message was answered.
-            counts: Counters of the relay.
-            log: Logger of the relay.
-            post_event: Takes events for the delivery engine.
         """
+        self.context = context
         self.classes = classes
         self.known = known
-        self.accepted = accepted
         self.admission = admission
         self.registry = registry
         self.receipt_issuer = receipt_issuer
         self.receipt_delivery = receipt_delivery
         self.shutdown = shutdown
-        self.counts = counts
-        self.log = log
-        self.post_event = post_event
-        self.loop = asyncio.get_running_loop()
         self.latest_id = 0
 
-    @property
-    def now_ms(self) -> float:
-        """The loop's time in ms."""
-        return self.loop.time() * 1000
-
     def submit(self, request: server.RequestContext, submission: Submission) -> None:
         """Accept a complete submission, treat it as a repeat, or refuse it."""
         head = submission.head
         partner = self.registry.partners.get(head.receiver)
         digest = submission.digest.digest()
-        status, known = self.known.lookup(self.now_ms, head.sender, head.message_id, digest)
+        status, known = self.known.lookup(self.context.now_ms, head.sender, head.message_id, digest)
         if status is SubmissionStatus.CONFLICT:
             text = "conflict: this Message-ID was handed in before with other content"
             self.refuse(request, 409, text, head.message_id, kind=AnswerKind.CONFLICT)
         elif status is SubmissionStatus.OPEN and known is not None and known.message is not None:
-            self.log.info(log_events.DUPLICATE_SUBMISSION, message=head.message_id, open=True)
+            self.context.log.info(log_events.DUPLICATE_SUBMISSION, message=head.message_id, open=True)
             self._wait_for_answer(known.message, request)
         elif status is SubmissionStatus.ANSWERED and known is not None and known.answer is not None:
-            self.log.info(
+            self.context.log.info(
                 log_events.DUPLICATE_SUBMISSION, message=head.message_id, open=False, answer=known.answer.kind
             )
             self._answer_again(head, request, known.answer)
@@ -131,8 +114,8 @@
         kind: AnswerKind = AnswerKind.REFUSED,
     ) -> None:
         """Answer a submission that is not accepted."""
-        self.counts["refused_at_door"] += 1
-        self.log.info(log_events.MESSAGE_REJECTED, message=message_id, status=status, why=text)
+        self.context.counts["refused_at_door"] += 1
+        self.context.log.info(log_events.MESSAGE_REJECTED, message=message_id, status=status, why=text)
         self._send(request, text_answer(status, text, kind, retry_after_ms))
 
     def _send(self, request: server.RequestContext, answer: ClientAnswer) -> None:
@@ -151,10 +134,10 @@
             deadline_ms=request.started_at * 1000 + message_class.deadline_ms,
             reservation=self.admission.transfer(request),
         )
-        self.accepted[message.id] = message
+        self.context.accepted[message.id] = message
         self.known.start(head.sender, head.message_id, digest, message)
-        self.counts["taken"] += 1
-        self.log.info(
+        self.context.counts["taken"] += 1
+        self.context.log.info(
             log_events.MESSAGE_ACCEPTED,
             message=head.message_id,
             sender=head.sender,
@@ -163,8 +146,8 @@
         )
         ordering_key = _ordering_key(head) if message_class.in_order else 0
         self._wait_for_answer(message, request)
-        remaining_ms = max(0.0, message.deadline_ms - self.now_ms)
-        self.post_event(Message(message.id, partner, rule.class_index, remaining_ms, rule.tenant, ordering_key))
+        remaining_ms = max(0.0, message.deadline_ms - self.context.now_ms)
+        self.context.post_event(Message(message.id, partner, rule.class_index, remaining_ms, rule.tenant, ordering_key))
 
     def _wait_for_answer(self, message: AcceptedMessage, request: server.RequestContext) -> None:
         """Answer a request with the message's final answer, on this connection or by the receipt address."""
@@ -190,19 +173,19 @@
     def complete(self, message: AcceptedMessage, answer: ClientAnswer) -> None:
         """Give the one final answer, on every connection that waits and to the receipt address."""
         head = message.head
-        del self.accepted[message.id]
+        del self.context.accepted[message.id]
         self.admission.release(message.reservation)
         if answer.kind is AnswerKind.REFUSED:
             self.known.forget_rejected(head.sender, head.message_id)
         else:
-            self.known.complete(self.now_ms, head.sender, head.message_id, answer)
-        self.counts[answer.kind.value] += 1
-        self.log.info(
+            self.known.complete(self.context.now_ms, head.sender, head.message_id, answer)
+        self.context.counts[answer.kind.value] += 1
+        self.context.log.info(
             log_events.MESSAGE_ANSWERED,
             message=head.message_id,
             answer=answer.kind,
             attempts=message.attempt_count,
-            left_ms=round(message.deadline_ms - self.now_ms),
+            left_ms=round(message.deadline_ms - self.context.now_ms),
         )
         for request in message.waiting_requests:
             self._send(request, answer)
--- a/tests/faults/test_gossip.py
+++ b/tests/faults/test_gossip.py
@@ -127,7 +127,7 @@
             await waiting
             restarted = await testbed.start_relay(knowledge=snapshot_settings)
             await asyncio.sleep(0.05)
-            left = restarted.engine.routes[0][-1].retry_after_until - restarted.loop.time() * 1000
+            left = restarted.engine.routes[0][-1].retry_after_until - restarted.context.now_ms
             assert 3000 < left < 6000  # it was sent to this relay before it was killed, so it still binds
             answer = await testbed.submit(testbed.make_message("safe"), 1)
             assert answer_kind(answer) == "delivered"
