--- a/linnetstile/as2_relay/gossip_polling.py
+++ b/linnetstile/as2_relay/gossip_polling.py
@@ -163,7 +163,13 @@
         claims |= {
             (claim.partner, claim.route): claim.to_claim().aged(now_ms - asked_at_ms) for claim in document.claims
         }
-        self.peers[peer] = PeerKnowledge(now_ms, claims, document.few_connections, document.relays, document.version)
+        self.peers[peer] = PeerKnowledge(
+            heard_at_ms=now_ms,
+            claims=claims,
+            connection_limits=document.few_connections,
+            relay_count=document.relays,
+            version=document.version,
+        )
 
     def _status_of(self, peer: str) -> str:
         found = self.membership.peers.get(peer) if self.membership else None
--- a/linnetstile/as2_relay/gossip_service.py
+++ b/linnetstile/as2_relay/gossip_service.py
@@ -1,6 +1,6 @@
-"""This relay's part in the gossip: it sends other relays what it knows, and merges what they know.
+"""This relay's part in the gossip: it serves its own knowledge, polls its peers and keeps a snapshot.
 
-`engine/gossip.py` decides what is believed, `engine/gossip_export.py` what is sent.
+`engine/gossip_export.py` decides what is sent; `gossip_merger.py` merges what others know.
 """
 
 from __future__ import annotations
@@ -9,77 +9,47 @@
 import hmac
 import json
 import urllib.parse
-from collections.abc import Callable, Sequence
-from dataclasses import dataclass
+from collections.abc import Callable
 from typing import Any
 
 from ..config.relay import KnowledgeSettings
 from ..engine import gossip_export
 from ..engine.engine import DeliveryEngine
-from ..engine.events import Event, GossipReceived, GossipSent, RouteFacts
-from ..engine.gossip import (
-    OWN_OBSERVATION_WINS,
-    ClaimSource,
-    MergedRoute,
-    RejectedClaim,
-    lower_median,
-    merge_claims,
-    merge_connection_limits,
-)
-from ..engine.membership import MAX_PEERS_PER_ANSWER, Peer
+from ..engine.events import Event, GossipSent
+from ..engine.membership import MAX_PEERS_PER_ANSWER
 from ..net import server
-from ..telemetry import log_events
 from ..telemetry.log import Logger
 from .gossip_document import OwnDocument
+from .gossip_merger import MAX_RECORDS, GossipMerger
 from .gossip_polling import PeerPoller
-from .gossip_snapshot import GossipSnapshotStore, LoadedSnapshot
+from .gossip_snapshot import GossipSnapshotStore
+from .gossip_state import peer_to_json, rejection_to_json
 from .gossip_versions import ClaimVersions
 
-MAX_SHOWN = 200  # merged routes and rejected claims that are kept for operators
-MAX_LOGGED_ROUTES = 20
-MAX_SHOWN_AGE_MS = 1e12  # ages are finite in JSON
 MAX_VERSION_DIGITS = 15
-SNAPSHOT_SOURCE = "snapshot"
 STATE_PATH = "/knowledge/state"
-
-
-@dataclass(frozen=True, slots=True)
-class MergeRecord:
-    """The latest merge of one route, for operators."""
-
-    route: MergedRoute
-    merged_at_ms: float
-
-    def to_json(self, now_ms: float) -> dict[str, Any]:
-        """Return the record under the names of the operators' document, in its order."""
-        route = self.route
-        return {
-            "partner": route.partner,
-            "route": route.route,
-            "out_ms": route.outage_age_ms,
-            "cold_ms": route.slow_start_age_ms,
-            "wait_ms": route.retry_after_ms,
-            "mean_ms": route.latency_mean_ms,
-            "dev_ms": route.latency_deviation_ms,
-            "answers": route.answers,
-            "knowers": route.aware_relays,
-            "pace": route.rate,
-            "sources": route.sources,
-            "age_ms": min(route.age_ms, MAX_SHOWN_AGE_MS),
-            "taken_at": self.merged_at_ms,
-            "taken_ms_ago": round(now_ms - self.merged_at_ms),
-        }
+# Counters under the names of the operators' document, in its order.
+COUNT_NAMES = (
+    "asked",
+    "answered",
+    "no_answer",
+    "unreadable",
+    "handed_out",
+    "denied",
+    "taken",
+    "doubted",
+    "snapshots",
+    "snapshots_failed",
+)
 
 
 class GossipService:
-    """Serves the gossip document, and merges those of peers and of the snapshot.
+    """Serves the gossip document, and runs the parts that poll, merge and write snapshots.
 
     Attributes:
         poller: Polls the peers, and keeps what they said.
+        merger: Merges what the peers and the snapshot claim.
         snapshot_store: Reads and writes the snapshot; None if the settings name none.
-        loaded_snapshot: What the snapshot said at the start.
-        merged: The latest merge of each route.
-        rejected: How often each claim was rejected.
         counts: Counters under the names of the operators' document.
     """
 
@@ -113,40 +83,32 @@
         self.log = log
         self.loop = asyncio.get_running_loop()
         self.token = settings.token_file.read_text(encoding="utf-8").strip() if settings.token_file else ""
-        self.counts = {
-            "asked": 0,
-            "answered": 0,
-            "no_answer": 0,
-            "unreadable": 0,
-            "handed_out": 0,
-            "denied": 0,
-            "taken": 0,
-            "doubted": 0,
-            "snapshots": 0,
-            "snapshots_failed": 0,
-        }
+        self.counts = dict.fromkeys(COUNT_NAMES, 0)
         self.versions = ClaimVersions()
-        self.poller = PeerPoller(
-            relay_name=name,
+        self.poller = self._make_poller()
+        self.merger = GossipMerger(engine, partner_numbers, self.poller.peers, post_event, self.counts, log)
+        self.snapshot_store = self._make_snapshot_store()
+
+    def _make_poller(self) -> PeerPoller:
+        return PeerPoller(
+            relay_name=self.name,
             token=self.token,
-            relay_count=engine.settings.relay_count,
+            relay_count=self.engine.settings.relay_count,
             on_answer=self.merge,
             counts=self.counts,
-            log=log,
+            log=self.log,
+        )
+
+    def _make_snapshot_store(self) -> GossipSnapshotStore | None:
+        if self.settings.snapshot is None:
+            return None
+        return GossipSnapshotStore(
+            path=self.settings.snapshot,
+            interval_ms=self.settings.snapshot_every_ms,
+            make_document=self.document,
+            counts=self.counts,
+            log=self.log,
         )
-        self.snapshot_store: GossipSnapshotStore | None = None
-        if settings.snapshot is not None:
-            self.snapshot_store = GossipSnapshotStore(
-                path=settings.snapshot,
-                interval_ms=settings.snapshot_every_ms,
-                make_document=self.document,
-                counts=self.counts,
-                log=log,
-            )
-        self.loaded_snapshot: LoadedSnapshot | None = None
-        self.loaded_at_ms = 0.0
-        self.merged: dict[tuple[str, int], MergeRecord] = {}
-        self.rejected: dict[RejectedClaim, int] = {}
 
     @property
     def now_ms(self) -> float:
@@ -161,8 +123,7 @@
     def start(self, address: str) -> None:
         """Read the snapshot, then poll peers and write snapshots from time to time."""
         if self.snapshot_store is not None:
-            self.loaded_snapshot = self.snapshot_store.read()
-            self.loaded_at_ms = self.now_ms
+            self.merger.snapshot = self.snapshot_store.read()
             self.snapshot_store.start_writing()
         seed = hash(self.incarnation) & 0xFFFF
         self.poller.start(self.settings.address or address, list(self.settings.peers), seed)
@@ -173,14 +134,16 @@
             self.snapshot_store.close()
         self.poller.close()
 
-    def _partner_names(self) -> dict[int, str]:
-        return {number: name for name, number in self.partner_numbers.items()}
+    def merge(self) -> None:
+        """Merge all that peers and the snapshot claim; called with each answer and each endpoint list."""
+        self.merger.merge()
 
     # -- what this relay sends -------------------------------------------------------------------------------
 
     def own_document(self, since: int = 0) -> OwnDocument:
         """Return what this relay knows itself and what changed after version `since` (0: all of it)."""
-        claims = gossip_export.export_claims(self.engine, self.now_ms, self._partner_names())
+        partner_names = {number: name for name, number in self.partner_numbers.items()}
+        claims = gossip_export.export_claims(self.engine, self.now_ms, partner_names)
         self.versions.update(self.now_ms, claims)
         membership = self.poller.membership
         peers = membership.alive_peers() if membership is not None else []
@@ -232,128 +195,22 @@
         if routes:
             self.post_event(GossipSent(routes))
 
-    # -- what this relay learns ------------------------------------------------------------------------------
-
-    def merge(self) -> None:
-        """Merge all sources anew and post what there is to take; called with each answer and each endpoint list."""
-        sources = self._sources()
-        endpoints, observed = gossip_export.known_routes(self.engine, self._partner_names())
-        if not endpoints or not sources:
-            return
-        # A relay that believes in too few relays would take too large a part of a partner in slow start: the larger
-        # number counts, of the others that of the one in the middle.
-        relay_counts = [float(peer.relay_count) for peer in self.poller.peers.values()]
-        relay_count = max(self.engine.settings.relay_count, int(lower_median(relay_counts)))
-        routes, rejected = merge_claims(sources, endpoints, observed, relay_count)
-        self._record_rejected(rejected)
-        connection_limits = self._merged_connection_limits()
-        if not routes and not connection_limits:
-            return
-        self._record_merged(sources, routes)
-        facts = tuple(self._facts(route) for route in routes)
-        self.post_event(GossipReceived(facts, connection_limits))
-
-    def _sources(self) -> list[ClaimSource]:
-        now = self.now_ms
-        sources = [
-            ClaimSource(address, False, tuple(peer.claims_at(now).values()))
-            for address, peer in self.poller.peers.items()
-        ]
-        if self.loaded_snapshot is not None:
-            age_ms = now - self.loaded_at_ms
-            claims = tuple(claim.aged(age_ms) for claim in self.loaded_snapshot.claims)
-            sources.append(ClaimSource(SNAPSHOT_SOURCE, True, claims))
-        return sources
-
-    def _merged_connection_limits(self) -> tuple[tuple[int, float], ...]:
-        """Return by number of the kind how far connections are limited, of the kinds that the settings name."""
-        by_source = {address: peer.connection_limits for address, peer in self.poller.peers.items()}
-        if self.loaded_snapshot is not None:
-            by_source[SNAPSHOT_SOURCE] = self.loaded_snapshot.connection_limits
-        merged = merge_connection_limits([by_source[source] for source in sorted(by_source)])
-        kinds = [kind.name for kind in self.engine.settings.kinds]
-        return tuple((kinds.index(kind), fraction) for kind, fraction in merged.items() if kind in kinds)
-
-    def _facts(self, route: MergedRoute) -> RouteFacts:
-        return RouteFacts(
-            destination=self.partner_numbers[route.partner],
-            route=route.route,
-            outage_age_ms=route.outage_age_ms,
-            slow_start_age_ms=route.slow_start_age_ms,
-            retry_after_ms=route.retry_after_ms,
-            latency_mean_ms=route.latency_mean_ms,
-            latency_deviation_ms=route.latency_deviation_ms,
-            answers=route.answers,
-            aware_relays=route.aware_relays,
-            rate=route.rate,
-        )
-
-    def _record_rejected(self, rejected: Sequence[RejectedClaim]) -> None:
-        for claim in rejected:
-            if claim not in self.rejected and len(self.rejected) < MAX_SHOWN:
-                self.counts["doubted"] += 1
-                # That this relay has seen the route itself is no fault of the peer.
-                log = self.log.debug if claim.reason == OWN_OBSERVATION_WINS else self.log.info
-                log(log_events.GOSSIP_CLAIM_REJECTED, source=claim.source, partner=claim.partner, why=claim.reason)
-            self.rejected[claim] = self.rejected.get(claim, 0) + 1
-
-    def _record_merged(self, sources: Sequence[ClaimSource], routes: Sequence[MergedRoute]) -> None:
-        self.counts["taken"] += len(routes)
-        cautions = [
-            route
-            for route in routes
-            if route.outage_age_ms is not None or route.slow_start_age_ms is not None or route.retry_after_ms
-        ]
-        if cautions:
-            self.log.info(
-                log_events.GOSSIP_MERGED,
-                sources=[source.name for source in sources],
-                routes=len(routes),
-                cautions=[_caution_fields(route) for route in cautions[:MAX_LOGGED_ROUTES]],
-            )
-        now = self.now_ms
-        for route in routes:
-            key = route.partner, route.route
-            if len(self.merged) < MAX_SHOWN or key in self.merged:
-                self.merged[key] = MergeRecord(route, now)
-
     # -- for operators ---------------------------------------------------------------------------------------
 
     def state(self) -> dict[str, Any]:
         """Return the operators' document: the members, what was merged and what was rejected."""
-        now, membership = self.now_ms, self.poller.membership
+        now_ms = self.now_ms
+        membership = self.poller.membership
+        members = membership.peers.values() if membership is not None else ()
+        rejected = list(self.merger.rejected.items())[:MAX_RECORDS]
         return {
             "run": self.incarnation,
             "counts": self.counts,
-            "taken": [record.to_json(now) for record in self.merged.values()],
-            "doubted": [
-                {"source": claim.source, "partner": claim.partner, "why": claim.reason, "times": times}
-                for claim, times in list(self.rejected.items())[:MAX_SHOWN]
-            ],
-            "peers": [_peer_to_json(peer, now) for peer in membership.peers.values()] if membership else [],
+            "taken": [record.to_json(now_ms) for record in self.merger.merged.values()],
+            "doubted": [rejection_to_json(claim, times) for claim, times in rejected],
+            "peers": [peer_to_json(peer, now_ms) for peer in members],
         }
 
 
 def _reply_json(request: server.RequestContext, document: dict[str, Any]) -> None:
     request.reply(200, [("Content-Type", "application/json")], json.dumps(document).encode())
-
-
-def _peer_to_json(peer: Peer, now: float) -> dict[str, Any]:
-    return {
-        "address": peer.address,
-        "standing": peer.status.value,
-        "fails": peer.failures,
-        "heard_ms_ago": round(now - peer.last_answer_at) if peer.incarnation else None,
-    }
-
-
-def _caution_fields(route: MergedRoute) -> dict[str, Any]:
-    return {
-        "partner": route.partner,
-        "route": route.route,
-        "out_ms": route.outage_age_ms,
-        "cold_ms": route.slow_start_age_ms,
-        "wait_ms": route.retry_after_ms,
-        "sources": route.sources,
-        "age_ms": round(route.age_ms) if route.age_ms < MAX_SHOWN_AGE_MS else None,
-    }
--- a/linnetstile/as2_relay/gossip_snapshot.py
+++ b/linnetstile/as2_relay/gossip_snapshot.py
@@ -24,8 +24,7 @@
     if not data.startswith(SNAPSHOT_MAGIC):
         return parse(data)
     try:
-        payload, _ = snapshot.read(path)
-        return parse(payload)
+        return parse(snapshot.read(path).payload)
     except snapshot.SnapshotError as error:
         raise GossipDocumentError(str(error)) from error
 
@@ -37,10 +36,17 @@
     Attributes:
         claims: Its claims, at their age when the snapshot was read.
         connection_limits: Its connection limits by kind of destination.
+        loaded_at_ms: Loop time at which the snapshot was read.
     """
 
     claims: tuple[RouteClaim, ...]
     connection_limits: dict[str, float]
+    loaded_at_ms: float
+
+    def claims_at(self, now_ms: float) -> tuple[RouteClaim, ...]:
+        """Return the claims at their age by now."""
+        age_ms = now_ms - self.loaded_at_ms
+        return tuple(claim.aged(age_ms) for claim in self.claims)
 
 
 class GossipSnapshotStore:
@@ -75,14 +81,15 @@
     def read(self) -> LoadedSnapshot | None:
         """Read the snapshot; None if there is none that can be used."""
         try:
-            payload, age_ms = snapshot.read(self.path)
-            document = parse(payload)
+            found = snapshot.read(self.path)
+            document = parse(found.payload)
         except FileNotFoundError:
             return None
         except (snapshot.SnapshotError, ValueError) as error:
             aside = snapshot.set_aside(self.path)
             self.log.warning(log_events.GOSSIP_SNAPSHOT_INVALID, why=str(error), kept_as=str(aside))
             return None
+        age_ms = found.age_ms
         if age_ms is None:
             self.log.warning(
                 log_events.GOSSIP_SNAPSHOT_AGE_UNKNOWN,
@@ -97,7 +104,7 @@
             claims=len(document.claims),
         )
         claims = tuple(claim.to_claim().aged(age_ms) for claim in document.claims)
-        return LoadedSnapshot(claims, document.few_connections)
+        return LoadedSnapshot(claims, document.few_connections, loaded_at_ms=self.loop.time() * 1000)
 
     def start_writing(self) -> None:
         """Write snapshots from now on, the first one after the interval."""
--- a/linnetstile/as2_relay/gossip_versions.py
+++ b/linnetstile/as2_relay/gossip_versions.py
@@ -52,7 +52,7 @@
     def update(self, now_ms: float, claims: Iterable[RouteClaim]) -> None:
         """Give each claim that has changed a version of its own."""
         for claim in claims:
-            route = claim.partner, claim.route
+            route = (claim.partner, claim.route)
             fingerprint = _fingerprint(now_ms, claim)
             known = self._latest.get(route)
             if known is None or known.fingerprint != fingerprint:
@@ -66,12 +66,12 @@
 
 def _fingerprint(now_ms: float, claim: RouteClaim) -> ClaimFingerprint:
     return ClaimFingerprint(
-        claim.endpoints,
-        claim.outage_age_ms is None,
-        claim.slow_start_age_ms is None,
-        claim.retry_after_ms > 0,
-        _evidence_step(now_ms, claim.answer_age_ms),
-        _evidence_step(now_ms, claim.failure_age_ms),
+        endpoints=claim.endpoints,
+        is_available=claim.outage_age_ms is None,
+        is_warm=claim.slow_start_age_ms is None,
+        is_waiting=claim.retry_after_ms > 0,
+        answered_step=_evidence_step(now_ms, claim.answer_age_ms),
+        failed_step=_evidence_step(now_ms, claim.failure_age_ms),
     )
 
 
--- a/tests/faults/test_gossip.py
+++ b/tests/faults/test_gossip.py
@@ -100,7 +100,7 @@
             route = new_relay.engine.routes[0][-1]
             assert route.health.ejected
             assert route.health.from_gossip
-            outage_age_ms = new_relay.gossip.merged["firma", -1].route.outage_age_ms
+            outage_age_ms = new_relay.gossip.merger.merged["firma", -1].route.outage_age_ms
             assert outage_age_ms is not None
             assert outage_age_ms > 1000
             assert old_relay.engine.routes[0][-1].health.notified_relays >= 1  # the new relay knows of the outage now
@@ -152,7 +152,7 @@
             snapshot.read(path)
         async with RelayTestbed(tmp_path, knowledge={"snapshot": path}) as testbed:
             assert (tmp_path / "know.bad").exists()
-            assert testbed.relays[0].gossip.loaded_snapshot is None
+            assert testbed.relays[0].gossip.merger.snapshot is None
             assert answer_kind(await testbed.submit(testbed.make_message("safe"))) == "delivered"
 
     run_test(test)
@@ -208,7 +208,7 @@
                 assert answer_kind(await testbed.submit(testbed.make_message("safe"), 1)) == "delivered"
             await wait_for_polls(new_relay)
             assert new_relay.gossip.counts[counted] == 1
-            assert not new_relay.gossip.merged
+            assert not new_relay.gossip.merger.merged
             assert new_relay.gossip.state()["peers"][0]["standing"] == "suspected"
         listener.close()
 
@@ -356,7 +356,7 @@
             await wait_for_polls(new_relay, 2)
             await asyncio.sleep(0.05)
             assert not any(route.health.ejected for route, _ in new_relay.engine.routing_table.known_routes(0).values())
-            reasons = {claim.reason for claim in new_relay.gossip.rejected}
+            reasons = {claim.reason for claim in new_relay.gossip.merger.rejected}
             assert reasons == {"learned from endpoints that are not its own now", "says out, too long ago"}
             assert answer_kind(await testbed.submit(testbed.make_message("unsafe"), 1)) == "delivered"
         listener.close()
