--- a/benchmarks/attack.py
+++ b/benchmarks/attack.py
@@ -16,31 +16,38 @@
 import itertools
 import json
 import os
-import subprocess
 import sys
 import tempfile
-from collections.abc import AsyncIterator
+from collections.abc import AsyncIterator, Coroutine, Mapping, Sequence
 from dataclasses import dataclass, field
 from pathlib import Path
-from typing import IO, Any
-
-from hdrh.histogram import HdrHistogram
-
-from benchmarks.attackers import Attacker
+from typing import IO, Any, NamedTuple
+
+from benchmarks.as2_load import (
+    BODY,
+    MESSAGE_CLASS,
+    LatencyHistogram,
+    RelayClient,
+    answer_kind,
+    encode_submission,
+    registry_entry,
+    relay_settings,
+    running_registry,
+    start_partners,
+)
+from benchmarks.attackers import HANGING_PARTNER, QUICK_PARTNER, Attacker
 from benchmarks.common import (
+    BYTES_PER_MB,
     argument_parser,
     print_result,
     resident_mb,
     serve_forever,
     start_child,
-    start_relay,
-    stop_child,
 )
-from linnetstile.codec import http1
+from benchmarks.relay_process import start_relay
 from linnetstile.config.relay import RelaySettings
 from linnetstile.emulators import messages
-from linnetstile.emulators.partner import PartnerEmulator, PartnersSpec
-from linnetstile.emulators.registry import RegistryEmulator, RegistrySpec
+from linnetstile.emulators.partner import PartnersSpec
 from linnetstile.net import client
 
 LIMITS = {
@@ -64,48 +71,22 @@
 GOOD_RATE = 60
 """Messages a second of the good client."""
 ANSWER_TIMEOUT_S = 10
-HISTOGRAM_RANGE = 1, 60_000_000, 3
-"""Least and largest value in microseconds, significant digits."""
-BODY = b"ISA*00~" * 100
+PARTNERS = {1: QUICK_PARTNER, 2: HANGING_PARTNER}
+"""By identifier of their one endpoint."""
+LISTED_RATE = 2000.0
+BETWEEN_PHASE = "between"
+"""Phase of the good client while no attack is on."""
+AFTER_PHASE = "after"
 
 
-async def serve_partners() -> PartnerEmulator:
-    """Be the partners: one is quick, one hangs."""
+def partners_spec() -> PartnersSpec:
+    """The partner emulator's settings: one partner is quick, one hangs."""
     partners = [
-        {"name": name, "endpoints": [{"id": number}], "work_ms": 20, "spread": 0.1, "servers": 256, "queue": 1000}
-        for number, name in ((1, "quick"), (2, "hangs"))
+        {"name": name, "endpoints": [{"id": endpoint}], "work_ms": 20, "spread": 0.1, "servers": 256, "queue": 1000}
+        for endpoint, name in PARTNERS.items()
     ]
-    faults = [{"kind": "hang", "at_s": 0, "for_s": 600, "partners": ["hangs"]}]
-    stand = PartnerEmulator(PartnersSpec.model_validate({"partners": partners, "faults": faults}))
-    print(json.dumps({"port": 0, "ports": await stand.start()}), flush=True)
-    return stand
-
-
-def registry_spec(ports: dict[str, int]) -> dict[str, Any]:
-    """The registry's document: the endpoint of each partner, by its number."""
-    return {
-        "entries": [
-            {
-                "id": int(endpoint),
-                "partner": "quick" if endpoint == "1" else "hangs",
-                "url": f"http://127.0.0.1:{port}/as2",
-                "status": "ready",
-                "rate": 2000.0,
-            }
-            for endpoint, port in ports.items()
-        ]
-    }
-
-
-def relay_settings(register: str) -> dict[str, Any]:
-    """Settings of the relay."""
-    return {
-        "name": "r",
-        "register": register,
-        "rules": [{"class": "a"}],
-        "classes": {"a": {"effect": "safe", "aim_ms": 1000, "deadline_ms": 8000}},
-        "limits": LIMITS,
-    }
+    hang = {"kind": "hang", "at_s": 0, "for_s": 600, "partners": [HANGING_PARTNER]}
+    return PartnersSpec.model_validate({"partners": partners, "faults": [hang]})
 
 
 @dataclass(slots=True)
@@ -114,7 +95,7 @@
 
     sent: int = 0
     delivered: int = 0
-    latency: Any = field(default_factory=lambda: HdrHistogram(*HISTOGRAM_RANGE))
+    latency: LatencyHistogram = field(default_factory=LatencyHistogram)
     bad_peers: dict[str, int] = field(default_factory=dict)
 
     def to_json(self) -> dict[str, Any]:
@@ -122,7 +103,7 @@
         return {
             "sent": self.sent,
             "delivered": self.delivered,
-            "p99_ms": round(self.latency.get_value_at_percentile(99) / 1000, 1),
+            "p99_ms": self.latency.percentile_ms(99),
             "bad_peers": self.bad_peers,
         }
 
@@ -132,33 +113,46 @@
 
     def __init__(self, port: int) -> None:
         """Prepare a client of a loopback port."""
-        self.port = port
         self.phase = "before"
         self.phases: dict[str, PhaseResult] = {}
-        self.loop = asyncio.get_running_loop()
-        self.pool = client.ConnectionPool()
+        self._loop = asyncio.get_running_loop()
+        self._client = RelayClient(port, ANSWER_TIMEOUT_S)
 
     async def run(self) -> None:
         """Submit until cancelled."""
-        began = self.loop.time()
+        began = self._loop.time()
         for number in itertools.count():
-            await asyncio.sleep(max(0.0, began + number / GOOD_RATE - self.loop.time()))
+            await asyncio.sleep(max(0.0, began + number / GOOD_RATE - self._loop.time()))
             self.submit(number)
 
     def submit(self, number: int) -> None:
         """Submit one message, which counts in the current phase."""
-        message = messages.build_message("good", "quick", f"<{number}@good>", "a", BODY, receipt=False)
-        submitted_at = self.loop.time()
+        message = messages.build_message("good", QUICK_PARTNER, f"<{number}@good>", MESSAGE_CLASS, BODY, receipt=False)
+        submitted_at = self._loop.time()
         result = self.phases.setdefault(self.phase, PhaseResult())
         result.sent += 1
 
-        def done(answer: client.CallResult) -> None:
-            if answer.head is not None and answer.head.headers.get("linnetstile-answer") == "delivered":
+        def record_answer(answer: client.CallResult) -> None:
+            if answer_kind(answer) == "delivered":
                 result.delivered += 1
-                result.latency.record_value(int((self.loop.time() - submitted_at) * 1e6))
+                result.latency.record(self._loop.time() - submitted_at)
 
-        data = http1.encode_request("POST", "/as2", [("Host", "x"), *message.headers], message.body)
-        self.pool.call(("127.0.0.1", self.port), "POST", data, done, submitted_at + ANSWER_TIMEOUT_S)
+        self._client.submit(encode_submission(message), record_answer)
+
+
+class Sample(NamedTuple):
+    """Memory and open files at one time; the result has it as a list."""
+
+    elapsed_s: float
+    resident_mb: float
+    open_files: int
+
+
+class PhaseStart(NamedTuple):
+    """When a phase began; the result has it as a list."""
+
+    name: str
+    elapsed_s: float
 
 
 @dataclass(slots=True)
@@ -166,13 +160,13 @@
     """Memory and open files of a process, ten times a second.
 
     Attributes:
-        process: The process.
-        samples: Seconds since the beginning, resident MB, open files.
+        pid: The process.
+        samples: What was read so far.
         began: Beginning on the loop's clock.
     """
 
-    process: subprocess.Popen[str]
-    samples: list[tuple[float, float, int]] = field(default_factory=list)
+    pid: int
+    samples: list[Sample] = field(default_factory=list)
     began: float = field(default_factory=lambda: asyncio.get_running_loop().time())
 
     def seconds(self) -> float:
@@ -182,15 +176,15 @@
     async def run(self) -> None:
         """Sample until cancelled."""
         while True:
-            files = len(os.listdir(f"/proc/{self.process.pid}/fd"))
-            self.samples.append((round(self.seconds(), 2), round(resident_mb(self.process.pid), 1), files))
+            open_files = len(os.listdir(f"/proc/{self.pid}/fd"))
+            self.samples.append(Sample(round(self.seconds(), 2), round(resident_mb(self.pid), 1), open_files))
             await asyncio.sleep(SAMPLE_INTERVAL_S)
 
 
 @contextlib.asynccontextmanager
-async def running(*coroutines: Any) -> AsyncIterator[None]:
+async def running(*coroutines: Coroutine[Any, Any, None]) -> AsyncIterator[None]:
     """Run coroutines beside the block, and cancel them after it."""
-    tasks = [asyncio.create_task(each) for each in coroutines]
+    tasks = [asyncio.create_task(coroutine) for coroutine in coroutines]
     try:
         yield
     finally:
@@ -199,22 +193,22 @@
         await asyncio.gather(*tasks, return_exceptions=True)
 
 
-async def run_attacks(port: int, seconds: float, good: GoodClient, sampler: Sampler) -> list[tuple[str, float]]:
-    """Run all attacks, one after the other; returns the name and the beginning of each phase."""
+async def run_attacks(port: int, seconds: float, good: GoodClient, sampler: Sampler) -> list[PhaseStart]:
+    """Run all attacks, one after the other; returns when each phase began."""
     phases = []
     await asyncio.sleep(seconds)
     for name in ATTACKS:
         attacker = Attacker(port)
         good.phase = name
-        phases.append((name, round(sampler.seconds(), 1)))
+        phases.append(PhaseStart(name, round(sampler.seconds(), 1)))
         async with running(getattr(attacker, name)()):
             await asyncio.sleep(seconds)
         attacker.stop()
         good.phases[name].bad_peers = dict(attacker.counts)
-        good.phase = "between"
+        good.phase = BETWEEN_PHASE
         await asyncio.sleep(BETWEEN_S)
-    good.phase = "after"
-    phases.append(("after", round(sampler.seconds(), 1)))
+    good.phase = AFTER_PHASE
+    phases.append(PhaseStart(AFTER_PHASE, round(sampler.seconds(), 1)))
     await asyncio.sleep(seconds / 2)
     return phases
 
@@ -226,68 +220,86 @@
 
 
 async def _measure(seconds: float, log: IO[bytes]) -> dict[str, Any]:
-    partners, announced = start_child("attack", "--serve-partners")
-    register = RegistryEmulator(RegistrySpec.model_validate(registry_spec(announced["ports"])))
-    settings = relay_settings(f"http://127.0.0.1:{await register.start()}")
-    relay, port = await start_relay(settings, log=log)
-    sampler, good = Sampler(relay), GoodClient(port)
-    async with running(sampler.run(), good.run()):
-        phases = await run_attacks(port, seconds, good, sampler)
-    checked = RelaySettings.model_validate(settings)
-    cpu_s = stop_child(relay)
-    stop_child(partners)
-    register.close()
+    with start_child("attack", "--serve-partners") as partners:
+        entries = [
+            registry_entry(endpoint, PARTNERS[endpoint], port, LISTED_RATE) for endpoint, port in partners.ports.items()
+        ]
+        async with running_registry(entries) as registry_url:
+            settings = relay_settings(registry_url, aim_ms=1000, deadline_ms=8000, limits=LIMITS)
+            with await start_relay(settings, log=log) as relay:
+                sampler = Sampler(relay.pid)
+                good = GoodClient(relay.port)
+                async with running(sampler.run(), good.run()):
+                    phases = await run_attacks(relay.port, seconds, good, sampler)
+                cpu_s = relay.stop()
+    good_client = {name: result.to_json() for name, result in good.phases.items()}
+    return (
+        _log_figures(log)
+        | _figures_beside_bounds(RelaySettings.model_validate(settings), sampler.samples)
+        | {"cpu_s": round(cpu_s, 1), "good_client": good_client, "phases": phases, "samples": sampler.samples}
+    )
+
+
+def _log_figures(log: IO[bytes]) -> dict[str, Any]:
+    """The limits, and what the relay logged of its own faults."""
     log.seek(0)
     lines = log.read().decode()
-    samples = sampler.samples
     return {
         "limits": LIMITS,
         "self_check_findings": lines.count("AssertionError"),
         "tracebacks": lines.count("Traceback"),
-        "memory_bound_mb": round(checked.max_memory_bytes() / 2**20),
-        "peak_mb": max(memory_mb for _, memory_mb, _ in samples),
-        "first_mb": samples[0][1],
-        "last_mb": samples[-1][1],
-        "files_bound": checked.max_open_files(),
-        "peak_files": max(files for _, _, files in samples),
-        "cpu_s": round(cpu_s, 1),
-        "good_client": {name: result.to_json() for name, result in good.phases.items()},
-        "phases": phases,
-        "samples": samples,
     }
 
 
-def plot(result: dict[str, Any], file: str) -> None:
+def _figures_beside_bounds(settings: RelaySettings, samples: list[Sample]) -> dict[str, Any]:
+    """Memory and open files, with the bounds that the settings state."""
+    return {
+        "memory_bound_mb": round(settings.max_memory_bytes() / BYTES_PER_MB),
+        "peak_mb": max(sample.resident_mb for sample in samples),
+        "first_mb": samples[0].resident_mb,
+        "last_mb": samples[-1].resident_mb,
+        "files_bound": settings.max_open_files(),
+        "peak_files": max(sample.open_files for sample in samples),
+    }
+
+
+def plot(result: Mapping[str, Any], file: str) -> None:
     """Draw memory and open files over time, with their bounds, into a PNG file."""
     import matplotlib
 
     matplotlib.use("Agg")
     import matplotlib.pyplot as plt
 
-    figure, axes = plt.subplots(2, 1, figsize=(11, 6.5), sharex=True)
-    seconds = [sample[0] for sample in result["samples"]]
-    for axis, column, bound, name in (
-        (axes[0], 1, result["memory_bound_mb"], "resident memory, MB"),
-        (axes[1], 2, result["files_bound"], "open files"),
-    ):
-        axis.plot(seconds, [sample[column] for sample in result["samples"]], lw=1.4, color="tab:blue")
-        axis.axhline(bound, color="tab:red", lw=1, ls="--", label=f"stated bound {bound}")
-        axis.set_ylabel(name)
-        axis.set_ylim(0, bound * 1.12)
-        axis.legend(loc="upper right", fontsize=8)
-        for label, begin in result["phases"]:
-            axis.axvline(begin, color="0.8", lw=0.8)
-            if column == 1:
-                axis.text(begin + 0.2, bound * 0.9, label.replace("_", " "), fontsize=8, rotation=90, va="top")
-    axes[1].set_xlabel("seconds")
+    samples: list[Sample] = result["samples"]
+    phases: list[PhaseStart] = result["phases"]
+    seconds = [sample.elapsed_s for sample in samples]
+    figure, (memory_axes, files_axes) = plt.subplots(2, 1, figsize=(11, 6.5), sharex=True)
+    memory_bound = result["memory_bound_mb"]
+    _draw_panel(memory_axes, "resident memory, MB", seconds, [sample.resident_mb for sample in samples], memory_bound)
+    _draw_panel(files_axes, "open files", seconds, [sample.open_files for sample in samples], result["files_bound"])
+    for phase in phases:
+        memory_axes.axvline(phase.elapsed_s, color="0.8", lw=0.8)
+        files_axes.axvline(phase.elapsed_s, color="0.8", lw=0.8)
+        label = phase.name.replace("_", " ")
+        memory_axes.text(phase.elapsed_s + 0.2, memory_bound * 0.9, label, fontsize=8, rotation=90, va="top")
+    files_axes.set_xlabel("seconds")
     figure.tight_layout()
     figure.savefig(file, dpi=110)
 
 
+def _draw_panel(axes: Any, name: str, seconds: list[float], values: Sequence[float], bound: int) -> None:
+    """Draw one quantity over time, with its bound."""
+    axes.plot(seconds, values, lw=1.4, color="tab:blue")
+    axes.axhline(bound, color="tab:red", lw=1, ls="--", label=f"stated bound {bound}")
+    axes.set_ylabel(name)
+    axes.set_ylim(0, bound * 1.12)
+    axes.legend(loc="upper right", fontsize=8)
+
+
 def main() -> None:
     """Run the benchmark, or be its partners."""
     if sys.argv[1:2] == ["--serve-partners"]:
-        serve_forever(serve_partners)
+        serve_forever(lambda: start_partners(partners_spec()))
         return
     parser = argument_parser(__doc__)
     parser.add_argument("--seconds", type=float, default=6.0)
--- a/benchmarks/attackers.py
+++ b/benchmarks/attackers.py
@@ -9,46 +9,68 @@
 from collections.abc import Awaitable, Callable
 from typing import NoReturn
 
+from benchmarks.as2_load import MESSAGE_CLASS
 from linnetstile.emulators import messages
 
 MIB = 1 << 20
-PIECE = 65536
+PIECE_BYTES = 65536
 """Bytes that are written at a time."""
+QUICK_PARTNER = "quick"
+HANGING_PARTNER = "hangs"
 FOREVER_S = 600
 RETRY_S = 0.2
 """Before peers that were all ended by the relay come back."""
 HEAD_END = b"\r\n\r\n"
+STATUS_IN_LINE = slice(9, 12)
 
 HALF_OPEN_CONNECTIONS = 3000
-SLOW_HEADS, SLOW_BODIES = 800, 1500
-SLOW_HEAD_BYTES, SLOW_BODY_BYTES = 1000, 1000
+
+SLOW_HEADS = 800
+SLOW_BODIES = 1500
+SLOW_HEAD_BYTES = 1000
+"""More than they send while the relay bears them."""
+SLOW_BODY_BYTES = 1000
 """More than they send while the relay bears them."""
 BYTE_INTERVAL_S = 1.0
-UPLOADERS, UPLOAD_BYTES, UPLOAD_SENDERS = 64, 12 * MIB, 8
-HUGE_BODY_BYTES, SMALL_BODY_BYTES, HUGE_BODY_PEERS = 200 * MIB, 2000, 9
-PIPELINERS, PIPELINED = 50, 500
+
+UPLOADERS = 64
+UPLOAD_BYTES = 12 * MIB
+UPLOAD_SENDERS = 8
+"""AS2 names that the uploaders share."""
+
+HUGE_BODY_BYTES = 200 * MIB
+SMALL_BODY_BYTES = 2000
+HUGE_BODY_PEERS = 9
+"""One with a huge body, the others with small ones."""
+
+PIPELINERS = 50
+PIPELINED = 500
+"""Requests that one of them writes at a time."""
+
 CONNECTORS = 8
+CONNECTOR_BODY = b"body"
 
 _message_numbers = itertools.count()
 
 
 def post_head(partner: str, length: int, sender: str = "bad") -> bytes:
     """The head of a message for a partner, with so many bytes of body."""
-    message = messages.build_message(sender, partner, f"<{next(_message_numbers)}@bad>", "a", b"", receipt=False)
+    message_id = f"<{next(_message_numbers)}@bad>"
+    message = messages.build_message(sender, partner, message_id, MESSAGE_CLASS, b"", receipt=False)
     fields = [("Host", "x"), *message.headers, ("Content-Length", str(length))]
     lines = [f"{name}: {value}" for name, value in fields]
     return ("POST /as2 HTTP/1.1\r\n" + "\r\n".join(lines) + "\r\n\r\n").encode()
 
 
 def status_of(answer: bytes) -> str:
-    """The status code of an answer's first line."""
-    return answer[9:12].decode()
+    """The status code of an answer's first line; empty if there is no answer."""
+    return answer[STATUS_IN_LINE].decode()
 
 
 async def write_pieces(writer: asyncio.StreamWriter, size: int) -> None:
     """Write so many bytes, as fast as they are read."""
-    piece = b"x" * PIECE
-    for start in range(0, size, PIECE):
+    piece = b"x" * PIECE_BYTES
+    for start in range(0, size, PIECE_BYTES):
         writer.write(piece[: size - start])
         await writer.drain()
 
@@ -124,7 +146,7 @@
     async def bodies(self) -> None:
         """Bodies that come a byte at a time."""
         await self._send_slowly(
-            SLOW_BODIES, lambda number: post_head("quick", MIB, f"bad{number}") + b"x" * SLOW_BODY_BYTES
+            SLOW_BODIES, lambda number: post_head(QUICK_PARTNER, MIB, f"bad{number}") + b"x" * SLOW_BODY_BYTES
         )
 
     async def uploads(self) -> None:
@@ -133,7 +155,7 @@
         async def peer(number: int) -> None:
             while True:
                 reader, writer = await self._connect()
-                writer.write(post_head("hangs", UPLOAD_BYTES, f"bad{number % UPLOAD_SENDERS}"))
+                writer.write(post_head(HANGING_PARTNER, UPLOAD_BYTES, f"bad{number % UPLOAD_SENDERS}"))
                 await write_pieces(writer, UPLOAD_BYTES)
                 self.counts[status_of(await reader.readline())] += 1
                 writer.close()
@@ -148,7 +170,7 @@
             size = HUGE_BODY_BYTES if number == 0 else SMALL_BODY_BYTES
             name = "200 MB" if number == 0 else "small"
             while True:
-                writer.write(post_head("quick", size, f"bad{number}"))
+                writer.write(post_head(QUICK_PARTNER, size, f"bad{number}"))
                 await write_pieces(writer, size)
                 self.counts[f"{name} {status_of(await reader.readuntil(HEAD_END))}"] += 1
 
@@ -173,8 +195,9 @@
         async def peer(number: int) -> None:
             while True:
                 reader, writer = await asyncio.open_connection("127.0.0.1", self.port)
-                head = post_head("quick", 4, f"bad{number}").replace(b"\r\nHost", b"\r\nConnection: close\r\nHost")
-                writer.write(head + b"body")
+                head = post_head(QUICK_PARTNER, len(CONNECTOR_BODY), f"bad{number}")
+                closing_head = head.replace(b"\r\nHost", b"\r\nConnection: close\r\nHost")
+                writer.write(closing_head + CONNECTOR_BODY)
                 self.counts[status_of(await reader.read())] += 1
                 writer.close()
 
--- a/benchmarks/cold_start.py
+++ b/benchmarks/cold_start.py
@@ -1,10 +1,11 @@
-"""What gossip is worth: fresh relays beside a partner that comes back cold while nobody can see it.
+"""What gossip gains: new relays beside a partner that returns and warms up while nobody can see it.
 
     python -m benchmarks.cold_start [--fresh 6] [--seconds 20] [--json FILE]
 
-Two old relays met a partner's outage of 6 s. As it returns cold, fresh relays start: once knowing nothing, once
-learning from the old ones. The partner emulator counts the calls that it gets while it is cold, against its budget
-(what makes it fall over). Both runs have the same messages, one after the other, in this process. Bounded.
+Two old relays met a partner's outage of 6 s. As it returns and warms up, new relays start: once knowing nothing, once
+learning from the old ones by gossip. The partner emulator counts the calls that it gets while it warms up, against its
+budget (more of them overload it again). Both runs have the same messages, one after the other, in this process.
+Bounded.
 """
 
 from __future__ import annotations
@@ -18,69 +19,87 @@
 from benchmarks.common import argument_parser, print_result
 from tests.faults.relay_testbed import SAFETY, RelayTestbed, answer_kind
 
-PARTNER_RATE, MESSAGES_PER_S, OUTAGE_S = 60.0, 100.0, 6.0
+PARTNER_RATE = 60.0
+MESSAGES_PER_S = 100.0
+OUTAGE_S = 6.0
+OUTAGE_MESSAGES_PER_S = 10
+OUTAGE_LOAD_S = OUTAGE_S - 1.0
+"""The old relays get messages for so long during the outage."""
 OLD_RELAYS = 2
-QUEUE_PLACES = 2
+QUEUE_LENGTH = 2
 """Calls that wait in the partner's queue beyond its budget."""
 START_EARLY_S = 0.8
-"""Fresh relays start so long before the outage is over."""
+"""New relays start so long before the outage is over."""
 
 
-def cold_call_budget(at_ms: float) -> float:
-    """Calls in a span of `fall_ms` that make it fall over, so many ms after its return; two more wait in its queue."""
-    share = SAFETY["cold_share"] + (1 - SAFETY["cold_share"]) * at_ms / SAFETY["cold_ms"]
-    return SAFETY["fall_multiple"] * share * PARTNER_RATE * SAFETY["fall_ms"] / 1000 + QUEUE_PLACES
+def warm_up_budget(since_ms: float) -> float:
+    """Calls in a window of `fall_ms` that overload the partner, so long after its return; its queue takes two more."""
+    share = SAFETY["cold_share"] + (1 - SAFETY["cold_share"]) * since_ms / SAFETY["cold_ms"]
+    return SAFETY["fall_multiple"] * share * PARTNER_RATE * SAFETY["fall_ms"] / 1000 + QUEUE_LENGTH
 
 
-def worst_budget_use(calls_ms: list[float], cold_ms: list[float]) -> float:
-    """The largest part of the budget that the calls of a span took, of the spans that end with a cold call."""
-    span_ms = SAFETY["fall_ms"]
-    return max(
-        (sum(at - span_ms < other <= at for other in calls_ms) / cold_call_budget(at) for at in cold_ms), default=0
-    )
+def worst_budget_use(calls_ms: list[float], warm_up_ms: list[float]) -> float:
+    """The largest part of the budget that the calls of a window took.
 
+    Args:
+        calls_ms: Times of all calls since the return.
+        warm_up_ms: Those while the partner warmed up; a window ends with each.
+    """
+    window_ms = SAFETY["fall_ms"]
+    uses = [
+        sum(end_ms - window_ms < call_ms <= end_ms for call_ms in calls_ms) / warm_up_budget(end_ms)
+        for end_ms in warm_up_ms
+    ]
+    return max(uses, default=0)
 
-async def submit_messages(rig: RelayTestbed, seconds: float, relays: int) -> collections.Counter[str]:
-    """Submit messages at the rate of the benchmark, to all relays by turns; returns how they were answered."""
-    began = rig.elapsed_s()
+
+async def submit_messages(testbed: RelayTestbed, seconds: float, relays: int) -> collections.Counter[str]:
+    """Submit messages at the rate of the benchmark, to all relays in turn; returns how they were answered."""
+    began = testbed.elapsed_s()
     answers = []
     for number in range(int(MESSAGES_PER_S * seconds)):
-        await rig.sleep_until(began + number / MESSAGES_PER_S)
-        answers.append(asyncio.create_task(rig.submit(rig.make_message("safe"), number % relays)))
+        await testbed.sleep_until(began + number / MESSAGES_PER_S)
+        answers.append(asyncio.create_task(testbed.submit(testbed.make_message("safe"), number % relays)))
     return collections.Counter(map(answer_kind, await asyncio.gather(*answers)))
 
 
-async def measure(fresh: int, seconds: float, learning: bool) -> dict[str, Any]:
-    """One run with so many fresh relays."""
+async def measure(new_relays: int, seconds: float, learning: bool) -> dict[str, Any]:
+    """One run with so many new relays, which learn from the old ones or not."""
     folder = Path(tempfile.mkdtemp(prefix="linnetstile-cold-"))
     (folder / "token").write_text("secret")
     gossip = {"token_file": folder / "token"}
-    faults = [{"kind": "fast_errors", "at_s": 0, "for_s": OUTAGE_S, "partners": ["firma"]}]
+    outage = {"kind": "fast_errors", "at_s": 0, "for_s": OUTAGE_S, "partners": ["firma"]}
     partner = {"rate": PARTNER_RATE, "cold_ms": SAFETY["cold_ms"]}
-    relays = OLD_RELAYS + fresh
+    relays = OLD_RELAYS + new_relays
     async with RelayTestbed(
-        folder, relays=OLD_RELAYS, fleet=relays, faults=faults, partner=partner, knowledge=gossip
-    ) as rig:
-        load_in_outage = asyncio.create_task(rig.submit_evenly("safe", 10, OUTAGE_S - 1.0, 2))
-        await rig.sleep_until(OUTAGE_S - START_EARLY_S)
-        for _ in range(fresh):
-            peers = [service.address for service in rig.relays[:OLD_RELAYS]]
-            await rig.start_relay(knowledge=gossip | ({"peers": peers} if learning else {}))
-        await rig.sleep_until(OUTAGE_S)
-        answers = await submit_messages(rig, seconds, relays)
+        folder, relays=OLD_RELAYS, fleet=relays, faults=[outage], partner=partner, knowledge=gossip
+    ) as testbed:
+        load_in_outage = asyncio.create_task(
+            testbed.submit_evenly("safe", OUTAGE_MESSAGES_PER_S, OUTAGE_LOAD_S, OLD_RELAYS)
+        )
+        await testbed.sleep_until(OUTAGE_S - START_EARLY_S)
+        for _ in range(new_relays):
+            peers = [relay.address for relay in testbed.relays[:OLD_RELAYS]]
+            await testbed.start_relay(knowledge=gossip | ({"peers": peers} if learning else {}))
+        await testbed.sleep_until(OUTAGE_S)
+        answers = await submit_messages(testbed, seconds, relays)
         await load_in_outage
-        returned_at = rig.partner_emulator.script_start_ms + OUTAGE_S * 1000
-        calls_ms = [row["t"] - returned_at for row in rig.partner_records("began") if row["t"] >= returned_at]
-        cold_ms = [at for at in calls_ms if at < SAFETY["cold_ms"]]
-        return {
-            "learning": learning,
-            "calls_in_first_s": sum(at < 1000 for at in calls_ms),
-            "calls_while_cold": len(cold_ms),
-            "worst_share_of_budget": round(worst_budget_use(calls_ms, cold_ms), 2),
-            "pushed_over": bool(rig.partner_records("fallen")),
-            "lessons_taken": sum(service.gossip.counts["taken"] for service in rig.relays),
-            "answers": dict(answers),
-        }
+        return {"learning": learning, **_figures(testbed), "answers": dict(answers)}
+
+
+def _figures(testbed: RelayTestbed) -> dict[str, Any]:
+    """What the partner saw since its return, and what relays learned."""
+    returned_at_ms = testbed.partner_emulator.script_start_ms + OUTAGE_S * 1000
+    call_times = [record["t"] for record in testbed.partner_records("began")]
+    calls_ms = [at_ms - returned_at_ms for at_ms in call_times if at_ms >= returned_at_ms]
+    warm_up_ms = [since_ms for since_ms in calls_ms if since_ms < SAFETY["cold_ms"]]
+    return {
+        "calls_in_first_s": sum(since_ms < 1000 for since_ms in calls_ms),
+        "calls_while_cold": len(warm_up_ms),
+        "worst_share_of_budget": round(worst_budget_use(calls_ms, warm_up_ms), 2),
+        "pushed_over": bool(testbed.partner_records("fallen")),
+        "lessons_taken": sum(relay.gossip.counts["taken"] for relay in testbed.relays),
+    }
 
 
 def main() -> None:
--- a/benchmarks/common.py
+++ b/benchmarks/common.py
@@ -1,4 +1,4 @@
-"""What the benchmarks share: child processes that announce their port, and the tail of each command line."""
+"""What the benchmarks share: child processes that announce their ports, and the tail of each command line."""
 
 from __future__ import annotations
 
@@ -8,64 +8,101 @@
 import os
 import subprocess
 import sys
-from collections.abc import Awaitable, Callable
+from collections.abc import Awaitable, Callable, Mapping
 from pathlib import Path
+from types import TracebackType
 from typing import IO, Any
 
-CPU_FIELDS = 11, 12
-"""User and system time in /proc/PID/stat, counted behind the name of the program."""
+USER_TIME_FIELD = 11
+"""User time in /proc/PID/stat, counted behind the name of the program."""
+SYSTEM_TIME_FIELD = 12
+RESIDENT_PAGES_FIELD = 1
+"""Resident pages in /proc/PID/statm."""
+BYTES_PER_MB = 2**20
 END_TIMEOUT_S = 20
 CHILD_LIFETIME_S = 600
 """A child ends by itself after so long."""
 
 
-def start_child(module: str, *args: str, log: IO[bytes] | None = None) -> tuple[subprocess.Popen[str], dict[str, Any]]:
-    """Start `python -m benchmarks.MODULE ARGS` and read the JSON line that says how it is reached."""
+class ChildProcess:
+    """A process of this run that has announced how it is reached; as a context manager, it is ended with the block.
+
+    Attributes:
+        pid: Its process identifier.
+        port: Its loopback port; 0 = it has several.
+        ports: Its loopback ports by the identifier of the endpoint; empty = it has one.
+    """
+
+    def __init__(self, process: subprocess.Popen[str], announced: Mapping[str, Any]) -> None:
+        """Take over a process that has printed this announcement (see `announce`)."""
+        self._process = process
+        self._cpu_s: float | None = None
+        self.pid = process.pid
+        self.port = int(announced["port"])
+        self.ports = {int(endpoint): int(port) for endpoint, port in announced["ports"].items()}
+
+    def stop(self) -> float:
+        """End the process; returns the processor time that it used, in seconds."""
+        if self._cpu_s is None:
+            self._cpu_s = processor_time_s(self.pid)
+            self._process.terminate()
+            self._process.wait(END_TIMEOUT_S)
+        return self._cpu_s
+
+    def __enter__(self) -> ChildProcess:
+        return self
+
+    def __exit__(
+        self, kind: type[BaseException] | None, error: BaseException | None, trace: TracebackType | None
+    ) -> None:
+        self.stop()
+
+
+def start_child(module: str, *args: str, log: IO[bytes] | None = None) -> ChildProcess:
+    """Start `python -m benchmarks.MODULE ARGS` and read its announcement.
+
+    Raises:
+        RuntimeError: It has ended without one.
+    """
     process = subprocess.Popen(
         [sys.executable, "-m", f"benchmarks.{module}", *args], stdout=subprocess.PIPE, stderr=log, text=True
     )
     assert process.stdout is not None
-    return process, json.loads(process.stdout.readline())
+    line = process.stdout.readline()
+    if not line:
+        raise RuntimeError(f"benchmarks.{module} has ended with {process.wait(END_TIMEOUT_S)} before it was reached")
+    return ChildProcess(process, json.loads(line))
 
 
-def start_child_with_port(module: str, *args: str, log: IO[bytes] | None = None) -> tuple[subprocess.Popen[str], int]:
-    """Start a child that has one port; returns it and the port."""
-    process, announced = start_child(module, *args, log=log)
-    return process, announced["port"]
+def announce(port: int = 0, ports: Mapping[int, int] | None = None) -> None:
+    """Print the port of a child, or its ports by endpoint, for the process that has started it."""
+    print(json.dumps({"port": port, "ports": dict(ports or {})}), flush=True)
 
 
-async def start_relay(
-    settings: dict[str, Any], profile: str = "", log: IO[bytes] | None = None
-) -> tuple[subprocess.Popen[str], int]:
-    """Start an AS2 relay as a child, while the event loop goes on: it serves the registry that the relay reads.
+def serve_forever(start: Callable[[], Awaitable[Any]]) -> None:
+    """Run a child's coroutine until it is ended, for `CHILD_LIFETIME_S` at the most; what it returns is kept alive."""
 
-    Args:
-        settings: Settings of the relay.
-        profile: File for a profile of the relay; empty = none.
-        log: File for what it logs.
+    async def serve() -> None:
+        emulator = await start()
+        await asyncio.sleep(CHILD_LIFETIME_S)
+        del emulator
 
-    Returns:
-        The process and its port.
-    """
-    return await asyncio.get_running_loop().run_in_executor(
-        None,
-        lambda: start_child_with_port("throughput", "--serve-relay", json.dumps(settings), profile, log=log),
-    )
+    asyncio.run(serve())
 
 
-def stop_child(process: subprocess.Popen[str]) -> float:
-    """End a child of this run; returns the processor time that it used, in seconds."""
-    with open(f"/proc/{process.pid}/stat", encoding="utf-8") as file:
+def processor_time_s(pid: int) -> float:
+    """Processor time that a process has used so far, in seconds."""
+    with open(f"/proc/{pid}/stat", encoding="utf-8") as file:
         fields = file.read().rpartition(")")[2].split()
-    process.terminate()
-    process.wait(END_TIMEOUT_S)
-    return sum(int(fields[number]) for number in CPU_FIELDS) / os.sysconf("SC_CLK_TCK")
+    ticks = int(fields[USER_TIME_FIELD]) + int(fields[SYSTEM_TIME_FIELD])
+    return ticks / os.sysconf("SC_CLK_TCK")
 
 
 def resident_mb(pid: int) -> float:
     """Resident memory of a process in MB."""
     with open(f"/proc/{pid}/statm", encoding="utf-8") as file:
-        return int(file.read().split()[1]) * os.sysconf("SC_PAGE_SIZE") / 2**20
+        pages = int(file.read().split()[RESIDENT_PAGES_FIELD])
+    return pages * os.sysconf("SC_PAGE_SIZE") / BYTES_PER_MB
 
 
 def argument_parser(text: str | None) -> argparse.ArgumentParser:
@@ -81,14 +118,3 @@
     print(text)
     if file:
         Path(file).write_text(text + "\n", encoding="utf-8")
-
-
-def serve_forever(start: Callable[[], Awaitable[Any]]) -> None:
-    """Run a child's coroutine until it is ended, for `CHILD_LIFETIME_S` at the most; what it returns is kept alive."""
-
-    async def serve() -> None:
-        kept = await start()
-        await asyncio.sleep(CHILD_LIFETIME_S)
-        del kept
-
-    asyncio.run(serve())
--- a/benchmarks/crawl.py
+++ b/benchmarks/crawl.py
@@ -5,8 +5,8 @@
 24 partners, one relay, load at 80% of what its slots carry when all are quick, evenly over the partners, in Poisson
 gaps. For five seconds all are quick; then some begin to crawl, and from that moment on it is measured. Of those a
 third works forty times as long, a third answers at 20 bytes a second, a third reads 200 bytes a second. Compared is
-what the partners that are quick in all runs of a seed got: worth (1 up to the objective, then falling in a line to 0 at
-the deadline), against the run in which none crawls; and the latency of what was delivered.
+what the partners that are quick in all runs of a seed got: value (1 up to the objective, then falling in a line to 0 at
+the deadline; `worth` in the result), against the run in which none crawls; and the latency of what was delivered.
 Each run has processes of its own for partners and relay; two runs at a time. Bounded: it stops by itself.
 """
 
@@ -23,18 +23,32 @@
 from dataclasses import dataclass
 from typing import Any
 
-from hdrh.histogram import HdrHistogram
-
-from benchmarks.common import argument_parser, print_result, serve_forever, start_child, start_relay, stop_child
-from linnetstile.codec import http1
+from benchmarks.as2_load import (
+    BODY,
+    MESSAGE_CLASS,
+    LatencyHistogram,
+    RelayClient,
+    answer_kind,
+    encode_submission,
+    registry_entry,
+    relay_settings,
+    running_registry,
+    start_partners,
+)
+from benchmarks.common import argument_parser, print_result, serve_forever, start_child
+from benchmarks.relay_process import start_relay
 from linnetstile.emulators import messages
-from linnetstile.emulators.partner import PartnerEmulator, PartnersSpec
+from linnetstile.emulators.partner import PartnersSpec
 from linnetstile.emulators.record import now_ms
-from linnetstile.emulators.registry import RegistryEmulator, RegistrySpec
 from linnetstile.net import client
 
-PARTNERS, MAX_IN_FLIGHT, WORK_MS = 24, 32, 100.0
-OBJECTIVE_MS, DEADLINE_MS = 1000.0, 8000.0
+PARTNERS = 24
+MAX_IN_FLIGHT = 32
+WORK_MS = 100.0
+OBJECTIVE_MS = 1000.0
+DEADLINE_MS = 8000.0
+ANSWER_TIMEOUT_S = DEADLINE_MS / 1000 + 2
+LISTED_RATE = 100.0
 LOAD = 0.8
 """Of what the slots carry when all partners are quick."""
 START_S = 2
@@ -42,10 +56,7 @@
 WARM_UP_S = 5.0
 """All are quick for so long, then some begin to crawl."""
 SLOW_FAULTS = ({"kind": "slow", "factor": 40.0}, {"kind": "trickle"}, {"kind": "crawl", "bytes": 200})
-HISTOGRAM_RANGE = 1, 60_000_000, 3
-"""Least and largest value in microseconds, significant digits."""
 RUNS_AT_ONCE = 2
-BODY = b"ISA*00~" * 100
 
 
 @dataclass(frozen=True, slots=True)
@@ -66,7 +77,7 @@
 
 
 def partners_spec(slow: int, seed: int, from_ms: float) -> dict[str, Any]:
-    """The partner emulator's document. The last `slow` partners crawl, so that the first ones are quick in all runs."""
+    """The partner emulator's settings. The last `slow` partners crawl, so that the first ones are quick in all runs."""
     return {
         "seed": seed,
         "t0_ms": from_ms,
@@ -93,44 +104,8 @@
     }
 
 
-def registry_spec(ports: dict[str, int]) -> dict[str, Any]:
-    """The registry's document: the endpoint of each partner, by its number."""
-    return {
-        "entries": [
-            {
-                "id": int(endpoint),
-                "partner": f"p{int(endpoint) - 1}",
-                "url": f"http://127.0.0.1:{port}/as2",
-                "status": "ready",
-                "rate": 100.0,
-            }
-            for endpoint, port in ports.items()
-        ]
-    }
-
-
-def relay_settings(register: str, seed: int) -> dict[str, Any]:
-    """Settings of the relay."""
-    return {
-        "name": "r",
-        "register": register,
-        "seed": seed,
-        "classes": {"a": {"effect": "safe", "aim_ms": OBJECTIVE_MS, "deadline_ms": DEADLINE_MS}},
-        "rules": [{"class": "a"}],
-        "limits": {"slots": MAX_IN_FLIGHT, "hold": 2000},
-    }
-
-
-async def serve_partners(spec: str) -> PartnerEmulator:
-    """Be the partners."""
-    stand = PartnerEmulator(PartnersSpec.model_validate_json(spec))
-    ports = await stand.start()
-    print(json.dumps({"port": 0, "ports": ports}), flush=True)
-    return stand
-
-
-def worth_of(elapsed_ms: float) -> float:
-    """Worth of a delivered message: 1 up to the objective, then falling in a line to 0 at the deadline."""
+def delivered_value(elapsed_ms: float) -> float:
+    """Value of a delivered message: 1 up to the objective, then falling in a line to 0 at the deadline."""
     if elapsed_ms <= OBJECTIVE_MS:
         return 1
     return max(0.0, 1 - (elapsed_ms - OBJECTIVE_MS) / (DEADLINE_MS - OBJECTIVE_MS))
@@ -140,33 +115,35 @@
     """What the partners that are quick in all runs got."""
 
     def __init__(self) -> None:
-        self.latency, self.latency_before = HdrHistogram(*HISTOGRAM_RANGE), HdrHistogram(*HISTOGRAM_RANGE)
-        self.sent = self.worth = 0.0
-        self.answers: collections.Counter[str] = collections.Counter()
+        self.latency = LatencyHistogram()
+        self.latency_before = LatencyHistogram()
+        self.sent = 0
+        self.value = 0.0
+        self.answers: collections.Counter[str | None] = collections.Counter()
 
-    def record_before(self, answer: str, elapsed_ms: float) -> None:
+    def record_before(self, answer: str | None, elapsed_s: float) -> None:
         """Record the answer to a message of the time before others crawl."""
         if answer == "delivered":
-            self.latency_before.record_value(int(elapsed_ms * 1000))
+            self.latency_before.record(elapsed_s)
 
-    def record(self, answer: str, elapsed_ms: float) -> None:
+    def record(self, answer: str | None, elapsed_s: float) -> None:
         """Record the answer to a message of the measured time."""
         self.answers[answer] += 1
         self.sent += 1
         if answer == "delivered":
-            self.worth += worth_of(elapsed_ms)
-            self.latency.record_value(int(elapsed_ms * 1000))
+            self.value += delivered_value(elapsed_s * 1000)
+            self.latency.record(elapsed_s)
 
     def result(self, case: Case) -> dict[str, Any]:
         """The row of a run."""
         return {
             "slow": case.slow,
             "seed": case.seed,
-            "sent": int(self.sent),
-            "worth": round(self.worth / self.sent, 4),
-            "p99_before_ms": round(self.latency_before.get_value_at_percentile(99) / 1000, 1),
-            "p50_ms": round(self.latency.get_value_at_percentile(50) / 1000, 1),
-            "p99_ms": round(self.latency.get_value_at_percentile(99) / 1000, 1),
+            "sent": self.sent,
+            "worth": round(self.value / self.sent, 4),
+            "p99_before_ms": self.latency_before.percentile_ms(99),
+            "p50_ms": self.latency.percentile_ms(50),
+            "p99_ms": self.latency.percentile_ms(99),
             "answers": dict(self.answers),
         }
 
@@ -182,57 +159,62 @@
             case: The run.
             slow_from_ms: From when on some crawl, in ms of the loop's clock.
         """
-        self.port, self.case, self.slow_from_ms = port, case, slow_from_ms
-        self.loop = asyncio.get_running_loop()
-        self.pool, self.rng, self.serial = client.ConnectionPool(), random.Random(case.seed), itertools.count()
+        self.case = case
+        self.slow_from_ms = slow_from_ms
         self.quick = QuickPartners()
-        self.submitted: list[asyncio.Future[client.CallResult]] = []
+        self._loop = asyncio.get_running_loop()
+        self._client = RelayClient(port, ANSWER_TIMEOUT_S)
+        self._rng = random.Random(case.seed)
+        self._message_numbers = itertools.count()
+        self._answers: list[asyncio.Future[client.CallResult]] = []
 
     async def run(self) -> None:
         """Submit until the run is over, and wait for all answers."""
-        await asyncio.sleep(self.slow_from_ms / 1000 - WARM_UP_S - self.loop.time())
-        began, rate = self.loop.time(), LOAD * MAX_IN_FLIGHT * 1000 / WORK_MS
-        at = began
-        while at < began + WARM_UP_S + self.case.seconds:
-            at += self.rng.expovariate(rate)
-            await asyncio.sleep(max(0.0, at - self.loop.time()))
-            self.submit(self.rng.randrange(PARTNERS), self.loop.time())
-        await asyncio.gather(*self.submitted)
-        self.pool.close()
-
-    def submit(self, partner: int, now: float) -> None:
+        await asyncio.sleep(self.slow_from_ms / 1000 - WARM_UP_S - self._loop.time())
+        rate = LOAD * MAX_IN_FLIGHT * 1000 / WORK_MS
+        send_at = self._loop.time()
+        end = send_at + WARM_UP_S + self.case.seconds
+        while send_at < end:
+            send_at += self._rng.expovariate(rate)
+            await asyncio.sleep(max(0.0, send_at - self._loop.time()))
+            self.submit(self._rng.randrange(PARTNERS))
+        await asyncio.gather(*self._answers)
+        self._client.close()
+
+    def submit(self, partner: int) -> None:
         """Submit a message for a partner."""
-        done: asyncio.Future[client.CallResult] = self.loop.create_future()
-        identifier = f"<{next(self.serial)}@s>"
-        message = messages.build_message("s", f"p{partner}", identifier, "a", BODY, receipt=False)
-        data = http1.encode_request("POST", "/as2", [("Host", "x"), *message.headers], message.body)
-        self.pool.call(("127.0.0.1", self.port), "POST", data, done.set_result, now + DEADLINE_MS / 1000 + 2)
+        submitted_at = self._loop.time()
+        message_id = f"<{next(self._message_numbers)}@s>"
+        message = messages.build_message("s", f"p{partner}", message_id, MESSAGE_CLASS, BODY, receipt=False)
+        answer = self._client.call(encode_submission(message))
         if partner < self.case.quick:
-            done.add_done_callback(lambda future: self._answered(future.result(), now))
-        self.submitted.append(done)
+            answer.add_done_callback(lambda future: self._record(future.result(), submitted_at))
+        self._answers.append(answer)
 
-    def _answered(self, answer: client.CallResult, submitted_at: float) -> None:
-        elapsed_ms = (self.loop.time() - submitted_at) * 1000
-        name = answer.head.headers.get("linnetstile-answer") if answer.head else "lost"
+    def _record(self, answer: client.CallResult, submitted_at: float) -> None:
+        elapsed_s = self._loop.time() - submitted_at
         if submitted_at * 1000 >= self.slow_from_ms:
-            self.quick.record(name, elapsed_ms)
+            self.quick.record(answer_kind(answer), elapsed_s)
         else:
-            self.quick.record_before(name, elapsed_ms)
+            self.quick.record_before(answer_kind(answer), elapsed_s)
 
 
 async def measure(case: Case) -> dict[str, Any]:
     """One run, with processes of its own for partners and relay."""
     slow_from_ms = now_ms() + 1000 * (WARM_UP_S + START_S)
     spec = partners_spec(case.slow, case.seed, slow_from_ms)
-    partners, announced = start_child("crawl", "--serve-partners", json.dumps(spec))
-    register = RegistryEmulator(RegistrySpec.model_validate(registry_spec(announced["ports"])))
-    settings = relay_settings(f"http://127.0.0.1:{await register.start()}", case.seed)
-    relay, port = await start_relay(settings)
-    load = Load(port, case, slow_from_ms)
-    await load.run()
-    stop_child(relay)
-    stop_child(partners)
-    register.close()
+    with start_child("crawl", "--serve-partners", json.dumps(spec)) as partners:
+        entries = [
+            registry_entry(endpoint, f"p{endpoint - 1}", port, LISTED_RATE) for endpoint, port in partners.ports.items()
+        ]
+        async with running_registry(entries) as registry_url:
+            limits = {"slots": MAX_IN_FLIGHT, "hold": 2000}
+            settings = relay_settings(
+                registry_url, aim_ms=OBJECTIVE_MS, deadline_ms=DEADLINE_MS, limits=limits, seed=case.seed
+            )
+            with await start_relay(settings) as relay:
+                load = Load(relay.port, case, slow_from_ms)
+                await load.run()
     return load.quick.result(case)
 
 
@@ -242,12 +224,12 @@
 
 
 def summarize(runs: list[dict[str, Any]], slow_counts: list[int]) -> list[dict[str, Any]]:
-    """By number of slow partners: worth against the run of the same seed in which none crawls, and latencies."""
-    base = {run["seed"]: run["worth"] for run in runs if run["slow"] == 0}
+    """By number of slow partners: value against the run of the same seed in which none crawls, and latencies."""
+    value_without = {run["seed"]: run["worth"] for run in runs if run["slow"] == 0}
     summary = []
     for slow in slow_counts:
         own = [run for run in runs if run["slow"] == slow]
-        shares = [run["worth"] / base[run["seed"]] for run in own if base.get(run["seed"])]
+        shares = [run["worth"] / value_without[run["seed"]] for run in own if value_without.get(run["seed"])]
         summary.append(
             {
                 "slow": slow,
@@ -264,7 +246,8 @@
 def main() -> None:
     """Run the benchmark, or be its partners."""
     if sys.argv[1:2] == ["--serve-partners"]:
-        serve_forever(lambda: serve_partners(sys.argv[2]))
+        spec = PartnersSpec.model_validate_json(sys.argv[2])
+        serve_forever(lambda: start_partners(spec))
         return
     parser = argument_parser(__doc__)
     parser.add_argument("--seconds", type=float, default=20.0)
--- a/benchmarks/held.py
+++ b/benchmarks/held.py
@@ -12,28 +12,30 @@
 from collections.abc import Iterable
 from typing import Any
 
-from benchmarks.common import argument_parser, print_result, resident_mb, start_relay, stop_child
-from linnetstile.codec import http1
+from benchmarks.as2_load import (
+    MESSAGE_CLASS,
+    RelayClient,
+    encode_submission,
+    registry_entry,
+    relay_settings,
+    running_registry,
+)
+from benchmarks.common import argument_parser, print_result, resident_mb
+from benchmarks.relay_process import start_relay
 from linnetstile.emulators import messages
-from linnetstile.emulators.registry import RegistryEmulator, RegistrySpec
-from linnetstile.net import client
 
 PARTS = 4
 """Memory is read after each part of the messages."""
 CLIENTS = 16
 ANSWER_TIMEOUT_S = 30
 ACCEPTED = 202
-
-
-def relay_settings(register: str, messages: int) -> dict[str, Any]:
-    """Settings of a relay that has capacity for so many pending messages."""
-    return {
-        "name": "r",
-        "register": register,
-        "rules": [{"class": "a"}],
-        "classes": {"a": {"effect": "safe", "aim_ms": 500_000, "deadline_ms": 600_000}},
-        "limits": {"slots": 64, "hold": 4 * messages},
-    }
+DISCARD_PORT = 9
+"""Nothing listens there: neither the endpoint nor the address for receipts is called."""
+RECEIPT_URL = f"http://127.0.0.1:{DISCARD_PORT}/r"
+OBJECTIVE_MS = 500_000
+DEADLINE_MS = 600_000
+CAPACITY_FACTOR = 4
+"""The relay has capacity for so many times the messages, so that it sheds none."""
 
 
 class Submitter:
@@ -45,49 +47,52 @@
 
     def __init__(self, port: int, body_bytes: int) -> None:
         """Prepare clients of a relay on a loopback port."""
-        self.port, self.body_bytes = port, body_bytes
-        self.pool = client.ConnectionPool()
+        self.body_bytes = body_bytes
         self.accepted = 0
+        self._client = RelayClient(port, ANSWER_TIMEOUT_S)
 
     async def submit_all(self, numbers: Iterable[int]) -> None:
         """Submit a message for each number, from several clients at once."""
         remaining = iter(numbers)
-        await asyncio.gather(*(self._submit_each(remaining) for _ in range(CLIENTS)))
+        await asyncio.gather(*(self._submit_in_turn(remaining) for _ in range(CLIENTS)))
 
-    async def _submit_each(self, numbers: Iterable[int]) -> None:
-        loop = asyncio.get_running_loop()
+    async def _submit_in_turn(self, numbers: Iterable[int]) -> None:
+        body = b"x" * self.body_bytes
         for number in numbers:
-            body = b"x" * self.body_bytes
-            message = messages.build_message("s", "p", f"<{number}@s>", "a", body, reply_to="http://127.0.0.1:9/r")
-            done: asyncio.Future[client.CallResult] = loop.create_future()
-            data = http1.encode_request("POST", "/as2", [("Host", "r"), *message.headers], message.body)
-            timeout_at = loop.time() + ANSWER_TIMEOUT_S
-            self.pool.call(("127.0.0.1", self.port), "POST", data, done.set_result, timeout_at)
-            answer = await done
+            message = messages.build_message("s", "p", f"<{number}@s>", MESSAGE_CLASS, body, reply_to=RECEIPT_URL)
+            answer = await self._client.call(encode_submission(message))
             self.accepted += answer.head is not None and answer.head.status == ACCEPTED
 
+    def close(self) -> None:
+        """Close all connections."""
+        self._client.close()
+
 
 async def measure(count: int, body_bytes: int) -> dict[str, Any]:
     """Submit so many messages of a size to a relay, and read its memory."""
-    entry = {"id": 1, "partner": "p", "url": "http://127.0.0.1:9/as2", "status": "draining", "rate": 10.0}
-    register = RegistryEmulator(RegistrySpec(entries=[entry]))
-    settings = relay_settings(f"http://127.0.0.1:{await register.start()}", count)
-    relay, port = await start_relay(settings)
-    submitter, loop = Submitter(port, body_bytes), asyncio.get_running_loop()
-    before_mb = resident_mb(relay.pid)
+    entry = registry_entry(1, "p", DISCARD_PORT, rate=10.0, status="draining")
+    limits = {"slots": 64, "hold": CAPACITY_FACTOR * count}
+    async with running_registry([entry]) as registry_url:
+        settings = relay_settings(registry_url, aim_ms=OBJECTIVE_MS, deadline_ms=DEADLINE_MS, limits=limits)
+        with await start_relay(settings) as relay:
+            submitter = Submitter(relay.port, body_bytes)
+            figures = await _submit_in_parts(submitter, relay.pid, count)
+            submitter.close()
+    return {"messages": submitter.accepted, "body_bytes": body_bytes, **figures}
+
+
+async def _submit_in_parts(submitter: Submitter, relay_pid: int, count: int) -> dict[str, Any]:
+    """Submit so many messages; returns the relay's memory after each part, and its growth."""
+    loop = asyncio.get_running_loop()
+    before_mb = resident_mb(relay_pid)
     marks = []
     began = loop.time()
     for part in range(PARTS):
         await submitter.submit_all(range(count * part // PARTS, count * (part + 1) // PARTS))
-        marks.append({"held": submitter.accepted, "resident_mb": round(resident_mb(relay.pid), 1)})
+        marks.append({"held": submitter.accepted, "resident_mb": round(resident_mb(relay_pid), 1)})
     elapsed_s = loop.time() - began
-    submitter.pool.close()
-    stop_child(relay)
-    register.close()
     grown_mb = marks[-1]["resident_mb"] - before_mb
     return {
-        "messages": submitter.accepted,
-        "body_bytes": body_bytes,
         "before_mb": round(before_mb, 1),
         "marks": marks,
         "kb_a_message": round(1024 * grown_mb / max(1, submitter.accepted), 2),
--- a/benchmarks/lists.py
+++ b/benchmarks/lists.py
@@ -10,7 +10,6 @@
 from __future__ import annotations
 
 import json
-import sys
 import time
 from collections.abc import Callable
 from typing import TypeVar
@@ -21,18 +20,24 @@
 from linnetstile.engine.settings import DestinationKind, Effect, MessageClass, RateTrust, Settings
 from linnetstile.platform_relay.directory import Directory
 
-T = TypeVar("T")
+Result = TypeVar("Result")
 LIST_SIZES = (20, 300, 1024)
 MESSAGES = 300
-ENDPOINTS_EACH = 2
-"""Endpoints of each destination."""
+ENDPOINTS_PER_DESTINATION = 2
+US_PER_S = 1e6
 
 
 def settings(relays: int) -> Settings:
     """Settings of one relay of so many."""
     message_class = MessageClass("order", Effect.DEDUPLICATED, 4000.0, 12000.0, deduplication_window_ms=3000.0)
     return Settings(
-        (message_class,), (DestinationKind("k"),), 8, 40, 8, relay_count=relays, rate_trust=RateTrust.NOMINAL
+        classes=(message_class,),
+        kinds=(DestinationKind("k"),),
+        max_in_flight=8,
+        max_pending_messages=40,
+        max_attempts=8,
+        relay_count=relays,
+        rate_trust=RateTrust.NOMINAL,
     )
 
 
@@ -48,7 +53,7 @@
                     "addr": f"10.1.{number >> 8}.{number & 255}:3000",
                     "zone": "a",
                     "kind": "k",
-                    "cell": number // ENDPOINTS_EACH,
+                    "cell": number // ENDPOINTS_PER_DESTINATION,
                     "state": "SERVING",
                     "weight": 20.0,
                     "started_ms": 0,
@@ -63,20 +68,21 @@
     """Wall time of each step in microseconds, by its name."""
 
     def __init__(self) -> None:
-        self.us: dict[str, float] = {}
+        self.elapsed_us: dict[str, float] = {}
 
-    def time(self, name: str, step: Callable[[], T], times: int = 1) -> T:
+    def time(self, name: str, step: Callable[[], Result], times: int = 1) -> Result:
         """Time a step that does something so many times; returns what it returns."""
         began = time.perf_counter()
         result = step()
-        self.us[name] = (time.perf_counter() - began) * 1e6 / times
+        self.elapsed_us[name] = (time.perf_counter() - began) * US_PER_S / times
         return result
 
 
 def measure_once(size: int) -> dict[str, float]:
     """Microseconds of each step with a list of so many endpoints."""
     timer = StepTimer()
-    engine, directory = DeliveryEngine(settings(size), 1), Directory(("k",), ("a",))
+    engine = DeliveryEngine(settings(size), 1)
+    directory = Directory(("k",), ("a",))
     text = list_document(0, size)
     document = timer.time("json", lambda: json.loads(text))
     full_list = timer.time("directory", lambda: directory.apply_list(document))
@@ -96,10 +102,10 @@
             engine.handle(now_ms + 0.5, [AttemptEnded(number, 0, 0, Outcome.OK, 1.0, True)])
 
     timer.time("message", deliver_all, MESSAGES)
-    return timer.us
+    return timer.elapsed_us
 
 
-def main() -> int:
+def main() -> None:
     """Run the benchmark."""
     parser = argument_parser(__doc__)
     parser.add_argument("--rounds", type=int, default=5)
@@ -107,17 +113,22 @@
     best = {}
     for size in LIST_SIZES:
         rounds = [measure_once(size) for _ in range(args.rounds)]
-        best[size] = {step: min(each[step] for each in rounds) for step in rounds[0]}
+        best[size] = {step: min(measured[step] for measured in rounds) for step in rounds[0]}
     smallest = best[LIST_SIZES[0]]
     result = {
-        "microseconds": {size: {step: round(us, 1) for step, us in each.items()} for size, each in best.items()},
-        "ratios": {
-            size: {step: round(us / smallest[step], 2) for step, us in each.items()} for size, each in best.items()
-        },
+        "microseconds": {size: _rounded(steps, 1) for size, steps in best.items()},
+        "ratios": {size: _rounded(_ratios(steps, smallest), 2) for size, steps in best.items()},
     }
     print_result(result, args.json)
-    return 0
+
+
+def _ratios(steps: dict[str, float], base: dict[str, float]) -> dict[str, float]:
+    return {step: elapsed_us / base[step] for step, elapsed_us in steps.items()}
+
+
+def _rounded(steps: dict[str, float], digits: int) -> dict[str, float]:
+    return {step: round(value, digits) for step, value in steps.items()}
 
 
 if __name__ == "__main__":
-    sys.exit(main())
+    main()
--- a/benchmarks/slopes/events.py
+++ b/benchmarks/slopes/events.py
@@ -1,7 +1,7 @@
 """Events a second of one relay process on the platform: whole path on loopback, beside a bare pass-through.
 
 `rate_kept`: so many events a second are submitted, over 20 destinations whose connections are kept: processor time of
-the relay and of the pass-through (benchmarks/throughput.py) for the same requests in the same run. `rate_fresh`: over
+the relay and of the pass-through (benchmarks/pass_through.py) for the same requests in the same run. `rate_fresh`: over
 20,000 destinations in turn, so that each call makes a connection, as at the target, where one relay sees a destination
 every 50 s. `closed`, `closed_fresh`: the same with so many clients, each with one message out at a time: what is
 carried at most.
@@ -16,7 +16,7 @@
 from statistics import median
 from typing import Any
 
-from benchmarks.common import start_child_with_port, stop_child
+from benchmarks.pass_through import start_pass_through
 from benchmarks.slopes import inside
 from benchmarks.slopes.processes import (
     HttpClient,
@@ -182,9 +182,11 @@
         platform.set_list(destinations, rate=1e6)
         known = list(inside.discovery_entries(KNOWN_DESTINATIONS, 1, platform.endpoint_address))
         settings: dict[str, Any] = {"balancers": 1, "extra": {"call-slots": 256}}
-        endpoint_port = platform.endpoint_address.partition(":")[2]
-        pass_through, port = start_child_with_port("throughput", "--serve-pass", endpoint_port)
-        with RelayProcess(platform, known, **settings) as process:
+        endpoint_port = int(platform.endpoint_address.partition(":")[2])
+        with (
+            start_pass_through(endpoint_port) as pass_through,
+            RelayProcess(platform, known, **settings) as process,
+        ):
             process.wait_ready()
             with HttpClient(process.port) as client:
                 wait_until_listed(client, destinations - 1, LIST_TIMEOUT_S)
@@ -192,8 +194,7 @@
             relay = run_load(process.port, process.pid, destinations, rate, clients)
             time.sleep(SETTLE_S)
             delivered = platform.command("counts")["calls"] - calls_before
-            bare = run_load(port, pass_through.pid, destinations, rate, clients)
-        stop_child(pass_through)
+            bare = run_load(pass_through.port, pass_through.pid, destinations, rate, clients)
     found: Measurements = {f"relay_{name}": value for name, value in relay.items()}
     found |= {f"pass_{name}": value for name, value in bare.items()}
     found["relay_over_pass"] = float(relay["us"]) / float(bare["us"])
--- a/benchmarks/timers.py
+++ b/benchmarks/timers.py
@@ -18,12 +18,15 @@
 import time
 from collections import deque
 from collections.abc import Callable, Iterator
-from typing import Any, ClassVar, Protocol
+from dataclasses import dataclass
+from typing import Any, ClassVar, NamedTuple, Protocol
 
 from benchmarks.common import argument_parser, print_result
 from linnetstile.engine.minimum_rate import MinimumRateMeter
 
-TIMEOUT_S, STEP_S = 10.0, 0.25
+TIMEOUT_S = 10.0
+STEP_S = 0.25
+"""Simulated time between two steps: touches, then a look for expired deadlines."""
 TOUCHED_SHARE = 0.6
 """Touches a second, as a share of the connections."""
 NEVER_TOUCHED = 100
@@ -35,9 +38,13 @@
 SLOT_MS = 500
 MINIMUM_BYTES = 1024 * 5
 """Bytes of a window below which a connection is too slow."""
-RATE_STEPS, RATE_STEP_MS, STEP_BYTES = 40, 250.0, 300
-READS_KEPT = 20
-"""Reads within one window at the steps of this benchmark."""
+RATE_STEPS = 40
+RATE_STEP_MS = 250.0
+STEP_BYTES = 300
+READS_IN_WINDOW = 20
+"""At the steps of this benchmark."""
+INT_BYTES = 24
+"""Of the number in each read; the other is shared."""
 
 
 class LinearScan:
@@ -93,7 +100,8 @@
     """
 
     result_name = "wheel"
-    SIZE, LEVELS = 64, 3
+    SIZE = 64
+    LEVELS = 3
 
     def __init__(self, count: int) -> None:
         super().__init__(count)
@@ -119,7 +127,8 @@
             self.tick += 1
             self._cascade()
             slot = self.tick % self.SIZE
-            due_now, self.slots[0][slot] = self.slots[0][slot], []
+            due_now = self.slots[0][slot]
+            self.slots[0][slot] = []
             for connection in due_now:
                 due = self.deadlines[connection]
                 if due > now:
@@ -134,7 +143,8 @@
         for level in range(1, self.LEVELS):
             if self.tick % self.SIZE**level == 0:
                 slot = self.tick // self.SIZE**level % self.SIZE
-                moved, self.slots[level][slot] = self.slots[level][slot], []
+                moved = self.slots[level][slot]
+                self.slots[level][slot] = []
                 for connection in moved:
                     self._put(connection, self.deadlines[connection])
 
@@ -162,9 +172,9 @@
         # Cancelled timers leave once they are more than half of at least 100.
         heap: list[Any] = self.loop._scheduled  # noqa: SLF001 (see __init__)
         if self.loop._timer_cancelled_count * 2 > len(heap):  # noqa: SLF001 (see __init__)
-            kept = [handle for handle in heap if not handle._cancelled]  # noqa: SLF001 (as the loop does it)
-            heapq.heapify(kept)
-            self.loop._scheduled = kept  # noqa: SLF001 (see __init__)
+            scheduled = [handle for handle in heap if not handle._cancelled]  # noqa: SLF001 (as the loop does it)
+            heapq.heapify(scheduled)
+            self.loop._scheduled = scheduled  # noqa: SLF001 (see __init__)
             self.loop._timer_cancelled_count = 0  # noqa: SLF001 (see __init__)
         while heap and heap[0]._when <= now:  # noqa: SLF001 (as the loop does it)
             heapq.heappop(heap)
@@ -174,14 +184,51 @@
         return expired
 
 
-def touch_plan(count: int, seconds: float) -> Iterator[tuple[float, list[int]]]:
-    """By step, the time and the connections that are touched."""
-    rng, now = random.Random(1), 0.0
+class Touches(NamedTuple):
+    """The connections that are touched at one step, and its time in seconds."""
+
+    now: float
+    connections: list[int]
+
+
+def touch_plan(count: int, seconds: float) -> Iterator[Touches]:
+    """The touches of all steps."""
+    rng = random.Random(1)
+    now = 0.0
     touches = int(count * TOUCHED_SHARE * STEP_S)
     while now < seconds:
         now += STEP_S
         drawn = (rng.randrange(count) for _ in range(touches))
-        yield now, [connection for connection in drawn if connection % NEVER_TOUCHED]
+        yield Touches(now, [connection for connection in drawn if connection % NEVER_TOUCHED])
+
+
+@dataclass(frozen=True, slots=True)
+class DeadlineCost:
+    """What a structure took for a plan.
+
+    Attributes:
+        cpu_s: Processor time in all.
+        expired: Connections whose deadline passed.
+        longest_expire_s: Processor time of the longest look for expired deadlines.
+    """
+
+    cpu_s: float
+    expired: int
+    longest_expire_s: float
+
+
+def play_touches(structure: LinearScan, plan: list[Touches]) -> DeadlineCost:
+    """Touch connections as planned, and expire the others."""
+    expired = 0
+    longest_expire_s = 0.0
+    began = time.process_time()
+    for step in plan:
+        for connection in step.connections:
+            structure.touch(connection, step.now)
+        expire_began = time.process_time()
+        expired += len(structure.expire(step.now))
+        longest_expire_s = max(longest_expire_s, time.process_time() - expire_began)
+    return DeadlineCost(time.process_time() - began, expired, longest_expire_s)
 
 
 def compare_deadlines(count: int, seconds: float) -> list[dict[str, Any]]:
@@ -189,24 +236,15 @@
     plan = list(touch_plan(count, seconds))
     rows: list[dict[str, Any]] = []
     for kind in (LinearScan, DeadlineHeap, TimingWheel, LoopTimers):
-        structure, expired, longest_s = kind(count), 0, 0.0
-        began = time.process_time()
-        for now, touched in plan:
-            for connection in touched:
-                structure.touch(connection, now)
-            look_began = time.process_time()
-            expired += len(structure.expire(now))
-            longest_s = max(longest_s, time.process_time() - look_began)
-        elapsed_s = time.process_time() - began
-        rows.append(
-            {
-                "structure": kind.result_name,
-                "cpu_s": round(elapsed_s, 3),
-                "let_go": expired,
-                "longest_look_ms": round(1000 * longest_s, 2),
-            }
-        )
-        rows[-1]["against_plain"] = round(elapsed_s / rows[0]["cpu_s"], 2)
+        cost = play_touches(kind(count), plan)
+        row = {
+            "structure": kind.result_name,
+            "cpu_s": round(cost.cpu_s, 3),
+            "let_go": cost.expired,
+            "longest_look_ms": round(1000 * cost.longest_expire_s, 2),
+        }
+        rows.append(row)
+        row["against_plain"] = round(cost.cpu_s / rows[0]["cpu_s"], 2)
     return rows
 
 
@@ -222,13 +260,14 @@
     """Bytes of a window in a ring of counters."""
 
     def __init__(self) -> None:
-        self.slots, self.current_slot = [0] * RING_SLOTS, 0
+        self.slots = [0] * RING_SLOTS
+        self.current_slot = 0
 
     def tick(self, now: float, moved: int) -> bool:
         """Count the bytes since the last tick; whether the rate is too low."""
         slot = int(now / SLOT_MS)
-        for each in range(self.current_slot + 1, min(slot, self.current_slot + RING_SLOTS) + 1):
-            self.slots[each % RING_SLOTS] = 0
+        for passed in range(self.current_slot + 1, min(slot, self.current_slot + RING_SLOTS) + 1):
+            self.slots[passed % RING_SLOTS] = 0
         self.current_slot = slot
         self.slots[slot % RING_SLOTS] += moved
         return sum(self.slots) < MINIMUM_BYTES
@@ -249,13 +288,13 @@
 
 
 def estimator_bytes(estimator: Any) -> int:
-    """Memory of an estimator with what it holds."""
+    """Memory of an estimator with all that belongs to it."""
     size = sys.getsizeof(estimator)
     if isinstance(estimator, CounterRing):
         size += sys.getsizeof(estimator.slots)
     if isinstance(estimator, ReadList):
-        one_read = sys.getsizeof((0.0, 0)) + 24
-        size += sys.getsizeof(estimator.reads) + READS_KEPT * one_read
+        read_bytes = sys.getsizeof((0.0, 0)) + INT_BYTES
+        size += sys.getsizeof(estimator.reads) + READS_IN_WINDOW * read_bytes
     return size
 
 
