--- a/linnetstile/cli/check.py
+++ b/linnetstile/cli/check.py
@@ -15,9 +15,9 @@
 
 MAX_FINDINGS_SHOWN = 5  # of each rule
 
-HELP = """Judge the RECORD of a run (a folder that `play` wrote) by the six rules and by one attempt at a time.
+HELP = """Check the RECORD of a run (a folder that `play` wrote) by the six rules and by one attempt at a time.
 
-Only what the stand-ins saw on their sockets and wrote into their ledgers counts, never a relay's own log.
+Only what the emulators saw on their sockets and wrote into their ledgers counts, never a relay's own log.
 Exit code 0: every rule kept; 1: one broken; 2: the record can't be read.
 """
 
--- a/linnetstile/cli/common.py
+++ b/linnetstile/cli/common.py
@@ -11,7 +11,7 @@
 
 from ..config.files import SettingsError, StrictModel, load
 
-M = TypeVar("M", bound=StrictModel)
+Model = TypeVar("Model", bound=StrictModel)
 FILE = click.Path(exists=True, dir_okay=False, path_type=Path)
 
 
@@ -34,8 +34,8 @@
     sys.exit(code)
 
 
-def load_settings(path: Path, model: type[M]) -> M:
-    """Return the validated file, or end with every fault on standard error."""
+def load_settings(path: Path, model: type[Model]) -> Model:
+    """Return the validated file, or end with every error in it on standard error."""
     try:
         return load(path, model)
     except SettingsError as error:
--- a/linnetstile/cli/knowledge.py
+++ b/linnetstile/cli/knowledge.py
@@ -1,4 +1,4 @@
-"""The sub-command `linnetstile knowledge`: what a relay knows of its partners, by gossip and by itself."""
+"""The sub-command `linnetstile knowledge`: what a relay knows of its partners, by gossip and from its own calls."""
 
 from __future__ import annotations
 
@@ -16,20 +16,21 @@
     from ..as2_relay.gossip_document import ClaimModel, GossipDocument
 
 TIMEOUT_S = 5.0
+OK_STATUS = 200
 WHY_NO_DOCUMENT = {403: "the token is not the relay's", 404: "the relay has no knowledge.token_file"}
 TABLE_HEAD = (
     f"{'partner':<24} {'is':<16} {'answered':>9} {'failed':>9} {'wait':>7} {'mean ms':>7} {'dev':>6} {'knowers':>7}"
 )
-IMPORT_HELP = """Give FILE (from `export`) to a relay that is down, as its knowledge.snapshot at SNAPSHOT_FILE. Its
-age goes on from when it was written; what is too old is doubted at the start.
+IMPORT_HELP = """Give FILE (from `export`) to a relay that is stopped, as its knowledge.snapshot at SNAPSHOT_FILE. Its
+age counts from when it was written; what is too old is distrusted at the start.
 """
 
 TOKEN = click.option("--token-file", type=FILE, help="The relays' knowledge.token_file.")
 
 
-@click.group(help="What a relay knows of its partners: look at it, compare two, keep it, give it to another.")
+@click.group(help="What a relay knows of its partners: show it, compare two relays, export it, import it into another.")
 def command() -> None:
-    """Show, compare, keep and pass on what a relay knows."""
+    """Show, compare, export and import what a relay knows."""
 
 
 def fetch(address: str, token_file: Path | None, target: str = "/knowledge?look=1") -> bytes:
@@ -54,7 +55,7 @@
     if answer.head is None:
         die(ExitCode.NOT_STARTED, f"{address}: no answer: {answer.wire_result.value}")
     status = answer.head.status
-    if status != 200:
+    if status != OK_STATUS:
         die(ExitCode.NO, f"{address}: {status}: {WHY_NO_DOCUMENT.get(status, 'no document')}")
     return answer.body
 
@@ -75,14 +76,15 @@
 
 
 def _health(claim: ClaimModel) -> str:
-    """Return whether a partner is out, warming up or well."""
+    """Return the word for a partner that is ejected, warming up or healthy."""
     if claim.out_age is not None:
         return "out"
     return "cold" if claim.cold_age is not None else "well"
 
 
 def _health_with_age(claim: ClaimModel) -> str:
-    health, age_ms = _health(claim), claim.out_age if claim.out_age is not None else claim.cold_age
+    health = _health(claim)
+    age_ms = claim.out_age if claim.out_age is not None else claim.cold_age
     return health if age_ms is None else f"{health} for {_seconds(age_ms)}"
 
 
@@ -98,12 +100,17 @@
     )
 
 
+def _ejected_first(claim: ClaimModel) -> tuple[bool, bool, str, int]:
+    """Return the sort key of the table: ejected partners, then those that are warming up, then the others."""
+    return claim.out_age is None, claim.cold_age is None, claim.partner, claim.route
+
+
 @command.command(help="What RELAY (an address, or a file) knows: by partner, ages as of now.")
 @click.argument("relay")
 @TOKEN
 @click.option("--json", "as_json", is_flag=True)
 def show(relay: str, token_file: Path | None, as_json: bool) -> None:
-    """Show what a relay knows, the partners that are out first."""
+    """Show what a relay knows, the ejected partners first."""
     document = load_document(relay, token_file)
     if as_json:
         click.echo(document.model_dump_json(indent=1))
@@ -113,20 +120,23 @@
         f"peers heard: {', '.join(document.peers) or 'none'}"
     )
     click.echo(TABLE_HEAD)
-    for claim in sorted(document.claims, key=lambda c: (c.out_age is None, c.cold_age is None, c.partner, c.route)):
+    for claim in sorted(document.claims, key=_ejected_first):
         click.echo(_table_row(claim))
 
 
-@command.command(help="What RELAY (an address) took from others: of whom, how old, and what it doubted and why. JSON.")
+@command.command(
+    help="What RELAY (an address) learned by gossip: from whom, how old, and what it distrusted and why. JSON."
+)
 @click.argument("relay")
 @TOKEN
 def learned(relay: str, token_file: Path | None) -> None:
-    """Show what a relay took from others."""
+    """Show what a relay learned by gossip."""
     click.echo(json.dumps(json.loads(fetch(relay, token_file, "/knowledge/state")), indent=1))
 
 
 DIFF_HELP = (
-    "Where two relays (addresses or files) do not know the same. Exit code 1 if they differ in what is out or cold."
+    "Where two relays (addresses or files) do not know the same. Exit code 1 if they differ in which partners are "
+    "ejected (out) or warming up (cold)."
 )
 
 
@@ -180,7 +190,8 @@
             raise ValueError("its age can't be told: the clock has gone back since it was written")
     except (snapshot.SnapshotError, ValueError) as error:
         die(ExitCode.BAD_INPUT, f"{file}: {error}")
-    data, new_file = file.read_bytes(), snapshot_file.with_name(snapshot_file.name + ".new")
+    data = file.read_bytes()
+    new_file = snapshot_file.with_name(snapshot_file.name + ".new")
     try:
         new_file.write_bytes(data)
         new_file.replace(snapshot_file)
--- a/linnetstile/cli/main.py
+++ b/linnetstile/cli/main.py
@@ -1,6 +1,6 @@
 """The command `linnetstile`. Sub-commands are imported when called: `--help` stays quick.
 
-Exit codes: 0 well; 1 the answer is no (a rule broken, a message not delivered); 2 bad arguments, settings or
+Exit codes: 0 success; 1 the answer is no (a rule broken, a message not delivered); 2 bad arguments, settings or
 records; 3 could not start; 4 stopped with messages unanswered.
 """
 
@@ -12,22 +12,22 @@
 
 COMMANDS = {
     "relay": "Run one relay from a settings file.",
-    "scale": "Play a fleet at size, hollow relays beside real ones.",
-    "play": "Play a day through real relays and judge it.",
-    "check": "Judge the record of a run by the rules.",
-    "show": "Show what a running relay holds: connections, queues, slow partners.",
-    "knowledge": "Show, compare, keep and give on what a relay knows.",
-    "send": "Hand one AS2 message in and show its answer.",
-    "standin": "Run a stand-in: partner, register or client.",
+    "scale": "Play a fleet at size, simulated relays beside real processes.",
+    "play": "Play a day through real relays and check it by the rules.",
+    "check": "Check the record of a run by the rules.",
+    "show": "Show the state of a running relay: connections, queues, slow partners.",
+    "knowledge": "Show, compare, export and import what relays know of partners.",
+    "send": "Submit one AS2 message and show its answer.",
+    "standin": "Run an emulator: partners, registry or clients.",
 }
-HELP = """linnetstile takes AS2 messages and carries them to partners that nobody here controls.
+HELP = """linnetstile accepts AS2 messages and forwards them to partners that nobody here controls.
 
 \b
 A first look:   linnetstile play days/two-troubles.yaml
 One relay:      linnetstile relay relay.yaml
 Its answers:    linnetstile send --to 127.0.0.1:4080 --from a --partner b FILE
 
-Exit codes: 0 well; 1 the answer is no; 2 bad arguments, settings or records; 3 could not start;
+Exit codes: 0 success; 1 the answer is no; 2 bad arguments, settings or records; 3 could not start;
 4 stopped with messages unanswered.
 """
 
--- a/linnetstile/cli/play.py
+++ b/linnetstile/cli/play.py
@@ -10,8 +10,8 @@
 
 from .common import FILE, ExitCode, die, load_settings
 
-HELP = """Play DAY (YAML): register, partners, relays and clients run as processes of their own on loopback, troubles
-come by the clock, and the record of their sockets is judged. It ends by itself.
+HELP = """Play DAY (YAML): registry, partners, relays and clients run as processes of their own on loopback, faults
+come by the clock, and the record of their sockets is checked by the rules. It ends by itself.
 
 Exit code 0: every rule kept; 1: one broken; 2: a bad file; 3: a process did not start or ended by itself.
 """
--- a/linnetstile/cli/relay.py
+++ b/linnetstile/cli/relay.py
@@ -12,9 +12,9 @@
 
 HELP = """Run one relay with the settings in FILE (YAML).
 
-Once it listens, one JSON line with its address goes to standard output; the log goes to standard error. SIGTERM:
-it takes no more, answers what it holds and ends (0), or ends when limits.stop_ms has passed (4). A second
-SIGTERM ends it at once.
+Once it listens, one JSON line with its address goes to standard output; the log goes to standard error. SIGTERM
+starts a graceful shutdown: it accepts no more messages, answers the pending ones and ends (0), or ends when
+limits.stop_ms has passed (4). A second SIGTERM ends it at once.
 """
 
 
@@ -30,7 +30,7 @@
     help="Write the line with the address here too, once it listens.",
 )
 def command(file: Path, log_level: str, check: bool, ready_file: Path | None) -> None:
-    """Run one relay until it is told to stop, or validate its settings."""
+    """Run one relay until SIGTERM, or validate its settings."""
     from ..as2_relay.process import check_files, run
     from ..config.relay import RelaySettings
     from ..telemetry.log import logger
--- a/linnetstile/cli/scale.py
+++ b/linnetstile/cli/scale.py
@@ -20,45 +20,46 @@
 SIGNAL_BASE = 128  # the exit code of a run that a signal ended is this and its number
 SIGINT = 2
 
-HELP = """Play a fleet at size: hollow relays (the shipped code on a simulated clock) beside a few real processes.
+HELP = """Play a fleet at size: simulated relays (the shipped code on a simulated clock) beside a few real processes.
 Loopback only; it ends by itself. The report (scale.json, scale.txt, plots) goes to the folder, its text to standard
 output.
 
-Exit code 0: played, and hollow and real did the same; 1: they did not; 2: a bad option; 3: a process of the run did
-not start or ended by itself; 128 and the signal's number: ended.
+Exit code 0: played, and simulated and real relays did the same; 1: they did not; 2: a bad option; 3: a process of
+the run did not start or ended by itself; 128 and the signal's number: ended.
 """
 DEFAULT = ScaleOptions()
 SIZE_HELP = {
     "seed": "Draw of world and chance.",
     "relays": "Relays of the fleet.",
     "destinations": "Destinations listed.",
-    "real": "Real processes beside the hollow relays.",
-    "played": "Hollow relays that are played; 0 = all.",
+    "real": "Real processes beside the simulated relays.",
+    "played": "Simulated relays that are played; 0 = all.",
     "in_use": "Destinations that get their traffic, each of them all of it.",
     "workers": "Processes that play.",
     "minutes": "The run ends within so many.",
-    "changes": "Changes in the scene day.",
+    "changes": "Changes of the list in the scenario day.",
     "failing": "Relays that fail in it.",
     "restarts": "Relays restarted or replaced in it.",
     "rack": "Relays of a rack.",
-    "day_s": "Simulated seconds of the scene day.",
-    "zone_s": "A zone is away for so long.",
-    "parted_s": "The regions are parted for so long.",
-    "held": "Messages for each destination in use in a full folder.",
+    "day_s": "Simulated seconds of the scenario day.",
+    "zone_s": "A zone is unreachable for so long.",
+    "parted_s": "The regions are partitioned for so long.",
+    "held": "Pending messages for each destination in use in a full folder.",
     "cost_most": "Destinations of the longest list whose cost is measured.",
 }
 
 
-def _fail(code: int, what: object) -> NoReturn:
-    die(code, f"linnetstile scale: {what}")
+def _fail(code: int, reason: object) -> NoReturn:
+    die(code, f"linnetstile scale: {reason}")
 
 
 def parse_size(ctx: click.Context, param: click.Parameter, value: str) -> int:
     """Return a whole number; end with one line about anything else."""
     name = param.name or ""
     if not value.removeprefix("-").isdecimal():
-        least, most = OPTION_RANGES[name]
-        _fail(ExitCode.BAD_INPUT, OptionError(name.replace("_", "-"), f"a whole number from {least} to {most}", value))
+        lowest, highest = OPTION_RANGES[name]
+        expected = f"a whole number from {lowest} to {highest}"
+        _fail(ExitCode.BAD_INPUT, OptionError(name.replace("_", "-"), expected, value))
     return int(value)
 
 
@@ -80,7 +81,7 @@
 
 @click.command(help=HELP)
 @_size_options
-@click.option("--scenes", default=",".join(SCENARIOS), show_default=True, help="Scenes, in this order.")
+@click.option("--scenes", default=",".join(SCENARIOS), show_default=True, help="Scenarios, in this order.")
 @click.option("--out", type=click.Path(path_type=Path), help="Folder of the report, new or empty.")
 def command(scenes: str, out: Path | None, **numbers: int) -> None:
     """Play a fleet at size and show the report."""
@@ -107,7 +108,7 @@
     try:
         return run(sizes, folder, lambda line: click.echo(line, err=True))
     except (RunFailedError, RelayStartError, OSError) as error:
-        die(ExitCode.NOT_STARTED, f"linnetstile scale: {error}")
+        _fail(ExitCode.NOT_STARTED, error)
     except KeyboardInterrupt as error:
         number = error.args[0] if isinstance(error, RunInterrupted) else SIGINT
-        die(SIGNAL_BASE + number, "linnetstile scale: ended; no report")
+        _fail(SIGNAL_BASE + number, "ended; no report")
--- a/linnetstile/cli/send.py
+++ b/linnetstile/cli/send.py
@@ -7,39 +7,87 @@
 import sys
 import time
 from collections.abc import Mapping
+from dataclasses import dataclass
 from pathlib import Path
-from typing import TYPE_CHECKING
+from typing import TYPE_CHECKING, Any
 
 import click
 
 from .common import FILE, ExitCode, die
 
 if TYPE_CHECKING:
+    from cryptography import x509
+
     from ..emulators import messages
     from ..net.client import CallResult
 
+OK_STATUS = 200
 MAX_TEXT_CHARACTERS = 500  # of an answer's body that is shown
 FAILURE_ANSWERS = ("refused", "failed", "rejected")
 GOOD_RECEIPTS = ("positive", "duplicate")
 
-HELP = """Hand the content of FILE in as one AS2 message and show the final answer.
+HELP = """Submit the content of FILE as one AS2 message and show the final answer.
 
-Exit code 0: delivered; 1: refused, failed, or a receipt that does not hold; 2: bad arguments; 3: no answer.
+Exit code 0: delivered; 1: refused, failed, or a receipt that is not valid; 2: bad arguments; 3: no answer.
 """
 
 
-def _receipt_fields(check: messages.ReceiptCheck, is_verified: bool) -> tuple[dict[str, object], bool]:
-    """Return what is shown of a receipt, and whether it holds."""
-    word, receipt = check.status.value, check.receipt
-    is_good = word in GOOD_RECEIPTS
+@dataclass(frozen=True, slots=True)
+class SendOptions:
+    """The arguments and options of `send`; the help text of each says what it means."""
+
+    file: Path
+    address: str
+    path: str
+    sender: str
+    partner: str
+    subject: str
+    message_id: str | None
+    sign_with: Path | None
+    encrypt_to: Path | None
+    compress: bool
+    no_receipt: bool
+    receipt_from: Path | None
+    patience: float
+
+
+@dataclass(frozen=True, slots=True)
+class Submission:
+    """A message that is ready to be sent.
+
+    Attributes:
+        message: What its receipt is checked against.
+        request: The bytes of the HTTP request.
+        receipt_signer: Certificate that should have signed the receipt; None = the signature is not verified.
+    """
+
+    message: messages.BuiltMessage
+    request: bytes
+    receipt_signer: x509.Certificate | None
+
+
+@dataclass(frozen=True, slots=True)
+class ShownReceipt:
+    """What is shown of a receipt, and whether it counts as valid."""
+
+    fields: dict[str, object]
+    is_valid: bool
+
+
+def _describe_receipt(check: messages.ReceiptCheck, is_verified: bool) -> ShownReceipt:
+    """Return what is shown of a receipt; one that nobody could verify counts as valid without --receipt-from."""
+    word = check.status.value
+    is_valid = word in GOOD_RECEIPTS
     if word == "unproven" and not is_verified:
-        word, is_good = "not verified (no --receipt-from)", True
+        word = "not verified (no --receipt-from)"
+        is_valid = True
+    receipt = check.receipt
     fields: dict[str, object] = {
         "receipt": word,
         "disposition": f"{receipt.disposition_type}/{receipt.modifier}" if receipt else "unread",
         "text": receipt.text if receipt else "",
     }
-    return fields, is_good
+    return ShownReceipt(fields, is_valid)
 
 
 def _show(
@@ -51,11 +99,11 @@
     fields: dict[str, object] = {"id": message_id, "answer": kind, "status": answer.head.status}
     if answer.head.headers.get("retry-after"):
         fields["retry_after_s"] = answer.head.headers.get("retry-after")
-    is_good = answer.head.status == 200 and kind not in FAILURE_ANSWERS
+    is_good = answer.head.status == OK_STATUS and kind not in FAILURE_ANSWERS
     if check is not None:
-        receipt_fields, receipt_is_good = _receipt_fields(check, is_verified)
-        fields |= receipt_fields
-        is_good = is_good and receipt_is_good
+        receipt = _describe_receipt(check, is_verified)
+        fields |= receipt.fields
+        is_good = is_good and receipt.is_valid
     elif not is_good:
         fields["text"] = answer.body.decode("utf-8", "replace").strip()[:MAX_TEXT_CHARACTERS]
     click.echo(_format(fields, as_json))
@@ -73,7 +121,7 @@
 @click.option("--from", "sender", required=True, help="AS2-From.")
 @click.option("--partner", required=True, help="AS2-To.")
 @click.option("--subject", default="", help="Rules of the relay may look at it.")
-@click.option("--id", "message_id", help="Message-ID; hand the same in again to ask for its answer.")
+@click.option("--id", "message_id", help="Message-ID; submit the same again to ask for its answer.")
 @click.option("--sign-with", type=FILE, help="PEM with key and certificate.")
 @click.option("--encrypt-to", type=FILE, help="PEM with the partner's RSA certificate.")
 @click.option("--compress", is_flag=True)
@@ -81,51 +129,74 @@
 @click.option("--receipt-from", type=FILE, help="PEM with the certificate that should have signed the receipt.")
 @click.option("--patience", default=60.0, show_default=True, help="Seconds to wait.")
 @click.option("--json", "as_json", is_flag=True)
-def command(
-    file: Path,
-    address: str,
-    path: str,
-    sender: str,
-    partner: str,
-    subject: str,
-    message_id: str | None,
-    sign_with: Path | None,
-    encrypt_to: Path | None,
-    compress: bool,
-    no_receipt: bool,
-    receipt_from: Path | None,
-    patience: float,
-    as_json: bool,
-) -> None:
+def command(as_json: bool, **options: Any) -> None:
     """Submit a file as one AS2 message and show the final answer."""
-    from ..codec import as2, cms, http1
-    from ..config.relay import require_loopback, split_address
-    from ..emulators import messages
-    from ..net import client
+    sys.exit(send(SendOptions(**options), as_json))
+
 
-    message_id = message_id or f"<{time.time_ns():x}@{sender.replace(' ', '-')}>"
+def send(options: SendOptions, as_json: bool) -> int:
+    """Submit a message and print its final answer; return the exit code."""
+    from ..codec import as2
+
+    message_id = options.message_id or _new_message_id(options.sender)
     try:
-        require_loopback(address)
-        message = messages.build_message(
-            sender,
-            partner,
-            message_id,
-            subject,
-            file.read_bytes(),
-            sign_by=cms.load_identity(sign_with.read_bytes()) if sign_with else None,
-            encrypt_to=cms.load_certificate(encrypt_to.read_bytes()) if encrypt_to else None,
-            compress=compress,
-            receipt=not no_receipt,
-        )
-        data = http1.encode_request("POST", path, [("Host", address), *message.headers], message.body)
-        signer = cms.load_certificate(receipt_from.read_bytes()) if receipt_from else None
+        submission = _prepare(options, message_id)
     except (as2.As2Error, ValueError) as error:
         die(ExitCode.BAD_INPUT, f"linnetstile send: {error}")
+    answer = _submit(options, submission, message_id)
+    check = _check_receipt(options, submission, answer)
+    return _show(message_id, answer, check, submission.receipt_signer is not None, as_json)
+
+
+def _new_message_id(sender: str) -> str:
+    return f"<{time.time_ns():x}@{sender.replace(' ', '-')}>"
+
+
+def _prepare(options: SendOptions, message_id: str) -> Submission:
+    """Build, sign and encrypt the message.
+
+    Raises:
+        As2Error: The names or the content can't be sent.
+        ValueError: The address is not loopback, or a PEM file can't be used.
+    """
+    from ..codec import cms, http1
+    from ..config.relay import require_loopback
+    from ..emulators import messages
 
-    answer = asyncio.run(client.call_once(split_address(address), "POST", data, patience))
+    require_loopback(options.address)
+    message = messages.build_message(
+        options.sender,
+        options.partner,
+        message_id,
+        options.subject,
+        options.file.read_bytes(),
+        sign_by=cms.load_identity(options.sign_with.read_bytes()) if options.sign_with else None,
+        encrypt_to=cms.load_certificate(options.encrypt_to.read_bytes()) if options.encrypt_to else None,
+        compress=options.compress,
+        receipt=not options.no_receipt,
+    )
+    headers = [("Host", options.address), *message.headers]
+    request = http1.encode_request("POST", options.path, headers, message.body)
+    signer = cms.load_certificate(options.receipt_from.read_bytes()) if options.receipt_from else None
+    return Submission(message, request, signer)
+
+
+def _submit(options: SendOptions, submission: Submission, message_id: str) -> CallResult:
+    """Return the answer, or end with an error if there is none."""
+    from ..config.relay import split_address
+    from ..net import client
+
+    address = split_address(options.address)
+    answer = asyncio.run(client.call_once(address, "POST", submission.request, options.patience))
     if answer.head is None:
         die(ExitCode.NOT_STARTED, f"{message_id}: no answer: {answer.wire_result.value}")
-    check = None
-    if answer.head.status == 200 and not no_receipt:
-        check = messages.check_receipt(message, answer.head.headers, answer.body, signer)
-    sys.exit(_show(message_id, answer, check, signer is not None, as_json))
+    return answer
+
+
+def _check_receipt(options: SendOptions, submission: Submission, answer: CallResult) -> messages.ReceiptCheck | None:
+    """Return what the receipt in an answer proves; None if there is none."""
+    from ..emulators import messages
+
+    if answer.head is None or answer.head.status != OK_STATUS or options.no_receipt:
+        return None
+    return messages.check_receipt(submission.message, answer.head.headers, answer.body, submission.receipt_signer)
--- a/linnetstile/cli/show.py
+++ b/linnetstile/cli/show.py
@@ -1,4 +1,4 @@
-"""The sub-command `linnetstile show connections|queues|slow|metrics`: what a running relay holds."""
+"""The sub-command `linnetstile show connections|queues|slow|metrics`: the state of a running relay."""
 
 from __future__ import annotations
 
@@ -13,11 +13,12 @@
 from .common import ExitCode, die
 
 TIMEOUT_S = 5.0
+OK_STATUS = 200
 MAX_COLUMN_WIDTH = 44
 DEFAULT_ROWS = 40
 
 SOCKET = click.argument("socket", type=click.Path(path_type=Path))
-JSON = click.option("--json", "as_json", is_flag=True, help="As it came.")
+JSON = click.option("--json", "as_json", is_flag=True, help="The JSON document of the admin socket.")
 ROWS = click.option("--rows", default=DEFAULT_ROWS, show_default=True)
 
 # Titles of the columns -> keys of the rows.
@@ -54,9 +55,9 @@
 }
 
 
-@click.group(help="What a running relay holds, read from its admin socket (the `admin` setting).")
+@click.group(help="The state of a running relay, read from its admin socket (the `admin` setting).")
 def command() -> None:
-    """Show what a running relay holds."""
+    """Show the state of a running relay."""
 
 
 def fetch(socket: Path, target: str) -> bytes:
@@ -68,7 +69,7 @@
     answer = asyncio.run(client.call_once(str(socket), "GET", data, TIMEOUT_S))
     if answer.head is None:
         die(ExitCode.NOT_STARTED, f"{socket}: no relay answers there: {answer.wire_result.value}")
-    if answer.head.status != 200:
+    if answer.head.status != OK_STATUS:
         die(ExitCode.NO, f"{socket}: {answer.head.status}: {answer.body.decode(errors='replace').strip()}")
     return answer.body
 
@@ -102,21 +103,22 @@
     lines = [list(columns)]
     for row in rows[:max_rows]:
         lines.append([_printable("-" if row[key] is None else row[key]) for key in columns.values()])
-    widths = [min(MAX_COLUMN_WIDTH, max(len(line[n]) for line in lines)) for n in range(len(columns))]
+    widths = [min(MAX_COLUMN_WIDTH, max(len(line[column]) for line in lines)) for column in range(len(columns))]
     for line in lines:
         cells = [cell[:MAX_COLUMN_WIDTH].ljust(width) for cell, width in zip(line, widths, strict=True)]
         click.echo("  ".join(cells).rstrip())
 
 
 CONNECTIONS_HELP = (
-    "Each connection: who, at what, for how long. Patience is what its least rate has left of limits.stall_ms."
+    "Each connection: its peer, its phase and for how long. Patience is what its minimum rate has left of "
+    "limits.stall_ms."
 )
 
 
 @command.command(help=CONNECTIONS_HELP)
 @SOCKET
 @JSON
-@click.option("--phase", help="Only those at this phase.")
+@click.option("--phase", help="Only those in this phase.")
 @ROWS
 def connections(socket: Path, as_json: bool, phase: str | None, rows: int) -> None:
     """Show the connections."""
@@ -129,7 +131,7 @@
     print_table(shown, CONNECTION_COLUMNS, rows)
 
 
-@command.command(help="Who holds how much of the room and what the fair part is, and what waits for each partner.")
+@command.command(help="Capacity in use and the fair share, by sender and by partner, and the queue of each partner.")
 @SOCKET
 @JSON
 @ROWS
--- a/linnetstile/cli/standin.py
+++ b/linnetstile/cli/standin.py
@@ -12,7 +12,9 @@
 from .common import FILE, load_settings
 
 
-@click.group(help="Run a stand-in from a spec file (YAML). Each tells its ports in one JSON line and ends on SIGTERM.")
+@click.group(
+    help="Run an emulator from a spec file (YAML). Each prints its ports in one JSON line and ends on SIGTERM."
+)
 def command() -> None:
     """Run an emulator from its settings file."""
 
@@ -38,12 +40,12 @@
         click.echo(json.dumps({"ports": await emulator.start()}))
         await _until_stopped()
         emulator.close()
-        await asyncio.sleep(0)  # what the end of its connections shows goes into the record
+        await asyncio.sleep(0)  # the ends of its connections go into the record
 
     asyncio.run(run())
 
 
-@command.command(help="The partner register: a whole list and a watch on changes.")
+@command.command(help="The partner registry: the full list and a watch on changes.")
 @click.argument("file", type=FILE)
 def register(file: Path) -> None:
     """Run the registry emulator."""
@@ -60,7 +62,7 @@
     asyncio.run(run())
 
 
-@command.command(help="Clients that hand messages in by a script drawn from a seed; ends when all are answered.")
+@command.command(help="Clients that submit messages by a script drawn from a seed; ends when all are answered.")
 @click.argument("file", type=FILE)
 def client(file: Path) -> None:
     """Run the client emulator until its script has ended."""
