--- a/linnetstile/as2_relay/admin.py
+++ b/linnetstile/as2_relay/admin.py
@@ -17,8 +17,10 @@
 from ..net import server
 from ..telemetry.metrics import render_metrics
 from .admin_metrics import metric_samples
-from .admin_views import connections_view, queues_view, slow_partners_view
+from .connections_view import connections_view
+from .queues_view import queues_view
 from .relay_view import RelayView
+from .slow_partners_view import slow_partners_view
 
 METRICS_PATH = "/metrics"
 METRICS_CONTENT_TYPE = "text/plain; version=0.0.4; charset=utf-8"
@@ -40,6 +42,13 @@
     """
 
     def __init__(self, relay: RelayView, socket_path: Path | None, metrics_address: str | None) -> None:
+        """Listen nowhere yet; see `start`.
+
+        Args:
+            relay: The relay whose state is shown.
+            socket_path: Where the socket is made; None for no socket.
+            metrics_address: Host and port for the metrics; None for no such listener.
+        """
         self.relay = relay
         self.socket_path = socket_path
         self.metrics_address = metrics_address
--- a/linnetstile/as2_relay/admin_metrics.py
+++ b/linnetstile/as2_relay/admin_metrics.py
@@ -1,4 +1,4 @@
-"""The metrics of a relay: names, help texts and labels that scrapers and dashboards know."""
+"""The metrics of a relay. Scrapers and dashboards depend on their names, help texts and labels."""
 
 from __future__ import annotations
 
@@ -6,8 +6,9 @@
 
 from ..engine.fair_share import BYTES, MESSAGES
 from ..telemetry.metrics import MetricSample
-from .admin_views import connections_view, slow_partners_view
+from .connections_view import connections_view
 from .relay_view import RelayView
+from .slow_partners_view import slow_partners_view
 
 
 def metric_samples(relay: RelayView) -> Iterator[MetricSample]:
@@ -23,8 +24,8 @@
 
 
 def _counters(name: str, help_text: str, counts: Mapping[str, int]) -> Iterator[MetricSample]:
-    for what, count in counts.items():
-        yield MetricSample(name, "counter", help_text, count, (("what", what),))
+    for counter, count in counts.items():
+        yield MetricSample(name, "counter", help_text, count, (("what", counter),))
 
 
 def _connection_samples(relay: RelayView) -> Iterator[MetricSample]:
--- a/linnetstile/as2_relay/admission.py
+++ b/linnetstile/as2_relay/admission.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 
 from ..config.relay import LimitSettings
-from ..engine.fair_share import AdmissionDecision, FairShare, Reservation
+from ..engine.fair_share import BYTES, AdmissionDecision, FairShare, Reservation
 from ..engine.slow_partners import SLOW_PARTNER_WEIGHT, SlowPartnerDetector
 from ..net.server import RequestContext
 from ..telemetry import log_events
@@ -123,18 +123,19 @@
             assert isinstance(request.reservation, Reservation)
             return self.fair_share.extend(self.now_ms, request.reservation, size, wait_ms, request)
         message_count = 1 if origin.sender else 0
-        decision, reservation = self.fair_share.request(
+        result = self.fair_share.request(
             self.now_ms, origin.paths, size + MESSAGE_OVERHEAD_BYTES, wait_ms, request, message_count
         )
-        if decision is not AdmissionDecision.TOO_LARGE:
-            self.reservations.add(reservation)
-            request.reservation = reservation
-        return decision
+        if result.decision is not AdmissionDecision.TOO_LARGE:
+            self.reservations.add(result.reservation)
+            request.reservation = result.reservation
+        return result.decision
 
     def _binding_limit(self) -> str:
         """Return which limit keeps requests waiting, for people."""
-        used, capacity = self.fair_share.used[0], self.fair_share.capacity[0]
-        return "hold_bytes" if used >= FULL_FRACTION * capacity else "share"
+        used_bytes = self.fair_share.used[BYTES]
+        capacity_bytes = self.fair_share.capacity[BYTES]
+        return "hold_bytes" if used_bytes >= FULL_FRACTION * capacity_bytes else "share"
 
     def _reject(self, request: RequestContext, size: int) -> None:
         origin = request.submission
@@ -160,19 +161,20 @@
 
     def transfer(self, request: RequestContext) -> Reservation | None:
         """Take the reservation from a complete request; its message holds it from now on."""
-        reservation, request.reservation = request.reservation, None
+        reservation = request.reservation
+        request.reservation = None
         assert reservation is None or isinstance(reservation, Reservation)
         return reservation
 
     def release(self, reservation: Reservation | None) -> None:
-        """Give back the memory of a reservation."""
+        """Release the memory of a reservation, and see whether waiting requests fit now."""
         if reservation is not None:
             self.reservations.remove(reservation)
             self.fair_share.release(self.now_ms, reservation)
             self._schedule_turn()
 
     def request_ended(self, request: RequestContext) -> None:
-        """Give back what a request holds that was answered, or that ended before it was complete."""
+        """Release the memory of a request that was answered, or that ended before it was complete."""
         self.waiting.pop(request, None)
         self.release(self.transfer(request))
 
@@ -191,14 +193,14 @@
             self.expiry_timer = self.loop.call_later(delay_s, self._grant_waiting)
 
     def _grant_waiting(self) -> None:
-        """Let requests go on that there is memory for now, and reject those that waited too long."""
+        """Resume the waiting requests for which there is memory now, and reject those that waited too long."""
         self.is_turn_scheduled = False
-        granted, expired = self.fair_share.grant_waiting(self.now_ms)
-        for request in granted:
+        result = self.fair_share.grant_waiting(self.now_ms)
+        for request in result.granted:
             assert isinstance(request, RequestContext)
             self.waiting.pop(request, None)
             request.resume_body()
-        for request in expired:
+        for request in result.expired:
             assert isinstance(request, RequestContext)
             self._reject(request, self.waiting.pop(request, 0))
         self._schedule_expiry()
--- a/linnetstile/as2_relay/answers.py
+++ b/linnetstile/as2_relay/answers.py
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientAnswer:
-    """What a client gets.
+    """A response to a client, with what it says about the message.
 
     Attributes:
         status: HTTP status code.
--- a/linnetstile/as2_relay/async_receipts.py
+++ b/linnetstile/as2_relay/async_receipts.py
@@ -94,7 +94,11 @@
         else:
             head = found.message.head
             request.submission = RequestOrigin(
-                RECEIPT_TENANT, request.connection.host, "", head.receiver, head.message_id
+                tenant=RECEIPT_TENANT,
+                client=request.connection.host,
+                sender="",
+                partner=head.receiver,
+                message_id=head.message_id,
             )
 
     def handle(self, request: server.RequestContext) -> None:
@@ -110,13 +114,14 @@
             # Still 200: it was read, and a partner that gets an error would only send it again.
             request.reply(200)
             return
-        message, headers = found.message, request.head.headers
-        status = self.verifier.verify(message.head, message.headers, message.body, headers, request.body)
+        message = found.message
+        headers = request.head.headers
+        status = self.verifier.verify(message, headers, request.body)
         request.reply(200)
         if status in UNTRUSTED_STATUSES:
             self.context.counts["receipts_not_counted"] += 1
             self.context.log.warning(log_events.RECEIPT_IGNORED, message=message.head.message_id, why=status.value)
             return
-        observation = AttemptObservation(WireResult.ANSWERED, 200, None, status)
+        observation = AttemptObservation(WireResult.ANSWERED, status=200, receipt=status)
         answer = forwarded_receipt(200, headers, request.body, AnswerKind.UNSPECIFIED)
         self.on_receipt(message, found.attempt, observation, answer)
--- a/linnetstile/as2_relay/delivery.py
+++ b/linnetstile/as2_relay/delivery.py
@@ -111,15 +111,12 @@
             endpoint=action.endpoint,
             until_ms=round(action.timeout_at_ms - self.context.now_ms),
         )
-        tls = None
-        if address.uses_tls:
-            tls = self.tls_keys.for_partner(message.head.receiver, address)
-            if tls is None:
-                self.context.log.error(
-                    log_events.FAULT, why=f"partners.{message.head.receiver}.tls is not set, its URL is https"
-                )
-                self.end_attempt(message, attempt, AttemptObservation(WireResult.NO_CONNECTION), None)
-                return
+        partner = message.head.receiver
+        tls = self.tls_keys.for_partner(partner, address) if address.uses_tls else None
+        if address.uses_tls and tls is None:
+            self.context.log.error(log_events.FAULT, why=f"partners.{partner}.tls is not set, its URL is https")
+            self.end_attempt(message, attempt, AttemptObservation(WireResult.NO_CONNECTION), None)
+            return
         self._call(message, attempt, action, address, tls)
 
     def _call(
@@ -182,15 +179,20 @@
         if answer.head is None:
             self.end_attempt(message, attempt, AttemptObservation(answer.wire_result), None)
             return
-        status, headers = answer.head.status, answer.head.headers
+        status = answer.head.status
+        headers = answer.head.headers
         is_success = 200 <= status < 300
         if is_success and attempt.receipt_token and not answer.body:
             return  # the receipt comes on a connection of its own (RFC 4130, 7.2.1)
         receipt_status = ReceiptStatus.NOT_REQUESTED
         if is_success:
-            receipt_status = self.verifier.verify(message.head, message.headers, message.body, headers, answer.body)
+            receipt_status = self.verifier.verify(message, headers, answer.body)
         observation = AttemptObservation(
-            WireResult.ANSWERED, status, parse_retry_after(headers), receipt_status, answer.request_complete
+            wire_result=WireResult.ANSWERED,
+            status=status,
+            retry_after_ms=parse_retry_after(headers),
+            receipt=receipt_status,
+            request_complete=answer.request_complete,
         )
         receipt = forwarded_receipt(status, headers, answer.body, AnswerKind.UNSPECIFIED)
         self.end_attempt(message, attempt, observation, receipt)
@@ -210,13 +212,13 @@
         self._record_end(message, attempt, verdict, latency_ms)
         self.context.post_event(
             AttemptEnded(
-                message.id,
-                attempt.number,
-                attempt.endpoint,
-                verdict.outcome,
-                latency_ms,
-                verdict.is_final,
-                verdict.retry_after_ms,
+                id=message.id,
+                attempt=attempt.number,
+                endpoint=attempt.endpoint,
+                outcome=verdict.outcome,
+                latency_ms=latency_ms,
+                is_final=verdict.is_final,
+                retry_after_ms=verdict.retry_after_ms,
             )
         )
         if verdict.is_final and receipt is not None:
--- a/linnetstile/as2_relay/gossip_polling.py
+++ b/linnetstile/as2_relay/gossip_polling.py
@@ -154,7 +154,7 @@
         self.on_answer()
 
     def _merge(self, peer: str, asked_at_ms: float, document: GossipDocument, is_new_incarnation: bool) -> None:
-        """Keep what a peer said, over what it said before."""
+        """Update what is known from a peer with its latest document."""
         now_ms = self.now_ms
         known = self.peers.get(peer)
         is_complete = is_new_incarnation or not document.since
--- a/linnetstile/as2_relay/intake.py
+++ b/linnetstile/as2_relay/intake.py
@@ -7,7 +7,7 @@
 
 from ..codec import as2, http1
 from ..config.relay import RelaySettings, require_loopback_url
-from ..engine.routing import Router
+from ..engine.routing import Router, Rule
 from ..engine.settings import MessageClass
 from ..net import server
 from .answers import AnswerKind, ClientAnswer, text_answer
@@ -77,7 +77,7 @@
             self._classify(request)
 
     def _health(self, head: http1.Request) -> ClientAnswer | None:
-        """Return the answer to a health check; None if it is none."""
+        """Return the answer to a health check; None if the request is no health check."""
         if head.method not in ("GET", "HEAD") or head.target != HEALTH_PATH:
             return None
         if self.shutdown.has_started:
@@ -87,18 +87,10 @@
         return text_answer(200, text, AnswerKind.UNSPECIFIED)
 
     def _classify(self, request: server.RequestContext) -> None:
-        """Read whose message it is: its tenant and class, and whose memory its body takes."""
+        """Find the tenant, the class and the client of a submission, before memory is reserved for its body."""
         headers = request.head.headers
-        try:
-            head = as2.As2Headers.parse(headers)
-            if head.async_receipt_url:
-                require_loopback_url(head.async_receipt_url)
-        except as2.As2Error as error:
-            self.submissions.refuse(request, 400, f"refused: {error}", headers.get("message-id")[:MAX_LOGGED_ID_CHARS])
-            return
-        except ValueError as error:
-            text = f"refused: Receipt-Delivery-Option: {error}"
-            self.submissions.refuse(request, 400, text, headers.get("message-id")[:MAX_LOGGED_ID_CHARS])
+        head = self._read_head(request)
+        if head is None:
             return
         rule = self.router.match(head.sender, head.receiver, head.subject, headers.get("content-type"))
         if rule is None:
@@ -107,20 +99,41 @@
             return
         # Its time counts from its first byte: a body that comes in later than that could not be delivered.
         request.body_deadline = request.started_at + self.classes[rule.class_index].deadline_ms / 1000
-        certificate_name = request.connection.tls.peer_subject() if request.connection.tls else ""
-        content_key = headers.get("content-type").encode() + b"\0" + head.receiver.encode() + b"\0"
-        submission = Submission(
-            self.tenants[rule.tenant] if rule.tenant < len(self.tenants) else "",
-            certificate_name or request.connection.host,
-            head.sender,
-            head.receiver,
-            head.message_id,
+        submission = self._make_submission(request, head, rule)
+        request.submission = submission
+        request.on_body_data = submission.digest.update  # as it comes: 200 MB in one go would hold up everybody
+
+    def _read_head(self, request: server.RequestContext) -> as2.As2Headers | None:
+        """Read the AS2 fields; None if they are invalid and the submission was refused."""
+        headers = request.head.headers
+        try:
+            head = as2.As2Headers.parse(headers)
+            if head.async_receipt_url:
+                require_loopback_url(head.async_receipt_url)
+            return head
+        except as2.As2Error as error:
+            text = f"refused: {error}"
+        except ValueError as error:
+            text = f"refused: Receipt-Delivery-Option: {error}"
+        message_id = headers.get("message-id")[:MAX_LOGGED_ID_CHARS]
+        self.submissions.refuse(request, 400, text, message_id)
+        return None
+
+    def _make_submission(self, request: server.RequestContext, head: as2.As2Headers, rule: Rule) -> Submission:
+        connection = request.connection
+        certificate_name = connection.tls.peer_subject() if connection.tls else ""
+        content_type = request.head.headers.get("content-type")
+        content_key = content_type.encode() + b"\0" + head.receiver.encode() + b"\0"
+        return Submission(
+            tenant=self.tenants[rule.tenant] if rule.tenant < len(self.tenants) else "",
+            client=certificate_name or connection.host,
+            sender=head.sender,
+            partner=head.receiver,
+            message_id=head.message_id,
             head=head,
             rule=rule,
             digest=hashlib.blake2b(content_key, digest_size=DIGEST_BYTES),
         )
-        request.submission = submission
-        request.on_body_data = submission.digest.update  # as it comes: 200 MB in one go would hold up everybody
 
     def on_request(self, request: server.RequestContext) -> None:
         """Handle a request whose body is complete."""
--- a/linnetstile/as2_relay/process.py
+++ b/linnetstile/as2_relay/process.py
@@ -1,4 +1,4 @@
-"""A relay as a process: signals, the line that tells its address, exit codes."""
+"""A relay as a process: signals, the line with its address on standard output, exit codes."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 def fit_to_open_files_limit(settings: RelaySettings, log: Logger) -> RelaySettings:
     """Raise the soft limit on open files as far as it may, and lower `limits.connections` where that is not enough.
 
-    It guards calls to partners, which a full listener would leave without descriptors.
+    Otherwise a full listener would leave no descriptors for calls to partners.
     """
     needed = settings.max_open_files()
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
@@ -109,7 +109,7 @@
 
 
 def _announce(address: str, name: str, ready: Path | None) -> None:
-    """Print the line that tells the relay's address, and write it to `ready`."""
+    """Print the line with the relay's address, and write it to the file `ready`."""
     line = json.dumps({"listening": address, "name": name})
     if ready is not None:
         ready.write_text(line + "\n")
--- a/linnetstile/as2_relay/receipt_delivery.py
+++ b/linnetstile/as2_relay/receipt_delivery.py
@@ -6,7 +6,7 @@
 import urllib.parse
 from collections import deque
 from collections.abc import Callable
-from dataclasses import dataclass
+from dataclasses import dataclass, replace
 
 from ..codec import as2, http1
 from ..config.relay import split_address
@@ -129,7 +129,7 @@
     def _retry_later(self, post: ReceiptPost, attempts: int, backoff_ms: float) -> None:
         def retry() -> None:
             self.timers.discard(timer)
-            self._post(ReceiptPost(post.address, post.data, post.message_id, attempts))
+            self._post(replace(post, failed_attempts=attempts))
 
         timer = self.context.loop.call_later(backoff_ms / 1000, retry)
         self.timers.add(timer)
--- a/linnetstile/as2_relay/receipts.py
+++ b/linnetstile/as2_relay/receipts.py
@@ -8,6 +8,7 @@
 from ..codec.http1 import Headers
 from ..config.relay import RelaySettings
 from ..engine.attempt_outcome import ReceiptStatus
+from .accepted_message import AcceptedMessage
 from .answers import AnswerKind, ClientAnswer
 
 # Of the partner's answer, what a client needs to read its receipt and to verify it.
@@ -44,23 +45,15 @@
             if partner.certificate
         }
 
-    def verify(
-        self,
-        head: as2.As2Headers,
-        message_headers: Headers,
-        message_body: bytes,
-        receipt_headers: Headers,
-        receipt: bytes,
-    ) -> ReceiptStatus:
+    def verify(self, message: AcceptedMessage, receipt_headers: Headers, receipt: bytes) -> ReceiptStatus:
         """Return what a receipt proves for a message.
 
         Args:
-            head: AS2 fields of the message.
-            message_headers: Header fields of the message.
-            message_body: Content of the message.
+            message: The message that the receipt came for.
             receipt_headers: Header fields that came with the receipt.
             receipt: Content of the receipt.
         """
+        head = message.head
         if not head.receipt_to:
             return ReceiptStatus.NOT_REQUESTED
         try:
@@ -77,43 +70,46 @@
             return ReceiptStatus.NEGATIVE
         if found.is_duplicate and not found.mic:
             return ReceiptStatus.DUPLICATE
-        digest_status = self._compare_digest(head, message_headers, message_body, found)
+        digest_status = self._compare_digest(message, found)
         if found.is_duplicate and digest_status is ReceiptStatus.POSITIVE:
             return ReceiptStatus.DUPLICATE
         return digest_status
 
     def _read_proven(self, head: as2.As2Headers, headers: Headers, receipt: bytes) -> mdn.Mdn | None:
         """Read a receipt; None if a signature was asked for and there is none."""
-        kind, content = headers.get("content-type"), receipt
+        content_type = headers.get("content-type")
+        content = receipt
         if headers.get("content-transfer-encoding"):
             content = mime.decode_body(receipt, headers.get("content-transfer-encoding"))
         is_proven = not head.receipt_options.signed
-        if mime.parse_content_type(kind).name == "multipart/signed":
-            signed, signature = cms.split_signed(kind, content)
+        if mime.parse_content_type(content_type).name == "multipart/signed":
+            signed, signature = cms.split_signed(content_type, content)
             certificate = self.certificates.get(head.receiver)
             if certificate is not None:
                 cms.verify(signed, signature, certificate, self.accepts_sha1)
             # Without a certificate nothing can be proven here; the client verifies for itself.
             is_proven = True
             inner = mime.parse_entity(signed)
-            kind, content = inner.headers.get("content-type"), inner.decoded_body()
-        return mdn.parse(kind, content) if is_proven else None
+            content_type = inner.headers.get("content-type")
+            content = inner.decoded_body()
+        return mdn.parse(content_type, content) if is_proven else None
 
     @staticmethod
-    def _compare_digest(head: as2.As2Headers, headers: Headers, body: bytes, found: mdn.Mdn) -> ReceiptStatus:
+    def _compare_digest(message: AcceptedMessage, found: mdn.Mdn) -> ReceiptStatus:
         """Compare the digest in a receipt with that of the message."""
+        headers = message.headers
         try:
             opened, _ = cms.open_layers(
-                headers.get("content-type", "application/octet-stream"),
-                headers.get("content-transfer-encoding"),
-                body,
-                None,
+                content_type=headers.get("content-type", "application/octet-stream"),
+                encoding=headers.get("content-transfer-encoding"),
+                body=message.body,
+                key=None,
             )
             if opened is None:  # encrypted: its digest is the client's to compare, the bytes were not touched
                 return ReceiptStatus.POSITIVE
             if not found.mic:
                 # RFC 4130, 7.4.3: a digest is due wherever a signed receipt was asked for.
-                return ReceiptStatus.WRONG_MIC if head.receipt_options.signed else ReceiptStatus.POSITIVE
+                return ReceiptStatus.WRONG_MIC if message.head.receipt_options.signed else ReceiptStatus.POSITIVE
             # Some partners digest a plain body with its headers: RFC 4130, 7.3.1 leaves room where it says so.
             return ReceiptStatus.POSITIVE if cms.digest(opened, found.micalg) == found.mic else ReceiptStatus.WRONG_MIC
         except (mime.MimeError, cms.CmsError):
@@ -136,7 +132,7 @@
         return self._issue(head, mdn.Mdn(head.message_id, head.receiver, "failed", "failure", detail, text=text), kind)
 
     def repeated(self, head: as2.As2Headers, kind: AnswerKind) -> ClientAnswer:
-        """Return what is said of a message whose receipt was given and is not stored any more.
+        """Return a receipt for a message whose original receipt is not stored any more.
 
         That happens when stored answers take more than `limits.remember_bytes`.
         """
--- a/linnetstile/as2_relay/registry.py
+++ b/linnetstile/as2_relay/registry.py
@@ -122,7 +122,8 @@
             log: Logger of the relay.
         """
         parsed = urllib.parse.urlsplit(url)
-        self.address, self.host = split_address(require_loopback(parsed.netloc)), parsed.netloc
+        self.address = split_address(require_loopback(parsed.netloc))
+        self.host = parsed.netloc
         self.base_path = parsed.path.rstrip("/")
         self.relay_name = relay_name
         self.kind_indexes = {kind: index for index, kind in enumerate(kinds)}
@@ -133,7 +134,8 @@
         self.endpoints: dict[int, EndpointAddress] = {}
         self.partners: dict[str, int] = {}
         self.version = -1
-        self.is_watching = self.is_closed = False
+        self.is_watching = False
+        self.is_closed = False
         self.list_counts = ListCounts()
 
     def watch(self) -> None:
@@ -183,7 +185,8 @@
             return
         self.list_counts.full += 1
         listed = {entry.id for entry in document.entries}
-        for endpoint_id in [endpoint_id for endpoint_id in self.endpoints if endpoint_id not in listed]:
+        removed = [endpoint_id for endpoint_id in self.endpoints if endpoint_id not in listed]
+        for endpoint_id in removed:
             del self.endpoints[endpoint_id]
         self._apply(document, ListKind.FULL)
 
@@ -201,7 +204,7 @@
             self._get_changes()
 
     def _apply(self, document: RegistryDocument, kind: ListKind) -> None:
-        """Take the entries of a list and go on watching."""
+        """Apply the entries of a list, pass them on, and watch for the next change."""
         self.version = document.version
         endpoints = tuple(self._take_entry(entry) for entry in document.entries)
         self.log.info(
@@ -215,17 +218,17 @@
         self._get_changes()
 
     def _take_entry(self, entry: RegistryEntry) -> Endpoint:
-        """Keep an endpoint's address and return it as the engine knows it."""
+        """Store the address of an endpoint, and return the endpoint as the engine's record."""
         partner_number = self.partners.setdefault(entry.partner, len(self.partners))
         if entry.status != "gone":
             self.endpoints[entry.id] = EndpointAddress.from_entry(entry)
         return Endpoint(
-            entry.id,
-            partner_number,
-            STATUSES[entry.status],
-            self.kind_indexes.get(entry.kind, len(self.kind_indexes)),
-            self.zone_indexes.get(entry.zone, len(self.zone_indexes)),
-            entry.rate,
+            id=entry.id,
+            destination=partner_number,
+            status=STATUSES[entry.status],
+            kind=self.kind_indexes.get(entry.kind, len(self.kind_indexes)),
+            zone=self.zone_indexes.get(entry.zone, len(self.zone_indexes)),
+            advertised_rate=entry.rate,
         )
 
     def close(self) -> None:
--- a/linnetstile/as2_relay/relay.py
+++ b/linnetstile/as2_relay/relay.py
@@ -57,6 +57,7 @@
             log: Takes the relay's events.
             seed: Seed of the engine's random choices, if not that of the settings.
         """
+        limits = settings.limits
         engine_settings = settings.engine_settings()
         self.settings = settings
         self.address = ""
@@ -70,8 +71,8 @@
         self.receipt_verifier = ReceiptVerifier(settings)
         self.receipt_issuer = ReceiptIssuer(settings)
         self.registry = assembly.make_registry_client(settings, self._on_endpoint_list, log)
-        self.connection_reporter = ConnectionReporter(self.counts, log)
-        self.pool = assembly.make_partner_pool(settings.limits, self.connection_reporter)
+        reporter = ConnectionReporter(self.counts, log)
+        self.pool = assembly.make_partner_pool(limits, reporter)
         self.admission = assembly.make_admission_controller(
             settings, engine_settings.max_pending_messages, log, self._reject_request
         )
@@ -83,9 +84,7 @@
         self.action_dispatcher = self._make_action_dispatcher()
         self.gossip = self._make_gossip_service()
         self.intake = self._make_intake()
-        self.listener = assembly.make_listener(
-            settings.limits, self.intake, self.admission, self.connection_reporter, self.tls_keys
-        )
+        self.listener = assembly.make_listener(limits, self.intake, self.admission, reporter, self.tls_keys)
         self.admin = self._make_admin_server()
         self.self_check = self._make_self_check()
 
--- a/linnetstile/as2_relay/relay_view.py
+++ b/linnetstile/as2_relay/relay_view.py
@@ -1,4 +1,4 @@
-"""What the admin socket may see of a running relay."""
+"""The part of a running relay that the admin socket can read."""
 
 from __future__ import annotations
 
@@ -12,9 +12,11 @@
 from .admission import AdmissionController
 from .registry import RegistryClient
 
+MAX_ROWS = 1000  # in one answer of the admin socket; `total` tells how many there are
+
 
 class RelayView(Protocol):
-    """The read-only face of a relay for operators; `relay.As2Relay` fulfils it."""
+    """The read-only interface of a relay for operators, implemented by `relay.As2Relay`."""
 
     @property
     def settings(self) -> RelaySettings:
--- a/linnetstile/as2_relay/self_check.py
+++ b/linnetstile/as2_relay/self_check.py
@@ -1,4 +1,4 @@
-"""Checks of the running relay: nothing may hold memory, slots, tokens or connections that no message accounts for."""
+"""Invariants of a running relay: each reservation, slot, receipt token and call belongs to a message or request."""
 
 from __future__ import annotations
 
--- a/linnetstile/as2_relay/submissions.py
+++ b/linnetstile/as2_relay/submissions.py
@@ -1,4 +1,4 @@
-"""The life of a submission: accepted once, answered once, and the same answer for whoever submits it again."""
+"""Handles submissions: a message is accepted once and answered once, and a repeat gets the same answer."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 @dataclass(slots=True)
 class Submission(RequestOrigin):
-    """The head of a submission, read once.
+    """What the head of a submission says; it is parsed once, before the body is read.
 
     Attributes:
         head: Its AS2 fields.
@@ -84,7 +84,9 @@
         head = submission.head
         partner = self.registry.partners.get(head.receiver)
         digest = submission.digest.digest()
-        status, known = self.known.lookup(self.context.now_ms, head.sender, head.message_id, digest)
+        lookup = self.known.lookup(self.context.now_ms, head.sender, head.message_id, digest)
+        status = lookup.status
+        known = lookup.submission
         if status is SubmissionStatus.CONFLICT:
             text = "conflict: this Message-ID was handed in before with other content"
             self.refuse(request, 409, text, head.message_id, kind=AnswerKind.CONFLICT)
@@ -123,7 +125,8 @@
 
     def _accept(self, request: server.RequestContext, submission: Submission, partner: int, digest: bytes) -> None:
         """Accept a message: from here on it gets a final answer."""
-        head, rule = submission.head, submission.rule
+        head = submission.head
+        rule = submission.rule
         message_class = self.classes[rule.class_index]
         self.latest_id += 1
         message = AcceptedMessage(
@@ -144,10 +147,21 @@
             partner=head.receiver,
             message_class=message_class.name,
         )
-        ordering_key = _ordering_key(head) if message_class.in_order else 0
         self._wait_for_answer(message, request)
-        remaining_ms = max(0.0, message.deadline_ms - self.context.now_ms)
-        self.context.post_event(Message(message.id, partner, rule.class_index, remaining_ms, rule.tenant, ordering_key))
+        self._post_to_engine(message, rule, partner)
+
+    def _post_to_engine(self, message: AcceptedMessage, rule: Rule, partner: int) -> None:
+        in_order = self.classes[rule.class_index].in_order
+        self.context.post_event(
+            Message(
+                id=message.id,
+                destination=partner,
+                class_index=rule.class_index,
+                remaining_ms=max(0.0, message.deadline_ms - self.context.now_ms),
+                tenant=rule.tenant,
+                ordering_key=_ordering_key(message.head) if in_order else 0,
+            )
+        )
 
     def _wait_for_answer(self, message: AcceptedMessage, request: server.RequestContext) -> None:
         """Answer a request with the message's final answer, on this connection or by the receipt address."""
@@ -160,7 +174,7 @@
             request.reply(202, [("Content-Type", "text/plain")], b"taken; the receipt follows\n")
 
     def _answer_again(self, head: as2.As2Headers, request: server.RequestContext, answer: ClientAnswer) -> None:
-        """Give the stored final answer of a message to a client that submits it again."""
+        """Return the stored final answer of a message to a client that submits it again."""
         if not answer.is_complete:
             repeated = self.receipt_issuer.repeated(head, answer.kind)
             answer = ClientAnswer(answer.status, repeated.headers, repeated.body, answer.kind)
@@ -171,7 +185,7 @@
         self.receipt_delivery.deliver(head, answer)
 
     def complete(self, message: AcceptedMessage, answer: ClientAnswer) -> None:
-        """Give the one final answer, on every connection that waits and to the receipt address."""
+        """Send the one final answer of a message, to all waiting requests and to the receipt address."""
         head = message.head
         del self.context.accepted[message.id]
         self.admission.release(message.reservation)
--- a/linnetstile/as2_relay/tls_keys.py
+++ b/linnetstile/as2_relay/tls_keys.py
@@ -42,7 +42,8 @@
 
     def for_partner(self, partner: str, address: EndpointAddress) -> client.TlsParameters | None:
         """Return the keys for a partner and the name that it has to show; None if its TLS settings are missing."""
-        keys, settings = self.partners.get(partner), self.partner_settings.get(partner)
+        keys = self.partners.get(partner)
+        settings = self.partner_settings.get(partner)
         if keys is None or settings is None or settings.tls is None:
             return None
         return keys, settings.tls.name or address.address[0]
