--- a/benchmarks/cold_start.py
+++ b/benchmarks/cold_start.py
@@ -16,7 +16,8 @@
 from typing import Any
 
 from benchmarks.common import argument_parser, print_result
-from tests.faults.relay_testbed import SAFETY, RelayTestbed, answer_kind
+from tests.faults.relay_testbed import RelayTestbed, answer_kind
+from tests.faults.testbed_settings import SAFETY
 
 PARTNER_RATE, MESSAGES_PER_S, OUTAGE_S = 60.0, 100.0, 6.0
 OLD_RELAYS = 2
--- a/linnetstile/as2_relay/delivery.py
+++ b/linnetstile/as2_relay/delivery.py
@@ -160,18 +160,18 @@
         if attempt and attempt.number == attempt_number and attempt.call:
             attempt.call.abort(WireResult.CANCELLED)
 
-    def close_idle(self, endpoint_id: int) -> None:
-        """Close the idle connections to an endpoint, if it is still listed."""
-        endpoint = self.registry.endpoints.get(endpoint_id)
-        if endpoint is not None:
-            self.pool.close_idle(endpoint.address)
-
     def cancel_if_unsent(self, message: AcceptedMessage | None) -> None:
         """End the attempt in flight unless the partner may have had all of the request."""
         attempt = message.attempt if message is not None else None
         if attempt and attempt.call:
             attempt.call.cancel_if_unsent()
 
+    def close_idle(self, endpoint_id: int) -> None:
+        """Close the idle connections to an endpoint, if it is still listed."""
+        endpoint = self.registry.endpoints.get(endpoint_id)
+        if endpoint is not None:
+            self.pool.close_idle(endpoint.address)
+
     def _on_answer(self, message: AcceptedMessage, attempt: Attempt, answer: client.CallResult) -> None:
         attempt.call = None
         if message.attempt is not attempt:
--- a/tests/as2_relay/test_process.py
+++ b/tests/as2_relay/test_process.py
@@ -6,16 +6,22 @@
 import json
 import resource
 import socket
-import sys
 from pathlib import Path
 from typing import BinaryIO, TextIO, cast
 
 import pytest
 import yaml
+from click.testing import CliRunner
 
+from linnetstile.cli.relay import command
+from linnetstile.config.relay import split_address
 from linnetstile.telemetry.log import NonFailingStream
 
-from ..faults.relay_testbed import RelayTestbed, answer_kind, run_test
+from ..faults.relay_process import RelayProcess, write_settings
+from ..faults.relay_testbed import RelayTestbed, answer_kind, async_test
+from ..faults.testbed_settings import partner_fault
+
+FEW_DESCRIPTORS = 40
 
 
 class FullDisk:
@@ -37,65 +43,46 @@
     return cast(BinaryIO, open("/dev/full" if fault == "full log" else folder / "log", "ab", buffering=0))
 
 
+def limit_descriptors() -> None:
+    """Leave this process few file descriptors."""
+    resource.setrlimit(resource.RLIMIT_NOFILE, (FEW_DESCRIPTORS, FEW_DESCRIPTORS))
+
+
 @pytest.mark.parametrize("fault", ["full log", "no descriptors"])
-def test_a_relay_survives_a_full_log_and_running_out_of_descriptors(tmp_path: Path, fault: str) -> None:
-    async def test() -> None:
-        async with RelayTestbed(tmp_path) as testbed:
-            settings = testbed.relay_settings("r1").model_dump(mode="json", by_alias=True)
-            (tmp_path / "relay.yaml").write_text(yaml.safe_dump(settings))
-
-            def limit_descriptors() -> None:
-                if fault == "no descriptors":
-                    resource.setrlimit(resource.RLIMIT_NOFILE, (40, 40))
-
-            with open_log(tmp_path, fault) as log:
-                child = await asyncio.create_subprocess_exec(
-                    sys.executable,
-                    "-m",
-                    "linnetstile.cli.main",
-                    "relay",
-                    str(tmp_path / "relay.yaml"),
-                    stdout=asyncio.subprocess.PIPE,
-                    stderr=log,
-                    preexec_fn=limit_descriptors,
-                )
-            assert child.stdout is not None
-            address = json.loads(await asyncio.wait_for(child.stdout.readline(), 20))["listening"]
-            host, port = address.split(":")
-            connections = [socket.create_connection((host, int(port))) for _ in range(80)]
-            await asyncio.sleep(0.3)
-            for connection in connections:
-                connection.close()
-            answer = await testbed.post(address, testbed.make_message("safe"))
-            while answer_kind(answer) == "refused":  # the list of partners is read while it starts
-                answer = await testbed.post(address, testbed.make_message("safe"))
-            assert answer_kind(answer) == "delivered"
-            child.terminate()
-            assert await asyncio.wait_for(child.wait(), 20) == 0
-            if fault == "no descriptors":
-                lines = [json.loads(line) for line in (tmp_path / "log").read_text().splitlines()]
-                fitted = [line for line in lines if line["event"] == "open_files"]
-                assert [line["connections"] for line in fitted] == [
-                    16
-                ]  # logged at the start, with the setting to change
-                assert "raise the limit on open files" in fitted[0]["why"]
-
-    run_test(test)
-
-
-def test_a_failure_names_what_the_last_attempt_proved(tmp_path: Path) -> None:
-    async def test() -> None:
-        faults = [{"kind": "forged_receipt", "at_s": 0, "for_s": 60, "partners": ["firma"]}]
-        async with RelayTestbed(tmp_path, faults=faults) as testbed:
-            answer = await testbed.submit(testbed.make_message("unsafe"))
-            assert answer_kind(answer) == "failed"
-            assert b"1 attempt, the last one: receipt not signed by the partner" in answer.body
-
-    run_test(test)
+@async_test
+async def test_a_relay_survives_a_full_log_and_running_out_of_descriptors(tmp_path: Path, fault: str) -> None:
+    async with RelayTestbed(tmp_path) as testbed:
+        settings_file = write_settings(testbed.relay_settings("r1"), tmp_path / "relay.yaml")
+        before_exec = limit_descriptors if fault == "no descriptors" else None
+        with open_log(tmp_path, fault) as log:
+            relay = await RelayProcess.start(settings_file, stderr=log, before_exec=before_exec)
+        address = split_address(relay.address)
+        connections = [socket.create_connection(address) for _ in range(80)]
+        await asyncio.sleep(0.3)
+        for connection in connections:
+            connection.close()
+        answer = await relay.submit_until_accepted(testbed, testbed.make_message("safe"))
+        assert answer_kind(answer) == "delivered"
+        relay.child.terminate()
+        assert await relay.wait_for_exit() == 0
+        if fault == "no descriptors":
+            lines = [json.loads(line) for line in (tmp_path / "log").read_text().splitlines()]
+            warnings = [line for line in lines if line["event"] == "open_files"]
+            # Logged once, at the start, with the setting to change.
+            assert [line["connections"] for line in warnings] == [16]
+            assert "raise the limit on open files" in warnings[0]["why"]
+
+
+@async_test
+async def test_a_failure_names_what_the_last_attempt_proved(tmp_path: Path) -> None:
+    async with RelayTestbed(tmp_path, faults=[partner_fault("forged_receipt")]) as testbed:
+        answer = await testbed.submit(testbed.make_message("unsafe"))
+        assert answer_kind(answer) == "failed"
+        assert b"1 attempt, the last one: receipt not signed by the partner" in answer.body
 
 
 @pytest.mark.parametrize(
-    ("more", "says"),
+    ("more_settings", "error_text"),
     [
         ({"tls": {"certificate": "/nowhere/none.pem"}}, "/nowhere/none.pem: can't be used: No such file"),
         ({"partners": {"firma": {"tls": {"authorities": "/nowhere/root.pem"}}}}, "/nowhere/root.pem: can't be used"),
@@ -103,21 +90,17 @@
     ],
 )
 def test_the_check_option_loads_all_files_that_the_settings_name(
-    tmp_path: Path, more: dict[str, object], says: str
+    tmp_path: Path, more_settings: dict[str, object], error_text: str
 ) -> None:
-    from click.testing import CliRunner
-
-    from linnetstile.cli.relay import command
-
     settings = {
         "name": "r",
         "register": "http://127.0.0.1:1",
         "classes": {"a": {"effect": "safe", "aim_ms": 1, "deadline_ms": 2}},
         "rules": [{"class": "a"}],
         "limits": {"slots": 1, "hold": 1},
-        **more,
+        **more_settings,
     }
     (tmp_path / "relay.yaml").write_text(yaml.safe_dump(settings))
     result = CliRunner().invoke(command, [str(tmp_path / "relay.yaml"), "--check"])
     assert result.exit_code == 2
-    assert says in result.output
+    assert error_text in result.output
--- a/tests/faults/relay_testbed.py
+++ b/tests/faults/relay_testbed.py
@@ -3,10 +3,11 @@
 from __future__ import annotations
 
 import asyncio
+import functools
 import itertools
 from collections.abc import Callable, Coroutine
 from pathlib import Path
-from typing import Any
+from typing import Any, ParamSpec
 
 from linnetstile.as2_relay.relay import As2Relay
 from linnetstile.codec import cms, http1
@@ -19,55 +20,38 @@
 from linnetstile.telemetry.log import logger
 from linnetstile.testbed.rule_checker import RuleChecker, RunRecord, Verdict
 
+from .testbed_settings import CLASSES, CLIENT_NAME, LIMITS, PARTNER, PARTNER_NAME, RELAY_NAME, SAFETY
+
 TEST_TIMEOUT_S = 40
 ANSWER_TIMEOUT_S = 12
 WARM_UP_MESSAGES = 6  # for each relay: so many answers make its latency known
-IDENTITIES = ("firma", "relay", "office")
-CLASSES: dict[str, Any] = {
-    "keyed": {"effect": "keyed", "aim_ms": 1000, "deadline_ms": 8000, "key_window_ms": 4000},
-    "unsafe": {"effect": "unsafe", "aim_ms": 1000, "deadline_ms": 4000},
-    "safe": {"effect": "safe", "aim_ms": 1000, "deadline_ms": 8000},
-}
-SAFETY = {
-    "drain_grace_ms": 100.0,
-    "cold_share": 0.2,
-    "cold_ms": 4000.0,
-    "fall_multiple": 2.0,
-    "fall_ms": 1000.0,
-    "ask_within_ms": 2000.0,
-    "key_rest_ms": 50.0,
-    "answer_slack_ms": 20.0,
-}
-PARTNER: dict[str, Any] = {
-    "name": "firma",
-    "work_ms": 40,
-    "spread": 0.0,
-    "rate": 50.0,
-    "tell": 1.0,
-    "keyed": ["keyed"],
-    "key_window_ms": 4000,
-    "cold_share": 0.2,
-    "cold_ms": 4000,
-    "fall_multiple": 2,
-    "fall_ms": 1000,
-}
-LIMITS: dict[str, Any] = {
-    "slots": 8,
-    "hold": 100,
-    "attempts": 5,
-    "connect_timeout_ms": 500,
-    "self_check_ms": 50,
-}
+DEFAULT_RATE = 50.0  # calls a second that the registry advertises of a partner without limit
+
+P = ParamSpec("P")
 
 
 class RelayTestbed:
-    """Use it as `async with RelayTestbed(tmp_path, ...) as testbed`; `seconds()` counts from the end of its start.
+    """Use it as `async with RelayTestbed(tmp_path, ...) as testbed`; `elapsed_s()` counts from the end of its start.
 
     Each relay checks its invariants every 50 ms; what it finds fails the test at the end of the block.
 
+    Args:
+        folder: Where keys and records are written.
+        relays: Number of relays to start.
+        faults: Faults of the partner, with times from the end of the start.
+        partner: Fields of the partner that differ from `PARTNER`.
+        endpoints: Number of the partner's endpoints.
+        classes: Message classes instead of `CLASSES`.
+        limits: Limits of the relays that differ from `LIMITS`.
+        register: Fields of the registry's specification.
+        warm: Whether each relay delivers some messages first.
+        knowledge: Gossip settings of the relays.
+        fleet: How many relays the relays are told there are, if not as many as are started.
+        tls: How the relays reach the partner over TLS.
+
     Attributes:
-        services: The relays that were started.
-        stand: The emulator of the partner "firma".
+        relays: The relays that were started.
+        partner_emulator: The emulator of the partner "firma".
         registry: The emulator of the partner registry.
         ports: Port of each endpoint of the partner, by its identifier.
         keys: The identities of the partner, the relays and the client "office".
@@ -89,26 +73,8 @@
         fleet: int = 0,
         tls: dict[str, Any] | None = None,
     ) -> None:
-        """Describe the fleet.
-
-        Args:
-            folder: Where keys and records are written.
-            relays: Number of relays to start.
-            faults: Faults of the partner, with times from the end of the start.
-            partner: Fields of the partner that differ from `PARTNER`.
-            endpoints: Number of the partner's endpoints.
-            classes: Message classes instead of `CLASSES`.
-            limits: Limits of the relays that differ from `LIMITS`.
-            register: Fields of the registry's specification.
-            warm: Whether each relay delivers some messages first.
-            knowledge: Gossip settings of the relays.
-            fleet: How many relays the relays are told there are, if not as many as are started.
-            tls: How the relays reach the partner over TLS.
-        """
         self.folder = folder
-        self.keys = {name: cms.make_identity(name) for name in IDENTITIES}
-        for name, identity in self.keys.items():
-            (folder / f"{name}.pem").write_bytes(cms.encode_identity(identity))
+        self.keys = write_identities(folder)
         self.relay_count = relays
         self.fleet = fleet or relays
         self.faults = faults or []
@@ -118,12 +84,8 @@
         self.warm = warm and "safe" in self.classes
         self.knowledge = knowledge
         self.tls = tls
-        self.partner = {
-            **PARTNER,
-            "endpoints": [{"id": number + 1} for number in range(endpoints)],
-            "pem": folder / "firma.pem",
-            **(partner or {}),
-        }
+        endpoint_specs = [{"id": number + 1} for number in range(endpoints)]
+        self.partner = {**PARTNER, "endpoints": endpoint_specs, "pem": folder / "firma.pem", **(partner or {})}
         self.loop_errors: list[str] = []
         self.relays: list[As2Relay] = []
         self.serial_numbers = itertools.count(1)
@@ -132,35 +94,19 @@
 
     async def __aenter__(self) -> RelayTestbed:
         asyncio.get_running_loop().set_exception_handler(self._on_loop_error)
-        self.partner_emulator = PartnerEmulator(
-            PartnersSpec.model_validate(
-                {
-                    "record": self.folder / "partners.jsonl",
-                    "t0_ms": now_ms() + 1e9,
-                    "partners": [self.partner],
-                    "faults": self.faults,
-                }
-            )
-        )
+        self.partner_emulator = self._make_partner_emulator()
         self.ports = await self.partner_emulator.start()
-        self.registry = RegistryEmulator(
-            RegistrySpec.model_validate(
-                {
-                    "lag_ms": 0,
-                    "record": self.folder / "register.jsonl",
-                    **self.registry_spec,
-                    "entries": [self.registry_entry(endpoint) for endpoint in self.ports],
-                }
-            )
-        )
+        self.registry = self._make_registry_emulator()
         await self.registry.start()
         self.pool = client.ConnectionPool()
         for _ in range(self.relay_count):
             await self.start_relay(knowledge=self.knowledge)
         if self.warm:
             await self._warm_up()
-        # The script's clock starts once everything stands, and the relays know the usual latency.
-        self.partner_emulator.script_start_ms = self.registry.script_start_ms = now_ms()
+        # The times of faults count from here: all parts run, and the relays know the usual latency.
+        script_start_ms = now_ms()
+        self.partner_emulator.script_start_ms = script_start_ms
+        self.registry.script_start_ms = script_start_ms
         self.partner_emulator.schedule_outages()
         return self
 
@@ -172,9 +118,27 @@
         self.partner_emulator.close()
         self.client_record.flush()
         await asyncio.sleep(0.02)
-        self.partner_emulator.recorder.flush()  # what the end of its connections showed
+        self.partner_emulator.recorder.flush()  # the records that the end of its connections has added
         assert not self.loop_errors, self.loop_errors[:3]
 
+    def _make_partner_emulator(self) -> PartnerEmulator:
+        specification = {
+            "record": self.folder / "partners.jsonl",
+            "t0_ms": now_ms() + 1e9,
+            "partners": [self.partner],
+            "faults": self.faults,
+        }
+        return PartnerEmulator(PartnersSpec.model_validate(specification))
+
+    def _make_registry_emulator(self) -> RegistryEmulator:
+        specification = {
+            "lag_ms": 0,
+            "record": self.folder / "register.jsonl",
+            **self.registry_spec,
+            "entries": [self.registry_entry(endpoint) for endpoint in self.ports],
+        }
+        return RegistryEmulator(RegistrySpec.model_validate(specification))
+
     def _on_loop_error(self, _: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
         self.loop_errors.append(f"{context.get('message')}: {context.get('exception')!r}")
 
@@ -190,34 +154,32 @@
         scheme = "https" if self.partner.get("tls_pem") else "http"
         return {
             "id": endpoint,
-            "partner": "firma",
+            "partner": PARTNER_NAME,
             "url": f"{scheme}://127.0.0.1:{self.ports[endpoint]}/as2",
             "status": "ready",
-            "rate": self.partner["rate"] or 50.0,
+            "rate": self.partner["rate"] or DEFAULT_RATE,
         }
 
     def relay_settings(self, name: str, **more: Any) -> RelaySettings:
         """Return the settings of a relay; `more` has fields that are added or replaced."""
-        return RelaySettings.model_validate(
-            {
-                "name": name,
-                "register": f"http://127.0.0.1:{self.registry.port}",
-                "relays": self.fleet,
-                "identity": {"pem": self.folder / "relay.pem"},
-                "classes": self.classes,
-                "safety": SAFETY,
-                "rules": [{"class": name, "subject": name} for name in self.classes],
-                "limits": self.limits,
-                "partners": {
-                    "firma": {
-                        "certificate": self.folder / "firma.pem",
-                        "tls": self.tls,
-                        "receipts": self.partner.get("receipts", "sync"),
-                    }
-                },
-                **more,
-            }
-        )
+        partner_settings = {
+            "certificate": self.folder / "firma.pem",
+            "tls": self.tls,
+            "receipts": self.partner.get("receipts", "sync"),
+        }
+        document = {
+            "name": name,
+            "register": f"http://127.0.0.1:{self.registry.port}",
+            "relays": self.fleet,
+            "identity": {"pem": self.folder / "relay.pem"},
+            "classes": self.classes,
+            "safety": SAFETY,
+            "rules": [{"class": class_name, "subject": class_name} for class_name in self.classes],
+            "limits": self.limits,
+            "partners": {PARTNER_NAME: partner_settings},
+            **more,
+        }
+        return RelaySettings.model_validate(document)
 
     async def start_relay(self, wait: bool = True, knowledge: dict[str, Any] | None = None) -> As2Relay:
         """Start one more relay; with `wait`, return once it has the endpoint list."""
@@ -232,7 +194,7 @@
         return relay
 
     def kill_relay(self, index: int) -> None:
-        """End everything of a relay at once, as its sockets show it."""
+        """Close a relay at once, which its peers see as a kill."""
         self.relays[index].close()
         self.relay_lifetimes[f"r{index + 1}"][-1][1:] = [now_ms(), "killed"]
 
@@ -253,30 +215,31 @@
     def make_message(self, message_class: str, content: bytes = b"ISA*00~", **more: Any) -> messages.BuiltMessage:
         """Make a message from "office" to the partner, under a fresh identifier unless `ident` is given."""
         more.setdefault("ident", f"<{next(self.serial_numbers)}@office>")
-        ident = more.pop("ident")
-        return messages.build_message("office", more.pop("to", "firma"), ident, message_class, content, **more)
+        message_id = more.pop("ident")
+        receiver = more.pop("to", PARTNER_NAME)
+        return messages.build_message(CLIENT_NAME, receiver, message_id, message_class, content, **more)
 
     async def submit(self, message: messages.BuiltMessage, relay: int = 0) -> client.CallResult:
         """Submit a message, wait for the answer on the connection, and record both."""
-        mark = f"h{next(self.serial_numbers)}"
+        submission_id = f"h{next(self.serial_numbers)}"
         self.client_record(
             "hand",
-            hand=mark,
+            hand=submission_id,
             mid=message.head.message_id,
             relay=f"r{relay + 1}",
             cls=message.head.subject,
             again=False,
-            sender="office",
-            receiver="firma",
+            sender=CLIENT_NAME,
+            receiver=PARTNER_NAME,
             wait="",
         )
         answer = await self.post(self.relays[relay].address, message)
         if answer.head is None:
-            self.client_record("lost", hand=mark, mid=message.head.message_id, sight=answer.wire_result.value)
+            self.client_record("lost", hand=submission_id, mid=message.head.message_id, sight=answer.wire_result.value)
         else:
             self.client_record(
                 "final",
-                hand=mark,
+                hand=submission_id,
                 mid=message.head.message_id,
                 kind=answer_kind(answer),
                 status=answer.head.status,
@@ -289,11 +252,17 @@
         """Return what the receipt in an answer is worth to the client."""
         if answer.head is None or answer.head.status != 200 or not message.head.receipt_to:
             return "none"
-        signer = "relay" if answer_kind(answer) in ("failed", "refused") else "firma"
-        return messages.check_receipt(message, answer.head.headers, answer.body, self.keys[signer].certificate)[0].value
+        signer = RELAY_NAME if answer_kind(answer) in ("failed", "refused") else PARTNER_NAME
+        certificate = self.keys[signer].certificate
+        return messages.check_receipt(message, answer.head.headers, answer.body, certificate)[0].value
 
     async def post(self, address: str, message: messages.BuiltMessage, path: str = "/as2") -> client.CallResult:
         """Post a message to an address and return the answer."""
+        headers = [("Host", address), *message.headers]
+        return await self.call(address, http1.encode_request("POST", path, headers, message.body))
+
+    async def call(self, address: str, data: bytes) -> client.CallResult:
+        """Send the bytes of a POST request to an address and return the answer."""
         loop = asyncio.get_running_loop()
         done: asyncio.Future[client.CallResult] = loop.create_future()
 
@@ -301,15 +270,20 @@
             if not done.done():
                 done.set_result(answer)
 
-        data = http1.encode_request("POST", path, [("Host", address), *message.headers], message.body)
         self.pool.call(split_address(address), "POST", data, on_answer, loop.time() + ANSWER_TIMEOUT_S)
         return await done
 
+    async def connect(self, relay: int = 0) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
+        """Open a bare connection to a relay."""
+        host, port = split_address(self.relays[relay].address)
+        return await asyncio.open_connection(host, port)
+
     async def submit_evenly(
         self, message_class: str, per_s: float, seconds: float, relays: int | None = None
     ) -> list[client.CallResult]:
         """Submit evenly spaced messages to the relays in turn, and return all answers."""
-        tasks, start = [], self.elapsed_s()
+        tasks = []
+        start = self.elapsed_s()
         for number in range(int(per_s * seconds)):
             await self.sleep_until(start + number / per_s)
             relay = number % (relays or self.relay_count)
@@ -342,7 +316,7 @@
             "safety": SAFETY,
             "attempts": self.limits["attempts"],
             "relays": self.relay_lifetimes,
-            "partners": {"firma": {"rate": self.partner["rate"]}},
+            "partners": {PARTNER_NAME: {"rate": self.partner["rate"]}},
         }
         return RuleChecker(RunRecord(facts, *records)).check_rules()
 
@@ -351,6 +325,14 @@
         return [text for verdict in self.check_rules() for text in verdict.findings]
 
 
+def write_identities(folder: Path) -> dict[str, cms.Identity]:
+    """Make the identities of the partner, the relays and the client, and write each to `NAME.pem`."""
+    identities = {name: cms.make_identity(name) for name in (PARTNER_NAME, RELAY_NAME, CLIENT_NAME)}
+    for name, identity in identities.items():
+        (folder / f"{name}.pem").write_bytes(cms.encode_identity(identity))
+    return identities
+
+
 def answer_kind(answer: client.CallResult) -> str:
     """Return the kind of an answer, or how the call ended without one."""
     return answer.head.headers.get("linnetstile-answer") if answer.head else answer.wire_result.value
@@ -362,6 +344,16 @@
         await asyncio.sleep(poll_s)
 
 
+def async_test(test: Callable[P, Coroutine[Any, Any, None]]) -> Callable[P, None]:
+    """Make a coroutine function a test, with a bound on its time."""
+
+    @functools.wraps(test)
+    def run(*args: P.args, **kwargs: P.kwargs) -> None:
+        run_test(functools.partial(test, *args, **kwargs))
+
+    return run
+
+
 def run_test(test: Callable[[], Coroutine[Any, Any, None]]) -> None:
     """Run a test's coroutine, with a bound on its time."""
     asyncio.run(asyncio.wait_for(test(), TEST_TIMEOUT_S))
--- a/tests/faults/test_fuzz.py
+++ b/tests/faults/test_fuzz.py
@@ -9,9 +9,10 @@
 
 import pytest
 
-from linnetstile.config.relay import split_address
+from linnetstile.as2_relay.relay import As2Relay
 
-from .relay_testbed import RelayTestbed, answer_kind, run_test, wait_until
+from .relay_testbed import RelayTestbed, answer_kind, async_test, wait_until
+from .testbed_settings import partner_fault
 
 LIMITS = {
     "body_rate": 20_000,
@@ -28,7 +29,7 @@
     "hold": 40,
 }
 FAULTS = [
-    {"kind": kind, "at_s": 0, "for_s": 5, "partners": ["firma"], "share": 0.12, **more}
+    partner_fault(kind, for_s=5, share=0.12, **more)
     for kind, more in (
         ("crawl", {"bytes": 20_000}),
         ("trickle", {}),
@@ -40,32 +41,46 @@
 ]
 
 
-async def run_faulty_client(testbed: RelayTestbed, rng: random.Random) -> None:
-    reader, writer = await asyncio.open_connection(*split_address(testbed.relays[0].address))
-    message = testbed.make_message(
-        rng.choice(("safe", "keyed", "unsafe")), rng.randbytes(rng.choice((10, 3000, 120_000)))
-    )
+def make_faulty_request(testbed: RelayTestbed, rng: random.Random) -> bytes:
+    """Return a submission whose stated size may be wrong, the same three times, or random bytes."""
+    message_class = rng.choice(("safe", "keyed", "unsafe"))
+    content = rng.randbytes(rng.choice((10, 3000, 120_000)))
+    message = testbed.make_message(message_class, content)
     lines = [f"{name}: {value}" for name, value in [("Host", "x"), *message.headers]]
-    chunked = rng.random() < 0.3
+    is_chunked = rng.random() < 0.3
     stated_size = len(message.body) + rng.choice((0, 0, 0, 7, -3))
-    lines.append("Transfer-Encoding: chunked" if chunked else f"Content-Length: {max(0, stated_size)}")
-    body = b"%x\r\n%b\r\n0\r\n\r\n" % (len(message.body), message.body) if chunked else message.body
+    lines.append("Transfer-Encoding: chunked" if is_chunked else f"Content-Length: {max(0, stated_size)}")
+    body = b"%x\r\n%b\r\n0\r\n\r\n" % (len(message.body), message.body) if is_chunked else message.body
     data = ("POST /as2 HTTP/1.1\r\n" + "\r\n".join(lines) + "\r\n\r\n").encode() + body
     if rng.random() < 0.1:
         data = rng.randbytes(rng.randrange(1, 5000))
     if rng.random() < 0.2:
         data *= 3
+    return data
+
+
+async def send_in_pieces(writer: asyncio.StreamWriter, data: bytes, rng: random.Random) -> bool:
+    """Send data in pieces with pauses; return False if the connection was aborted on the way."""
     offset = 0
     while offset < len(data):
-        step = rng.choice((1, 100, 5000, 100_000))
-        writer.write(data[offset : offset + step])
-        offset += step
+        size = rng.choice((1, 100, 5000, 100_000))
+        writer.write(data[offset : offset + size])
+        offset += size
         if rng.random() < 0.15:
             await asyncio.sleep(rng.choice((0.0, 0.05, 0.4)))
         if rng.random() < 0.03:
             writer.transport.abort()
-            return
+            return False
         await writer.drain()
+    return True
+
+
+async def run_faulty_client(testbed: RelayTestbed, rng: random.Random) -> None:
+    """Send one request with faults that are drawn from `rng`, and perhaps read a part of the answer."""
+    reader, writer = await testbed.connect()
+    data = make_faulty_request(testbed, rng)
+    if not await send_in_pieces(writer, data, rng):
+        return
     if rng.random() < 0.3:
         writer.write_eof()
     if rng.random() < 0.7:
@@ -73,46 +88,46 @@
     writer.close()
 
 
+def assert_nothing_is_held(relay: As2Relay) -> None:
+    """Assert that no memory, slot, timer or connection of a relay without messages is in use."""
+    assert not relay.admission.reservations
+    assert not relay.admission.waiting
+    assert relay.admission.fair_share.used == [0.0, 0.0]
+    assert not relay.delivery.receipt_endpoint.pending
+    assert not relay.receipt_delivery.timers
+    assert relay.engine.in_flight == 0
+    assert not relay.engine.queues.messages
+    assert not relay.engine.queues.queues
+    assert all(not partner.in_flight for partner in relay.admission.slow_partners.partners.values())
+    assert not [connection for connection in relay.listener.connections if connection.phase != "idle"]
+    assert not [connection for connection in relay.pool.connections if connection.call is not None]
+
+
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_no_resource_leaks_whatever_peers_do(tmp_path: Path, seed: int) -> None:
+@async_test
+async def test_no_resource_leaks_whatever_peers_do(tmp_path: Path, seed: int) -> None:
     """The relay checks its invariants twenty times a second (limits.self_check_ms); at the end nothing is held."""
+    rng = random.Random(seed)
+    async with RelayTestbed(tmp_path, limits=LIMITS, faults=FAULTS, partner={"rate": 200.0, "work_ms": 5}) as testbed:
+        relay = testbed.relays[0]
+        task_count_before = len(asyncio.all_tasks())
+
+        async def run_one(client_rng: random.Random) -> None:
+            with contextlib.suppress(OSError, asyncio.TimeoutError):
+                await run_faulty_client(testbed, client_rng)
 
-    async def test() -> None:
-        rng = random.Random(seed)
-        async with RelayTestbed(
-            tmp_path, limits=LIMITS, faults=FAULTS, partner={"rate": 200.0, "work_ms": 5}
-        ) as testbed:
-            relay = testbed.relays[0]
-            before = len(asyncio.all_tasks())
-
-            async def run_one(client_rng: random.Random) -> None:
-                with contextlib.suppress(OSError, asyncio.TimeoutError):
-                    await run_faulty_client(testbed, client_rng)
-
-            tasks = []
-            while testbed.elapsed_s() < 4.0:
-                tasks.append(asyncio.create_task(run_one(random.Random(rng.random()))))
-                await asyncio.sleep(rng.choice((0.0, 0.01, 0.03)))
-            await asyncio.gather(*tasks)
-            assert len(tasks) > 100
-            assert relay.counts["taken"] > 20
-            await testbed.sleep_until(6.0)
-            await wait_until(lambda: not relay.accepted, poll_s=0.05)  # the longest deadline is 8 s
-            await asyncio.sleep(1.2)
-            relay.verify_invariants()
-            assert not relay.admission.reservations
-            assert not relay.admission.waiting
-            assert relay.admission.fair_share.used == [0.0, 0.0]
-            assert not relay.delivery.receipt_endpoint.pending
-            assert not relay.receipt_delivery.timers
-            assert relay.engine.in_flight == 0
-            assert not relay.engine.queues.messages
-            assert not relay.engine.queues.queues
-            assert all(not partner.in_flight for partner in relay.admission.slow_partners.partners.values())
-            assert not [connection for connection in relay.listener.connections if connection.phase != "idle"]
-            assert not [connection for connection in relay.pool.connections if connection.call is not None]
-            assert len(asyncio.all_tasks()) <= before
-            assert answer_kind(await testbed.submit(testbed.make_message("safe"))) == "delivered"
-        assert not [text for text in testbed.broken_rules() if "no final answer" not in text]
-
-    run_test(test)
+        tasks = []
+        while testbed.elapsed_s() < 4.0:
+            tasks.append(asyncio.create_task(run_one(random.Random(rng.random()))))
+            await asyncio.sleep(rng.choice((0.0, 0.01, 0.03)))
+        await asyncio.gather(*tasks)
+        assert len(tasks) > 100
+        assert relay.counts["taken"] > 20
+        await testbed.sleep_until(6.0)
+        await wait_until(lambda: not relay.accepted, poll_s=0.05)  # the longest deadline is 8 s
+        await asyncio.sleep(1.2)
+        relay.verify_invariants()
+        assert_nothing_is_held(relay)
+        assert len(asyncio.all_tasks()) <= task_count_before
+        assert answer_kind(await testbed.submit(testbed.make_message("safe"))) == "delivered"
+    assert not [text for text in testbed.broken_rules() if "no final answer" not in text]
--- a/tests/faults/test_gossip.py
+++ b/tests/faults/test_gossip.py
@@ -17,7 +17,10 @@
 from linnetstile.net import server
 from linnetstile.storage import snapshot
 
-from .relay_testbed import RelayTestbed, answer_kind, run_test
+from .relay_testbed import RelayTestbed, answer_kind, async_test
+from .testbed_settings import partner_fault
+
+COMMAND_TIMEOUT_S = 30
 
 
 def token_settings(folder: Path) -> dict[str, Any]:
@@ -69,6 +72,17 @@
     return reply
 
 
+async def run_knowledge_command(*arguments: str) -> subprocess.CompletedProcess[str]:
+    """Run `linnetstile knowledge` and return how it ended."""
+    return await asyncio.to_thread(
+        subprocess.run,
+        [sys.executable, "-m", "linnetstile.cli.main", "knowledge", *arguments],
+        capture_output=True,
+        text=True,
+        timeout=COMMAND_TIMEOUT_S,
+    )
+
+
 def is_ejected(relay: As2Relay) -> bool:
     """Return whether a relay has ejected the partner."""
     return relay.engine.routes[0][-1].health.ejected
@@ -84,89 +98,81 @@
     raise AssertionError(f"no peer was asked: {relay.gossip.counts}")
 
 
-def test_a_new_relay_spares_a_partner_whose_outage_peers_report(tmp_path: Path) -> None:
-    async def test() -> None:
-        faults = [{"kind": "fast_errors", "at_s": 0, "for_s": 4, "partners": ["firma"]}]
-        async with RelayTestbed(
-            tmp_path, relays=2, fleet=3, faults=faults, partner={"rate": 15.0}, knowledge=token_settings(tmp_path)
-        ) as testbed:
-            before = asyncio.create_task(testbed.submit_evenly("safe", 8, 2.0))
-            await testbed.sleep_until(2.0)
-            old_relay = testbed.relays[0]
-            assert old_relay.engine.routes[0][-1].health.ejected
-            new_relay = await testbed.start_relay(knowledge=token_settings(tmp_path) | {"peers": [old_relay.address]})
-            await wait_for_polls(new_relay)
-            await asyncio.sleep(0.05)
-            route = new_relay.engine.routes[0][-1]
-            assert route.health.ejected
-            assert route.health.from_gossip
-            outage_age_ms = new_relay.gossip.merger.merged["firma", -1].route.outage_age_ms
-            assert outage_age_ms is not None
-            assert outage_age_ms > 1000
-            assert old_relay.engine.routes[0][-1].health.notified_relays >= 1  # the new relay knows of the outage now
-            assert new_relay.gossip.document()["claims"] == []  # it has no evidence of its own
-            began = len(testbed.partner_records("began"))
-            task = asyncio.create_task(testbed.submit_evenly("safe", 20, 1.0, 3))
-            await asyncio.sleep(0.9)
-            new_relay_rows = [row for row in testbed.partner_records("began")[began:] if row["relay"] == "r3"]
-            assert len(new_relay_rows) <= 5
-            assert all(answer_kind(answer) in ("delivered", "refused") for answer in [*await task, *await before])
-        assert testbed.broken_rules() == []
-
-    run_test(test)
-
-
-def test_a_restarted_relay_keeps_a_retry_after_from_its_snapshot(tmp_path: Path) -> None:
-    async def test() -> None:
-        snapshot_settings = {"snapshot": tmp_path / "know", "snapshot_every_ms": 200}
-        faults = [{"kind": "shut", "at_s": 0, "for_s": 6, "partners": ["firma"]}]
-        async with RelayTestbed(tmp_path, faults=faults, knowledge=snapshot_settings) as testbed:
-            waiting = asyncio.create_task(testbed.submit(testbed.make_message("safe")))
-            await asyncio.sleep(0.8)
-            testbed.kill_relay(0)
-            await waiting
-            restarted = await testbed.start_relay(knowledge=snapshot_settings)
-            await asyncio.sleep(0.05)
-            left = restarted.engine.routes[0][-1].retry_after_until - restarted.context.now_ms
-            assert 3000 < left < 6000  # it was sent to this relay before it was killed, so it still binds
-            answer = await testbed.submit(testbed.make_message("safe"), 1)
-            assert answer_kind(answer) == "delivered"
-            assert testbed.elapsed_s() > 5.9
-        assert testbed.broken_rules() == []
-
-    run_test(test)
+@async_test
+async def test_a_new_relay_spares_a_partner_whose_outage_peers_report(tmp_path: Path) -> None:
+    faults = [partner_fault("fast_errors", for_s=4)]
+    async with RelayTestbed(
+        tmp_path, relays=2, fleet=3, faults=faults, partner={"rate": 15.0}, knowledge=token_settings(tmp_path)
+    ) as testbed:
+        before = asyncio.create_task(testbed.submit_evenly("safe", 8, 2.0))
+        await testbed.sleep_until(2.0)
+        old_relay = testbed.relays[0]
+        assert old_relay.engine.routes[0][-1].health.ejected
+        new_relay = await testbed.start_relay(knowledge=token_settings(tmp_path) | {"peers": [old_relay.address]})
+        await wait_for_polls(new_relay)
+        await asyncio.sleep(0.05)
+        route = new_relay.engine.routes[0][-1]
+        assert route.health.ejected
+        assert route.health.from_gossip
+        outage_age_ms = new_relay.gossip.merger.merged["firma", -1].route.outage_age_ms
+        assert outage_age_ms is not None
+        assert outage_age_ms > 1000
+        assert old_relay.engine.routes[0][-1].health.notified_relays >= 1  # the new relay knows of the outage now
+        assert new_relay.gossip.document()["claims"] == []  # it has no evidence of its own
+        began = len(testbed.partner_records("began"))
+        task = asyncio.create_task(testbed.submit_evenly("safe", 20, 1.0, 3))
+        await asyncio.sleep(0.9)
+        new_relay_rows = [row for row in testbed.partner_records("began")[began:] if row["relay"] == "r3"]
+        assert len(new_relay_rows) <= 5
+        assert all(answer_kind(answer) in ("delivered", "refused") for answer in [*await task, *await before])
+    assert testbed.broken_rules() == []
+
+
+@async_test
+async def test_a_restarted_relay_keeps_a_retry_after_from_its_snapshot(tmp_path: Path) -> None:
+    snapshot_settings = {"snapshot": tmp_path / "know", "snapshot_every_ms": 200}
+    faults = [partner_fault("shut", for_s=6)]
+    async with RelayTestbed(tmp_path, faults=faults, knowledge=snapshot_settings) as testbed:
+        waiting = asyncio.create_task(testbed.submit(testbed.make_message("safe")))
+        await asyncio.sleep(0.8)
+        testbed.kill_relay(0)
+        await waiting
+        restarted = await testbed.start_relay(knowledge=snapshot_settings)
+        await asyncio.sleep(0.05)
+        left = restarted.engine.routes[0][-1].retry_after_until - restarted.context.now_ms
+        assert 3000 < left < 6000  # it was sent to this relay before it was killed, so it still binds
+        answer = await testbed.submit(testbed.make_message("safe"), 1)
+        assert answer_kind(answer) == "delivered"
+        assert testbed.elapsed_s() > 5.9
+    assert testbed.broken_rules() == []
 
 
 @pytest.mark.parametrize(
     ("data", "text"),
     [(b"garbage", "not a snapshot"), (None, "checksum"), (b'{"linnetstile":"snapshot","format":9}\n', "format 9")],
 )
-def test_a_damaged_or_foreign_snapshot_is_set_aside_and_the_relay_starts(
+@async_test
+async def test_a_damaged_or_foreign_snapshot_is_set_aside_and_the_relay_starts(
     tmp_path: Path, data: bytes | None, text: str
 ) -> None:
-    async def test() -> None:
-        path = tmp_path / "know"
-        snapshot.write(path, document_json(claim_json()))
-        path.write_bytes(path.read_bytes()[:-3] if data is None else data)
-        with pytest.raises(snapshot.SnapshotError, match=text):
-            snapshot.read(path)
-        async with RelayTestbed(tmp_path, knowledge={"snapshot": path}) as testbed:
-            assert (tmp_path / "know.bad").exists()
-            assert testbed.relays[0].gossip.merger.snapshot is None
-            assert answer_kind(await testbed.submit(testbed.make_message("safe"))) == "delivered"
-
-    run_test(test)
-
-
-def test_a_failed_snapshot_write_is_counted_and_costs_no_message(tmp_path: Path) -> None:
-    async def test() -> None:
-        snapshot_settings = {"snapshot": tmp_path / "none" / "know", "snapshot_every_ms": 200}
-        async with RelayTestbed(tmp_path, knowledge=snapshot_settings) as testbed:
-            await asyncio.sleep(0.5)
-            assert testbed.relays[0].gossip.counts["snapshots_failed"] >= 1
-            assert answer_kind(await testbed.submit(testbed.make_message("safe"))) == "delivered"
-
-    run_test(test)
+    path = tmp_path / "know"
+    snapshot.write(path, document_json(claim_json()))
+    path.write_bytes(path.read_bytes()[:-3] if data is None else data)
+    with pytest.raises(snapshot.SnapshotError, match=text):
+        snapshot.read(path)
+    async with RelayTestbed(tmp_path, knowledge={"snapshot": path}) as testbed:
+        assert (tmp_path / "know.bad").exists()
+        assert testbed.relays[0].gossip.merger.snapshot is None
+        assert answer_kind(await testbed.submit(testbed.make_message("safe"))) == "delivered"
+
+
+@async_test
+async def test_a_failed_snapshot_write_is_counted_and_costs_no_message(tmp_path: Path) -> None:
+    snapshot_settings = {"snapshot": tmp_path / "none" / "know", "snapshot_every_ms": 200}
+    async with RelayTestbed(tmp_path, knowledge=snapshot_settings) as testbed:
+        await asyncio.sleep(0.5)
+        assert testbed.relays[0].gossip.counts["snapshots_failed"] >= 1
+        assert answer_kind(await testbed.submit(testbed.make_message("safe"))) == "delivered"
 
 
 def never_reply(request: server.RequestContext) -> None:
@@ -197,181 +203,143 @@
         (reply_with_error, "no_answer"),
     ],
 )
-def test_a_slow_invalid_or_incompatible_peer_delays_no_message(
+@async_test
+async def test_a_slow_invalid_or_incompatible_peer_delays_no_message(
     tmp_path: Path, reply: Callable[[server.RequestContext], None], counted: str
 ) -> None:
-    async def test() -> None:
-        listener, address = await start_peer(reply)
-        async with RelayTestbed(tmp_path, warm=False) as testbed:
-            new_relay = await testbed.start_relay(knowledge={"peers": [address]})
-            for _ in range(3):  # traffic goes on meanwhile
-                assert answer_kind(await testbed.submit(testbed.make_message("safe"), 1)) == "delivered"
-            await wait_for_polls(new_relay)
-            assert new_relay.gossip.counts[counted] == 1
-            assert not new_relay.gossip.merger.merged
-            assert new_relay.gossip.state()["peers"][0]["standing"] == "suspected"
-        listener.close()
-
-    run_test(test)
-
-
-def test_a_wrong_outage_report_costs_some_time_and_no_message(tmp_path: Path) -> None:
-    """It reports an outage of a partner that is up: the first own answer ends that."""
-
-    async def test() -> None:
-        listener, address = await start_peer(reply_with(document_json(claim_json(out_age=8_000, wait_ms=700))))
-        async with RelayTestbed(tmp_path, warm=False, partner={"rate": 200.0}) as testbed:
-            new_relay = await testbed.start_relay(knowledge={"peers": [address]})
-            await wait_for_polls(new_relay)
-            await asyncio.sleep(0.05)
-            assert is_ejected(new_relay)
+    listener, address = await start_peer(reply)
+    async with RelayTestbed(tmp_path, warm=False) as testbed:
+        new_relay = await testbed.start_relay(knowledge={"peers": [address]})
+        for _ in range(3):  # traffic goes on meanwhile
             assert answer_kind(await testbed.submit(testbed.make_message("safe"), 1)) == "delivered"
-            assert not is_ejected(new_relay)
-            assert new_relay.engine.routes[0][-1].health.failure_score < 0.5
-            assert answer_kind(await testbed.submit(testbed.make_message("unsafe"), 1)) == "delivered"
-        listener.close()
-        assert testbed.broken_rules() == []
-
-    run_test(test)
-
-
-def test_relays_that_start_together_learn_peers_from_peers(tmp_path: Path) -> None:
-    async def test() -> None:
-        async with RelayTestbed(tmp_path, knowledge=token_settings(tmp_path)) as testbed:
-            first = testbed.relays[0]
-            gossip_settings = token_settings(tmp_path)
-            second = await testbed.start_relay(knowledge=gossip_settings | {"peers": [first.address]})
-            await wait_for_polls(second)
-            third = await testbed.start_relay(knowledge=gossip_settings | {"peers": [second.address]})
-            await wait_for_polls(third, 2)  # the second named the first
-            assert first.address in third.gossip.poller.membership.peers  # type: ignore[union-attr]
-            for n in range(3):
-                assert answer_kind(await testbed.submit(testbed.make_message("safe"), n)) == "delivered"
-        assert testbed.broken_rules() == []
-
-    run_test(test)
-
-
-def test_a_delta_document_holds_only_changed_claims(tmp_path: Path) -> None:
-    async def test() -> None:
-        async with RelayTestbed(tmp_path, knowledge=token_settings(tmp_path)) as testbed:
-            gossip_settings = testbed.relays[0].gossip
-            complete = parse(gossip_settings.document())
-            assert len(complete.claims) == 1
-            assert complete.claims[0].answers >= 6
-            assert parse(gossip_settings.document(complete.version)).claims == []
-            await asyncio.sleep(2.1)
-            await testbed.submit(testbed.make_message("safe"))
-            changed = parse(gossip_settings.document(complete.version))
-            assert len(changed.claims) == 1
-            assert changed.version > complete.version
-
-    run_test(test)
-
-
-def test_a_wrong_token_is_denied_and_operators_do_not_count_as_relays(tmp_path: Path) -> None:
-    async def test() -> None:
-        async with RelayTestbed(tmp_path, knowledge=token_settings(tmp_path)) as testbed:
-            relay = testbed.relays[0]
-            (tmp_path / "wrong").write_text("guess")
-
-            async def command(*args: str) -> subprocess.CompletedProcess[str]:
-                return await asyncio.to_thread(
-                    subprocess.run,
-                    [sys.executable, "-m", "linnetstile.cli.main", "knowledge", *args],
-                    capture_output=True,
-                    text=True,
-                    timeout=30,
-                )
-
-            refused = await command("show", relay.address, "--token-file", str(tmp_path / "wrong"))
-            assert refused.returncode == 1
-            assert "403" in refused.stderr
-            assert "firma" not in refused.stdout
-            token = ("--token-file", str(tmp_path / "token"))
-            shown = await command("show", relay.address, *token)
-            assert shown.returncode == 0
-            assert "firma" in shown.stdout
-            assert "well" in shown.stdout
-            assert relay.engine.routes[0][-1].health.notified_relays == 0
-            exported = await command("export", relay.address, str(tmp_path / "kept"), *token)
-            assert exported.returncode == 0
-            assert (await command("diff", str(tmp_path / "kept"), relay.address, *token)).returncode == 0
-            imported = await command("import", str(tmp_path / "kept"), str(tmp_path / "other"))
-            assert imported.returncode == 0
-            assert snapshot.read(tmp_path / "other")[0]["relay"] == "r1"
-            (tmp_path / "kept").write_bytes(b"x")
-            invalid = await command("import", str(tmp_path / "kept"), str(tmp_path / "other"))
-            assert invalid.returncode == 2
-            assert "not a snapshot" in invalid.stderr
-
-    run_test(test)
-
-
-def test_operators_see_merged_routes_with_sources_and_rejected_claims(tmp_path: Path) -> None:
-    async def test() -> None:
-        listener, address = await start_peer(
-            reply_with(document_json(claim_json(out_age=8_000), claim_json(partner="other"), relays=9))
-        )
-        async with RelayTestbed(tmp_path, warm=False) as testbed:
-            new_relay = await testbed.start_relay(knowledge=token_settings(tmp_path) | {"peers": [address]})
-            await wait_for_polls(new_relay)
-            completed = await asyncio.to_thread(
-                subprocess.run,
-                [
-                    sys.executable,
-                    "-m",
-                    "linnetstile.cli.main",
-                    "knowledge",
-                    "learned",
-                    new_relay.address,
-                    "--token-file",
-                    str(tmp_path / "token"),
-                ],
-                capture_output=True,
-                text=True,
-                timeout=30,
-            )
-            state = json.loads(completed.stdout)
-            assert {row["why"] for row in state["doubted"]} >= {"no such partner or route now"}
-            assert state["peers"][0]["standing"] == "alive"
-            assert state["counts"]["answered"] == 1
-            (merged,) = state["taken"]  # the peer reports nine relays: the larger number counts
-            assert merged["knowers"] == 9
-            assert merged["sources"] == [address]
-            assert merged["out_ms"] >= 8000
-        listener.close()
-
-    run_test(test)
-
-
-def test_claims_on_replaced_endpoints_and_stale_claims_are_rejected(tmp_path: Path) -> None:
-    async def test() -> None:
-        listener, address = await start_peer(reply_with(document_json(claim_json(endpoints=[77], out_age=5000))))
-        old_relay, old_address = await start_peer(
-            reply_with(document_json(claim_json(failed_age=3_600_000, out_age=3_600_500, answered_age=3_700_000)))
-        )
-        async with RelayTestbed(tmp_path, warm=False) as testbed:
-            new_relay = await testbed.start_relay(knowledge={"peers": [address, old_address]})
-            await wait_for_polls(new_relay, 2)
-            await asyncio.sleep(0.05)
-            assert not any(route.health.ejected for route, _ in new_relay.engine.routing_table.known_routes(0).values())
-            reasons = {claim.reason for claim in new_relay.gossip.merger.rejected}
-            assert reasons == {"learned from endpoints that are not its own now", "says out, too long ago"}
-            assert answer_kind(await testbed.submit(testbed.make_message("unsafe"), 1)) == "delivered"
-        listener.close()
-        old_relay.close()
-        assert testbed.broken_rules() == []
-
-    run_test(test)
-
-
-def test_without_a_token_the_gossip_endpoint_is_not_found(tmp_path: Path) -> None:
-    async def test() -> None:
-        async with RelayTestbed(tmp_path) as testbed:
-            reader, writer = await asyncio.open_connection(*testbed.relays[0].address.split(":"))
-            writer.write(b"GET /knowledge HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer \r\n\r\n")
-            assert b" 404 " in await reader.read(100)
-            writer.close()
-
-    run_test(test)
+        await wait_for_polls(new_relay)
+        assert new_relay.gossip.counts[counted] == 1
+        assert not new_relay.gossip.merger.merged
+        assert new_relay.gossip.state()["peers"][0]["standing"] == "suspected"
+    listener.close()
+
+
+@async_test
+async def test_a_wrong_outage_report_costs_some_time_and_no_message(tmp_path: Path) -> None:
+    """It reports an outage of a partner that is up: the first own answer ends that."""
+    listener, address = await start_peer(reply_with(document_json(claim_json(out_age=8_000, wait_ms=700))))
+    async with RelayTestbed(tmp_path, warm=False, partner={"rate": 200.0}) as testbed:
+        new_relay = await testbed.start_relay(knowledge={"peers": [address]})
+        await wait_for_polls(new_relay)
+        await asyncio.sleep(0.05)
+        assert is_ejected(new_relay)
+        assert answer_kind(await testbed.submit(testbed.make_message("safe"), 1)) == "delivered"
+        assert not is_ejected(new_relay)
+        assert new_relay.engine.routes[0][-1].health.failure_score < 0.5
+        assert answer_kind(await testbed.submit(testbed.make_message("unsafe"), 1)) == "delivered"
+    listener.close()
+    assert testbed.broken_rules() == []
+
+
+@async_test
+async def test_relays_that_start_together_learn_peers_from_peers(tmp_path: Path) -> None:
+    async with RelayTestbed(tmp_path, knowledge=token_settings(tmp_path)) as testbed:
+        first = testbed.relays[0]
+        gossip_settings = token_settings(tmp_path)
+        second = await testbed.start_relay(knowledge=gossip_settings | {"peers": [first.address]})
+        await wait_for_polls(second)
+        third = await testbed.start_relay(knowledge=gossip_settings | {"peers": [second.address]})
+        await wait_for_polls(third, 2)  # the second named the first
+        assert first.address in third.gossip.poller.membership.peers  # type: ignore[union-attr]
+        for relay_index in range(3):
+            assert answer_kind(await testbed.submit(testbed.make_message("safe"), relay_index)) == "delivered"
+    assert testbed.broken_rules() == []
+
+
+@async_test
+async def test_a_delta_document_holds_only_changed_claims(tmp_path: Path) -> None:
+    async with RelayTestbed(tmp_path, knowledge=token_settings(tmp_path)) as testbed:
+        gossip = testbed.relays[0].gossip
+        complete = parse(gossip.document())
+        assert len(complete.claims) == 1
+        assert complete.claims[0].answers >= 6
+        assert parse(gossip.document(complete.version)).claims == []
+        await asyncio.sleep(2.1)
+        await testbed.submit(testbed.make_message("safe"))
+        changed = parse(gossip.document(complete.version))
+        assert len(changed.claims) == 1
+        assert changed.version > complete.version
+
+
+@async_test
+async def test_a_wrong_token_is_denied_and_operators_do_not_count_as_relays(tmp_path: Path) -> None:
+    async with RelayTestbed(tmp_path, knowledge=token_settings(tmp_path)) as testbed:
+        relay = testbed.relays[0]
+        wrong_token_file = tmp_path / "wrong"
+        wrong_token_file.write_text("guess")
+        refused = await run_knowledge_command("show", relay.address, "--token-file", str(wrong_token_file))
+        assert refused.returncode == 1
+        assert "403" in refused.stderr
+        assert "firma" not in refused.stdout
+        token = ("--token-file", str(tmp_path / "token"))
+        shown = await run_knowledge_command("show", relay.address, *token)
+        assert shown.returncode == 0
+        assert "firma" in shown.stdout
+        assert "well" in shown.stdout
+        assert relay.engine.routes[0][-1].health.notified_relays == 0
+        document_file = tmp_path / "document"
+        snapshot_file = tmp_path / "snapshot"
+        exported = await run_knowledge_command("export", relay.address, str(document_file), *token)
+        assert exported.returncode == 0
+        compared = await run_knowledge_command("diff", str(document_file), relay.address, *token)
+        assert compared.returncode == 0
+        imported = await run_knowledge_command("import", str(document_file), str(snapshot_file))
+        assert imported.returncode == 0
+        assert snapshot.read(snapshot_file).payload["relay"] == "r1"
+        document_file.write_bytes(b"x")
+        invalid = await run_knowledge_command("import", str(document_file), str(snapshot_file))
+        assert invalid.returncode == 2
+        assert "not a snapshot" in invalid.stderr
+
+
+@async_test
+async def test_operators_see_merged_routes_with_sources_and_rejected_claims(tmp_path: Path) -> None:
+    listener, address = await start_peer(
+        reply_with(document_json(claim_json(out_age=8_000), claim_json(partner="other"), relays=9))
+    )
+    async with RelayTestbed(tmp_path, warm=False) as testbed:
+        new_relay = await testbed.start_relay(knowledge=token_settings(tmp_path) | {"peers": [address]})
+        await wait_for_polls(new_relay)
+        completed = await run_knowledge_command("learned", new_relay.address, "--token-file", str(tmp_path / "token"))
+        state = json.loads(completed.stdout)
+        assert {row["why"] for row in state["doubted"]} >= {"no such partner or route now"}
+        assert state["peers"][0]["standing"] == "alive"
+        assert state["counts"]["answered"] == 1
+        (merged,) = state["taken"]  # the peer reports nine relays: the larger number counts
+        assert merged["knowers"] == 9
+        assert merged["sources"] == [address]
+        assert merged["out_ms"] >= 8000
+    listener.close()
+
+
+@async_test
+async def test_claims_on_replaced_endpoints_and_stale_claims_are_rejected(tmp_path: Path) -> None:
+    listener, address = await start_peer(reply_with(document_json(claim_json(endpoints=[77], out_age=5000))))
+    stale_listener, stale_address = await start_peer(
+        reply_with(document_json(claim_json(failed_age=3_600_000, out_age=3_600_500, answered_age=3_700_000)))
+    )
+    async with RelayTestbed(tmp_path, warm=False) as testbed:
+        new_relay = await testbed.start_relay(knowledge={"peers": [address, stale_address]})
+        await wait_for_polls(new_relay, 2)
+        await asyncio.sleep(0.05)
+        assert not any(route.health.ejected for route, _ in new_relay.engine.routing_table.known_routes(0).values())
+        reasons = {claim.reason for claim in new_relay.gossip.merger.rejected}
+        assert reasons == {"learned from endpoints that are not its own now", "says out, too long ago"}
+        assert answer_kind(await testbed.submit(testbed.make_message("unsafe"), 1)) == "delivered"
+    listener.close()
+    stale_listener.close()
+    assert testbed.broken_rules() == []
+
+
+@async_test
+async def test_without_a_token_the_gossip_endpoint_is_not_found(tmp_path: Path) -> None:
+    async with RelayTestbed(tmp_path) as testbed:
+        reader, writer = await testbed.connect()
+        writer.write(b"GET /knowledge HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer \r\n\r\n")
+        assert b" 404 " in await reader.read(100)
+        writer.close()
