--- a/tests/as2_relay/test_process.py
+++ b/tests/as2_relay/test_process.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import asyncio
+import errno
 import json
 import resource
 import socket
@@ -28,7 +29,7 @@
     """A stream on a disk without space."""
 
     def write(self, text: str) -> int:
-        raise OSError(28, "No space left on device")
+        raise OSError(errno.ENOSPC, "No space left on device")
 
 
 def test_a_failed_log_write_is_counted_and_not_raised() -> None:
--- a/tests/faults/test_gossip.py
+++ b/tests/faults/test_gossip.py
@@ -7,6 +7,7 @@
 import subprocess
 import sys
 from collections.abc import Callable
+from dataclasses import dataclass
 from pathlib import Path
 from typing import Any
 
@@ -24,11 +25,13 @@
 
 
 def token_settings(folder: Path) -> dict[str, Any]:
+    """Write a token file and return the gossip settings that name it."""
     (folder / "token").write_text("secret\n")
     return {"token_file": folder / "token"}
 
 
 def claim_json(**more: Any) -> dict[str, Any]:
+    """Return a claim that the partner is down; `more` has fields that are added or replaced."""
     return {
         "partner": "firma",
         "route": -1,
@@ -45,6 +48,7 @@
 
 
 def document_json(*claims: dict[str, Any], **more: Any) -> dict[str, Any]:
+    """Return a complete document with these claims; `more` has fields that are added or replaced."""
     return {
         "format": DOCUMENT_FORMAT,
         "relay": "peer",
@@ -58,12 +62,30 @@
     }
 
 
-async def start_peer(reply: Callable[[server.RequestContext], None]) -> tuple[server.Server, str]:
-    listener = server.Server(reply)
-    return listener, f"127.0.0.1:{await listener.start()}"
+Reply = Callable[[server.RequestContext], None]
 
 
-def reply_with(body: dict[str, Any] | bytes) -> Callable[[server.RequestContext], None]:
+@dataclass(frozen=True)
+class StubPeer:
+    """A relay that answers every poll in the same way."""
+
+    listener: server.Server
+    address: str
+
+    @classmethod
+    async def start(cls, reply: Reply) -> StubPeer:
+        """Listen on a free port."""
+        listener = server.Server(reply)
+        port = await listener.start()
+        return cls(listener, f"127.0.0.1:{port}")
+
+    def close(self) -> None:
+        """Stop listening."""
+        self.listener.close()
+
+
+def reply_with(body: dict[str, Any] | bytes) -> Reply:
+    """Return a handler that replies with this body."""
     data = body if isinstance(body, bytes) else json.dumps(body).encode()
 
     def reply(request: server.RequestContext) -> None:
@@ -104,10 +126,10 @@
     async with RelayTestbed(
         tmp_path, relays=2, fleet=3, faults=faults, partner={"rate": 15.0}, knowledge=token_settings(tmp_path)
     ) as testbed:
-        before = asyncio.create_task(testbed.submit_evenly("safe", 8, 2.0))
+        earlier_load = asyncio.create_task(testbed.submit_evenly("safe", 8, 2.0))
         await testbed.sleep_until(2.0)
         old_relay = testbed.relays[0]
-        assert old_relay.engine.routes[0][-1].health.ejected
+        assert is_ejected(old_relay)
         new_relay = await testbed.start_relay(knowledge=token_settings(tmp_path) | {"peers": [old_relay.address]})
         await wait_for_polls(new_relay)
         await asyncio.sleep(0.05)
@@ -119,12 +141,13 @@
         assert outage_age_ms > 1000
         assert old_relay.engine.routes[0][-1].health.notified_relays >= 1  # the new relay knows of the outage now
         assert new_relay.gossip.document()["claims"] == []  # it has no evidence of its own
-        began = len(testbed.partner_records("began"))
-        task = asyncio.create_task(testbed.submit_evenly("safe", 20, 1.0, 3))
+        earlier_attempts = len(testbed.partner_records("began"))
+        later_load = asyncio.create_task(testbed.submit_evenly("safe", 20, 1.0, 3))
         await asyncio.sleep(0.9)
-        new_relay_rows = [row for row in testbed.partner_records("began")[began:] if row["relay"] == "r3"]
-        assert len(new_relay_rows) <= 5
-        assert all(answer_kind(answer) in ("delivered", "refused") for answer in [*await task, *await before])
+        later_attempts = testbed.partner_records("began")[earlier_attempts:]
+        assert len([attempt for attempt in later_attempts if attempt["relay"] == "r3"]) <= 5
+        answers = [*await later_load, *await earlier_load]
+        assert all(answer_kind(answer) in ("delivered", "refused") for answer in answers)
     assert testbed.broken_rules() == []
 
 
@@ -176,14 +199,16 @@
 
 
 def never_reply(request: server.RequestContext) -> None:
-    """Never answers."""
+    """Never reply."""
 
 
 def reply_with_error(request: server.RequestContext) -> None:
+    """Reply with a server error."""
     request.reply(500)
 
 
 def reply_with_half(request: server.RequestContext) -> None:
+    """Close the connection in the middle of a document."""
     request.connection.transport.write(b"HTTP/1.1 200 OK\r\nContent-Length: 5000\r\n\r\n{")
     asyncio.get_running_loop().call_later(0.05, request.connection.transport.abort)
 
@@ -205,26 +230,26 @@
 )
 @async_test
 async def test_a_slow_invalid_or_incompatible_peer_delays_no_message(
-    tmp_path: Path, reply: Callable[[server.RequestContext], None], counted: str
+    tmp_path: Path, reply: Reply, counted: str
 ) -> None:
-    listener, address = await start_peer(reply)
+    peer = await StubPeer.start(reply)
     async with RelayTestbed(tmp_path, warm=False) as testbed:
-        new_relay = await testbed.start_relay(knowledge={"peers": [address]})
+        new_relay = await testbed.start_relay(knowledge={"peers": [peer.address]})
         for _ in range(3):  # traffic goes on meanwhile
             assert answer_kind(await testbed.submit(testbed.make_message("safe"), 1)) == "delivered"
         await wait_for_polls(new_relay)
         assert new_relay.gossip.counts[counted] == 1
         assert not new_relay.gossip.merger.merged
         assert new_relay.gossip.state()["peers"][0]["standing"] == "suspected"
-    listener.close()
+    peer.close()
 
 
 @async_test
 async def test_a_wrong_outage_report_costs_some_time_and_no_message(tmp_path: Path) -> None:
     """It reports an outage of a partner that is up: the first own answer ends that."""
-    listener, address = await start_peer(reply_with(document_json(claim_json(out_age=8_000, wait_ms=700))))
+    peer = await StubPeer.start(reply_with(document_json(claim_json(out_age=8_000, wait_ms=700))))
     async with RelayTestbed(tmp_path, warm=False, partner={"rate": 200.0}) as testbed:
-        new_relay = await testbed.start_relay(knowledge={"peers": [address]})
+        new_relay = await testbed.start_relay(knowledge={"peers": [peer.address]})
         await wait_for_polls(new_relay)
         await asyncio.sleep(0.05)
         assert is_ejected(new_relay)
@@ -232,7 +257,7 @@
         assert not is_ejected(new_relay)
         assert new_relay.engine.routes[0][-1].health.failure_score < 0.5
         assert answer_kind(await testbed.submit(testbed.make_message("unsafe"), 1)) == "delivered"
-    listener.close()
+    peer.close()
     assert testbed.broken_rules() == []
 
 
@@ -299,11 +324,11 @@
 
 @async_test
 async def test_operators_see_merged_routes_with_sources_and_rejected_claims(tmp_path: Path) -> None:
-    listener, address = await start_peer(
+    peer = await StubPeer.start(
         reply_with(document_json(claim_json(out_age=8_000), claim_json(partner="other"), relays=9))
     )
     async with RelayTestbed(tmp_path, warm=False) as testbed:
-        new_relay = await testbed.start_relay(knowledge=token_settings(tmp_path) | {"peers": [address]})
+        new_relay = await testbed.start_relay(knowledge=token_settings(tmp_path) | {"peers": [peer.address]})
         await wait_for_polls(new_relay)
         completed = await run_knowledge_command("learned", new_relay.address, "--token-file", str(tmp_path / "token"))
         state = json.loads(completed.stdout)
@@ -312,27 +337,27 @@
         assert state["counts"]["answered"] == 1
         (merged,) = state["taken"]  # the peer reports nine relays: the larger number counts
         assert merged["knowers"] == 9
-        assert merged["sources"] == [address]
+        assert merged["sources"] == [peer.address]
         assert merged["out_ms"] >= 8000
-    listener.close()
+    peer.close()
 
 
 @async_test
 async def test_claims_on_replaced_endpoints_and_stale_claims_are_rejected(tmp_path: Path) -> None:
-    listener, address = await start_peer(reply_with(document_json(claim_json(endpoints=[77], out_age=5000))))
-    stale_listener, stale_address = await start_peer(
+    peer = await StubPeer.start(reply_with(document_json(claim_json(endpoints=[77], out_age=5000))))
+    stale_peer = await StubPeer.start(
         reply_with(document_json(claim_json(failed_age=3_600_000, out_age=3_600_500, answered_age=3_700_000)))
     )
     async with RelayTestbed(tmp_path, warm=False) as testbed:
-        new_relay = await testbed.start_relay(knowledge={"peers": [address, stale_address]})
+        new_relay = await testbed.start_relay(knowledge={"peers": [peer.address, stale_peer.address]})
         await wait_for_polls(new_relay, 2)
         await asyncio.sleep(0.05)
         assert not any(route.health.ejected for route, _ in new_relay.engine.routing_table.known_routes(0).values())
         reasons = {claim.reason for claim in new_relay.gossip.merger.rejected}
         assert reasons == {"learned from endpoints that are not its own now", "says out, too long ago"}
         assert answer_kind(await testbed.submit(testbed.make_message("unsafe"), 1)) == "delivered"
-    listener.close()
-    stale_listener.close()
+    peer.close()
+    stale_peer.close()
     assert testbed.broken_rules() == []
 
 
