--- a/benchmarks/cold_start.py
+++ b/benchmarks/cold_start.py
@@ -17,7 +17,8 @@
 from typing import Any
 
 from benchmarks.common import argument_parser, print_result
-from tests.faults.relay_testbed import SAFETY, RelayTestbed, answer_kind
+from tests.faults.relay_testbed import RelayTestbed, answer_kind
+from tests.faults.testbed_settings import SAFETY
 
 PARTNER_RATE = 60.0
 MESSAGES_PER_S = 100.0
