--- a/benchmarks/slopes/changes.py
+++ b/benchmarks/slopes/changes.py
@@ -10,12 +10,12 @@
 
 import contextlib
 import time
-from collections.abc import Iterator
+from collections.abc import Iterator, Sequence
 from dataclasses import dataclass
 from statistics import median
-from typing import Any
 
 from benchmarks.slopes import inside
+from benchmarks.slopes.platform_commands import ChangeSent
 from benchmarks.slopes.processes import ACCEPTED, HttpClient, PlatformProcess, RelayProcess, wait_until_listed
 from benchmarks.slopes.series import Measurements, Series
 
@@ -34,7 +34,13 @@
 DAY_INTERVAL_S = 0.01
 DAY_SETTLE_S = 0.2
 IDLE_S = 2.0
-STATES = ("SERVING", "DRAINING", "DELETED")
+CHANGE_STATES = {"comes": "SERVING", "drains": "DRAINING", "goes": "DELETED"}
+"""Kinds of change, in the order in which a destination meets them, and the state that discovery sends."""
+
+
+def differences(after: Sequence[float], before: Sequence[float]) -> list[float]:
+    """What was added to each value."""
+    return [now - was for now, was in zip(after, before, strict=True)]
 
 
 @dataclass(frozen=True, slots=True)
@@ -53,13 +59,14 @@
         """Processor time of each relay in so many seconds from now, in microseconds."""
         before = self.cpu_us()
         time.sleep(seconds)
-        return [now - was for now, was in zip(self.cpu_us(), before, strict=True)]
+        return differences(self.cpu_us(), before)
 
-    def change(self, first: int, count: int, state: str) -> dict[str, Any]:
-        """Change so many destinations in one object; returns the answer of the emulator."""
+    def change(self, first: int, count: int, state: str) -> ChangeSent:
+        """Change so many destinations in one object."""
         address = self.platform.endpoint_address
-        servers = [inside.discovery_entry(number, number, address, state) for number in range(first, first + count)]
-        return self.platform.command("change", servers=servers)
+        return self.platform.change(
+            [inside.discovery_entry(number, number, address, state) for number in range(first, first + count)]
+        )
 
     def ms_until_in_force(self, destination: int, since: float) -> float | None:
         """Ms of the monotonic clock from `since` until the last relay accepts a message for a destination."""
@@ -86,61 +93,69 @@
         yield RunningFleet(platform, relays, clients)
 
 
+def least_of_each(rounds: list[list[float]]) -> list[float]:
+    """By relay, the least of all rounds."""
+    return [min(values) for values in zip(*rounds, strict=True)]
+
+
 def measure_burst(count: int, destinations: int) -> Measurements:
     """So many destinations come, drain and go, each time in one object."""
     with running_fleet(destinations) as fleet:
-        quiet = [fleet.cpu_us_during(SETTLE_S) for _ in range(ROUNDS)]
-        idle = [min(each) for each in zip(*quiet, strict=True)]
+        idle_us = least_of_each([fleet.cpu_us_during(SETTLE_S) for _ in range(ROUNDS)])
         found: Measurements = {}
-        samples: dict[str, list[list[float]]] = {}
-        first = FIRST_NEW
+        samples: dict[str, list[list[float]]] = {name: [] for name in CHANGE_STATES}
         for round_number in range(ROUNDS):
-            for name, state in zip(("comes", "drains", "goes"), STATES, strict=True):
-                before = fleet.cpu_us()
-                answer = fleet.change(first, count, state)
-                found[f"{name}_bytes"] = float(answer["bytes"])
+            first = FIRST_NEW + round_number * count
+            for name, state in CHANGE_STATES.items():
+                before_us = fleet.cpu_us()
+                sent = fleet.change(first, count, state)
+                found[f"{name}_bytes"] = float(sent.size_bytes)
                 # Its polls cost more than the change: only the time of this one counts.
                 if name == "comes" and round_number == ROUNDS - 1:
-                    in_force_ms = fleet.ms_until_in_force(first + count - 1, answer["at"])
-                    late = f"not within {IN_FORCE_TIMEOUT_S:g} s"
-                    found["in_force_wall_ms"] = in_force_ms if in_force_ms is not None else late
+                    found["in_force_wall_ms"] = _in_force_ms(fleet, first + count - 1, sent)
                     continue
                 time.sleep(SETTLE_S)
-                samples.setdefault(name, []).append(
-                    [now - was - rest for now, was, rest in zip(fleet.cpu_us(), before, idle, strict=True)]
-                )
-            first += count
+                samples[name].append(differences(differences(fleet.cpu_us(), before_us), idle_us))
         for name, rounds in samples.items():
-            found[f"{name}_us"] = max(0.0, median(map(min, zip(*rounds, strict=True))))
-        found["idle_us_a_s"] = median(idle) / SETTLE_S
+            found[f"{name}_us"] = max(0.0, median(least_of_each(rounds)))
+        found["idle_us_a_s"] = median(idle_us) / SETTLE_S
         return found
 
 
+def _in_force_ms(fleet: RunningFleet, destination: int, sent: ChangeSent) -> float | str:
+    in_force_ms = fleet.ms_until_in_force(destination, sent.sent_at_s)
+    return in_force_ms if in_force_ms is not None else f"not within {IN_FORCE_TIMEOUT_S:g} s"
+
+
 def measure_day(count: int, destinations: int) -> Measurements:
     """So many changes, 10 ms apart: a third come, a third drain, a third go."""
+    states = tuple(CHANGE_STATES.values())
     with running_fleet(destinations) as fleet:
         idle_us_a_s = median(fleet.cpu_us_during(IDLE_S)) / IDLE_S
-        before, began = fleet.cpu_us(), time.monotonic()
-        size = 0
+        before_us = fleet.cpu_us()
+        began = time.monotonic()
+        size_bytes = 0
         for number in range(count):
-            size += fleet.change(FIRST_NEW + number // 3, 1, STATES[number % 3])["bytes"]
+            round_number, step = divmod(number, len(states))
+            size_bytes += fleet.change(FIRST_NEW + round_number, 1, states[step]).size_bytes
             time.sleep(DAY_INTERVAL_S)
         last = 2 * FIRST_NEW
-        in_force_ms = fleet.ms_until_in_force(last, fleet.change(last, 1, "SERVING")["at"])
+        in_force_ms = fleet.ms_until_in_force(last, fleet.change(last, 1, "SERVING").sent_at_s)
         time.sleep(DAY_SETTLE_S)
         elapsed_s = time.monotonic() - began
-        used_us = median(now - was for now, was in zip(fleet.cpu_us(), before, strict=True)) - idle_us_a_s * elapsed_s
+        used_us = median(differences(fleet.cpu_us(), before_us)) - idle_us_a_s * elapsed_s
         return {
             "us": used_us,
             "us_a_change": used_us / count,
-            "change_bytes": float(size),
-            "bytes_a_change": size / count,
+            "change_bytes": float(size_bytes),
+            "bytes_a_change": size_bytes / count,
             "last_in_force_wall_ms": in_force_ms if in_force_ms is not None else "never",
-            "watches_opened_anew": float(fleet.platform.command("counts")["wholes"] - RELAY_COUNT),
+            "watches_opened_anew": float(fleet.platform.counts().full_lists - RELAY_COUNT),
         }
 
 
-POINTS, CHECKS = (1, 10, 25, 50), (100,)
+POINTS = (1, 10, 25, 50)
+CHECKS = (100,)
 SERIES = {
     "at_once_small": Series("changes at once", POINTS, CHECKS, lambda count: measure_burst(count, 1024), 1),
     "at_once_large": Series("changes at once", POINTS, CHECKS, lambda count: measure_burst(count, 30_000), 1),
--- a/benchmarks/slopes/events.py
+++ b/benchmarks/slopes/events.py
@@ -28,11 +28,15 @@
 )
 from benchmarks.slopes.series import Measurements, Series
 
-SECONDS, WARM_UP_S = 3.0, 1.0
+SECONDS = 3.0
+WARM_UP_S = 1.0
 BODY = b"x" * 212
 MESSAGE_NUMBERS = count()
 CLIENTS = 32
-KEPT_DESTINATIONS, FRESH_DESTINATIONS = 20, 20_000
+REUSED_DESTINATIONS = 20
+"""So few that calls reuse connections."""
+RECONNECTED_DESTINATIONS = 20_000
+"""So many that each call makes a connection."""
 KNOWN_DESTINATIONS = 20
 """Destinations of the list that a relay is configured with."""
 LIST_TIMEOUT_S = 8.0
@@ -83,16 +87,19 @@
 
     def __init__(self, port: int, destinations: int, rate: float, clients: int) -> None:
         """Prepare clients of a loopback port; they connect at the first run."""
-        self.port, self.rate, self.clients = port, rate, clients
+        self.port = port
+        self.rate = rate
+        self.clients = clients
         self.requests = requests(destinations)
         self.idle: list[LoadConnection] = []
-        self.is_over = False
+        self.is_stopped = False
         self.reset()
 
     def reset(self) -> None:
         """Forget what was counted so far."""
         self.latencies_s: list[float] = []
-        self.rejected = self.waits_for_connection = 0
+        self.rejected = 0
+        self.waits_for_connection = 0
 
     def on_answer(self, connection: LoadConnection, data: bytes, elapsed_s: float) -> None:
         """Count an answer; in a closed loop, the connection sends its next request."""
@@ -100,7 +107,7 @@
             self.latencies_s.append(elapsed_s)
         else:
             self.rejected += 1
-        if self.rate or self.is_over:
+        if self.rate or self.is_stopped:
             self.idle.append(connection)
         else:
             connection.send_next()
@@ -108,13 +115,14 @@
     async def run(self, seconds: float) -> float:
         """Generate load for so long; returns the seconds that it took."""
         await self._connect()
-        began, self.is_over = time.perf_counter(), False
+        self.is_stopped = False
+        began = time.perf_counter()
         if self.rate:
             await self._send_at_rate(began, seconds)
         else:
             await self._send_in_closed_loop(seconds)
         elapsed_s = time.perf_counter() - began
-        self.is_over = True
+        self.is_stopped = True
         deadline = time.perf_counter() + LAST_ANSWER_S
         while len(self.idle) < self.clients and time.perf_counter() < deadline:  # noqa: ASYNC110 (see _send_at_rate)
             await asyncio.sleep(ANSWER_POLL_S)
@@ -137,8 +145,9 @@
             self.idle.pop(0).send_next()
 
     async def _send_in_closed_loop(self, seconds: float) -> None:
-        starting, self.idle = self.idle, []
-        for connection in starting:
+        connections = self.idle
+        self.idle = []
+        for connection in connections:
             connection.send_next()
         await asyncio.sleep(seconds)
 
@@ -190,17 +199,20 @@
             process.wait_ready()
             with HttpClient(process.port) as client:
                 wait_until_listed(client, destinations - 1, LIST_TIMEOUT_S)
-            calls_before = platform.command("counts")["calls"]
+            calls_before = platform.counts().calls
             relay = run_load(process.port, process.pid, destinations, rate, clients)
             time.sleep(SETTLE_S)
-            delivered = platform.command("counts")["calls"] - calls_before
-            bare = run_load(pass_through.port, pass_through.pid, destinations, rate, clients)
+            delivered = platform.counts().calls - calls_before
+            passed = run_load(pass_through.port, pass_through.pid, destinations, rate, clients)
     found: Measurements = {f"relay_{name}": value for name, value in relay.items()}
-    found |= {f"pass_{name}": value for name, value in bare.items()}
-    found["relay_over_pass"] = float(relay["us"]) / float(bare["us"])
+    found |= {f"pass_{name}": value for name, value in passed.items()}
+    found["relay_over_pass"] = float(relay["us"]) / float(passed["us"])
     if not rate:
-        found["relay_wall_us"], found["pass_wall_us"] = 1e6 / float(relay["per_s"]), 1e6 / float(bare["per_s"])
-        found["share_of_pass"] = float(relay["per_s"]) / float(bare["per_s"])
+        relay_per_s = float(relay["per_s"])
+        passed_per_s = float(passed["per_s"])
+        found["relay_wall_us"] = 1e6 / relay_per_s
+        found["pass_wall_us"] = 1e6 / passed_per_s
+        found["share_of_pass"] = relay_per_s / passed_per_s
     found["delivered"] = float(delivered)
     return found
 
@@ -215,15 +227,19 @@
     return measure(destinations, 0.0, clients)
 
 
-RATES, RATE_CHECKS = (100, 200, 300, 400), (600,)
-CLIENT_COUNTS, CLIENT_CHECKS = (1, 2, 4, 8), (16,)
+RATES = (100, 200, 300, 400)
+RATE_CHECKS = (600,)
+CLIENT_COUNTS = (1, 2, 4, 8)
+CLIENT_CHECKS = (16,)
 SERIES = {
-    "rate_kept": Series("events a second", RATES, RATE_CHECKS, lambda rate: at_rate(KEPT_DESTINATIONS, rate), 1),
-    "rate_fresh": Series("events a second", RATES, RATE_CHECKS, lambda rate: at_rate(FRESH_DESTINATIONS, rate), 1),
+    "rate_kept": Series("events a second", RATES, RATE_CHECKS, lambda rate: at_rate(REUSED_DESTINATIONS, rate), 1),
+    "rate_fresh": Series(
+        "events a second", RATES, RATE_CHECKS, lambda rate: at_rate(RECONNECTED_DESTINATIONS, rate), 1
+    ),
     "closed": Series(
-        "clients", CLIENT_COUNTS, CLIENT_CHECKS, lambda clients: in_closed_loop(KEPT_DESTINATIONS, clients), 1
+        "clients", CLIENT_COUNTS, CLIENT_CHECKS, lambda clients: in_closed_loop(REUSED_DESTINATIONS, clients), 1
     ),
     "closed_fresh": Series(
-        "clients", CLIENT_COUNTS, CLIENT_CHECKS, lambda clients: in_closed_loop(FRESH_DESTINATIONS, clients), 1
+        "clients", CLIENT_COUNTS, CLIENT_CHECKS, lambda clients: in_closed_loop(RECONNECTED_DESTINATIONS, clients), 1
     ),
 }
--- a/benchmarks/slopes/harness.py
+++ b/benchmarks/slopes/harness.py
@@ -39,35 +39,47 @@
         only: Name of the only series to measure; empty = all.
         rounds: Measurements of each point; 0 = as the series says.
     """
-    began, load, loops = time.monotonic(), os.getloadavg()[0], [reference_loop_us()]
+    began = time.monotonic()
+    load_at_start = os.getloadavg()[0]
+    loops = [reference_loop_us()]
     result: dict[str, Any] = {}
     for name, series in all_series.items():
         if only and name != only:
             continue
         points = _measure_series(axis, name, series, rounds or series.rounds, began)
         loops += numeric_values(points, tuple(points), REFERENCE_LOOP).values()
-        result[name] = {
-            "unit": series.unit,
-            "note": series.note,
-            "rounds": rounds or series.rounds,
-            "points": {size: round_values(found) for size, found in points.items()},
-            "fits": fit_quantities(series, points),
-        }
-    for each in result.values():
-        add_reference_loops(each["fits"], min(loops))
+        result[name] = _describe_series(series, rounds or series.rounds, points)
+    for described in result.values():
+        add_reference_loops(described["fits"], min(loops))
     return {
         "axis": axis,
-        REFERENCE_LOOP: {
-            "least": round_significant(min(loops)),
-            "median": round_significant(median(loops)),
-            "most": round_significant(max(loops)),
-        },
-        "conditions": {"cores": os.cpu_count(), "python": platform.python_version(), "load_at_start": load},
+        REFERENCE_LOOP: _describe_loops(loops),
+        "conditions": {"cores": os.cpu_count(), "python": platform.python_version(), "load_at_start": load_at_start},
         "series": result,
         "took_s": round(time.monotonic() - began, 1),
     }
 
 
+def _describe_series(series: Series, rounds: int, points: Mapping[int, Measurements]) -> dict[str, Any]:
+    """A series as the result has it."""
+    return {
+        "unit": series.unit,
+        "note": series.note,
+        "rounds": rounds,
+        "points": {size: round_values(found) for size, found in points.items()},
+        "fits": fit_quantities(series, points),
+    }
+
+
+def _describe_loops(loops: list[float]) -> dict[str, float]:
+    """The calibration loops of a run as the result has them."""
+    return {
+        "least": round_significant(min(loops)),
+        "median": round_significant(median(loops)),
+        "most": round_significant(max(loops)),
+    }
+
+
 def _measure_series(axis: str, name: str, series: Series, rounds: int, began: float) -> dict[int, Measurements]:
     points: dict[int, Measurements] = {}
     for size in (*series.points, *series.checks):
--- a/benchmarks/slopes/held.py
+++ b/benchmarks/slopes/held.py
@@ -16,7 +16,7 @@
 from typing import Any
 
 from benchmarks.slopes import inside, internals
-from benchmarks.slopes.processes import PlatformProcess, RelayProcess
+from benchmarks.slopes.processes import TEMPORARY_PREFIX, PlatformProcess, RelayProcess
 from benchmarks.slopes.series import Measurements, Series
 from benchmarks.slopes.timing import processor_time_us
 from linnetstile.engine.engine import DeliveryEngine
@@ -32,7 +32,6 @@
 SETTLE_S = 1.0
 IDLE_S = 3.0
 UNREACHABLE = "127.0.0.1:9"
-TEMPORARY_PREFIX = "linnetstile-slopes-"
 BODIES_A_MB = 16
 BODY_64_KIB = b"x" * 65536
 REWRITE_MEMORY_FACTOR = 4
@@ -59,7 +58,7 @@
     def fill() -> None:  # all at once: what a turn takes beside them is measured below
         engine.handle(2.0, [Message(number, number % QUEUES, 0, HOUR_MS) for number in range(count)])
 
-    pending_bytes, _ = inside.allocated_bytes(fill)
+    pending_bytes = inside.measure_allocation(fill).size_bytes
     found: Measurements = {"module_bytes": float(pending_bytes), "module_bytes_a_message": pending_bytes / count}
     tracemalloc.stop()
     inside.freeze_garbage()
@@ -104,13 +103,13 @@
     """The journal of so many messages: its bytes, replaying and rewriting it."""
     data = internals.journal_records(journal_entries(count))
     found: Measurements = {"file_bytes": float(len(data)), "file_bytes_a_message": len(data) / count}
-    kept_bytes, kept = inside.allocated_bytes(lambda: internals.replay_journal(data))
-    found |= {"kept_bytes": kept_bytes, "kept_bytes_a_message": kept_bytes / count}
+    replayed_bytes, replayed = inside.measure_allocation(lambda: internals.replay_journal(data))
+    found |= {"kept_bytes": replayed_bytes, "kept_bytes_a_message": replayed_bytes / count}
     tracemalloc.stop()
     found["replay_us"] = processor_time_us(lambda: internals.replay_journal(data))
     with tempfile.TemporaryDirectory(prefix=TEMPORARY_PREFIX) as folder:
         found["rewrite_us"] = processor_time_us(
-            lambda: internals.rewrite_journal(Path(folder), kept.values(), internals.UNBOUNDED)
+            lambda: internals.rewrite_journal(Path(folder), replayed.values(), internals.UNBOUNDED)
         )
     for name in ("replay_us", "rewrite_us"):
         found[f"{name}_a_message"] = float(found[name]) / count
@@ -121,11 +120,12 @@
     """A real relay that starts with so many messages in its journal, over one that starts with none."""
     drains = [inside.discovery_entry(number, number, UNREACHABLE, "DRAINING") for number in range(QUEUES)]
     with PlatformProcess() as platform, tempfile.TemporaryDirectory(prefix=TEMPORARY_PREFIX) as folder:
-        platform.set_list(QUEUES, changes=drains)
+        platform.set_list(QUEUES, changed=drains)
         with RelayProcess(platform, drains) as empty:
             empty_ready_s = empty.wait_ready()
             time.sleep(SETTLE_S)
-            empty_mb, empty_us = empty.resident_mb(), empty.cpu_us()
+            empty_mb = empty.resident_mb()
+            empty_us = empty.cpu_us()
         state = Path(folder)
         (state / "journal").write_bytes(internals.journal_records(journal_entries(count)))
         with RelayProcess(platform, drains, state) as relay:
@@ -153,7 +153,8 @@
     It takes up to four times its size in memory, and is not run where half of what is free is less.
     """
     free_kb = int(Path("/proc/meminfo").read_text().partition("MemAvailable:")[2].split()[0])
-    if free_kb / 1024 < 2 * REWRITE_MEMORY_FACTOR * size_mb / 2:
+    half_of_free_mb = free_kb / 1024 / 2
+    if half_of_free_mb < REWRITE_MEMORY_FACTOR * size_mb / 2:
         return {"written_bytes": "not run: too little memory is free"}
     messages = internals.journaled_messages(size_mb * BODIES_A_MB, BODY_64_KIB)
     with tempfile.TemporaryDirectory(prefix=TEMPORARY_PREFIX) as folder:
@@ -161,7 +162,8 @@
     return {"written_bytes": f"refused: {journal.error}" if journal.failed else float(journal.size_bytes)}
 
 
-POINTS, CHECKS = (10_000, 25_000, 50_000, 100_000), (300_000,)
+POINTS = (10_000, 25_000, 50_000, 100_000)
+CHECKS = (300_000,)
 SERIES = {
     "module": Series("messages", POINTS, CHECKS, measure_engine, 1),
     "journal": Series("messages", POINTS, CHECKS, measure_journal, 1),
--- a/benchmarks/slopes/inside.py
+++ b/benchmarks/slopes/inside.py
@@ -8,13 +8,15 @@
 import gc
 import tracemalloc
 from collections.abc import Callable, Iterator
-from typing import Any
+from typing import Any, Generic, NamedTuple, TypeVar
 
 from linnetstile.engine.actions import Send
 from linnetstile.engine.engine import DeliveryEngine
 from linnetstile.engine.events import AttemptEnded, Endpoint, EndpointList, EndpointStatus, ListKind, Message, Outcome
 from linnetstile.engine.settings import DestinationKind, Effect, MessageClass, RateTrust, SafetyLimits, Settings
 
+Result = TypeVar("Result")
+
 LISTED_RATE = 20.0
 """Calls a second that a destination advertises."""
 FLEET_EVENTS_PER_S = 1_100_000.0
@@ -50,11 +52,11 @@
 
 
 def discovery_entries(
-    count: int, endpoints_each: int = 1, address: str = "", rate: float = LISTED_RATE
+    count: int, endpoints_per_destination: int = 1, address: str = "", rate: float = LISTED_RATE
 ) -> Iterator[dict[str, Any]]:
     """Discovery's entries of `count` destinations, so many endpoints of each."""
-    for number in range(count * endpoints_each):
-        yield discovery_entry(number, number // endpoints_each, address, rate=rate)
+    for number in range(count * endpoints_per_destination):
+        yield discovery_entry(number, number // endpoints_per_destination, address, rate=rate)
 
 
 def discovery_entry(
@@ -74,20 +76,24 @@
 
 
 def endpoints(
-    count: int, endpoints_each: int = 1, status: EndpointStatus = EndpointStatus.READY, rate: float = LISTED_RATE
+    count: int,
+    endpoints_per_destination: int = 1,
+    status: EndpointStatus = EndpointStatus.READY,
+    rate: float = LISTED_RATE,
 ) -> tuple[Endpoint, ...]:
     """The same as the engine gets them; numbers of endpoints begin at 1."""
     return tuple(
-        Endpoint(number + 1, number // endpoints_each, status, 0, 0, rate) for number in range(count * endpoints_each)
+        Endpoint(number + 1, number // endpoints_per_destination, status, 0, 0, rate)
+        for number in range(count * endpoints_per_destination)
     )
 
 
 def create_engine(
-    count: int, endpoints_each: int = 1, rate: float = LISTED_RATE, seed: int = 1, **options: Any
+    count: int, endpoints_per_destination: int = 1, rate: float = LISTED_RATE, seed: int = 1, **options: Any
 ) -> DeliveryEngine:
     """An engine that knows so many destinations, all of them idle; `options` are those of `settings`."""
     engine = DeliveryEngine(settings(**options), seed)
-    engine.handle(0.0, [EndpointList(ListKind.FULL, endpoints(count, endpoints_each, rate=rate))])
+    engine.handle(0.0, [EndpointList(ListKind.FULL, endpoints(count, endpoints_per_destination, rate=rate))])
     return engine
 
 
@@ -97,15 +103,22 @@
     gc.freeze()
 
 
-def allocated_bytes(step: Callable[[], Any]) -> tuple[int, Any]:
-    """Bytes that a step leaves allocated (tracemalloc), and what it returned."""
+class Allocation(NamedTuple, Generic[Result]):
+    """Bytes that a step left allocated, negative if it freed more, and what it returned."""
+
+    size_bytes: int
+    result: Result
+
+
+def measure_allocation(step: Callable[[], Result]) -> Allocation[Result]:
+    """Run a step, and measure by tracemalloc what it leaves allocated."""
     gc.collect()
     if not tracemalloc.is_tracing():
         tracemalloc.start()
     before = tracemalloc.get_traced_memory()[0]
     result = step()
     gc.collect()
-    return tracemalloc.get_traced_memory()[0] - before, result
+    return Allocation(tracemalloc.get_traced_memory()[0] - before, result)
 
 
 def delivered(
--- a/benchmarks/slopes/internals.py
+++ b/benchmarks/slopes/internals.py
@@ -45,14 +45,15 @@
     return Directory(("k",), ("z",))
 
 
-def parse_stream(data: bytes) -> tuple[list[Any], float]:
-    """The JSON values of a watch's stream, long ones in parts as the relay reads them.
+class ParsedStream(NamedTuple):
+    """The values of a watch's stream, and the processor time of the longest step in microseconds."""
 
-    Touches codec.objects.
+    values: list[Any]
+    longest_step_us: float
 
-    Returns:
-        The values, and the processor time of the longest step in microseconds.
-    """
+
+def parse_stream(data: bytes) -> ParsedStream:
+    """Read the JSON values of a watch's stream, long ones in parts as the relay does. Touches codec.json_stream."""
     objects = JsonStreamReader(UNBOUNDED, "servers", ("version", "full"))
     values: list[Any] = []
     longest_s = 0.0
@@ -60,7 +61,7 @@
         began = time.process_time()
         values += objects.feed(data[start : start + READ_BYTES])
         longest_s = max(longest_s, time.process_time() - began)
-    return values, longest_s * 1e6
+    return ParsedStream(values, longest_s * 1e6)
 
 
 def read_value(directory: Directory, value: Any) -> list[Event]:
@@ -125,9 +126,9 @@
     return replay(data)[0]
 
 
-def rewrite_journal(folder: Path, messages: Iterable[JournalRecord], most_bytes: int) -> RewrittenJournal:
+def rewrite_journal(folder: Path, messages: Iterable[JournalRecord], max_bytes: int) -> RewrittenJournal:
     """Write the journal anew. Touches platform_relay.journal."""
-    opened = Journal(folder, most_bytes)
+    opened = Journal(folder, max_bytes)
     opened.open()
     opened.rewrite(messages)
     result = RewrittenJournal(opened.size, opened.failed_writes, opened.last_error)
--- a/benchmarks/slopes/judgement.py
+++ b/benchmarks/slopes/judgement.py
@@ -45,7 +45,7 @@
             continue
         best = fit.best_fit([float(size) for size in measured], list(measured.values()))
         checks = [
-            describe_check(size, points.get(size, {}).get(name, "not measured"), best.at(size))
+            describe_check(size, points.get(size, {}).get(name, "not measured"), best.forecast(size))
             for size in series.checks
         ]
         quantities[name] = describe_fit(best) | {"points": len(measured), "checks": checks}
--- a/benchmarks/slopes/platform_emulator.py
+++ b/benchmarks/slopes/platform_emulator.py
@@ -1,6 +1,6 @@
 """The platform for a real relay, as a process of its own: discovery with its watch, and one address for all endpoints.
 
-It takes one JSON command a line on standard input and answers each with a line of JSON.
+It takes one command a line on standard input and answers each with a line (platform_commands.py).
 
     python -m benchmarks.slopes.platform_emulator
 """
@@ -12,17 +12,18 @@
 import sys
 import time
 from collections.abc import Callable
-from typing import Any
+from dataclasses import dataclass
 
+from benchmarks.slopes import platform_commands as commands
 from benchmarks.slopes.inside import discovery_entries
 from benchmarks.slopes.internals import discovery_line
 from linnetstile.emulators.discovery import DiscoveryEmulator, Source
 
 OK_RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 HEAD_END = b"\r\n\r\n"
+BACKLOG = 1024
 LIFETIME_S = 240.0
-COMMAND_BYTES = 1 << 26
-"""The longest command."""
+MAX_COMMAND_BYTES = 1 << 26
 
 
 class EndpointProtocol(asyncio.Protocol):
@@ -30,7 +31,8 @@
 
     def __init__(self, record_call: Callable[[str], None]) -> None:
         """`record_call` gets the correlation identifier of each call."""
-        self.record_call, self.buffer = record_call, b""
+        self.record_call = record_call
+        self.buffer = b""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Keep the transport for the answers."""
@@ -51,114 +53,121 @@
             self.transport.write(OK_RESPONSE)
 
 
+@dataclass(frozen=True, slots=True)
+class LoggedChange:
+    """The entries that a version of the list changed."""
+
+    version: int
+    entries: list[commands.Entry]
+
+
 class PlatformEmulator(Source):
     """What discovery sends, and when calls came."""
 
     def __init__(self) -> None:
-        self.entries: dict[str, dict[str, Any]] = {}
+        self.entries: dict[str, commands.Entry] = {}
         self.version = 1
-        self.change_log: list[tuple[int, bytes]] = []  # changes after the version that a list was set with
+        self.change_log: list[LoggedChange] = []  # changes after the version that a list was set with
         self.oldest_version = 1  # from which changes are known
         self.cached_list = b""  # the full list; empty = to be made
         self.discovery = DiscoveryEmulator(self)
-        self.counts = {"wholes": 0, "whole_bytes": 0, "calls": 0}
+        self.full_lists_sent = 0
+        self.full_list_bytes_sent = 0
+        self.calls = 0
         self.first_calls: dict[str, float] = {}  # by identifier, when its first call came, s of the monotonic clock
         self.is_tracking = False
 
     async def start(self) -> dict[str, int]:
         """Listen on two free ports of loopback; returns them."""
         self.endpoint_server = await asyncio.get_running_loop().create_server(
-            lambda: EndpointProtocol(self.record_call), "127.0.0.1", 0, backlog=1024
+            lambda: EndpointProtocol(self.record_call), "127.0.0.1", 0, backlog=BACKLOG
         )
         endpoint_port = self.endpoint_server.sockets[0].getsockname()[1]
         return {"port": await self.discovery.start(), "sink": endpoint_port}
 
     def record_call(self, identifier: str) -> None:
         """Count a call; while tracking, note when the first of its identifier came."""
-        self.counts["calls"] += 1
+        self.calls += 1
         if self.is_tracking:
             self.first_calls.setdefault(identifier, time.monotonic())
 
     def whole(self) -> bytes:
         """The full list, as the discovery emulator asks for it."""
         self.cached_list = self.cached_list or discovery_line(self.entries.values(), self.version, True)
-        self.counts["wholes"] += 1
-        self.counts["whole_bytes"] += len(self.cached_list)
+        self.full_lists_sent += 1
+        self.full_list_bytes_sent += len(self.cached_list)
         return self.cached_list
 
     def since(self, version: int) -> bytes | None:
         """The changes after a version, as the discovery emulator asks for them."""
         if not self.oldest_version <= version <= self.version:
             return None
-        servers = [each for at, line in self.change_log if at > version for each in json.loads(line)["servers"]]
-        return discovery_line(servers, self.version, False)
+        entries = [entry for change in self.change_log if change.version > version for entry in change.entries]
+        return discovery_line(entries, self.version, False)
 
-    def change(self, servers: list[dict[str, Any]]) -> int:
+    def change(self, entries: list[commands.Entry]) -> int:
         """Send a change to all that watch; returns its bytes for one of them."""
         self.version += 1
-        line = discovery_line(servers, self.version, False)
-        self.change_log.append((self.version, line))
+        line = discovery_line(entries, self.version, False)
+        self.change_log.append(LoggedChange(self.version, entries))
         self.discovery.publish(line)
-        for each in servers:
-            if each["state"] == "DELETED":
-                self.entries.pop(each["id"], None)
+        for entry in entries:
+            if entry["state"] == "DELETED":
+                self.entries.pop(entry["id"], None)
             else:
-                self.entries[each["id"]] = each
+                self.entries[entry["id"]] = entry
         self.cached_list = b""
         return len(line)
 
-    def command(self, asked: dict[str, Any]) -> dict[str, Any]:
+    def handle(self, command: commands.Command) -> commands.Answer:
         """Carry out one command; returns its answer."""
-        match asked["do"]:
-            case "list":
-                return self._set_list(asked)
-            case "change":
-                return self._change(asked)
-            case "cut":
-                return self._cut(asked)
-            case "track":
-                self.is_tracking, self.first_calls = asked["on"], {}
-                return {}
-            case "calls":
-                return self.first_calls
-            case _:
-                return self.counts
-
-    def _set_list(self, asked: dict[str, Any]) -> dict[str, Any]:
-        """A new full list, for whoever watches from now on."""
-        entries = discovery_entries(asked["count"], asked["endpoints"], asked["addr"], asked["rate"])
-        self.entries = {each["id"]: each for each in entries}
-        for each in asked.get("changes", []):
-            self.entries[each["id"]] = each
+        match command:
+            case commands.SetList():
+                return self._set_list(command)
+            case commands.ChangeEntries(entries):
+                sent_at_s = time.monotonic()
+                return commands.ChangeSent(self.change(entries), sent_at_s)
+            case commands.CutWatches(entries):
+                self._cut_watches(entries)
+            case commands.TrackCalls(is_on):
+                self.is_tracking = is_on
+                self.first_calls = {}
+            case commands.GetFirstCalls():
+                return commands.FirstCalls(self.first_calls)
+            case commands.GetCounts():
+                pass
+        return commands.PlatformCounts(self.full_lists_sent, self.full_list_bytes_sent, self.calls)
+
+    def _set_list(self, command: commands.SetList) -> commands.ListSet:
+        """Set the full list, for whoever watches from now on."""
+        entries = discovery_entries(
+            command.destinations, command.endpoints_per_destination, command.address, command.rate
+        )
+        self.entries = {entry["id"]: entry for entry in entries}
+        self.entries.update((entry["id"], entry) for entry in command.changed)
         self.version += 1
-        self.oldest_version, self.change_log = self.version, []
+        self.oldest_version = self.version
+        self.change_log = []
         self.cached_list = discovery_line(self.entries.values(), self.version, True)
-        return {"whole_bytes": len(self.cached_list)}
-
-    def _change(self, asked: dict[str, Any]) -> dict[str, Any]:
-        """All changes in one object, to all watches; `apart`: an object each."""
-        at = time.monotonic()
-        parts = [[each] for each in asked["servers"]] if asked.get("apart") else [asked["servers"]]
-        size = sum(self.change(each) for each in parts)
-        return {"bytes": size, "at": at, "watches": len(self.discovery.watches)}
+        return commands.ListSet(len(self.cached_list))
 
-    def _cut(self, asked: dict[str, Any]) -> dict[str, Any]:
-        """Every watch ends, and something changes before the next one is opened."""
+    def _cut_watches(self, entries: list[commands.Entry]) -> None:
+        """End every watch, and change entries before the next one is opened."""
         self.discovery.drop_watches()
-        self.change(asked["servers"])
+        self.change(entries)
         self.cached_list = discovery_line(self.entries.values(), self.version, True)
-        return {}
 
 
 async def main() -> None:
     """Serve commands until standard input ends, for `LIFETIME_S` at the most."""
-    emulator, loop = PlatformEmulator(), asyncio.get_running_loop()
+    emulator = PlatformEmulator()
     print(json.dumps(await emulator.start()), flush=True)
-    reader = asyncio.StreamReader(limit=COMMAND_BYTES)
+    reader = asyncio.StreamReader(limit=MAX_COMMAND_BYTES)
+    loop = asyncio.get_running_loop()
     await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
     async with asyncio.timeout(LIFETIME_S):
         while line := await reader.readline():
-            print(json.dumps(emulator.command(json.loads(line))), flush=True)
+            print(commands.encode_answer(emulator.handle(commands.decode_command(line))), flush=True)
 
 
 if __name__ == "__main__":
--- a/benchmarks/slopes/plot.py
+++ b/benchmarks/slopes/plot.py
@@ -10,7 +10,7 @@
 
 UNPLOTTED_WORDS = ("a", "an", "share", "refused", "waited", "p99", "delivered")
 """Words in the names of quantities that are quotients or of little interest."""
-MOST_COLUMNS = 4
+MAX_COLUMNS = 4
 CURVE_STEPS = 50
 DOTS_PER_INCH = 55
 COLOURS = 12
@@ -38,13 +38,13 @@
     panels = _panels(result)
     if not panels:
         return
-    columns = min(MOST_COLUMNS, len(panels))
+    columns = min(MAX_COLUMNS, len(panels))
     rows = -(-len(panels) // columns)
     figure, axes = pyplot.subplots(rows, columns, figsize=(3.4 * columns, 2.5 * rows), squeeze=False)
-    for each in axes.flat[len(panels) :]:
-        each.axis("off")
-    for each, panel in zip(axes.flat, panels, strict=False):
-        _draw_panel(each, panel)
+    for unused_axes in axes.flat[len(panels) :]:
+        unused_axes.axis("off")
+    for panel_axes, panel in zip(axes.flat, panels, strict=False):
+        _draw_panel(panel_axes, panel)
     figure.tight_layout()
     drawn = io.BytesIO()
     figure.savefig(drawn, dpi=DOTS_PER_INCH)
@@ -72,7 +72,7 @@
     checks = {row["n"] for row in found["checks"]}
     sizes = sorted(int(size) for size in panel.series["points"])
     steps = [sizes[0] + (sizes[-1] - sizes[0]) * step / CURVE_STEPS for step in range(CURVE_STEPS + 1)]
-    axes.plot(steps, [curve.at(size) for size in steps], "-", color="tab:gray", linewidth=1)
+    axes.plot(steps, [curve.forecast(size) for size in steps], "-", color="tab:gray", linewidth=1)
     fitted = [(size, value) for size, value in values.items() if size not in checks]
     axes.plot(*zip(*fitted, strict=True), "o", color="tab:blue", markersize=4)
     checked = [(size, value) for size, value in values.items() if size in checks]
--- a/benchmarks/slopes/processes.py
+++ b/benchmarks/slopes/processes.py
@@ -12,9 +12,10 @@
 import time
 from pathlib import Path
 from types import TracebackType
-from typing import Any
+from typing import Any, NamedTuple
 
 from benchmarks.common import resident_mb
+from benchmarks.slopes import platform_commands as commands
 from benchmarks.slopes.inside import LISTED_RATE
 from tests.platform_relay import relay_testbed
 
@@ -34,10 +35,15 @@
 END_TIMEOUT_S = 20
 LOG_TAIL = 300
 """Characters of the log in the error of a relay that has ended."""
+ANSWER_BYTES = 4096
+"""More than an answer of the relay has."""
+OK = 200
 ACCEPTED = 202
 SUBMIT_INTERVAL_S = 0.005
-AFTERWARDS_S = 0.5
-"""Answers are timed for so long after a list is in force."""
+TEMPORARY_PREFIX = "linnetstile-slopes-"
+"""Of folders and files in the temporary directory."""
+AFTER_LIST_S = 0.5
+"""`wait_until_listed` goes on for so long after a list is in force."""
 
 
 class PlatformProcess:
@@ -56,27 +62,52 @@
             stdin=subprocess.PIPE,
             stdout=subprocess.PIPE,
         )
-        ports = self._read_answer()
-        self.port, self.endpoint_address = int(ports["port"]), f"127.0.0.1:{ports['sink']}"
+        ports = self._read_line()
+        self.port = int(ports["port"])
+        self.endpoint_address = f"127.0.0.1:{ports['sink']}"
 
-    def _read_answer(self) -> dict[str, Any]:
+    def _read_line(self) -> dict[str, Any]:
         assert self.process.stdout is not None
         answer: dict[str, Any] = json.loads(self.process.stdout.readline())
         return answer
 
-    def command(self, name: str, **arguments: Any) -> dict[str, Any]:
-        """Send a command of `PlatformEmulator.command`; returns its answer."""
+    def _send(self, command: commands.Command) -> dict[str, Any]:
+        """Send a command; returns the fields of its answer."""
         assert self.process.stdin is not None
-        self.process.stdin.write(json.dumps({"do": name, **arguments}) + "\n")
+        self.process.stdin.write(commands.encode_command(command) + "\n")
         self.process.stdin.flush()
-        return self._read_answer()
-
-    def set_list(self, count: int, endpoints_each: int = 1, rate: float = LISTED_RATE, **more: Any) -> int:
+        return self._read_line()
+
+    def set_list(
+        self,
+        count: int,
+        endpoints_per_destination: int = 1,
+        rate: float = LISTED_RATE,
+        changed: list[commands.Entry] | None = None,
+    ) -> int:
         """Set the full list, which counts for whoever watches from now on; returns its bytes."""
-        answer = self.command(
-            "list", count=count, endpoints=endpoints_each, rate=rate, addr=self.endpoint_address, **more
-        )
-        return int(answer["whole_bytes"])
+        command = commands.SetList(count, endpoints_per_destination, rate, self.endpoint_address, changed or [])
+        return commands.ListSet(**self._send(command)).size_bytes
+
+    def change(self, entries: list[commands.Entry]) -> commands.ChangeSent:
+        """Send changes in one object to all that watch."""
+        return commands.ChangeSent(**self._send(commands.ChangeEntries(entries)))
+
+    def cut_watches(self, entries: list[commands.Entry]) -> None:
+        """End every watch, and change entries before the next one is opened."""
+        self._send(commands.CutWatches(entries))
+
+    def track_calls(self, is_on: bool) -> None:
+        """Begin or end to note when first calls come."""
+        self._send(commands.TrackCalls(is_on))
+
+    def first_calls(self) -> dict[str, float]:
+        """By message identifier, when its first call came, in seconds of the monotonic clock."""
+        return commands.FirstCalls(**self._send(commands.GetFirstCalls())).at_s
+
+    def counts(self) -> commands.PlatformCounts:
+        """What the platform has counted so far."""
+        return commands.PlatformCounts(**self._send(commands.GetCounts()))
 
     def __enter__(self) -> PlatformProcess:
         return self
@@ -104,7 +135,7 @@
     """`python -m linnetstile.platform_relay` with a folder of its own."""
 
     def __init__(
-        self, platform: PlatformProcess, known: list[dict[str, Any]], state: Path | None = None, **settings: Any
+        self, platform: PlatformProcess, known: list[commands.Entry], state: Path | None = None, **settings: Any
     ) -> None:
         """Start a relay.
 
@@ -114,22 +145,9 @@
             state: Folder that lasts; None = a new one.
             settings: Settings other than the usual ones.
         """
-        self.folder = Path(tempfile.mkdtemp(prefix="linnetstile-slopes-"))
+        self.folder = Path(tempfile.mkdtemp(prefix=TEMPORARY_PREFIX))
         self.port = free_port()
-        config = self.folder / "config.json"
-        config.write_text(
-            json.dumps(
-                {
-                    "name": "n0",
-                    "listen": f"127.0.0.1:{self.port}",
-                    "discovery": f"127.0.0.1:{platform.port}",
-                    "seed": "1",
-                    "limits": LIMITS,
-                    "known": {"version": 1, "full": True, "servers": known},
-                    "settings": SETTINGS | settings,
-                }
-            )
-        )
+        config = self._write_config(platform, known, settings)
         self.log = self.folder / "log"
         environment = os.environ | {"GW_CONFIG": str(config), "GW_STATE": str(state or self.folder / "state")}
         self.began = time.monotonic()
@@ -139,6 +157,21 @@
             )
         self.pid = self.process.pid
 
+    def _write_config(self, platform: PlatformProcess, known: list[commands.Entry], settings: dict[str, Any]) -> Path:
+        """Write the configuration to the folder; returns its file."""
+        config = {
+            "name": "n0",
+            "listen": f"127.0.0.1:{self.port}",
+            "discovery": f"127.0.0.1:{platform.port}",
+            "seed": "1",
+            "limits": LIMITS,
+            "known": {"version": 1, "full": True, "servers": known},
+            "settings": SETTINGS | settings,
+        }
+        file = self.folder / "config.json"
+        file.write_text(json.dumps(config))
+        return file
+
     def wait_ready(self) -> float:
         """Seconds from its start until it says that it is ready.
 
@@ -148,7 +181,7 @@
         while time.monotonic() - self.began < START_TIMEOUT_S:
             try:
                 with HttpClient(self.port, READY_TIMEOUT_S) as client:
-                    if client.request(b"GET /-/ready HTTP/1.1\r\nHost: r\r\n\r\n") == 200:
+                    if client.request(b"GET /-/ready HTTP/1.1\r\nHost: r\r\n\r\n") == OK:
                         return time.monotonic() - self.began
             except OSError:
                 pass
@@ -190,7 +223,8 @@
 
     def __init__(self, port: int, timeout_s: float = 10.0) -> None:
         """Connect to a loopback port; an answer that takes longer than the timeout is an OSError."""
-        self.port, self.timeout_s = port, timeout_s
+        self.port = port
+        self.timeout_s = timeout_s
         self.sent = 0
         self.socket = self._connect()
 
@@ -212,7 +246,7 @@
         for _ in range(2):
             try:
                 self.socket.sendall(data)
-                answer = self.socket.recv(4096)
+                answer = self.socket.recv(ANSWER_BYTES)
                 if answer:
                     if b"connection: close" in answer.lower():
                         self._reconnect()
@@ -236,19 +270,30 @@
         self.socket.close()
 
 
-def wait_until_listed(client: HttpClient, destination: int, seconds: float) -> tuple[float | None, float]:
-    """Submit messages for a destination until one is accepted.
+class ListWait(NamedTuple):
+    """How long it took until a destination was listed, and how long clients waited meanwhile.
 
-    Returns:
-        Seconds until then (None = never), and the longest time in ms that an answer was waited for meanwhile, and for
-        `AFTERWARDS_S` after.
+    Attributes:
+        listed_s: Seconds until a message for it was accepted; None = never.
+        longest_wait_ms: The longest time that an answer was waited for until `AFTER_LIST_S` later.
     """
-    began, longest_s, listed_s = time.monotonic(), 0.0, None
-    while (now := time.monotonic()) - began < seconds and (listed_s is None or now - began < listed_s + AFTERWARDS_S):
+
+    listed_s: float | None
+    longest_wait_ms: float
+
+
+def wait_until_listed(client: HttpClient, destination: int, seconds: float) -> ListWait:
+    """Submit messages for a destination until one is accepted, and for `AFTER_LIST_S` more; at most `seconds`."""
+    began = time.monotonic()
+    end = began + seconds
+    longest_s = 0.0
+    listed_s = None
+    while (sent_at := time.monotonic()) < end:
         status = client.submit(destination)
-        answered = time.monotonic()
-        longest_s = max(longest_s, answered - now)
+        answered_at = time.monotonic()
+        longest_s = max(longest_s, answered_at - sent_at)
         if listed_s is None and status == ACCEPTED:
-            listed_s = answered - began
+            listed_s = answered_at - began
+            end = min(end, answered_at + AFTER_LIST_S)
         time.sleep(SUBMIT_INTERVAL_S)
-    return listed_s, longest_s * 1000
+    return ListWait(listed_s, longest_s * 1000)
--- a/benchmarks/slopes/queues.py
+++ b/benchmarks/slopes/queues.py
@@ -20,17 +20,40 @@
 """Messages a second of one relay."""
 MESSAGES_A_QUEUE = 3
 """Messages in each queue at the least."""
-WARM_UP_MS, RUN_MS = 12_000.0, 1_000.0
+WARM_UP_MS = 12_000.0
+RUN_MS = 1_000.0
 DEADLINE_MS = 600_000.0
-REFUSED_MS, ANSWERED_MS = 5.0, 20.0
+REFUSED_MS = 5.0
+ANSWERED_MS = 20.0
 IDLE_TURNS = 50
 
 
 def measure(queues: int, destinations: int) -> Measurements:
     """The first `queues` destinations are down."""
+    rng = random.Random(queues)
+    fleet = _warmed_up_fleet(queues, destinations, rng)
+    inside.freeze_garbage()
+    fleet.reset()
+    count = _submit_load(fleet, queues, destinations, rng)
+    fleet.run(WARM_UP_MS + RUN_MS)
+    found: Measurements = {
+        "message_us": fleet.cpu_us("Message") / count,
+        "answer_us": fleet.cpu_us("AttemptEnded") / fleet.costs["AttemptEnded"].turns,
+        "timers_us_a_s": fleet.cpu_us("TimerFired") * 1000 / RUN_MS,
+        "all_us_a_message": fleet.cpu_us() / count,
+        "turns_a_message": sum(cost.turns for cost in fleet.costs.values()) / count,
+        "delivered_share": fleet.outcomes.get("delivered", 0) / count,
+    }
+    engine = fleet.relays[0]
+    now_ms = fleet.now_ms
+    found["idle_turn_us"] = min(processor_time_us(lambda: engine.handle(now_ms, [])) for _ in range(IDLE_TURNS))
+    return found
+
+
+def _warmed_up_fleet(queues: int, destinations: int, rng: random.Random) -> SimulatedFleet:
+    """One relay that has filled the queues of the destinations that are down."""
     rate = inside.LISTED_RATE * TARGET_DESTINATIONS / destinations
     engine = inside.create_engine(destinations, rate=rate, deadline_ms=DEADLINE_MS)
-    rng = random.Random(queues)
 
     def answer(_: int, endpoint: int, now_ms: float) -> tuple[Outcome, float]:
         return (Outcome.CONNECT_FAILED, REFUSED_MS) if endpoint <= queues else (Outcome.OK, ANSWERED_MS)
@@ -39,28 +62,21 @@
     for number in range(queues * MESSAGES_A_QUEUE):  # as they come: not all in one moment
         fleet.submit(rng.uniform(0.0, WARM_UP_MS / 3), 0, number % queues, DEADLINE_MS)
     fleet.run(WARM_UP_MS)
-    inside.freeze_garbage()
-    fleet.reset()
+    return fleet
+
+
+def _submit_load(fleet: SimulatedFleet, queues: int, destinations: int, rng: random.Random) -> int:
+    """Submit the messages of the measured time, by chance for one that is down or up; returns how many."""
     count = int(EVENTS_PER_S * RUN_MS / 1000)
     for at_ms in sorted(rng.uniform(WARM_UP_MS, WARM_UP_MS + RUN_MS) for _ in range(count)):
         is_down = rng.random() < queues / TARGET_DESTINATIONS  # also where there are fewer that are up
         destination = rng.randrange(queues) if is_down else rng.randrange(queues, destinations)
         fleet.submit(at_ms, 0, destination, DEADLINE_MS)
-    fleet.run(WARM_UP_MS + RUN_MS)
-    found: Measurements = {
-        "message_us": fleet.cpu_us("Message") / count,
-        "answer_us": fleet.cpu_us("AttemptEnded") / fleet.costs["AttemptEnded"].turns,
-        "timers_us_a_s": fleet.cpu_us("TimerFired") * 1000 / RUN_MS,
-        "all_us_a_message": fleet.cpu_us() / count,
-        "turns_a_message": sum(cost.turns for cost in fleet.costs.values()) / count,
-        "delivered_share": fleet.outcomes.get("delivered", 0) / count,
-    }
-    now_ms = fleet.now
-    found["idle_turn_us"] = min(processor_time_us(lambda: engine.handle(now_ms, [])) for _ in range(IDLE_TURNS))
-    return found
+    return count
 
 
-POINTS, CHECKS = (20, 256, 512, 1024, 1600), (2280,)
+POINTS = (20, 256, 512, 1024, 1600)
+CHECKS = (2280,)
 SERIES = {
     "beside_target": Series("queues", POINTS, CHECKS, lambda queues: measure(queues, TARGET_DESTINATIONS), 1),
     "beside_few": Series("queues", POINTS, CHECKS, lambda queues: measure(queues, queues + 1024), 2),
--- a/benchmarks/slopes/relays.py
+++ b/benchmarks/slopes/relays.py
@@ -1,12 +1,12 @@
-"""Simulated relays: what each learns of an outage, what all send to cold destinations, what they tell each other.
+"""Simulated relays: what each learns of an outage, what all send to destinations that warm up, and their gossip.
 
 `outage`: so many engines on one simulated clock share the same load (9.2 events a second for each destination, over
-all relays); 6 of 24 destinations are out for 100 s and come back cold. Counted are calls, against the budget of the
-time (N calls in any second while it is cold; beyond it 2 * sqrt(N) + 2 are put down to chance). What relays tell each
-other: relays on the platform (linnetstile.platform_relay) tell each other nothing; AS2 relays poll each other
-(as2_relay/gossip.py). `asks`: membership alone on a simulated clock: polls a second, and how long until a relay has
-polled one of the hundredth of all that know of an outage. `document`: a relay's gossip document in bytes and processor
-time, by the number of destinations that it has called.
+all relays); 6 of 24 destinations are out for 100 s and return warming up. Counted are calls, against the budget of the
+time (N calls in any second while it warms up; beyond it 2 * sqrt(N) + 2 are put down to chance). Gossip: platform
+relays (linnetstile.platform_relay) have none; AS2 relays poll each other (as2_relay/gossip_polling.py). `asks`:
+membership alone on a simulated clock: polls a second, and how long until a relay has polled one of the hundredth of all
+that know of an outage. `document`: a relay's gossip document in bytes and processor time, by the number of destinations
+that it has called.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 import math
 import random
 from dataclasses import dataclass, field
-from typing import Any
+from typing import TYPE_CHECKING, Any, NamedTuple
 
 from benchmarks.slopes import inside
 from benchmarks.slopes.series import Measurements, Series
@@ -26,50 +26,66 @@
 from linnetstile.engine.events import Outcome
 from linnetstile.engine.membership import Membership
 
-DESTINATIONS, DOWN = 24, 6
+if TYPE_CHECKING:
+    from linnetstile.as2_relay.gossip_service import GossipService
+
+DESTINATIONS = 24
+DOWN = 6
+"""Destinations that are out for a while, the first ones."""
 EVENTS_PER_DESTINATION_S = 9.2
 """Messages a second for one destination, from all relays."""
-BEGIN_MS, END_MS, RUN_MS = 60_000.0, 160_000.0, 175_000.0
-"""Of the outage, and of the run."""
-COLD_MS = 5000.0
+OUTAGE_BEGIN_MS = 60_000.0
+OUTAGE_END_MS = 160_000.0
+RUN_MS = 175_000.0
+SLOW_START_MS = 5000.0
 LATE_MS = 50_000.0
 """Calls of the last part of the outage count as late."""
 DEADLINE_MS = 30_000.0
-REFUSED_MS, ANSWERED_MS = 5.0, 20.0
+REFUSED_MS = 5.0
+ANSWERED_MS = 20.0
 
 POLL_MS = 5.0
 FIRST_POLL_MS = 500.0
 """Relays begin to poll within this time."""
-POLLS_BEGIN_MS, POLLS_END_MS = 60_000.0, 7_260_000.0
+POLLS_BEGIN_MS = 60_000.0
+"""Polls count from then on; before, members get to know each other."""
+POLLS_END_MS = 7_260_000.0
 PEERS_SENT = 4
 
 
-def cold_call_budget(since_ms: float) -> float:
+def slow_start_budget(since_ms: float) -> float:
     """Calls that a destination takes in one second, so long after its return."""
     safety = inside.SAFETY
-    warm = min(1.0, since_ms / safety.slow_start_ms)
-    share = safety.slow_start_fraction + (1 - safety.slow_start_fraction) * warm
+    progress = min(1.0, since_ms / safety.slow_start_ms)
+    share = safety.slow_start_fraction + (1 - safety.slow_start_fraction) * progress
     return safety.overload_multiple * share * inside.LISTED_RATE * safety.overload_window_ms / 1000
 
 
-def worst_budget_use(calls_ms: list[float]) -> tuple[float, float]:
+class BudgetUse(NamedTuple):
     """The largest part of the budget that the calls of a second took.
 
-    Args:
-        calls_ms: Times of the calls since the return, in order.
-
-    Returns:
-        The part of the budget, and of the budget with what is put down to chance.
+    Attributes:
+        worst: Of the budget.
+        with_chance: Of the budget with what is put down to chance.
     """
-    worst = with_chance = 0.0
+
+    worst: float
+    with_chance: float
+
+
+def worst_budget_use(calls_ms: list[float]) -> BudgetUse:
+    """The largest part of the budget that the calls of a second took; times since the return, in order."""
+    worst = 0.0
+    with_chance = 0.0
     first = 0
     for last, at_ms in enumerate(calls_ms):
         while calls_ms[first] <= at_ms - 1000.0:
             first += 1
-        budget, calls = cold_call_budget(at_ms), last - first + 1
+        budget = slow_start_budget(at_ms)
+        calls = last - first + 1
         worst = max(worst, calls / budget)
         with_chance = max(with_chance, calls / (budget + 2 * math.sqrt(budget) + 2))
-    return worst, with_chance
+    return BudgetUse(worst, with_chance)
 
 
 @dataclass(frozen=True, slots=True)
@@ -89,9 +105,9 @@
 
     def answer(self, relay: int, endpoint: int, now_ms: float) -> tuple[Outcome, float]:
         """Answer a call, and record it if it is to one of those."""
-        if endpoint <= DOWN and now_ms >= BEGIN_MS:
+        if endpoint <= DOWN and now_ms >= OUTAGE_BEGIN_MS:
             self.calls.append(OutageCall(now_ms, relay, endpoint - 1))
-            if now_ms < END_MS:
+            if now_ms < OUTAGE_END_MS:
                 return Outcome.CONNECT_FAILED, REFUSED_MS
         return Outcome.OK, ANSWERED_MS
 
@@ -104,8 +120,10 @@
         inside.create_engine(DESTINATIONS, seed=seed, relays=relays, deadline_ms=DEADLINE_MS) for seed in range(relays)
     ]
     fleet = SimulatedFleet(engines, endpoints.answer)
-    at_ms, messages = 0.0, 0
-    while (at_ms := at_ms + rng.expovariate(EVENTS_PER_DESTINATION_S * DESTINATIONS / 1000)) < RUN_MS:
+    rate_per_ms = EVENTS_PER_DESTINATION_S * DESTINATIONS / 1000
+    at_ms = 0.0
+    messages = 0
+    while (at_ms := at_ms + rng.expovariate(rate_per_ms)) < RUN_MS:
         messages += 1
         fleet.submit(at_ms, rng.randrange(relays), rng.randrange(DESTINATIONS), DEADLINE_MS)
     fleet.run(RUN_MS)
@@ -121,11 +139,11 @@
 
 def _during_outage(calls: list[OutageCall], relays: int) -> Measurements:
     """When relays learned of the outage, and their calls in it."""
-    during = [call for call in calls if call.at_ms < END_MS]
+    during = [call for call in calls if call.at_ms < OUTAGE_END_MS]
     learned: dict[tuple[int, int], float] = {}
     for call in during:
-        learned.setdefault((call.relay, call.destination), call.at_ms - BEGIN_MS)
-    late = sum(call.at_ms >= END_MS - LATE_MS for call in during)
+        learned.setdefault((call.relay, call.destination), call.at_ms - OUTAGE_BEGIN_MS)
+    late = sum(call.at_ms >= OUTAGE_END_MS - LATE_MS for call in during)
     never = relays * DOWN - len(learned)
     times = sorted([*learned.values(), *[math.inf] * never])
     middle = times[len(times) // 2]
@@ -138,51 +156,77 @@
 
 
 def _after_return(calls: list[OutageCall]) -> Measurements:
-    """Calls to the destinations while they were cold, against their budget."""
+    """Calls to the destinations while they warmed up, against their budget."""
     by_destination = [
         sorted(
-            call.at_ms - END_MS
+            call.at_ms - OUTAGE_END_MS
             for call in calls
-            if call.destination == destination and END_MS <= call.at_ms < END_MS + COLD_MS
+            if call.destination == destination and OUTAGE_END_MS <= call.at_ms < OUTAGE_END_MS + SLOW_START_MS
         )
         for destination in range(DOWN)
     ]
     uses = [worst_budget_use(calls_ms) for calls_ms in by_destination if calls_ms]
     return {
         "cold_calls": sum(map(len, by_destination)) / DOWN,
-        "cold_budget_worst": max(worst for worst, _ in uses),
-        "cold_budget_mean": sum(worst for worst, _ in uses) / len(uses),
-        "cold_with_chance_worst": max(with_chance for _, with_chance in uses),
+        "cold_budget_worst": max(use.worst for use in uses),
+        "cold_budget_mean": sum(use.worst for use in uses) / len(uses),
+        "cold_with_chance_worst": max(use.with_chance for use in uses),
     }
 
 
-def polls(relays: int) -> Measurements:
-    """Members that each know all others; a poll takes 5 ms.
+class PollSimulation:
+    """Members that each know all others, on a simulated clock; a poll takes 5 ms.
 
-    The first ones are polled within a minute, then it counts for two hours.
+    Attributes:
+        names: Addresses of the members.
+        informed: Those that know of an outage.
+        first_polls: Polls in the first minute.
+        polls: Polls after it.
+        heard_s: By member, seconds after the first minute until it has polled one that is informed.
     """
-    rng = random.Random(relays)
-    names = [f"10.0.{number >> 8}.{number & 255}:80" for number in range(relays)]
-    members = {name: Membership(name, names, 0.0, seed) for seed, name in enumerate(names)}
-    informed = set(rng.sample(names, max(1, relays // 100)))
-    queue = [(rng.uniform(0.0, FIRST_POLL_MS), name) for name in names]
-    heapq.heapify(queue)
-    polled, counted, heard_s = 0, 0, dict[str, float]()
-    while queue[0][0] < POLLS_END_MS:
-        now_ms, name = heapq.heappop(queue)
-        peer = members[name].next_peer(now_ms)
-        if peer is not None:
-            polled += 1
-            counted += now_ms >= POLLS_BEGIN_MS
-            members[name].poll_answered(now_ms + POLL_MS, peer, "run", members[peer].alive_peers()[:PEERS_SENT])
-            if now_ms >= POLLS_BEGIN_MS and peer in informed:
-                heard_s.setdefault(name, (now_ms - POLLS_BEGIN_MS) / 1000)
-        heapq.heappush(queue, (max(now_ms + POLL_MS, members[name].next_poll_at), name))
-    times = sorted(heard_s.get(name, math.inf) for name in names if name not in informed)
+
+    def __init__(self, relays: int) -> None:
+        """Prepare so many members, a hundredth of which are informed."""
+        rng = random.Random(relays)
+        self.names = [f"10.0.{number >> 8}.{number & 255}:80" for number in range(relays)]
+        self.informed = set(rng.sample(self.names, max(1, relays // 100)))
+        self.first_polls = 0
+        self.polls = 0
+        self.heard_s: dict[str, float] = {}
+        self._members = {name: Membership(name, self.names, 0.0, seed) for seed, name in enumerate(self.names)}
+        self._queue = [(rng.uniform(0.0, FIRST_POLL_MS), name) for name in self.names]
+        heapq.heapify(self._queue)
+
+    def run(self) -> None:
+        """Poll until `POLLS_END_MS`."""
+        while self._queue[0][0] < POLLS_END_MS:
+            now_ms, name = heapq.heappop(self._queue)
+            member = self._members[name]
+            peer = member.next_peer(now_ms)
+            if peer is not None:
+                member.poll_answered(now_ms + POLL_MS, peer, "run", self._members[peer].alive_peers()[:PEERS_SENT])
+                self._count(now_ms, name, peer)
+            heapq.heappush(self._queue, (max(now_ms + POLL_MS, member.next_poll_at), name))
+
+    def _count(self, now_ms: float, name: str, peer: str) -> None:
+        if now_ms < POLLS_BEGIN_MS:
+            self.first_polls += 1
+            return
+        self.polls += 1
+        if peer in self.informed:
+            self.heard_s.setdefault(name, (now_ms - POLLS_BEGIN_MS) / 1000)
+
+
+def polls(relays: int) -> Measurements:
+    """So many members: the first ones are polled within a minute, then it counts for two hours."""
+    simulation = PollSimulation(relays)
+    simulation.run()
+    uninformed = [name for name in simulation.names if name not in simulation.informed]
+    times = sorted(simulation.heard_s.get(name, math.inf) for name in uninformed)
     length_ms = POLLS_END_MS - POLLS_BEGIN_MS
     found: Measurements = {
-        "asks_a_s": counted / relays / length_ms * 1000,
-        "first_minute_asks": (polled - counted) / relays,
+        "asks_a_s": simulation.polls / relays / length_ms * 1000,
+        "first_minute_asks": simulation.first_polls / relays,
     }
     for quantity, at_s in (("heard_median_s", times[len(times) // 2]), ("heard_last_s", times[-1])):
         found[quantity] = at_s if at_s < math.inf else f"not within {length_ms / 1000:g} s"
@@ -190,28 +234,11 @@
 
 
 def gossip_document(routes: int) -> Measurements:
-    """A gossip document and the reading of one. Touches as2_relay/gossip.py."""
+    """A gossip document and the reading of one."""
     from linnetstile.as2_relay.gossip_document import parse
-    from linnetstile.as2_relay.gossip_service import GossipService
-    from linnetstile.config.relay import KnowledgeSettings
-
-    engine = inside.create_engine(routes)
-    now_ms = 0.0
-    for number in range(routes):
-        now_ms += 0.4
-        inside.delivered(engine, number, number, now_ms)
-    numbers = {f"partner-{number}": number for number in range(routes)}
 
     async def measure() -> Measurements:
-        def ignore(*_: object, **__: object) -> None:
-            pass
-
-        class QuietLog:
-            info = warning = debug = error = staticmethod(ignore)
-
-        log: Any = QuietLog()
-        gossip = GossipService(KnowledgeSettings(), engine, "r", "run", numbers, ignore, log)
-        type(gossip).now_ms = property(lambda self: now_ms)  # type: ignore[method-assign,assignment]
+        gossip = _gossip_of_engine(routes)
         found: Measurements = {"document_us": processor_time_us(gossip.document, 2)}
         document = json.dumps(gossip.document()).encode()
         found |= {"document_bytes": float(len(document)), "bytes_a_destination": len(document) / routes}
@@ -225,6 +252,38 @@
     return asyncio.run(measure())
 
 
+class _QuietLog:
+    """A logger that drops all events."""
+
+    def info(self, event: str, **fields: object) -> None:
+        pass
+
+    debug = info
+    warning = info
+    error = info
+
+
+def _gossip_of_engine(routes: int) -> GossipService:
+    """Gossip of a relay that has called so many destinations. Touches as2_relay/gossip_service.py."""
+    from linnetstile.as2_relay.gossip_service import GossipService
+    from linnetstile.config.relay import KnowledgeSettings
+
+    engine = inside.create_engine(routes)
+    now_ms = 0.0
+    for number in range(routes):
+        now_ms += 0.4
+        inside.delivered(engine, number, number, now_ms)
+    numbers = {f"partner-{number}": number for number in range(routes)}
+
+    def ignore(*_: object) -> None:
+        pass
+
+    log: Any = _QuietLog()
+    gossip = GossipService(KnowledgeSettings(), engine, "r", "run", numbers, ignore, log)
+    type(gossip).now_ms = property(lambda self: now_ms)  # type: ignore[method-assign,assignment]
+    return gossip
+
+
 SERIES = {
     "outage": Series("relays", (20, 60, 120, 240), (460,), outage, 1),
     "asks": Series("relays", (20, 60, 120, 240), (460,), polls, 1),
--- a/benchmarks/slopes/simulated_fleet.py
+++ b/benchmarks/slopes/simulated_fleet.py
@@ -6,7 +6,7 @@
 import time
 from collections.abc import Callable
 from dataclasses import dataclass
-from typing import Any
+from typing import NamedTuple
 
 from linnetstile.engine.actions import Action, Fail, Reject, Send, SetTimer
 from linnetstile.engine.engine import DeliveryEngine
@@ -24,23 +24,34 @@
     seconds: float = 0.0
 
 
+class ScheduledEvent(NamedTuple):
+    """An event for a relay; ordered by time, then by serial number."""
+
+    at_ms: float
+    serial: int
+    relay: int
+    event: Event
+
+
 class SimulatedFleet:
     """Events in the order of their time, and what each relay does with them. Times in simulated ms.
 
     Attributes:
         relays: The engines.
         answer: What endpoints answer.
-        now: Time of the last event.
+        now_ms: Time of the last event.
         costs: Processor time by name of the event.
         outcomes: Messages that have ended, by how.
     """
 
     def __init__(self, relays: list[DeliveryEngine], answer: EndpointAnswer) -> None:
         """Make a fleet of these engines, at time 0."""
-        self.relays, self.answer = relays, answer
-        self.now = 0.0
-        self.queue: list[tuple[float, int, int, Any]] = []  # time, serial number, relay, event
-        self.serial = self.last_message = 0
+        self.relays = relays
+        self.answer = answer
+        self.now_ms = 0.0
+        self.queue: list[ScheduledEvent] = []
+        self.serial = 0
+        self.last_message = 0
         self.timer_serials = [0] * len(relays)  # of the timer that counts
         self.attempts: dict[int, int] = {}  # message -> attempts
         self.destinations: dict[int, int] = {}  # message -> destination
@@ -50,28 +61,29 @@
     def schedule(self, at_ms: float, relay: int, event: Event) -> int:
         """Add an event for a relay; returns its serial number."""
         self.serial += 1
-        heapq.heappush(self.queue, (at_ms, self.serial, relay, event))
+        heapq.heappush(self.queue, ScheduledEvent(at_ms, self.serial, relay, event))
         return self.serial
 
     def submit(self, at_ms: float, relay: int, destination: int, remaining_ms: float) -> None:
         """Submit a message to a relay."""
         self.last_message += 1
-        self.attempts[self.last_message], self.destinations[self.last_message] = 0, destination
+        self.attempts[self.last_message] = 0
+        self.destinations[self.last_message] = destination
         self.schedule(at_ms, relay, Message(self.last_message, destination, 0, remaining_ms))
 
     def run(self, until_ms: float) -> None:
         """Play all events up to a time."""
-        while self.queue and self.queue[0][0] <= until_ms:
-            self.now, serial, relay, event = heapq.heappop(self.queue)
+        while self.queue and self.queue[0].at_ms <= until_ms:
+            self.now_ms, serial, relay, event = heapq.heappop(self.queue)
             if not isinstance(event, TimerFired) or self.timer_serials[relay] == serial:
                 self.handle(relay, event)
-        self.now = until_ms
+        self.now_ms = until_ms
 
     def handle(self, relay: int, event: Event) -> None:
         """Let a relay handle one event, and play its actions."""
         cost = self.costs.setdefault(type(event).__name__, TurnCost())
         began = time.process_time()
-        actions = self.relays[relay].handle(self.now, [event])
+        actions = self.relays[relay].handle(self.now_ms, [event])
         cost.seconds += time.process_time() - began
         cost.turns += 1
         if isinstance(event, AttemptEnded) and event.is_final:
@@ -84,25 +96,26 @@
             case Send():
                 self.send(relay, action)
             case SetTimer(delay_ms, token):
-                self.timer_serials[relay] = self.schedule(self.now + delay_ms, relay, TimerFired(token))
+                self.timer_serials[relay] = self.schedule(self.now_ms + delay_ms, relay, TimerFired(token))
             case Reject(message_id) | Fail(message_id):
                 self.finish(message_id, type(action).__name__.lower())
 
     def finish(self, message_id: int, outcome: str) -> None:
         """Count the end of a message."""
         self.outcomes[outcome] = self.outcomes.get(outcome, 0) + 1
-        del self.attempts[message_id], self.destinations[message_id]
+        del self.attempts[message_id]
+        del self.destinations[message_id]
 
     def send(self, relay: int, send: Send) -> None:
         """Play a call: schedule its end."""
-        outcome, elapsed_ms = self.answer(relay, send.endpoint, self.now)
-        if self.now + elapsed_ms > send.timeout_at_ms:
-            outcome, elapsed_ms = Outcome.TIMEOUT, max(0.0, send.timeout_at_ms - self.now)
+        outcome, elapsed_ms = self.answer(relay, send.endpoint, self.now_ms)
+        if self.now_ms + elapsed_ms > send.timeout_at_ms:
+            outcome, elapsed_ms = Outcome.TIMEOUT, max(0.0, send.timeout_at_ms - self.now_ms)
         attempt = self.attempts[send.id]
         self.attempts[send.id] += 1
         is_final = outcome is Outcome.OK
         ended = AttemptEnded(send.id, attempt, send.endpoint, outcome, elapsed_ms, is_final)
-        self.schedule(self.now + elapsed_ms, relay, ended)
+        self.schedule(self.now_ms + elapsed_ms, relay, ended)
 
     def cpu_us(self, *kinds: str) -> float:
         """Processor time in microseconds of events of these names, of all if none is named."""
@@ -110,4 +123,5 @@
 
     def reset(self) -> None:
         """Forget costs and outcomes so far."""
-        self.costs, self.outcomes = {}, {}
+        self.costs = {}
+        self.outcomes = {}
--- a/benchmarks/slopes/timing.py
+++ b/benchmarks/slopes/timing.py
@@ -20,8 +20,8 @@
     def __init__(self) -> None:
         self.value = 0.0
 
-    def add(self, by: float) -> None:
-        self.value += by
+    def add(self, amount: float) -> None:
+        self.value += amount
 
 
 def reference_loop_us() -> float:
--- a/tests/test_benchmarks.py
+++ b/tests/test_benchmarks.py
@@ -1,4 +1,4 @@
-"""What the benchmarks share: child processes and latencies."""
+"""What the benchmarks share: child processes, commands to the platform emulator, latencies."""
 
 from __future__ import annotations
 
@@ -7,6 +7,21 @@
 from benchmarks.as2_load import LatencyHistogram
 from benchmarks.common import start_child
 from benchmarks.pass_through import start_pass_through
+from benchmarks.slopes.inside import discovery_entry
+from benchmarks.slopes.platform_commands import (
+    ChangeEntries,
+    Command,
+    CutWatches,
+    GetCounts,
+    GetFirstCalls,
+    SetList,
+    TrackCalls,
+    decode_command,
+    encode_command,
+)
+from benchmarks.slopes.processes import PlatformProcess
+
+ENTRY = discovery_entry(0, 0, "127.0.0.1:9")
 
 
 def test_a_child_announces_its_port_and_ends_with_the_block() -> None:
@@ -21,6 +36,35 @@
         start_child("pass_through", "no port")
 
 
+@pytest.mark.parametrize(
+    "command",
+    [
+        SetList(2, 1, 20.0, "127.0.0.1:9", [ENTRY]),
+        ChangeEntries([ENTRY]),
+        CutWatches([]),
+        TrackCalls(True),
+        GetFirstCalls(),
+        GetCounts(),
+    ],
+    ids=lambda command: type(command).__name__,
+)
+def test_a_command_to_the_platform_emulator_survives_its_line(command: Command) -> None:
+    assert decode_command(encode_command(command)) == command
+
+
+def test_the_platform_emulator_answers_each_command() -> None:
+    with PlatformProcess() as platform:
+        list_bytes = platform.set_list(3, changed=[ENTRY | {"state": "DRAINING"}])
+        assert list_bytes > 0
+        sent = platform.change([ENTRY])
+        assert 0 < sent.size_bytes < list_bytes
+        platform.cut_watches([ENTRY])
+        platform.track_calls(True)
+        assert platform.first_calls() == {}
+        counts = platform.counts()
+        assert (counts.full_lists, counts.full_list_bytes, counts.calls) == (0, 0, 0)
+
+
 def test_a_latency_is_given_in_rounded_milliseconds() -> None:
     latency = LatencyHistogram()
     assert latency.percentile_ms(99) == 0.0
--- a/tests/test_slopes.py
+++ b/tests/test_slopes.py
@@ -8,7 +8,7 @@
 
 from benchmarks.slopes import fit
 from benchmarks.slopes.judgement import add_reference_loops, fit_quantities, least_of_rounds
-from benchmarks.slopes.relays import cold_call_budget, worst_budget_use
+from benchmarks.slopes.relays import slow_start_budget, worst_budget_use
 from benchmarks.slopes.series import Measurements, Series
 from benchmarks.slopes.timing import REFERENCE_LOOP
 
@@ -19,7 +19,7 @@
     made = fit.best_fit(SIZES, [5 + 3 * n for n in SIZES])
     assert made.form == "linear"
     assert made.residual < 1e-9
-    assert made.at(120_000) == pytest.approx(5 + 3 * 120_000)
+    assert made.forecast(120_000) == pytest.approx(5 + 3 * 120_000)
 
 
 def test_the_simplest_form_that_fits_is_taken() -> None:
@@ -108,8 +108,8 @@
 
 
 def test_cold_calls_are_held_against_the_budget_of_their_second() -> None:
-    assert cold_call_budget(0.0) == pytest.approx(8.0)  # 2 * 0.2 * 20 a second
-    assert cold_call_budget(5000.0) == pytest.approx(40.0)
+    assert slow_start_budget(0.0) == pytest.approx(8.0)  # 2 * 0.2 * 20 a second
+    assert slow_start_budget(5000.0) == pytest.approx(40.0)
     worst, chance = worst_budget_use([0.0] * 16)
     assert worst == pytest.approx(2.0)
     assert chance == pytest.approx(16 / (8 + 2 * 8**0.5 + 2))
