--- a/linnetstile/engine/admission.py
+++ b/linnetstile/engine/admission.py
@@ -60,6 +60,7 @@
         self,
         settings: Settings,
         rng: random.Random,
+        *,
         queues: MessageQueues,
         routes: dict[int, dict[int, RouteState]],
         retry_policy: RetryPolicy,
--- a/linnetstile/engine/destinations.py
+++ b/linnetstile/engine/destinations.py
@@ -50,6 +50,7 @@
         self,
         settings: Settings,
         index: EndpointIndex,
+        *,
         queued_destinations: Container[int],
         factory: RouteFactory,
     ) -> None:
--- a/linnetstile/engine/engine.py
+++ b/linnetstile/engine/engine.py
@@ -66,27 +66,50 @@
         self.connections = ConnectionPolicy()
         index = EndpointIndex()
         self.rate_limiter = RateLimiter(settings, self.rng, index)
-        self.route_factory = RouteFactory(settings, self.rng, self.queues, self.rate_limiter, self.fleet_latency)
-        self.routing_table = RoutingTable(settings, index, self.queues.queues, self.route_factory)
+        self.route_factory = RouteFactory(
+            settings,
+            self.rng,
+            queues=self.queues,
+            rate_limiter=self.rate_limiter,
+            fleet_latency=self.fleet_latency,
+        )
+        self.routing_table = RoutingTable(
+            settings, index, queued_destinations=self.queues.queues, factory=self.route_factory
+        )
         self.retry_policy = RetryPolicy(
-            settings, self.rng, self.queues, self.routes, self.endpoints, self.fleet_latency
+            settings,
+            self.rng,
+            queues=self.queues,
+            routes=self.routes,
+            endpoints=self.endpoints,
+            fleet_latency=self.fleet_latency,
         )
         self.outliers = OutlierDetector(settings, self.rng, self.rate_limiter)
         self.admission = AdmissionController(
-            settings, self.rng, self.queues, self.routes, self.retry_policy, self.rate_limiter
+            settings,
+            self.rng,
+            queues=self.queues,
+            routes=self.routes,
+            retry_policy=self.retry_policy,
+            rate_limiter=self.rate_limiter,
         )
         self.scheduler = Scheduler(
             settings,
-            self.queues,
-            self.routing_table,
-            self.fleet_latency,
-            self.retry_policy,
-            self.rate_limiter,
-            self.outliers,
-            self.connections,
+            queues=self.queues,
+            routing_table=self.routing_table,
+            fleet_latency=self.fleet_latency,
+            retry_policy=self.retry_policy,
+            rate_limiter=self.rate_limiter,
+            outliers=self.outliers,
+            connections=self.connections,
         )
         self.gossip_importer = GossipImporter(
-            settings, self.routing_table, self.retry_policy, self.rate_limiter, self.outliers, self.connections
+            settings,
+            routing_table=self.routing_table,
+            retry_policy=self.retry_policy,
+            rate_limiter=self.rate_limiter,
+            outliers=self.outliers,
+            connections=self.connections,
         )
         self.list_poller = ListPoller(settings, self.rng)
         self._timer_due_at = 0.0
--- a/linnetstile/engine/gossip_import.py
+++ b/linnetstile/engine/gossip_import.py
@@ -20,6 +20,7 @@
     def __init__(
         self,
         settings: Settings,
+        *,
         routing_table: RoutingTable,
         retry_policy: RetryPolicy,
         rate_limiter: RateLimiter,
--- a/linnetstile/engine/pending_message.py
+++ b/linnetstile/engine/pending_message.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from dataclasses import dataclass
+from dataclasses import dataclass, field
 from typing import TYPE_CHECKING
 
 from .events import Endpoint, Message
@@ -31,8 +31,10 @@
         sent_at: Start of its latest attempt.
         first_unclear_at: Start of the first attempt that may have run; None = none may have.
         unclear_endpoint: Where that was.
-        cancelled: Whether its client has withdrawn it.
-        recovered_untried: Whether a restart found it without an attempt: it is owed one.
+        cancelled: Whether its client has cancelled it.
+        recovered_untried: Whether a restart found it without an attempt: it is not shed before it has had one.
+        ordering_key: The key whose order it keeps; 0 = none.
+        expires_early: Whether its deadline comes before its latency objective: its client will not wait so long.
     """
 
     message: Message
@@ -50,11 +52,12 @@
     unclear_endpoint: Endpoint | None = None
     cancelled: bool = False
     recovered_untried: bool = False
+    ordering_key: int = field(init=False)
+    expires_early: bool = field(init=False)
 
-    @property
-    def ordering_key(self) -> int:
-        """The key whose order it keeps; 0 = none."""
-        return self.message.ordering_key if self.message_class.in_order else 0
+    def __post_init__(self) -> None:
+        self.ordering_key = self.message.ordering_key if self.message_class.in_order else 0
+        self.expires_early = self.deadline < self.submitted_at + self.message_class.latency_objective_ms
 
     def start_attempt(self, now: float, call: InFlightCall) -> None:
         """Note that an attempt has started."""
@@ -63,12 +66,14 @@
         self.attempts += 1
 
     def value_at(self, at: float, decay: ValueDecay) -> float:
-        """Return the value of a delivery at a moment: full within the latency objective, then falling, 0 when late."""
+        """Return the value of a delivery at a time: full within the latency objective, then falling, 0 when late."""
+        if at >= self.deadline:
+            return 0.0
         message_class = self.message_class
         objective_ms = message_class.latency_objective_ms
         overrun_ms = at - self.submitted_at - objective_ms
-        if overrun_ms <= 0 or at >= self.deadline:
-            return self.priority_weight if at < self.deadline else 0.0
+        if overrun_ms <= 0:
+            return self.priority_weight
         late_fraction = message_class.late_value_fraction
         if decay is ValueDecay.HALF_LIFE:
             return self.priority_weight * max(late_fraction, float(0.5 ** (overrun_ms / objective_ms)))
--- a/linnetstile/engine/rate_limiter.py
+++ b/linnetstile/engine/rate_limiter.py
@@ -24,6 +24,7 @@
 TOKENS_AFTER_REJECTION = (-0.5, 0.5)  # random bound of the tokens: rejected relays do not send their next call in step
 BURST_S = 2.0  # the token bucket holds the calls of this many seconds,
 MIN_BURST = 3.0  # but no fewer than this
+SINGLE_CALL = 1.0  # the burst of a route that gets its calls one at a time
 UNPACED_RATE = 0.5  # calls a second that one of many relays may send without pacing, until one is rejected
 RATE_GAIN = 0.5  # fraction by which a success raises a rate that has no whole token left
 THROTTLED_RATE_GAIN = 0.1  # the same while the route is throttled
@@ -108,9 +109,6 @@
             rate.own_rate = rate.own_rate * advertised_rate / rate.fleet_rate
             rate.fleet_rate = advertised_rate
 
-    def _unpaced_rate(self, kind: int) -> float:
-        return self.unpaced_rates.get(kind, UNPACED_RATE)
-
     def allowance(self, now: float, route: RouteState, is_down: bool) -> RateAllowance:
         """Return what the route may get now.
 
@@ -119,14 +117,14 @@
         """
         if is_down or self._may_return_any_moment(now, route):
             budget = initial_budget(route, self.settings)
-            return RateAllowance(budget / count_aware_relays(now, route, self.settings.relay_count), burst=1.0)
+            return RateAllowance(budget / count_aware_relays(now, route, self.settings.relay_count), SINGLE_CALL)
         rate = route.rate
-        unpaced_rate = self._unpaced_rate(route.kind)
+        unpaced_rate = self.unpaced_rates.get(route.kind, UNPACED_RATE)
         is_throttled = now <= rate.throttled_until
         allowed = rate.own_rate if is_throttled else max(rate.own_rate, unpaced_rate)
         if now < route.health.slow_start_since + self.slow_start_ms:
-            return RateAllowance(min(allowed, budget_share(now, route, self.settings)), burst=1.0)
-        burst = max(1.0, MIN_BURST * unpaced_rate / UNPACED_RATE, allowed * BURST_S)
+            return RateAllowance(min(allowed, budget_share(now, route, self.settings)), SINGLE_CALL)
+        burst = max(SINGLE_CALL, MIN_BURST * unpaced_rate / UNPACED_RATE, allowed * BURST_S)
         return RateAllowance(allowed, burst)
 
     @staticmethod
@@ -153,7 +151,7 @@
             next_trial_at = self._next_trial_at(now, route.health, allowance.calls_per_s)
             return NextCall(next_trial_at, next_trial_at)
         at = now + max(0.0, 1 - rate.tokens) / allowance.calls_per_s * MS_PER_SECOND
-        if allowance.burst == 1.0:
+        if allowance.burst == SINGLE_CALL:  # no overdraft either
             return NextCall(at, at)
         return NextCall(at, at - MIN_BURST / allowance.calls_per_s * MS_PER_SECOND)
 
@@ -163,7 +161,7 @@
         The first calls of many relays are spread over time then, too.
         """
         rate = route.rate
-        if rate.initial_tokens < 1 and self._unpaced_rate(route.kind) < UNPACED_RATE / 2:
+        if rate.initial_tokens < 1 and self.unpaced_rates.get(route.kind, UNPACED_RATE) < UNPACED_RATE / 2:
             rate.tokens = min(rate.tokens, rate.initial_tokens)
             rate.initial_tokens = 1.0
             rate.tokens_at = now
@@ -232,7 +230,7 @@
 
         Where rejected calls use up a limit too, no call should go unpaced while little of the limit is left.
         """
-        raised = min(UNPACED_RATE, self._unpaced_rate(kind) * change)
+        raised = min(UNPACED_RATE, self.unpaced_rates.get(kind, UNPACED_RATE) * change)
         self.unpaced_rates[kind] = max(UNPACED_RATE / self.settings.relay_count, raised)
 
     def estimate_fleet_rate(self, now: float, route: RouteState) -> None:
--- a/linnetstile/engine/route_factory.py
+++ b/linnetstile/engine/route_factory.py
@@ -20,6 +20,7 @@
         self,
         settings: Settings,
         rng: random.Random,
+        *,
         queues: MessageQueues,
         rate_limiter: RateLimiter,
         fleet_latency: FleetLatency,
--- a/linnetstile/engine/scheduler.py
+++ b/linnetstile/engine/scheduler.py
@@ -1,4 +1,4 @@
-"""The scheduler of in-flight slots: which message goes next, and which destinations yield."""
+"""The scheduler of in-flight slots: which message is sent next, and which slow destinations have to wait."""
 
 from __future__ import annotations
 
@@ -18,23 +18,24 @@
 from .route_state import EVIDENCE_TTL_MS, EndpointState, InFlightCall, RouteState
 from .send_order import urgency
 from .settings import Effect, Settings
+from .time_points import NEVER
 
-MAX_QUEUE_WAIT_MS = 500.0  # a queue that waits for something is looked at again at least so often
-LAST_ATTEMPT_FACTOR = 3.0  # the last attempt of a message waits so many times longer: a late answer still saves it
-SLOW_FACTOR = 8.0  # a call takes so many times as long as a usual answer (harmonic mean): its destination is slow
-SUSPECTED_SLOT_DIVISOR = 4  # a suspected route may hold this part of all slots,
-ROUTE_SLOT_DIVISOR = 2  # and any other one this part, while several destinations have messages
-SCARCE_SLOT_DIVISOR = 4  # while no more than this part of all slots is free,
-SLOW_SLOT_DIVISOR = 8  # slow destinations together may hold this part of them
+MAX_QUEUE_WAIT_MS = 500.0  # a queue without a message that may be sent is checked again after so long at most
+LAST_ATTEMPT_FACTOR = 3.0  # the last attempt of a message has so many times the time-out: a late answer still counts
+SLOW_FACTOR = 8.0  # a destination is slow whose calls take so many times the harmonic mean of all latencies
+SUSPECTED_SLOT_DIVISOR = 4  # a suspected route may occupy this part of all slots,
+ROUTE_SLOT_DIVISOR = 2  # and any other route this part, while several destinations have messages
+SCARCE_SLOT_DIVISOR = 4  # slots are scarce while no more than this part of them is free; then
+SLOW_SLOT_DIVISOR = 8  # slow destinations together may occupy this part of them
 
 
 class Candidate(NamedTuple):
-    """The message of a queue that should go next.
+    """The message of a queue that should be sent next.
 
     Attributes:
-        value: Value still to win for each ms of slot time.
+        value: Value that a delivery can still have, for each ms of slot time.
         pending: The message.
-        endpoint: Where it would go.
+        endpoint: Where it would be sent.
     """
 
     value: float
@@ -42,12 +43,31 @@
     endpoint: EndpointState
 
 
+class RouteSchedule(NamedTuple):
+    """When a route may get messages, and how valuable its slots are.
+
+    Attributes:
+        paced_at: From when it may get a message within its rate.
+        urgent_at: From when it may get an urgent message, which may exceed its rate.
+        non_idempotent_at: From when it may get a message that must not run twice, as far as its health goes.
+        answer_at: When a call that starts now is expected to be answered.
+        slot_ms: Expected slot time of one delivery.
+    """
+
+    paced_at: float
+    urgent_at: float
+    non_idempotent_at: float
+    answer_at: float
+    slot_ms: float
+
+
 class Scheduler:
-    """Gives the slots of the relay to messages; owns the count of calls in flight."""
+    """Assigns the slots of the relay to messages; owns the count of calls in flight."""
 
     def __init__(
         self,
         settings: Settings,
+        *,
         queues: MessageQueues,
         routing_table: RoutingTable,
         fleet_latency: FleetLatency,
@@ -68,23 +88,31 @@
         self.in_flight = 0
 
     def dispatch(self, now: float, actions: list[Action]) -> None:
-        """Send what has most value per slot time while there are free slots; reads only queues that are due."""
-        max_in_flight = self.settings.max_in_flight
+        """Send the messages with most value per slot time while there are free slots; only due queues are read."""
+        if not self._has_free_slot():
+            return
         candidates: dict[int, Candidate] = {}
-        due = self.queues.due_destinations(now) if self.in_flight < max_in_flight else []
-        while self.in_flight < max_in_flight:
-            for destination in due:
-                if destination not in self.queues.queues:
-                    continue
-                candidate = self.pick(now, destination)
-                if candidate is not None:
-                    candidates[destination] = candidate
+        due = self.queues.due_destinations(now)
+        while self._has_free_slot():
+            self._pick_candidates(now, due, candidates)
             if not candidates:
                 return
-            destination = max(candidates, key=lambda found: candidates[found].value)
-            _, pending, endpoint = candidates.pop(destination)
-            self._send(now, pending, endpoint, actions)
-            due = [destination]
+            destination = max(candidates, key=lambda candidate: candidates[candidate].value)
+            best = candidates.pop(destination)
+            self._send(now, best.pending, best.endpoint, actions)
+            due = [destination]  # only its queue has changed
+
+    def _has_free_slot(self) -> bool:
+        return self.in_flight < self.settings.max_in_flight
+
+    def _pick_candidates(self, now: float, destinations: list[int], candidates: dict[int, Candidate]) -> None:
+        """Add the candidate of each of these destinations to `candidates`, if it has one."""
+        for destination in destinations:
+            if destination not in self.queues.queues:
+                continue
+            candidate = self.pick(now, destination)
+            if candidate is not None:
+                candidates[destination] = candidate
 
     def release(self, now: float, call: InFlightCall) -> None:
         """Free the slot of a call whose last message has its outcome."""
@@ -95,78 +123,104 @@
         latency.record_call_time(route.latency, now - call.started_at)
 
     def pick(self, now: float, destination: int) -> Candidate | None:
-        """Return the message of a queue with most value still to win per slot time, if any may be sent now."""
+        """Return the message of a queue with most value per slot time of those that may be sent now, if there is one.
+
+        If not, the queue is checked again when one of its messages may be sent, or after `MAX_QUEUE_WAIT_MS`.
+        """
         best: Candidate | None = None
-        look_again_at = now + MAX_QUEUE_WAIT_MS
+        next_check_at = now + MAX_QUEUE_WAIT_MS
         decay = self.settings.value_decay
-        ordering_allowed_at = self.retry_policy.ordering_allowed_at
         for route in self.routing_table.routes.get(destination, {}).values():
-            is_down = is_suspected(route, now)
-            if self._has_its_slots(route, is_down) or self._must_yield(now, route):
+            schedule = self._schedule(now, route)
+            if schedule is None:
                 continue
-            next_call = self.rate_limiter.next_call(now, route, is_down)
-            cost_ms = self._slot_time_ms(route)
-            is_risky = is_down or not is_trusted(route)
-            is_barred = is_risky and not route.health.last_failure_had_no_effect
-            answer_at = now + route.latency.mean_ms
             for pending in self.queues.queues[destination].values():
-                at = max(
-                    pending.not_before,
-                    route.retry_after_until,
-                    next_call.overdraw_at if self._is_urgent(pending) else next_call.at,
-                    ordering_allowed_at(pending),
-                )
-                if is_barred and pending.message_class.effect is Effect.NON_IDEMPOTENT:
-                    at = max(at, route.health.failed_at + EVIDENCE_TTL_MS)  # an unclear outcome would be final
-                if at > now:
-                    look_again_at = min(look_again_at, at)
+                allowed_at = self._allowed_at(pending, route, schedule)
+                if allowed_at > now:
+                    next_check_at = min(next_check_at, allowed_at)
                     continue
-                value = urgency(pending, answer_at, decay) / cost_ms
-                if best is None or value > best.value:
-                    endpoint = self.selector.choose(now, pending, route)
-                    if endpoint is not None:
-                        best = Candidate(value, pending, endpoint)
-        self.queues.schedule(destination, look_again_at if best is None else 0.0)
+                value = urgency(pending, schedule.answer_at, decay) / schedule.slot_ms
+                if best is not None and value <= best.value:
+                    continue
+                endpoint = self.selector.choose(now, pending, route)
+                if endpoint is not None:
+                    best = Candidate(value, pending, endpoint)
+        self.queues.schedule(destination, next_check_at if best is None else 0.0)
         return best
 
+    def _schedule(self, now: float, route: RouteState) -> RouteSchedule | None:
+        """Return when a route may get messages; None if it may have no further slot now."""
+        is_down = is_suspected(route, now)
+        if self._has_used_its_slots(route, is_down) or self._must_yield(now, route):
+            return None
+        next_call = self.rate_limiter.next_call(now, route, is_down)
+        health = route.health
+        is_at_risk = is_down or not is_trusted(route)
+        may_end_unclear = is_at_risk and not health.last_failure_had_no_effect
+        return RouteSchedule(
+            next_call.at,
+            next_call.overdraw_at,
+            health.failed_at + EVIDENCE_TTL_MS if may_end_unclear else NEVER,
+            now + route.latency.mean_ms,
+            self._slot_time_ms(route),
+        )
+
+    def _allowed_at(self, pending: PendingMessage, route: RouteState, schedule: RouteSchedule) -> float:
+        """Return from when a message may be sent to a route."""
+        allowed_at = max(
+            pending.not_before,
+            route.retry_after_until,
+            schedule.urgent_at if self._is_urgent(pending) else schedule.paced_at,
+            self.retry_policy.ordering_allowed_at(pending),
+        )
+        if pending.message_class.effect is Effect.NON_IDEMPOTENT:  # an unclear outcome would be its final one
+            return max(allowed_at, schedule.non_idempotent_at)
+        return allowed_at
+
     def _is_urgent(self, pending: PendingMessage) -> bool:
-        """Return whether a message may overdraw the tokens, as the rate is a guess.
+        """Return whether a message may overdraw the tokens, as the rate is an estimate.
 
-        That is so for a client that will not wait, and for a message that others of its ordering key wait for.
+        That is so if its client will not wait, and if other messages of its ordering key wait for its end.
         """
-        objective_at = pending.submitted_at + pending.message_class.latency_objective_ms
-        return pending.deadline < objective_at or self.queues.blocks_successor(pending)
+        return pending.expires_early or self.queues.blocks_successor(pending)
 
     @staticmethod
     def _slot_time_ms(route: RouteState) -> float:
-        """Return the slot time for one delivery, failed calls counted: destinations that answer get scarce slots."""
-        score = route.health.failure_score
-        return route.latency.mean_ms + score * latency.timeout_ms(route.latency) / (1 - score)
+        """Return the expected slot time of one delivery, with that of the calls that fail before it."""
+        failure_score = route.health.failure_score
+        return route.latency.mean_ms + failure_score * latency.timeout_ms(route.latency) / (1 - failure_score)
 
-    def _has_its_slots(self, route: RouteState, is_down: bool) -> bool:
+    def _has_used_its_slots(self, route: RouteState, is_down: bool) -> bool:
+        """Return whether a route occupies as many slots as it may, while others may need them."""
         divisor = SUSPECTED_SLOT_DIVISOR if is_down else ROUTE_SLOT_DIVISOR
-        most = max(1, self.settings.max_in_flight // divisor)
-        return len(route.calls) >= most and (is_down or len(self.queues.queues) > 1)
+        max_calls = max(1, self.settings.max_in_flight // divisor)
+        others_are_waiting = len(self.queues.queues) > 1
+        return len(route.calls) >= max_calls and (is_down or others_are_waiting)
 
     def _is_slow(self, now: float, route: RouteState) -> bool:
-        longest_ms = now - route.calls[0].started_at if route.calls else 0.0
-        return max(route.latency.mean_call_ms, longest_ms) * self.fleet_latency.mean_inverse > SLOW_FACTOR
+        oldest_call_ms = now - route.calls[0].started_at if route.calls else 0.0
+        call_ms = max(route.latency.mean_call_ms, oldest_call_ms)
+        return call_ms * self.fleet_latency.mean_inverse > SLOW_FACTOR
 
     def _must_yield(self, now: float, route: RouteState) -> bool:
         """Return whether a slow route has to leave the last free slots to quick ones.
 
-        Slots are weighed by time: guards quick destinations, however many are slow.
+        Slow routes are bounded together, so that quick destinations have slots however many are slow.
         """
         max_in_flight = self.settings.max_in_flight
-        if self.routing_table.index.destination_count <= 1:
+        has_one_destination = self.routing_table.index.destination_count <= 1
+        is_scarce = max_in_flight - self.in_flight <= max_in_flight // SCARCE_SLOT_DIVISOR
+        if has_one_destination or not is_scarce or not self._is_slow(now, route):
             return False
-        if max_in_flight - self.in_flight > max_in_flight // SCARCE_SLOT_DIVISOR or not self._is_slow(now, route):
-            return False
-        busy = (other for routes in self.routing_table.routes.values() for other in routes.values() if other.calls)
-        slow_calls = sum(len(other.calls) for other in busy if self._is_slow(now, other))
-        return slow_calls >= max(1, max_in_flight // SLOW_SLOT_DIVISOR)
+        return self._count_slow_calls(now) >= max(1, max_in_flight // SLOW_SLOT_DIVISOR)
+
+    def _count_slow_calls(self, now: float) -> int:
+        """Return how many slots slow routes occupy."""
+        all_routes = (route for routes in self.routing_table.routes.values() for route in routes.values())
+        return sum(len(route.calls) for route in all_routes if route.calls and self._is_slow(now, route))
 
     def _send(self, now: float, pending: PendingMessage, endpoint: EndpointState, actions: list[Action]) -> None:
+        """Start a call with a message, and with others of its queue where the destination takes batches."""
         route = endpoint.route
         timeout_at = self._timeout_at(now, pending, route)
         last_byte_delay_ms = self.connections.last_byte_delay_ms(route, pending.message_class)
@@ -177,49 +231,54 @@
             self.outliers.schedule_trial(now, route)
         elif route.max_batch > 1:
             messages += self._batch_companions(now, pending, endpoint)
-        call = InFlightCall(endpoint, now, messages, len(messages))
-        route.calls.append(call)
-        endpoint.in_flight += 1
-        route.rate.tokens -= 1
-        self.in_flight += 1
+        call = self._start_call(now, endpoint, messages)
         for member in messages:
             self.queues.dequeue(member)
             member.start_attempt(now, call)
-            actions.append(
-                Send(
-                    member.message.id,
-                    endpoint.info.id,
-                    min(timeout_at, member.deadline - DEADLINE_MARGIN_MS),
-                    last_byte_delay_ms,
-                    self.retry_policy.last_byte_allowed_until(member),
-                )
+            send = Send(
+                id=member.message.id,
+                endpoint=endpoint.info.id,
+                timeout_at_ms=min(timeout_at, member.deadline - DEADLINE_MARGIN_MS),
+                last_byte_delay_ms=last_byte_delay_ms,
+                send_before_ms=self.retry_policy.last_byte_allowed_until(member),
             )
+            actions.append(send)
+
+    def _start_call(self, now: float, endpoint: EndpointState, messages: list[PendingMessage]) -> InFlightCall:
+        """Record a call that occupies a slot from now on."""
+        call = InFlightCall(endpoint, now, messages, len(messages))
+        endpoint.route.calls.append(call)
+        endpoint.in_flight += 1
+        endpoint.route.rate.tokens -= 1
+        self.in_flight += 1
+        return call
 
     def _timeout_at(self, now: float, pending: PendingMessage, route: RouteState) -> float:
-        """Return when the call is given up: by its time-out, and before the message's deadline.
+        """Return when the call is given up: by its time-out, and in any case before the message's deadline.
 
-        An answer that crosses the deadline may count or not, and an end that is owed would come late. A time-out is no
-        shorter than the pause before a retry: guards quick destinations, as a stall of some ms is no outcome.
+        An answer close to the deadline may or may not count, and the final answer to the client would be late. A
+        time-out is no shorter than the first backoff, so that a short stall of a quick destination is no failure.
         """
-        timeout_at = pending.deadline - DEADLINE_MARGIN_MS
+        latest = pending.deadline - DEADLINE_MARGIN_MS
         timeout_ms = max(BACKOFF_MS, latency.timeout_ms(route.latency)) * route.latency.timeout_multiplier
-        is_last = self._is_last_attempt(now, pending, timeout_ms)
-        if is_last or now + 2 * timeout_ms < pending.deadline:
-            timeout_at = min(timeout_at, now + timeout_ms * (LAST_ATTEMPT_FACTOR if is_last else 1.0))
-        return timeout_at
+        if self._is_last_attempt(now, pending, timeout_ms):
+            return min(latest, now + timeout_ms * LAST_ATTEMPT_FACTOR)
+        has_time_for_retry = now + 2 * timeout_ms < pending.deadline
+        return min(latest, now + timeout_ms) if has_time_for_retry else latest
 
     def _is_last_attempt(self, now: float, pending: PendingMessage, timeout_ms: float) -> bool:
+        """Return whether no attempt is allowed after this one, should it time out."""
         message_class = pending.message_class
         if pending.attempts + 1 >= self.settings.max_attempts or message_class.effect is Effect.NON_IDEMPOTENT:
             return True
         if message_class.effect is not Effect.DEDUPLICATED:
             return False
-        first_unclear_at = pending.first_unclear_at if pending.first_unclear_at is not None else now
+        first_unclear_at = now if pending.first_unclear_at is None else pending.first_unclear_at
         retry_at: float = now + timeout_ms + BACKOFF_MS * 2**pending.attempts
         return retry_at > first_unclear_at + message_class.deduplication_window_ms
 
     def _batch_companions(self, now: float, pending: PendingMessage, endpoint: EndpointState) -> list[PendingMessage]:
-        """Return further messages for the same call: one slot, and one call of the limit, for a backlog."""
+        """Return further messages for the same call, which together take one slot and one token."""
         route = endpoint.route
         trusted = is_trusted(route)
         companions = [
