--- a/linnetstile/engine/admission.py
+++ b/linnetstile/engine/admission.py
@@ -1,4 +1,4 @@
-"""Admission control: tenant quotas, shedding load when the relay is full, and final answers with Retry-After advice."""
+"""Admission control: tenant quotas, load shedding when the relay is full, and final answers with their Retry-After."""
 
 from __future__ import annotations
 
@@ -20,32 +20,38 @@
 from .settings import Settings
 from .time_points import MS_PER_SECOND, NEVER
 
-SHED_THRESHOLD = 0.85  # part of the pending messages from which the least valuable is rejected to make room
-# A message given back within the first part of its time costs the second part of its value more.
-EARLY_RETURN_FRACTION = 0.7
-EARLY_RETURN_COST = 0.3
-ADVICE_JITTER = (1.0, 1.5)  # clients do not come back in step
-MIN_RATE_PER_S = 0.01  # what a destination without any route is taken for
+SHED_THRESHOLD = 0.85  # fraction of `max_pending_messages` above which the least valuable messages are rejected
+EARLY_REJECTION_FRACTION = 0.7  # fraction of its time within which rejecting an accepted message costs more:
+EARLY_REJECTION_COST = 0.3  # this fraction of its full value in addition
+RETRY_AFTER_JITTER = (1.0, 1.5)  # random factor: clients do not return in step
+QUOTA_BURST_S = 2  # a tenant may save up its quota of so many seconds
+MIN_RATE_PER_S = 0.01  # assumed for a destination that has no route
 
 
 @dataclass(slots=True)
 class TenantBucket:
-    """Tokens of one tenant at this relay.
+    """Token bucket of one tenant at this relay, for this relay's part of the quota.
 
     Attributes:
-        tokens: Messages that it may submit within its quota; at the start as many as may be saved up.
-        updated_at: When that was brought up to date.
+        tokens: Messages that it may submit within its quota; the bucket is full at first.
+        updated_at: When `tokens` was last brought up to date.
     """
 
     tokens: float = float("inf")
     updated_at: float = 0.0
 
+    def refill(self, now: float, quota_per_s: float) -> None:
+        """Add the tokens since the last update."""
+        capacity = max(1.0, QUOTA_BURST_S * quota_per_s)  # a message fits, if late, however small the quota
+        self.tokens = min(capacity, self.tokens + quota_per_s * (now - self.updated_at) / MS_PER_SECOND)
+        self.updated_at = now
+
 
 class SheddableMessage(NamedTuple):
-    """A message that may be rejected to make room.
+    """A message that may be rejected when the relay is full.
 
     Attributes:
-        loss: What is lost by that, by its expected time of sending.
+        loss: Value that is lost by the rejection, by its expected time of sending.
         pending: The message.
     """
 
@@ -54,7 +60,7 @@
 
 
 class AdmissionController:
-    """Decides what a message is worth, and what is given up when the relay is full."""
+    """Decides how much a message above its tenant's quota counts, and which messages are rejected under overload."""
 
     def __init__(
         self,
@@ -79,20 +85,20 @@
         if message.tenant >= len(self.tenant_buckets):
             return 1.0
         bucket = self.tenant_buckets[message.tenant]
-        quota_per_s = self.settings.tenants[message.tenant].quota_per_s / self.settings.relay_count
-        most = max(1.0, 2 * quota_per_s)  # a message fits, if late, however small the quota
-        tokens = min(most, bucket.tokens + quota_per_s * (now - bucket.updated_at) / MS_PER_SECOND)
-        is_within_quota = tokens >= 1
-        is_charged = not (message.is_retry or message.from_dead_relay)  # a retry belongs to its first submission
-        bucket.tokens = tokens - (is_charged and is_within_quota)
-        bucket.updated_at = now
-        return 1.0 if is_within_quota else self.settings.over_quota_value_factor
+        bucket.refill(now, self.settings.tenants[message.tenant].quota_per_s / self.settings.relay_count)
+        if bucket.tokens < 1:
+            return self.settings.over_quota_value_factor
+        was_charged_before = message.is_retry or message.from_dead_relay
+        if not was_charged_before:
+            bucket.tokens -= 1
+        return 1.0
 
     def give_up(self, now: float, pending: PendingMessage, actions: list[Action]) -> None:
         """Give a message its final answer: rejected if submitting it again is harmless, else failed."""
         message = pending.message
         if self.retry_policy.may_reject(pending):
-            actions.append(Reject(message.id, self._retry_after_ms(now, message.destination, pending.deadline)))
+            retry_after_ms = self._retry_after_ms(now, message.destination, pending.deadline)
+            actions.append(Reject(message.id, retry_after_ms))
         else:
             actions.append(Fail(message.id))
         self.queues.remove(pending)
@@ -103,37 +109,40 @@
             self.give_up(now, pending, actions)
 
     def shed_load(self, now: float, actions: list[Action]) -> None:
-        """Before the relay is full, reject what will be worth least once its turn to be sent comes.
+        """Before the relay is full, reject the messages that will have least value at their expected time of sending.
 
-        All queues are read once a turn, and after a rejection only the queue that it changed: the others' send times
-        stay. Guards a relay that falls behind, whose turns have many messages to reject each.
+        All queues are read once, and after a rejection only the queue that it changed, as the expected times of the
+        others stay the same: an overloaded relay may have many messages to reject in one batch of events.
         """
         excess = len(self.queues.messages) - int(SHED_THRESHOLD * self.settings.max_pending_messages)
         if excess <= 0:
             return
-        candidates = {destination: self._sheddable(now, destination) for destination in self.queues.queues}
+        by_destination = {destination: self._sheddable(now, destination) for destination in self.queues.queues}
         for _ in range(excess):
-            least = self._least_loss(now, itertools.chain.from_iterable(candidates.values()))
+            least = self._least_loss(now, itertools.chain.from_iterable(by_destination.values()))
             if least is None:
                 return
             destination = least.pending.message.destination
             self.give_up(now, least.pending, actions)
-            candidates[destination] = self._sheddable(now, destination)
+            by_destination[destination] = self._sheddable(now, destination)
 
     def _least_loss(self, now: float, candidates: Iterable[SheddableMessage]) -> SheddableMessage | None:
-        """Return the first of those that lose least; of equal ones, of those that lose least by their value now."""
-        equal: list[SheddableMessage] = []
+        """Return the candidate with the least loss; of several, the first with the least loss by its value now."""
+        least: list[SheddableMessage] = []  # all have the same loss
         for candidate in candidates:
-            if not equal or candidate.loss < equal[0].loss:
-                equal = [candidate]
-            elif candidate.loss == equal[0].loss:
-                equal.append(candidate)
-        if len(equal) <= 1:
-            return equal[0] if equal else None
-        return min(equal, key=lambda candidate: self._loss(candidate.pending, now, now))
+            if not least or candidate.loss < least[0].loss:
+                least = [candidate]
+            elif candidate.loss == least[0].loss:
+                least.append(candidate)
+        if len(least) <= 1:
+            return least[0] if least else None
+        return min(least, key=lambda candidate: self._loss(candidate.pending, now, now))
 
     def _sheddable(self, now: float, destination: int) -> list[SheddableMessage]:
-        """Return the messages of a queue that may be rejected, in its order; one found untried is owed an attempt."""
+        """Return the messages of a queue that may be rejected, in its order.
+
+        A message that a restart found without an attempt is not shed before it has had one.
+        """
         queue = self.queues.queues.get(destination)
         if not queue:
             return []
@@ -147,14 +156,15 @@
         ]
 
     def _loss(self, pending: PendingMessage, now: float, delivered_at: float) -> float:
-        """Return what is lost if a message is rejected now that would else be delivered at `delivered_at`.
+        """Return the loss if a message is rejected now that would otherwise be delivered at `delivered_at`.
 
-        What arrives while there is no room is rejected at once, at no cost, unless it is worth more than what an early
-        return of another costs.
+        A message that has just arrived has no cost of an early rejection: it is the one to be rejected, unless its
+        value is higher than that of another one and the cost of rejecting that one early.
         """
         accepted_at = pending.accepted_at
-        early_until = accepted_at + EARLY_RETURN_FRACTION * (pending.deadline - accepted_at)
-        cost = EARLY_RETURN_COST * pending.priority_weight if accepted_at < now < early_until else 0.0
+        early_until = accepted_at + EARLY_REJECTION_FRACTION * (pending.deadline - accepted_at)
+        is_early = accepted_at < now < early_until
+        cost = EARLY_REJECTION_COST * pending.priority_weight if is_early else 0.0
         return pending.value_at(delivered_at, self.settings.value_decay) + cost
 
     def _expected_rate(self, now: float, destination: int) -> float:
@@ -164,16 +174,17 @@
         return sum(rates) or MIN_RATE_PER_S
 
     def _retry_after_ms(self, now: float, destination: int, deadline: float) -> float:
-        """Return when there may be room: after the destination's Retry-After and after what else waits for it.
+        """Return when there may be capacity: after the destination's Retry-After, and after its pending messages.
 
-        No longer than clients heed it, nor than the message has left.
+        It is bounded by what clients heed and by the time that the message has left.
         """
-        longest_ms = self.settings.max_retry_after_ms
-        if longest_ms == 0:
+        max_ms = self.settings.max_retry_after_ms
+        if max_ms == 0:
             return 0.0
         routes = self.routes.get(destination, {}).values()
         retry_after_until = min((route.retry_after_until for route in routes), default=NEVER)
-        waiting = len(self.queues.queues.get(destination, ()))
-        queue_ms = MS_PER_SECOND * waiting / self._expected_rate(now, destination)
-        delay_ms = max(retry_after_until - now, queue_ms) * self.rng.uniform(*ADVICE_JITTER)
-        return max(0.0, min(delay_ms, longest_ms, deadline - now - DEADLINE_MARGIN_MS))
+        queue_length = len(self.queues.queues.get(destination, ()))
+        queue_ms = MS_PER_SECOND * queue_length / self._expected_rate(now, destination)
+        delay_ms = max(retry_after_until - now, queue_ms) * self.rng.uniform(*RETRY_AFTER_JITTER)
+        remaining_ms = deadline - now - DEADLINE_MARGIN_MS
+        return max(0.0, min(delay_ms, max_ms, remaining_ms))
--- a/linnetstile/engine/outlier_detection.py
+++ b/linnetstile/engine/outlier_detection.py
@@ -1,4 +1,4 @@
-"""Outlier detection: which routes are taken as down, when they get trial calls, and when they are back.
+"""Outlier detection: which routes are ejected, when they get trial calls, and when the ejection ends.
 
 A failure score rises with each failure and falls with each answer. Above `EJECTION_THRESHOLD` a route is ejected
 (half-open): it gets single trial calls only, within this relay's share of the slow-start budget. The first answer that
@@ -17,30 +17,30 @@
 from .settings import Settings
 from .time_points import NEVER
 
-FAILURE_WEIGHT = 0.3  # weight of one failure: two in a row make an outage
+FAILURE_WEIGHT = 0.3  # weight of one failure in the moving mean: two in a row eject a route
 EJECTION_THRESHOLD = 0.5  # failure score above which a route is ejected
-LONE_FAILURE_WEIGHT = EJECTION_THRESHOLD + 0.05  # weight of a failure that nothing contradicts: it ejects at once
+LONE_FAILURE_WEIGHT = EJECTION_THRESHOLD + 0.05  # of a failure that no recent answer contradicts: it ejects at once
 MAX_EJECTED_SCORE = 0.7  # an ejected route's score rises no higher: one answer brings it below the threshold
 TRUST_THRESHOLD = 0.25  # failure score below which a message that must not run twice may be risked again
-TRIAL_JITTER = (0.7, 1.3)  # trial calls of many relays do not come in step
+TRIAL_JITTER = (0.7, 1.3)  # random factor: many relays do not make their trial calls in step
 
 
 def is_suspected(route: RouteState, now: float) -> bool:
-    """Return whether a route is down, as far as can be seen.
+    """Return whether a route seems to be down.
 
-    That is if it is ejected, or if each of its endpoints owes an answer that is overdue and none came since: they
-    hang, are gone or slow.
+    That is so if it is ejected, or if a call to each of its endpoints is overdue and no call to the route was answered
+    since that call started.
     """
     health = route.health
     if health.ejected or not route.calls:
         return health.ejected
-    overdue = now - latency.overdue_after_ms(route.latency) * route.latency.timeout_multiplier
-    late = [call.endpoint for call in route.calls if health.last_success_at <= call.started_at < overdue]
-    return bool(late) and {endpoint.info.id for endpoint in late}.issuperset(route.endpoints)
+    overdue_before = now - latency.overdue_after_ms(route.latency) * route.latency.timeout_multiplier
+    overdue = [call for call in route.calls if health.last_success_at <= call.started_at < overdue_before]
+    return bool(overdue) and {call.endpoint.info.id for call in overdue}.issuperset(route.endpoints)
 
 
 def is_trusted(route: RouteState) -> bool:
-    """Return whether a message that must not run twice may be risked on the route, as far as its failures go."""
+    """Return whether the route's failures allow to send it a message that must not run twice."""
     return route.health.failure_score <= TRUST_THRESHOLD or route.health.last_failure_had_no_effect
 
 
@@ -53,7 +53,7 @@
         self.rate_limiter = rate_limiter
 
     def record_success(self, now: float, route: RouteState) -> None:
-        """Lower the failure score; own evidence replaces what other relays said."""
+        """Lower the failure score; the first own answer replaces what is known by gossip."""
         health = route.health
         if health.from_gossip:
             health.from_gossip = False
@@ -63,7 +63,7 @@
         health.failure_score = health.failure_score * (1 - FAILURE_WEIGHT)
 
     def end_outage(self, now: float, route: RouteState) -> None:
-        """Note that the route answers; an ejected one whose score has fallen far enough begins slow start."""
+        """Record that the route answers; an ejected one whose score has fallen far enough begins slow start."""
         health = route.health
         if health.ejected and health.failure_score < EJECTION_THRESHOLD:
             slow_start.begin_slow_start(now, route, self.settings.relay_count)
@@ -75,26 +75,31 @@
         A rejection counts against the rate limit instead, unless its Retry-After is longer than a limit explains.
         """
         route = endpoint.route
-        is_shut = event.retry_after_ms > MAX_LIMIT_SPAN_MS
-        self._note_outage(route.health, pending, event.outcome)
+        exceeds_limit_span = event.retry_after_ms > MAX_LIMIT_SPAN_MS
+        self._record_outage(route.health, pending, event.outcome)
         if event.outcome is Outcome.REJECTED:
             self.rate_limiter.record_rejection(now, route.rate)
-            if not is_shut:
+            if not exceeds_limit_span:
                 return
         else:
             endpoint.class_failures[pending.message.class_index] = now
             route.health.failed_at = now
         if event.outcome is Outcome.TIMEOUT:
             latency.record_timeout(route.latency)
-        is_alone = self._is_uncontradicted(now, route, pending, event.outcome)
-        self._raise_score(now, route, LONE_FAILURE_WEIGHT if is_alone or is_shut else FAILURE_WEIGHT)
-        if is_shut:  # the first calls after it are spread over what the route can take then
-            interval = self.rate_limiter.trial_interval_ms(route.retry_after_until, route)
-            route.health.next_trial_at = route.retry_after_until + interval * self.rng.random()
+        ejects_alone = exceeds_limit_span or self._is_uncontradicted(now, route, pending, event.outcome)
+        self._raise_score(now, route, LONE_FAILURE_WEIGHT if ejects_alone else FAILURE_WEIGHT)
+        if exceeds_limit_span:
+            self._schedule_trial_after_retry_after(route)
+
+    def _schedule_trial_after_retry_after(self, route: RouteState) -> None:
+        """Set the time of the first trial call after a Retry-After: at random, as all relays may have got the same."""
+        interval_ms = self.rate_limiter.trial_interval_ms(route.retry_after_until, route)
+        route.health.next_trial_at = route.retry_after_until + interval_ms * self.rng.random()
 
     @staticmethod
-    def _note_outage(health: HealthState, pending: PendingMessage, outcome: Outcome) -> None:
-        if health.outage_since is None:  # another outage: no relay was notified of it
+    def _record_outage(health: HealthState, pending: PendingMessage, outcome: Outcome) -> None:
+        is_new_outage = health.outage_since is None
+        if is_new_outage:
             health.notified_relays = 0.0
         health.from_gossip = False
         health.start_outage(pending.sent_at)
@@ -103,14 +108,13 @@
 
     @staticmethod
     def _is_uncontradicted(now: float, route: RouteState, pending: PendingMessage, outcome: Outcome) -> bool:
-        """Return whether neither a recent answer nor an endpoint without failure vouches for the route.
+        """Return whether no recent answer and no endpoint without failures contradict an outage of the route.
 
-        Then one failure is an outage. Guards relays that call a route too seldom to see two failures in a row.
+        One failure is then enough to eject it: a relay that seldom calls it would not see two in a row.
         """
-        vouched_since = pending.sent_at if outcome is Outcome.CONNECT_FAILED else now - EVIDENCE_TTL_MS
-        if route.health.last_success_at > vouched_since:
-            return False
-        return all(endpoint.class_failures for endpoint in route.endpoints.values())
+        recent_since = pending.sent_at if outcome is Outcome.CONNECT_FAILED else now - EVIDENCE_TTL_MS
+        has_recent_answer = route.health.last_success_at > recent_since
+        return not has_recent_answer and all(endpoint.class_failures for endpoint in route.endpoints.values())
 
     @staticmethod
     def _raise_score(now: float, route: RouteState, weight: float) -> None:
@@ -123,26 +127,26 @@
             health.failure_score = min(health.failure_score, MAX_EJECTED_SCORE)
 
     def schedule_trial(self, now: float, route: RouteState) -> None:
-        """Set the time of the next trial call after one that goes out now: spread at random."""
-        interval = self.rate_limiter.trial_interval_ms(now, route)
-        route.health.next_trial_at = now + interval * self.rng.uniform(*TRIAL_JITTER)
+        """Set the time of the next trial call after one that starts now, with jitter."""
+        interval_ms = self.rate_limiter.trial_interval_ms(now, route)
+        route.health.next_trial_at = now + interval_ms * self.rng.uniform(*TRIAL_JITTER)
 
     def adopt_outage(self, now: float, route: RouteState, age_ms: float, aware_relays: float) -> None:
-        """Eject a route that others found down; weighs less than a failure of one's own."""
+        """Eject a route that other relays found down; this weighs less than an own failure."""
         health = route.health
         if not health.ejected:
             health.outage_since = now - age_ms
             health.notified_relays = aware_relays
-            # Drawn at random, as many relays may learn it at once.
+            # At a random time, as many relays may learn of the outage together.
             health.next_trial_at = now + self.rate_limiter.trial_interval_ms(now, route) * self.rng.random()
         health.ejected = True
         health.from_gossip = True
-        # Half a failure's evidence: messages that must not run twice wait half as long, and one answer clears it.
+        # Dated back, so that messages that must not run twice wait half as long as after an own failure.
         health.failed_at = now - EVIDENCE_TTL_MS / 2
         health.failure_score = LONE_FAILURE_WEIGHT
 
     def adopt_slow_start(self, now: float, route: RouteState, age_ms: float, aware_relays: float) -> None:
-        """Begin slow start on a route that others saw come back `age_ms` ago."""
+        """Begin slow start on a route that other relays saw recover `age_ms` ago."""
         health = route.health
         health.notified_relays = aware_relays
         slow_start.begin_slow_start(now, route, self.settings.relay_count)
--- a/linnetstile/engine/send_order.py
+++ b/linnetstile/engine/send_order.py
@@ -1,4 +1,4 @@
-"""When each message of a queue goes out: in which order, and at a known rate. No I/O and no clock."""
+"""In which order the messages of a queue are sent, and when each is expected to be sent. No I/O and no clock."""
 
 from __future__ import annotations
 
@@ -7,20 +7,17 @@
 from .pending_message import PendingMessage
 from .settings import ValueDecay
 
-URGENCY_HORIZON_MS = 1000.0  # what a message loses if it waits for so long counts as much as its value
+URGENCY_HORIZON_MS = 1000.0  # the value lost by waiting for so long counts as much as the value itself
 
 
 def urgency(pending: PendingMessage, at: float, decay: ValueDecay) -> float:
-    """Return what decides who goes first: the value if answered at `at`, and more for what waiting would cost."""
+    """Return the order of sending: the value if answered at `at`, plus the value that waiting longer would lose."""
     return 2 * pending.value_at(at, decay) - pending.value_at(at + URGENCY_HORIZON_MS, decay)
 
 
 def expected_send_times(
     queue: Iterable[PendingMessage], now: float, gap_ms: float, decay: ValueDecay
 ) -> dict[int, float]:
-    """Return when the messages that wait for one destination go, by id, one each `gap_ms`.
-
-    A queue is not read in the order of arrival: an urgent message does not wait until all others have gone.
-    """
-    order = sorted(queue, key=lambda pending: -urgency(pending, now, decay))
-    return {pending.message.id: now + gap_ms * place for place, pending in enumerate(order, 1)}
+    """Return when the messages of a queue are expected to be sent, by id: the most urgent first, one each `gap_ms`."""
+    most_urgent_first = sorted(queue, key=lambda pending: -urgency(pending, now, decay))
+    return {pending.message.id: now + gap_ms * position for position, pending in enumerate(most_urgent_first, 1)}
