--- a/linnetstile/as2_relay/gossip_service.py
+++ b/linnetstile/as2_relay/gossip_service.py
@@ -16,7 +16,7 @@
 from ..config.relay import KnowledgeSettings
 from ..engine import gossip_export
 from ..engine.engine import DeliveryEngine
-from ..engine.events import Event, GossipReceived, GossipSent, RouteFacts
+from ..engine.events import ConnectionLimit, Event, GossipReceived, GossipSent, RouteFacts, RouteKey
 from ..engine.gossip import (
     OWN_OBSERVATION_WINS,
     ClaimSource,
@@ -225,7 +225,7 @@
     def _record_sent(self, document: OwnDocument) -> None:
         """Tell the engine that another relay now knows of the outages and slow starts in a document."""
         routes = tuple(
-            (self.partner_numbers[claim.partner], claim.route)
+            RouteKey(self.partner_numbers[claim.partner], claim.route)
             for claim in document.claims
             if claim.outage_age_ms is not None or claim.slow_start_age_ms is not None
         )
@@ -265,14 +265,14 @@
             sources.append(ClaimSource(SNAPSHOT_SOURCE, True, claims))
         return sources
 
-    def _merged_connection_limits(self) -> tuple[tuple[int, float], ...]:
+    def _merged_connection_limits(self) -> tuple[ConnectionLimit, ...]:
         """Return by number of the kind how far connections are limited, of the kinds that the settings name."""
         by_source = {address: peer.connection_limits for address, peer in self.poller.peers.items()}
         if self.loaded_snapshot is not None:
             by_source[SNAPSHOT_SOURCE] = self.loaded_snapshot.connection_limits
         merged = merge_connection_limits([by_source[source] for source in sorted(by_source)])
         kinds = [kind.name for kind in self.engine.settings.kinds]
-        return tuple((kinds.index(kind), fraction) for kind, fraction in merged.items() if kind in kinds)
+        return tuple(ConnectionLimit(kinds.index(kind), ratio) for kind, ratio in merged.items() if kind in kinds)
 
     def _facts(self, route: MergedRoute) -> RouteFacts:
         return RouteFacts(
--- a/linnetstile/engine/destinations.py
+++ b/linnetstile/engine/destinations.py
@@ -13,7 +13,7 @@
 
 from . import idle_routes
 from .endpoint_index import EndpointIndex
-from .events import Endpoint, EndpointList, EndpointStatus, ListKind
+from .events import Endpoint, EndpointList, EndpointStatus, ListKind, RouteKey
 from .route_factory import RouteFactory
 from .route_state import EndpointState, RouteState
 from .settings import Settings
@@ -21,13 +21,6 @@
 WHOLE_DESTINATION = -1  # the route id where a destination has a single route
 
 
-class RouteKey(NamedTuple):
-    """Names one route: its destination, and an endpoint's id where endpoints have routes of their own."""
-
-    destination: int
-    route_id: int
-
-
 class KnownRoute(NamedTuple):
     """One route with the ids of its endpoints, also of a destination that is not in use."""
 
@@ -186,7 +179,7 @@
         restored = idle_routes.restore_routes(self.evicted.get(destination, b""))
         return {
             route_id: KnownRoute(
-                route, tuple(info.id for info in infos if self.route_key(info) == (destination, route_id))
+                route, tuple(info.id for info in infos if self.route_key(info) == RouteKey(destination, route_id))
             )
             for route_id, route in restored.routes.items()
         }
--- a/linnetstile/engine/events.py
+++ b/linnetstile/engine/events.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 from enum import Enum
-from typing import Union
+from typing import NamedTuple, Union
 
 
 class Outcome(Enum):
@@ -21,7 +21,7 @@
 
     @property
     def proves_no_effect(self) -> bool:
-        """Whether the message has surely not run."""
+        """Whether it is certain that the message has not run."""
         return self in (Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT)
 
 
@@ -100,7 +100,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MessageRecovered:
-    """A restart has found a message that an earlier process accepted and did not end. Ages are by the wall clock.
+    """A restart has recovered a message that an earlier process accepted and did not end. Ages are by the wall clock.
 
     Attributes:
         message: The message; its time left is as of now.
@@ -119,7 +119,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ShutdownStarted:
-    """This process ends: calls then in flight have an unclear outcome; pending messages go on in the next process.
+    """This process ends soon: calls in flight then have an unclear outcome; the next process recovers pending messages.
 
     Attributes:
         within_ms: Time until its end.
@@ -140,9 +140,9 @@
         latency_ms: Time from its start.
         is_final: Whether the message has ended with it.
         retry_after_ms: Retry-After that came with `Outcome.REJECTED`; 0 = none.
-        slots_exhausted: Whether `Outcome.NOT_SENT` says that all slots of the relay were taken.
+        slots_exhausted: Whether the call was `Outcome.NOT_SENT` because all slots of the relay were occupied.
         load_report: Figures that the answer carried; the settings say which is which.
-        connection_reused: Whether it went out on a connection kept from an earlier call.
+        connection_reused: Whether it was sent on a connection of an earlier call.
     """
 
     id: int
@@ -169,7 +169,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientCancelled:
-    """The client has withdrawn its message."""
+    """The client has cancelled its message."""
 
     id: int
 
@@ -183,19 +183,19 @@
 
 @dataclass(frozen=True, slots=True)
 class RouteFacts:
-    """What is known of a route that this relay has not called itself.
+    """What gossip says of a route that this relay has not called itself.
 
     Attributes:
         destination: The destination.
         route: The endpoint's id where endpoints have routes of their own, else -1.
-        outage_age_ms: Time since its outage began; None = it is not down.
-        slow_start_age_ms: Time since it came back; None = it has not.
+        outage_age_ms: Time since its outage began; None = it has none.
+        slow_start_age_ms: Time since it recovered from an outage; None = it did not.
         retry_after_ms: What is left of a Retry-After; 0 = nothing.
         latency_mean_ms: Mean latency.
         latency_deviation_ms: Mean deviation from it.
-        answers: The latency counts as after so many answers; 0 = it is not known.
+        answers: How many answers the latency counts as; 0 = it is not known.
         aware_relays: Relays that may know of the outage.
-        rate: Calls a second to which rejections held a relay; 0 = none did.
+        rate: Calls a second to which rejections throttled a relay; 0 = none did.
     """
 
     destination: int
@@ -210,28 +210,43 @@
     rate: float = 0.0
 
 
+class ConnectionLimit(NamedTuple):
+    """How far the endpoints of one kind limit their connections.
+
+    Attributes:
+        kind: Index of the destination kind in the settings.
+        ratio: Fraction of its answers that followed a failed connect.
+    """
+
+    kind: int
+    ratio: float
+
+
+class RouteKey(NamedTuple):
+    """What identifies a route: its destination, and an endpoint's id where each endpoint has its own route, else -1."""
+
+    destination: int
+    route_id: int
+
+
 @dataclass(frozen=True, slots=True)
 class GossipReceived:
-    """Other relays, or a snapshot from before a restart, say something of routes; already weighed by `gossip`.
+    """Gossip of other relays, or a snapshot from before a restart, as merged by `gossip.merge_claims`.
 
     Attributes:
-        facts: What they say of each route.
-        connection_limited: (kind, part of its answers that followed a failed connect).
+        facts: What is known of each route.
+        connection_limited: What is known of the connection limit of each kind.
     """
 
     facts: tuple[RouteFacts, ...]
-    connection_limited: tuple[tuple[int, float], ...] = ()
+    connection_limited: tuple[ConnectionLimit, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
 class GossipSent:
-    """Another relay has been notified of what this one knows of these routes: it is aware of their outages.
-
-    Attributes:
-        routes: (destination, route id) of each.
-    """
+    """Another relay has been notified of what this one knows of these routes, so it is aware of their outages."""
 
-    routes: tuple[tuple[int, int], ...]
+    routes: tuple[RouteKey, ...]
 
 
 Event = Union[
--- a/linnetstile/engine/gossip.py
+++ b/linnetstile/engine/gossip.py
@@ -1,4 +1,6 @@
-"""What a fresh relay takes over from others by gossip, and how far it trusts them. No I/O and no clock.
+"""What a relay that has just started adopts from other relays by gossip, and how far it trusts them.
+
+No I/O and no clock: claims have ages instead of times.
 
 A claim is what one relay knows of one route (a destination, or one endpoint of it where routes are separate). It is
 trusted by its age and by agreement; docs/design/knowledge.md argues the figures:
@@ -6,10 +8,10 @@
 - Evidence of health loses half its weight each `HEALTH_HALF_LIFE_MS`, latency, which changes slowly, each
   `LATENCY_HALF_LIFE_MS`; below `MIN_EVIDENCE_WEIGHT` a claim is stale.
 - Outages, slow starts and Retry-After are cautions: one credible peer is enough, unless `CLEARANCE_QUORUM` others with
-  better knowledge contradict it.
-- The opposite is never taken over: that a route answers others only cancels a caution. The first own answer counts.
+  later evidence contradict it.
+- The opposite is never adopted: that a route answers other relays only cancels a caution. The first own answer counts.
 - A Retry-After is binding if this relay received it (its own snapshot); received by another it is a caution.
-- A relay that learns of an outage takes the smallest part of the slow-start budget, that of one of all relays: it can't
+- A relay that learns of an outage uses the smallest part of the slow-start budget, that of one of all relays: it can't
   know how many others learned of it, and all of them together have to stay within the budget.
 - What this relay has observed itself since it started always wins: only routes without own evidence are merged.
 - A peer that claims outages of more than `DISTRUST_THRESHOLD` of what it knows, contradicted by others who know these
@@ -27,8 +29,8 @@
     MIN_LATENCY_MS,
     AttributedClaim,
     ClaimSource,
+    PartnerRoute,
     RouteClaim,
-    RouteKey,
     evidence_weight,
 )
 
@@ -37,6 +39,7 @@
     "ClaimSource",
     "MergeResult",
     "MergedRoute",
+    "PartnerRoute",
     "RejectedClaim",
     "RouteClaim",
     "evidence_weight",
@@ -48,11 +51,11 @@
 CLEARANCE_QUORUM = 2  # so many sources with an answer since then outweigh one that claims an outage
 DISTRUST_THRESHOLD = 0.5  # fraction of a peer's routes with claimed outages above which it may be distrusted
 MIN_OUTAGES_TO_DISTRUST = 2  # a peer that claims a single outage is not distrusted as a whole
-MAX_OUTAGE_MS = 3_600_000.0  # an outage is taken to have begun at most an hour ago
+MAX_OUTAGE_MS = 3_600_000.0  # the age of an outage counts up to an hour
 MAX_RETRY_AFTER_MS = 60_000.0  # a Retry-After that another relay received binds for at most a minute
-MIN_LATENCY_ANSWERS = 3  # a latency from fewer answers is not taken over
-MERGED_LATENCY_ANSWERS = 3  # answers that a merged latency counts as: the next own ones soon outweigh it
-MIN_DEVIATION_FRACTION = 0.25  # of the mean: a merged latency is no more certain than that
+MIN_LATENCY_ANSWERS = 3  # a latency from fewer answers is not adopted
+MERGED_LATENCY_ANSWERS = 3  # answers that a merged latency counts as: own ones soon outweigh it
+MIN_DEVIATION_FRACTION = 0.25  # least deviation of a merged latency, as a fraction of its mean
 
 # Reasons of rejected claims, as operators see them.
 OWN_OBSERVATION_WINS = "own observation wins"
@@ -66,7 +69,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MergedRoute:
-    """What is taken over for one route, as in the event `GossipReceived`.
+    """What is adopted for one route, as in the event `GossipReceived`.
 
     Attributes:
         partner: The partner.
@@ -74,7 +77,7 @@
         outage_age_ms: Age of the outage; None without one.
         slow_start_age_ms: Time since the route returned from an outage; None if it did not.
         retry_after_ms: What is left of a Retry-After.
-        latency_mean_ms: Mean latency; 0 if none is taken over.
+        latency_mean_ms: Mean latency; 0 if none is adopted.
         latency_deviation_ms: Deviation of the latency.
         answers: How many answers the latency counts as.
         aware_relays: Relays that may know of the outage.
@@ -99,7 +102,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RejectedClaim:
-    """A claim, or a part of one, that was not taken over.
+    """A claim, or a part of one, that was not adopted.
 
     Attributes:
         source: Name of its source.
@@ -113,14 +116,14 @@
 
 
 class MergeResult(NamedTuple):
-    """The routes with something to take over, by partner and route, and the claims that were rejected."""
+    """The routes with something to adopt, by partner and route, and the claims that were rejected."""
 
     routes: list[MergedRoute]
     rejected: list[RejectedClaim]
 
 
 class MergedLatency(NamedTuple):
-    """Latency (ms) that is taken over, and how many answers it counts as; all 0 if there is none."""
+    """Latency (ms) that is adopted, and how many answers it counts as; all 0 if there is none."""
 
     mean_ms: float
     deviation_ms: float
@@ -148,22 +151,22 @@
 
 
 def _is_distrusted(source: ClaimSource, sources: list[ClaimSource]) -> bool:
-    fresh = [claim for claim in source.claims if claim.is_fresh]
-    outages = [claim for claim in fresh if claim.claims_outage]
-    if len(outages) <= DISTRUST_THRESHOLD * len(fresh) or len(outages) < MIN_OUTAGES_TO_DISTRUST:
+    recent_claims = [claim for claim in source.claims if claim.is_recent]
+    outages = [claim for claim in recent_claims if claim.claims_outage]
+    if len(outages) < MIN_OUTAGES_TO_DISTRUST or len(outages) <= DISTRUST_THRESHOLD * len(recent_claims):
         return False
-    others = [peer for peer in sources if peer.name != source.name]
-    contradicted = sum(any(other.contradicts(outage) for peer in others for other in peer.claims) for outage in outages)
+    claims_of_others = [claim for other in sources if other.name != source.name for claim in other.claims]
+    contradicted = sum(any(claim.contradicts(outage) for claim in claims_of_others) for outage in outages)
     return contradicted > len(outages) / 2
 
 
 def merge_claims(
     sources: list[ClaimSource],
-    endpoints: Mapping[tuple[str, int], set[int]],
-    observed: Set[tuple[str, int]],
+    endpoints: Mapping[PartnerRoute, set[int]],
+    observed: Set[PartnerRoute],
     relay_count: int,
 ) -> MergeResult:
-    """Decide what to take over for each route.
+    """Decide what to adopt for each route.
 
     Args:
         sources: Claims by source.
@@ -173,30 +176,41 @@
     """
     rejected: list[RejectedClaim] = []
     distrusted = distrusted_sources(sources)
-    claims_by_route: dict[RouteKey, list[AttributedClaim]] = {}
+    merged = []
+    for key, claims in sorted(_group_by_route(sources, endpoints, observed, rejected).items()):
+        route = merge_route(key, claims, distrusted, relay_count, rejected)
+        has_nothing_to_adopt = route == MergedRoute(key.partner, key.route)
+        if has_nothing_to_adopt:
+            continue
+        names = tuple(source.name for source, _ in claims)
+        age_ms = min(claim.latest_evidence_age_ms for _, claim in claims)
+        merged.append(replace(route, sources=names, age_ms=age_ms))
+    return MergeResult(merged, rejected)
+
+
+def _group_by_route(
+    sources: list[ClaimSource],
+    endpoints: Mapping[PartnerRoute, set[int]],
+    observed: Set[PartnerRoute],
+    rejected: list[RejectedClaim],
+) -> dict[PartnerRoute, list[AttributedClaim]]:
+    """Return the usable claims by route; the others are added to `rejected`."""
+    claims_by_route: dict[PartnerRoute, list[AttributedClaim]] = {}
     for source in sources:
         for claim in source.claims:
-            key = claim.key
-            reason = _rejection_reason(key, claim, endpoints, observed)
+            reason = _rejection_reason(claim, endpoints, observed)
             if reason is None:
-                claims_by_route.setdefault(key, []).append(AttributedClaim(source, claim))
+                claims_by_route.setdefault(claim.key, []).append(AttributedClaim(source, claim))
             else:
                 rejected.append(RejectedClaim(source.name, claim.partner, reason))
-    merged = []
-    for key, claims in sorted(claims_by_route.items()):
-        route = merge_route(key, claims, distrusted, relay_count, rejected)
-        if route != MergedRoute(key.partner, key.route):
-            names = tuple(source.name for source, _ in claims)
-            merged.append(
-                replace(route, sources=names, age_ms=min(claim.latest_evidence_age_ms for _, claim in claims))
-            )
-    return MergeResult(merged, rejected)
+    return claims_by_route
 
 
 def _rejection_reason(
-    key: RouteKey, claim: RouteClaim, endpoints: Mapping[tuple[str, int], set[int]], observed: Set[tuple[str, int]]
+    claim: RouteClaim, endpoints: Mapping[PartnerRoute, set[int]], observed: Set[PartnerRoute]
 ) -> str | None:
     """Return why a claim is rejected as a whole, or None."""
+    key = claim.key
     if key not in endpoints:
         return UNKNOWN_ROUTE
     if not claim.is_plausible:
@@ -209,7 +223,7 @@
 
 
 def merge_route(
-    key: RouteKey,
+    key: PartnerRoute,
     claims: list[AttributedClaim],
     distrusted: set[str],
     relay_count: int,
@@ -219,8 +233,7 @@
     health = _merge_health(claims, distrusted, rejected)
     outage_age_ms = max(health.outage_ages, default=None)
     slow_start_age_ms = min(health.slow_start_ages, default=None)
-    # Where one source saw the outage end while others saw it go on, the route is back for somebody: it is in slow
-    # start, and not out.
+    # A source that saw the route recover after all claimed outages began outweighs them: the route is in slow start.
     if slow_start_age_ms is not None and all(slow_start_age_ms < age for age in health.outage_ages):
         outage_age_ms = None
     has_caution = bool(health.outage_ages or health.slow_start_ages)
@@ -269,16 +282,16 @@
 
 
 def _merge_retry_after(claims: list[AttributedClaim]) -> float:
-    """Return the longest Retry-After (ms): one that this relay received in full, another one as a bounded caution."""
+    """Return the longest Retry-After (ms); one that another relay received counts up to a bound."""
     longest = 0.0
     for source, claim in claims:
-        wait_ms = claim.retry_after_ms if source.own else min(claim.retry_after_ms, MAX_RETRY_AFTER_MS)
-        longest = max(longest, wait_ms)
+        retry_after_ms = claim.retry_after_ms if source.own else min(claim.retry_after_ms, MAX_RETRY_AFTER_MS)
+        longest = max(longest, retry_after_ms)
     return longest
 
 
 def _merge_rate(claims: list[AttributedClaim]) -> float:
-    return lower_median([claim.rate for _, claim in claims if claim.rate > 0 and claim.is_fresh])
+    return lower_median([claim.rate for _, claim in claims if claim.rate > 0 and claim.is_recent])
 
 
 def merge_latency(claims: list[AttributedClaim]) -> MergedLatency:
--- a/linnetstile/engine/gossip_export.py
+++ b/linnetstile/engine/gossip_export.py
@@ -1,4 +1,4 @@
-"""Reads what a relay knows of its routes out of the engine, as claims to be handed on to other relays."""
+"""Exports what a relay knows of its routes as claims, which are sent to other relays."""
 
 from __future__ import annotations
 
@@ -6,8 +6,9 @@
 from typing import NamedTuple
 
 from .engine import DeliveryEngine
-from .gossip import RouteClaim
-from .route_state import RouteState
+from .route_claims import PartnerRoute, RouteClaim
+from .route_state import HealthState, RouteState
+from .settings import Settings
 from .slow_start import count_aware_relays
 from .time_points import NEVER
 
@@ -16,12 +17,12 @@
     """The routes of a relay, by name of the destination and route id.
 
     Attributes:
-        endpoints: The endpoints of each route that there is or would be.
-        seen: Routes that this relay has evidence of itself.
+        endpoints: The endpoints of each route, also of destinations that are not in use.
+        observed: Routes that this relay has evidence of itself.
     """
 
-    endpoints: dict[tuple[str, int], set[int]]
-    seen: set[tuple[str, int]]
+    endpoints: dict[PartnerRoute, set[int]]
+    observed: set[PartnerRoute]
 
 
 def _age(now: float, at: float) -> float | None:
@@ -31,44 +32,55 @@
 def export_route(
     engine: DeliveryEngine, now: float, partner: str, route_id: int, route: RouteState, endpoint_ids: tuple[int, ...]
 ) -> RouteClaim | None:
-    """Return a claim of own evidence; what was learned from others is not passed on, or it would outlive its cause."""
-    health, rate = route.health, route.rate
-    is_unseen = health.last_success_at == NEVER and health.failed_at == NEVER
-    if health.from_gossip or is_unseen and route.retry_after_until <= now:
+    """Return a claim of own evidence, None without any.
+
+    What was learned from others is not passed on: relays would pass it to each other long after its cause has ended.
+    """
+    health = route.health
+    has_own_evidence = health.last_success_at != NEVER or health.failed_at != NEVER or route.retry_after_until > now
+    if health.from_gossip or not has_own_evidence:
         return None
-    settings = engine.settings
-    outage_age = None
-    slow_start_age = None
-    aware_relays = health.aware_relays
-    if health.ejected:
-        aware_relays = count_aware_relays(now, route, settings.relay_count)
-        if health.outage_since is not None:
-            outage_age = _age(now, health.outage_since)
-    else:
-        age = _age(now, health.slow_start_since)
-        slow_start_age = age if age is not None and age < settings.safety.slow_start_ms else None
     return RouteClaim(
-        partner,
-        route_id,
-        endpoint_ids,
-        _age(now, health.last_success_at),
-        _age(now, health.failed_at),
-        outage_age,
-        slow_start_age,
-        max(0.0, route.retry_after_until - now) if route.retry_after_until > now else 0.0,
-        route.latency.mean_ms,
-        route.latency.deviation_ms,
-        route.latency.answers,
-        aware_relays,
-        rate.own_rate if now < rate.throttled_until else 0.0,
+        partner=partner,
+        route=route_id,
+        endpoints=endpoint_ids,
+        answer_age_ms=_age(now, health.last_success_at),
+        failure_age_ms=_age(now, health.failed_at),
+        outage_age_ms=_outage_age(now, health),
+        slow_start_age_ms=_slow_start_age(now, health, engine.settings),
+        retry_after_ms=max(0.0, route.retry_after_until - now),
+        latency_mean_ms=route.latency.mean_ms,
+        latency_deviation_ms=route.latency.deviation_ms,
+        answers=route.latency.answers,
+        aware_relays=_aware_relays(now, route, engine.settings),
+        rate=route.rate.own_rate if now < route.rate.throttled_until else 0.0,
     )
 
 
+def _outage_age(now: float, health: HealthState) -> float | None:
+    if not health.ejected or health.outage_since is None:
+        return None
+    return _age(now, health.outage_since)
+
+
+def _slow_start_age(now: float, health: HealthState, settings: Settings) -> float | None:
+    if health.ejected:
+        return None
+    age = _age(now, health.slow_start_since)
+    return age if age is not None and age < settings.safety.slow_start_ms else None
+
+
+def _aware_relays(now: float, route: RouteState, settings: Settings) -> float:
+    if route.health.ejected:
+        return count_aware_relays(now, route, settings.relay_count)
+    return route.health.aware_relays
+
+
 def export_connection_limits(engine: DeliveryEngine) -> dict[str, float]:
-    """Return, by name of the kind, the part of its recent answers that followed a failed connect."""
+    """Return, by name of the kind, the fraction of its recent answers that followed a failed connect."""
     kinds = engine.settings.kinds
     limited = engine.connections.limited
-    return {kinds[kind].name: part for kind, part in sorted(limited.items()) if kind < len(kinds)}
+    return {kinds[kind].name: ratio for kind, ratio in sorted(limited.items()) if kind < len(kinds)}
 
 
 def export_claims(engine: DeliveryEngine, now: float, names: Mapping[int, str]) -> list[RouteClaim]:
@@ -92,20 +104,28 @@
 
 
 def known_routes(engine: DeliveryEngine, names: Mapping[int, str]) -> RouteInventory:
-    """Return the routes that there are or would be, and those that this relay has evidence of itself."""
+    """Return all routes, and those that this relay has evidence of itself.
+
+    Args:
+        engine: The relay's engine.
+        names: Name of each destination by its number; those without one are left out.
+    """
     table = engine.routing_table
-    endpoints: dict[tuple[str, int], set[int]] = {}
-    seen: set[tuple[str, int]] = set()
+    endpoints: dict[PartnerRoute, set[int]] = {}
+    observed: set[PartnerRoute] = set()
     for info in table.index:
-        destination, route_id = table.route_key(info)
-        if destination in names:
-            endpoints.setdefault((names[destination], route_id), set()).add(info.id)
+        key = table.route_key(info)
+        if key.destination in names:
+            endpoints.setdefault(PartnerRoute(names[key.destination], key.route_id), set()).add(info.id)
     for destination in table.routes.keys() | table.evicted.keys():
         if destination not in names:
             continue
         for route_id, known in table.known_routes(destination).items():
-            health = known.state.health
-            has_own_failure = health.failed_at != NEVER and not health.from_gossip
-            if health.last_success_at != NEVER or has_own_failure:
-                seen.add((names[destination], route_id))
-    return RouteInventory(endpoints, seen & endpoints.keys())
+            if _has_own_observation(known.state.health):
+                observed.add(PartnerRoute(names[destination], route_id))
+    return RouteInventory(endpoints, observed & endpoints.keys())
+
+
+def _has_own_observation(health: HealthState) -> bool:
+    has_own_failure = health.failed_at != NEVER and not health.from_gossip
+    return health.last_success_at != NEVER or has_own_failure
--- a/linnetstile/engine/route_claims.py
+++ b/linnetstile/engine/route_claims.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass, replace
 from typing import NamedTuple
 
-# Evidence so old counts half here. In the engine a failure so long ago no longer counts at all.
+# Evidence of this age has half its weight here. In the engine a failure of this age no longer counts at all.
 HEALTH_HALF_LIFE_MS = 10_000.0
 LATENCY_HALF_LIFE_MS = 600_000.0  # ten minutes: latency follows the load of a day and the releases of a partner
 MIN_EVIDENCE_WEIGHT = 0.25  # two half-lives, 20 s for health and 20 min for latency: below it evidence is stale
@@ -18,7 +18,7 @@
 NEVER_AGE_MS = float("inf")
 
 
-class RouteKey(NamedTuple):
+class PartnerRoute(NamedTuple):
     """What identifies a route: the partner, and an endpoint's id where routes are separate, else -1."""
 
     partner: str
@@ -31,8 +31,7 @@
 
     partner: str
     route: int  # an endpoint's id where routes are separate, else -1
-    # The endpoints that it was learned from. Where none of them is the partner's now, or an id belongs to another
-    # partner since, the claim is about somebody else.
+    # The endpoints that were observed. If none of them belongs to the route any more, the claim does not hold for it.
     endpoints: tuple[int, ...]
     answer_age_ms: float | None = None  # of the latest answer
     failure_age_ms: float | None = None  # of the latest failure that no rate limit explains
@@ -46,9 +45,9 @@
     rate: float = 0.0  # requests a second to which rejections throttle it now; 0 = not throttled
 
     @property
-    def key(self) -> RouteKey:
+    def key(self) -> PartnerRoute:
         """The route that the claim is about."""
-        return RouteKey(self.partner, self.route)
+        return PartnerRoute(self.partner, self.route)
 
     @property
     def latest_evidence_age_ms(self) -> float:
@@ -57,7 +56,7 @@
         return min((age for age in ages if age is not None), default=NEVER_AGE_MS)
 
     @property
-    def is_fresh(self) -> bool:
+    def is_recent(self) -> bool:
         """Whether the youngest evidence still counts."""
         return evidence_weight(self.latest_evidence_age_ms) >= MIN_EVIDENCE_WEIGHT
 
@@ -68,7 +67,7 @@
 
     @property
     def claims_outage(self) -> bool:
-        """Whether it says that the route is out now: no answer came since the outage began."""
+        """Whether it says that the outage goes on: no answer came since it began."""
         if self.outage_age_ms is None:
             return False
         return self.answer_age_ms is None or self.answer_age_ms >= self.outage_age_ms
@@ -97,7 +96,7 @@
         return claim.failure_age_ms is None or self.answer_age_ms < claim.failure_age_ms
 
     def aged(self, ms: float) -> RouteClaim:
-        """Return the claim as it is so much later."""
+        """Return the claim as it is `ms` later."""
 
         def older(age: float | None) -> float | None:
             return None if age is None else age + ms
--- a/tests/engine/test_destinations.py
+++ b/tests/engine/test_destinations.py
@@ -26,6 +26,7 @@
     Message,
     Outcome,
     RouteFacts,
+    RouteKey,
     TimerFired,
 )
 from linnetstile.engine.message_queues import MessageQueues
@@ -391,7 +392,7 @@
         GossipReceived((RouteFacts(1, outage_age_ms=500.0, aware_relays=2.0), RouteFacts(99, outage_age_ms=500.0)))
     )
     let_evict(harness)
-    harness.handle(GossipSent(((1, -1),)))
+    harness.handle(GossipSent((RouteKey(1, -1),)))
     route, ends = harness.engine.routing_table.known_routes(1)[-1]
     assert route.health.ejected
     assert route.health.from_gossip
--- a/tests/engine/test_gossip.py
+++ b/tests/engine/test_gossip.py
@@ -10,10 +10,11 @@
 
 from linnetstile.engine import gossip_export
 from linnetstile.engine.actions import CloseIdle
-from linnetstile.engine.events import GossipReceived, GossipSent, Outcome, RouteFacts
+from linnetstile.engine.events import ConnectionLimit, GossipReceived, GossipSent, Outcome, RouteFacts, RouteKey
 from linnetstile.engine.gossip import (
     ClaimSource,
     MergedRoute,
+    PartnerRoute,
     RejectedClaim,
     RouteClaim,
     evidence_weight,
@@ -23,7 +24,7 @@
 from linnetstile.engine.slow_start import count_aware_relays
 from tests.conftest import IDEMPOTENT, NON_IDEMPOTENT, EngineHarness, make_settings
 
-ROUTES: dict[tuple[str, int], set[int]] = {("p", -1): {11, 12}}
+ROUTES = {PartnerRoute("p", -1): {11, 12}}
 
 
 def healthy_claim(age: float = 100.0, mean: float = 100.0) -> RouteClaim:
@@ -109,13 +110,13 @@
 
 
 def test_own_observation_wins() -> None:
-    merged, rejected = merge_claims([ClaimSource("a", False, (outage_claim(),))], ROUTES, {("p", -1)}, 10)
+    merged, rejected = merge_claims([ClaimSource("a", False, (outage_claim(),))], ROUTES, {PartnerRoute("p", -1)}, 10)
     assert merged == []
     assert rejected[0].reason == "own observation wins"
 
 
 def test_peer_that_claims_most_outages_alone_is_distrusted() -> None:
-    routes = {(f"p{n}", -1): {n} for n in range(10)}
+    routes = {PartnerRoute(f"p{n}", -1): {n} for n in range(10)}
 
     def source_of_all_routes(name: str, out: bool) -> ClaimSource:
         return ClaimSource(
@@ -213,7 +214,7 @@
         sends.append(len(harness.sends))
     assert sends[1] < sends[0]
     harness = fresh()
-    harness.handle(GossipReceived((), connection_limited=((0, 0.5),)))
+    harness.handle(GossipReceived((), connection_limited=(ConnectionLimit(0, 0.5),)))
     message_id = harness.submit(IDEMPOTENT)
     harness.advance(50)
     assert any(isinstance(action, CloseIdle) for action in harness.end_attempt(message_id))
@@ -305,7 +306,7 @@
             harness.end_attempt(message_id, Outcome.CONNECT_FAILED)
     before = gossip_export.export_claims(harness.engine, harness.now, {1: "p"})[0].aware_relays
     for _ in range(5):
-        harness.handle(GossipSent(((1, -1), (7, -1))))
+        harness.handle(GossipSent((RouteKey(1, -1), RouteKey(7, -1))))
     assert gossip_export.export_claims(harness.engine, harness.now, {1: "p"})[0].aware_relays == pytest.approx(
         before + 5
     )
