--- a/linnetstile/engine/fair_share.py
+++ b/linnetstile/engine/fair_share.py
@@ -1,9 +1,9 @@
 """Who may reserve how much of one bounded capacity: weighted max-min fair shares in trees, with borrowing.
 
-A reservation (bytes and one message) counts at one leaf of each tree: where it comes from, and where it goes. A
-claimant below its fair share is admitted while there is capacity at all. Above it, the claimant borrows: only while a
-part of the capacity stays free for those below their fair share, and only while none of those waits. Nothing reserved
-is taken away again: what was borrowed comes back as it is released, and goes first to those below their fair share.
+A reservation (bytes and one message) counts at one leaf of each tree: by its source and by its destination. A
+claimant below its fair share is admitted while there is any capacity. Above it, the claimant borrows: only while a part
+of the capacity stays free for claimants below their fair share, and only while none of those waits. There is no
+preemption: borrowed capacity is available again when it is released, and first to claimants below their fair share.
 docs/design/slow-peers.md weighs the rules.
 
 No I/O and no clock: times (ms) come in.
@@ -32,16 +32,17 @@
     "ShareNode",
 ]
 
-BORROWING_LIMIT = 0.75  # fraction of the capacity up to which it is lent: the rest is for those below their share
-OVERSIZED_FRACTION = 0.5  # one message at a time above this fraction may borrow all but the reserve
-RESERVE_FRACTION = 1 / 16  # the last part of the capacity, which only small messages may use
-SMALL_FRACTION = 1 / 1024  # a message up to this fraction of the capacity is small
-RELEASE_DECAY_MS = 5000.0  # time constant over which released bytes tell how fast capacity becomes free
+# Fractions of the capacity.
+BORROWING_LIMIT = 0.75  # claimants may borrow up to this use; the rest is for those below their fair share
+OVERSIZED_FRACTION = 0.5  # a message above it is oversized: one at a time may borrow all but the reserve
+RESERVE_FRACTION = 1 / 16  # the last part, which only small messages may use
+SMALL_FRACTION = 1 / 1024  # a message up to it is small
+RELEASE_DECAY_MS = 5000.0  # time constant of the estimate of how fast capacity is released
 MIN_RELEASE_RATE = 1e-9  # bytes a ms; keeps the division by the rate finite
 MIN_RETRY_AFTER_MS = 1000.0
 # These two bound the time of one call under attack.
-MAX_VISITS = 256  # leaves looked at in one `grant_waiting`
-MAX_UNDERSERVED_CHECKED = 16  # waiting requests checked for being below their fair share, in each update
+MAX_LEAVES_VISITED = 256  # leaves that one `grant_waiting` visits
+MAX_UNDERSERVED_CHECKED = 16  # waiting requests that one update checks for being below their fair share
 
 DEFAULT_WEIGHT = 1.0
 SOURCE_TREE = "from"
@@ -64,7 +65,7 @@
 
 
 class AdmissionResult(NamedTuple):
-    """Answer to a request: the decision, and the reservation, which counts unless the request was too large."""
+    """Answer to a request: the decision, and the reservation, which holds unless the request was too large."""
 
     decision: AdmissionDecision
     reservation: Reservation
@@ -77,15 +78,22 @@
     expired: list[object]
 
 
+class TreeNode(NamedTuple):
+    """A node and the name of its tree."""
+
+    tree: str
+    node: ShareNode
+
+
 class ReleaseRate:
-    """Estimates how fast capacity becomes free, from released bytes that decay exponentially."""
+    """Estimates how fast capacity is released, from released bytes that decay exponentially."""
 
     def __init__(self) -> None:
         self._released_bytes = 0.0
         self._updated_at = 0.0
 
     def record(self, now_ms: float, released_bytes: float) -> None:
-        """Take released bytes into the estimate."""
+        """Add released bytes to the estimate."""
         if now_ms > self._updated_at:
             self._released_bytes *= math.exp((self._updated_at - now_ms) / RELEASE_DECAY_MS)
             self._updated_at = now_ms
@@ -105,8 +113,8 @@
         trees: Root of each tree by name, the one by which requests queue first.
         used: Bytes and messages that are reserved.
         rotation: The requests that wait.
-        underserved: How many of the first waiting requests are below their fair share; while there are any, nothing
-            is lent.
+        underserved: How many of the first waiting requests are below their fair share; while there are any, nobody
+            may borrow.
         oversized: The one reservation above `OVERSIZED_FRACTION`, if there is one.
         counts: How many requests ended how, by label of the metric.
     """
@@ -144,22 +152,23 @@
             node.set_weight(weight)
 
     def _leaf(self, tree: str, names: Sequence[str]) -> ShareNode:
-        """Return the leaf of a path, creating the nodes that it lacks."""
+        """Return the leaf of a path, creating the nodes that do not exist yet."""
         root = self.trees[tree]
         node = root
         for name in names:
             child = node.children.get(name)
             if child is None:
-                weight = self._weights[tree].get(name, DEFAULT_WEIGHT) if node is root else DEFAULT_WEIGHT
+                is_first_level = node is root
+                weight = self._weights[tree].get(name, DEFAULT_WEIGHT) if is_first_level else DEFAULT_WEIGHT
                 child = node.add_child(name, weight)
             node = child
         return node
 
-    def nodes(self) -> Iterator[tuple[str, ShareNode]]:
+    def nodes(self) -> Iterator[TreeNode]:
         """Iterate over all nodes but the roots, each with the name of its tree."""
         for tree, root in self.trees.items():
             for node in root.descendants():
-                yield tree, node
+                yield TreeNode(tree, node)
 
     def fair_share(self, node: ShareNode, resource: int) -> float:
         """Return the fair share of a node of one resource (`BYTES` or `MESSAGES`)."""
@@ -215,7 +224,7 @@
         """Request more capacity for a message whose length was not known; the arguments are those of `request`."""
         assert not reservation.released, "capacity requested for a reservation that was released"
         amount = ResourceAmount(float(size), float(messages))
-        if reservation.amount[BYTES] + size > (1 - RESERVE_FRACTION) * self.capacity[BYTES]:
+        if reservation.amount[BYTES] + size > (1 - RESERVE_FRACTION) * self.capacity.bytes:
             self.counts[COUNT_TOO_LARGE] += 1
             return AdmissionDecision.TOO_LARGE
         if not reservation.leaves[0].queue and self._fits(reservation, amount):
@@ -233,18 +242,24 @@
         """Whether an amount may be granted now."""
         if not self.rotation and self._has_slack(amount):
             return True
-        size = reservation.amount[BYTES] + amount[BYTES]
-        # The reserve guards small messages: bodies admitted while few claimants were active may use all the rest.
-        is_small = size <= SMALL_FRACTION * self.capacity[BYTES]
-        usable = 1.0 if is_small else 1 - RESERVE_FRACTION
-        if self.used[BYTES] + amount[BYTES] > usable * self.capacity[BYTES]:
+        size = reservation.amount[BYTES] + amount.bytes
+        if self.used[BYTES] + amount.bytes > self._usable_bytes(size):
             return False
         if not self._borrows(reservation, amount):
             return True
         return not self.underserved and self._is_within(self._borrowing_limit(reservation, size), amount)
 
+    def _usable_bytes(self, size: float) -> float:
+        """Return the part of the capacity that a message of this size may use.
+
+        The reserve is for small messages: large ones that were admitted while few claimants were active may occupy all
+        the rest.
+        """
+        is_small = size <= SMALL_FRACTION * self.capacity.bytes
+        return (1.0 if is_small else 1 - RESERVE_FRACTION) * self.capacity.bytes
+
     def _has_slack(self, amount: ResourceAmount) -> bool:
-        """Whether anyone may borrow the amount while no request waits: the usual case, and the fast path."""
+        """Whether anyone may borrow the amount, if no request waits: the most common case, and the fast path."""
         return self._is_within(BORROWING_LIMIT, amount)
 
     def _is_within(self, fraction: float, amount: ResourceAmount) -> bool:
@@ -252,16 +267,16 @@
         used = self.used
         capacity = self.capacity
         return (
-            used[BYTES] + amount[BYTES] <= fraction * capacity[BYTES]
-            and used[MESSAGES] + amount[MESSAGES] <= fraction * capacity[MESSAGES]
+            used[BYTES] + amount.bytes <= fraction * capacity.bytes
+            and used[MESSAGES] + amount.messages <= fraction * capacity.messages
         )
 
     def _borrowing_limit(self, reservation: Reservation, size: float) -> float:
         """Return the fraction of the capacity up to which this reservation may borrow.
 
-        One oversized message at a time may borrow nearly all: it could never be admitted beside others otherwise.
+        One oversized message at a time may borrow all of it, as it could never be admitted beside others otherwise.
         """
-        is_oversized = size > OVERSIZED_FRACTION * self.capacity[BYTES]
+        is_oversized = size > OVERSIZED_FRACTION * self.capacity.bytes
         is_only_one = self.oversized is None or self.oversized is reservation
         return 1.0 if is_oversized and is_only_one else BORROWING_LIMIT
 
@@ -280,9 +295,9 @@
 
     def _grant(self, reservation: Reservation, amount: ResourceAmount) -> None:
         self.counts[COUNT_GRANTED] += 1
-        if reservation.amount[BYTES] + amount[BYTES] > OVERSIZED_FRACTION * self.capacity[BYTES]:
+        if reservation.amount[BYTES] + amount.bytes > OVERSIZED_FRACTION * self.capacity.bytes:
             self.oversized = reservation
-        self._add_usage(reservation, amount[BYTES], amount[MESSAGES])
+        self._add_usage(reservation, amount.bytes, amount.messages)
 
     def _add_usage(self, reservation: Reservation, size: float, messages: float) -> None:
         for usage in (reservation.amount, self.used):
@@ -309,25 +324,26 @@
 
     @staticmethod
     def _leave(leaves: tuple[ShareNode, ...]) -> None:
-        """Take a reservation off its leaves, and remove those that are idle then."""
+        """Remove a reservation from its leaves, and the leaves that are idle then."""
         for leaf in leaves:
             leaf.reservations -= 1
             leaf.remove_if_idle()
 
     def grant_waiting(self, now_ms: float) -> GrantResult:
-        """Grant waiting requests that fit now, one for each claimant in turn, and give up those that have expired."""
+        """Grant waiting requests that fit now, one for each claimant in turn, and drop those that have expired."""
         result = GrantResult(granted=[], expired=[])
-        not_served_in_a_row = 0
-        for _ in range(MAX_VISITS):
-            if not self.rotation or not_served_in_a_row >= len(self.rotation):
+        denials_in_a_row = 0
+        for _ in range(MAX_LEAVES_VISITED):
+            has_visited_all = denials_in_a_row >= len(self.rotation)
+            if has_visited_all:
                 break
             leaf = self.rotation.take_leaf()
             self._expire_requests(now_ms, leaf, result.expired)
             if leaf.queue and self._try_grant(leaf.queue[0]):
                 result.granted.append(self.rotation.pop_request(leaf).token)
-                not_served_in_a_row = 0
+                denials_in_a_row = 0
             else:
-                not_served_in_a_row += 1
+                denials_in_a_row += 1
             self.rotation.return_leaf(leaf)
         self._count_underserved()
         return result
@@ -338,7 +354,7 @@
             self.counts[COUNT_EXPIRED] += 1
 
     def _try_grant(self, request: AdmissionRequest) -> bool:
-        """Grant a waiting request if it fits; it does not count as underserved while it is looked at."""
+        """Grant a waiting request if it fits; the request itself does not count as underserved in this check."""
         underserved_before = self.underserved
         is_underserved = not self._borrows(request.reservation, request.amount)
         self.underserved -= is_underserved
@@ -353,11 +369,11 @@
         return self.rotation.next_expiry()
 
     def retry_after_ms(self, now_ms: float, size: float, max_ms: float) -> float:
-        """Return when (ms from now) there may be capacity for more bytes, by how fast it became free lately.
+        """Return when (ms from now) there may be capacity for more bytes, by how fast it was released lately.
 
         Args:
             now_ms: Present time (ms).
-            size: Bytes asked for.
+            size: Bytes requested.
             max_ms: Longest time to return, though never below `MIN_RETRY_AFTER_MS`.
         """
         expected_ms = size / self._release_rate.bytes_per_ms(now_ms)
--- a/linnetstile/engine/share_tree.py
+++ b/linnetstile/engine/share_tree.py
@@ -152,8 +152,8 @@
 
     Attributes:
         reservation: The reservation that the amount is for.
-        amount: Bytes and messages asked for.
-        expires_at: Time (ms) at which the request is given up.
+        amount: Bytes and messages requested.
+        expires_at: Time (ms) at which the request is dropped.
         token: The caller's own handle of the request.
     """
 
--- a/linnetstile/engine/slow_partners.py
+++ b/linnetstile/engine/slow_partners.py
@@ -9,11 +9,11 @@
 from dataclasses import dataclass, field
 
 # A partner becomes slow above `ENTRY_FACTOR` times the median slot time and recovers below `EXIT_FACTOR` times it.
-# Between the two nothing changes, so a partner that stalls now and then stays in one state and does not flap.
+# Between the two nothing changes: this hysteresis keeps a partner that stalls now and then from flapping.
 ENTRY_FACTOR = 4.0
 EXIT_FACTOR = 2.0
-MIN_SLOW_MS = 400.0  # a partner with a shorter slot time is never slow, whatever the others do
-MIN_ATTEMPTS = 3.0  # attempts that have to be seen before a partner is judged
+MIN_SLOW_MS = 400.0  # a partner with a shorter slot time is never slow, whatever the median is
+MIN_ATTEMPTS = 3.0  # attempts before a partner is judged
 SLOT_TIME_GAIN = 0.2  # weight of one attempt in the moving mean of the slot time
 MIN_STATE_MS = 5000.0  # least time in the slow state, and time of quick attempts before a partner has recovered
 SLOW_PARTNER_WEIGHT = 0.25  # weight of a slow partner in the fair shares
@@ -26,7 +26,7 @@
     Attributes:
         name: Name of the partner.
         mean_slot_ms: Moving mean of the slot time of an attempt.
-        attempts_seen: Attempts that have ended.
+        attempt_count: Attempts that have ended.
         slow_since: Time (ms) at which the partner became slow; None while it is not slow.
         recovered_since: Time (ms) since which a slow partner is below the exit bound; None while it is above.
         times_slow: How often the partner has become slow.
@@ -36,7 +36,7 @@
 
     name: str
     mean_slot_ms: float = 0.0
-    attempts_seen: float = 0.0
+    attempt_count: float = 0.0
     slow_since: float | None = None
     recovered_since: float | None = None
     times_slow: int = 0
@@ -45,34 +45,35 @@
 
     @property
     def has_enough_ended_attempts(self) -> bool:
-        """Whether enough attempts have ended to take the mean slot time into the median."""
-        return self.attempts_seen >= MIN_ATTEMPTS
+        """Whether enough attempts have ended for the mean slot time to count in the median."""
+        return self.attempt_count >= MIN_ATTEMPTS
 
     @property
     def has_enough_attempts(self) -> bool:
         """Whether enough attempts have ended or are in flight to judge the partner."""
-        return self.attempts_seen + len(self.in_flight) >= MIN_ATTEMPTS
+        return self.attempt_count + len(self.in_flight) >= MIN_ATTEMPTS
 
     def record_attempt(self, slot_ms: float) -> None:
-        """Take the slot time of an ended attempt into the mean; the first few attempts weigh the same."""
-        seen = self.attempts_seen + 1
-        gain = SLOT_TIME_GAIN if seen > 1 / SLOT_TIME_GAIN else 1 / seen
+        """Add the slot time of an ended attempt to the mean, in which the first few attempts weigh the same."""
+        self.attempt_count += 1
+        is_arithmetic_mean = self.attempt_count <= 1 / SLOT_TIME_GAIN
+        gain = 1 / self.attempt_count if is_arithmetic_mean else SLOT_TIME_GAIN
         self.mean_slot_ms += gain * (slot_ms - self.mean_slot_ms)
-        self.attempts_seen = seen
 
     def current_slot_ms(self, now_ms: float) -> float:
         """Return the slot time (ms) as of now: an attempt in flight counts for as long as it has taken so far."""
-        longest = max((now_ms - started_at for started_at in self.in_flight.values()), default=0.0)
-        return max(self.mean_slot_ms, SLOT_TIME_GAIN * longest + (1 - SLOT_TIME_GAIN) * self.mean_slot_ms)
+        longest_ms = max((now_ms - started_at for started_at in self.in_flight.values()), default=0.0)
+        mean_if_ended_now = SLOT_TIME_GAIN * longest_ms + (1 - SLOT_TIME_GAIN) * self.mean_slot_ms
+        return max(self.mean_slot_ms, mean_if_ended_now)
 
 
 class SlowPartnerDetector:
-    """Detect partners that occupy in-flight slots for long.
+    """Detects partners that occupy in-flight slots for long.
 
     The evidence is slot time: of attempts that have ended, whatever their outcome, and of attempts in flight once they
-    take longer than what is known.
+    take longer than the mean.
 
-    Entry condition of the slow state: at least `MIN_ATTEMPTS` seen and a slot time above `ENTRY_FACTOR` times the
+    Entry condition of the slow state: at least `MIN_ATTEMPTS` attempts and a slot time above `ENTRY_FACTOR` times the
     median. Exit condition: a slot time below `EXIT_FACTOR` times the median for `MIN_STATE_MS`. As the mean changes
     only with attempts that end, a partner recovers by quick attempts and never by silence alone.
     """
@@ -100,9 +101,10 @@
     def median_slot_ms(self) -> float:
         """Return the median slot time (ms) of the partners that are not slow, or of all where all are slow."""
         judged = [partner for partner in self.partners.values() if partner.has_enough_ended_attempts]
-        means = [partner.mean_slot_ms for partner in judged if partner.slow_since is None]
-        means = means or [partner.mean_slot_ms for partner in judged]
-        return statistics.median(means) if means else 0.0
+        if not judged:
+            return 0.0
+        not_slow = [partner for partner in judged if partner.slow_since is None]
+        return statistics.median(partner.mean_slot_ms for partner in not_slow or judged)
 
     def slot_ms(self, now_ms: float, partner: Partner) -> float:
         """Return the slot time (ms) of a partner as of now."""
@@ -129,7 +131,8 @@
     def _enter_if_slow(now_ms: float, partner: Partner, median: float) -> bool:
         assert partner.slow_since is None, "the partner is slow already"
         slot_ms = partner.current_slot_ms(now_ms)
-        if not partner.has_enough_attempts or slot_ms <= max(MIN_SLOW_MS, ENTRY_FACTOR * median):
+        entry_bound_ms = max(MIN_SLOW_MS, ENTRY_FACTOR * median)
+        if not partner.has_enough_attempts or slot_ms <= entry_bound_ms:
             return False
         partner.slow_since = now_ms
         partner.recovered_since = None
@@ -141,13 +144,15 @@
     def _exit_if_recovered(now_ms: float, partner: Partner, median: float) -> bool:
         assert partner.slow_since is not None, "the partner is not slow"
         slot_ms = partner.current_slot_ms(now_ms)
-        if slot_ms > max(MIN_SLOW_MS, EXIT_FACTOR * median):
+        exit_bound_ms = max(MIN_SLOW_MS, EXIT_FACTOR * median)
+        if slot_ms > exit_bound_ms:
             partner.recovered_since = None
             return False
         if partner.recovered_since is None:
             partner.recovered_since = now_ms
             return False
-        if now_ms - max(partner.recovered_since, partner.slow_since) < MIN_STATE_MS:
+        quick_since = max(partner.recovered_since, partner.slow_since)
+        if now_ms - quick_since < MIN_STATE_MS:
             return False
         partner.slow_since = None
         partner.reason = f"{slot_ms:.0f} ms of slot time an attempt for {MIN_STATE_MS / 1000:.0f} s"
