--- a/linnetstile/as2_relay/gossip_merger.py
+++ b/linnetstile/as2_relay/gossip_merger.py
@@ -10,7 +10,7 @@
 
 from ..engine import gossip_export
 from ..engine.engine import DeliveryEngine
-from ..engine.events import Event, GossipReceived, RouteFacts
+from ..engine.events import ConnectionLimit, Event, GossipReceived, RouteFacts
 from ..engine.gossip import (
     OWN_OBSERVATION_WINS,
     ClaimSource,
@@ -79,10 +79,10 @@
         """Merge all sources anew and post what is believed; called with each answer and each endpoint list."""
         sources = self._sources()
         partner_names = {number: name for name, number in self.partner_numbers.items()}
-        known = gossip_export.known_routes(self.engine, partner_names)
-        if not known.endpoints or not sources:
+        inventory = gossip_export.known_routes(self.engine, partner_names)
+        if not inventory.endpoints or not sources:
             return
-        result = merge_claims(sources, known.endpoints, known.seen, self._relay_count())
+        result = merge_claims(sources, inventory.endpoints, inventory.observed, self._relay_count())
         self._record_rejected(result.rejected)
         connection_limits = self._merged_connection_limits()
         if not result.routes and not connection_limits:
@@ -109,14 +109,14 @@
         relay_counts = [float(peer.relay_count) for peer in self.peers.values()]
         return max(self.engine.settings.relay_count, int(lower_median(relay_counts)))
 
-    def _merged_connection_limits(self) -> tuple[tuple[int, float], ...]:
+    def _merged_connection_limits(self) -> tuple[ConnectionLimit, ...]:
         """Return by number of the kind how far connections are limited, of the kinds that the settings name."""
         by_source = {address: peer.connection_limits for address, peer in self.peers.items()}
         if self.snapshot is not None:
             by_source[SNAPSHOT_SOURCE] = self.snapshot.connection_limits
         merged = merge_connection_limits([by_source[source] for source in sorted(by_source)])
         kinds = [kind.name for kind in self.engine.settings.kinds]
-        return tuple((kinds.index(kind), fraction) for kind, fraction in merged.items() if kind in kinds)
+        return tuple(ConnectionLimit(kinds.index(kind), ratio) for kind, ratio in merged.items() if kind in kinds)
 
     def _facts(self, route: MergedRoute) -> RouteFacts:
         return RouteFacts(
--- a/linnetstile/as2_relay/gossip_service.py
+++ b/linnetstile/as2_relay/gossip_service.py
@@ -15,7 +15,7 @@
 from ..config.relay import KnowledgeSettings
 from ..engine import gossip_export
 from ..engine.engine import DeliveryEngine
-from ..engine.events import Event, GossipSent
+from ..engine.events import Event, GossipSent, RouteKey
 from ..engine.membership import MAX_PEERS_PER_ANSWER
 from ..net import server
 from ..telemetry.log import Logger
@@ -188,7 +188,7 @@
     def _record_sent(self, document: OwnDocument) -> None:
         """Tell the engine that another relay now knows of the outages and slow starts in a document."""
         routes = tuple(
-            (self.partner_numbers[claim.partner], claim.route)
+            RouteKey(self.partner_numbers[claim.partner], claim.route)
             for claim in document.claims
             if claim.outage_age_ms is not None or claim.slow_start_age_ms is not None
         )
--- a/tests/engine/test_idle_routes.py
+++ b/tests/engine/test_idle_routes.py
@@ -19,6 +19,7 @@
     Message,
     Outcome,
     RouteFacts,
+    RouteKey,
 )
 from linnetstile.engine.route_state import RouteState
 
@@ -265,7 +266,7 @@
     facts = (RouteFacts(1, outage_age_ms=500.0, aware_relays=2.0), RouteFacts(99, outage_age_ms=500.0))
     harness.handle(GossipReceived(facts))
     advance_until_evicted(harness)
-    harness.handle(GossipSent(((1, -1),)))
+    harness.handle(GossipSent((RouteKey(1, -1),)))
     route, endpoint_ids = known_route(harness)
     assert route.health.ejected
     assert route.health.from_gossip
