--- a/linnetstile/as2_relay/tls_keys.py
+++ b/linnetstile/as2_relay/tls_keys.py
@@ -45,7 +45,7 @@
         keys, settings = self.partners.get(partner), self.partner_settings.get(partner)
         if keys is None or settings is None or settings.tls is None:
             return None
-        return keys, settings.tls.name or address.address[0]
+        return client.TlsParameters(keys, settings.tls.name or address.address[0])
 
     def reload(self, counts: Counter[str], log: Logger) -> None:
         """Read keys and certificates again that have changed; if they cannot be used the old ones stay in service."""
--- a/linnetstile/net/client.py
+++ b/linnetstile/net/client.py
@@ -1,7 +1,7 @@
 """HTTP/1.1 client: the names that other packages use, and a single call for tools.
 
-The parts: `client_call.py` is one request on its way, `client_connection.py` one connection, `client_pool.py` the pool
-that makes connections and keeps them.
+The parts: `client_call.py` is one call, `client_connection.py` one connection, `client_pool.py` the pool of them,
+`connector.py` opens them, and `idle_connections.py` has those that wait for another call.
 """
 
 from __future__ import annotations
@@ -9,7 +9,7 @@
 import asyncio
 
 from ..codec import http1
-from .client_call import Address, Call, CallResult, RequestBytes, TlsParameters, format_address
+from .client_call import Address, Call, CallResult, IdentifiedAddress, RequestBytes, TlsParameters, format_address
 from .client_connection import ClientConnection
 from .client_pool import ConnectionPool, MinimumRates
 
@@ -19,6 +19,7 @@
     "Call",
     "ClientConnection",
     "ConnectionPool",
+    "IdentifiedAddress",
     "MinimumRates",
     "RequestBytes",
     "TlsParameters",
--- a/linnetstile/net/client_call.py
+++ b/linnetstile/net/client_call.py
@@ -6,7 +6,7 @@
 import math
 from collections.abc import Callable
 from dataclasses import dataclass, replace
-from typing import TYPE_CHECKING
+from typing import TYPE_CHECKING, NamedTuple
 
 from ..codec import http1
 from ..engine.attempt_outcome import WireResult
@@ -15,13 +15,29 @@
 if TYPE_CHECKING:
     from .client_connection import ClientConnection
 
-# Host and port, or the path of a local socket. The third part of a longer one tells peers apart that use one address
-# one after the other: a connection to the one that has gone is never used for its successor.
-Address = tuple[str, int] | tuple[str, int, int] | str
+
+class IdentifiedAddress(NamedTuple):
+    """A TCP address that peers may use one after the other, with the identifier of one of them.
+
+    A connection to one of them is never used for its successor.
+    """
+
+    host: str
+    port: int
+    peer_id: int
+
+
+class TlsParameters(NamedTuple):
+    """How to connect with TLS: the context, and the name that the peer's certificate has to show."""
+
+    context_files: TlsContextFiles
+    server_name: str
+
+
+# Host and port, with an identifier or without, or the path of a local socket.
+Address = tuple[str, int] | IdentifiedAddress | str
 # The bytes of a request: in one piece, or its head and its body.
-RequestBytes = bytes | tuple[bytes, bytes]
-# The TLS context to connect with, and the name that the peer's certificate is to show.
-TlsParameters = tuple[TlsContextFiles, str]
+RequestBytes = bytes | http1.EncodedMessage
 
 
 def format_address(address: Address) -> str:
@@ -36,27 +52,29 @@
     wire_result: WireResult
     head: http1.Response | None = None  # only where the call was answered
     body: bytes = b""
-    # The last byte of the request had left this process, so that the peer may have had all of it.
+    # The last byte of the request was sent, so that the peer may have had all of it.
     request_complete: bool = True
     # The status in the first line of a response whose rest has not come or can't be read; 0 = none can be read.
     claimed_status: int = 0
-    reused_connection: bool = False  # it went out on a connection kept from an earlier call
+    reused_connection: bool = False  # it was sent on an idle connection of an earlier call
 
 
 class Call:
     """One request on its way. Its callback is called once, never from within `ConnectionPool.call`."""
 
-    def __init__(self, on_done: Callable[[CallResult], None]) -> None:
+    def __init__(
+        self, on_done: Callable[[CallResult], None], last_byte_delay_s: float = 0.0, send_before: float = math.inf
+    ) -> None:
         self.on_done: Callable[[CallResult], None] | None = on_done
         self.connection: ClientConnection | None = None
         self.connecting: asyncio.Task[None] | None = None
         self.reused_connection = False
-        self.last_byte_delay_s = 0.0
-        self.send_before = math.inf  # loop time, s
+        self.last_byte_delay_s = last_byte_delay_s
+        self.send_before = send_before  # loop time, s
         self.timer: asyncio.TimerHandle | None = None
 
     def finish(self, result: CallResult) -> None:
-        """Tell the caller, if it still waits, how the call ended."""
+        """Notify the caller, if it still waits, how the call ended."""
         done, self.on_done = self.on_done, None
         if self.timer:
             self.timer.cancel()
@@ -64,7 +82,7 @@
             done(replace(result, reused_connection=True) if self.reused_connection else result)
 
     def detach(self) -> None:
-        """Call nobody back; the connection may still end its exchange in order and be kept."""
+        """Drop the callback; the connection may still complete its exchange and be reused."""
         self.on_done = None
 
     def abort(self, result: WireResult) -> None:
@@ -77,20 +95,18 @@
             self._end(WireResult.NOT_SENT)
 
     def _unsent_result(self) -> WireResult | None:
-        """What an end proves as long as the last byte has not left; None once it has.
+        """Return what an end proves as long as the last byte was not sent; None once it was.
 
         The rest of the request goes with the connection, and the peer never had all of it.
         """
         if self.connecting:
             return WireResult.NO_CONNECTION
-        return (
-            WireResult.REQUEST_INCOMPLETE
-            if self.connection is not None and self.connection.request_incomplete
-            else None
-        )
+        if self.connection is not None and self.connection.request_incomplete:
+            return WireResult.REQUEST_INCOMPLETE
+        return None
 
     def _end(self, result: WireResult) -> None:
-        """Close the connection too: one on which a request is out can't be kept."""
+        """Close the connection too: one with a request in flight can't be reused."""
         if self.connecting:
             self.connecting.cancel()
         connection, self.connection = self.connection, None
--- a/linnetstile/net/client_connection.py
+++ b/linnetstile/net/client_connection.py
@@ -158,7 +158,7 @@
             and not request_incomplete
             and not self.is_closing
         ):
-            self.pool.keep(self)
+            self.pool.keep_idle(self)
         else:
             self.transport.abort() if request_incomplete else self.transport.close()
         call.finish(CallResult(WireResult.ANSWERED, head, body, not request_incomplete))
@@ -175,7 +175,7 @@
         """Leave the pool, and end the call that was out. Called by asyncio."""
         request_incomplete = self.request_incomplete
         super().connection_lost(exc)
-        self.pool.drop(self)
+        self.pool.remove(self)
         call, self.call = self.call, None
         if call is not None:
             call.connection = None
--- a/linnetstile/net/client_pool.py
+++ b/linnetstile/net/client_pool.py
@@ -12,12 +12,13 @@
 from ..engine.attempt_outcome import WireResult
 from .client_call import Address, Call, CallResult, RequestBytes, TlsParameters
 from .client_connection import ClientConnection
-from .tls import TlsTransport
+from .connector import HandshakeError, open_connection
+from .idle_connections import IdleConnections
 
 DEFAULT_CONNECT_TIMEOUT_S = 3.0
 DEFAULT_IDLE_TIMEOUT_S = 15.0
 UNLIMITED_IDLE = 1 << 30
-# How often idle times and minimum rates are looked at. A rate needs finer steps: its grace may be well below a second.
+# How often idle times and minimum rates are checked. A rate needs finer steps: its grace may be well below a second.
 SWEEP_INTERVAL_S = 1.0
 SWEEP_INTERVAL_WITH_RATES_S = 0.25
 NO_DESCRIPTORS = (errno.EMFILE, errno.ENFILE)
@@ -36,6 +37,8 @@
     """Connections by address: idle ones are used again, the newest first.
 
     Attributes:
+        idle_connections: Connections that wait for another call.
+        connections: All open connections.
         counts: Connections made, reused and failed, and how often there were no file descriptors.
     """
 
@@ -68,14 +71,18 @@
         self.limits = limits or http1.Limits()
         self.rates = rates or MinimumRates()
         self.on_slow = on_slow or (lambda connection, limit: None)
-        self.idle_connections: dict[Address, list[ClientConnection]] = {}
-        self.idle_count = 0
+        self.idle_connections = IdleConnections()
         self.connections: set[ClientConnection] = set()
         self.counts = {"connects": 0, "reused": 0, "failed": 0, "no_descriptors": 0}
         has_rates = self.rates.request_rate or self.rates.response_rate
         self._sweep_interval_s = SWEEP_INTERVAL_WITH_RATES_S if has_rates else SWEEP_INTERVAL_S
         self._sweep_timer = self.loop.call_later(self._sweep_interval_s, self._sweep)
 
+    @property
+    def idle_count(self) -> int:
+        """Number of idle connections."""
+        return self.idle_connections.count
+
     def call(
         self,
         address: Address,
@@ -101,137 +108,120 @@
             send_before: Loop time (s) by which the request has left or does not leave at all, however long a connection
                 takes to be made.
         """
-        call = Call(on_done)
+        call = Call(on_done, last_byte_delay_s, send_before)
         if timeout_at is not None:
             call.timer = self.loop.call_at(timeout_at, call.abort, WireResult.TIMED_OUT)
-        idle = self.idle_connections.get(address, [])
-        call.last_byte_delay_s, call.send_before = last_byte_delay_s, send_before
-        while idle and self.loop.time() <= send_before:
-            connection = idle.pop()
-            self.idle_count -= 1
+        if not self._send_on_idle_connection(call, address, method, data, uses_tls=tls is not None):
+            call.connecting = self.loop.create_task(self._send_on_new_connection(call, address, method, data, tls))
+        return call
+
+    def _send_on_idle_connection(
+        self, call: Call, address: Address, method: str, data: RequestBytes, uses_tls: bool
+    ) -> bool:
+        """Send the call on the newest idle connection that takes it; return False if there is none."""
+        while connection := self._take_idle_connection(call, address):
             # Under TLS there may be records that are not for us.
-            if connection.is_closing or (tls is None and connection.abort_if_unsolicited_input()):
+            if connection.is_closing or (not uses_tls and connection.abort_if_unsolicited_input()):
                 continue
             if connection.send(call, method, data):
                 self.counts["reused"] += 1
                 call.reused_connection = True
-                return call
-            # Not a byte left: another connection is no second attempt.
-        call.connecting = self.loop.create_task(self._connect(call, address, method, data, tls))
-        return call
-
-    async def _connect(
-        self, call: Call, address: Address, method: str, data: RequestBytes, secure: TlsParameters | None
+                return True
+            # Not a byte was sent: another connection is no second attempt.
+        return False
+
+    def _take_idle_connection(self, call: Call, address: Address) -> ClientConnection | None:
+        """Return the newest idle connection to an address; None if there is none, or it is too late for the call."""
+        if self.loop.time() > call.send_before:
+            return None
+        return self.idle_connections.take_newest(address)
+
+    async def _send_on_new_connection(
+        self, call: Call, address: Address, method: str, data: RequestBytes, tls: TlsParameters | None
     ) -> None:
-        """Send the call on a new connection."""
         self.counts["connects"] += 1
         failure = WireResult.NO_CONNECTION
-        connection: ClientConnection | None = None
         try:
             async with asyncio.timeout(min(self.connect_timeout_s, call.send_before - self.loop.time())):
                 try:
-                    connection = await self._open(address, secure)
+                    connection = await self._open(address, tls)
                 except OSError as error:
                     if error.errno not in NO_DESCRIPTORS:
                         raise
-                    # Our own want of descriptors proves nothing about the peer.
+                    # Our own lack of descriptors proves nothing about the peer.
                     failure = WireResult.NOT_SENT
                     await self._free_descriptors()
-                    connection = await self._open(address, secure)
+                    connection = await self._open(address, tls)
         except (OSError, TimeoutError):
-            self.counts["failed"] += 1
-            call.connecting = None
-            too_late = self.loop.time() >= call.send_before
-            call.finish(CallResult(WireResult.NOT_SENT if too_late else failure))
+            self._finish_unconnected(call, failure)
             return
         call.connecting = None
         if call.on_done is None:
             connection.transport.close()
         elif not connection.send(call, method, data):
             if not connection.is_closing:
-                self.keep(connection)  # too late for this call, and good for another one
+                self.keep_idle(connection)  # too late for this call, and good for another one
             call.finish(CallResult(WireResult.NOT_SENT))
 
+    def _finish_unconnected(self, call: Call, failure: WireResult) -> None:
+        """End a call that no connection could be made for."""
+        self.counts["failed"] += 1
+        call.connecting = None
+        too_late = self.loop.time() >= call.send_before
+        call.finish(CallResult(WireResult.NOT_SENT if too_late else failure))
+
     async def _free_descriptors(self) -> None:
         """Close all idle connections."""
         self.counts["no_descriptors"] += 1
-        for address in list(self.idle_connections):
+        for address in list(self.idle_connections.by_address):
             self.close_idle(address)
         await asyncio.sleep(0)  # the loop closes their sockets in its next pass
 
-    async def _open(self, address: Address, secure: TlsParameters | None) -> ClientConnection:
+    async def _open(self, address: Address, tls: TlsParameters | None) -> ClientConnection:
         """Make a connection.
 
         Raises:
             OSError: It can't be made.
         """
         connection = ClientConnection(self, address)
-        if isinstance(address, str):
-            await self.loop.create_unix_connection(lambda: connection, address)
-            return connection
-        if secure is None:
-            await self.loop.create_connection(lambda: connection, address[0], address[1])
-            return connection
-        handshake: asyncio.Future[str | None] = self.loop.create_future()
-        keys, server_name = secure
-
-        def on_handshake(failure: str | None) -> None:
-            if not handshake.done():
-                handshake.set_result(failure)
-
-        await self.loop.create_connection(
-            lambda: TlsTransport(connection, keys.context, False, server_name, on_handshake), address[0], address[1]
-        )
         try:
-            failure = await handshake
-        except asyncio.CancelledError:
-            connection.transport.abort()
+            await open_connection(connection, tls)
+        except HandshakeError as error:
+            self.on_slow(connection, f"handshake: {error}")
             raise
-        if failure is not None:
-            self.on_slow(connection, f"handshake: {failure}")
-            raise ConnectionError(failure)
         return connection
 
-    def keep(self, connection: ClientConnection) -> None:
+    def keep_idle(self, connection: ClientConnection) -> None:
         """Keep a connection whose exchange has ended for another call."""
         connection.idle_since = self.loop.time()
-        self.idle_connections.setdefault(connection.address, []).append(connection)
-        self.idle_count += 1
-        if self.idle_count > self.max_idle:
-            oldest = min((idle[0] for idle in self.idle_connections.values() if idle), key=lambda each: each.idle_since)
-            self.drop(oldest)
-            oldest.transport.close()
-
-    def drop(self, connection: ClientConnection) -> None:
-        """Forget a connection that has ended or is being closed."""
+        self.idle_connections.add(connection)
+        if self.idle_connections.count > self.max_idle:
+            self._close(self.idle_connections.oldest())
+
+    def remove(self, connection: ClientConnection) -> None:
+        """Remove a connection that has ended or is being closed."""
         self.connections.discard(connection)
-        idle = self.idle_connections.get(connection.address, [])
-        if connection in idle:
-            idle.remove(connection)
-            self.idle_count -= 1
-        if not idle:
-            self.idle_connections.pop(connection.address, None)
+        self.idle_connections.remove(connection)
 
     def close_idle(self, address: Address) -> int:
         """Close the idle connections to an address; return their number."""
-        connections = self.idle_connections.pop(address, [])
-        self.idle_count -= len(connections)
+        connections = self.idle_connections.take_all(address)
         for connection in connections:
             connection.transport.close()
         return len(connections)
 
+    def _close(self, connection: ClientConnection) -> None:
+        self.remove(connection)
+        connection.transport.close()
+
     def _sweep(self) -> None:
         self._close_long_idle()
         self._abort_slow_calls()
         self._sweep_timer = self.loop.call_later(self._sweep_interval_s, self._sweep)
 
     def _close_long_idle(self) -> None:
-        oldest_kept = self.loop.time() - self.idle_timeout_s
-        for connection in [
-            each for idle in self.idle_connections.values() for each in idle if each.idle_since < oldest_kept
-        ]:
-            self.drop(connection)
-            connection.transport.close()
+        for connection in self.idle_connections.idle_since_before(self.loop.time() - self.idle_timeout_s):
+            self._close(connection)
 
     def _abort_slow_calls(self) -> None:
         now_ms = self.loop.time() * 1000
--- /dev/null
+++ b/linnetstile/net/connector.py
@@ -0,0 +1,52 @@
+"""Opens the connections of a client pool: to a TCP address or a local socket, with TLS or without."""
+
+from __future__ import annotations
+
+import asyncio
+
+from .client_call import TlsParameters
+from .client_connection import ClientConnection
+from .tls import TlsTransport
+
+
+class HandshakeError(ConnectionError):
+    """A TLS handshake failed; the message says why."""
+
+
+async def open_connection(connection: ClientConnection, tls: TlsParameters | None) -> None:
+    """Connect a new connection to its address; local sockets are connected without TLS.
+
+    Raises:
+        HandshakeError: The TLS handshake failed.
+        OSError: It can't be connected.
+    """
+    loop = asyncio.get_running_loop()
+    address = connection.address
+    if isinstance(address, str):
+        await loop.create_unix_connection(lambda: connection, address)
+    elif tls is None:
+        await loop.create_connection(lambda: connection, address[0], address[1])
+    else:
+        await _open_tls_connection(connection, address[0], address[1], tls)
+
+
+async def _open_tls_connection(connection: ClientConnection, host: str, port: int, tls: TlsParameters) -> None:
+    loop = asyncio.get_running_loop()
+    handshake: asyncio.Future[str | None] = loop.create_future()
+
+    def on_handshake(failure: str | None) -> None:
+        if not handshake.done():
+            handshake.set_result(failure)
+
+    def make_transport() -> TlsTransport:
+        context = tls.context_files.context
+        return TlsTransport(connection, context, False, tls.server_name, on_handshake)
+
+    await loop.create_connection(make_transport, host, port)
+    try:
+        failure = await handshake
+    except asyncio.CancelledError:
+        connection.transport.abort()
+        raise
+    if failure is not None:
+        raise HandshakeError(failure)
--- /dev/null
+++ b/linnetstile/net/idle_connections.py
@@ -0,0 +1,65 @@
+"""The idle connections of a client pool, by address; the newest is used first, and the oldest closed first."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+from .client_call import Address
+
+if TYPE_CHECKING:
+    from .client_connection import ClientConnection
+
+
+class IdleConnections:
+    """Connections without a call; this class never closes one itself.
+
+    Attributes:
+        by_address: The connections to each address, the newest last.
+        count: Number of all connections.
+    """
+
+    def __init__(self) -> None:
+        self.by_address: dict[Address, list[ClientConnection]] = {}
+        self.count = 0
+
+    def add(self, connection: ClientConnection) -> None:
+        """Add a connection as the newest one to its address."""
+        self.by_address.setdefault(connection.address, []).append(connection)
+        self.count += 1
+
+    def take_newest(self, address: Address) -> ClientConnection | None:
+        """Remove and return the newest connection to an address; None if there is none."""
+        connections = self.by_address.get(address)
+        if not connections:
+            return None
+        self.count -= 1
+        return connections.pop()
+
+    def take_all(self, address: Address) -> list[ClientConnection]:
+        """Remove and return all connections to an address."""
+        connections = self.by_address.pop(address, [])
+        self.count -= len(connections)
+        return connections
+
+    def remove(self, connection: ClientConnection) -> None:
+        """Remove a connection if it is idle, and its address if no connection is left there."""
+        connections = self.by_address.get(connection.address, [])
+        if connection in connections:
+            connections.remove(connection)
+            self.count -= 1
+        if not connections:
+            self.by_address.pop(connection.address, None)
+
+    def oldest(self) -> ClientConnection:
+        """Return the connection that has been idle for longest; there must be one."""
+        oldest_by_address = (connections[0] for connections in self.by_address.values() if connections)
+        return min(oldest_by_address, key=lambda connection: connection.idle_since)
+
+    def idle_since_before(self, time_s: float) -> list[ClientConnection]:
+        """Return the connections that have been idle since before this loop time."""
+        return [
+            connection
+            for connections in self.by_address.values()
+            for connection in connections
+            if connection.idle_since < time_s
+        ]
--- a/linnetstile/platform_relay/endpoint_client.py
+++ b/linnetstile/platform_relay/endpoint_client.py
@@ -91,7 +91,7 @@
             self._judge(answer, self.pool.loop.time() >= deadline, on_ended)
 
         return self.pool.call(
-            (address.host, address.port, address.id),
+            client.IdentifiedAddress(address.host, address.port, address.id),
             "POST",
             http1.encode_request_parts("POST", "/events", lines, body),
             answered,
@@ -116,7 +116,7 @@
 
     def close_idle(self, address: EndpointAddress) -> None:
         """Close the idle connections to an endpoint."""
-        self.pool.close_idle((address.host, address.port, address.id))
+        self.pool.close_idle(client.IdentifiedAddress(address.host, address.port, address.id))
 
     def close(self) -> None:
         """Close all connections."""
--- a/tests/faults/test_fleet.py
+++ b/tests/faults/test_fleet.py
@@ -253,7 +253,7 @@
             return await asyncio.wait_for(done, 5)
 
         await call("/1")
-        (kept,) = pool.idle_connections[("127.0.0.1", port)]
+        (kept,) = pool.idle_connections.by_address[("127.0.0.1", port)]
         kept.transport.abort()  # dead, and connection_lost has not run yet
         assert (await call("/2")).head is not None
         assert seen == ["/1", "/2"]
--- a/tests/faults/test_slow.py
+++ b/tests/faults/test_slow.py
@@ -353,7 +353,7 @@
                     raise OSError(24, "Too many open files")
                 return await create_connection(*args, **more)
 
-            for address in list(relay.pool.idle_connections):
+            for address in list(relay.pool.idle_connections.by_address):
                 relay.pool.close_idle(address)
             monkeypatch.setattr(loop, "create_connection", fail_three_times)
             message = testbed.make_message("safe")
--- a/tests/net/test_client.py
+++ b/tests/net/test_client.py
@@ -55,7 +55,7 @@
         pool = client.ConnectionPool(finish_at_status_line=True, max_idle=most_idle)
         host, port = server.sockets[0].getsockname()[:2]
         try:
-            await scenario(peer, pool, (host, port, 1))
+            await scenario(peer, pool, client.IdentifiedAddress(host, port, 1))
         finally:
             pool.close()
             for writer in peer.writers:
@@ -111,7 +111,7 @@
 def test_idle_connection_with_unread_input_is_not_reused() -> None:
     async def scenario(peer: ScriptedPeer, pool: client.ConnectionPool, address: client.Address) -> None:
         await send_request(pool, address)
-        (connection,) = pool.idle_connections[address]
+        (connection,) = pool.idle_connections.by_address[address]
         peer.writers[0].write(RESPONSE)  # as an answer to a request that is still to come
         connection.transport.pause_reading()
         await asyncio.sleep(0.05)
@@ -129,7 +129,7 @@
         for extra in (RESPONSE, b"\x00noise", b"\r\n"):
             peer.extra_bytes = [extra]
             assert (await send_request(pool, address)).wire_result is WireResult.ANSWERED
-            assert not pool.idle_connections.get(address)
+            assert not pool.idle_connections.by_address.get(address)
         assert peer.connections == 3
 
     run_scenario(scenario)
@@ -138,16 +138,16 @@
 def test_idle_connections_are_limited_and_not_reused_for_a_successor_of_the_peer() -> None:
     async def scenario(peer: ScriptedPeer, pool: client.ConnectionPool, address: client.Address) -> None:
         await asyncio.gather(*(send_request(pool, address) for _ in range(5)))
-        assert pool.idle_count == len(pool.idle_connections[address]) == 2
-        other = (str(address[0]), int(address[1]), 3)
+        assert pool.idle_count == len(pool.idle_connections.by_address[address]) == 2
+        other = client.IdentifiedAddress(str(address[0]), int(address[1]), 3)
         both = [asyncio.ensure_future(send_request(pool, address, 0.2)) for _ in range(2)]  # an address with none idle
         answers = await asyncio.gather(*(send_request(pool, other) for _ in range(4)), *both)
         assert {answer.wire_result for answer in answers} == {WireResult.ANSWERED}
-        assert pool.idle_count == sum(map(len, pool.idle_connections.values())) == 2
-        successor = (str(address[0]), int(address[1]), 2)
+        assert pool.idle_count == sum(map(len, pool.idle_connections.by_address.values())) == 2
+        successor = client.IdentifiedAddress(str(address[0]), int(address[1]), 2)
         assert not (await send_request(pool, successor)).reused_connection
         pool.close_idle(successor)
-        assert pool.idle_count == sum(map(len, pool.idle_connections.values()))
+        assert pool.idle_count == sum(map(len, pool.idle_connections.by_address.values()))
 
     run_scenario(scenario, most_idle=2)
 
--- a/tests/net/test_tls.py
+++ b/tests/net/test_tls.py
@@ -53,7 +53,7 @@
         http1.encode_request_parts("POST", "/", [("Host", "x")], body),
         answered.set_result,
         asyncio.get_running_loop().time() + 8,
-        (keys, name),
+        client.TlsParameters(keys, name),
     )
     answer = await answered
     if pool is None:
@@ -220,7 +220,7 @@
                     http1.encode_request("POST", "/as2", fields, message.body),
                     answered.set_result,
                     asyncio.get_running_loop().time() + 9,
-                    (trusting_both, "relay"),
+                    client.TlsParameters(trusting_both, "relay"),
                 )
                 answers.append(await answered)
 
--- a/tests/platform_relay/test_at_most_once.py
+++ b/tests/platform_relay/test_at_most_once.py
@@ -177,7 +177,7 @@
             assert await request_status(first, submission(f"w{number}", body=b"warm")) == 202
             await wait_until(lambda: not first.accepted)
         if self.connection == "new":
-            first.endpoint_client.pool.close_idle(next(iter(first.endpoint_client.pool.idle_connections)))
+            first.endpoint_client.pool.close_idle(next(iter(first.endpoint_client.pool.idle_connections.by_address)))
         elif self.connection == "held":
             # Many connections were met closed: the last byte of calls that must not run twice waits.
             first.engine.connections.stale_ratio = 1.0
