--- a/linnetstile/net/connection_registry.py
+++ b/linnetstile/net/connection_registry.py
@@ -1,4 +1,4 @@
-"""The open connections of a listener, and which of them gives way when there is no place for a new one."""
+"""The open connections of a listener, and which of them is evicted for a new one when the listener is full."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 from ..engine.connection_eviction import IdleConnection, connections_to_evict
 from .server_connection import ServerConnection
 
-# A connection has so long to show what it is for before it gives way like the others.
+# For so long a new connection is evicted only after the others: its first bytes may not have been read.
 NEW_CONNECTION_GRACE_S = 0.5
-# How long a ranking holds: one look at all connections serves many new ones.
+# How long a ranking is valid: one pass over all connections serves many new ones.
 RANKING_VALID_S = 0.25
 
 
 class ConnectionRegistry:
-    """Counts open connections, in all and by host, and makes room among them."""
+    """Counts open connections, in all and by host, and evicts one where the limit is reached."""
 
     def __init__(
         self,
@@ -38,7 +38,7 @@
         self._candidates_per_ranking = candidates_per_ranking
         self._on_evict = on_evict
         self._count_by_host: dict[str, int] = {}
-        self._candidates: list[tuple[str, ServerConnection]] = []  # hosts and connections; the last gives way first
+        self._candidates: list[tuple[str, ServerConnection]] = []  # hosts and connections; the last is evicted first
         self._ranked_at = 0.0  # loop time, s
 
     def add(self, connection: ServerConnection) -> None:
@@ -54,8 +54,8 @@
             if not self._count_by_host[connection.host]:
                 del self._count_by_host[connection.host]
 
-    def make_room_for(self, connection: ServerConnection) -> bool:
-        """Close, where all places are taken, one connection without an obligation; return whether there is a place.
+    def admit_connection(self, connection: ServerConnection) -> bool:
+        """Return whether a new connection may stay; at the limit one without an obligation is evicted for it.
 
         So half-open connections don't keep others out.
         """
@@ -84,24 +84,24 @@
     def _evict(self, connection: ServerConnection) -> None:
         self._on_evict(connection)
         connection.transport.abort()
-        # Now, and not when the loop tells of its end: the new connection counts already.
+        # Now, and not when the event loop reports its end: the new connection counts already.
         self.remove(connection)
         connection.release_incomplete()
 
     def _rank(self) -> None:
-        """Choose the connections that give way next, and their order."""
+        """Choose the connections that are evicted next, and their order."""
         now = self._ranked_at = self._loop.time()
         idle = [
             IdleConnection(
-                each.host,
-                each.had_complete_request,
-                now - each.opened_at < NEW_CONNECTION_GRACE_S,
-                each.bytes_read / (now - each.opened_at + 1),
-                each.phase_started_at,
-                each,
+                host=connection.host,
+                had_request=connection.had_complete_request,
+                just_opened=now - connection.opened_at < NEW_CONNECTION_GRACE_S,
+                rate=connection.bytes_read / (now - connection.opened_at + 1),
+                since=connection.phase_started_at,
+                token=connection,
             )
-            for each in self.connections
-            if not each.has_obligation and not each.is_closing
+            for connection in self.connections
+            if not connection.has_obligation and not connection.is_closing
         ]
         ranked = connections_to_evict(self._count_by_host, idle, self._candidates_per_ranking)
-        self._candidates = [(place.host, place.token) for place in ranked]
+        self._candidates = [(candidate.host, candidate.token) for candidate in ranked]
--- /dev/null
+++ b/linnetstile/net/request_body.py
@@ -0,0 +1,35 @@
+"""The body of a request while it is being received."""
+
+from __future__ import annotations
+
+
+class RequestBody:
+    """The pieces of a body, joined once it is complete.
+
+    Attributes:
+        size: Bytes received of the body, also of one whose pieces were dropped.
+    """
+
+    __slots__ = ("_pieces", "size")
+
+    def __init__(self) -> None:
+        self._pieces: list[bytes] = []
+        self.size = 0
+
+    def add(self, piece: bytes) -> None:
+        """Add the next piece."""
+        self._pieces.append(piece)
+        self.size += len(piece)
+
+    def join(self) -> bytes:
+        """Return the whole body; one that came in one piece is not copied."""
+        return self._pieces[0] if len(self._pieces) == 1 else b"".join(self._pieces)
+
+    def drop_pieces(self) -> None:
+        """Free the memory of the pieces."""
+        self._pieces.clear()
+
+    def reset(self) -> None:
+        """Begin another body."""
+        self._pieces.clear()
+        self.size = 0
--- /dev/null
+++ b/linnetstile/net/request_input.py
@@ -0,0 +1,60 @@
+"""The input of a server connection: received bytes, parsed into events a few at a time."""
+
+from __future__ import annotations
+
+from collections import deque
+
+from ..codec import http1
+
+EVENTS_PER_PARSE = 8  # parsed at a time, so that what waits unparsed is bytes and not objects
+BYTES_PER_EVENT = 512  # unparsed bytes that count as one waiting event
+
+
+class RequestInput:
+    """The requests that a client has sent and that have not been handled yet.
+
+    Attributes:
+        parser: Holds the bytes that have not been parsed; its `error` counts once there are no more events.
+    """
+
+    __slots__ = ("_events", "parser")
+
+    def __init__(self, limits: http1.Limits) -> None:
+        self.parser = http1.Parser(limits=limits)
+        self._events: deque[http1.Event] = deque()  # parsed, and not handled yet
+
+    def feed(self, data: bytes | memoryview) -> None:
+        """Add bytes, and parse them up to a number of events; a fault in them is kept as the parser's `error`."""
+        try:
+            self._events.extend(self.parser.feed(data, EVENTS_PER_PARSE))
+        except http1.Http1Error:
+            return  # reported by the parser's `error`, after the events before it
+
+    def next_event(self) -> http1.Event | None:
+        """Return the next event without removing it; None while it has not been received."""
+        if not self._events and self.parser.buffered_bytes and not self.parser.error:
+            self.feed(b"")
+        return self._events[0] if self._events else None
+
+    def remove_next_event(self) -> None:
+        """Remove the event that `next_event` has returned."""
+        self._events.popleft()
+
+    def clear_events(self) -> None:
+        """Remove the events that have been parsed."""
+        self._events.clear()
+
+    @property
+    def event_count(self) -> int:
+        """Number of parsed events."""
+        return len(self._events)
+
+    @property
+    def is_exhausted(self) -> bool:
+        """Whether nothing is left to be handled: neither an event nor bytes nor an error."""
+        return not (self._events or self.parser.buffered_bytes or self.parser.error)
+
+    @property
+    def waiting_events(self) -> int:
+        """Number of events that wait, with the unparsed bytes counted as events."""
+        return len(self._events) + self.parser.buffered_bytes // BYTES_PER_EVENT
--- a/linnetstile/net/response_writer.py
+++ b/linnetstile/net/response_writer.py
@@ -26,7 +26,7 @@
     body: bytes,
     close: bool,
 ) -> bool:
-    """Write the response to the current request of a connection; return False if the client has gone."""
+    """Write the response to the current request of a connection; return False if the client has disconnected."""
     if connection.is_closing:
         return False
     early = not connection.request_complete
@@ -38,18 +38,13 @@
     connection.write(*http1.encode_response_parts(status, fields, body, request.head.method == "HEAD"))
     if early:
         connection.skipping_body = True
-        connection.body_pieces.clear()
+        connection.body.drop_pieces()
         connection.uses_large_buffer = False
     else:
         connection.request_complete, connection.current_request = False, None
     if close:
         finish(connection, linger=early)
-    elif (
-        connection.pending_events
-        or connection.parser.buffered_bytes
-        or connection.reading_paused
-        or connection.parser.error
-    ):
+    elif connection.reading_paused or not connection.input.is_exhausted:
         connection.schedule_processing()
     return True
 
@@ -71,7 +66,7 @@
 
 
 def finish(connection: ServerConnection, linger: bool = False) -> None:
-    """Write what is left, then close; what the peer still sends is dropped.
+    """Write what is queued, then close; what the peer still sends is dropped.
 
     Args:
         connection: The connection to close.
@@ -79,7 +74,7 @@
             response might never be read.
     """
     connection.finished = True
-    connection.pending_events.clear()
+    connection.input.clear_events()
     if connection.is_closing:
         return
     transport = connection.transport
@@ -88,14 +83,14 @@
         try:
             transport.write_eof()
             transport.resume_reading()
-        except OSError:  # reset by the peer, and the loop has not told yet
+        except OSError:  # reset by the peer, and the event loop has not reported it yet
             transport.abort()
     else:
         connection.close_when_written()
 
 
 def discard_input(connection: ServerConnection, size_bytes: int) -> None:
-    """Drop bytes that came after the last response; abort a peer that does not stop."""
+    """Drop bytes received after the last response; abort a peer that does not stop."""
     connection.discarded_bytes += size_bytes
     if connection.discarded_bytes > MAX_DISCARDED_BYTES:
         connection.transport.abort()
--- a/linnetstile/net/server.py
+++ b/linnetstile/net/server.py
@@ -1,7 +1,8 @@
 """HTTP/1.1 server: the listener with its life cycle, and the names that other packages use.
 
 The parts: `server_connection.py` reads requests, `request_context.py` is one request, `response_writer.py` writes
-responses, `server_limits.py` has the limits on idle and slow peers, `connection_registry.py` the open connections.
+responses, `request_rejection.py` answers what is not accepted, `server_limits.py` has the limits on idle and slow
+peers, `connection_registry.py` the open connections.
 """
 
 from __future__ import annotations
@@ -13,18 +14,28 @@
 
 from ..codec import http1
 from . import connection_phase, server_limits
+from .connection_phase import ConnectionPhase
 from .connection_registry import ConnectionRegistry
 from .request_context import Handler, RequestContext
+from .request_rejection import close_for_limit, reject_for_shutdown
 from .server_connection import ServerConnection
 from .server_limits import ServerLimits, violated_limit
 from .tls import TlsContextFiles, TlsTransport
 
 __all__ = ["ServerLimits", "ServerConnection", "Handler", "RequestContext", "Server"]
 
-# Connections accepted in one turn: what the open files may be over the limit for a moment, since asyncio counts none of
-# them before the turn is over. Fewer, down to the second figure, where few may be open.
-MAX_ACCEPTS_PER_TURN = 64
-MIN_ACCEPTS_PER_TURN = 8
+# Called with the peer's address and what was wrong with its bytes or its TLS handshake.
+ErrorCallback = Callable[[str, http1.Http1Error], None]
+# Called with a request and a number of bytes when a body is due. True = there is capacity; False = the request was
+# answered, or waits for `RequestContext.resume_body`.
+AdmitCallback = Callable[[RequestContext, int], bool]
+# Called with a connection and the name of the limit that it is closed for.
+LimitCallback = Callable[[ServerConnection, str], None]
+
+# Connections accepted in one pass of the event loop: by so many the open files may exceed the limit for a moment, since
+# asyncio counts none of them before the pass ends. Fewer, down to the second figure, where few may be open.
+MAX_ACCEPTS_PER_PASS = 64
+MIN_ACCEPTS_PER_PASS = 8
 ACCEPT_QUEUE = 1024  # connections that the kernel holds until they are accepted
 LOCAL_ACCEPT_QUEUE = 16
 OWNER_ONLY_UMASK = 0o177
@@ -34,6 +45,15 @@
     """Serves HTTP/1.1 on a TCP address or a local socket.
 
     Attributes:
+        handler: Called with each complete request.
+        on_head: Called when a head is complete, and may answer.
+        http_limits: Limits on the size of requests.
+        limits: Limits on connections, times and rates.
+        on_error: Called for an error in a client's bytes.
+        admit: Called when a body is due.
+        release: Called when a request ends by a response, or ended before it was complete.
+        on_slow: Called for a connection that is closed for a limit.
+        tls: Keys and certificates; None = without TLS.
         counts: Events by name, among them `let_go_NAME` for each limit that connections were closed for.
     """
 
@@ -43,39 +63,26 @@
         on_head: Handler | None = None,
         http_limits: http1.Limits | None = None,
         limits: ServerLimits | None = None,
-        on_error: Callable[[str, http1.Http1Error], None] | None = None,
-        admit: Callable[[RequestContext, int], bool] | None = None,
+        on_error: ErrorCallback | None = None,
+        admit: AdmitCallback | None = None,
         release: Handler | None = None,
-        on_slow: Callable[[ServerConnection, str], None] | None = None,
+        on_slow: LimitCallback | None = None,
         tls: TlsContextFiles | None = None,
     ) -> None:
-        """Make a server on the running event loop; `start` makes it listen.
-
-        Args:
-            handler: Called with each complete request.
-            on_head: Called when a head is complete, and may answer.
-            http_limits: Limits on the size of requests.
-            limits: Limits on connections, times and rates.
-            on_error: Called with the peer and what was wrong with its bytes or its TLS handshake.
-            admit: Called with a request and a number of bytes when a body is due. True = there is capacity; False = the
-                request was answered, or waits for `RequestContext.resume_body`.
-            release: Called when a request ends by a response, or ended before it was complete.
-            on_slow: Called with a connection and the name of the limit that it is closed for.
-            tls: Serves with TLS.
-        """
+        """Make a server on the running event loop; `start` makes it listen."""
         self.handler = handler
-        self.on_head: Handler = on_head or (lambda request: None)
-        self.admit = admit or (lambda request, size: True)
-        self.release: Handler = release or (lambda request: None)
+        self.on_head = on_head or _ignore_request
+        self.admit = admit or _admit_always
+        self.release = release or _ignore_request
         self.http_limits = http_limits or http1.Limits()
         self.limits = limits or ServerLimits()
-        self.on_error = on_error or (lambda peer, error: None)
-        self.on_slow = on_slow or (lambda connection, limit: None)
+        self.on_error = on_error or _ignore_error
+        self.on_slow = on_slow or _ignore_limit
         self.tls = tls
         self.counts: dict[str, int] = {}
         self.loop = asyncio.get_running_loop()
         self.registry = ConnectionRegistry(
-            self.loop, self.limits.max_connections, MAX_ACCEPTS_PER_TURN, self._report_eviction
+            self.loop, self.limits.max_connections, MAX_ACCEPTS_PER_PASS, self._report_eviction
         )
         self._server: asyncio.Server | None = None
         self._sweep_timer: asyncio.TimerHandle | None = None
@@ -93,10 +100,10 @@
 
     async def start(self, host: str = "127.0.0.1", port: int = 0) -> int:
         """Listen on a TCP address; return the port."""
-        accepts_per_turn = min(MAX_ACCEPTS_PER_TURN, max(MIN_ACCEPTS_PER_TURN, self.limits.max_connections // 2))
-        self._server = await self.loop.create_server(self._make_protocol, host, port, backlog=accepts_per_turn)
-        for each in self._server.sockets:
-            with socket.socket(fileno=os.dup(each.fileno())) as listening:
+        accepts_per_pass = min(MAX_ACCEPTS_PER_PASS, max(MIN_ACCEPTS_PER_PASS, self.limits.max_connections // 2))
+        self._server = await self.loop.create_server(self._make_protocol, host, port, backlog=accepts_per_pass)
+        for server_socket in self._server.sockets:
+            with socket.socket(fileno=os.dup(server_socket.fileno())) as listening:
                 listening.listen(ACCEPT_QUEUE)  # asyncio uses its backlog for this figure too
         self._sweep()
         return int(self._server.sockets[0].getsockname()[1])
@@ -117,9 +124,9 @@
         connection.tls = TlsTransport(connection, self.tls.context, True, on_handshake=connection.handshake_ended)
         return connection.tls
 
-    def make_room_for(self, connection: ServerConnection) -> bool:
-        """Return whether there is a place for a new connection, made where needed by closing another one."""
-        return self.registry.make_room_for(connection)
+    def admit_connection(self, connection: ServerConnection) -> bool:
+        """Return whether a new connection may stay, where needed in place of another one that is closed."""
+        return self.registry.admit_connection(connection)
 
     def _report_eviction(self, connection: ServerConnection) -> None:
         self.count(f"let_go_{server_limits.FULL}")
@@ -129,7 +136,7 @@
     # -- limits ------------------------------------------------------------------------------------------
 
     def _sweep(self) -> None:
-        """Close the connections that are over a limit, now and from time to time."""
+        """Close the connections that exceed a limit, now and from time to time."""
         now = self.loop.time()
         for connection in list(self.connections):
             limit = violated_limit(connection, now)
@@ -137,39 +144,39 @@
                 self.count(f"let_go_{limit}")
                 if limit not in server_limits.ORDERLY_LIMITS:
                     self.on_slow(connection, limit)
-                connection.close_for_limit(limit)
+                close_for_limit(connection, limit)
         interval_s = min(self.limits.sweep_interval_s, self.limits.head_timeout_s / 4)
         self._sweep_timer = self.loop.call_later(interval_s, self._sweep)
 
     # -- shutting down -----------------------------------------------------------------------------------
 
     def close_idle(self) -> None:
-        """Close idle connections in order: what a client has sent and nobody has read, it may send again elsewhere."""
-        for connection in [
-            each for each in self.connections if each.phase == connection_phase.IDLE and not each.is_closing
-        ]:
-            connection.close_for_limit(server_limits.IDLE)
+        """Close idle connections in an orderly way; one with unread input stays, as a request was received."""
+        for connection in self._open_connections_in((connection_phase.IDLE,)):
+            close_for_limit(connection, server_limits.IDLE)
 
     def reject_incomplete_requests(self, text: str) -> None:
-        """Answer 503 to whoever is in the middle of a request: it was not taken."""
-        for connection in [
-            each
-            for each in self.connections
-            if each.phase in connection_phase.INCOMPLETE_PHASES and not each.is_closing
-        ]:
-            connection.reject_incomplete(text)
+        """Answer 503 to the clients of incomplete requests: they were not accepted."""
+        for connection in self._open_connections_in(connection_phase.INCOMPLETE_PHASES):
+            reject_for_shutdown(connection, text)
+
+    def _open_connections_in(self, phases: tuple[ConnectionPhase, ...]) -> list[ServerConnection]:
+        """Return the connections that are in one of these phases and not being closed."""
+        return [
+            connection for connection in self.connections if connection.phase in phases and not connection.is_closing
+        ]
 
     @property
     def has_unread_input(self) -> bool:
-        """Whether bytes of clients have arrived that nobody has read."""
+        """Whether bytes of clients were received that nobody has read."""
         return any(
-            each.has_unread_input
-            for each in self.connections
-            if not each.is_closing and each.phase in connection_phase.READING_PHASES
+            connection.has_unread_input
+            for connection in self.connections
+            if not connection.is_closing and connection.phase in connection_phase.READING_PHASES
         )
 
     def stop_listening(self) -> None:
-        """Accept no further connection; those that are open go on."""
+        """Accept no further connection; open ones are not affected."""
         if self._server:
             self._server.close()
 
@@ -180,3 +187,20 @@
             self._sweep_timer.cancel()
         for connection in list(self.connections):
             connection.transport.abort()
+
+
+def _ignore_request(request: RequestContext) -> None:
+    """Do nothing: no callback was given."""
+
+
+def _admit_always(request: RequestContext, size: int) -> bool:
+    """Admit every body: no callback was given."""
+    return True
+
+
+def _ignore_error(peer: str, error: http1.Http1Error) -> None:
+    """Do nothing: no callback was given."""
+
+
+def _ignore_limit(connection: ServerConnection, limit: str) -> None:
+    """Do nothing: no callback was given."""
--- a/tests/platform_relay/test_race_conditions.py
+++ b/tests/platform_relay/test_race_conditions.py
@@ -19,6 +19,7 @@
 from linnetstile.engine.graceful_shutdown import EXIT_MS, STOP_ACCEPTING_MS, STOP_ADMITTING_MS
 from linnetstile.engine.retry_policy import DEADLINE_MARGIN_MS
 from linnetstile.net import client, server
+from linnetstile.net.request_rejection import close_for_limit
 from linnetstile.platform_relay.http_frontend import Submission
 from linnetstile.platform_relay.relay import PlatformRelay
 
@@ -102,13 +103,13 @@
 
 def expire_idle_connections(relay: PlatformRelay) -> None:
     for conn in relay.frontend.server.connections:
-        conn.close_for_limit("idle")
+        close_for_limit(conn, "idle")
 
 
 CLOSE_REASONS: dict[str, Callable[[PlatformRelay], object]] = {
     "the relay shuts down": lambda relay: relay.frontend.stop_admitting(),
     "its idle timeout is over": expire_idle_connections,
-    "another one needs its descriptor": lambda relay: relay.frontend.server.make_room_for(
+    "another one needs its descriptor": lambda relay: relay.frontend.server.admit_connection(
         next(iter(relay.frontend.server.connections))
     ),
 }
@@ -355,7 +356,7 @@
         for n in range(20):
             assert await request_status(relay, submission(f"m{n}"), 0.4) == 202
             assert all(
-                conn.parser.buffered_bytes < 200_000 and len(conn.pending_events) < 100
+                conn.input.parser.buffered_bytes < 200_000 and conn.input.event_count < 100
                 for conn in relay.frontend.server.connections
             )
         flood.transport.abort()
