--- a/tests/codec/test_json_stream.py
+++ b/tests/codec/test_json_stream.py
@@ -11,7 +11,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from linnetstile.codec import json_stream
+from linnetstile.codec import json_object_parts
+from linnetstile.codec.json_object_parts import ObjectPartsReader
 from linnetstile.codec.json_stream import DEFAULT_STEP_BYTES, MAX_DEPTH, JsonStreamError, JsonStreamReader, ObjectPart
 
 TEXT = st.text(st.characters(codec="utf-8"), max_size=4)
@@ -120,7 +121,7 @@
 def test_long_object_comes_in_parts_that_are_the_same_for_any_split(
     indent: int | None, elements: list[Any], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(json_stream, "BATCH_PARSE_BYTES", 24)
+    monkeypatch.setattr(json_object_parts, "BATCH_PARSE_BYTES", 24)
     told = {"version": 7, "full": True, "servers": elements}
     short = {"version": 8, "full": False, "servers": [{}]}
     stream = b"\n".join(json.dumps(each, indent=indent).encode() for each in (told, short, told)) + b"\n"
@@ -194,7 +195,7 @@
 def test_elements_before_a_fault_in_a_long_array_are_returned_first(
     fault: bytes, quick: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(json_stream, "BATCH_PARSE_BYTES", quick)
+    monkeypatch.setattr(json_object_parts, "BATCH_PARSE_BYTES", quick)
     stream = SOUND + fault + b"\n{}"
     expected = read_all(stream, range(1, len(stream)))
     assert expected[-2:] == ["fault", JsonStreamError]
@@ -232,7 +233,7 @@
         for at in range(0, len(stream), piece):
             for part in reader.feed(stream[at : at + piece]):
                 count += len(part.elements)
-            held = max(held, len(reader._buffer))
+            held = max(held, len(reader._scanner.data))
         assert count == size
         assert held <= 2 * DEFAULT_STEP_BYTES
         assert not reader.is_mid_value
@@ -245,14 +246,14 @@
 
 def test_long_element_in_small_pieces_is_not_parsed_again_and_again(monkeypatch: pytest.MonkeyPatch) -> None:
     looked = 0
-    take_several = JsonStreamReader._take_several
+    take_several = ObjectPartsReader._take_several
 
-    def counted(self: JsonStreamReader, elements: list[Any]) -> bool:
+    def counted(self: ObjectPartsReader, elements: list[Any]) -> bool:
         nonlocal looked
-        looked += len(self._buffer)
+        looked += len(self._scanner.data)
         return take_several(self, elements)
 
-    monkeypatch.setattr(JsonStreamReader, "_take_several", counted)
+    monkeypatch.setattr(ObjectPartsReader, "_take_several", counted)
     element = b'{"a":[' + b'{"b":1},' * 6000 + b"0]}"
     stream = b'{"version":1,"full":true,"servers":[' + b",".join([b"{}"] * 30_000) + b"," + element + b",{}]}"
     for step in (16, 1024):
