--- /dev/null
+++ b/linnetstile/codec/cms/__init__.py
@@ -0,0 +1,39 @@
+"""S/MIME and CMS (RFC 5652, 8551, 1847, 3274, 5402), on cryptography and asn1crypto.
+
+Entities are bytes with their MIME headers. The heavy libraries are imported where first used, so that a process that
+needs none of this starts quickly.
+
+Other packages import the names of this module. The parts: `identity.py` has certificates with keys, `digests.py` the
+digest algorithms, `signing.py` signatures, `envelope.py` encryption and compression, `layers.py` opens a message that
+has several of these.
+"""
+
+from __future__ import annotations
+
+from .digests import HASH_NAMES, digest
+from .envelope import compress, decompress, decrypt, encrypt
+from .errors import CmsError
+from .identity import Identity, encode_identity, load_certificate, load_identity, make_identity
+from .layers import DigestInput, open_layers
+from .signing import SignedParts, sign, split_signed, verify
+
+__all__ = [
+    "HASH_NAMES",
+    "CmsError",
+    "DigestInput",
+    "Identity",
+    "SignedParts",
+    "compress",
+    "decompress",
+    "decrypt",
+    "digest",
+    "encode_identity",
+    "encrypt",
+    "load_certificate",
+    "load_identity",
+    "make_identity",
+    "open_layers",
+    "sign",
+    "split_signed",
+    "verify",
+]
--- /dev/null
+++ b/linnetstile/codec/cms/content_info.py
@@ -0,0 +1,18 @@
+"""The outermost structure of every CMS object, which names the type of its content (RFC 5652, 3)."""
+
+from __future__ import annotations
+
+from typing import Any
+
+from .errors import CmsError
+
+
+def load_content(der: bytes, content_type: str, otherwise: str) -> Any:
+    """Return the content of a ContentInfo of the type asked for; raises `CmsError(otherwise)` for others."""
+    from asn1crypto import cms
+
+    info = cms.ContentInfo.load(der, strict=True)
+    found = info["content_type"].native
+    if found != content_type:
+        raise CmsError(otherwise, field="content_type", expected=content_type, found=str(found))
+    return info["content"]
--- a/linnetstile/codec/mdn.py
+++ b/linnetstile/codec/mdn.py
@@ -53,8 +53,8 @@
         """Whether the receiver had the message before (RFC 4130, 7.5.4)."""
         return self.modifier in ("warning", "error") and "duplicate-document" in self.detail.lower()
 
-    def encode(self) -> tuple[str, bytes]:
-        """Return content type and body of the multipart/report."""
+    def encode(self) -> mime.EncodedEntity:
+        """Encode the receipt as a multipart/report."""
         text = (self.text or DEFAULT_TEXT).replace("\n", "\r\n")
         human_part = b"Content-Type: text/plain; charset=utf-8\r\n\r\n" + text.encode() + b"\r\n"
         machine_head = "Content-Type: message/disposition-notification\r\n\r\n"
--- a/linnetstile/codec/mime.py
+++ b/linnetstile/codec/mime.py
@@ -9,6 +9,7 @@
 import re
 import secrets
 from dataclasses import dataclass
+from typing import NamedTuple
 
 from ..errors import ProtocolError
 from .headers import Headers
@@ -92,6 +93,13 @@
         return decode_body(self.body, self.headers.get("content-transfer-encoding"))
 
 
+class EncodedEntity(NamedTuple):
+    """The content type and the body of an entity of our own."""
+
+    content_type: str
+    body: bytes
+
+
 def decode_body(body: bytes, encoding: str) -> bytes:
     """Undo a content transfer encoding (RFC 2045, 6).
 
@@ -175,19 +183,16 @@
     raise MimeError("the last delimiter of a multipart is missing", expected=f"--{boundary}--")
 
 
-def encode_multipart(kind: str, bodies: list[bytes], params: dict[str, str]) -> tuple[str, bytes]:
+def encode_multipart(kind: str, bodies: list[bytes], params: dict[str, str]) -> EncodedEntity:
     """Join raw parts to a multipart.
 
     Args:
         kind: The subtype, such as `signed`.
         bodies: The parts with their headers.
         params: Parameters of the content type besides the boundary.
-
-    Returns:
-        Content type and body.
     """
     boundary = "=_" + secrets.token_hex(BOUNDARY_RANDOM_BYTES)
     extra = "".join(f'; {name}="{value}"' for name, value in params.items())
     delimiter = f"--{boundary}".encode()
     body = b"".join(delimiter + b"\r\n" + part + b"\r\n" for part in bodies) + delimiter + b"--\r\n"
-    return f'multipart/{kind}; boundary="{boundary}"{extra}', body
+    return EncodedEntity(f'multipart/{kind}; boundary="{boundary}"{extra}', body)
