--- a/linnetstile/codec/cms/envelope.py
+++ b/linnetstile/codec/cms/envelope.py
@@ -44,7 +44,9 @@
         # The stub asks for an RSA key; the library raises TypeError for another one.
         return pkcs7.pkcs7_decrypt_der(der, identity.certificate, identity.key, [])  # type: ignore[arg-type]
     except (ValueError, TypeError) as error:
-        raise CmsError("an enveloped message that can't be opened") from error
+        raise CmsError(
+            "an enveloped message that can't be opened", expected="CMS enveloped data for this key", found=str(error)
+        ) from error
 
 
 def compress(content: bytes) -> EncodedEntity:
@@ -77,7 +79,9 @@
     except CmsError:
         raise
     except (ValueError, KeyError, TypeError, zlib.error) as error:
-        raise CmsError("compressed data that can't be read") from error
+        raise CmsError(
+            "compressed data that can't be read", expected="CMS compressed data", found=str(error)
+        ) from error
     if inflater.unconsumed_tail or not inflater.eof:
         raise CmsError(
             f"compressed data that is cut short or holds more than {max_bytes} bytes", expected=f"<= {max_bytes} bytes"
--- a/linnetstile/codec/cms/signing.py
+++ b/linnetstile/codec/cms/signing.py
@@ -104,9 +104,9 @@
     except CmsError:
         raise
     except InvalidSignature as error:
-        raise CmsError("the signature does not hold") from error
+        raise CmsError("the signature does not hold", expected="a signature by the certificate's key") from error
     except (ValueError, KeyError, TypeError, IndexError, AttributeError) as error:
-        raise CmsError("a signature that can't be read") from error
+        raise CmsError("a signature that can't be read", expected="CMS signed data", found=str(error)) from error
 
 
 def _check_algorithm(algorithm: Any, allow_sha1: bool) -> None:
--- a/linnetstile/codec/http1/parser.py
+++ b/linnetstile/codec/http1/parser.py
@@ -130,7 +130,9 @@
             self._state = self._read_head
             return [EndOfMessage()]
         if not self.is_idle:
-            raise Http1Error(400, "the connection ended inside a message")
+            raise Http1Error(
+                400, "the connection ended inside a message", expected="the rest of it", found="end of stream"
+            )
         return []
 
     # -- the head of a message -------------------------------------------------------------------------------
--- a/linnetstile/codec/mdn.py
+++ b/linnetstile/codec/mdn.py
@@ -120,7 +120,9 @@
     disposition_text = fields.get("disposition")
     disposition = DISPOSITION.match(disposition_text)
     if not disposition:
-        raise MdnError("no readable Disposition", field="Disposition", found=disposition_text)
+        raise MdnError(
+            "no readable Disposition", field="Disposition", expected="mode; type/modifier", found=disposition_text
+        )
     mic = RECEIVED_MIC.match(fields.get("received-content-mic"))
     return Mdn(
         original_message_id=as2.parse_message_id(fields.get("original-message-id"), "Original-Message-ID"),
--- a/linnetstile/codec/mime.py
+++ b/linnetstile/codec/mime.py
@@ -111,12 +111,17 @@
         try:
             return base64.b64decode(re.sub(rb"\s+", b"", body), validate=True)
         except binascii.Error as error:
-            raise MimeError("a base64 body that can't be decoded") from error
+            raise MimeError("a base64 body that can't be decoded", expected="base64", found=str(error)) from error
     if encoding == "quoted-printable":
         return quopri.decodestring(body)
     if encoding in ("", "7bit", "8bit", "binary"):
         return body
-    raise MimeError("a content transfer encoding that is not known", field="Content-Transfer-Encoding", found=encoding)
+    raise MimeError(
+        "a content transfer encoding that is not known",
+        field="Content-Transfer-Encoding",
+        expected="base64, quoted-printable, 7bit, 8bit or binary",
+        found=encoding,
+    )
 
 
 def parse_entity(raw: bytes) -> Entity:
@@ -130,7 +135,7 @@
     ends = [(raw.find(separator, 0, MAX_HEAD_BYTES), len(separator)) for separator in (b"\r\n\r\n", b"\n\n")]
     head_end = min((end for end in ends if end[0] >= 0), default=None)
     if head_end is None:
-        raise MimeError(f"no end of the headers within {MAX_HEAD_BYTES} bytes")
+        raise MimeError(f"no end of the headers within {MAX_HEAD_BYTES} bytes", expected="an empty line")
     head_length, separator_length = head_end
     fields = _parse_fields(raw[:head_length].decode("latin-1"))
     return Entity(Headers(fields), raw[head_length + separator_length :], raw)
@@ -156,7 +161,7 @@
         MimeError: The boundary is not valid, there are too many parts, or the last delimiter is missing.
     """
     if not BOUNDARY.match(boundary):
-        raise MimeError("no proper boundary", field="boundary", found=boundary)
+        raise MimeError("no proper boundary", field="boundary", expected="1 to 70 characters", found=boundary)
     # Found by plain search: a pattern for each boundary would be compiled anew for each message (1.3 ms of 4.7).
     delimiter = b"--" + boundary.encode("latin-1")
     found: list[bytes] = []
@@ -177,7 +182,7 @@
         if is_last:
             return found
         if len(found) >= MAX_PARTS:
-            raise MimeError(f"more than {MAX_PARTS} parts", expected=f"<= {MAX_PARTS}")
+            raise MimeError(f"more than {MAX_PARTS} parts", expected=f"<= {MAX_PARTS}", found=f"> {MAX_PARTS}")
         part_start = line_end + 1
         position = part_start
     raise MimeError("the last delimiter of a multipart is missing", expected=f"--{boundary}--")
--- a/linnetstile/config/files.py
+++ b/linnetstile/config/files.py
@@ -101,19 +101,25 @@
 
 def _read_yaml(path: pathlib.Path) -> Any:
     try:
-        if path.stat().st_size > MAX_FILE_BYTES:
+        size = path.stat().st_size
+        if size > MAX_FILE_BYTES:
             raise SettingsError(
-                [f"{path}: expected at most {MAX_FILE_BYTES} bytes"], expected=f"<= {MAX_FILE_BYTES} bytes"
+                [f"{path}: expected at most {MAX_FILE_BYTES} bytes"],
+                expected=f"<= {MAX_FILE_BYTES} bytes",
+                found=f"{size} bytes",
             )
         return yaml.safe_load(path.read_text(encoding="utf-8"))
     except OSError as error:
-        raise SettingsError([f"{path}: can't be read: {error.strerror}"]) from error
+        message = f"{path}: can't be read: {error.strerror}"
+        raise SettingsError([message], expected="a file that can be read", found=error.strerror or "") from error
     except UnicodeDecodeError as error:
         message = f"{path}: expected text in UTF-8, byte {error.start} is not"
-        raise SettingsError([message], expected="text in UTF-8") from error
+        found = f"byte {error.start} of another encoding"
+        raise SettingsError([message], expected="text in UTF-8", found=found) from error
     except yaml.YAMLError as error:
-        message = f"{path}: {_yaml_position(error)}: not YAML: {getattr(error, 'problem', error)}"
-        raise SettingsError([message], expected="YAML") from error
+        problem = getattr(error, "problem", error)
+        message = f"{path}: {_yaml_position(error)}: not YAML: {problem}"
+        raise SettingsError([message], expected="YAML", found=str(problem)) from error
 
 
 def _yaml_position(error: yaml.YAMLError) -> str:
--- a/linnetstile/net/connector.py
+++ b/linnetstile/net/connector.py
@@ -4,12 +4,13 @@
 
 import asyncio
 
+from .. import errors
 from .client_call import TlsParameters
 from .client_connection import ClientConnection
 from .tls import TlsTransport
 
 
-class HandshakeError(ConnectionError):
+class HandshakeError(errors.LinnetstileError, ConnectionError):
     """A TLS handshake failed; the message says why."""
 
 
@@ -49,4 +50,4 @@
         connection.transport.abort()
         raise
     if failure is not None:
-        raise HandshakeError(failure)
+        raise HandshakeError(failure, expected="a TLS handshake", found=failure)
--- a/linnetstile/net/server_connection.py
+++ b/linnetstile/net/server_connection.py
@@ -24,6 +24,7 @@
     from .server import Server
 
 REQUESTS_PER_PASS = 1  # begun in one pass of a connection: guards the others against a peer that pipelines without end
+NO_ANSWER = 0  # status of an error that no response can report
 BODY_STEP_BYTES = 64 * 1024  # of capacity that is requested at a time for a body of unknown length
 
 
@@ -67,7 +68,10 @@
         """Report a TLS handshake that failed."""
         if failure is not None:
             self.server.count("handshakes_failed")
-            self.server.on_error(self.peer_address(), http1.Http1Error(0, f"no TLS handshake: {failure}"))
+            error = http1.Http1Error(
+                NO_ANSWER, f"no TLS handshake: {failure}", expected="a TLS handshake", found=failure
+            )
+            self.server.on_error(self.peer_address(), error)
 
     def eof_received(self) -> bool:
         """Keep the connection only for a response. Called by asyncio.
--- a/linnetstile/net/tls_context.py
+++ b/linnetstile/net/tls_context.py
@@ -1,4 +1,4 @@
-"""TLS contexts made of key and certificate files, which may change while they are in service."""
+"""TLS contexts made of key and certificate files, which may change while the program runs."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
             certificate: Our certificate chain (PEM); None = we show none.
             key: Its private key (PEM); None = the key stands in the certificate's file.
             authorities: Certificates (PEM) that the peer's one is verified with; a client needs them.
-            need_client: Whether a server refuses clients that show no certificate.
+            need_client: Whether a server rejects clients that show no certificate.
 
         Raises:
             TlsError: A file can't be used.
@@ -67,12 +67,12 @@
         return True
 
     def _read_files_version(self) -> tuple[object, ...]:
-        """What tells one state of the files from another: time, inode and size of each, or why it can't be read."""
+        """Return what identifies a state of the files: time, inode and size of each, or why it can't be read."""
         versions: list[object] = []
         for path in (self.certificate, self.key, self.authorities):
             try:
-                found = os.stat(path) if path else None
-                versions.append((found.st_mtime_ns, found.st_ino, found.st_size) if found else None)
+                status = os.stat(path) if path else None
+                versions.append((status.st_mtime_ns, status.st_ino, status.st_size) if status else None)
             except OSError as error:
                 versions.append(error.errno)
         return tuple(versions)
@@ -80,26 +80,26 @@
     def _make_context(self) -> ssl.SSLContext:
         context = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER if self.server else ssl.PROTOCOL_TLS_CLIENT)
         context.minimum_version = ssl.TLSVersion.TLSv1_2
-        path = self.certificate  # the file that is being read, for the message of an error
+        field, path = "certificate", self.certificate  # what is being read, for the message of an error
         try:
             if self.certificate is not None:
                 _check_validity(self.certificate)
                 context.load_cert_chain(self.certificate, self.key, password=lambda: b"")
-            path = self.authorities
+            field, path = "authorities", self.authorities
             if self.authorities is not None:
                 context.load_verify_locations(self.authorities)
             elif not self.server:
-                raise TlsError("no authorities to verify the peer with")
+                raise TlsError("no authorities to verify the peer with", field="authorities", expected="a PEM file")
         except OSError as error:  # ssl.SSLError is one
             reason = error.reason if isinstance(error, ssl.SSLError) and error.reason else error.strerror or str(error)
-            raise TlsError(f"{path}: can't be used: {reason}") from error
+            raise TlsError(f"{path}: can't be used: {reason}", field=field, expected="PEM", found=reason) from error
         if self.server and self.authorities is not None:
             context.verify_mode = ssl.CERT_REQUIRED if self.need_client else ssl.CERT_OPTIONAL
         return context
 
 
 def _check_validity(path: Path) -> None:
-    """Raise `TlsError` for a certificate out of its time: OpenSSL loads it, and every peer then refuses it."""
+    """Raise `TlsError` for a certificate that is not valid now: OpenSSL loads it, and every peer then rejects it."""
     # Not at the top of the module: the relay on the platform has no certificates and runs without these.
     import datetime
 
@@ -108,9 +108,20 @@
     try:
         certificate = x509.load_pem_x509_certificate(path.read_bytes())
     except ValueError as error:
-        raise TlsError(f"{path}: expected a certificate in PEM") from error
+        raise TlsError(
+            f"{path}: expected a certificate in PEM", field="certificate", expected="a certificate in PEM"
+        ) from error
     now = datetime.datetime.now(datetime.UTC)
     if now > certificate.not_valid_after_utc:
-        raise TlsError(f"{path}: the certificate has expired on {certificate.not_valid_after_utc:%Y-%m-%d}")
+        raise _validity_error(path, f"has expired on {certificate.not_valid_after_utc:%Y-%m-%d}")
     if now < certificate.not_valid_before_utc:
-        raise TlsError(f"{path}: the certificate is valid only from {certificate.not_valid_before_utc:%Y-%m-%d}")
+        raise _validity_error(path, f"is valid only from {certificate.not_valid_before_utc:%Y-%m-%d}")
+
+
+def _validity_error(path: Path, reason: str) -> TlsError:
+    return TlsError(
+        f"{path}: the certificate {reason}",
+        field="certificate",
+        expected="a certificate that is valid now",
+        found=f"one that {reason}",
+    )
--- a/linnetstile/storage/snapshot.py
+++ b/linnetstile/storage/snapshot.py
@@ -1,7 +1,7 @@
-"""One document on disk: replaced as a whole, with a checksum, and with the means to compute its age after a restart.
+"""One document on disk: replaced atomically, with a checksum, and with the means to compute its age after a restart.
 
-The age is computed by the clock that runs on while the machine sleeps, if it is the same boot; else by the wall clock,
-and not at all where that has gone back. Ages are what readers use, not times of day.
+The age is computed by the clock that runs on while the machine is suspended, if it is the same boot; else by the wall
+clock, and not at all where that was set back. Ages are what readers use, not times of day.
 
 The file is one line of JSON, the header, and the document as JSON behind it.
 """
@@ -18,7 +18,8 @@
 from ..errors import JournalError
 
 FORMAT = 1
-MAGIC = "snapshot"  # value of the header's first field, "linnetstile"
+MAGIC_FIELD = "linnetstile"  # the header's first field
+MAGIC = "snapshot"  # its value
 MAX_FILE_BYTES = 64 * 1024 * 1024  # bytes of a file
 DIGEST_BYTES = 16
 BOOT_ID = Path("/proc/sys/kernel/random/boot_id")
@@ -41,7 +42,7 @@
 
 
 def _boot_id() -> str:
-    """Return what differs from boot to boot; empty where the system does not say it."""
+    """Return the identifier of this boot; empty where the system has none."""
     try:
         return BOOT_ID.read_text(encoding="ascii").strip()
     except OSError:
@@ -49,7 +50,7 @@
 
 
 def _since_boot_s() -> float:
-    """Return the seconds since the boot, with those that the machine slept where the system counts them."""
+    """Return the seconds since the boot, with the time that the machine was suspended where the system counts it."""
     return time.clock_gettime(time.CLOCK_BOOTTIME) if hasattr(time, "CLOCK_BOOTTIME") else time.monotonic()
 
 
@@ -68,7 +69,7 @@
     """
     body = json.dumps(payload, separators=(",", ":"), allow_nan=False).encode()
     header = {
-        "linnetstile": MAGIC,
+        MAGIC_FIELD: MAGIC,
         "format": FORMAT,
         "bytes": len(body),
         "boot": _boot_id(),
@@ -108,8 +109,8 @@
 
     Raises:
         FileNotFoundError: There is no file.
-        SnapshotError: The file can't be read, is another program's or another format, or its checksum does not hold.
-        ValueError: The document is not JSON, although its checksum holds.
+        SnapshotError: The file can't be read, is another program's or another format, or its checksum does not match.
+        ValueError: The document is not JSON, although its checksum matches.
     """
     header_line, newline, body = _read_bytes(path).partition(b"\n")
     if not newline:
@@ -129,18 +130,22 @@
 
 
 def _read_bytes(path: Path) -> bytes:
-    """Return the bytes of a file, or the first `MAX_FILE_BYTES` and one more, whose checksum then does not hold."""
+    """Return the bytes of a file, or the first `MAX_FILE_BYTES` and one more, whose checksum then does not match."""
     try:
         with path.open("rb") as file:
             return file.read(MAX_FILE_BYTES + 1)
     except FileNotFoundError:
         raise
     except OSError as error:
-        raise SnapshotError(f"{path}: can't be read: {error.strerror}") from error
+        raise SnapshotError(
+            f"{path}: can't be read: {error.strerror}", expected="a file that can be read", found=error.strerror or ""
+        ) from error
 
 
 def _foreign_file_error(path: Path) -> SnapshotError:
-    return SnapshotError(f"{path}: not a snapshot of this program", expected="a header line of JSON")
+    return SnapshotError(
+        f"{path}: not a snapshot of this program", field=MAGIC_FIELD, expected=f"a header line of JSON with {MAGIC!r}"
+    )
 
 
 def _parse_header(path: Path, line: bytes) -> dict[str, Any]:
@@ -148,7 +153,7 @@
         header = json.loads(line)
     except (ValueError, RecursionError) as error:
         raise _foreign_file_error(path) from error
-    if not isinstance(header, dict) or header.get("linnetstile") != MAGIC:
+    if not isinstance(header, dict) or header.get(MAGIC_FIELD) != MAGIC:
         raise _foreign_file_error(path)
     found_format = header.get("format")
     if found_format != FORMAT:
@@ -173,7 +178,7 @@
 
 
 def set_aside(path: Path) -> Path:
-    """Move a file that can't be used to a name that nothing reads, for a look; return that."""
+    """Rename a file that can't be used, so that it is kept for inspection and never read; return the new path."""
     aside = path.with_name(f"{path.name}.bad")
     os.replace(path, aside)
     return aside
