--- a/linnetstile/as2_relay/admin_views.py
+++ b/linnetstile/as2_relay/admin_views.py
@@ -109,7 +109,7 @@
                 phase_s=round(now_s - connection.phase_started_at, 1),
                 bytes_read=connection.bytes_read,
                 bytes_unsent=connection.unsent_bytes,
-                patience=round(connection.remaining_patience, 2),
+                patience=round(connection.remaining_grace, 2),
                 message_id=origin.message_id if origin else "",
                 sender=origin.sender if origin else "",
                 partner=origin.partner if origin else "",
@@ -134,7 +134,7 @@
                 phase_s=age_s,
                 bytes_read=connection.bytes_read,
                 bytes_unsent=connection.unsent_bytes if not connection.is_closing else 0,
-                patience=round(connection.remaining_patience, 2),
+                patience=round(connection.remaining_grace, 2),
                 partner=partners.get(connection.address, ""),
             )
         )
--- a/linnetstile/codec/as2.py
+++ b/linnetstile/codec/as2.py
@@ -32,7 +32,7 @@
     """Parse an AS2 name; names are compared unquoted, with regard to case (RFC 4130, 6.2).
 
     Args:
-        text: The value as the field holds it.
+        text: The value as it is in the field.
         field: Name of the field, for the error.
 
     Raises:
@@ -50,7 +50,7 @@
 
 
 def quote_name(plain: str) -> str:
-    """Return a name as a field holds it: in quotes where needed."""
+    """Return a name as it is written in a field: in quotes where needed."""
     if PLAIN_NAME.match(plain):
         return plain
     return '"' + re.sub(r'(["\\])', r"\\\1", plain) + '"'
@@ -69,7 +69,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReceiptOptions:
-    """What the sender asks of the receipt (RFC 4130, 7.3).
+    """What the sender requests of the receipt (RFC 4130, 7.3).
 
     Attributes:
         signed: Whether it should be signed.
@@ -115,7 +115,7 @@
         message_id: Message-ID with its angle brackets.
         version: AS2-Version.
         subject: Subject.
-        receipt_to: Disposition-Notification-To; empty if no receipt is asked for.
+        receipt_to: Disposition-Notification-To; empty if no receipt is requested.
         receipt_options: What the receipt should be like.
         async_receipt_url: Receipt-Delivery-Option: the URL for an asynchronous receipt; empty for a synchronous one.
     """
--- a/linnetstile/codec/cms/content_info.py
+++ b/linnetstile/codec/cms/content_info.py
@@ -8,7 +8,7 @@
 
 
 def load_content(der: bytes, content_type: str, otherwise: str) -> Any:
-    """Return the content of a ContentInfo of the type asked for; raises `CmsError(otherwise)` for others."""
+    """Return the content of a ContentInfo of the expected type; raises `CmsError(otherwise)` for others."""
     from asn1crypto import cms
 
     info = cms.ContentInfo.load(der, strict=True)
--- a/linnetstile/codec/cms/envelope.py
+++ b/linnetstile/codec/cms/envelope.py
@@ -41,7 +41,7 @@
     from cryptography.hazmat.primitives.serialization import pkcs7
 
     try:
-        # The stub asks for an RSA key; the library raises TypeError for another one.
+        # The type stub requires an RSA key; the library raises TypeError for another one.
         return pkcs7.pkcs7_decrypt_der(der, identity.certificate, identity.key, [])  # type: ignore[arg-type]
     except (ValueError, TypeError) as error:
         raise CmsError(
@@ -70,7 +70,7 @@
     """Decompress an entity; bounded by `max_bytes`, as a few bytes can swell to gigabytes.
 
     Raises:
-        CmsError: It is not compressed data, is cut short, can't be read or holds more than `max_bytes`.
+        CmsError: It is not compressed data, is cut short, can't be read or has more than `max_bytes`.
     """
     try:
         compressed_data = load_content(der, "compressed_data", "not compressed data")
--- a/linnetstile/codec/cms/layers.py
+++ b/linnetstile/codec/cms/layers.py
@@ -17,7 +17,7 @@
 
     Attributes:
         content: Signed: the signed entity. Compressed or encrypted only: the entity inside. Plain: the body without
-            headers. None where that is closed to whoever lacks the key, or beyond `MAX_LAYERS`.
+            headers. None if it is encrypted and there is no key, or there are more than `MAX_LAYERS`.
         is_plain: Whether that is a plain body.
     """
 
@@ -25,7 +25,7 @@
     is_plain: bool
 
 
-CLOSED = DigestInput(None, is_plain=False)
+UNREADABLE = DigestInput(None, is_plain=False)
 
 
 def open_layers(content_type: str, encoding: str, body: bytes, key: Identity | None) -> DigestInput:
@@ -53,12 +53,12 @@
         smime_type = media_type.params.get("smime-type", "").lower()
         entity = _open_layer(smime_type, mime.decode_body(body, encoding), key)
         if entity is None:
-            return CLOSED
+            return UNREADABLE
         inner = mime.parse_entity(entity)
         content_type = inner.headers.get("content-type", mime.DEFAULT_CONTENT_TYPE)
         encoding = inner.headers.get("content-transfer-encoding")
         body = inner.body
-    return CLOSED
+    return UNREADABLE
 
 
 def _open_layer(smime_type: str, der: bytes, key: Identity | None) -> bytes | None:
--- a/linnetstile/codec/cms/signing.py
+++ b/linnetstile/codec/cms/signing.py
@@ -86,7 +86,7 @@
         The digest algorithm.
 
     Raises:
-        CmsError: The signature does not hold or can't be read.
+        CmsError: The signature is not valid or can't be read.
     """
     from cryptography.exceptions import InvalidSignature
 
@@ -122,7 +122,7 @@
 
 
 def _signed_bytes(content: bytes, signed_data: Any, attributes: Any, algorithm: str) -> bytes:
-    """Return what the signature is over: the signed attributes, which hold the digest of the content, if any."""
+    """Return what the signature is over: the signed attributes, which contain the digest of the content, if any."""
     if not len(attributes):
         return content
     values = {attribute["type"].native: attribute["values"] for attribute in attributes}
--- a/linnetstile/codec/headers.py
+++ b/linnetstile/codec/headers.py
@@ -18,7 +18,7 @@
 def is_field_name(name: str) -> bool:
     """Tell whether `name` is a token, and remember it if so.
 
-    Code that runs for each field looks into `KNOWN_FIELD_NAMES` first and calls this for the others alone.
+    Code that runs for each field looks into `KNOWN_FIELD_NAMES` first and calls this only for the others.
     """
     if not TOKEN.match(name):
         return False
@@ -28,7 +28,7 @@
 
 
 class Headers:
-    """Header fields in their order; names compare without regard to case, values are kept as they came.
+    """Header fields in their order; names compare without regard to case, values are kept as received.
 
     Attributes:
         fields: Name and value of each field.
--- a/linnetstile/codec/http1/encoder.py
+++ b/linnetstile/codec/http1/encoder.py
@@ -77,7 +77,7 @@
         status: The status code.
         headers: The header fields, without a Content-Length.
         body: The body; returned as it is.
-        head_only: Whether this answers HEAD: the body is counted and left out (RFC 9110, 9.3.2).
+        head_only: Whether this answers HEAD: the body is counted and omitted (RFC 9110, 9.3.2).
 
     Raises:
         UnsendableMessageError: A header field would not be valid.
--- a/linnetstile/codec/http1/head_parser.py
+++ b/linnetstile/codec/http1/head_parser.py
@@ -1,4 +1,4 @@
-"""The head of an HTTP/1.1 message: its first line, its header fields, and what they say of the body."""
+"""The head of an HTTP/1.1 message: its first line, its header fields, and the length of the body that they declare."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
     """Parse the head of a request.
 
     Raises:
-        Http1Error: A line is malformed, the Host field is not there once, or the expectation is not known.
+        Http1Error: A line is malformed, there is not one Host field, or the expectation is not known.
     """
     parts = first_line.split(" ")
     if len(parts) != 3 or not TOKEN.match(parts[0]) or not REQUEST_TARGET.match(parts[1]):
@@ -47,7 +47,7 @@
 
 
 def parse_response_head(first_line: str, field_lines: list[bytes], limits: Limits) -> Response:
-    """Parse the head of a response; `keep_alive` says what the fields do, for a body whose length is known.
+    """Parse the head of a response; `keep_alive` is valid for a body of known length.
 
     Raises:
         Http1Error: A line is malformed.
@@ -146,7 +146,7 @@
 
 
 def body_length(version: HttpVersion, headers: Headers, limits: Limits) -> int | None:
-    """Return the length of the body in bytes, `CHUNKED`, or None if nothing says it (RFC 9112, 6.3).
+    """Return the length of the body in bytes, `CHUNKED`, or None if no field declares it (RFC 9112, 6.3).
 
     Raises:
         Http1Error: The fields contradict each other, are malformed, or name a body that is too long.
@@ -172,7 +172,7 @@
 
 
 def _check_transfer_encoding(version: HttpVersion, headers: Headers, lengths: list[str]) -> None:
-    """Require that a message with Transfer-Encoding is in chunks, and says so unambiguously."""
+    """Require that a message with Transfer-Encoding is in chunks, without ambiguity."""
     if lengths:
         raise Http1Error(
             400,
--- a/linnetstile/codec/http1/input_buffer.py
+++ b/linnetstile/codec/http1/input_buffer.py
@@ -14,7 +14,7 @@
     """A buffer that is appended to at its end and consumed from its start.
 
     Attributes:
-        data: The bytes; appended to in place.
+        data: The bytes; the parser appends to it.
     """
 
     __slots__ = ("_scanned_bytes", "data")
@@ -41,7 +41,7 @@
         return taken
 
     def take_block(self, max_bytes: int) -> list[bytes] | None:
-        """Remove and return the lines up to the next empty line; None while that has not come.
+        """Remove and return the lines up to the next empty line; None while that was not received.
 
         Raises:
             Http1Error: The block is longer than `max_bytes`, or has a line end other than CRLF.
@@ -70,7 +70,7 @@
         return lines
 
     def _has_bare_line_feed(self, end: int, max_bytes: int) -> bool:
-        """Tell whether a line feed stands alone before `end`, or in all that was received where `end` is negative."""
+        """Tell whether there is a bare line feed before `end`, or in all that was received if `end` is negative."""
         data = self.data
         if end >= 0:
             stop = min(max_bytes, end + 4)
--- a/linnetstile/codec/http1/limits.py
+++ b/linnetstile/codec/http1/limits.py
@@ -1,4 +1,4 @@
-"""Bounds on the HTTP/1.1 messages of a peer, so that no peer decides how much memory its messages take."""
+"""Bounds on the HTTP/1.1 messages of a peer, which bound the memory that its messages occupy."""
 
 from __future__ import annotations
 
--- a/linnetstile/codec/http1/parser.py
+++ b/linnetstile/codec/http1/parser.py
@@ -36,14 +36,13 @@
 class Parser:
     """Reads the messages of one connection: `feed` it bytes, call `eof` once the peer has closed.
 
-    A client parser has to be notified of each request with `expect_response`, as the method says whether a body
-    follows.
+    A client parser needs `expect_response` before each response: whether a body follows depends on the method.
 
     Attributes:
         client: Whether responses are read; requests otherwise.
         limits: Bounds on what the peer may send.
-        awaited_methods: Methods of the requests whose responses are still to come, in order.
-        error: The fault that ended the reading; None while there is none.
+        awaited_methods: Methods of the requests whose responses are awaited, in order.
+        error: The error that ended the reading; None while there is none.
     """
 
     def __init__(self, client: bool = False, limits: Limits | None = None) -> None:
@@ -64,7 +63,7 @@
 
     @property
     def is_idle(self) -> bool:
-        """Whether the stream stands between two messages, with no byte of the next."""
+        """Whether the stream is between two messages, with no byte of the next."""
         return self._state == self._read_head and not self._input.data
 
     @property
@@ -81,7 +80,7 @@
     def early_status(self) -> int:
         """The status in the first line of a response whose rest was not received or can't be read; 0 = none so far.
 
-        Only for peers that mean that line whatever follows it.
+        Only for peers whose status is final whatever follows that line.
         """
         match = FINAL_STATUS_LINE.match(self._status_line_prefix or self._incomplete_status_line())
         return int(match[1]) if match else 0
@@ -97,11 +96,11 @@
 
         Args:
             data: The next bytes of the stream.
-            max_events: Number of events after which about to stop, which bounds the time that one peer's bytes take;
+            max_events: Number of events after which to stop, about, which bounds the time for the bytes of one peer;
                 `feed(b"")` goes on.
 
         Raises:
-            Http1Error: For good from the first fault on; events before the fault are returned first.
+            Http1Error: From the first error on, always; events before the error are returned first.
         """
         if self.error:
             raise self.error
@@ -122,7 +121,7 @@
         """Return what the end of the stream completes.
 
         Raises:
-            Http1Error: The stream ended inside a message, or an earlier fault.
+            Http1Error: The stream ended inside a message, or there was an earlier error.
         """
         if self.error:
             raise self.error
@@ -198,7 +197,7 @@
         return True
 
     def _take_data(self, events: list[Event]) -> None:
-        """Move what the buffer has of the body or chunk into an event."""
+        """Move the buffered bytes of the body or chunk into an event."""
         if not self._remaining_bytes or not self._input.data:
             return
         data = self._input.take_up_to(self._remaining_bytes)
--- a/linnetstile/codec/json_object_parts.py
+++ b/linnetstile/codec/json_object_parts.py
@@ -1,4 +1,4 @@
-"""Reads one JSON object that is too long to come whole: runs of the elements of its array, then its other members."""
+"""Reads one JSON object that is too long for one value: runs of the elements of its array, then its other members."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ObjectPart:
-    """A run of array elements, in order, of an object that is too long to come whole.
+    """A run of array elements, in order, of an object that is too long for one value.
 
     Attributes:
         members: The members before the array: the same in each part.
@@ -54,7 +54,7 @@
             scanner: Holds the bytes.
             members: The members before the array.
             array_key: Key of the array.
-            max_value_bytes: Bytes that the members behind the array may have.
+            max_value_bytes: Bytes that the members after the array may have.
             step_bytes: Bytes that one element may have.
         """
         self.is_complete = False
@@ -85,7 +85,7 @@
         try:
             while self._in_array and self._take_elements(elements):
                 pass
-        finally:  # what stands before a fault is returned first
+        finally:  # what precedes an error is returned first
             if elements:
                 self._append_part(values, elements, is_last=False)
 
@@ -144,10 +144,10 @@
     def _take_several(self, elements: list[Any]) -> bool:
         """Append all elements up to the last that surely ends in the buffer, parsed in one go.
 
-        What parses up to there is what was meant.
+        If the bytes up to there are valid, they are the elements, whatever the comma belongs to.
 
         Returns:
-            False if they have to be parsed one by one, for a fault, or a comma that stands inside one of them.
+            False if they have to be parsed one by one, for an error, or a comma that is inside one of them.
         """
         data = self._scanner.data
         end = data.rfind(b"},", 0, self._step_bytes + 1) + 1
--- a/linnetstile/codec/json_scanner.py
+++ b/linnetstile/codec/json_scanner.py
@@ -69,7 +69,7 @@
         return self._position > 0
 
     def discard(self, end: int) -> None:
-        """Drop what stands before `end` and begin another scan."""
+        """Drop the bytes before `end` and begin another scan."""
         del self.data[:end]
         self.elements_start = 0
         self._position = 0
@@ -84,7 +84,7 @@
             stop: Where the scan stops.
 
         Returns:
-            The end; None while it was not received, or lies behind `stop`.
+            The end; None while it was not received, or is after `stop`.
         """
         if not self._depth:
             if not depth:
@@ -105,7 +105,7 @@
         return None
 
     def find_element_end(self) -> int | None:
-        """Return the end of the comma or bracket behind the first element; None while that was not received."""
+        """Return the end of the comma or bracket after the first element; None while that was not received."""
         self._depth = self._depth or ELEMENT_DEPTH
         while match := self._element_structure().search(self.data, self._position):
             sign = match[0]
--- a/linnetstile/codec/json_stream.py
+++ b/linnetstile/codec/json_stream.py
@@ -28,20 +28,19 @@
 
 
 class JsonStreamReader:
-    """Cuts objects and arrays out of a stream; only blanks may stand between them.
+    """Splits a stream into objects and arrays; only blanks may be between them.
 
     Objects of more than `step_bytes` come as `ObjectPart`s instead if their member `array_key` is an array that begins
-    within these bytes, behind the members `required_keys`: what those say of the others has to be known first. The
-    elements are bounded by `step_bytes` each, and `max_value_bytes` bounds what stands behind the array, so that memory
-    is bounded however long the object is. An element comes once the comma or bracket behind it has come, and none that
-    stands behind a fault.
+    within these bytes, after the members `required_keys`, which readers need before the elements. The elements are
+    bounded by `step_bytes` each, and `max_value_bytes` bounds what follows the array, so that memory is bounded however
+    long the object is. An element is returned once the comma or bracket after it was received, and none after an error.
 
     Attributes:
         max_value_bytes: Bytes that one value may have.
         array_key: Key of the array that may come in parts; empty if there is none.
-        required_keys: Keys of the members that have to stand before the array.
+        required_keys: Keys of the members that have to precede the array.
         step_bytes: Bytes from which on an object comes in parts.
-        error: The fault that ended the reading, since nothing says where the next value begins; None while there is
+        error: The error that ended the reading, since the start of the next value is not known; None while there is
             none.
     """
 
@@ -70,7 +69,7 @@
         """Return the values, and parts of values, that these bytes complete.
 
         Raises:
-            JsonStreamError: For good from the first fault on; a fault behind a value is raised by the next call.
+            JsonStreamError: From the first error on, always; an error after a value is raised by the next call.
         """
         if self.error:
             raise self.error
@@ -128,6 +127,6 @@
         self._discard(elements_start)
 
     def _discard(self, end: int) -> None:
-        """Drop what stands before `end`: another value begins there, or the elements of an array."""
+        """Drop the bytes before `end`, where another value or the elements of an array begin."""
         self._scanner.discard(end)
         self._exceeds_step = False
--- a/linnetstile/codec/mdn.py
+++ b/linnetstile/codec/mdn.py
@@ -28,7 +28,7 @@
         recipient: AS2 name of who received that, as the field holds it.
         disposition_type: `processed` or `failed`.
         modifier: `error`, `warning`, `failure` or empty.
-        detail: What the modifier says, such as `authentication-failed`.
+        detail: The detail of the modifier, such as `authentication-failed`.
         mic: Digest of the content as it was received; empty if there is none.
         micalg: Algorithm of the digest, in lower case.
         text: For human readers.
@@ -84,10 +84,10 @@
 
 
 def parse(content_type: str, body: bytes) -> Mdn:
-    """Parse a multipart/report that holds a disposition notification.
+    """Parse a multipart/report that contains a disposition notification.
 
     Raises:
-        MdnError: It is none, or can't be read.
+        MdnError: It is not one, or can't be read.
     """
     try:
         return _parse_report(content_type, body)
--- a/linnetstile/codec/mime.py
+++ b/linnetstile/codec/mime.py
@@ -75,8 +75,8 @@
 
     Attributes:
         headers: The fields, unfolded.
-        body: The bytes behind the empty line, with their transfer encoding.
-        raw: The whole entity as it came.
+        body: The bytes after the empty line, with their transfer encoding.
+        raw: The complete entity as received.
     """
 
     headers: Headers
--- a/linnetstile/config/engine_mapping.py
+++ b/linnetstile/config/engine_mapping.py
@@ -59,7 +59,7 @@
 
 
 def _routing_rule(section: RuleSettings, class_names: list[str], tenant_names: list[str]) -> Rule:
-    # Without a tenant a message has the number behind the last one, which no quota names.
+    # A message without a tenant has the number after the last one, for which there is no quota.
     tenant = len(tenant_names) if section.tenant is None else tenant_names.index(section.tenant)
     return Rule(
         class_index=class_names.index(section.class_),
--- a/linnetstile/config/relay.py
+++ b/linnetstile/config/relay.py
@@ -41,19 +41,19 @@
     "split_address",
 ]
 
-# Terms of the bound on memory, in bytes; docs/design/slow-peers.md says where each comes from.
+# Terms of the bound on memory, in bytes; docs/design/slow-peers.md derives each of them.
 PROCESS_BYTES = 96 << 20
 TLS_CONNECTION_BYTES = 112 << 10
 PLAIN_CONNECTION_BYTES = 48 << 10
-BODIES_IN_HAND = 2  # besides those in `hold_bytes`: one being joined, one being digested for its receipt
+BODIES_IN_PROGRESS = 2  # besides those in `hold_bytes`: one being joined, one being digested for its receipt
 CALL_BYTES = 256 << 10  # of one call to a partner besides its receipt
-REMEMBERED_MESSAGE_BYTES = 1024  # of the answer kept for a message besides `remember_bytes`
+REMEMBERED_MESSAGE_BYTES = 1024  # of the stored answer to a message, besides `remember_bytes`
 
 # Terms of the bound on open files.
 NEW_CONNECTIONS = 64  # accepted, and not yet counted
-FILES_PER_SLOT = 3  # a call, a connection kept idle, a receipt delivery
+FILES_PER_SLOT = 3  # a call, an idle connection, a receipt delivery
 REGISTRY_AND_ADMIN_FILES = 16
-PROCESS_FILES = 32  # what the program itself has open
+PROCESS_FILES = 32  # open files of the program itself
 
 
 class RelaySettings(StrictModel):
@@ -105,7 +105,7 @@
             PROCESS_BYTES
             + limits.connections * connection_bytes
             + limits.hold_bytes
-            + BODIES_IN_HAND * limits.body_bytes
+            + BODIES_IN_PROGRESS * limits.body_bytes
             + limits.slots * (limits.receipt_bytes + CALL_BYTES)
             + limits.remember_bytes
             + limits.remember * REMEMBERED_MESSAGE_BYTES
--- a/linnetstile/config/sections.py
+++ b/linnetstile/config/sections.py
@@ -16,7 +16,7 @@
 
 
 class ClassSettings(StrictModel):
-    """A class of messages: what a repeat does to them, and what their time is worth."""
+    """A class of messages: the effect of a repeat, and the value of their time."""
 
     effect: Literal["safe", "keyed", "unsafe"]
     aim_ms: Positive
@@ -57,16 +57,16 @@
 class PartnerTlsSettings(StrictModel):
     """TLS with a partner whose URL is https."""
 
-    authorities: Path  # PEM: who signs the partner's certificate, or that certificate itself
+    authorities: Path  # PEM: the issuers of the partner's certificate, or that certificate itself
     name: str | None = Field(None, min_length=1, max_length=253)  # that it must show, if not the host of its URL
-    certificate: Path | None = None  # the relay's own, where the partner asks for one
+    certificate: Path | None = None  # the relay's own, where the partner requires one
     key: Path | None = None
 
 
 class PartnerSettings(StrictModel):
     """What is agreed with one partner."""
 
-    certificate: Path | None = None  # PEM; receipts must be signed by its key where a signature was asked for
+    certificate: Path | None = None  # PEM; receipts must be signed by its key where a signature was requested
     receipts: Literal["sync", "async"] = "sync"
     tls: PartnerTlsSettings | None = None
 
@@ -126,7 +126,7 @@
     answer_rate: NotNegative = 1024.0  # a client reading its response
     request_rate: NotNegative = 1024.0  # a partner reading a request
     response_rate: NotNegative = 1024.0  # a partner's response, from its first byte on
-    stall_ms: Positive = 5000.0  # of standing still that the minimum rates forgive
+    stall_ms: Positive = 5000.0  # duration of a stall that the minimum rates allow
     self_check_ms: NotNegative = 0.0  # asserts that nothing leaks, so often; 0 = never
     remember_ms: Positive = 600_000.0
     remember: Count = 100_000
@@ -143,9 +143,9 @@
 class TlsSettings(StrictModel):
     """TLS of the listener. Files are read again when they change."""
 
-    certificate: Path  # PEM, the chain behind it
+    certificate: Path  # PEM, followed by its chain
     key: Path | None = None  # if not in the same file
-    client_authorities: Path | None = None  # PEM: who signs the clients' certificates
+    client_authorities: Path | None = None  # PEM: the issuers of the clients' certificates
     need_client: bool = False  # no handshake without one
 
     @model_validator(mode="after")
@@ -156,16 +156,16 @@
 
 
 class IdentitySettings(StrictModel):
-    """Who the relay is in its own receipts."""
+    """The identity of the relay in its own receipts."""
 
     as2_name: str = Field("linnetstile", min_length=1, max_length=128)
-    pem: Path | None = None  # key and certificate that sign them
+    pem: Path | None = None  # the key that signs them, and its certificate
 
 
 class KnowledgeSettings(StrictModel):
-    """Learning by gossip from other relays and from before a restart; nothing of it happens unless it is set."""
+    """Gossip with other relays, and the snapshot that survives a restart; both are off unless they are set."""
 
-    token_file: Path | None = None  # what relays show each other; without it nobody is notified of anything
+    token_file: Path | None = None  # authenticates relays to each other; without it there is no gossip
     peers: list[Address] = Field([], max_length=1000)
     address: Address | None = None  # how peers reach this relay, if not as it listens
     snapshot: Path | None = None
--- a/linnetstile/errors.py
+++ b/linnetstile/errors.py
@@ -1,4 +1,4 @@
-"""The exception hierarchy of the package: every error that users may meet derives from `LinnetstileError`."""
+"""The exception hierarchy of the package: every error that users may see derives from `LinnetstileError`."""
 
 from __future__ import annotations
 
--- a/linnetstile/net/client_call.py
+++ b/linnetstile/net/client_call.py
@@ -54,7 +54,7 @@
     body: bytes = b""
     # The last byte of the request was sent, so that the peer may have had all of it.
     request_complete: bool = True
-    # The status in the first line of a response whose rest has not come or can't be read; 0 = none can be read.
+    # The status in the first line of a response whose rest was not received or can't be read; 0 = none can be read.
     claimed_status: int = 0
     reused_connection: bool = False  # it was sent on an idle connection of an earlier call
 
--- a/linnetstile/net/client_connection.py
+++ b/linnetstile/net/client_connection.py
@@ -14,7 +14,7 @@
 if TYPE_CHECKING:
     from .client_pool import ConnectionPool
 
-# What is left of a response that counts already may take so long, or its connection is closed.
+# Time in seconds for the rest of a response that was reported by its status line; then its connection is closed.
 RESPONSE_TAIL_TIMEOUT_S = 1.0
 
 
@@ -29,7 +29,7 @@
         self.head: http1.Response | None = None
         self.body_pieces: list[bytes] = []
         self.idle_since = 0.0  # loop time, s
-        self.withheld_end = b""  # the last byte of a request, while it is held back
+        self.withheld_end = b""  # the last byte of a request, while it is delayed
         self.call_started_at = pool.loop.time()  # loop time, s, at which the current or last call was sent
         self.start_rate_meters(pool.rates.response_rate, pool.rates.request_rate, pool.rates.grace_s)
 
@@ -40,7 +40,7 @@
 
     @property
     def request_incomplete(self) -> bool:
-        """Whether a byte of the request has not left this process.
+        """Whether a byte of the request was not sent.
 
         RFC 9112, 8: what is not complete can't be acted on, and an AS2 message has its digest over all of it.
         """
@@ -49,8 +49,7 @@
     def abort_if_unsolicited_input(self) -> bool:
         """Close an idle connection whose peer has sent something, or has closed it.
 
-        Guards the next request against the rest of a response that brought too much, and against a connection that its
-        peer has closed.
+        Guards the next request against surplus bytes of an earlier response, and against a closed connection.
 
         Returns:
             Whether it was closed.
@@ -64,7 +63,8 @@
         """Send the request of a call.
 
         Returns:
-            False if not a byte left: the connection had ended, or the first write met that it has, or it is too late.
+            False if not a byte was sent: the connection had ended, the first write found that it has, or it is too
+            late.
         """
         if self.is_closing or self.pool.loop.time() > call.send_before:
             return False
@@ -74,7 +74,7 @@
         self.read_meter.pause()
         self.parser.expect_response(method)
         if call.last_byte_delay_s > 0:
-            self._put_all_but_last_byte(call, data)
+            self._write_all_but_last_byte(call, data)
         else:
             self.write(data) if isinstance(data, bytes) else self.write(*data)
         if self.transport.is_closing():  # the first write, into an empty buffer, failed as a whole
@@ -84,19 +84,19 @@
             self.pool.loop.call_at(call.send_before, self._abort_if_partial, call)
         return True
 
-    def _put_all_but_last_byte(self, call: Call, data: RequestBytes) -> None:
+    def _write_all_but_last_byte(self, call: Call, data: RequestBytes) -> None:
         joined = data if isinstance(data, bytes) else b"".join(data)
         self.withheld_end = joined[-1:]
         self.write(joined[:-1])
-        self.pool.loop.call_later(call.last_byte_delay_s, self._put_last_byte, call)
+        self.pool.loop.call_later(call.last_byte_delay_s, self._write_last_byte, call)
 
-    def _put_last_byte(self, call: Call) -> None:
+    def _write_last_byte(self, call: Call) -> None:
         if self.call is call and self.withheld_end:
             withheld_end, self.withheld_end = self.withheld_end, b""
             self.write(withheld_end)
 
     def _abort_if_partial(self, call: Call) -> None:
-        """What has not left by now must not: a peer that reads on, or a network that is back, would have all of it."""
+        """Abort a call that is not completely sent in time: a peer that reads on later must not receive all of it."""
         if self.call is call and self.request_incomplete:
             call.abort(WireResult.REQUEST_INCOMPLETE)
 
@@ -109,13 +109,13 @@
             return "request_rate" if self.write_meter.tick(now_ms, written) else ""
         self.write_meter.pause()
         read = self.take_read_bytes()
-        # Until the first byte of a response a peer works, and its time is the caller's to bound.
+        # Until the first byte of the response the peer processes the request; the caller's timeout bounds that.
         return "response_rate" if self.bytes_read and self.read_meter.tick(now_ms, read) else ""
 
     def received(self, data: memoryview) -> None:
-        """Take bytes of a response."""
+        """Handle received bytes of a response."""
         self.bytes_read += len(data)
-        if self.call is None:  # bytes that answer nothing: such a connection can't be trusted with a request
+        if self.call is None:  # bytes without a request: such a connection is not reused
             self.transport.abort()
             return
         try:
@@ -127,8 +127,8 @@
         if call is None:
             return
         if self.pool.finish_at_status_line and call.on_done is not None and self.parser.early_status == 200:
-            # Its first line is true whatever follows: the peer's slot is free, and so is ours. The rest is only read to
-            # see whether the connection can be used again.
+            # The status is final whatever follows, and the peer's slot is free. The rest is only read to find out
+            # whether the connection can be reused.
             call.finish(CallResult(WireResult.ANSWERED, self.head, b"", not self.request_incomplete, 200))
             call.timer = self.pool.loop.call_later(RESPONSE_TAIL_TIMEOUT_S, call.abort, WireResult.TIMED_OUT)
         if self.parser.error:
@@ -150,17 +150,14 @@
         assert call is not None
         assert head is not None
         call.connection = None
-        request_incomplete = self.request_incomplete  # a response that came before the request was out
-        if (
-            head.keep_alive
-            and self.parser.is_idle
-            and not self.parser.error
-            and not request_incomplete
-            and not self.is_closing
-        ):
+        request_incomplete = self.request_incomplete  # the response was received before the request was sent
+        response_was_clean = head.keep_alive and self.parser.is_idle and not self.parser.error
+        if request_incomplete:
+            self.transport.abort()
+        elif response_was_clean and not self.is_closing:
             self.pool.keep_idle(self)
         else:
-            self.transport.abort() if request_incomplete else self.transport.close()
+            self.transport.close()
         call.finish(CallResult(WireResult.ANSWERED, head, body, not request_incomplete))
 
     def eof_received(self) -> None:
@@ -172,7 +169,7 @@
                 return
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Leave the pool, and end the call that was out. Called by asyncio."""
+        """Leave the pool, and end the call in flight. Called by asyncio."""
         request_incomplete = self.request_incomplete
         super().connection_lost(exc)
         self.pool.remove(self)
--- a/linnetstile/net/client_pool.py
+++ b/linnetstile/net/client_pool.py
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MinimumRates:
-    """Minimum rates in bytes a second (0 = none), and the stall in seconds that they forgive."""
+    """Minimum rates in bytes a second (0 = none), and the stall in seconds that they allow."""
 
     request_rate: float = 0.0  # at which a peer reads
     response_rate: float = 0.0  # at which it responds, from the first byte of its response on
@@ -55,13 +55,14 @@
         """Start an empty pool on the running event loop.
 
         Args:
-            connect_timeout_s: Time in seconds that a connection, with its TLS handshake, may take to be made.
-            idle_timeout_s: Time in seconds that an idle connection is kept at most.
+            connect_timeout_s: Time in seconds in which a connection, with its TLS handshake, has to be made.
+            idle_timeout_s: Time in seconds after which an idle connection is closed.
             limits: Limits on the size of responses.
             rates: Minimum rates that peers have to keep.
             on_slow: Called with a connection and the name of the limit that it is closed for.
-            finish_at_status_line: Report a 200 as soon as its first line can be read (the platform's peers mean it).
-            max_idle: Idle connections that are kept at most; the oldest is closed first.
+            finish_at_status_line: Report a 200 as soon as its first line can be read, for peers whose status is final
+                whatever follows.
+            max_idle: Maximum number of idle connections; the oldest is closed first.
         """
         self.finish_at_status_line = finish_at_status_line
         self.max_idle = max_idle
@@ -103,10 +104,9 @@
             on_done: Called once with the end of the call, never from within this method.
             timeout_at: Loop time (s) at which the call times out; None = never.
             tls: Makes new connections with TLS.
-            last_byte_delay_s: Time in seconds that the last byte is held back for. A connection that ends before
-                then, as one does that had been closed, had no request.
-            send_before: Loop time (s) by which the request has left or does not leave at all, however long a connection
-                takes to be made.
+            last_byte_delay_s: Time in seconds by which the last byte is delayed. If the connection ends before that,
+                as one does that the peer had closed, the peer did not receive the request.
+            send_before: Loop time (s) after which the request is not sent, however long a connection takes to open.
         """
         call = Call(on_done, last_byte_delay_s, send_before)
         if timeout_at is not None:
@@ -118,7 +118,7 @@
     def _send_on_idle_connection(
         self, call: Call, address: Address, method: str, data: RequestBytes, uses_tls: bool
     ) -> bool:
-        """Send the call on the newest idle connection that takes it; return False if there is none."""
+        """Send the call on the newest idle connection that can be written to; return False if there is none."""
         while connection := self._take_idle_connection(call, address):
             # Under TLS there may be records that are not for us.
             if connection.is_closing or (not uses_tls and connection.abort_if_unsolicited_input()):
--- a/linnetstile/net/connection.py
+++ b/linnetstile/net/connection.py
@@ -1,4 +1,4 @@
-"""What both ends of a connection share: the receive buffer, and a write side that knows what has not left yet."""
+"""What client and server connections share: the receive buffer, and a write side that knows what was not sent."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from ..engine.minimum_rate import MinimumRateMeter
 from .receive_buffer import LARGE_BUFFER, SMALL_BUFFER
 
-# Handed to the transport in one go: it copies what the kernel does not take.
+# Passed to the transport at a time: it copies what the kernel does not accept.
 WRITE_SLICE_BYTES = 128 * 1024
 
 
@@ -23,7 +23,7 @@
     """
 
     def write(self, data: bytes | bytearray | memoryview) -> None:
-        """Write bytes; what the kernel does not take is buffered."""
+        """Write bytes; what the kernel does not accept is buffered."""
 
     def write_eof(self) -> None:
         """Close the write side after what was written."""
@@ -47,7 +47,7 @@
         """Read on after `pause_reading`."""
 
     def get_write_buffer_size(self) -> int:
-        """Bytes that the kernel has not taken."""
+        """Bytes that the kernel has not accepted."""
 
     def set_write_buffer_limits(self, high: int | None = None, low: int | None = None) -> None:
         """Set when the protocol's `pause_writing` and `resume_writing` are called."""
@@ -57,16 +57,16 @@
 
 
 class BufferedConnection(asyncio.BufferedProtocol):
-    """A connection that reads into the shared buffer and knows which bytes have not left this process.
+    """A connection that reads into the shared buffer and knows which bytes were not sent.
 
-    `received` is called with a view that is valid during the call only. What the kernel does not take of the written
+    `received` is called with a view that is valid during the call only. What the kernel does not accept of the written
     bytes waits here, uncopied, so that the count of unsent bytes is exact to a slice.
     """
 
     transport: Transport
-    is_lost = False  # the loop has told the end of the connection
+    is_lost = False  # the event loop has reported the end of the connection
     uses_large_buffer = False  # reads by whole buffers
-    write_paused = False  # the kernel has not taken all that the transport was given
+    write_paused = False  # the kernel has not accepted all that was written to the transport
     closing_when_written = False  # closes once all has been written
 
     def start_rate_meters(self, read_rate: float, write_rate: float, grace_s: float) -> None:
@@ -75,13 +75,13 @@
         Args:
             read_rate: Bytes a second at which the peer has to send; 0 = none.
             write_rate: Bytes a second at which the peer has to read; 0 = none.
-            grace_s: The stall in seconds that both rates forgive.
+            grace_s: The stall in seconds that both rates allow.
         """
         self.read_meter = MinimumRateMeter(read_rate, grace_s * 1000)
         self.write_meter = MinimumRateMeter(write_rate, grace_s * 1000)
         self.bytes_read = 0  # bytes received
-        self.metered_read_bytes = 0  # those of them that the meter has seen
-        self.metered_written_bytes = 0  # bytes that had left when the meter last looked
+        self.metered_read_bytes = 0  # those of them that were counted by the meter
+        self.metered_written_bytes = 0  # bytes that had been sent at the last tick of the meter
 
     def take_read_bytes(self) -> int:
         """Return the bytes received since the last call."""
@@ -89,35 +89,35 @@
         return count
 
     def take_written_bytes(self) -> int:
-        """Return the bytes that the kernel took since the last call."""
+        """Return the bytes that the kernel accepted since the last call."""
         written = self.submitted_bytes - self.unsent_bytes
         count, self.metered_written_bytes = written - self.metered_written_bytes, written
         return count
 
     @property
-    def remaining_patience(self) -> float:
-        """What the minimum rates have left of the stall that they forgive: 1 = all, 0 = about to be closed."""
+    def remaining_grace(self) -> float:
+        """The fraction of the allowed stall that is left: 1 = all, 0 = about to be closed."""
         return 1 - max(self.read_meter.patience_used_ms, self.write_meter.patience_used_ms) / self.read_meter.grace_ms
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Start with an empty write queue. Called by asyncio."""
         self.transport = cast(Transport, transport)
-        # We are called at once when the kernel takes no more, and when it has taken the last byte.
+        # asyncio calls us at once when the kernel accepts no more, and when it has accepted the last byte.
         self.transport.set_write_buffer_limits(high=0)
         self.write_queue: deque[memoryview] = deque()
         self.queued_bytes = 0  # bytes in the write queue
-        self.submitted_bytes = 0  # bytes written since the connection began, whether they have left or not
+        self.submitted_bytes = 0  # bytes written since the connection began, sent or not
 
     def get_buffer(self, sizehint: int) -> memoryview:
         """Return the buffer that the next bytes are read into. Called by asyncio."""
         return LARGE_BUFFER if self.uses_large_buffer else SMALL_BUFFER
 
     def buffer_updated(self, nbytes: int) -> None:
-        """Hand on the bytes that were read into the buffer. Called by asyncio."""
+        """Process the bytes that were read into the buffer. Called by asyncio."""
         self.received(LARGE_BUFFER[:nbytes])
 
     def received(self, data: memoryview) -> None:
-        """Take bytes that have arrived. The view is valid during the call only."""
+        """Process received bytes. The view is valid during the call only."""
         raise NotImplementedError
 
     def write(self, head: bytes, body: bytes = b"") -> None:
@@ -146,20 +146,20 @@
 
     @property
     def unsent_bytes(self) -> int:
-        """Bytes that the kernel has not taken: the peer can't have the whole message while there are any."""
+        """Bytes that the kernel has not accepted: the peer can't have the complete message while there are any."""
         return self.queued_bytes + self.transport.get_write_buffer_size()
 
     def pause_writing(self) -> None:
-        """Queue further bytes here: the kernel takes no more. Called by asyncio."""
+        """Queue further bytes here: the kernel accepts no more. Called by asyncio."""
         self.write_paused = True
 
     def resume_writing(self) -> None:
-        """Write what is queued: the kernel has taken the last byte. Called by asyncio."""
+        """Write what is queued: the kernel has accepted the last byte. Called by asyncio."""
         self.write_paused = False
         self._write_queued()
 
     def close_when_written(self) -> None:
-        """Close once all that was written has left."""
+        """Close once all that was written was sent."""
         self.closing_when_written = True
         if not self.write_queue and not self.is_closing:
             self.transport.close()
@@ -176,9 +176,9 @@
 
     @property
     def has_unread_input(self) -> bool:
-        """Whether the kernel holds bytes, or the end, of this connection that nobody has read.
+        """Whether the kernel has unread bytes, or the end, of this connection.
 
-        What is closed over unread bytes is reset, and what was written before may go with it.
+        Closing on unread bytes resets the connection, and what was written before may be lost.
         """
         endpoint = self.transport.get_extra_info("socket")
         descriptor = endpoint.fileno() if isinstance(endpoint, (socket.socket, TransportSocket)) else -1
@@ -194,5 +194,5 @@
         return f"{name[0]}:{name[1]}" if isinstance(name, tuple) else "?"
 
     def peer_host(self) -> str:
-        """Return the peer's address without its port: limits by client use it until the client has told a name."""
+        """Return the peer's address without its port: limits by client use it until the client is identified."""
         return self.peer_address().rpartition(":")[0]
--- a/linnetstile/net/connection_phase.py
+++ b/linnetstile/net/connection_phase.py
@@ -1,7 +1,7 @@
 """The phases of a server connection; the values are the names that the admin socket and the logs show.
 
 They are plain strings and no enumeration: the sweep over all connections compares them, and members of an enumeration
-cost more than ten times as much to look up.
+cost more than ten times as much to access.
 """
 
 from __future__ import annotations
--- a/linnetstile/net/connector.py
+++ b/linnetstile/net/connector.py
@@ -11,7 +11,7 @@
 
 
 class HandshakeError(errors.LinnetstileError, ConnectionError):
-    """A TLS handshake failed; the message says why."""
+    """A TLS handshake failed; the message is the reason."""
 
 
 async def open_connection(connection: ClientConnection, tls: TlsParameters | None) -> None:
--- a/linnetstile/net/request_body.py
+++ b/linnetstile/net/request_body.py
@@ -22,7 +22,7 @@
         self.size += len(piece)
 
     def join(self) -> bytes:
-        """Return the whole body; one that came in one piece is not copied."""
+        """Return the complete body; one that was received in one piece is not copied."""
         return self._pieces[0] if len(self._pieces) == 1 else b"".join(self._pieces)
 
     def drop_pieces(self) -> None:
--- a/linnetstile/net/request_context.py
+++ b/linnetstile/net/request_context.py
@@ -22,12 +22,12 @@
     body: bytes  # empty until the request is complete
     started_at: float  # loop time, s
     answered: bool
-    on_disconnect: Callable[[], None] | None  # called if the client leaves before it was answered
+    on_disconnect: Callable[[], None] | None  # called if the client disconnects before it was answered
     content_length: int | None  # of the body in bytes; None = chunked, and not known
     granted_bytes: int  # bytes of the body that capacity was granted for
     reservation: object  # what was recorded with the capacity granted; given back by the server's `release`
     body_deadline: float | None  # loop time from which on it is too late for the body to be complete
-    on_body_data: Callable[[bytes], object] | None  # gets each piece of the body as it comes
+    on_body_data: Callable[[bytes], object] | None  # called with each piece of the body
     submission: object  # what the owner of the server has read from the head already
 
     def __init__(self, connection: ServerConnection, head: http1.Request, started_at: float) -> None:
@@ -52,7 +52,7 @@
     def reply(
         self, status: int, headers: Iterable[tuple[str, str]] = (), body: bytes = b"", close: bool = False
     ) -> bool:
-        """Write the response. A second call is a fault of ours.
+        """Write the response. It must not be called twice.
 
         Args:
             status: The status code.
@@ -61,7 +61,7 @@
             close: Whether to close the connection afterwards.
 
         Returns:
-            False if the client has gone.
+            False if the client has disconnected.
         """
         assert not self.answered, "a second answer to one request"
         self.answered = True
--- a/linnetstile/net/request_input.py
+++ b/linnetstile/net/request_input.py
@@ -24,7 +24,7 @@
         self._events: deque[http1.Event] = deque()  # parsed, and not handled yet
 
     def feed(self, data: bytes | memoryview) -> None:
-        """Add bytes, and parse them up to a number of events; a fault in them is kept as the parser's `error`."""
+        """Add bytes, and parse them up to a number of events; an error in them is recorded as the parser's `error`."""
         try:
             self._events.extend(self.parser.feed(data, EVENTS_PER_PARSE))
         except http1.Http1Error:
--- a/linnetstile/net/response_writer.py
+++ b/linnetstile/net/response_writer.py
@@ -52,7 +52,7 @@
 def _can_skip_body(request: RequestContext) -> bool:
     """Whether the rest of a request that was answered early is read and dropped.
 
-    That needs a body that is known to be small, and a client that does not wait to be asked for it.
+    That needs a body that is known to be small, and a client that does not wait for `100 Continue`.
     """
     small = request.content_length is not None and request.content_length <= SMALL_BODY_BYTES
     return small and not request.head.headers.get("expect")
--- a/linnetstile/net/server.py
+++ b/linnetstile/net/server.py
@@ -36,7 +36,7 @@
 # asyncio counts none of them before the pass ends. Fewer, down to the second figure, where few may be open.
 MAX_ACCEPTS_PER_PASS = 64
 MIN_ACCEPTS_PER_PASS = 8
-ACCEPT_QUEUE = 1024  # connections that the kernel holds until they are accepted
+ACCEPT_QUEUE = 1024  # connections that the kernel queues until they are accepted
 LOCAL_ACCEPT_QUEUE = 16
 OWNER_ONLY_UMASK = 0o177
 
@@ -54,7 +54,7 @@
         release: Called when a request ends by a response, or ended before it was complete.
         on_slow: Called for a connection that is closed for a limit.
         tls: Keys and certificates; None = without TLS.
-        counts: Events by name, among them `let_go_NAME` for each limit that connections were closed for.
+        counts: Events by name, among them `server_limits.counter_name` of each limit that connections were closed for.
     """
 
     def __init__(
@@ -129,9 +129,9 @@
         return self.registry.admit_connection(connection)
 
     def _report_eviction(self, connection: ServerConnection) -> None:
-        self.count(f"let_go_{server_limits.FULL}")
+        self.count(server_limits.counter_name(server_limits.LISTENER_FULL))
         if not connection.had_complete_request:
-            self.on_slow(connection, server_limits.FULL)
+            self.on_slow(connection, server_limits.LISTENER_FULL)
 
     # -- limits ------------------------------------------------------------------------------------------
 
@@ -141,7 +141,7 @@
         for connection in list(self.connections):
             limit = violated_limit(connection, now)
             if limit:
-                self.count(f"let_go_{limit}")
+                self.count(server_limits.counter_name(limit))
                 if limit not in server_limits.ORDERLY_LIMITS:
                     self.on_slow(connection, limit)
                 close_for_limit(connection, limit)
@@ -168,7 +168,7 @@
 
     @property
     def has_unread_input(self) -> bool:
-        """Whether bytes of clients were received that nobody has read."""
+        """Whether the kernel has bytes of clients that were not read."""
         return any(
             connection.has_unread_input
             for connection in self.connections
@@ -181,7 +181,7 @@
             self._server.close()
 
     def close(self) -> None:
-        """End the listener and every connection at once, with or without a response."""
+        """Close the listener and every connection at once, with or without a response."""
         self.stop_listening()
         if self._sweep_timer:
             self._sweep_timer.cancel()
--- a/linnetstile/net/server_connection.py
+++ b/linnetstile/net/server_connection.py
@@ -154,7 +154,7 @@
             self.server.loop.call_soon(self._process_events)
 
     def _apply_back_pressure(self) -> None:
-        """Pause or resume reading: what follows a request that waits is left in the kernel."""
+        """Pause or resume reading: input behind a request that waits stays in the kernel."""
         if self.finished:
             return
         pause = (
--- a/linnetstile/net/server_limits.py
+++ b/linnetstile/net/server_limits.py
@@ -1,4 +1,4 @@
-"""What a peer of the server may take and how slow it may be; which of these limits a connection is over."""
+"""Limits on the connections of a server: how many, how idle and how slow; which of them a connection exceeds."""
 
 from __future__ import annotations
 
@@ -10,29 +10,36 @@
 if TYPE_CHECKING:
     from .server_connection import ServerConnection
 
-# What a peer still sends is dropped for so long, so that it can read why its request was rejected.
+# For so long further input is dropped, so that the peer can read why its request was rejected.
 LINGER_TIMEOUT_S = 2.0
 
-# Names of the limits, as counters (`let_go_NAME`) and logs show them.
-ANSWER_RATE: Final = "answer_rate"  # the peer reads its response too slowly
+# Names of the limits, as counters and logs show them.
+RESPONSE_RATE: Final = "answer_rate"  # the peer reads its response too slowly
 BODY_RATE: Final = "body_rate"  # it sends a body too slowly
-BODY_TIME: Final = "body_time"  # the body is not complete by its deadline
-FULL: Final = "full"  # the listener has no place for a new connection
+BODY_DEADLINE: Final = "body_time"  # the body is not complete by its deadline
+LISTENER_FULL: Final = "full"  # the maximum number of connections is open
 HANDSHAKE: Final = "handshake"  # TLS takes too long
 HEAD: Final = "head"  # the head of a request takes too long
 IDLE: Final = "idle"  # there was no request for too long
 LINGER: Final = "linger"  # the peer does not close after the last response
-# The peer did nothing wrong: neither is reported as a slow peer.
+# No fault of the peer: neither is reported as a slow peer.
 ORDERLY_LIMITS = (IDLE, LINGER)
-# The peer was too slow with a request, and hears so.
-SLOW_REQUEST_LIMITS = (BODY_RATE, BODY_TIME, HEAD)
+# The peer was too slow with a request, and is answered so.
+SLOW_REQUEST_LIMITS = (BODY_RATE, BODY_DEADLINE, HEAD)
+
+COUNTER_PREFIX = "let_go_"
+
+
+def counter_name(limit: str) -> str:
+    """Return the name of the counter of connections that were closed for a limit."""
+    return COUNTER_PREFIX + limit
 
 
 @dataclass(frozen=True, slots=True)
 class ServerLimits:
     """Limits of one listener: times in seconds, rates in bytes a second (0 = none).
 
-    A connection over one of them is closed.
+    A connection that exceeds one of them is closed.
     """
 
     max_connections: int = 4096
@@ -40,17 +47,17 @@
     idle_timeout_s: float = 60.0  # between two requests
     min_body_rate: float = 0.0  # minimum rate of a body
     min_response_rate: float = 0.0  # minimum rate at which a response is read
-    rate_grace_s: float = 5.0  # of a stall that the minimum rates forgive
+    rate_grace_s: float = 5.0  # of a stall that the minimum rates allow
     max_pipelined_events: int = 32  # events, or 512 bytes each, that wait behind a request that is not answered yet
     max_unsent_bytes: int = 256 * 1024  # of responses that a peer has not read, before no more is read from it
-    sweep_interval_s: float = 1.0  # how often the limits are looked at
+    sweep_interval_s: float = 1.0  # how often the limits are checked
 
 
 def violated_limit(connection: ServerConnection, now: float) -> str:
-    """Tick the rate meters of a connection; return the name of the limit that it is over, or an empty string.
+    """Tick the rate meters of a connection; return the name of the limit that it exceeds, or an empty string.
 
     Args:
-        connection: The connection to look at.
+        connection: The connection to check.
         now: Loop time in seconds.
     """
     limits, phase = connection.server.limits, connection.phase
@@ -58,10 +65,10 @@
     if not connection.unsent_bytes:
         connection.write_meter.pause()
     elif connection.write_meter.tick(now * 1000, written):
-        return ANSWER_RATE
+        return RESPONSE_RATE
     request = connection.current_request
     if request is not None and not connection.response_pending and (request.body_deadline or now) < now:
-        return BODY_TIME
+        return BODY_DEADLINE
     if phase == connection_phase.READING_BODY and not connection.reading_paused:
         return BODY_RATE if connection.read_meter.tick(now * 1000, read) else ""
     connection.read_meter.last_tick_at = None
--- a/linnetstile/net/tls.py
+++ b/linnetstile/net/tls.py
@@ -1,7 +1,7 @@
 """TLS (RFC 8446, RFC 5246) between a transport and a connection, over memory BIOs.
 
-asyncio's own TLS tells the protocol of a connection only after the handshake, so a thousand peers that never finish one
-would be seen by no limit. Here the connection exists from its first byte, and its limits hold in the handshake.
+asyncio's own TLS creates the protocol's connection only after the handshake, so that no limit would apply to peers that
+never finish one. Here the connection exists from its first byte, and its limits apply during the handshake.
 """
 
 from __future__ import annotations
@@ -42,7 +42,7 @@
             connection: Gets the decrypted bytes and writes through this object.
             context: Keys, certificates and authorities.
             server_side: Whether the peer has connected to us.
-            server_name: The name that the peer's certificate is to show (client side).
+            server_name: The name that the peer's certificate has to show (client side).
             on_handshake: Called when the handshake has ended.
         """
         self.connection = connection
@@ -69,7 +69,7 @@
         return SMALL_BUFFER if self.reading_paused or not self.connection.uses_large_buffer else LARGE_BUFFER
 
     def buffer_updated(self, nbytes: int) -> None:
-        """Take encrypted bytes."""
+        """Process received encrypted bytes."""
         self.incoming.write(LARGE_BUFFER[:nbytes])
         self._advance()
 
@@ -82,7 +82,7 @@
                 self._flush()
                 return
             except ssl.SSLError as error:
-                self._flush()  # the alert tells the peer what was wrong
+                self._flush()  # the alert reports the error to the peer
                 self._fail(getattr(error, "verify_message", "") or error.reason or str(error))
                 return
             self.handshake_done = True
@@ -103,7 +103,7 @@
                 self._fail(error.reason or str(error))
                 return
             if not data:
-                self.peer_closed = True  # close_notify: the peer says that this is all
+                self.peer_closed = True  # close_notify: the peer sends nothing more
                 if not self.connection.eof_received():
                     self.close()
                 break
@@ -129,11 +129,11 @@
         return False
 
     def pause_writing(self) -> None:
-        """Pass on that the kernel takes no more."""
+        """Pass on that the kernel accepts no more."""
         self.connection.pause_writing()
 
     def resume_writing(self) -> None:
-        """Pass on that the kernel has taken the last byte."""
+        """Pass on that the kernel has accepted the last byte."""
         self.connection.resume_writing()
 
     def connection_lost(self, exc: Exception | None) -> None:
@@ -199,11 +199,11 @@
             self._read()
 
     def get_write_buffer_size(self) -> int:
-        """Encrypted bytes that the kernel has not taken."""
+        """Encrypted bytes that the kernel has not accepted."""
         return self.outgoing.pending + self.raw.get_write_buffer_size()
 
     def set_write_buffer_limits(self, high: int | None = None, low: int | None = None) -> None:
-        """Change nothing: the limits of the transport below hold."""
+        """Change nothing: the limits of the transport below apply."""
 
     def get_extra_info(self, name: str, default: object = None) -> object:
         """Information about the transport below."""
--- a/linnetstile/net/tls_context.py
+++ b/linnetstile/net/tls_context.py
@@ -10,7 +10,7 @@
 
 
 class TlsError(ConfigError):
-    """Keys or certificates that can't be used; the message says which file and why."""
+    """Keys or certificates that can't be used; the message names the file and the reason."""
 
 
 class TlsContextFiles:
@@ -33,7 +33,7 @@
         Args:
             server: Whether the context is for the side that accepts connections.
             certificate: Our certificate chain (PEM); None = we show none.
-            key: Its private key (PEM); None = the key stands in the certificate's file.
+            key: Its private key (PEM); None = the key is in the certificate's file.
             authorities: Certificates (PEM) that the peer's one is verified with; a client needs them.
             need_client: Whether a server rejects clients that show no certificate.
 
--- a/linnetstile/telemetry/log.py
+++ b/linnetstile/telemetry/log.py
@@ -8,7 +8,7 @@
 
 
 class Logger(Protocol):
-    """What the program asks of a structured logger: an event name and named fields at each level."""
+    """The interface of a structured logger that the program uses: an event name and named fields at each level."""
 
     def debug(self, event: str, **fields: Any) -> Any:
         """Log an event that matters while searching for a fault."""
@@ -26,8 +26,8 @@
 class NonFailingStream:
     """A text stream whose write errors are counted and not raised.
 
-    It guards messages against a full disk or a closed pipe behind the log: an error raised by a log line would cost a
-    message its final answer.
+    It guards messages against a full disk or a closed pipe behind the log: an error raised by a log line would lose
+    the final answer of a message.
 
     Attributes:
         failed_writes: Number of writes that were lost.
--- a/linnetstile/telemetry/metrics.py
+++ b/linnetstile/telemetry/metrics.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 
 PREFIX = "linnetstile_"
-MAX_SERIES_PER_NAME = 500  # bounds how far names that come from peers can blow up a page
+MAX_SERIES_PER_NAME = 500  # bounds the page where names are chosen by peers
 
 
 @dataclass(frozen=True, slots=True)
