--- a/linnetstile/codec/mdn.py
+++ b/linnetstile/codec/mdn.py
@@ -28,7 +28,7 @@
         recipient: AS2 name of who received that, as the field holds it.
         disposition_type: `processed` or `failed`.
         modifier: `error`, `warning`, `failure` or empty.
-        detail: What the modifier says, such as `authentication-failed`.
+        detail: The detail of the modifier, such as `authentication-failed`.
         mic: Digest of the content as it was received; empty if there is none.
         micalg: Algorithm of the digest, in lower case.
         text: For human readers.
@@ -53,8 +53,8 @@
         """Whether the receiver had the message before (RFC 4130, 7.5.4)."""
         return self.modifier in ("warning", "error") and "duplicate-document" in self.detail.lower()
 
-    def encode(self) -> tuple[str, bytes]:
-        """Return content type and body of the multipart/report."""
+    def encode(self) -> mime.EncodedEntity:
+        """Encode the receipt as a multipart/report."""
         text = (self.text or DEFAULT_TEXT).replace("\n", "\r\n")
         human_part = b"Content-Type: text/plain; charset=utf-8\r\n\r\n" + text.encode() + b"\r\n"
         machine_head = "Content-Type: message/disposition-notification\r\n\r\n"
@@ -84,10 +84,10 @@
 
 
 def parse(content_type: str, body: bytes) -> Mdn:
-    """Parse a multipart/report that holds a disposition notification.
+    """Parse a multipart/report that contains a disposition notification.
 
     Raises:
-        MdnError: It is none, or can't be read.
+        MdnError: It is not one, or can't be read.
     """
     try:
         return _parse_report(content_type, body)
@@ -120,7 +120,9 @@
     disposition_text = fields.get("disposition")
     disposition = DISPOSITION.match(disposition_text)
     if not disposition:
-        raise MdnError("no readable Disposition", field="Disposition", found=disposition_text)
+        raise MdnError(
+            "no readable Disposition", field="Disposition", expected="mode; type/modifier", found=disposition_text
+        )
     mic = RECEIVED_MIC.match(fields.get("received-content-mic"))
     return Mdn(
         original_message_id=as2.parse_message_id(fields.get("original-message-id"), "Original-Message-ID"),
--- a/linnetstile/net/tls_context.py
+++ b/linnetstile/net/tls_context.py
@@ -1,16 +1,25 @@
-"""TLS contexts made of key and certificate files, which may change while they are in service."""
+"""TLS contexts made of key and certificate files, which may change while the program runs."""
 
 from __future__ import annotations
 
 import os
 import ssl
 from pathlib import Path
+from typing import NamedTuple
 
 from ..errors import ConfigError
 
 
 class TlsError(ConfigError):
-    """Keys or certificates that can't be used; the message says which file and why."""
+    """Keys or certificates that can't be used; the message names the file and the reason."""
+
+
+class FileVersion(NamedTuple):
+    """What identifies a state of a file."""
+
+    modified_ns: int
+    inode: int
+    size: int
 
 
 class TlsContextFiles:
@@ -33,9 +42,9 @@
         Args:
             server: Whether the context is for the side that accepts connections.
             certificate: Our certificate chain (PEM); None = we show none.
-            key: Its private key (PEM); None = the key stands in the certificate's file.
+            key: Its private key (PEM); None = the key is in the certificate's file.
             authorities: Certificates (PEM) that the peer's one is verified with; a client needs them.
-            need_client: Whether a server refuses clients that show no certificate.
+            need_client: Whether a server rejects clients that show no certificate.
 
         Raises:
             TlsError: A file can't be used.
@@ -66,40 +75,43 @@
         self.context = self._make_context()
         return True
 
-    def _read_files_version(self) -> tuple[object, ...]:
-        """What tells one state of the files from another: time, inode and size of each, or why it can't be read."""
-        versions: list[object] = []
-        for path in (self.certificate, self.key, self.authorities):
-            try:
-                found = os.stat(path) if path else None
-                versions.append((found.st_mtime_ns, found.st_ino, found.st_size) if found else None)
-            except OSError as error:
-                versions.append(error.errno)
-        return tuple(versions)
+    def _read_files_version(self) -> list[FileVersion | int | None]:
+        """Return what identifies a state of all files: the version of each, or the errno if it can't be read."""
+        return [_read_file_version(path) for path in (self.certificate, self.key, self.authorities)]
 
     def _make_context(self) -> ssl.SSLContext:
         context = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER if self.server else ssl.PROTOCOL_TLS_CLIENT)
         context.minimum_version = ssl.TLSVersion.TLSv1_2
-        path = self.certificate  # the file that is being read, for the message of an error
+        field, path = "certificate", self.certificate  # what is being read, for the message of an error
         try:
             if self.certificate is not None:
                 _check_validity(self.certificate)
                 context.load_cert_chain(self.certificate, self.key, password=lambda: b"")
-            path = self.authorities
+            field, path = "authorities", self.authorities
             if self.authorities is not None:
                 context.load_verify_locations(self.authorities)
             elif not self.server:
-                raise TlsError("no authorities to verify the peer with")
+                raise TlsError("no authorities to verify the peer with", field="authorities", expected="a PEM file")
         except OSError as error:  # ssl.SSLError is one
             reason = error.reason if isinstance(error, ssl.SSLError) and error.reason else error.strerror or str(error)
-            raise TlsError(f"{path}: can't be used: {reason}") from error
+            raise TlsError(f"{path}: can't be used: {reason}", field=field, expected="PEM", found=reason) from error
         if self.server and self.authorities is not None:
             context.verify_mode = ssl.CERT_REQUIRED if self.need_client else ssl.CERT_OPTIONAL
         return context
 
 
+def _read_file_version(path: Path | None) -> FileVersion | int | None:
+    if path is None:
+        return None
+    try:
+        status = os.stat(path)
+    except OSError as error:
+        return error.errno
+    return FileVersion(status.st_mtime_ns, status.st_ino, status.st_size)
+
+
 def _check_validity(path: Path) -> None:
-    """Raise `TlsError` for a certificate out of its time: OpenSSL loads it, and every peer then refuses it."""
+    """Raise `TlsError` for a certificate that is not valid now: OpenSSL loads it, and every peer then rejects it."""
     # Not at the top of the module: the relay on the platform has no certificates and runs without these.
     import datetime
 
@@ -108,9 +120,20 @@
     try:
         certificate = x509.load_pem_x509_certificate(path.read_bytes())
     except ValueError as error:
-        raise TlsError(f"{path}: expected a certificate in PEM") from error
+        raise TlsError(
+            f"{path}: expected a certificate in PEM", field="certificate", expected="a certificate in PEM"
+        ) from error
     now = datetime.datetime.now(datetime.UTC)
     if now > certificate.not_valid_after_utc:
-        raise TlsError(f"{path}: the certificate has expired on {certificate.not_valid_after_utc:%Y-%m-%d}")
+        raise _validity_error(path, f"has expired on {certificate.not_valid_after_utc:%Y-%m-%d}")
     if now < certificate.not_valid_before_utc:
-        raise TlsError(f"{path}: the certificate is valid only from {certificate.not_valid_before_utc:%Y-%m-%d}")
+        raise _validity_error(path, f"is valid only from {certificate.not_valid_before_utc:%Y-%m-%d}")
+
+
+def _validity_error(path: Path, reason: str) -> TlsError:
+    return TlsError(
+        f"{path}: the certificate {reason}",
+        field="certificate",
+        expected="a certificate that is valid now",
+        found=f"one that {reason}",
+    )
--- a/tests/faults/test_connections.py
+++ b/tests/faults/test_connections.py
@@ -75,7 +75,7 @@
                 raise failures.pop()
             return await create_connection(*args, **more)
 
-        for address in list(relay.pool.idle_connections):
+        for address in list(relay.pool.idle_connections.by_address):
             relay.pool.close_idle(address)
         monkeypatch.setattr(loop, "create_connection", fail_three_times)
         answer = await testbed.post(relay.address, testbed.make_message("safe"))  # on an idle connection
@@ -104,7 +104,7 @@
         return await asyncio.wait_for(done, 5)
 
     await call("/1")
-    (idle_connection,) = pool.idle_connections[address]
+    (idle_connection,) = pool.idle_connections.by_address[address]
     idle_connection.transport.abort()  # dead, and connection_lost has not run yet
     assert (await call("/2")).head is not None
     assert received_targets == ["/1", "/2"]
--- a/tests/platform_relay/test_client_connections.py
+++ b/tests/platform_relay/test_client_connections.py
@@ -11,6 +11,7 @@
 import pytest
 
 from linnetstile.net import server
+from linnetstile.net.request_rejection import close_for_limit
 from linnetstile.platform_relay.http_frontend import Submission
 from linnetstile.platform_relay.relay import PlatformRelay
 
@@ -97,18 +98,18 @@
 
 def expire_idle_connections(relay: PlatformRelay) -> None:
     for connection in relay.frontend.server.connections:
-        connection.close_for_limit("idle")
+        close_for_limit(connection, "idle")
 
 
-def make_room_for_a_connection(relay: PlatformRelay) -> None:
+def admit_another_connection(relay: PlatformRelay) -> None:
     arriving_connection = next(iter(relay.frontend.server.connections))
-    relay.frontend.server.make_room_for(arriving_connection)
+    relay.frontend.server.admit_connection(arriving_connection)
 
 
 CLOSE_REASONS: dict[str, Callable[[PlatformRelay], None]] = {
     "shutdown": lambda relay: relay.frontend.stop_admitting(),
     "idle timeout": expire_idle_connections,
-    "eviction for another connection": make_room_for_a_connection,
+    "eviction for another connection": admit_another_connection,
 }
 
 
@@ -191,8 +192,8 @@
         for number in range(20):
             assert await request_status(relay, submission(f"m{number}"), 0.4) == 202
             connections = relay.frontend.server.connections
-            assert all(connection.parser.buffered_bytes < 200_000 for connection in connections)
-            assert all(len(connection.pending_events) < 100 for connection in connections)
+            assert all(connection.input.parser.buffered_bytes < 200_000 for connection in connections)
+            assert all(connection.input.event_count < 100 for connection in connections)
         flooding_writer.transport.abort()
         await wait_until(lambda: is_idle(relay) and not relay.frontend.server.connections)
         assert len([submission_id for submission_id in delivered_ids(testbed) if submission_id.startswith("m")]) == 20
