--- a/tests/engine/test_connection_eviction.py
+++ b/tests/engine/test_connection_eviction.py
@@ -1,4 +1,4 @@
-"""Which connections a full listener closes first."""
+"""The order in which a full listener evicts idle connections."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
     return IdleConnection(host, had_request, just_opened, rate, since, token)
 
 
-def test_connections_that_proved_nothing_are_evicted_first() -> None:
+def test_connections_without_a_request_are_evicted_first_by_host_rate_and_age() -> None:
     hosts = {"many": 90, "few": 2}
     connections = [
         idle("keep-alive of few", "few", 9.0, 0.0, had_request=True),
--- a/tests/engine/test_deduplication.py
+++ b/tests/engine/test_deduplication.py
@@ -1,4 +1,4 @@
-"""Submissions that come again, and the answers that they get."""
+"""The table of submissions: what a repeated identifier gets, and what is forgotten."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
     return table.lookup(now, sender, message_id, digest).status
 
 
-def test_identifier_is_one_message_until_it_is_forgotten() -> None:
+def test_identifier_names_one_message_until_its_retention_ends() -> None:
     table: SubmissionTable[str, str] = SubmissionTable(retention_ms=100, max_answers=2)
     assert lookup(table, 0, "<1>", b"x") is SubmissionStatus.NEW
     table.start("a", "<1>", b"x", "pending")
--- a/tests/engine/test_fair_share.py
+++ b/tests/engine/test_fair_share.py
@@ -23,15 +23,16 @@
     partner: str,
     size: float,
     now: float = 0.0,
-    wait: float = 1000.0,
+    max_wait_ms: float = 1000.0,
     token: object = None,
     tenant: str = "",
 ) -> AdmissionResult:
-    return shares.request(now, ((tenant, "host", sender), (partner,)), size, wait, token or object())
+    """Request a reservation of some bytes and one slot for a sender and a partner."""
+    return shares.request(now, ((tenant, "host", sender), (partner,)), size, max_wait_ms, token or object())
 
 
 def fill(shares: FairShare, sender: str, partner: str, size: float = 1.0) -> list[Reservation]:
-    """Reserve until a request is not granted."""
+    """Reserve until a request is not granted; return the reservations."""
     granted: list[Reservation] = []
     for _ in range(10_000):
         decision, reservation = request(shares, sender, partner, size)
@@ -85,8 +86,8 @@
     shares = FairShare((100, 1000))
     request(shares, "honest", "q", 1, tenant="t")
     granted = 0
-    for n in range(200):
-        decision, reservation = request(shares, f"name{n}", "p", 1, tenant="other")
+    for number in range(200):
+        decision, reservation = request(shares, f"name{number}", "p", 1, tenant="other")
         if decision is not AdmissionDecision.GRANTED:
             shares.release(0.0, reservation)
             break
@@ -130,8 +131,8 @@
 def test_waiting_claimants_are_served_in_rotation() -> None:
     shares = FairShare((10, 1000))
     granted = fill(shares, "x", "p")
-    for n in range(5):
-        request(shares, "many", "p", 1, token=f"m{n}")
+    for number in range(5):
+        request(shares, "many", "p", 1, token=f"m{number}")
     request(shares, "one", "p", 1, token="o")
     for reservation in granted[:2]:
         shares.release(0.0, reservation)
@@ -141,7 +142,7 @@
 def test_waiting_request_expires_once() -> None:
     shares = FairShare((10, 1000))
     fill(shares, "x", "p")
-    _, reservation = request(shares, "y", "q", 1, now=0.0, wait=100.0, token="y")
+    _, reservation = request(shares, "y", "q", 1, now=0.0, max_wait_ms=100.0, token="y")
     assert shares.next_expiry() == 100.0
     assert shares.grant_waiting(99.0) == ([], [])
     assert shares.grant_waiting(100.0) == ([], ["y"])
@@ -154,8 +155,8 @@
     shares = FairShare((1000, 1000))
     granted = fill(shares, "a", "p", 10)
     assert shares.retry_after_ms(0.0, 500, 30_000) == 30_000  # nothing was released yet
-    for n, reservation in enumerate(granted[:50]):
-        shares.release(n * 20.0, reservation)
+    for number, reservation in enumerate(granted[:50]):
+        shares.release(number * 20.0, reservation)
     quick, large = shares.retry_after_ms(1000.0, 100, 30_000), shares.retry_after_ms(1000.0, 500, 30_000)
     assert 1000 <= quick < large < 30_000
 
--- a/tests/engine/test_linear_hash.py
+++ b/tests/engine/test_linear_hash.py
@@ -1,4 +1,4 @@
-"""Rows by hash, against a plain dict; one chain a step, however many rows there are."""
+"""The linear hash table: the same rows as a dict, short chains, and one chain split for each row that is added."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_finds_the_same_rows_as_a_dict(seed: int) -> None:
+def test_table_finds_the_same_rows_as_a_dict(seed: int) -> None:
     rng = random.Random(seed)
     keys: list[int] = []  # by row
     table = LinearHashTable(lambda row: hash_integer(keys[row]))
@@ -37,21 +37,21 @@
 
 
 @pytest.mark.parametrize("step", [1, 2, 1000, 1024, 2**24])
-def test_chains_and_steps_stay_short(step: int) -> None:
-    hashes_asked = 0
+def test_chains_and_the_work_of_an_insertion_are_short(step: int) -> None:
+    hash_count = 0
 
     def hash_of(row: int) -> int:
-        nonlocal hashes_asked
-        hashes_asked += 1
+        nonlocal hash_count
+        hash_count += 1
         return hash_integer(row * step)
 
     table = LinearHashTable(hash_of)
-    most = 0
+    most_hashes = 0
     for row in range(20_000):
-        before = hashes_asked
+        before = hash_count
         table.add(row)
-        most = max(most, hashes_asked - before)
-    assert most < 30  # the rows of one chain, and the new one
+        most_hashes = max(most_hashes, hash_count - before)
+    assert most_hashes < 30  # the rows of one chain, and the new one
     lengths = [sum(1 for _ in table.find(hash_integer(row * step))) for row in range(0, 20_000, 50)]
     assert sum(lengths) / len(lengths) < 4
     assert max(lengths) < 20
--- a/tests/engine/test_membership.py
+++ b/tests/engine/test_membership.py
@@ -15,7 +15,7 @@
 )
 
 
-def test_fresh_relay_polls_a_few_peers_one_at_a_time_and_then_seldom() -> None:
+def test_fresh_relay_polls_some_peers_one_at_a_time_and_then_rarely() -> None:
     membership = Membership("a", ["a", *(f"p{n}" for n in range(20))], 0.0, 1)
     polled_at: list[float] = []
     now = 0.0
@@ -33,8 +33,8 @@
     assert len(polled_at) <= BOOTSTRAP_PEERS + 7
 
 
-def test_three_hundred_relays_at_once_make_no_storm() -> None:
-    """All fresh within the same moment, as after a restart of 95% within 23 s at the worst."""
+def test_polls_of_300_relays_that_start_at_once_are_spread() -> None:
+    """All start at the same moment; a restart of 95% within 23 s is the worst that happens."""
     names = [f"r{n}" for n in range(300)]
     fleet = [Membership(name, names, 0.0, seed) for seed, name in enumerate(names)]
     polls: dict[str, int] = {}
@@ -52,7 +52,7 @@
     assert most_at_once <= 5
 
 
-def test_status_follows_own_polls_alone() -> None:
+def test_status_of_a_peer_follows_own_polls_alone() -> None:
     membership = Membership("a", ["b"], 0.0, 1)
     membership.poll_answered(0, "b", "run1", ["c", "a"])
     assert membership.alive_peers() == ["b"]
@@ -68,13 +68,13 @@
     assert "c" not in membership.peers  # an advertised peer that never answered is forgotten
     for _ in range(5):
         membership.poll_failed(5, "b")
-    assert membership.peers["b"].status is PeerStatus.LEFT  # a configured one is polled again, ever more seldom
+    assert membership.peers["b"].status is PeerStatus.LEFT  # a configured one is polled again, with a growing backoff
     membership.poll_answered(6, "b", "run3", [f"x{n}" for n in range(5000)])
     assert membership.alive_peers() == ["b"]
     assert len(membership.peers) <= MAX_PEERS
 
 
-def test_flapping_peer_is_polled_ever_more_seldom() -> None:
+def test_flapping_peer_is_polled_with_a_growing_backoff() -> None:
     membership = Membership("a", ["b"], 0.0, 1)
     rng = random.Random(1)
     polls = 0
--- a/tests/engine/test_minimum_rate.py
+++ b/tests/engine/test_minimum_rate.py
@@ -1,4 +1,4 @@
-"""Minimum rates that tolerate a stall."""
+"""Minimum rates of a peer: judged by the mean rate, with a stall that is tolerated."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 @pytest.mark.parametrize(
-    ("rate", "bytes_at", "lasts"),
+    ("rate", "bytes_at", "is_fast_enough"),
     [
         (1000, lambda ms: 250, True),  # exactly the minimum rate
         (1000, lambda ms: 1, False),  # some bytes a second
@@ -23,16 +23,16 @@
     ],
 )
 def test_peer_is_too_slow_by_its_mean_rate_and_not_by_a_stall(
-    rate: float, bytes_at: Callable[[int], int], lasts: bool
+    rate: float, bytes_at: Callable[[int], int], is_fast_enough: bool
 ) -> None:
     meter = MinimumRateMeter(rate, 5000.0)
     too_slow_at = [ms for ms in range(0, 60_000, TICK_MS) if meter.tick(float(ms), bytes_at(ms))]
-    assert (not too_slow_at) == lasts
+    assert (not too_slow_at) == is_fast_enough
     if too_slow_at:
         assert too_slow_at[0] >= 5000  # never before the stall that is tolerated
 
 
-def test_running_ahead_saves_nothing_up_and_a_paused_clock_costs_nothing() -> None:
+def test_fast_start_gains_no_credit_and_a_paused_clock_costs_none() -> None:
     meter = MinimumRateMeter(1000, 5000.0)
     meter.tick(0.0, 10**9)
     assert not meter.tick(4900.0, 0)
--- a/tests/engine/test_recovery_throttle.py
+++ b/tests/engine/test_recovery_throttle.py
@@ -1,4 +1,4 @@
-"""What a restarted relay concludes from the messages that it recovers."""
+"""The throttle after a restart: recovered messages that were queued show that their destination was limited."""
 
 from __future__ import annotations
 
@@ -8,32 +8,34 @@
 from ..conftest import IDEMPOTENT, EngineHarness, make_settings
 
 
-def test_only_a_message_that_had_waited_without_an_attempt_takes_the_tokens() -> None:
+def test_recovered_message_that_was_queued_without_an_attempt_removes_the_tokens() -> None:
     assert tokens_after_recovery(3.0, 0.4, 0, 4000.0) == 0.4
     assert tokens_after_recovery(-1.0, 0.4, 0, 4000.0) == -1.0
-    assert tokens_after_recovery(3.0, 0.4, 1, 4000.0) == 3.0  # it was in flight: whether it had waited is unknown
-    assert tokens_after_recovery(3.0, 0.4, 0, 900.0) == 3.0  # it came as the process before ended
+    assert tokens_after_recovery(3.0, 0.4, 1, 4000.0) == 3.0  # was in flight: may never have been queued
+    assert tokens_after_recovery(3.0, 0.4, 0, 900.0) == 3.0  # submitted just before the previous process ended
 
 
-def restarted(seed: int, age: float) -> EngineHarness:
+def restarted_relay(seed: int, age_ms: float) -> EngineHarness:
     """One of 200 relays that recovers six messages for a destination which takes 80 requests a second from all."""
     harness = EngineHarness(make_settings(relay_count=200), seed=seed)
     harness.list_endpoints((11, 1), advertised_rate=80.0)
-    harness.handle(*(MessageRecovered(Message(message_id, 1, IDEMPOTENT, 8000.0), age) for message_id in range(1, 7)))
+    harness.handle(
+        *(MessageRecovered(Message(message_id, 1, IDEMPOTENT, 8000.0), age_ms) for message_id in range(1, 7))
+    )
     harness.last_id = 6
     return harness
 
 
-def test_relays_that_restart_with_backlogs_do_not_send_them_in_one_burst() -> None:
-    """Without the throttle each sends three at once: 600 in the first moment, where 80 a second are taken."""
-    fleet = [restarted(seed, 5000.0) for seed in range(200)]
+def test_queues_of_restarted_relays_are_not_sent_in_one_burst() -> None:
+    """Without the throttle each sends three at once: 600 at once, where the destination takes 80 a second."""
+    fleet = [restarted_relay(seed, 5000.0) for seed in range(200)]
     assert sum(len(harness.sends) for harness in fleet) <= 2
     for harness in fleet:
         harness.advance(2000, step_ms=50.0)
     sent_at = sorted(at for harness in fleet for at, _ in harness.sends)
     per_second = [sum(start <= at < start + 1000 for at in sent_at) for start in (1000, 2000)]
-    assert all(60 <= count <= 140 for count in per_second), per_second  # an unpaced start is 100 a second
+    assert all(60 <= count <= 140 for count in per_second), per_second  # a start without pacing is 100 a second
 
 
-def test_messages_that_had_just_come_use_the_tokens() -> None:
-    assert len(restarted(1, 900.0).sends) == 3
+def test_messages_submitted_just_before_a_restart_use_the_tokens() -> None:
+    assert len(restarted_relay(1, 900.0).sends) == 3
--- a/tests/engine/test_routing.py
+++ b/tests/engine/test_routing.py
@@ -2,24 +2,31 @@
 
 from __future__ import annotations
 
-from linnetstile.engine.routing import Router, Rule
+import pytest
 
+from linnetstile.engine.routing import Router, Rule
 
-def test_first_matching_rule_counts() -> None:
-    router = Router(
-        (
-            Rule(1, sender="dir-*", subject="plata*"),
-            Rule(2, receiver="firma-1"),
-            Rule(3, content_type="application/edi*"),
-        )
+ROUTER = Router(
+    (
+        Rule(1, sender="dir-*", subject="plata*"),
+        Rule(2, receiver="firma-1"),
+        Rule(3, content_type="application/edi*"),
     )
-    for message, class_index in [
+)
+NO_RULE = 0
+
+
+@pytest.mark.parametrize(
+    ("message", "class_index"),
+    [
         (("dir-x", "b", "plata 7", "text/plain"), 1),
         (("dir-x", "firma-1", "x", "a/b"), 2),
         (("z", "firma-1", "plata", "a/b"), 2),
         (("z", "b", "x", "Application/EDI-X12"), 3),
-        (("z", "Firma-1", "x", "a/b"), 0),
-        (("", "", "", ""), 0),
-    ]:
-        rule = router.match(*message)
-        assert (rule.class_index if rule else 0) == class_index
+        (("z", "Firma-1", "x", "a/b"), NO_RULE),
+        (("", "", "", ""), NO_RULE),
+    ],
+)
+def test_first_matching_rule_gives_the_class(message: tuple[str, str, str, str], class_index: int) -> None:
+    rule = ROUTER.match(*message)
+    assert (rule.class_index if rule else NO_RULE) == class_index
--- a/tests/engine/test_send_order.py
+++ b/tests/engine/test_send_order.py
@@ -1,4 +1,6 @@
-"""Which message is shed when the relay is full: by its expected time of sending, not by the length of its queue."""
+"""Which message is shed when the relay is full: by its expected send time, its value and the quota of its tenant."""
+
+from __future__ import annotations
 
 from dataclasses import replace
 
@@ -23,6 +25,7 @@
 
 
 def pending(message_id: int, message_class: MessageClass) -> PendingMessage:
+    """Return a message of a class that has just been submitted."""
     return PendingMessage(
         Message(message_id, 1, 0, message_class.deadline_ms),
         message_class,
@@ -45,63 +48,65 @@
     assert expected_send_times([], 0.0, 500.0, ValueDecay.LINEAR) == {}
 
 
-def test_among_equal_values_the_one_that_waiting_costs_most_comes_first() -> None:
-    same = replace(QUICK, priority_weight=SLOW.priority_weight)
-    assert urgency(pending(1, same), 1400.0, ValueDecay.HALF_LIFE) > urgency(
-        pending(2, SLOW), 1400.0, ValueDecay.HALF_LIFE
-    )
+def test_message_that_loses_its_value_sooner_is_more_urgent_among_equal_weights() -> None:
+    quick_of_equal_weight = pending(1, replace(QUICK, priority_weight=SLOW.priority_weight))
+    slow = pending(2, SLOW)
+    assert urgency(quick_of_equal_weight, 1400.0, ValueDecay.HALF_LIFE) > urgency(slow, 1400.0, ValueDecay.HALF_LIFE)
 
 
-def rate_limited(**settings: object) -> EngineHarness:
-    """Destination 1 is paced at a call a second, and has been called."""
-    harness = EngineHarness(
-        make_settings(classes=(SLOW, QUICK), value_decay=ValueDecay.HALF_LIFE, clients_mark_retries=True, **settings)
+def rate_limited_harness(**overrides: object) -> EngineHarness:
+    """Return a harness whose destination 1 is limited to a call a second, and has been called."""
+    settings = make_settings(
+        classes=(SLOW, QUICK), value_decay=ValueDecay.HALF_LIFE, clients_mark_retries=True, **overrides
     )
+    harness = EngineHarness(settings)
     harness.list_endpoints((11, 1), advertised_rate=2.0)
     harness.warm_up()
     return harness
 
 
-def test_a_message_that_goes_next_is_not_shed_for_the_length_of_its_queue() -> None:
-    harness = rate_limited(max_pending_messages=14)
+def priority_weight(harness: EngineHarness, message_id: int) -> float:
+    """Return the weight of a pending message; lowered if its tenant was over its quota."""
+    return harness.engine.queues.messages[message_id].priority_weight
+
+
+def test_message_that_is_sent_next_is_not_shed_for_the_length_of_its_queue() -> None:
+    harness = rate_limited_harness(max_pending_messages=14)
     slow = [harness.submit(0, remaining_ms=16000.0) for _ in range(11)]
     assert not set(slow) & set(harness.final_answers)
     assert len(harness.engine.queues.queues[1]) > 8
-    quick = harness.submit(
-        1, remaining_ms=8000.0
-    )  # the queue takes longer than this to drain, but this one is sent first
+    quick = harness.submit(1, remaining_ms=8000.0)  # the queue needs longer than that, but this one is sent first
     assert quick not in harness.final_answers
     assert len(set(slow) & set(harness.final_answers)) == 1
     harness.advance(2500)
     assert harness.attempts.get(quick) == 1
 
 
-def test_a_retry_is_not_charged_to_its_tenant_again() -> None:
-    """Clients come again for what was refused, several times while destinations are shut: their first tries have been
-    charged, and new messages of the tenant are inside its share still."""
+def test_retry_is_not_charged_to_its_tenant_again() -> None:
+    """Clients submit rejected messages again, several times in an outage: their first submissions have been charged,
+    and new messages of the tenant are still within its quota."""
     tenants = (Tenant("a", 4.0), Tenant("b", 4.0))
-    harness = rate_limited(max_pending_messages=100, tenants=tenants, over_quota_value_factor=0.1)
+    harness = rate_limited_harness(max_pending_messages=100, tenants=tenants, over_quota_value_factor=0.1)
     harness.advance(3000)
-    for again, dead in ((True, False), (False, True), (True, False), (True, False), (True, False)):
+    marks = [{"is_retry": True}, {"from_dead_relay": True}, *[{"is_retry": True}] * 3]
+    for mark in marks:
         harness.last_id += 1
-        harness.handle(Message(harness.last_id, 1, 0, 9000.0, 0, is_retry=again, from_dead_relay=dead))
+        harness.handle(Message(harness.last_id, 1, 0, 9000.0, **mark))
     new = harness.submit(0, remaining_ms=16000.0)
-    assert harness.engine.queues.messages[new].priority_weight == SLOW.priority_weight
-    more = [harness.submit(0, remaining_ms=16000.0) for _ in range(4)]  # new ones are charged
-    assert [harness.engine.queues.messages[message_id].priority_weight for message_id in more] == [1.0, 1.0, 1.0, 0.1]
+    assert priority_weight(harness, new) == SLOW.priority_weight
+    later = [harness.submit(0, remaining_ms=16000.0) for _ in range(4)]  # new messages are charged
+    assert [priority_weight(harness, message_id) for message_id in later] == [1.0, 1.0, 1.0, 0.1]
 
 
-def test_a_quota_of_less_than_half_a_message_a_second_still_admits_messages() -> None:
-    """Of many relays each has a small part of it. Two seconds of that were saved up at most: less than one message, so
-    that every message of the tenant counted as over its share."""
-    harness = rate_limited(
+def test_quota_of_less_than_half_a_message_a_second_still_admits_messages() -> None:
+    """Each of many relays has a small part of a quota. At most two seconds of it were accumulated once: less than one
+    message, so that every message of the tenant counted as over its quota."""
+    harness = rate_limited_harness(
         max_pending_messages=100, relay_count=200, tenants=(Tenant("small", 40.0),), over_quota_value_factor=0.1
     )
     harness.advance(20_000, 1000)
     weights = []
-    for _ in range(4):  # one in 5 s is inside a share of 0.2 a second
-        weights += [
-            harness.engine.queues.messages[harness.submit(0, remaining_ms=16000.0)].priority_weight for _ in range(2)
-        ]
+    for _ in range(4):  # one in 5 s is within a quota of 0.2 a second
+        weights += [priority_weight(harness, harness.submit(0, remaining_ms=16000.0)) for _ in range(2)]
         harness.advance(5100, 100)
     assert weights == [1.0, 0.1] * 4
--- a/tests/engine/test_slow_partners.py
+++ b/tests/engine/test_slow_partners.py
@@ -1,4 +1,4 @@
-"""Partners that become slow by their slot time, and recover."""
+"""Detection of slow partners: by their slot time against that of the others, and their recovery."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
     assert detector.partners["slow"].slow_since is None
 
 
-def test_attempts_in_flight_are_evidence_before_any_has_ended(detector: SlowPartnerDetector) -> None:
+def test_partner_is_slow_by_attempts_in_flight_before_any_has_ended(detector: SlowPartnerDetector) -> None:
     run_quick_partners(detector, 0.0, 100.0)
     for token in range(3):
         detector.attempt_started(0.0, "hangs", token)
