--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -1,9 +1,10 @@
-"""docs/CAPACITY.md: what it names exists; each figure has its run or sum; each mechanism has its file or is missing."""
+"""docs/CAPACITY.md: its files and commands exist; each figure has its source, each mechanism its file or its gap."""
 
 from __future__ import annotations
 
 import importlib
 import importlib.util
+import itertools
 import json
 import re
 import shlex
@@ -36,10 +37,13 @@
     "need / bound",
     "mechanism",
 ]
-FAILURES, MISSING = "When something fails", "What is missing, in order"
-CHANGED, SCENES = "Before and after", "Scenes before and after"
-OWN = ("what", "users' bound", "bound", "what fails, how often", "at 120,000 destinations", "scene")
-KINDS = (
+FAILURES = "When something fails"
+MISSING = "What is missing, in order"
+BEFORE_AND_AFTER = "Before and after"
+SCENARIOS_BEFORE_AND_AFTER = "Scenes before and after"
+# Columns whose figures are the users' own or names, and need no source.
+COLUMNS_WITHOUT_SOURCE = ("what", "users' bound", "bound", "what fails, how often", "at 120,000 destinations", "scene")
+FAILURE_KINDS = (
     "a machine",
     "a relay restarted",
     "a relay replaced",
@@ -54,212 +58,258 @@
 )
 
 CODE = re.compile(r"`([^`]+)`")
-FILE = re.compile(r"(?:linnetstile|benchmarks|tests|docs|deploy|days|journal)/[\w./-]+\.\w+\Z")
-KEY = re.compile(r"\[([A-Z]\d*|s\d+)\](?!\()")
+FILE_PATH = re.compile(r"(?:linnetstile|benchmarks|tests|docs|deploy|days|journal)/[\w./-]+\.\w+\Z")
+SOURCE_KEY = re.compile(r"\[([A-Z]\d*|s\d+)\](?!\()")
 GAP = re.compile(r"\*\*missing\*\*(?: (\d+))?")
 RATIO = re.compile(r"(before )?([\d,]+(?:\.\d+)?)")
 
 
 @dataclass(frozen=True)
 class Table:
+    """A table of the page, with the section that it stands in."""
+
     section: str
     header: list[str]
     rows: list[list[str]]
 
 
-def cells(line: str) -> list[str]:
+def cells_of_line(line: str) -> list[str]:
     return [cell.strip() for cell in line.strip().removeprefix("|").removesuffix("|").split("|")]
 
 
-def tables(text: str) -> list[Table]:
-    found: list[Table] = []
-    section, open_ = "", False
+def parse_tables(text: str) -> list[Table]:
+    tables: list[Table] = []
+    section, is_in_table = "", False
     for line in text.splitlines():
         if line.startswith("## "):
             section = line[3:].strip()
         if not line.startswith("|"):
-            open_ = False
-        elif not open_:
-            found.append(Table(section, cells(line), []))
-            open_ = True
+            is_in_table = False
+        elif not is_in_table:
+            tables.append(Table(section, cells_of_line(line), []))
+            is_in_table = True
         elif not set(line) <= set("|-"):
-            found[-1].rows.append(cells(line))
-    return found
+            tables[-1].rows.append(cells_of_line(line))
+    return tables
 
 
-TABLES = tables(PAGE)
+TABLES = parse_tables(PAGE)
 
 
-def table(section: str) -> Table:
-    (found,) = [each for each in TABLES if each.section == section]
-    return found
+def table_of(section: str) -> Table:
+    """Return the only table of a section."""
+    (table,) = [table for table in TABLES if table.section == section]
+    return table
 
 
-def rows(section: str) -> list[dict[str, str]]:
-    found = table(section)
-    return [dict(zip(found.header, row, strict=True)) for row in found.rows]
+def rows_of(section: str) -> list[dict[str, str]]:
+    """Return the rows of the table of a section, each as cells by column."""
+    table = table_of(section)
+    return [dict(zip(table.header, row, strict=True)) for row in table.rows]
 
 
-def files(text: str) -> list[str]:
-    return [code for code in CODE.findall(text) if FILE.match(code)]
+def file_paths(text: str) -> list[str]:
+    return [code for code in CODE.findall(text) if FILE_PATH.match(code)]
 
 
-def gaps(text: str) -> list[str]:
-    """The numbers behind each word `missing`; empty = it has none."""
+def gap_numbers(text: str) -> list[str]:
+    """Return the number behind each word `missing`; an empty text if it has none."""
     return GAP.findall(text)
 
 
-def ratio(cell: str) -> float | None:
-    """The first number of a cell, if it is one of the program as it stands."""
-    found = RATIO.match(cell)
-    return float(found[2].replace(",", "")) if found and not found[1] else None
+def current_ratio(cell: str) -> float | None:
+    """Return the first number of a cell, unless it is one from before a change."""
+    match = RATIO.match(cell)
+    return float(match[2].replace(",", "")) if match and not match[1] else None
 
 
-MECHANISMS = [(section, row["what"], row["mechanism"]) for section in ROLES for row in rows(section)]
-MECHANISMS += [(FAILURES, row["what fails, how often"], row["what carries it"]) for row in rows(FAILURES)]
+MECHANISMS = [(section, row["what"], row["mechanism"]) for section in ROLES for row in rows_of(section)]
+MECHANISMS += [(FAILURES, row["what fails, how often"], row["what carries it"]) for row in rows_of(FAILURES)]
 
 
 def test_each_role_has_its_table() -> None:
     for section in ROLES:
-        assert table(section).header == COLUMNS
-        assert table(section).rows
+        assert table_of(section).header == COLUMNS
+        assert table_of(section).rows
 
 
 def test_rows_are_complete() -> None:
-    for each in TABLES:
-        for row in each.rows:
-            assert len(row) == len(each.header), (each.section, row)
-            assert all(row), (each.section, row)
+    for table in TABLES:
+        for row in table.rows:
+            assert len(row) == len(table.header), (table.section, row)
+            assert all(row), (table.section, row)
 
 
 def test_each_kind_of_failure_has_a_row() -> None:
-    found = [row["what fails, how often"] for row in rows(FAILURES)]
-    assert [kind for kind in KINDS if not any(row.startswith(kind) for row in found)] == []
+    failures = [row["what fails, how often"] for row in rows_of(FAILURES)]
+    assert [kind for kind in FAILURE_KINDS if not any(failure.startswith(kind) for failure in failures)] == []
 
 
-def test_files_exist() -> None:
+def test_files_that_are_named_exist() -> None:
     named = {code for code in CODE.findall(PAGE) if "/" in code and " " not in code}
     assert named
-    assert [code for code in named if not FILE.match(code)] == []
+    assert [code for code in named if not FILE_PATH.match(code)] == []
     assert [name for name in sorted(named) if not (ROOT / name).is_file()] == []
+
+
+def test_pages_that_are_linked_exist() -> None:
     linked = re.findall(r"\]\(([^)#]+)", PAGE)
     assert [name for name in linked if not (ROOT / "docs" / name).is_file()] == []
 
 
 def test_sections_that_are_linked_exist() -> None:
-    there = {
+    anchors = {
         re.sub(r"[^\w -]", "", line[3:].lower()).replace(" ", "-")
         for line in PAGE.splitlines()
         if line.startswith("## ")
     }
-    assert set(re.findall(r"\]\(#([^)]+)\)", PAGE)) <= there
+    assert set(re.findall(r"\]\(#([^)]+)\)", PAGE)) <= anchors
 
 
 @pytest.mark.parametrize(("section", "what", "mechanism"), MECHANISMS)
-def test_a_mechanism_is_a_file_or_missing(section: str, what: str, mechanism: str) -> None:
-    assert any(name.startswith("linnetstile/") for name in files(mechanism)) or gaps(mechanism)
-    assert all(gaps(mechanism)), "missing without its number in the list"
+def test_mechanism_names_its_file_or_its_gap(section: str, what: str, mechanism: str) -> None:
+    assert any(name.startswith("linnetstile/") for name in file_paths(mechanism)) or gap_numbers(mechanism)
+    assert all(gap_numbers(mechanism)), "missing without its number in the list"
 
 
-def test_what_does_not_hold_is_missing() -> None:
+def test_mechanism_above_its_bound_names_a_gap() -> None:
     for section in ROLES:
-        for row in rows(section):
-            found = ratio(row["need / bound"])
-            assert found is None or found <= 1 or gaps(row["mechanism"]), (section, row["what"])
-
-
-def test_what_is_missing_is_listed_in_order() -> None:
-    listed = rows(MISSING)
-    assert [row["no."] for row in listed] == [str(number) for number in range(1, len(listed) + 1)]
-    assert {number for _, _, mechanism in MECHANISMS for number in gaps(mechanism)} == {row["no."] for row in listed}
-    assert {row["fails outright"] for row in listed} <= {"yes", "no"}
-    outright = [row["fails outright"] == "yes" for row in listed]
-    assert outright == sorted(outright, reverse=True)
-    for group in (True, False):
-        order = [-(ratio(row["need / bound"]) or 0.0) for row in listed if (row["fails outright"] == "yes") is group]
-        assert order == sorted(order)
-
-
-def test_the_list_has_the_ratios_of_the_tables() -> None:
-    for row in rows(MISSING):
-        cells_of_gap = {
-            each["need / bound"] for section in ROLES for each in rows(section) if row["no."] in gaps(each["mechanism"])
-        }
-        own = ratio(row["need / bound"])
-        is_ratio_of_gap = own in {ratio(cell) for cell in cells_of_gap}
-        assert is_ratio_of_gap if own is not None else row["need / bound"] in {"-"}, row["what"]
-        sketch = re.search(rf"^\*\*{row['no.']} [^*]+\*\* \(([^)]+)\)\.(.*?)\n\n", PAGE, re.M | re.S)
-        assert sketch, row["what"]
-        assert sketch[1] == row["need / bound"], row["what"]
-        assert len(sketch[2].split()) >= 20, row["what"]
-
-
-def test_each_figure_has_its_run_or_sum() -> None:
-    """A cell with a figure names a key, or the file that the figure is written in. The users' own figures have none."""
-    for section in (*ROLES, FAILURES, CHANGED, SCENES):
-        for row in rows(section):
-            for name, cell in row.items():
-                if name in OWN:
+        for row in rows_of(section):
+            ratio = current_ratio(row["need / bound"])
+            assert ratio is None or ratio <= 1 or gap_numbers(row["mechanism"]), (section, row["what"])
+
+
+def test_gaps_are_numbered_in_order_and_all_are_named_by_a_mechanism() -> None:
+    gaps = rows_of(MISSING)
+    assert [gap["no."] for gap in gaps] == [str(number) for number in range(1, len(gaps) + 1)]
+    assert {number for _, _, mechanism in MECHANISMS for number in gap_numbers(mechanism)} == {
+        gap["no."] for gap in gaps
+    }
+
+
+def test_gaps_that_fail_outright_come_first_and_the_largest_ratio_before_others() -> None:
+    gaps = rows_of(MISSING)
+    assert {gap["fails outright"] for gap in gaps} <= {"yes", "no"}
+    fails_outright = [gap["fails outright"] == "yes" for gap in gaps]
+    assert fails_outright == sorted(fails_outright, reverse=True)
+    for answer in ("yes", "no"):
+        ratios = [current_ratio(gap["need / bound"]) or 0.0 for gap in gaps if gap["fails outright"] == answer]
+        assert ratios == sorted(ratios, reverse=True)
+
+
+def ratios_of_gap(number: str) -> set[float | None]:
+    """Return the ratios of the mechanisms that name a gap."""
+    return {
+        current_ratio(row["need / bound"])
+        for section in ROLES
+        for row in rows_of(section)
+        if number in gap_numbers(row["mechanism"])
+    }
+
+
+@pytest.mark.parametrize("gap", rows_of(MISSING), ids=lambda gap: gap["no."])
+def test_gap_has_a_ratio_of_its_mechanisms_and_a_sketch(gap: dict[str, str]) -> None:
+    ratio = current_ratio(gap["need / bound"])
+    if ratio is not None:
+        assert ratio in ratios_of_gap(gap["no."])
+    else:
+        assert gap["need / bound"] == "-"
+    sketch = re.search(rf"^\*\*{gap['no.']} [^*]+\*\* \(([^)]+)\)\.(.*?)\n\n", PAGE, re.M | re.S)
+    assert sketch
+    assert sketch[1] == gap["need / bound"]
+    assert len(sketch[2].split()) >= 20
+
+
+def test_each_figure_has_a_source() -> None:
+    """A cell with a figure has the key of a run or a sum, or names the file that the figure is written in."""
+    for section in (*ROLES, FAILURES, BEFORE_AND_AFTER, SCENARIOS_BEFORE_AND_AFTER):
+        for row in rows_of(section):
+            for column, cell in row.items():
+                if column in COLUMNS_WITHOUT_SOURCE:
                     continue
-                plain = GAP.sub("", KEY.sub("", CODE.sub("", cell)))
-                if re.search(r"\d", plain):
-                    assert KEY.search(cell) or files(cell), (section, name, cell)
+                plain_text = GAP.sub("", SOURCE_KEY.sub("", CODE.sub("", cell)))
+                if re.search(r"\d", plain_text):
+                    assert SOURCE_KEY.search(cell) or file_paths(cell), (section, column, cell)
 
 
-def test_keys_are_listed_once_and_used() -> None:
-    listed = [row["key"] for section in ("Runs", "Sums") for row in rows(section)]
+def test_source_keys_are_listed_once_and_used() -> None:
+    listed = [row["key"] for section in ("Runs", "Sums") for row in rows_of(section)]
     assert len(listed) == len(set(listed))
-    assert set(KEY.findall(PAGE)) == set(listed)
+    assert set(SOURCE_KEY.findall(PAGE)) == set(listed)
+
 
+# -- commands and results ------------------------------------------------------------------------------------
 
-def benchmark(words: list[str]) -> None:
-    """A command of `python -m benchmarks.slopes` names an axis, and a series of it."""
+
+def assert_slopes_arguments_exist(words: list[str]) -> None:
+    """Check that a command of `python -m benchmarks.slopes` names an axis, and a series of it."""
     slopes = importlib.import_module("benchmarks.slopes.__main__")
     assert words[0] in slopes.AXES
     if "--series" in words:
         assert words[words.index("--series") + 1] in slopes.series_of(words[0])
 
 
-def command(text: str) -> None:
-    words = shlex.split(text)
+def assert_module_exists(words: list[str]) -> None:
+    """Check a command that starts with `python -m`."""
+    assert importlib.util.find_spec(words[2]), words
+    if words[2] == "benchmarks.slopes":
+        assert_slopes_arguments_exist(words[3:])
+
+
+def assert_import_exists(words: list[str]) -> None:
+    """Check the import of a command that starts with `python -c`."""
+    module, name = re.findall(r"from ([\w.]+) import (\w+)", words[2])[0]
+    assert hasattr(importlib.import_module(module), name), words
+
+
+def assert_sub_command_exists(words: list[str]) -> None:
+    """Check the sub-command and the options of a command of the service itself."""
+    assert words[0] == "linnetstile", words
+    sub_command = main.get_command(click.Context(main), words[1])
+    assert sub_command, words
+    known_options = {option for parameter in sub_command.params for option in parameter.opts}
+    assert {word for word in words if word.startswith("--")} <= known_options, words
+
+
+COMMANDS = [code for code in CODE.findall(PAGE) if code.startswith(("python ", "linnetstile "))]
+
+
+def test_page_names_commands() -> None:
+    assert COMMANDS
+
+
+@pytest.mark.parametrize("command", COMMANDS)
+def test_command_exists(command: str) -> None:
+    words = shlex.split(command)
     if words[:2] == ["python", "-m"]:
-        assert importlib.util.find_spec(words[2]), text
-        if words[2] == "benchmarks.slopes":
-            benchmark(words[3:])
+        assert_module_exists(words)
     elif words[:2] == ["python", "-c"]:
-        module, name = re.findall(r"from ([\w.]+) import (\w+)", words[2])[0]
-        assert hasattr(importlib.import_module(module), name), text
+        assert_import_exists(words)
     else:
-        assert words[0] == "linnetstile", text
-        made = main.get_command(click.Context(main), words[1])
-        assert made, text
-        options = {option for param in made.params for option in param.opts}
-        assert {word for word in words if word.startswith("--")} <= options, text
-
-
-def test_commands_exist() -> None:
-    found = [code for code in CODE.findall(PAGE) if code.startswith(("python ", "linnetstile "))]
-    assert found
-    for each in found:
-        command(each)
-
-
-def test_results_are_there_and_are_of_their_commands() -> None:
-    for row in rows("Runs"):
-        assert row["file"] == "-" or files(row["file"]) == [row["file"].strip("`")], row
-        for name in files(row["file"]):
-            result = json.loads((ROOT / name).read_text(encoding="utf-8"))
-            words = CODE.findall(row["command"])[0].split()
-            if words[2:3] == ["benchmarks.slopes"]:
-                assert result["axis"] == words[3]
-            else:
-                options = {
-                    words[at][2:].replace("-", "_"): words[at + 1]
-                    for at in range(len(words))
-                    if words[at].startswith("--")
-                }
-                for option, value in options.items():
-                    size = result["sizes"][option]
-                    assert (",".join(size) if isinstance(size, list) else str(size)) == value, (name, option)
-    cited = {name for name in files(PAGE) if name.endswith(".json")}
-    assert cited == {name for row in rows("Runs") for name in files(row["file"])}
+        assert_sub_command_exists(words)
+
+
+def options_of(words: list[str]) -> dict[str, str]:
+    """Return the options of a command and their values, each by its name in a result file."""
+    return {
+        word[2:].replace("-", "_"): value for word, value in itertools.pairwise([*words, ""]) if word.startswith("--")
+    }
+
+
+@pytest.mark.parametrize("run", rows_of("Runs"), ids=lambda run: run["key"])
+def test_result_file_exists_and_is_of_its_command(run: dict[str, str]) -> None:
+    assert run["file"] == "-" or file_paths(run["file"]) == [run["file"].strip("`")]
+    words = CODE.findall(run["command"])[0].split() if file_paths(run["file"]) else []
+    for path in file_paths(run["file"]):
+        result = json.loads((ROOT / path).read_text(encoding="utf-8"))
+        if words[2:3] == ["benchmarks.slopes"]:
+            assert result["axis"] == words[3]
+        else:
+            for option, value in options_of(words).items():
+                size = result["sizes"][option]
+                assert (",".join(size) if isinstance(size, list) else str(size)) == value, (path, option)
+
+
+def test_results_that_are_named_are_those_of_the_runs() -> None:
+    named = {path for path in file_paths(PAGE) if path.endswith(".json")}
+    assert named == {path for run in rows_of("Runs") for path in file_paths(run["file"])}
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -1,5 +1,7 @@
 """The README's example runs as it is printed."""
 
+from __future__ import annotations
+
 import pathlib
 import subprocess
 import sys
@@ -9,6 +11,8 @@
 
 def test_the_embedding_example_runs() -> None:
     code = README.read_text().split("```python\n")[1].split("```")[0]
-    done = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, timeout=60, cwd=README.parent)
-    assert done.stderr == ""
-    assert done.stdout == "1 7\n"
+    process = subprocess.run(
+        [sys.executable, "-c", code], capture_output=True, text=True, timeout=60, cwd=README.parent
+    )
+    assert process.stderr == ""
+    assert process.stdout == "1 7\n"
--- a/tests/test_slopes.py
+++ b/tests/test_slopes.py
@@ -1,4 +1,4 @@
-"""The fits and forecasts of benchmarks/slopes, and how a series is judged by them."""
+"""benchmarks/slopes: fits of a curve, forecasts by them, and the judgement of a series."""
 
 from __future__ import annotations
 
@@ -13,59 +13,61 @@
 from benchmarks.slopes.timing import REFERENCE_LOOP
 
 SIZES = [20.0, 256.0, 1024.0, 4096.0]
+FITTED_SIZES = (10, 20, 40, 80)
 
 
-def test_a_line_is_found_and_carried_on() -> None:
-    made = fit.best_fit(SIZES, [5 + 3 * n for n in SIZES])
-    assert made.form == "linear"
-    assert made.residual < 1e-9
-    assert made.at(120_000) == pytest.approx(5 + 3 * 120_000)
+def test_line_is_fitted_and_extrapolated() -> None:
+    line = fit.best_fit(SIZES, [5 + 3 * size for size in SIZES])
+    assert line.form == "linear"
+    assert line.residual < 1e-9
+    assert line.at(120_000) == pytest.approx(5 + 3 * 120_000)
 
 
-def test_the_simplest_form_that_fits_is_taken() -> None:
+def test_simplest_form_that_fits_is_chosen() -> None:
     assert fit.best_fit(SIZES, [7.0, 7.1, 6.9, 7.05]).form == "constant"
-    made = fit.best_fit(SIZES, [2 * n**1.5 for n in SIZES])
-    assert (made.form, round(made.b, 6)) == ("power", 1.5)
+    power = fit.best_fit(SIZES, [2 * size**1.5 for size in SIZES])
+    assert (power.form, round(power.b, 6)) == ("power", 1.5)
 
 
-def test_a_slope_that_is_noise_is_not_taken() -> None:
-    made = fit.best_fit(SIZES, [40.0, 52.0, 36.0, 47.0])
-    assert made.form == "constant"
-    assert made.residual > fit.GOOD_RESIDUAL
-    assert fit.fit_form("linear", SIZES, [40.0, 52.0, 36.0, 47.0]).residual > made.residual / 2
+def test_slope_of_noise_is_not_chosen() -> None:
+    noise = [40.0, 52.0, 36.0, 47.0]
+    constant = fit.best_fit(SIZES, noise)
+    assert constant.form == "constant"
+    assert constant.residual > fit.GOOD_RESIDUAL
+    assert fit.fit_form("linear", SIZES, noise).residual > constant.residual / 2
 
 
-def test_deviations_of_a_line_count_relative_to_the_value() -> None:
-    made = fit.fit_form("linear", SIZES, [1.1 * 20, 256.0, 1024.0, 1.1 * 4096])
-    assert made.residual < 0.1  # unweighted, the largest value would pull the line off the least by half
+def test_deviations_are_weighted_relative_to_the_value() -> None:
+    line = fit.fit_form("linear", SIZES, [1.1 * 20, 256.0, 1024.0, 1.1 * 4096])
+    assert line.residual < 0.1  # unweighted, the largest value would pull the line off the least by half
 
 
-def test_values_of_zero_are_fitted_by_forms_that_allow_it() -> None:
+def test_zeros_are_fitted_by_a_constant_and_not_by_a_power() -> None:
     assert fit.best_fit(SIZES, [0.0] * 4) == fit.Fit("constant", 0.0, 0.0, 0.0)
     with pytest.raises(ValueError, match="above 0"):
         fit.fit_form("power", SIZES, [0.0, 1.0, 2.0, 3.0])
 
 
 @pytest.mark.parametrize(("xs", "ys"), [([1.0], [1.0]), ([2.0, 2.0], [1.0, 3.0]), ([1.0, 2.0], [1.0])])
-def test_a_line_needs_two_sizes(xs: list[float], ys: list[float]) -> None:
+def test_line_needs_two_different_sizes(xs: list[float], ys: list[float]) -> None:
     with pytest.raises(ValueError, match="two different sizes"):
         fit.fit_line(xs, ys)
 
 
-def test_an_unknown_form_is_an_error() -> None:
+def test_unknown_form_is_an_error() -> None:
     with pytest.raises(ValueError, match="form: expected one of constant, linear, power"):
         fit.fit_form("cubic", SIZES, SIZES)
 
 
 @given(st.floats(-1e6, 1e6), st.floats(-1e3, 1e3), st.lists(st.integers(1, 10**6), min_size=2, unique=True))
-def test_any_line_is_recovered(a: float, b: float, sizes: list[int]) -> None:
+def test_any_line_is_recovered(intercept: float, slope: float, sizes: list[int]) -> None:
     xs = [float(size) for size in sizes]
-    found = fit.fit_line(xs, [a + b * x for x in xs])
-    most = max(abs(a), abs(b) * max(xs), 1.0)
-    assert abs(found[0] + found[1] * xs[0] - (a + b * xs[0])) <= 1e-6 * most
+    fitted_intercept, fitted_slope = fit.fit_line(xs, [intercept + slope * x for x in xs])
+    magnitude = max(abs(intercept), abs(slope) * max(xs), 1.0)
+    assert abs(fitted_intercept + fitted_slope * xs[0] - (intercept + slope * xs[0])) <= 1e-6 * magnitude
 
 
-def test_of_rounds_the_least_counts_and_a_text_only_without_a_number() -> None:
+def test_least_number_of_the_rounds_counts_and_a_text_only_without_one() -> None:
     assert least_of_rounds([{"a_us": 3.0, "b": "refused"}, {"a_us": 2.0, "b": 4.0}, {"a_us": 5.0, "c": "refused"}]) == {
         "a_us": 2.0,
         "b": 4.0,
@@ -73,44 +75,49 @@
     }
 
 
-def test_a_check_is_no_part_of_the_fit_and_stands_beside_its_forecast() -> None:
-    points: dict[int, Measurements] = {n: {"x_us": 2.0 * n} for n in (10, 20, 40, 80)}
+def make_series(check_sizes: tuple[int, ...] = ()) -> Series:
+    """Return a series whose measurements are made by the test."""
+    return Series("things", FITTED_SIZES, check_sizes, lambda size: {})
+
+
+def test_check_point_is_compared_with_the_forecast_and_not_fitted() -> None:
+    points: dict[int, Measurements] = {size: {"x_us": 2.0 * size} for size in FITTED_SIZES}
     points[1000] = {"x_us": 4000.0}
     points[2000] = {"x_us": "refused: over 8 bytes"}
-    series = Series("things", (10, 20, 40, 80), (1000, 2000), lambda n: {})
-    made = fit_quantities(series, points)["x_us"]
-    assert (made["form"], made["b"], made["points"]) == ("linear", 2.0, 4)
-    assert made["checks"] == [
+    series = make_series(check_sizes=(1000, 2000))
+    fitted = fit_quantities(series, points)["x_us"]
+    assert (fitted["form"], fitted["b"], fitted["points"]) == ("linear", 2.0, 4)
+    assert fitted["checks"] == [
         {"n": 1000, "measured": 4000.0, "forecast": 2000.0, "ratio": 2.0},
         {"n": 2000, "measured": "refused: over 8 bytes", "forecast": 4000.0},
     ]
 
 
-def test_processor_time_is_given_in_calibration_loops_too() -> None:
+def test_processor_time_is_also_given_in_reference_loops() -> None:
     points: dict[int, Measurements] = {
-        n: {"x_us": 100.0 + 2.0 * n, "y_us_a_z": n**1.5, "z_bytes": 1.0 * n, REFERENCE_LOOP: 50.0}
-        for n in (10, 20, 40, 80)
+        size: {"x_us": 100.0 + 2.0 * size, "y_us_a_z": size**1.5, "z_bytes": 1.0 * size, REFERENCE_LOOP: 50.0}
+        for size in FITTED_SIZES
     }
-    made = fit_quantities(Series("things", (10, 20, 40, 80), (), lambda n: {}), points)
-    add_reference_loops(made, 50.0)
-    assert made["x_us"]["in_loops"] == {"a": 2.0, "b": 0.04}
-    assert made["y_us_a_z"]["in_loops"] == {"a": 0.02, "b": 1.5}  # the power is no time
-    assert "in_loops" not in made["z_bytes"]
-    assert REFERENCE_LOOP not in made
+    fitted = fit_quantities(make_series(), points)
+    add_reference_loops(fitted, 50.0)
+    assert fitted["x_us"]["in_loops"] == {"a": 2.0, "b": 0.04}
+    assert fitted["y_us_a_z"]["in_loops"] == {"a": 0.02, "b": 1.5}  # the power is no time
+    assert "in_loops" not in fitted["z_bytes"]
+    assert REFERENCE_LOOP not in fitted
 
 
-def test_points_that_were_refused_are_left_out_and_two_make_no_fit() -> None:
-    series = Series("things", (10, 20, 40, 80), (), lambda n: {})
+def test_rejected_points_are_left_out_and_two_points_make_no_fit() -> None:
+    series = make_series()
     points: dict[int, Measurements] = {10: {"x": 1.0}, 20: {"x": 2.0}, 40: {"x": "refused"}, 80: {"x": "refused"}}
     assert fit_quantities(series, points) == {}
     points[40] = {"x": 4.0}
     assert fit_quantities(series, points)["x"]["points"] == 3
 
 
-def test_cold_calls_are_held_against_the_budget_of_their_second() -> None:
+def test_calls_in_slow_start_are_compared_with_the_budget_of_their_second() -> None:
     assert cold_call_budget(0.0) == pytest.approx(8.0)  # 2 * 0.2 * 20 a second
     assert cold_call_budget(5000.0) == pytest.approx(40.0)
-    worst, chance = worst_budget_use([0.0] * 16)
-    assert worst == pytest.approx(2.0)
-    assert chance == pytest.approx(16 / (8 + 2 * 8**0.5 + 2))
-    assert worst_budget_use([0.0, 1000.0])[0] == pytest.approx(1 / 8)  # a second later is another span
+    worst_ratio, ratio_with_chance = worst_budget_use([0.0] * 16)
+    assert worst_ratio == pytest.approx(2.0)
+    assert ratio_with_chance == pytest.approx(16 / (8 + 2 * 8**0.5 + 2))
+    assert worst_budget_use([0.0, 1000.0])[0] == pytest.approx(1 / 8)  # a second later is another window
