--- a/tests/codec/test_errors.py
+++ b/tests/codec/test_errors.py
@@ -1,4 +1,4 @@
-"""The errors of the codecs have one base, keep `ValueError`, and say field, expected and found where known."""
+"""Errors of the codecs: their common base, and the field, expected and found values that they carry."""
 
 from __future__ import annotations
 
@@ -17,13 +17,13 @@
     assert issubclass(error_type, ValueError)
 
 
-def test_unsendable_message_is_not_blamed_on_the_peer() -> None:
+def test_unsendable_message_is_no_protocol_error_of_the_peer() -> None:
     assert issubclass(http1.UnsendableMessageError, errors.LinnetstileError)
     assert issubclass(http1.UnsendableMessageError, ValueError)
     assert not issubclass(http1.UnsendableMessageError, errors.ProtocolError)
 
 
-def test_http_error_says_status_field_expected_and_found() -> None:
+def test_http_error_has_status_field_expected_and_found() -> None:
     parser = http1.Parser()
     with pytest.raises(http1.Http1Error) as caught:
         parser.feed(b"GET / HTTP/1.1\r\nHost: a\r\nExpect: tea\r\n\r\n")
@@ -40,7 +40,7 @@
     assert isinstance(caught.value.__cause__, as2.As2Error)
 
 
-def test_json_stream_error_is_the_same_for_good() -> None:
+def test_json_stream_error_is_raised_again_by_each_later_feed() -> None:
     reader = json_stream.JsonStreamReader(10)
     with pytest.raises(json_stream.JsonStreamError, match="a value of more than 10 bytes") as caught:
         reader.feed(b"[" + b" " * 20)
--- a/tests/codec/test_http1.py
+++ b/tests/codec/test_http1.py
@@ -1,7 +1,9 @@
-"""HTTP/1.1: tables of bytes, the same events for any split, and no exception but the protocol error."""
+"""HTTP/1.1 parser: valid and invalid requests and responses, the same events for any split of the bytes."""
 
 from __future__ import annotations
 
+import itertools
+
 import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
@@ -15,15 +17,15 @@
 
 
 def read_all(
-    data: bytes, cuts: list[int] | None = None, client: bool = False, methods: tuple[str, ...] = ()
+    data: bytes, split_at: list[int] | None = None, client: bool = False, methods: tuple[str, ...] = ()
 ) -> tuple[list[http1.Event], int]:
-    """Return the events, with neighbouring data joined, and the status of the error (0 = none)."""
+    """Return the events, with adjacent data joined, and the status of the error (0 = none)."""
     parser = http1.Parser(client, LIMITS)
     for method in methods:
         parser.expect_response(method)
     events: list[http1.Event] = []
-    edges = [0, *sorted(cuts or []), len(data)]
-    for start, end in zip(edges, edges[1:], strict=False):
+    boundaries = [0, *sorted(split_at or []), len(data)]
+    for start, end in itertools.pairwise(boundaries):
         try:
             events += parser.feed(data[start:end])
         except http1.Http1Error:
@@ -37,6 +39,15 @@
     return joined, parser.error.status if parser.error else 0
 
 
+def every_position(data: bytes) -> list[int]:
+    """Return the split of some bytes into single ones."""
+    return list(range(len(data)))
+
+
+def body_of(events: list[http1.Event]) -> bytes:
+    return b"".join(event.data for event in events if isinstance(event, http1.Data))
+
+
 VALID_REQUESTS = [
     (b"GET /x HTTP/1.1\r\n" + HOST + b"\r\n", b""),
     (b"\r\nPOST / HTTP/1.1\r\n" + HOST + b"Content-Length: 3\r\n\r\nabc", b"abc"),
@@ -107,12 +118,12 @@
 
 @pytest.mark.parametrize(("data", "body"), VALID_REQUESTS)
 def test_valid_request_is_read_the_same_for_any_split(data: bytes, body: bytes) -> None:
-    whole, status = read_all(data)
+    events, status = read_all(data)
     assert status == 0
-    assert isinstance(whole[0], http1.Request)
-    assert isinstance(whole[-1], http1.EndOfMessage)
-    assert b"".join(event.data for event in whole if isinstance(event, http1.Data)) == body
-    assert read_all(data, list(range(len(data)))) == (whole, 0)
+    assert isinstance(events[0], http1.Request)
+    assert isinstance(events[-1], http1.EndOfMessage)
+    assert body_of(events) == body
+    assert read_all(data, every_position(data)) == (events, 0)
 
 
 @pytest.mark.parametrize(
@@ -128,7 +139,7 @@
 )
 def test_ambiguous_or_too_large_request_is_rejected_with_its_status(status: int, data: bytes) -> None:
     assert read_all(data)[1] == status
-    assert read_all(data, list(range(len(data))))[1] == status
+    assert read_all(data, every_position(data))[1] == status
 
 
 def test_transfer_encoding_in_http_1_0_is_rejected() -> None:
@@ -150,9 +161,10 @@
 
 
 def test_pipelined_requests_are_read_in_order() -> None:
-    one = b"POST /%d HTTP/1.1\r\n" + HOST + b"Content-Length: 1\r\n\r\nx"
-    events, _ = read_all(b"".join(one % n for n in range(5)))
-    assert [event.target for event in events if isinstance(event, http1.Request)] == [f"/{n}" for n in range(5)]
+    request = b"POST /%d HTTP/1.1\r\n" + HOST + b"Content-Length: 1\r\n\r\nx"
+    events, _ = read_all(b"".join(request % number for number in range(5)))
+    targets = [event.target for event in events if isinstance(event, http1.Request)]
+    assert targets == [f"/{number}" for number in range(5)]
 
 
 RESPONSES = [
@@ -166,18 +178,18 @@
 ]
 
 
-@pytest.mark.parametrize(("data", "method", "status", "body", "keep"), RESPONSES)
+@pytest.mark.parametrize(("data", "method", "status", "body", "keep_alive"), RESPONSES)
 def test_response_is_read_the_same_for_any_split(
-    data: bytes, method: str, status: int, body: bytes, keep: bool
+    data: bytes, method: str, status: int, body: bytes, keep_alive: bool
 ) -> None:
-    for cuts in ([], list(range(len(data)))):
-        events, error = read_all(data, cuts, True, (method,))
-        head = events[0]
-        assert error == 0
-        assert isinstance(head, http1.Response)
+    for split_at in ([], every_position(data)):
+        events, error_status = read_all(data, split_at, client=True, methods=(method,))
+        response = events[0]
+        assert error_status == 0
+        assert isinstance(response, http1.Response)
         assert isinstance(events[-1], http1.EndOfMessage)
-        assert (head.status, head.keep_alive) == (status, keep)
-        assert b"".join(event.data for event in events if isinstance(event, http1.Data)) == body
+        assert (response.status, response.keep_alive) == (status, keep_alive)
+        assert body_of(events) == body
 
 
 def test_response_without_a_length_lasts_until_the_end_of_the_stream() -> None:
@@ -201,11 +213,11 @@
     ],
 )
 def test_invalid_response_is_an_error(data: bytes) -> None:
-    assert read_all(data, [], True, ("POST",))[1] == 400
+    assert read_all(data, client=True, methods=("POST",))[1] == 400
 
 
 def test_response_without_a_request_is_an_error() -> None:
-    assert read_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", [], True)[1] == 400
+    assert read_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", client=True)[1] == 400
 
 
 def test_end_of_stream_inside_a_message_is_an_error() -> None:
@@ -222,6 +234,21 @@
         http1.encode_request("POST", "/", [field])
 
 
+def mutate(valid: bytes, data: st.DataObject) -> bytes:
+    """Return the bytes with up to four replacements, insertions and deletions."""
+    mutated = bytearray(valid)
+    for _ in range(data.draw(st.integers(0, 4))):
+        position = data.draw(st.integers(0, len(mutated) - 1))
+        mutation = data.draw(st.sampled_from(["replace", "insert", "delete"]))
+        if mutation == "replace":
+            mutated[position] = data.draw(st.integers(0, 255))
+        elif mutation == "insert":
+            mutated[position:position] = data.draw(st.binary(max_size=6))
+        else:
+            del mutated[position : position + data.draw(st.integers(1, 5))]
+    return bytes(mutated)
+
+
 @settings(max_examples=300)
 @given(
     st.sampled_from(
@@ -232,18 +259,9 @@
     ),
     st.data(),
 )
-def test_mutated_request_is_read_the_same_for_any_split(seed: bytes, data: st.DataObject) -> None:
-    raw = bytearray(seed * 2)
-    for _ in range(data.draw(st.integers(0, 4))):
-        at = data.draw(st.integers(0, len(raw) - 1))
-        how = data.draw(st.integers(0, 2))
-        if how == 0:
-            raw[at] = data.draw(st.integers(0, 255))
-        elif how == 1:
-            raw[at:at] = data.draw(st.binary(max_size=6))
-        else:
-            del raw[at : at + data.draw(st.integers(1, 5))]
-    whole = read_all(bytes(raw))
-    cuts = data.draw(st.lists(st.integers(0, len(raw)), max_size=8))
-    assert read_all(bytes(raw), cuts) == whole
-    assert read_all(bytes(raw), cuts, client=True, methods=("POST", "GET"))[1] in (0, 400, 413, 431, 501, 505)
+def test_mutated_request_is_read_the_same_for_any_split(request_bytes: bytes, data: st.DataObject) -> None:
+    mutated = mutate(request_bytes * 2, data)
+    split_at = data.draw(st.lists(st.integers(0, len(mutated)), max_size=8))
+    assert read_all(mutated, split_at) == read_all(mutated)
+    error_status = read_all(mutated, split_at, client=True, methods=("POST", "GET"))[1]
+    assert error_status in (0, 400, 413, 431, 501, 505)
--- a/tests/codec/test_json_stream.py
+++ b/tests/codec/test_json_stream.py
@@ -1,10 +1,11 @@
-"""JSON values out of a stream: the same for any split, one error for what can't be read."""
+"""JSON values from a stream: the same for any split, long objects in parts, bounded memory, one lasting error."""
 
 from __future__ import annotations
 
+import itertools
 import json
 import time
-from collections.abc import Iterable
+from collections.abc import Iterable, Iterator
 from typing import Any
 
 import pytest
@@ -23,18 +24,24 @@
 VALUES = st.lists(st.dictionaries(TEXT, JSON, max_size=3) | st.lists(JSON, max_size=3), max_size=4)
 
 
+def chunks(stream: bytes, split_at: Iterable[int]) -> Iterator[bytes]:
+    """Return the parts of a stream that is split at these positions."""
+    for start, end in itertools.pairwise([0, *split_at, len(stream)]):
+        yield stream[start:end]
+
+
 @given(VALUES, st.sampled_from([None, 1, "\t"]), st.sampled_from(["", "\n", "\r\n\r\n \t"]), st.data())
 def test_values_are_the_same_for_any_split_and_any_indentation(
-    values: list[Any], indent: int | None, between: str, data: st.DataObject
+    values: list[Any], indent: int | None, separator: str, data: st.DataObject
 ) -> None:
     stream = "".join(
-        json.dumps(value, indent=indent, ensure_ascii=data.draw(st.booleans())) + between for value in values
+        json.dumps(value, indent=indent, ensure_ascii=data.draw(st.booleans())) + separator for value in values
     ).encode()
-    cuts = sorted(data.draw(st.lists(st.integers(0, len(stream)), max_size=6)))
-    reader, found = JsonStreamReader(1 << 20), []
-    for begin, end in zip([0, *cuts], [*cuts, len(stream)], strict=True):
-        found += reader.feed(stream[begin:end])
-    assert found == values
+    split_at = sorted(data.draw(st.lists(st.integers(0, len(stream)), max_size=6)))
+    reader, values_read = JsonStreamReader(1 << 20), []
+    for chunk in chunks(stream, split_at):
+        values_read += reader.feed(chunk)
+    assert values_read == values
     assert not reader.is_mid_value
 
 
@@ -58,13 +65,13 @@
     ],
 )
 @pytest.mark.parametrize("step", [1, 1 << 20])
-def test_invalid_stream_raises_for_good(stream: bytes, step: int) -> None:
+def test_invalid_stream_raises_now_and_at_each_later_feed(stream: bytes, step: int) -> None:
     reader = JsonStreamReader(1000)
     values: list[Any] = []
 
     def feed_all() -> None:
-        for at in range(0, len(stream), step):
-            values.extend(reader.feed(stream[at : at + step]))
+        for position in range(0, len(stream), step):
+            values.extend(reader.feed(stream[position : position + step]))
         reader.feed(b"")
 
     with pytest.raises(JsonStreamError):
@@ -75,7 +82,7 @@
         reader.feed(b"{}")
 
 
-def test_values_before_a_fault_are_returned_first() -> None:
+def test_values_before_an_error_are_returned_first() -> None:
     reader = JsonStreamReader(1000)
     assert reader.feed(b'{"a": 1}\n{"b": 2}oops') == [{"a": 1}, {"b": 2}]
     with pytest.raises(JsonStreamError):
@@ -85,31 +92,32 @@
 # -- long objects in parts -----------------------------------------------------------------------------------------
 
 NAMES = ("version", "full")
+MAX_VALUE_BYTES = 2000
+ERROR_MARK = "error"
 
 
-def read_all(stream: bytes, cuts: Iterable[int], step: int = 64, most: int = 2000) -> list[Any]:
-    """Return the values, the parts of each object joined, and then the type of the fault or `is_mid_value`."""
-    reader = JsonStreamReader(most, "servers", NAMES, step)
-    cuts = [*cuts]
-    found: list[Any] = []
+def read_all(stream: bytes, split_at: Iterable[int], step_bytes: int = 64) -> list[Any]:
+    """Return the values, the parts of each object joined, and then the type of the error or `is_mid_value`."""
+    reader = JsonStreamReader(MAX_VALUE_BYTES, "servers", NAMES, step_bytes)
+    values: list[Any] = []
     try:
-        for begin, end in zip([0, *cuts], [*cuts, len(stream)], strict=True):
-            for value in reader.feed(stream[begin:end]):
+        for chunk in chunks(stream, split_at):
+            for value in reader.feed(chunk):
                 if not isinstance(value, ObjectPart):
-                    found.append(value)
+                    values.append(value)
                 elif value.is_first:
                     assert "servers" not in value.members
-                    found.append([dict(value.members), list(value.elements), value.is_last])
+                    values.append([dict(value.members), list(value.elements), value.is_last])
                 else:
-                    assert found[-1][0] == value.members
-                    assert not found[-1][2]
-                    found[-1][1] += value.elements
-                    found[-1][2] = value.is_last
+                    assert values[-1][0] == value.members
+                    assert not values[-1][2]
+                    values[-1][1] += value.elements
+                    values[-1][2] = value.is_last
         reader.feed(b"")
     except ValueError as error:
         assert not reader.is_mid_value
-        return [*found, "fault", type(error)]
-    return [*found, reader.is_mid_value]
+        return [*values, ERROR_MARK, type(error)]
+    return [*values, reader.is_mid_value]
 
 
 ELEMENTS: list[Any] = [{"a": 1}, {}, 7, "x},{", [1, [2, {"b": "]"}]], None, {"c": '\\"},'}, {"d": {"e": {}}}, "", -1e3]
@@ -121,17 +129,17 @@
     indent: int | None, elements: list[Any], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(json_stream, "BATCH_PARSE_BYTES", 24)
-    told = {"version": 7, "full": True, "servers": elements}
+    long = {"version": 7, "full": True, "servers": elements}
     short = {"version": 8, "full": False, "servers": [{}]}
-    stream = b"\n".join(json.dumps(each, indent=indent).encode() for each in (told, short, told)) + b"\n"
-    assert len(json.dumps(short, indent=indent)) < 160 < len(json.dumps(told))
-    parted = [{"version": 7, "full": True}, elements, True]
-    expected = [parted, short, parted, False]
-    for cut in range(len(stream) + 1):
-        assert read_all(stream, [cut], 160) == expected, cut
-    for step in (1, 2, 3, 7, 31):
-        assert read_all(stream, range(step, len(stream), step), 160) == expected, step
-    assert read_all(stream, [], step=len(stream)) == [told, short, told, False]
+    stream = b"\n".join(json.dumps(value, indent=indent).encode() for value in (long, short, long)) + b"\n"
+    assert len(json.dumps(short, indent=indent)) < 160 < len(json.dumps(long))
+    joined = [{"version": 7, "full": True}, elements, True]
+    expected = [joined, short, joined, False]
+    for position in range(len(stream) + 1):
+        assert read_all(stream, [position], 160) == expected, position
+    for chunk_bytes in (1, 2, 3, 7, 31):
+        assert read_all(stream, range(chunk_bytes, len(stream), chunk_bytes), 160) == expected, chunk_bytes
+    assert read_all(stream, [], step_bytes=len(stream)) == [long, short, long, False]
 
 
 @pytest.mark.parametrize(
@@ -147,23 +155,24 @@
         b' {"full":0 , "version":{"servers":[[]]},"servers" : [ %s ] } ',
     ],
 )
-def test_object_with_another_or_too_early_array_comes_whole(text: bytes) -> None:
+def test_object_comes_in_parts_only_if_the_named_members_precede_the_array(text: bytes) -> None:
     stream = text % (b'{"id":1},' * 20 + b"{}")
-    told = json.loads(stream)
-    parted = (
-        isinstance(told, dict)
-        and {*[*told][:2]} == {*NAMES}
-        and "servers" in told
-        and isinstance(told["servers"], list)
+    value = json.loads(stream)
+    comes_in_parts = (
+        isinstance(value, dict)
+        and {*[*value][:2]} == {*NAMES}
+        and "servers" in value
+        and isinstance(value["servers"], list)
     )
-    expected = [[{name: told[name] for name in NAMES}, told["servers"], True], False] if parted else [told, False]
-    for cut in range(len(stream) + 1):
-        assert read_all(stream, [cut]) == expected, cut
+    joined = [{name: value[name] for name in NAMES}, value["servers"], True] if comes_in_parts else value
+    expected = [joined, False]
+    for position in range(len(stream) + 1):
+        assert read_all(stream, [position]) == expected, position
     assert read_all(stream, range(1, len(stream))) == expected
 
 
-SOUND = b'{"version":1,"full":true,"servers":[' + b'{"id":1},' * 20
-FAULTS = [
+VALID_START = b'{"version":1,"full":true,"servers":[' + b'{"id":1},' * 20
+MALFORMED_RESTS = [
     b"{},,{}]}",
     b"{},]}",
     b"{}}",
@@ -189,29 +198,29 @@
 ]
 
 
-@pytest.mark.parametrize("fault", FAULTS, ids=repr)
-@pytest.mark.parametrize("quick", [24, 1 << 20])
-def test_elements_before_a_fault_in_a_long_array_are_returned_first(
-    fault: bytes, quick: int, monkeypatch: pytest.MonkeyPatch
+@pytest.mark.parametrize("malformed", MALFORMED_RESTS, ids=repr)
+@pytest.mark.parametrize("batch_parse_bytes", [24, 1 << 20])
+def test_elements_before_an_error_in_a_long_array_are_returned_first(
+    malformed: bytes, batch_parse_bytes: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(json_stream, "BATCH_PARSE_BYTES", quick)
-    stream = SOUND + fault + b"\n{}"
+    monkeypatch.setattr(json_stream, "BATCH_PARSE_BYTES", batch_parse_bytes)
+    stream = VALID_START + malformed + b"\n{}"
     expected = read_all(stream, range(1, len(stream)))
-    assert expected[-2:] == ["fault", JsonStreamError]
+    assert expected[-2:] == [ERROR_MARK, JsonStreamError]
     assert len(expected) == 3
-    head, elements, last = expected[0]
-    assert head == {"version": 1, "full": True}
+    members, elements, is_last = expected[0]
+    assert members == {"version": 1, "full": True}
     assert elements[:20] == [{"id": 1}] * 20
-    assert not last
+    assert not is_last
     assert elements[20:] in ([], [{}])
-    for cut in range(len(stream) + 1):
-        assert read_all(stream, [cut]) == expected, cut
+    for position in range(len(stream) + 1):
+        assert read_all(stream, [position]) == expected, position
 
 
 def test_long_object_counts_as_incomplete_until_its_end() -> None:
     reader = JsonStreamReader(1000, "servers", NAMES, 64)
-    assert reader.feed(SOUND)[0].elements == [{"id": 1}] * 20
-    assert reader.is_mid_value  # though no byte of it is held
+    assert reader.feed(VALID_START)[0].elements == [{"id": 1}] * 20
+    assert reader.is_mid_value  # though no byte of it is buffered
     last_part = reader.feed(b"{}]}")[-1]
     assert isinstance(last_part, ObjectPart)
     assert last_part.is_last
@@ -219,46 +228,50 @@
 
 
 def test_long_object_is_read_in_bounded_memory_and_linear_time() -> None:
-    """Element by element in drops, and whole: the bytes that are held, and the time against half the length."""
+    """In small and in large chunks: the buffered bytes, and the time against that of a quarter of the length."""
 
-    def read(size: int, piece: int) -> float:
-        reader, held, count = JsonStreamReader(1 << 20, "servers", NAMES), 0, 0
+    def seconds_to_read(element_count: int, chunk_bytes: int) -> float:
+        reader, max_buffered, elements_read = JsonStreamReader(1 << 20, "servers", NAMES), 0, 0
         stream = (
             b'{"version":1,"full":true,"servers":['
-            + b",".join(b'{"id":"s-%08d","addr":"10.0.0.1:3000","state":"SERVING"}' % number for number in range(size))
+            + b",".join(
+                b'{"id":"s-%08d","addr":"10.0.0.1:3000","state":"SERVING"}' % number for number in range(element_count)
+            )
             + b"]}"
         )
-        began = time.process_time()
-        for at in range(0, len(stream), piece):
-            for part in reader.feed(stream[at : at + piece]):
-                count += len(part.elements)
-            held = max(held, len(reader._buffer))
-        assert count == size
-        assert held <= 2 * DEFAULT_STEP_BYTES
+        started_at = time.process_time()
+        for position in range(0, len(stream), chunk_bytes):
+            for part in reader.feed(stream[position : position + chunk_bytes]):
+                elements_read += len(part.elements)
+            max_buffered = max(max_buffered, len(reader._buffer))
+        assert elements_read == element_count
+        assert max_buffered <= 2 * DEFAULT_STEP_BYTES
         assert not reader.is_mid_value
-        return time.process_time() - began
+        return time.process_time() - started_at
 
-    for piece in (7, 16 * 1024):
-        short, long = (min(read(size, piece) for _ in range(3)) for size in (4000, 16_000))
-        assert long < 10 * short, piece  # 4 times where it is linear, 16 where it looks again at what it has seen
+    for chunk_bytes in (7, 16 * 1024):
+        short, long = (
+            min(seconds_to_read(element_count, chunk_bytes) for _ in range(3)) for element_count in (4000, 16_000)
+        )
+        assert long < 10 * short, chunk_bytes  # 4 times where it is linear, 16 where it parses bytes again
 
 
-def test_long_element_in_small_pieces_is_not_parsed_again_and_again(monkeypatch: pytest.MonkeyPatch) -> None:
-    looked = 0
+def test_long_element_in_small_chunks_is_not_parsed_repeatedly(monkeypatch: pytest.MonkeyPatch) -> None:
+    parsed_bytes = 0
     take_several = JsonStreamReader._take_several
 
     def counted(self: JsonStreamReader, elements: list[Any]) -> bool:
-        nonlocal looked
-        looked += len(self._buffer)
+        nonlocal parsed_bytes
+        parsed_bytes += len(self._buffer)
         return take_several(self, elements)
 
     monkeypatch.setattr(JsonStreamReader, "_take_several", counted)
     element = b'{"a":[' + b'{"b":1},' * 6000 + b"0]}"
     stream = b'{"version":1,"full":true,"servers":[' + b",".join([b"{}"] * 30_000) + b"," + element + b",{}]}"
-    for step in (16, 1024):
-        looked = 0
+    for chunk_bytes in (16, 1024):
+        parsed_bytes = 0
         reader = JsonStreamReader(1 << 20, "servers", NAMES)
-        for at in range(0, len(stream), step):
-            reader.feed(stream[at : at + step])
+        for position in range(0, len(stream), chunk_bytes):
+            reader.feed(stream[position : position + chunk_bytes])
         assert not reader.is_mid_value
-        assert looked < 3 * len(stream)
+        assert parsed_bytes < 3 * len(stream)
