--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -173,7 +173,7 @@
 
     def sends_of(self, message_id: int) -> list[tuple[float, Send]]:
         """Return each send of a message, with its time."""
-        return [(at, send) for at, send in self.sends if send.id == message_id]
+        return [(sent_at, send) for sent_at, send in self.sends if send.id == message_id]
 
     def sends_since(self, start: int) -> list[Send]:
         """Return the sends after the first `start` ones."""
--- a/tests/engine/test_deduplication.py
+++ b/tests/engine/test_deduplication.py
@@ -35,10 +35,10 @@
 def test_stored_answers_are_bounded_and_open_messages_are_never_forgotten() -> None:
     table: SubmissionTable[str, str] = SubmissionTable(retention_ms=1e9, max_answers=3)
     table.start("a", "<open>", b"", "pending")
-    for n in range(50):
-        table.start("a", f"<{n}>", b"", "pending")
-        table.complete(n, "a", f"<{n}>", "receipt")
-        assert lookup(table, n, "<none>") is SubmissionStatus.NEW
+    for number in range(50):
+        table.start("a", f"<{number}>", b"", "pending")
+        table.complete(number, "a", f"<{number}>", "receipt")
+        assert lookup(table, number, "<none>") is SubmissionStatus.NEW
     assert len(table.known) == 4
     assert table.evicted_count == 47
     assert lookup(table, 60, "<open>") is SubmissionStatus.OPEN
--- a/tests/engine/test_fair_share.py
+++ b/tests/engine/test_fair_share.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import random
+from dataclasses import dataclass, field
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
@@ -161,55 +162,93 @@
     assert 1000 <= quick < large < 30_000
 
 
+@dataclass
+class RandomClients:
+    """Make random calls of a `FairShare`, and remember what it has granted and queued.
+
+    Attributes:
+        shares: The shares under test.
+        rng: The source of all choices.
+        now: The clock, in ms.
+        granted: Reservations that may be released or extended.
+        waiting: Queued reservations by their token.
+    """
+
+    shares: FairShare
+    rng: random.Random
+    now: float = 0.0
+    granted: list[Reservation] = field(default_factory=list)
+    waiting: dict[object, Reservation] = field(default_factory=dict)
+
+    def step(self) -> None:
+        """Let some time pass and make one call."""
+        self.now += self.rng.random() * 10
+        choice = self.rng.random()
+        if choice < 0.5:
+            self._request()
+        elif choice < 0.6 and self.granted:
+            self._extend()
+        elif choice < 0.8 and self.granted:
+            self.shares.release(self.now, self.granted.pop(self.rng.randrange(len(self.granted))))
+        elif choice < 0.85 and self.waiting:
+            self._disconnect_while_queued()
+        elif choice < 0.9:
+            self.shares.set_weight("to", f"p{self.rng.randrange(4)}", self.rng.choice((0.25, 1.0)))
+        else:
+            self._grant_waiting()
+
+    def release_all(self) -> None:
+        """Release what is granted or queued."""
+        for reservation in [*self.granted, *self.waiting.values()]:
+            self.shares.release(self.now, reservation)
+
+    def _request(self) -> None:
+        token = object()
+        decision, reservation = request(
+            self.shares,
+            sender=f"s{self.rng.randrange(6)}",
+            partner=f"p{self.rng.randrange(4)}",
+            size=self.rng.choice((1, 5, 40)),
+            now=self.now,
+            max_wait_ms=self.rng.choice((5.0, 500.0)),
+            token=token,
+            tenant=self.rng.choice("tu"),
+        )
+        if decision is AdmissionDecision.GRANTED:
+            self.granted.append(reservation)
+        elif decision is AdmissionDecision.QUEUED:
+            self.waiting[token] = reservation
+
+    def _extend(self) -> None:
+        """Extend a granted reservation, unless an extension of it is queued already."""
+        reservation = self.rng.choice(self.granted)
+        if any(queued.reservation is reservation for queued in reservation.leaves[0].queue):
+            return
+        token = object()
+        if self.shares.extend(self.now, reservation, 3, 50.0, token) is AdmissionDecision.QUEUED:
+            self.granted.remove(reservation)
+            self.waiting[token] = reservation
+
+    def _disconnect_while_queued(self) -> None:
+        self.shares.release(self.now, self.waiting.pop(self.rng.choice(list(self.waiting))))
+
+    def _grant_waiting(self) -> None:
+        result = self.shares.grant_waiting(self.now)
+        self.granted += [self.waiting.pop(token) for token in result.granted]
+        for token in result.expired:
+            self.shares.release(self.now, self.waiting.pop(token))
+
+
 @settings(max_examples=60, deadline=None)
 @given(st.integers(0, 2**32))
 def test_trees_add_up_after_any_sequence_of_calls(seed: int) -> None:
     rng = random.Random(seed)
     shares = FairShare((rng.choice((50, 1000)), rng.choice((5, 200))))
-    granted: list[Reservation] = []
-    waiting: dict[object, Reservation] = {}
-    now = 0.0
+    clients = RandomClients(shares, rng)
     for _ in range(300):
-        now += rng.random() * 10
-        choice = rng.random()
-        if choice < 0.5:
-            token = object()
-            decision, reservation = request(
-                shares,
-                f"s{rng.randrange(6)}",
-                f"p{rng.randrange(4)}",
-                rng.choice((1, 5, 40)),
-                now,
-                rng.choice((5.0, 500.0)),
-                token,
-                rng.choice("tu"),
-            )
-            if decision is AdmissionDecision.GRANTED:
-                granted.append(reservation)
-            elif decision is AdmissionDecision.QUEUED:
-                waiting[token] = reservation
-        elif choice < 0.6 and granted:
-            reservation = rng.choice(granted)
-            if any(waiting_request.reservation is reservation for waiting_request in reservation.leaves[0].queue):
-                continue
-            token = object()
-            if shares.extend(now, reservation, 3, 50.0, token) is AdmissionDecision.QUEUED:
-                granted.remove(reservation)
-                waiting[token] = reservation
-        elif choice < 0.8 and granted:
-            shares.release(now, granted.pop(rng.randrange(len(granted))))
-        elif choice < 0.85 and waiting:  # a client that disconnects while it waits
-            shares.release(now, waiting.pop(rng.choice(list(waiting))))
-        elif choice < 0.9:
-            shares.set_weight("to", f"p{rng.randrange(4)}", rng.choice((0.25, 1.0)))
-        else:
-            result = shares.grant_waiting(now)
-            granted += [waiting.pop(token) for token in result.granted]
-            for token in result.expired:
-                shares.release(now, waiting.pop(token))
+        clients.step()
         shares.verify_invariants()
-    for reservation in granted + list(waiting.values()):
-        shares.release(now, reservation)
+    clients.release_all()
     assert shares.used == [0.0, 0.0]
     assert not shares.rotation
     assert not any(root.children for root in shares.trees.values())
--- a/tests/engine/test_gossip.py
+++ b/tests/engine/test_gossip.py
@@ -47,7 +47,7 @@
 
 def merge(*claims: RouteClaim, own: bool = False, relays: int = 10) -> tuple[MergedRoute | None, list[RejectedClaim]]:
     """Merge claims of one route, each from a peer of its own."""
-    sources = [ClaimSource(f"peer{n}", own, (claim,)) for n, claim in enumerate(claims)]
+    sources = [ClaimSource(f"peer{number}", own, (claim,)) for number, claim in enumerate(claims)]
     merged, rejected = merge_claims(sources, ROUTES, set(), relays)
     return (merged[0] if merged else None), rejected
 
@@ -163,26 +163,26 @@
     assert merge(healthy_claim(age=2_000_000))[0] is None  # half an hour old
 
 
-ages = st.one_of(st.none(), st.floats(-10, 1e7), st.just(float("nan")), st.just(float("inf")))
+AGES = st.one_of(st.none(), st.floats(-10, 1e7), st.just(float("nan")), st.just(float("inf")))
 
 
 @given(
     st.lists(
         st.builds(
             RouteClaim,
-            st.just("p"),
-            st.just(-1),
-            st.just((11,)),
-            ages,
-            ages,
-            ages,
-            ages,
-            st.floats(-1, 1e12),
-            st.floats(0, 1e6),
-            st.floats(0, 1e6),
-            st.integers(0, 9),
-            st.floats(0, 1e6),
-            st.floats(0, 1e9),
+            partner=st.just("p"),
+            route=st.just(-1),
+            endpoints=st.just((11,)),
+            answer_age_ms=AGES,
+            failure_age_ms=AGES,
+            outage_age_ms=AGES,
+            slow_start_age_ms=AGES,
+            retry_after_ms=st.floats(-1, 1e12),
+            latency_mean_ms=st.floats(0, 1e6),
+            latency_deviation_ms=st.floats(0, 1e6),
+            answers=st.integers(0, 9),
+            aware_relays=st.floats(0, 1e6),
+            rate=st.floats(0, 1e9),
         ),
         max_size=5,
     ),
--- a/tests/engine/test_recovery_throttle.py
+++ b/tests/engine/test_recovery_throttle.py
@@ -32,8 +32,8 @@
     assert sum(len(harness.sends) for harness in fleet) <= 2
     for harness in fleet:
         harness.advance(2000, step_ms=50.0)
-    sent_at = sorted(at for harness in fleet for at, _ in harness.sends)
-    per_second = [sum(start <= at < start + 1000 for at in sent_at) for start in (1000, 2000)]
+    send_times = sorted(sent_at for harness in fleet for sent_at, _ in harness.sends)
+    per_second = [sum(start <= sent_at < start + 1000 for sent_at in send_times) for start in (1000, 2000)]
     assert all(60 <= count <= 140 for count in per_second), per_second  # a start without pacing is 100 a second
 
 
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -166,8 +166,8 @@
     assert set(re.findall(r"\]\(#([^)]+)\)", PAGE)) <= anchors
 
 
-@pytest.mark.parametrize(("section", "what", "mechanism"), MECHANISMS)
-def test_mechanism_names_its_file_or_its_gap(section: str, what: str, mechanism: str) -> None:
+@pytest.mark.parametrize(("section", "subject", "mechanism"), MECHANISMS)
+def test_mechanism_names_its_file_or_its_gap(section: str, subject: str, mechanism: str) -> None:
     assert any(name.startswith("linnetstile/") for name in file_paths(mechanism)) or gap_numbers(mechanism)
     assert all(gap_numbers(mechanism)), "missing without its number in the list"
 
