--- a/tests/engine/test_deduplication.py
+++ b/tests/engine/test_deduplication.py
@@ -1,4 +1,4 @@
-"""Submissions that come again, and the answers that they get."""
+"""The table of submissions: what a repeated identifier gets, and what is forgotten."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
     return table.lookup(now, sender, message_id, digest).status
 
 
-def test_identifier_is_one_message_until_it_is_forgotten() -> None:
+def test_identifier_names_one_message_until_its_retention_ends() -> None:
     table: SubmissionTable[str, str] = SubmissionTable(retention_ms=100, max_answers=2)
     assert lookup(table, 0, "<1>", b"x") is SubmissionStatus.NEW
     table.start("a", "<1>", b"x", "pending")
@@ -35,10 +35,10 @@
 def test_stored_answers_are_bounded_and_open_messages_are_never_forgotten() -> None:
     table: SubmissionTable[str, str] = SubmissionTable(retention_ms=1e9, max_answers=3)
     table.start("a", "<open>", b"", "pending")
-    for n in range(50):
-        table.start("a", f"<{n}>", b"", "pending")
-        table.complete(n, "a", f"<{n}>", "receipt")
-        assert lookup(table, n, "<none>") is SubmissionStatus.NEW
+    for number in range(50):
+        table.start("a", f"<{number}>", b"", "pending")
+        table.complete(number, "a", f"<{number}>", "receipt")
+        assert lookup(table, number, "<none>") is SubmissionStatus.NEW
     assert len(table.known) == 4
     assert table.evicted_count == 47
     assert lookup(table, 60, "<open>") is SubmissionStatus.OPEN
