--- a/linnetstile/cli/check.py
+++ b/linnetstile/cli/check.py
@@ -33,11 +33,11 @@
 
 def _figure_lines(figures: RunFigures) -> list[str]:
     answers = ", ".join(f"{count} {kind}" for kind, count in figures.by_answer.items())
-    worth = ", ".join(f"{name} {part:.3f}" for name, part in figures.worth.items())
+    values = ", ".join(f"{name} {fraction:.3f}" for name, fraction in figures.value_by_class.items())
     return [
         f"{figures.messages} messages: {answers}; {figures.attempts} attempts, "
         f"{figures.refused_attempts} of them refused",
-        f"worth delivered of worth asked for: {figures.worth_all:.3f} ({worth})",
+        f"worth delivered of worth asked for: {figures.value_of_all:.3f} ({values})",
         f"unsafe messages that took effect twice: {figures.unsafe_effects_twice}",
     ]
 
--- a/linnetstile/testbed/attempts.py
+++ b/linnetstile/testbed/attempts.py
@@ -1,4 +1,4 @@
-"""The attempts of a run, put together from what the sockets of the partners showed."""
+"""The attempts of a run, reconstructed from the traffic at the sockets of the partners."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from ..engine.attempt_outcome import AttemptObservation, WireResult, judge_attempt
 from .relay_lifetime import RelayProcesses
 
-TRANSIT_MS = 25.0  # between a socket's two ends on one busy machine: a send that crossed an answer
+TRANSIT_MS = 25.0  # delay between the two ends of a socket on a busy machine: a send may cross an answer
 
 
 class MessageAtProcess(NamedTuple):
@@ -22,19 +22,25 @@
     process: str
 
 
+class _ConnectionId(NamedTuple):
+    partner: str
+    endpoint: int
+    connection: int
+
+
 @dataclass(slots=True)
 class AttemptRecord:
-    """One attempt as the sockets of the partner showed it.
+    """One attempt as observed at the socket of the partner.
 
     Attributes:
-        start_ms: When its first byte came.
+        start_ms: When its first byte arrived.
         process: The process of the relay.
         partner: Name of the partner.
         endpoint: Id of the endpoint.
-        connection: Tells the connections of the partner apart, where the record says it.
-        reads_slowly: The partner read it at a crawl: it sees an end only behind all that it has not read.
+        connection: Identifies the connection within the partner; None in older records.
+        reads_slowly: The partner read it slowly, so that it observes the end only after all unread bytes.
         is_cut: The connection ended before the request was complete.
-        end_ms: When it was answered or closed; infinity if the partner saw no end.
+        end_ms: When it was answered or closed; infinity if the partner observed no end.
         status: The status of its answer; 0 = none.
     """
 
@@ -73,7 +79,7 @@
         processes: Which process of a relay ran when.
     """
     cut_calls = _cut_calls(events)
-    # A message whose answer alone was seen at a process has an empty list there, and counts as looked at.
+    # A message of which a process got an answer alone has an empty list there, and is counted as checked.
     attempts: Attempts = defaultdict(list)
     for position, event in enumerate(events):
         if not event.message_id or not isinstance(event, (CallBegan, CallAnswered, CallClosed)):
@@ -88,13 +94,13 @@
 
 
 def _cut_calls(events: Sequence[CallEvent]) -> set[int]:
-    """Return the positions of the begins of requests that never were complete: such a one is not in flight."""
+    """Return the positions of the begins of requests that never were complete: those are not in flight."""
     cut: set[int] = set()
-    latest: dict[tuple[str, int, int], int] = {}
+    latest: dict[_ConnectionId, int] = {}
     for position, event in enumerate(events):
         if event.connection is None:
             continue
-        connection = event.partner, event.endpoint, event.connection
+        connection = _ConnectionId(event.partner, event.endpoint, event.connection)
         if isinstance(event, CallBegan):
             latest[connection] = position
         elif isinstance(event, CallCut) and connection in latest:
@@ -116,10 +122,11 @@
 
 
 def _end_attempt(known: list[AttemptRecord], event: CallAnswered | CallClosed) -> None:
-    """Give the first open attempt that an event belongs to its end; an answer that was lost is none."""
+    """End the first open attempt that an event belongs to; an answer that was lost does not end it."""
     status = event.status if isinstance(event, CallAnswered) else 0
     for attempt in known:
         if attempt.is_ended_by(event):
             if isinstance(event, CallClosed) or status:
-                attempt.end_ms, attempt.status = event.at_ms, status
+                attempt.end_ms = event.at_ms
+                attempt.status = status
             return
--- a/linnetstile/testbed/day.py
+++ b/linnetstile/testbed/day.py
@@ -1,9 +1,10 @@
-"""A day as a file: fleet, partners, traffic and faults, by the names that operators know them by."""
+"""The settings file of a day: fleet, partners, traffic and faults. The aliases are the keys of the file."""
 
 from __future__ import annotations
 
 import fnmatch
 from collections.abc import Iterator
+from enum import StrEnum
 from typing import Literal
 
 from pydantic import Field, model_validator
@@ -12,33 +13,48 @@
 from ..config.relay import ClassSettings, SafetySettings
 from ..emulators.faults import Fault
 
-SURGE_KINDS = ("burst", "hot_key")
+
+class FleetFaultKind(StrEnum):
+    """What a fault that is not a partner's own does; the values are those of the file."""
+
+    BURST = "burst"  # more traffic for all partners
+    HOT_KEY = "hot_key"  # more traffic for some partners
+    RELAY_CRASH = "balancer_crash"
+    ROLLING_RESTART = "balancer_roll"
+    REGISTRY_STALE = "discovery_stale"
+    REGISTRY_FAILURE = "register_fail"
+    ENDPOINT_DRAINED = "drain"
+    ENDPOINT_REMOVED = "gone"
+    ENDPOINT_REPLACED = "replace"
+
+
+SURGE_KINDS = (FleetFaultKind.BURST, FleetFaultKind.HOT_KEY)
 
 
 class DayClass(ClassSettings):
-    """A message class and its part of the traffic."""
+    """A message class and its share of the traffic."""
 
     share: float = Field(gt=0)  # of the messages
     kinds: list[str] = []  # of partners that get it; none = all
 
 
 class PartnerGroup(StrictModel):
-    """A group of partners alike, named NAME-1, NAME-2 and so on."""
+    """A group of similar partners, named NAME-1, NAME-2 and so on."""
 
     name: str = Field(pattern=r"^[a-z][a-z0-9-]{0,40}$")
     count: int = Field(ge=1, le=500)
     endpoints: int = Field(1, ge=1, le=8)
-    weight: float = Field(1.0, gt=0)  # of the traffic, the first of a group most
-    skew: float = Field(0.5, ge=0)  # the n-th gets n**-skew
+    weight: float = Field(1.0, gt=0)  # of the first partner in the traffic
+    skew: float = Field(0.5, ge=0)  # the n-th partner has the weight of the first, times n**-skew
     work_ms: float = Field(120.0, ge=0)
     spread: float = Field(0.3, ge=0)
     servers: int = Field(4, ge=1)
-    limit: float = Field(1.6, ge=0)  # rate of a partner, as a multiple of its usual traffic; 0 = none but capacity
-    limit_least: float = Field(4.0, gt=0)
+    rate_limit_multiple: float = Field(1.6, ge=0, alias="limit")  # of its mean traffic; 0 = no limit but capacity
+    min_rate_limit_per_s: float = Field(4.0, gt=0, alias="limit_least")
     window_ms: float = Field(0.0, ge=0)
-    tell: float = Field(0.6, ge=0, le=1)
-    tell_as: Literal["seconds", "date"] = "seconds"
-    refused_count: bool = False
+    retry_after_share: float = Field(0.6, ge=0, le=1, alias="tell")
+    retry_after_format: Literal["seconds", "date"] = Field("seconds", alias="tell_as")
+    rejected_calls_count: bool = Field(False, alias="refused_count")
     receipts: Literal["sync", "async"] = "sync"
 
 
@@ -52,27 +68,17 @@
     asynchronous: float = Field(0.0, ge=0, le=1)
     repeats: float = Field(0.02, ge=0, le=1)
     bytes: int = Field(600, ge=1)
-    tries: int = Field(3, ge=1)
+    max_submissions: int = Field(3, ge=1, alias="tries")  # of one message
 
 
 class FleetFault(StrictModel):
     """A fault that is not a partner's own."""
 
-    kind: Literal[
-        "burst",
-        "hot_key",
-        "balancer_crash",
-        "balancer_roll",
-        "discovery_stale",
-        "register_fail",
-        "drain",
-        "gone",
-        "replace",
-    ]
+    kind: FleetFaultKind
     at_s: float = Field(ge=0)
     for_s: float = Field(1.0, gt=0)
     times: float = Field(2.0, gt=0)  # burst, hot_key
-    partners: list[str] = []  # hot_key; drain, gone, replace: of whose endpoints the last one goes
+    partners: list[str] = []  # hot_key; drain, gone, replace: the last endpoint of each of these leaves
     relays: list[int] = []  # balancer_crash; none = the first
     down_s: float = Field(0.5, gt=0)  # balancer_roll: of each relay
 
@@ -84,27 +90,27 @@
     seed: int = 1
     seconds: float = Field(gt=0, le=1800)
     relays: int = Field(ge=1, le=32)
-    slots: int = Field(ge=1)
-    hold: int = Field(ge=1)
+    max_in_flight: int = Field(ge=1, alias="slots")
+    max_pending_messages: int = Field(ge=1, alias="hold")
     attempts: int = Field(6, ge=1)
-    register_lag_ms: float = Field(1000.0, ge=0)
+    registry_lag_ms: float = Field(1000.0, ge=0, alias="register_lag_ms")
     decay: Literal["line", "halves"] = "halves"
-    learning: bool = False  # restarted relays learn from the others and from their own snapshot
+    uses_gossip: bool = Field(False, alias="learning")  # restarted relays load their snapshot and poll their peers
     classes: dict[str, DayClass] = Field(min_length=1)
     partners: list[PartnerGroup] = Field(min_length=1)
     traffic: TrafficSettings
     safety: SafetySettings = SafetySettings()
     faults: list[Fault] = []
-    troubles: list[FleetFault] = []
+    troubles: list[FleetFault] = []  # the faults that are not partners' own
 
     @model_validator(mode="after")
     def _check_names(self) -> Day:
         names = [f"{group.name}-{n + 1}" for group in self.partners for n in range(group.count)]
-        for where, pattern in self._partner_patterns():
+        for path, pattern in self._partner_patterns():
             if not any(fnmatch.fnmatchcase(name, pattern) for name in names):
-                raise ValueError(f"{where}: {pattern!r} fits no partner of this day")
-        for n, trouble in enumerate(self.troubles):
-            if any(not 1 <= relay <= self.relays for relay in trouble.relays):
+                raise ValueError(f"{path}: {pattern!r} fits no partner of this day")
+        for n, fleet_fault in enumerate(self.troubles):
+            if any(not 1 <= relay <= self.relays for relay in fleet_fault.relays):
                 raise ValueError(f"troubles.{n}.relays: expected numbers from 1 to {self.relays}")
         return self
 
@@ -112,5 +118,5 @@
         """Yield each pattern of partner names with its path in the file."""
         for n, fault in enumerate(self.faults):
             yield from ((f"faults.{n}.partners", pattern) for pattern in fault.partners)
-        for n, trouble in enumerate(self.troubles):
-            yield from ((f"troubles.{n}.partners", pattern) for pattern in trouble.partners)
+        for n, fleet_fault in enumerate(self.troubles):
+            yield from ((f"troubles.{n}.partners", pattern) for pattern in fleet_fault.partners)
--- a/linnetstile/testbed/fleet_plan.py
+++ b/linnetstile/testbed/fleet_plan.py
@@ -1,4 +1,4 @@
-"""The partners of a day and their part of its traffic."""
+"""The partners of a day and their shares of its traffic."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
         name: Its AS2 name.
         weight: Its weight in the traffic.
         endpoint_ids: Ids of its endpoints.
-        usual_per_s: Messages a second that it gets on average.
+        mean_per_s: Messages a second that it gets on average.
         limit_per_s: Its rate limit in calls a second; 0 = none.
     """
 
@@ -26,7 +26,7 @@
     name: str
     weight: float
     endpoint_ids: tuple[int, ...]
-    usual_per_s: float = 0.0
+    mean_per_s: float = 0.0
     limit_per_s: float = 0.0
 
 
@@ -59,7 +59,7 @@
 
 
 def plan_fleet(day: Day) -> FleetPlan:
-    """Work out who the partners are, what each gets, and what each allows."""
+    """Derive the partners of a day, their traffic and their rate limits."""
     partners = _name_partners(day)
     flows = _plan_flows(day, partners)
     return FleetPlan([_with_rates(partner, flows) for partner in partners], flows)
@@ -102,6 +102,8 @@
 
 def _with_rates(partner: PlannedPartner, flows: list[TrafficFlow]) -> PlannedPartner:
     group = partner.group
-    usual_per_s = sum(flow.per_s for flow in flows if flow.receiver == partner.name)
-    limit_per_s = max(group.limit_least, group.limit * usual_per_s) if group.limit else 0.0
-    return replace(partner, usual_per_s=usual_per_s, limit_per_s=limit_per_s)
+    mean_per_s = sum(flow.per_s for flow in flows if flow.receiver == partner.name)
+    limit_per_s = 0.0
+    if group.rate_limit_multiple:
+        limit_per_s = max(group.min_rate_limit_per_s, group.rate_limit_multiple * mean_per_s)
+    return replace(partner, mean_per_s=mean_per_s, limit_per_s=limit_per_s)
--- a/linnetstile/testbed/partner_rules.py
+++ b/linnetstile/testbed/partner_rules.py
@@ -5,30 +5,40 @@
 import bisect
 from collections import defaultdict
 from dataclasses import dataclass
+from typing import NamedTuple
 
+from ..emulators.faults import FaultKind
 from ..emulators.partner_limits import QUEUED_BEYOND_BUDGET
 from .attempts import TRANSIT_MS, AttemptRecord
 from .recorded_traffic import RecordedTraffic
 from .slow_start_budget import slow_start_call_budget
 from .verdict import Verdict
 
-# A return is overloaded by relays that knew of the outage if so many of its calls came from them.
-AWARE_NUMERATOR, AWARE_DENOMINATOR = 2, 3
+# An overload breaks the rule if at least this fraction of its calls came from relays that knew of the outage.
+AWARE_NUMERATOR = 2
+AWARE_DENOMINATOR = 3
 
 
 # -- drains --------------------------------------------------------------------------------------------------
 
 
+class _EndpointAtProcess(NamedTuple):
+    """An endpoint as one process of a relay knows it."""
+
+    process: str
+    endpoint: int
+
+
 @dataclass(frozen=True, slots=True)
 class _Notice:
-    """What a relay process was sent about an endpoint."""
+    """A status of an endpoint that the registry sent to a relay process."""
 
     at_ms: float
     is_ready: bool
 
 
 class DrainRule:
-    """Nothing new goes to an endpoint once its grace has passed."""
+    """No new attempt goes to a draining or removed endpoint once its grace period is over."""
 
     def __init__(self, traffic: RecordedTraffic) -> None:
         self._traffic = traffic
@@ -36,9 +46,9 @@
         self._grace_ms = traffic.facts.safety.drain_grace_ms + TRANSIT_MS
         self._notices = self._collect_notices()
 
-    def _collect_notices(self) -> dict[tuple[str, int], list[_Notice]]:
-        """Return what each relay process was sent about each endpoint, in the order of the times."""
-        notices: dict[tuple[str, int], list[_Notice]] = defaultdict(list)
+    def _collect_notices(self) -> dict[_EndpointAtProcess, list[_Notice]]:
+        """Return the notices of each relay process about each endpoint, in the order of the times."""
+        notices: dict[_EndpointAtProcess, list[_Notice]] = defaultdict(list)
         known: dict[str, set[int]] = defaultdict(set)
         for sent in self._traffic.lists:
             process = self._traffic.process_of(sent)
@@ -47,26 +57,27 @@
                 statuses |= dict.fromkeys(known[process] - statuses.keys(), "gone")
             known[process] |= statuses.keys()
             for endpoint, status in statuses.items():
-                notices[process, endpoint].append(_Notice(sent.at_ms, status == "ready"))
+                notice = _Notice(sent.at_ms, is_ready=status == "ready")
+                notices[_EndpointAtProcess(process, endpoint)].append(notice)
         return notices
 
     def check(self) -> Verdict:
-        """Look at each attempt."""
+        """Check each attempt."""
         for message, attempts in self._traffic.attempts.items():
             for attempt in attempts:
                 self._verdict.looked_at += 1
-                stopped = self._stopped_by(message.process, attempt)
-                if stopped is not None:
-                    late_ms = attempt.start_ms - stopped.at_ms
+                violated = self._violated_notice(message.process, attempt)
+                if violated is not None:
+                    late_ms = attempt.start_ms - violated.at_ms
                     self._verdict.breach(
                         f"{message.message_id}: {message.process} sent to {attempt.endpoint} "
                         f"{late_ms:.0f} ms after it was told to stop"
                     )
         return self._verdict
 
-    def _stopped_by(self, process: str, attempt: AttemptRecord) -> _Notice | None:
+    def _violated_notice(self, process: str, attempt: AttemptRecord) -> _Notice | None:
         """Return the notice that forbids an attempt; None if it is allowed."""
-        notices = self._notices.get((process, attempt.endpoint), [])
+        notices = self._notices.get(_EndpointAtProcess(process, attempt.endpoint), [])
         times = [notice.at_ms for notice in notices]
         latest = bisect.bisect_right(times, attempt.start_ms - self._grace_ms) - 1
         if latest < 0 or notices[latest].is_ready:
@@ -94,7 +105,7 @@
         self._verdict = Verdict("returns", "a returning partner is not pushed over by relays that knew")
 
     def check(self) -> Verdict:
-        """Look at each return."""
+        """Check each return."""
         calls: dict[str, list[AttemptRecord]] = defaultdict(list)
         for attempts in self._traffic.attempts.values():
             for attempt in attempts:
@@ -116,7 +127,7 @@
         return outages
 
     def _check_return(self, outage: _Outage, calls: list[AttemptRecord]) -> None:
-        """Look at the window before each call of the slow start; the first breach is enough."""
+        """Check the window before each call of the slow start; only the first breach is reported."""
         rate_per_s = self._traffic.facts.partner(outage.partner).rate_per_s
         if not rate_per_s:
             return
@@ -150,7 +161,7 @@
     @staticmethod
     def _aware_processes(outage: _Outage, calls: list[AttemptRecord]) -> set[str]:
         """Return the relay processes that met the outage."""
-        if outage.kind == "crash":  # a closed port leaves no trace at the partner: every relay is taken to have met it
+        if outage.kind == FaultKind.CRASH:  # refused connections are not recorded: every relay counts as aware
             return {call.process for call in calls}
         return {call.process for call in calls if outage.start_ms <= call.start_ms < outage.end_ms}
 
@@ -158,6 +169,13 @@
 # -- Retry-After ---------------------------------------------------------------------------------------------
 
 
+class _RouteAtProcess(NamedTuple):
+    """A route (a partner, or one of its endpoints) as one process of a relay knows it."""
+
+    process: str
+    route: str
+
+
 @dataclass(frozen=True, slots=True)
 class _RetryAfter:
     """A wait that a partner advertised."""
@@ -170,24 +188,24 @@
 
 
 class RetryAfterRule:
-    """A relay process waits as long as the partner, or its endpoint, asked for."""
+    """A relay process waits for as long as the Retry-After of a partner, or of its endpoint, asks for."""
 
     def __init__(self, traffic: RecordedTraffic) -> None:
         self._traffic = traffic
         self._verdict = Verdict("waits", "told waits are heeded")
-        self._waits: dict[tuple[str, str], list[_RetryAfter]] = defaultdict(list)
+        self._waits: dict[_RouteAtProcess, list[_RetryAfter]] = defaultdict(list)
         for answer in traffic.call_answers:
             if answer.retry_after_ms:
                 route = self._route(answer.partner, answer.endpoint)
                 wait = _RetryAfter(answer.at_ms, answer.retry_after_ms)
-                self._waits[traffic.process_of(answer), route].append(wait)
+                self._waits[_RouteAtProcess(traffic.process_of(answer), route)].append(wait)
 
     def _route(self, partner: str, endpoint: int) -> str:
-        """Return what a wait holds for: the partner, or one endpoint where each has limits of its own."""
+        """Return what a wait applies to: the partner, or one endpoint if each has limits of its own."""
         return f"{partner}/{endpoint}" if self._traffic.facts.partner(partner).separate_routes else partner
 
     def check(self) -> Verdict:
-        """Look at each attempt."""
+        """Check each attempt."""
         for message, attempts in self._traffic.attempts.items():
             for attempt in attempts:
                 self._verdict.looked_at += 1
@@ -195,7 +213,8 @@
         return self._verdict
 
     def _check_attempt(self, message_id: str, process: str, attempt: AttemptRecord) -> None:
-        waits = self._waits.get((process, self._route(attempt.partner, attempt.endpoint)), [])
+        route = self._route(attempt.partner, attempt.endpoint)
+        waits = self._waits.get(_RouteAtProcess(process, route), [])
         broken = next((wait for wait in waits if wait.forbids(attempt.start_ms)), None)
         if broken is not None:
             early_ms = broken.at_ms + broken.wait_ms - attempt.start_ms
--- a/linnetstile/testbed/play.py
+++ b/linnetstile/testbed/play.py
@@ -14,7 +14,7 @@
 from .relay_lifetime import ProcessEnd
 from .run_folder import RunFolder
 
-# A margin for start-up: nothing is scripted before the start, which all processes are told.
+# A margin for start-up: no event is scripted before the start, which is in the settings of all processes.
 STARTUP_MS = 4000.0
 STARTUP_MS_PER_RELAY = 700.0
 CLIENT_MARGIN_S = 60.0  # beyond the day and the last deadline, for the clients to end
@@ -80,7 +80,7 @@
         """Play the faults of the relays until the clients have ended."""
         faults = asyncio.create_task(self._relays.play_faults(self._day.troubles, self._folder.start_ms))
         self._relays.check_running()
-        last_deadline_s = max(each.deadline_ms for each in self._day.classes.values()) / 1000
+        last_deadline_s = max(message_class.deadline_ms for message_class in self._day.classes.values()) / 1000
         await asyncio.wait_for(clients.child.wait(), self._day.seconds + last_deadline_s + CLIENT_MARGIN_S)
         await faults
 
--- a/linnetstile/testbed/recorded_traffic.py
+++ b/linnetstile/testbed/recorded_traffic.py
@@ -1,4 +1,4 @@
-"""The traffic of a run as the rules look at it: submissions, their answers, attempts and effects."""
+"""The traffic of a run as the rules need it: submissions, their answers, attempts and effects."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 SubmissionEnd = SubmissionAnswered | SubmissionLost
 E = TypeVar("E", bound=TrafficEvent)
 
-# What the rules look at; all other rows are passed over.
+# The events that the rules need; all other rows are ignored.
 PARTNER_EVENTS: dict[str, type[TrafficEvent]] = {
     event.EVENT: event for event in (CallBegan, CallCut, CallClosed, CallAnswered, EffectApplied, OutageChanged)
 }
@@ -47,12 +47,12 @@
 
 
 class RecordedTraffic:
-    """Everything that was recorded in a run, typed and sorted out.
+    """All recorded traffic of a run, as typed events by subject.
 
     Attributes:
         facts: What holds for the run as a whole.
         submissions: Submissions by their identifiers.
-        ends: What ended each submission, in the order of the times.
+        ends: Answers and losses of each submission, in the order of the times.
         submission_counts: Submissions of each message.
         attempts: Attempts by message and relay process.
         effects: The ledgers of all partners, by message and relay process.
@@ -62,7 +62,7 @@
     """
 
     def __init__(self, facts: Row, partners: Sequence[Row], clients: Sequence[Row], registry: Sequence[Row]) -> None:
-        """Sort the rows of a record out.
+        """Read the rows of a record.
 
         Args:
             facts: The content of `run.json`.
@@ -76,9 +76,12 @@
         """
         self.facts = RunFacts.from_json(facts)
         client_events = _events(clients, CLIENT_EVENTS)
-        self.submissions = {each.submission: each for each in _of_kind(client_events, MessageSubmitted)}
-        self.submission_counts = Counter(each.message_id for each in self.submissions.values())
-        self._class_names = {each.message_id: each.message_class for each in self.submissions.values()}
+        submissions = _of_kind(client_events, MessageSubmitted)
+        self.submissions = {submission.submission: submission for submission in submissions}
+        self.submission_counts = Counter(submission.message_id for submission in self.submissions.values())
+        self._class_names = {
+            submission.message_id: submission.message_class for submission in self.submissions.values()
+        }
         self.ends: dict[str, list[SubmissionEnd]] = defaultdict(list)
         for event in client_events:
             if isinstance(event, (SubmissionAnswered, SubmissionLost)):
--- a/linnetstile/testbed/relay_fleet.py
+++ b/linnetstile/testbed/relay_fleet.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable, Sequence
 
 from ..emulators.record import now_ms
-from .day import FleetFault
+from .day import FleetFault, FleetFaultKind
 from .processes import ManagedProcess, ProcessGroup
 from .relay_lifetime import ProcessEnd, RelayLifetime
 from .run_folder import RunFolder
@@ -32,7 +32,7 @@
         self.relays: dict[int, ManagedProcess] = {}
 
     async def start(self, count: int, registry_url: str) -> None:
-        """Start all relays side by side and tell each of the others."""
+        """Start all relays concurrently, then configure each with the addresses of the others."""
         self._registry_url = registry_url
         numbers = range(1, count + 1)
         started = await asyncio.gather(*(self._start_relay(number) for number in numbers))
@@ -47,7 +47,8 @@
     @property
     def lifetimes(self) -> dict[str, list[RelayLifetime]]:
         """The processes of each relay that has been started, by name."""
-        return {name: each for name, each in self._processes.lifetimes.items() if name in self._names}
+        lifetimes = self._processes.lifetimes
+        return {name: processes for name, processes in lifetimes.items() if name in self._names}
 
     async def _start_relay(self, number: int) -> ManagedProcess:
         name = _relay_name(number)
@@ -65,9 +66,9 @@
         """Play all scripted crashes and rolling restarts, counted from the start of the script."""
         outages = []
         for fault in faults:
-            if fault.kind == "balancer_crash":
+            if fault.kind is FleetFaultKind.RELAY_CRASH:
                 outages += [self._outage(number, start_ms, fault.at_s, fault.for_s) for number in fault.relays or [1]]
-            elif fault.kind == "balancer_roll":
+            elif fault.kind is FleetFaultKind.ROLLING_RESTART:
                 step_s = fault.for_s / len(self.relays)
                 outages += [
                     self._outage(number, start_ms, fault.at_s + step_s * (number - 1), fault.down_s)
--- a/linnetstile/testbed/rule_checker.py
+++ b/linnetstile/testbed/rule_checker.py
@@ -1,7 +1,7 @@
-"""Checks a run by what its emulators saw on their sockets and by their ledgers, never by what a relay says.
+"""Checks the delivery rules by the traffic and ledgers that the emulators recorded, never by the logs of a relay.
 
-A run is a folder: `run.json` (figures of the rules, what the player did to which process) and one record each of
-partners, clients and registry. There are six rules, and at most one attempt in flight.
+A run is a folder: `run.json` (the settings that the rules need, the lifetimes of the relay processes) and one record
+each of partners, clients and registry. There are six rules, and one more: at most one attempt of a message in flight.
 """
 
 from __future__ import annotations
@@ -37,7 +37,7 @@
         """Read the folder of a run.
 
         Raises:
-            RecordError: It is none, or a record cannot be read.
+            RecordError: The folder is not that of a run, or a record cannot be read.
         """
         try:
             facts = json.loads((folder / FACTS_FILE).read_text(encoding="utf-8"))
@@ -75,7 +75,7 @@
 
 
 class CheckedRun(NamedTuple):
-    """What was found about a run."""
+    """The verdicts of all rules about a run, and its figures."""
 
     verdicts: list[Verdict]
     figures: RunFigures
@@ -89,7 +89,7 @@
     """
     run = RunRecord.load(folder)
     try:
-        judge = RuleChecker(run)
-        return CheckedRun(judge.check_rules(), compute_figures(judge.traffic))
+        checker = RuleChecker(run)
+        return CheckedRun(checker.check_rules(), compute_figures(checker.traffic))
     except (KeyError, TypeError, ValueError) as error:
         raise RecordError(f"{folder}: a row of the record lacks or garbles {error}") from error
--- a/linnetstile/testbed/run_facts.py
+++ b/linnetstile/testbed/run_facts.py
@@ -1,4 +1,4 @@
-"""The figures that the rules need, as `run.json` has them."""
+"""What the rules need to know of a run besides its traffic, read from `run.json`."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PartnerFacts:
-    """What the rules need of a partner.
+    """The properties of a partner that the rules need.
 
     Attributes:
         rate_per_s: Its rate limit; 0 = none known.
@@ -52,11 +52,11 @@
 
 @dataclass(frozen=True, slots=True)
 class RunFacts:
-    """What holds for a run as a whole.
+    """The facts about a whole run.
 
     Attributes:
         classes: The message classes by name.
-        safety: The figures of the delivery rules.
+        safety: The safety limits of the delivery rules.
         max_attempts: Attempts that a message may have.
         partners: The partners by name.
         processes: Which process of a relay ran when.
@@ -85,5 +85,5 @@
         )
 
     def partner(self, name: str) -> PartnerFacts:
-        """Return what is known of a partner."""
+        """Return the facts about a partner; the defaults if it is not known."""
         return self.partners.get(name, PartnerFacts())
--- a/linnetstile/testbed/run_figures.py
+++ b/linnetstile/testbed/run_figures.py
@@ -1,28 +1,31 @@
-"""What a run delivered, as figures."""
+"""Figures of a run: how many messages were delivered, and how much of their value."""
 
 from __future__ import annotations
 
 from collections import defaultdict
-from dataclasses import asdict, dataclass
+from dataclasses import dataclass, fields
 from typing import Any
 
 from ..emulators.traffic_events import MessageSubmitted, SubmissionAnswered
 from ..engine.settings import Effect, MessageClass
 from .recorded_traffic import RecordedTraffic
 
+JSON_NAMES = {"value_by_class": "worth", "value_of_all": "worth_all"}
+"""Attributes whose JSON name differs; all others are written under their own name."""
+
 
 @dataclass(frozen=True, slots=True)
 class RunFigures:
-    """Figures of a run, by their names in the JSON of `check`.
+    """Figures of a run.
 
     Attributes:
         messages: Messages that were submitted.
         by_answer: How many of them got which answer.
         attempts: Attempts that reached a partner.
-        refused_attempts: Attempts whose end proves that nothing ran.
+        refused_attempts: Attempts whose end proves that the message took no effect.
         unsafe_effects_twice: Messages that must not be repeated and took effect more than once.
-        worth: Value delivered as a part of the value submitted, by class.
-        worth_all: The same for all classes together.
+        value_by_class: Value delivered as a fraction of the value submitted, by message class.
+        value_of_all: The same for all classes together.
     """
 
     messages: int
@@ -30,12 +33,12 @@
     attempts: int
     refused_attempts: int
     unsafe_effects_twice: int
-    worth: dict[str, float]
-    worth_all: float
+    value_by_class: dict[str, float]
+    value_of_all: float
 
     def to_json(self) -> dict[str, Any]:
-        """Return the figures as JSON has them."""
-        return asdict(self)
+        """Return the figures by their names in the JSON of `linnetstile check`."""
+        return {JSON_NAMES.get(figure.name, figure.name): getattr(self, figure.name) for figure in fields(self)}
 
 
 def compute_figures(traffic: RecordedTraffic) -> RunFigures:
@@ -57,14 +60,14 @@
         attempts=len(attempts),
         refused_attempts=sum(attempt.proves_no_effect for attempt in attempts),
         unsafe_effects_twice=_count_repeated_effects(traffic),
-        worth={name: round(delivered[name] / submitted[name], 3) for name in sorted(submitted)},
-        worth_all=round(sum(delivered.values()) / (sum(submitted.values()) or 1), 3),
+        value_by_class={name: round(delivered[name] / submitted[name], 3) for name in sorted(submitted)},
+        value_of_all=round(sum(delivered.values()) / (sum(submitted.values()) or 1), 3),
     )
 
 
 def _first_submissions(traffic: RecordedTraffic) -> dict[str, MessageSubmitted]:
     first: dict[str, MessageSubmitted] = {}
-    for submission in sorted(traffic.submissions.values(), key=lambda each: each.at_ms):
+    for submission in sorted(traffic.submissions.values(), key=lambda submission: submission.at_ms):
         first.setdefault(submission.message_id, submission)
     return first
 
@@ -73,7 +76,8 @@
     """Return the earliest answer that says delivered, by message."""
     first: dict[str, SubmissionAnswered] = {}
     for identifier, ends in traffic.ends.items():
-        submission, answer = traffic.submissions.get(identifier), ends[0]
+        submission = traffic.submissions.get(identifier)
+        answer = ends[0]
         if submission and isinstance(answer, SubmissionAnswered) and answer.kind == "delivered":
             known = first.get(submission.message_id)
             first[submission.message_id] = answer if known is None or answer.at_ms < known.at_ms else known
--- /dev/null
+++ b/linnetstile/testbed/run_keys.py
@@ -0,0 +1,31 @@
+"""The key files of a run."""
+
+from __future__ import annotations
+
+from pathlib import Path
+
+from ..codec import cms
+
+KEYS_FOLDER = "keys"
+TOKEN_FILE = "token"
+
+
+class RunKeys:
+    """Creates key files in the folder of a run when they are first needed."""
+
+    def __init__(self, run_folder: Path) -> None:
+        self._folder = run_folder / KEYS_FOLDER
+        self._folder.mkdir(parents=True, exist_ok=True)
+
+    def pem(self, name: str) -> str:
+        """Return the path of the file with the private key and certificate of a name."""
+        path = self._folder / f"{name}.pem"
+        if not path.exists():
+            path.write_bytes(cms.encode_identity(cms.make_identity(name)))
+        return str(path)
+
+    def write_gossip_token(self, token: str) -> str:
+        """Write the token that the relays share for gossip; return the path of its file."""
+        path = self._folder / TOKEN_FILE
+        path.write_text(token, encoding="utf-8")
+        return str(path)
--- a/linnetstile/testbed/slow_start_budget.py
+++ b/linnetstile/testbed/slow_start_budget.py
@@ -1,4 +1,4 @@
-"""How many calls the rules allow a destination that warms up."""
+"""How many calls the rules allow a destination in slow start."""
 
 from __future__ import annotations
 
@@ -11,6 +11,15 @@
     overload_multiple: float,
     overload_window_ms: float,
 ) -> float:
-    """Return the calls allowed within one overload window, so long after the return of a destination."""
+    """Return the number of calls that are allowed within one overload window.
+
+    Args:
+        rate_per_s: Rate limit of the destination.
+        since_return_ms: Time since the end of its outage.
+        slow_start_fraction: Fraction of its capacity right after the outage.
+        slow_start_ms: Time until it has its full capacity again.
+        overload_multiple: Multiple of its capacity beyond which calls overload it.
+        overload_window_ms: Window in which the calls are counted.
+    """
     fraction = slow_start_fraction + (1 - slow_start_fraction) * since_return_ms / max(1.0, slow_start_ms)
     return overload_multiple * fraction * rate_per_s * overload_window_ms / 1000
--- a/linnetstile/testbed/verdict.py
+++ b/linnetstile/testbed/verdict.py
@@ -1,22 +1,22 @@
-"""What the rule checker finds about one rule."""
+"""The verdict of the rule checker on one rule."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
 
-MAX_FINDINGS = 20  # texts that are kept for each rule
+MAX_FINDINGS = 20  # texts for each rule; further breaches are only counted
 
 
 @dataclass(slots=True)
 class Verdict:
-    """One rule and how it was kept.
+    """One rule, and how often it was checked and broken.
 
     Attributes:
         rule: Its short name.
-        text: What it asks.
-        looked_at: Cases that were looked at.
-        broken: Cases that broke it.
-        findings: The first of those in words.
+        text: Its requirement in words.
+        looked_at: Number of cases that were checked.
+        broken: Number of cases that broke it.
+        findings: Descriptions of the first of those.
     """
 
     rule: str
