--- a/linnetstile/testbed/scale/comparison_bench.py
+++ b/linnetstile/testbed/scale/comparison_bench.py
@@ -85,7 +85,7 @@
             arrival.set_result(endpoint)
 
     async def start_discovery(self, source: PlatformSource) -> tuple[DiscoveryEmulator, int]:
-        """Start a discovery emulator; returns it and its port."""
+        """Start a discovery emulator; return it and its port."""
         discovery = DiscoveryEmulator(source)
         discovery.on_notice = lambda message, result: self._arrived(message, NO_ENDPOINT)
         self.discoveries.append(discovery)
@@ -128,7 +128,7 @@
             return LOST
 
     async def _submit(self, relay: RelayProcess, destination: int, message: str) -> int:
-        """Send a message to a relay; returns the status, 0 if there was no answer."""
+        """Send a message to a relay; return the status, 0 if there was no answer."""
         loop = asyncio.get_running_loop()
         status: asyncio.Future[int] = loop.create_future()
 
--- a/linnetstile/testbed/scale/discovery_model.py
+++ b/linnetstile/testbed/scale/discovery_model.py
@@ -73,7 +73,7 @@
 
 
 def endpoint_name(destination: int, generation: int) -> str:
-    """Identifier of the n-th endpoint of a destination."""
+    """Return the identifier of the n-th endpoint of a destination."""
     return f"s-{destination:06x}{generation % 256:02x}"
 
 
@@ -102,12 +102,12 @@
         self._cached_list: tuple[int, bytes] = (0, b"")
 
     def rate(self, destination: int, at_ms: float) -> float:
-        """Calls a second that a destination advertises at a moment."""
+        """Return the rate that a destination advertises at a moment, in calls a second."""
         rates = [change.rate for change in self._rates.get(destination, ()) if change.since_ms <= at_ms]
         return rates[-1] if rates else round(LISTED_RATE, 3)
 
     def generation(self, destination: int, at_ms: float) -> int:
-        """Which endpoint of a destination is in force at a moment; `NO_ENDPOINT` if none is."""
+        """Return the generation that is in force at a destination at a moment; `NO_ENDPOINT` if none is."""
         initial = 0 if destination < self.initial_count else NO_ENDPOINT
         generations = self._generations.get(destination)
         if generations is None:
@@ -153,7 +153,7 @@
         return change
 
     def version_at(self, at_ms: float) -> int:
-        """Version of the list at a moment."""
+        """Return the version of the list at a moment."""
         return FIRST_VERSION + bisect_right(self.changes, at_ms, key=lambda change: change.at_ms)
 
     def full_list(self, version: int) -> bytes:
@@ -163,7 +163,7 @@
         return self._cached_list[1]
 
     def changes_between(self, version: int, until: int) -> list[EndpointChange]:
-        """The changes after a version, up to and with version `until`."""
+        """Return the changes after a version, up to and including version `until`."""
         return self.changes[max(0, version - FIRST_VERSION) : until - FIRST_VERSION]
 
     def _add(self, since_ms: float) -> bytes:
--- a/linnetstile/testbed/scale/fleet.py
+++ b/linnetstile/testbed/scale/fleet.py
@@ -17,7 +17,7 @@
 from .options import ScaleOptions
 from .platform_model import PlatformModel
 from .trace import RelayTrace
-from .worker import COSTS_JOB, MEMBERSHIP_JOB, RELAYS_JOB, Job, PeakMemory, WorkerError, WorkerMessage, run_job
+from .worker import Job, JobKind, PeakMemory, WorkerError, WorkerMessage, run_job
 
 MEMORY_BYTES = 12 * 1000**3
 """Memory of the whole run."""
@@ -160,11 +160,15 @@
     relay_jobs = min(options.workers, len(relays))
     memory_bytes = (MEMORY_BYTES - RESERVED_MEMORY_BYTES) // (FIXED_JOBS + relay_jobs)
 
-    def job(name: str, kind: str, relays: list[int]) -> Job:
+    def job(name: str, kind: JobKind, relays: list[int]) -> Job:
+        """Return a job with the common settings."""
         return Job(name, kind, options, relays, resumes_by_version, seconds_left, memory_bytes)
 
     return [
-        job(COSTS_JOB, COSTS_JOB, []),
-        job(MEMBERSHIP_JOB, MEMBERSHIP_JOB, []),
-        *(job(f"{RELAYS_JOB}-{number + 1}", RELAYS_JOB, relays[number::relay_jobs]) for number in range(relay_jobs)),
+        job(JobKind.LIST_COSTS.value, JobKind.LIST_COSTS, []),
+        job(JobKind.MEMBERSHIP.value, JobKind.MEMBERSHIP, []),
+        *(
+            job(f"{JobKind.RELAYS.value}-{number + 1}", JobKind.RELAYS, relays[number::relay_jobs])
+            for number in range(relay_jobs)
+        ),
     ]
--- a/linnetstile/testbed/scale/list_cost.py
+++ b/linnetstile/testbed/scale/list_cost.py
@@ -49,7 +49,7 @@
     peak_memory_bytes: int = 0
 
     def to_json(self) -> dict[str, float]:
-        """The row of the report; changes are part of it if the relay took the list."""
+        """Return the row of the report; it includes the changes if the relay accepted the list."""
         row: dict[str, float] = {
             "destinations": self.destinations,
             "list_bytes": self.list_bytes,
--- a/linnetstile/testbed/scale/membership_simulation.py
+++ b/linnetstile/testbed/scale/membership_simulation.py
@@ -6,7 +6,6 @@
 
 from __future__ import annotations
 
-import heapq
 import json
 import random
 from collections import Counter
@@ -16,6 +15,7 @@
 from ...as2_relay.gossip_document import DOCUMENT_FORMAT
 from ...as2_relay.gossip_polling import POLL_TIMEOUT_S
 from ...engine.membership import Membership, PeerStatus
+from .event_queue import EventQueue
 from .platform_model import Lifetime, PlatformModel, Scenario
 from .report_schema import MembershipJson, ScenarioMembershipJson
 from .workload import TARGET_RELAYS, WATCH_START_DELAY_MS
@@ -138,12 +138,12 @@
 
 
 def relay_address(relay: int) -> str:
-    """Address of a relay by its number."""
+    """Return the address of a relay by its number."""
     return f"10.0.{relay >> 8}.{relay & 255}:4080"
 
 
 def empty_document_bytes(peers: list[str]) -> int:
-    """Bytes of a gossip document without claims."""
+    """Return the size of a gossip document without claims."""
     document = {
         "format": DOCUMENT_FORMAT,
         "relay": "relay-000",
@@ -174,25 +174,21 @@
         self.counts = PollCounts()
         self.observers = self.rng.sample(relays, min(OBSERVERS, len(relays)))
         self.noticed_after_ms: dict[NoticedFailure, float] = {}
-        self._heap: list[tuple[float, int, MembershipEvent]] = []
-        self._added = 0
+        self.queue: EventQueue[MembershipEvent] = EventQueue()
 
     def play(self) -> MembershipResult:
         """Play all scenarios."""
         for relay in range(self.platform.options.relays):
             for lifetime in self.platform.lifetimes[relay]:
-                self._add(lifetime.begin_ms + WATCH_START_DELAY_MS, RelayStarts(relay, lifetime))
+                self.queue.add(lifetime.begin_ms + WATCH_START_DELAY_MS, RelayStarts(relay, lifetime))
         return self._result(cut_at_ms=self._run())
 
-    def _add(self, at_ms: float, event: MembershipEvent) -> None:
-        self._added += 1
-        heapq.heappush(self._heap, (at_ms, self._added, event))
-
     def _run(self) -> float | None:
-        """Play all events; returns when the play was cut, if it was."""
-        while self._heap and self._heap[0][0] < self.platform.end_ms:
-            now_ms, serial, event = heapq.heappop(self._heap)
-            if serial % EVENTS_BETWEEN_CHECKS == 0 and self.is_overdue():
+        """Play all events; return when the simulation was cut short, if it was."""
+        while (due := self.queue.pop_before(self.platform.end_ms)) is not None:
+            now_ms = due.at_ms
+            event = due.event
+            if due.serial % EVENTS_BETWEEN_CHECKS == 0 and self.is_overdue():
                 return now_ms
             match event:
                 case RelayStarts(relay, lifetime):
@@ -212,21 +208,21 @@
         seed = self.rng.getrandbits(32)
         self.members[relay] = Membership(self.addresses[relay], self.addresses, now_ms, seed)
         self.incarnations[relay] = self.incarnations.get(relay, 0) + 1
-        self._add(now_ms, PollDue(relay, self.incarnations[relay], lifetime.end_ms))
+        self.queue.add(now_ms, PollDue(relay, self.incarnations[relay], lifetime.end_ms))
 
     def _poll(self, now_ms: float, poll: PollDue) -> None:
         member = self.members[poll.relay]
         address = member.next_peer(now_ms)
         if address is None:
-            self._add(max(member.next_poll_at, now_ms + IDLE_CHECK_MS), poll)
+            self.queue.add(max(member.next_poll_at, now_ms + IDLE_CHECK_MS), poll)
             return
         self.counts.by_scenario[self.platform.scenario_at(now_ms)] += 1
         self.counts.by_second[int(now_ms // 1000)] += 1
         peer = self.numbers[address]
         if peer in self.members and self.platform.can_reach_relay(poll.relay, peer, now_ms):
-            self._add(now_ms + self.rng.uniform(*ROUND_TRIP_MS), PollEnds(poll, peer, answered=True))
+            self.queue.add(now_ms + self.rng.uniform(*ROUND_TRIP_MS), PollEnds(poll, peer, answered=True))
         else:
-            self._add(now_ms + 1000 * POLL_TIMEOUT_S, PollEnds(poll, peer, answered=False))
+            self.queue.add(now_ms + 1000 * POLL_TIMEOUT_S, PollEnds(poll, peer, answered=False))
 
     def _end_poll(self, now_ms: float, event: PollEnds) -> None:
         member = self.members[event.poll.relay]
@@ -239,7 +235,7 @@
         else:
             member.poll_failed(now_ms, self.addresses[peer])
             self._record_noticed(now_ms, event.poll.relay, peer)
-        self._add(member.next_poll_at, event.poll)
+        self.queue.add(member.next_poll_at, event.poll)
 
     def _record_noticed(self, now_ms: float, observer: int, peer: int) -> None:
         number = self.platform.scenario_at(now_ms)
@@ -271,7 +267,7 @@
         )
 
     def check_invariants(self) -> None:
-        """Each peer of each relay has one of the statuses that the membership knows."""
+        """Check that each peer of each relay has one of the statuses of the membership."""
         statuses = {peer.status for member in self.members.values() for peer in member.peers.values()}
         assert statuses <= set(PeerStatus)
 
--- a/linnetstile/testbed/scale/platform_model.py
+++ b/linnetstile/testbed/scale/platform_model.py
@@ -17,7 +17,7 @@
 from ...platform_relay.config import without_batches
 from .discovery_model import DiscoveryModel
 from .options import ScaleOptions as ScaleOptions
-from .workload import NOTIFICATION_DELAY_MS, SETTINGS_DOCUMENT, region_of, zone_of
+from .workload import NOTIFICATION_DELAY_MS, SETTINGS_DOCUMENT, OutageKind, region_of, zone_of
 
 
 @dataclass(frozen=True, slots=True)
@@ -41,7 +41,7 @@
         destination: The destination that is down.
         begin_ms: When it begins.
         end_ms: When it is over.
-        kind: How calls fail; one of `workload.OUTAGE_KINDS`.
+        kind: How calls fail.
         region: Only calls from this region fail; None = all calls do.
         has_slow_start: The destination itself was down, and begins a slow start when it is back.
     """
@@ -50,7 +50,7 @@
     destination: int
     begin_ms: float
     end_ms: float
-    kind: str
+    kind: OutageKind
     region: int | None = None
     has_slow_start: bool = True
 
@@ -65,7 +65,7 @@
 
     begin_ms: float
     end_ms: float
-    kind: str
+    kind: OutageKind
 
 
 @dataclass(frozen=True, slots=True)
@@ -151,26 +151,26 @@
         return zlib.crc32(repr(events).encode(), changes)
 
     def settings(self, relay: int) -> Settings:
-        """Engine settings of a relay."""
+        """Return the engine settings of a relay."""
         return without_batches(settings_from({**self.settings_document, "az": zone_of(relay)}))
 
     def scenario_at(self, at_ms: float) -> int:
-        """Number of the scenario of a moment; -1 before the first."""
+        """Return the number of the scenario at a moment; -1 before the first."""
         return bisect_right(self.scenarios, at_ms, key=lambda scenario: scenario.begin_ms) - 1
 
     # -- discovery --
 
     def can_reach_discovery(self, relay: int, at_ms: float) -> bool:
-        """Whether the agent of a relay reaches discovery."""
+        """Whether a relay reaches discovery."""
         return not any(outage.contains(at_ms) for outage in self._discovery_outages_of(relay))
 
     def discovery_reachable_at(self, relay: int, at_ms: float) -> float:
-        """When a relay can be notified of a change at the earliest: at once, or at the end of the discovery outage."""
+        """Return when a relay can first be notified of a change: at once, or at the end of a discovery outage."""
         outages = self._discovery_outages_of(relay)
         return next((outage.end_ms for outage in outages if outage.contains(at_ms)), at_ms)
 
     def next_discovery_outage(self, relay: int, at_ms: float) -> float | None:
-        """When discovery next becomes unreachable for a relay, if ever."""
+        """Return when discovery next becomes unreachable for a relay; None if it does not."""
         outages = self._discovery_outages_of(relay)
         return next((outage.begin_ms for outage in outages if outage.begin_ms > at_ms), None)
 
@@ -178,7 +178,7 @@
         return self.discovery_outages.get(region_of(relay), [])
 
     def notified_at(self, relay: int, at_ms: float) -> float:
-        """When the agent of a relay has what discovery had at a moment, while it reaches discovery."""
+        """Return when a relay that reaches discovery is notified of a change that was made at a moment."""
         return at_ms + random.Random(f"{self.options.seed}:{relay}:{at_ms}").uniform(*NOTIFICATION_DELAY_MS)
 
     # -- outages --
@@ -188,7 +188,7 @@
         destination: int,
         begin_ms: float,
         end_ms: float,
-        kind: str,
+        kind: OutageKind,
         region: int | None = None,
         has_slow_start: bool = True,
     ) -> None:
@@ -198,18 +198,18 @@
         self._outages_by_destination.setdefault(destination, []).append(outage)
 
     def outages_of(self, destination: int) -> list[Outage]:
-        """All outages of a destination, in the order in which they were added."""
+        """Return the outages of a destination, in the order in which they were added."""
         return self._outages_by_destination.get(destination, [])
 
     def current_outage(self, destination: int, region: int, at_ms: float) -> Outage | None:
-        """The outage that calls from a region meet at a moment."""
+        """Return the outage that calls from a region meet at a moment; None if there is none."""
         for outage in self.outages_of(destination):
             if outage.begin_ms <= at_ms < outage.end_ms and outage.affects_calls_from(region):
                 return outage
         return None
 
     def next_outage_at(self, destination: int, region: int, at_ms: float) -> float:
-        """When the next outage begins that calls from a region meet; infinite if none does."""
+        """Return the begin of the next outage that calls from a region meet; infinite if there is none."""
         return min(
             (
                 outage.begin_ms
@@ -231,7 +231,7 @@
         return any(lifetime.begin_ms <= begin_ms and end_ms <= lifetime.end_ms for lifetime in self.lifetimes[relay])
 
     def seconds_up(self, relay: int, begin_ms: float, end_ms: float) -> float:
-        """Seconds between begin and end in which a relay is up."""
+        """Return the seconds between begin and end in which a relay is up."""
         milliseconds_up = sum(
             max(0.0, min(end_ms, lifetime.end_ms) - max(begin_ms, lifetime.begin_ms))
             for lifetime in self.lifetimes[relay]
--- a/linnetstile/testbed/scale/relay_process.py
+++ b/linnetstile/testbed/scale/relay_process.py
@@ -54,7 +54,7 @@
     memory_bytes: int
 
     def document(self, platform: PlatformModel, port: int) -> str:
-        """The JSON file that the platform gives a relay."""
+        """Return the JSON file that the platform gives a relay."""
         return json.dumps(
             {
                 "name": self.name,
@@ -113,19 +113,19 @@
         return int(self.ready["endpoints"])
 
     def cpu_s(self) -> float:
-        """Processor time so far in seconds."""
+        """Return the processor time so far in seconds."""
         text = Path(f"/proc/{self.process.pid}/stat").read_text(encoding="ascii")
         fields = text.rpartition(")")[2].split()
         return sum(int(fields[number]) for number in CPU_FIELDS) / os.sysconf("SC_CLK_TCK")
 
     def memory(self) -> ProcessMemory:
-        """Its resident memory."""
+        """Return its resident memory."""
         rows = Path(f"/proc/{self.process.pid}/status").read_text(encoding="ascii").splitlines()
         values = {row.split(":")[0]: int(row.split()[1]) for row in rows if row.startswith(("VmRSS", "VmHWM"))}
         return ProcessMemory(values["VmRSS"] * KIB, values["VmHWM"] * KIB)
 
     def find_ready_event(self) -> dict[str, Any] | None:
-        """Its log event `ready`; None if it has not written it yet."""
+        """Return its log event `ready`; None if it has not written it yet."""
         for line in self.log.read_text(encoding="utf-8").splitlines():
             with contextlib.suppress(ValueError):
                 event = json.loads(line)
@@ -135,7 +135,7 @@
 
 
 def free_port() -> int:
-    """A loopback port that nobody listens on."""
+    """Return a loopback port that is not in use."""
     with contextlib.closing(socket.socket()) as sock:
         sock.bind(("127.0.0.1", 0))
         return int(sock.getsockname()[1])
--- a/linnetstile/testbed/scale/relay_runtime.py
+++ b/linnetstile/testbed/scale/relay_runtime.py
@@ -2,16 +2,16 @@
 
 from __future__ import annotations
 
-import heapq
 import random
 from dataclasses import dataclass
 
 from ...engine.actions import Send
 from ...engine.events import Outcome
 from .discovery_model import EndpointChange
+from .event_queue import EventQueue
 from .platform_model import PlatformModel
 from .relay_engine import create_engine
-from .trace import RelayTrace
+from .trace import RelayTrace, ScenarioCount
 from .watch_reader import WatchReader
 from .workload import region_of
 
@@ -65,30 +65,6 @@
 SimulatedEvent = MessageArrives | CallEnds | EngineTimerDue | WatchOpens | WatchNotified | DiscoverySilent
 
 
-class EventQueue:
-    """Events by their time; those of one moment in the order in which they were added."""
-
-    def __init__(self) -> None:
-        self._heap: list[tuple[float, int, SimulatedEvent]] = []
-        self._added = 0
-
-    def add(self, at_ms: float, event: SimulatedEvent) -> None:
-        """Add an event at a moment."""
-        self._added += 1
-        heapq.heappush(self._heap, (at_ms, self._added, event))
-
-    def pop_before(self, end_ms: float) -> tuple[float, SimulatedEvent] | None:
-        """Remove and return the next event and its time; None if there is none before `end_ms`."""
-        if not self._heap or self._heap[0][0] >= end_ms:
-            return None
-        at_ms, _, event = heapq.heappop(self._heap)
-        return at_ms, event
-
-    def clear(self) -> None:
-        """Drop all events."""
-        self._heap.clear()
-
-
 class RelayRuntime:
     """State of one simulated relay that outlives its processes, and the engine of the process that runs.
 
@@ -110,7 +86,7 @@
         self.region = region_of(relay)
         # The label is part of the seed: another one would draw another run.
         self.rng = random.Random(f"{platform.options.seed}:hollow:{relay}")
-        self.queue = EventQueue()
+        self.queue: EventQueue[SimulatedEvent] = EventQueue()
         self.trace = RelayTrace(relay, platform.fingerprint())
         self.scenario = -1
         self.reader = WatchReader()
@@ -124,4 +100,4 @@
     def count(self, name: str, number: int = 1) -> None:
         """Count something in the current scenario."""
         if number:
-            self.trace.counts[self.scenario, name] += number
+            self.trace.counts[ScenarioCount(self.scenario, name)] += number
--- a/linnetstile/testbed/scale/report.py
+++ b/linnetstile/testbed/scale/report.py
@@ -26,7 +26,7 @@
 
 
 def build(platform: PlatformModel, played: FleetResult, comparison: Comparison | None) -> tuple[ReportJson, Samples]:
-    """The whole report, and samples for the plots by scenario."""
+    """Return the whole report, and samples for the plots by scenario."""
     simulated, samples = build_simulated(platform, played)
     measured = build_measured(platform, played)
     resumes_by_version = bool(comparison and comparison.resumes_by_version)
--- a/linnetstile/testbed/scale/report_costs.py
+++ b/linnetstile/testbed/scale/report_costs.py
@@ -39,7 +39,7 @@
 
 
 def build_measured(platform: PlatformModel, played: FleetResult) -> MeasuredJson:
-    """Processor time and memory of this run."""
+    """Return the processor time and memory of this run."""
     traces = played.traces
     cpu_ns: Counter[TurnKind] = sum((trace.cpu_ns for trace in traces), Counter())
     turns: Counter[TurnKind] = sum((trace.turns for trace in traces), Counter())
--- a/linnetstile/testbed/scale/report_plots.py
+++ b/linnetstile/testbed/scale/report_plots.py
@@ -35,7 +35,7 @@
 
 
 def _plot_distribution(samples_ms: dict[str, list[float]], title: str, file: Path) -> None:
-    """The cumulative distribution of each scenario's samples."""
+    """Plot the cumulative distribution of the samples of each scenario."""
     import matplotlib.pyplot as plt
 
     figure, axes = plt.subplots(figsize=(8, 4.5))
@@ -56,7 +56,7 @@
 
 
 def _plot_bounds(bounds: list[BoundJson], file: Path) -> None:
-    """Each figure over its bound; red where it is over."""
+    """Plot each value relative to its bound; red if it exceeds it."""
     import matplotlib.pyplot as plt
 
     figure, axes = plt.subplots(figsize=(10, 0.5 * len(bounds) + 1.5))
--- a/linnetstile/testbed/scale/report_scenarios.py
+++ b/linnetstile/testbed/scale/report_scenarios.py
@@ -18,7 +18,7 @@
 )
 from .report_statistics import spread
 from .slow_start_returns import judge_slow_starts
-from .trace import Count, RelayTrace
+from .trace import Count, DestinationSecond, RelayTrace
 from .workload import DISCOVERY_MACHINES, KEEPALIVE_BYTES_PER_S, LISTED_RATE, region_of
 
 CHANGE_IN_FORCE_BOUND_MS = 4_000.0
@@ -66,7 +66,7 @@
 
 
 def build_simulated(platform: PlatformModel, played: FleetResult) -> tuple[SimulatedJson, dict[str, ScenarioSamples]]:
-    """The simulated section, and samples for the plots by scenario."""
+    """Return the simulated section, and samples for the plots by scenario."""
     view = FleetView.of(platform, played)
     samples = {scenario.name: ScenarioSamples() for scenario in platform.scenarios}
     membership = played.membership
@@ -108,12 +108,12 @@
 
 
 def _counts(traces: list[RelayTrace], number: int) -> dict[str, int]:
-    """What was counted in a scenario by all relays, by its name."""
+    """Return the counts of all relays in a scenario, by name."""
     counts: Counter[str] = Counter()
     for trace in traces:
-        for (scenario, name), count in trace.counts.items():
-            if scenario == number:
-                counts[str(name)] += count
+        for counted, count in trace.counts.items():
+            if counted.scenario == number:
+                counts[str(counted.name)] += count
     return dict(sorted(counts.items()))
 
 
@@ -123,7 +123,7 @@
 
 
 def _changes(view: FleetView, scenario: Scenario, samples: ScenarioSamples) -> ChangesJson:
-    """Time from a change until it is in force at a relay that was up.
+    """Report the time from each change until it is in force at each relay that was up.
 
     The samples count from when discovery could be reached, where that was later.
     """
@@ -198,7 +198,7 @@
 
 
 def _starts(view: FleetView, scenario: Scenario) -> StartsJson:
-    """Restarts in a scenario, the messages that were recovered, and the calls for backlogs."""
+    """Report the restarts in a scenario, the recovered messages, and the calls for backlogs."""
     starts = [
         start
         for trace in view.traces
@@ -223,16 +223,19 @@
 
 def _peak_backlog_calls(traces: list[RelayTrace], scenario: Scenario) -> int:
     """Return the most calls for backlogs that one destination got in one second from the simulated relays."""
-    calls: Counter[tuple[int, int]] = Counter()
+    calls: Counter[DestinationSecond] = Counter()
     for trace in traces:
-        for (destination, second), count in trace.backlog_calls.items():
-            if scenario.begin_ms <= second * 1000 < scenario.end_ms + BACKLOG_TAIL_MS:
-                calls[destination, second] += count
+        for key, count in trace.backlog_calls.items():
+            if scenario.begin_ms <= key.second * 1000 < scenario.end_ms + BACKLOG_TAIL_MS:
+                calls[key] += count
     return max(calls.values(), default=0)
 
 
 def _control(view: FleetView, scenario: Scenario) -> ControlJson:
-    """Bytes of the watches. A relay's rate is over the seconds that it was up; the machines serve the whole fleet."""
+    """Report the bytes of the watches.
+
+    The rate of a relay is over the seconds that it was up; the machines of discovery serve the whole fleet.
+    """
     rates: list[float] = []
     by_second: Counter[int] = Counter()
     for trace in view.traces:
--- a/linnetstile/testbed/scale/report_statistics.py
+++ b/linnetstile/testbed/scale/report_statistics.py
@@ -27,11 +27,11 @@
     }
 
 
-def extrapolate(points: list[tuple[float, float]], at: float) -> float:
+def extrapolate(points: list[tuple[float, float]], target_x: float) -> float:
     """Return the value of the least-squares line through points at an x coordinate; never below 0."""
     count = len(points)
     mean_x = sum(x for x, _ in points) / count
     mean_y = sum(y for _, y in points) / count
     variance_x = sum((x - mean_x) ** 2 for x, _ in points)
     slope = sum((x - mean_x) * (y - mean_y) for x, y in points) / variance_x if variance_x else 0.0
-    return max(0.0, mean_y + slope * (at - mean_x))
+    return max(0.0, mean_y + slope * (target_x - mean_x))
--- a/linnetstile/testbed/scale/report_text.py
+++ b/linnetstile/testbed/scale/report_text.py
@@ -8,7 +8,7 @@
 
 
 def format_report(report: ReportJson) -> str:
-    """The whole text of scale.txt."""
+    """Return the text of scale.txt."""
     rows = _summary(report)
     for scenario in report["simulated"]["scenes"]:
         rows += _scenario(scenario)
--- a/linnetstile/testbed/scale/run.py
+++ b/linnetstile/testbed/scale/run.py
@@ -47,13 +47,13 @@
             signal.signal(end_signal, handler)
 
 
-def run(sizes: ScaleOptions, folder: Path, say: Callable[[str], None]) -> ReportJson:
+def run(options: ScaleOptions, folder: Path, report_progress: Callable[[str], None]) -> ReportJson:
     """Play a run and write the report into the folder.
 
     Args:
-        sizes: The options.
+        options: The options.
         folder: Folder of the report; made if there is none.
-        say: Gets lines of progress.
+        report_progress: Gets lines of progress.
 
     Returns:
         The report, as scale.json has it.
@@ -65,19 +65,21 @@
         OSError: Files or sockets cannot be used.
         RunInterrupted: A signal ended the run.
     """
-    sizes.check()
-    until = time.monotonic() + 60.0 * sizes.minutes
+    options.check()
+    until = time.monotonic() + 60.0 * options.minutes
     folder.mkdir(parents=True, exist_ok=True)
     with _ended_by_signals():
-        comparison = asyncio.run(compare(sizes, folder / COMPARISON_FOLDER, say)) if sizes.real else None
+        comparison = None
+        if options.real:
+            comparison = asyncio.run(compare(options, folder / COMPARISON_FOLDER, report_progress))
         resumes_by_version = bool(comparison and comparison.resumes_by_version)
-        seconds_left = until - REPORT_S * sizes.minutes / REPORT_RUN_MINUTES - time.monotonic()
-        played = _play_fleet(sizes, resumes_by_version, seconds_left, say)
-        platform = scenarios.build(sizes)
+        seconds_left = until - REPORT_S * options.minutes / REPORT_RUN_MINUTES - time.monotonic()
+        played = _play_fleet(options, resumes_by_version, seconds_left, report_progress)
+        platform = scenarios.build(options)
         played.check(platform)
-        found, samples = report.build(platform, played, comparison)
-        report.write(found, samples, folder, say)
-        return found
+        result, samples = report.build(platform, played, comparison)
+        report.write(result, samples, folder, report_progress)
+        return result
 
 
 def _play_fleet(
--- a/linnetstile/testbed/scale/scenarios.py
+++ b/linnetstile/testbed/scale/scenarios.py
@@ -17,7 +17,7 @@
     ScaleOptions,
 )
 from .platform_model import Lifetime, PlannedOutage, PlatformModel, Scenario, TimeSpan
-from .workload import OUTAGE_KINDS, OUTAGE_PACKETS_LOST, ZONES, region_of, zone_of
+from .workload import OUTAGE_KIND_MIX, ZONES, OutageKind, region_of, zone_of
 
 SETTLE_MS = 12_000.0
 """Before the first scenario: relays read the list, destinations in use get their first calls."""
@@ -102,7 +102,7 @@
 
 
 def _scenario_lengths(options: ScaleOptions) -> dict[str, float]:
-    """Length of each scenario in ms."""
+    """Return the length of each scenario in ms."""
     return {
         DAY_SCENARIO: options.day_s * 1e3,
         RACK_FAILURE_SCENARIO: RACK_FAILURE_MS,
@@ -113,7 +113,7 @@
 
 
 def _lifetimes(downtimes: list[Downtime], end_ms: float) -> list[Lifetime]:
-    """The processes between the downtimes of one relay."""
+    """Return the processes between the downtimes of one relay."""
     lifetimes: list[Lifetime] = []
     previous = Downtime(begin_ms=0.0, end_ms=0.0)
     for downtime in sorted(downtimes):
@@ -153,7 +153,7 @@
 
 
 def _draw_outages(options: ScaleOptions, day_ms: float, rng: random.Random) -> dict[int, PlannedOutage]:
-    """The first outage of each destination that has one within the day, in ms since the day begins."""
+    """Draw the first outage of each destination that has one within the day, in ms since the begin of the day."""
     outages: dict[int, PlannedOutage] = {}
     mean_time_between_ms = MEAN_OUTAGE_MS * (1 / UNAVAILABLE_SHARE - 1)
     for destination in range(options.destinations if day_ms else 0):
@@ -161,7 +161,7 @@
         if begin_ms < day_ms:
             length_ms = rng.expovariate(1 / MEAN_OUTAGE_MS)
             end_ms = min(begin_ms + length_ms, day_ms + GAP_MS / 2, begin_ms + LONGEST_OUTAGE_MS)
-            outages[destination] = PlannedOutage(begin_ms, end_ms, rng.choice(OUTAGE_KINDS))
+            outages[destination] = PlannedOutage(begin_ms, end_ms, rng.choice(OUTAGE_KIND_MIX))
     return outages
 
 
@@ -198,7 +198,7 @@
 
 
 def _build_day(platform: PlatformModel, scenario: Scenario, rng: random.Random, downtimes: Downtimes) -> None:
-    """Outages as planned. Some relays fail for good, others are restarted (their journal kept) or replaced."""
+    """Add the planned outages; some relays fail for good, others are restarted with their journal or replaced."""
     options = platform.options
     for destination, outage in sorted(platform.planned_outages.items()):
         begin_ms = scenario.begin_ms + outage.begin_ms
@@ -216,7 +216,7 @@
 
 
 def _build_rack_failure(platform: PlatformModel, scenario: Scenario, rng: random.Random, downtimes: Downtimes) -> None:
-    """The relays of one rack fail at once and do not return; they are of one zone as far as it has so many."""
+    """Let the relays of one rack fail at once for good; they are of one zone as far as it has so many."""
     order = sorted(range(platform.options.relays), key=lambda relay: (zone_of(relay), relay))
     scenario.failed_relays = order[: platform.options.rack]
     scenario.failed_at_ms = scenario.begin_ms + FAILURE_DELAY_MS
@@ -225,7 +225,7 @@
 
 
 def _build_zone_failure(platform: PlatformModel, scenario: Scenario, rng: random.Random, downtimes: Downtimes) -> None:
-    """All relays and destinations of a zone fail at once and return at once, the destinations in slow start."""
+    """Let all relays and destinations of a zone fail and return at once, the destinations in slow start."""
     zone = rng.randrange(ZONES)
     begin_ms = scenario.begin_ms + FAILURE_DELAY_MS
     end_ms = scenario.begin_ms + FAILURE_DELAY_MS + platform.options.zone_s * 1e3
@@ -235,11 +235,11 @@
         downtimes[relay].append(Downtime(begin_ms, end_ms, keeps_state=True))
     for destination in range(platform.options.destinations):
         if zone_of(destination) == zone:
-            platform.add_outage(destination, begin_ms, end_ms, OUTAGE_PACKETS_LOST)
+            platform.add_outage(destination, begin_ms, end_ms, OutageKind.PACKETS_LOST)
 
 
 def _build_partition(platform: PlatformModel, scenario: Scenario, rng: random.Random, downtimes: Downtimes) -> None:
-    """Calls, polls and discovery do not pass between the regions.
+    """Partition the regions: calls, polls and watches do not pass between them.
 
     Discovery is in region 0: it does not notify relays of region 1 meanwhile, and gets the changes in region 1 after
     the end of the partition.
@@ -254,7 +254,7 @@
     for destination in platform.destinations_in_use:
         other_region = 1 - region_of(destination)
         platform.add_outage(
-            destination, begin_ms, end_ms, OUTAGE_PACKETS_LOST, region=other_region, has_slow_start=False
+            destination, begin_ms, end_ms, OutageKind.PACKETS_LOST, region=other_region, has_slow_start=False
         )
     changes = max(1, int(options.changes * options.parted_s / SECONDS_A_DAY)) if options.changes else 0
     _add_changes(platform, changes, begin_ms, end_ms, rng, partitioned=True)
@@ -263,7 +263,7 @@
 def _build_backlog_restart(
     platform: PlatformModel, scenario: Scenario, rng: random.Random, downtimes: Downtimes
 ) -> None:
-    """All relays of a zone end at once and start again, each with a backlog in its journal."""
+    """Let all relays of a zone end at once and restart, each with a backlog in its journal."""
     zone = rng.randrange(ZONES)
     scenario.failed_at_ms = scenario.begin_ms + FAILURE_DELAY_MS
     scenario.failed_relays = _relays_of_zone(platform, zone)
--- a/linnetstile/testbed/scale/simulated_relay.py
+++ b/linnetstile/testbed/scale/simulated_relay.py
@@ -52,7 +52,7 @@
         self.is_recovered = False
 
     def play(self) -> RelayTrace:
-        """Play all lifetimes; returns what the relay did."""
+        """Play all lifetimes; return what the relay did."""
         runtime = self.runtime
         platform = runtime.platform
         for lifetime in platform.lifetimes[runtime.relay]:
@@ -68,13 +68,12 @@
         self._start_process(lifetime)
         played = 0
         while (due := runtime.queue.pop_before(lifetime.end_ms)) is not None:
-            now_ms, event = due
-            runtime.scenario = runtime.platform.scenario_at(now_ms)
+            runtime.scenario = runtime.platform.scenario_at(due.at_ms)
             played += 1
             if played % EVENTS_BETWEEN_CHECKS == 0 and self.is_overdue():
                 runtime.trace.cut = True
                 return
-            self._play_event(now_ms, event)
+            self._play_event(due.at_ms, due.event)
 
     def _start_process(self, lifetime: Lifetime) -> None:
         runtime = self.runtime
--- a/linnetstile/testbed/scale/trace.py
+++ b/linnetstile/testbed/scale/trace.py
@@ -5,6 +5,7 @@
 from collections import Counter
 from dataclasses import dataclass, field
 from enum import StrEnum
+from typing import NamedTuple
 
 
 class Count(StrEnum):
@@ -26,6 +27,20 @@
     CALLS_GONE = "calls_gone"
 
 
+class ScenarioCount(NamedTuple):
+    """The key of a counter: the number of the scenario and the name of what is counted."""
+
+    scenario: int
+    name: str
+
+
+class DestinationSecond(NamedTuple):
+    """One second of the simulated clock at one destination."""
+
+    destination: int
+    second: int
+
+
 class TurnKind(StrEnum):
     """What a turn of the engine was for; the values are those of the report."""
 
@@ -99,7 +114,7 @@
         starts: Starts of its process.
         backlog_ends: Ends of the messages of the backlog.
         backlog_calls: Calls for the backlog by destination and second.
-        counts: By number of the scenario and what was counted.
+        counts: What was counted, by scenario.
         control_bytes: Bytes of the watches by second.
         lists_refused: Lists that it could not take.
         endpoint_count: Endpoints that it knew at the end.
@@ -120,8 +135,8 @@
     slow_start_calls: list[SlowStartCall] = field(default_factory=list)
     starts: list[RelayStart] = field(default_factory=list)
     backlog_ends: list[BacklogEnd] = field(default_factory=list)
-    backlog_calls: Counter[tuple[int, int]] = field(default_factory=Counter)
-    counts: Counter[tuple[int, str]] = field(default_factory=Counter)
+    backlog_calls: Counter[DestinationSecond] = field(default_factory=Counter)
+    counts: Counter[ScenarioCount] = field(default_factory=Counter)
     control_bytes: Counter[int] = field(default_factory=Counter)
     lists_refused: int = 0
     endpoint_count: int = 0
--- a/linnetstile/testbed/scale/traffic_simulation.py
+++ b/linnetstile/testbed/scale/traffic_simulation.py
@@ -20,7 +20,7 @@
 from .platform_model import Lifetime
 from .relay_engine import believes_down
 from .relay_runtime import CallEnds, EngineTimerDue, MessageArrives, RelayRuntime
-from .trace import BacklogEnd, Count, SlowStartCall, TurnKind
+from .trace import BacklogEnd, Count, DestinationSecond, SlowStartCall, TurnKind
 from .workload import EVENTS_PER_DESTINATION_S, zone_of
 
 MEAN_BACKLOG_AGE_MS = 30_000.0
@@ -119,7 +119,7 @@
     # -- messages --
 
     def submit(self, now_ms: float, destination: int) -> None:
-        """A client submits a message; the next one for the destination is scheduled."""
+        """Submit a message of a client, and schedule the next one for the destination."""
         runtime = self.runtime
         self._schedule_message(destination, now_ms)
         if not runtime.reader.is_listed(destination):
@@ -153,7 +153,7 @@
     # -- the engine --
 
     def engine_turn(self, now_ms: float, events: list[Event], kind: TurnKind) -> int:
-        """Let the engine handle events and play its actions; returns its processor time in ns."""
+        """Let the engine handle events and play its actions; return its processor time in ns."""
         began_ns = time.thread_time_ns()
         actions = self.runtime.engine.handle(now_ms, events)
         spent_ns = time.thread_time_ns() - began_ns
@@ -178,7 +178,7 @@
                 self._finish(now_ms, message_id)
 
     def timer_due(self, now_ms: float, event: EngineTimerDue) -> None:
-        """The engine's timer fires, if it has not set another one since."""
+        """Fire the timer of the engine, unless it has set another one since."""
         if event.serial == self.timer_serial:
             self.engine_turn(now_ms, [TimerFired(event.token)], TurnKind.TIMER)
 
@@ -196,7 +196,7 @@
         self._count_call(result)
         self._record_slow_start_call(destination, now_ms)
         if send.id in self.backlog:
-            runtime.trace.backlog_calls[destination, int(now_ms // 1000)] += 1
+            runtime.trace.backlog_calls[DestinationSecond(destination, int(now_ms // 1000))] += 1
         runtime.queue.add(max(now_ms, result.at_ms), CallEnds(send, now_ms, result.outcome))
 
     def _count_call(self, result: CallResult) -> None:
--- a/linnetstile/testbed/scale/watch_reader.py
+++ b/linnetstile/testbed/scale/watch_reader.py
@@ -60,16 +60,16 @@
         return len(self.directory)
 
     def endpoint_name(self, endpoint: int) -> str:
-        """Name of an endpoint by its number; empty if it is not known."""
+        """Return the name of an endpoint by its number; empty if it is not known."""
         address = self.directory.address_of(endpoint)
         return address.name if address else ""
 
     def endpoint_number(self, name: str) -> int:
-        """Number of an endpoint by its name."""
+        """Return the number of an endpoint by its name."""
         return self.directory.id_of(name)
 
     def endpoint_port(self, endpoint: int) -> int:
-        """Port of an endpoint by its number; 0 if it is not known."""
+        """Return the port of an endpoint by its number; 0 if it is not known."""
         address = self.directory.address_of(endpoint)
         return address.port if address else 0
 
--- a/linnetstile/testbed/scale/worker.py
+++ b/linnetstile/testbed/scale/worker.py
@@ -10,6 +10,7 @@
 import time
 from collections.abc import Callable, Iterator
 from dataclasses import dataclass
+from enum import StrEnum
 from multiprocessing.connection import Connection
 
 from . import membership_simulation, scenarios
@@ -19,14 +20,19 @@
 from .simulated_relay import SimulatedRelay
 from .trace import RelayTrace
 
-COSTS_JOB = "costs"
-MEMBERSHIP_JOB = "members"
-RELAYS_JOB = "relays"
 LIST_SIZE_DIVISORS = (4, 2, 1)
 """The cost of a list is measured at these parts of the longest one."""
 KIB = 1024
 
 
+class JobKind(StrEnum):
+    """What a worker does; the values are part of its name."""
+
+    LIST_COSTS = "costs"
+    MEMBERSHIP = "members"
+    RELAYS = "relays"
+
+
 @dataclass(frozen=True, slots=True)
 class PeakMemory:
     """The last message of a worker: its resident memory in bytes at its largest."""
@@ -50,7 +56,7 @@
 
     Attributes:
         name: Name of the worker, for progress and errors.
-        kind: `COSTS_JOB`, `MEMBERSHIP_JOB` or `RELAYS_JOB`.
+        kind: What the worker does.
         options: Options of the run.
         relays: Relays to play.
         resumes_by_version: As in `SimulatedRelay`.
@@ -59,7 +65,7 @@
     """
 
     name: str
-    kind: str
+    kind: JobKind
     options: ScaleOptions
     relays: list[int]
     resumes_by_version: bool
@@ -68,7 +74,7 @@
 
 
 def run_job(pipe: Connection, job: Job) -> None:
-    """The main function of a worker."""
+    """Do a job and send its messages; the main function of a worker process."""
     _end_with_parent()
     resource.setrlimit(resource.RLIMIT_AS, (job.memory_bytes, job.memory_bytes))
     until = time.monotonic() + job.seconds_left
@@ -83,10 +89,10 @@
 
 
 def _play(job: Job, is_overdue: Callable[[], bool]) -> Iterator[WorkerMessage]:
-    if job.kind == COSTS_JOB:
+    if job.kind is JobKind.LIST_COSTS:
         for divisor in LIST_SIZE_DIVISORS:
             yield measure_list_cost(job.options, job.options.cost_most // divisor)
-    elif job.kind == MEMBERSHIP_JOB:
+    elif job.kind is JobKind.MEMBERSHIP:
         yield membership_simulation.play(scenarios.build(job.options), is_overdue)
     else:
         platform = scenarios.build(job.options)
--- a/linnetstile/testbed/scale/workload.py
+++ b/linnetstile/testbed/scale/workload.py
@@ -1,10 +1,11 @@
-"""The platform that the fleet is meant for: its size, load, timing and settings.
+"""The platform that the fleet is designed for: its size, load, timing and settings.
 
 The target figures are those that the users of the platform state; docs/CAPACITY.md compares the program with them.
 """
 
 from __future__ import annotations
 
+from enum import StrEnum
 from typing import Any
 
 REGIONS = 2
@@ -27,7 +28,7 @@
 WATCH_START_DELAY_MS = 300.0
 """From the start of a relay process to its first watch."""
 NOTIFICATION_DELAY_MS = 5.0, 50.0
-"""From a change in discovery to the agent of a relay; drawn for each relay and change."""
+"""Range of the delay from a change in discovery to a relay; drawn for each relay and change."""
 KEEPALIVE_INTERVAL_MS = 2_000.0
 """Between two empty lines of a watch."""
 KEEPALIVE_BYTES = 6
@@ -36,12 +37,24 @@
 
 DESTINATION_KINDS = ("office",)
 
-OUTAGE_REFUSED = "refused"
-OUTAGE_PACKETS_LOST = "lost"
-OUTAGE_HANGS = "hangs"
-OUTAGE_ERRORS = "errors"
-OUTAGE_KINDS = (OUTAGE_REFUSED, OUTAGE_REFUSED, OUTAGE_PACKETS_LOST, OUTAGE_HANGS, OUTAGE_ERRORS)
-"""What is drawn for an outage of the day scenario; refused connections are twice as likely as each other kind."""
+
+class OutageKind(StrEnum):
+    """How the calls to a destination fail during its outage."""
+
+    CONNECTIONS_REFUSED = "refused"
+    PACKETS_LOST = "lost"
+    NO_ANSWER = "hangs"
+    ERROR_ANSWERS = "errors"
+
+
+OUTAGE_KIND_MIX = (
+    OutageKind.CONNECTIONS_REFUSED,
+    OutageKind.CONNECTIONS_REFUSED,
+    OutageKind.PACKETS_LOST,
+    OutageKind.NO_ANSWER,
+    OutageKind.ERROR_ANSWERS,
+)
+"""Kinds of the outages of the day scenario, in the proportion in which they are drawn."""
 
 SETTINGS_DOCUMENT: dict[str, Any] = {
     "classes": [
@@ -73,10 +86,10 @@
 
 
 def zone_of(number: int) -> int:
-    """Zone of a relay or destination."""
+    """Return the zone of a relay or destination."""
     return number % ZONES
 
 
 def region_of(number: int) -> int:
-    """Region of a relay or destination: zones 0 to 2 lie in region 0."""
+    """Return the region of a relay or destination: zones 0 to 2 are in region 0."""
     return number % ZONES * REGIONS // ZONES
