--- a/linnetstile/testbed/scale/scenarios.py
+++ b/linnetstile/testbed/scale/scenarios.py
@@ -8,6 +8,7 @@
 from dataclasses import dataclass
 
 from .discovery_model import ChangeKind
+from .downtime import Downtime, Downtimes, lifetimes_between
 from .options import (
     BACKLOG_RESTART_SCENARIO,
     DAY_SCENARIO,
@@ -16,7 +17,7 @@
     ZONE_FAILURE_SCENARIO,
     ScaleOptions,
 )
-from .platform_model import Lifetime, PlannedOutage, PlatformModel, Scenario, TimeSpan
+from .platform_model import PlannedOutage, PlatformModel, Scenario, TimeSpan
 from .workload import OUTAGE_KIND_MIX, ZONES, OutageKind, region_of, zone_of
 
 SETTLE_MS = 12_000.0
@@ -57,24 +58,6 @@
 """Kinds of change, in the proportion in which they are drawn."""
 
 
-@dataclass(frozen=True, slots=True, order=True)
-class Downtime:
-    """A time in which a relay has no process, and what the next process finds.
-
-    Attributes:
-        begin_ms: End of the process before.
-        end_ms: Start of the process after.
-        keeps_state: The next process finds the journal.
-        backlog: Messages for each destination in use that are added to the journal.
-    """
-
-    begin_ms: float
-    end_ms: float
-    keeps_state: bool = False
-    backlog: int = 0
-
-
-Downtimes = dict[int, list[Downtime]]
 ScenarioBuilder = Callable[[PlatformModel, Scenario, random.Random, Downtimes], None]
 
 
@@ -97,7 +80,7 @@
         begin_ms = scenario.end_ms + GAP_MS
     platform.end_ms = begin_ms
     for relay, relay_downtimes in downtimes.items():
-        platform.lifetimes[relay] = _lifetimes(relay_downtimes, platform.end_ms)
+        platform.lifetimes[relay] = lifetimes_between(relay_downtimes, platform.end_ms)
     return platform
 
 
@@ -112,23 +95,6 @@
     }
 
 
-def _lifetimes(downtimes: list[Downtime], end_ms: float) -> list[Lifetime]:
-    """Return the processes between the downtimes of one relay."""
-    lifetimes: list[Lifetime] = []
-    previous = Downtime(begin_ms=0.0, end_ms=0.0)
-    for downtime in sorted(downtimes):
-        lifetimes.append(_lifetime_between(previous, downtime.begin_ms))
-        previous = downtime
-    if previous.end_ms < end_ms:
-        lifetimes.append(_lifetime_between(previous, end_ms))
-    return lifetimes
-
-
-def _lifetime_between(previous: Downtime, end_ms: float) -> Lifetime:
-    """Return the process that starts at the end of a downtime."""
-    return Lifetime(previous.end_ms, end_ms, previous.keeps_state, previous.backlog)
-
-
 def _choose_destinations(platform: PlatformModel, day_ms: float) -> None:
     """Draw the outages of an ordinary day for all destinations, then the destinations that are in use.
 
--- a/linnetstile/testbed/scale/traffic_simulation.py
+++ b/linnetstile/testbed/scale/traffic_simulation.py
@@ -1,4 +1,4 @@
-"""Messages and calls of a simulated relay, from submission to the end, and what they show of outages."""
+"""Messages and calls of a simulated relay, from submission to the end."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
     Outcome,
     TimerFired,
 )
-from .destination_model import Call, CallResult, answer_call
+from .destination_model import Call, answer_call
+from .outage_observer import OutageObserver
 from .platform_model import Lifetime
-from .relay_engine import believes_down
 from .relay_runtime import CallEnds, EngineTimerDue, MessageArrives, RelayRuntime
-from .trace import BacklogEnd, Count, DestinationSecond, SlowStartCall, TurnKind
+from .trace import BacklogEnd, Count, DestinationSecond, TurnKind
 from .workload import EVENTS_PER_DESTINATION_S, zone_of
 
 MEAN_BACKLOG_AGE_MS = 30_000.0
@@ -63,6 +63,7 @@
 
     def __init__(self, runtime: RelayRuntime) -> None:
         self.runtime = runtime
+        self.observer = OutageObserver(runtime)
         self.accepted: dict[int, AcceptedMessage] = {}
         self.backlog: set[int] = set()  # messages that were added to the journal at a restart
         self.timer_serial = 0
@@ -193,31 +194,12 @@
         accepted.in_flight = Attempt(now_ms, endpoint)
         call = Call(send, destination, endpoint, runtime.region, now_ms)
         result = answer_call(runtime.platform, call, runtime.engine.settings.connect_timeout_ms, runtime.rng)
-        self._count_call(result)
-        self._record_slow_start_call(destination, now_ms)
+        self.observer.count_call(result)
+        self.observer.record_slow_start_call(destination, now_ms)
         if send.id in self.backlog:
             runtime.trace.backlog_calls[DestinationSecond(destination, int(now_ms // 1000))] += 1
         runtime.queue.add(max(now_ms, result.at_ms), CallEnds(send, now_ms, result.outcome))
 
-    def _count_call(self, result: CallResult) -> None:
-        runtime = self.runtime
-        runtime.count(Count.CALLS)
-        if result.outage:
-            runtime.count(Count.CALLS_DOWN)
-            if result.outage.number in runtime.trace.believed_down_ms:
-                runtime.count(Count.CALLS_DOWN_KNOWN)
-        elif result.endpoint_gone:
-            runtime.count(Count.CALLS_GONE)
-
-    def _record_slow_start_call(self, destination: int, now_ms: float) -> None:
-        """Record a call to a destination in slow start."""
-        trace = self.runtime.trace
-        slow_start_ms = self.runtime.engine.settings.safety.slow_start_ms
-        for outage in self.runtime.platform.outages_of(destination):
-            if outage.has_slow_start and outage.end_ms <= now_ms < outage.end_ms + slow_start_ms:
-                trace.slow_start_calls.append(SlowStartCall(outage.number, now_ms, outage.number in trace.outages_met))
-                return
-
     def call_ended(self, now_ms: float, event: CallEnds) -> None:
         """Notify the engine of the end of a call, and record what the relay learns from it."""
         send = event.send
@@ -230,37 +212,13 @@
         if not outcome.proves_no_effect and accepted.first_unclear is None:
             accepted.first_unclear = accepted.in_flight
         accepted.in_flight = None
-        outage_believed = self._outage_still_believed(destination, now_ms) if succeeded else None
+        outage_believed = self.observer.outage_still_believed(destination, now_ms) if succeeded else None
         elapsed_ms = now_ms - event.began_ms
         ended = AttemptEnded(send.id, accepted.attempts, send.endpoint, outcome, elapsed_ms, succeeded)
         self.engine_turn(now_ms, [ended], TurnKind.ATTEMPT_ENDED)
         self.runtime.count(outcome.value)
         if succeeded:
             self._finish(now_ms, send.id)
-            if outage_believed is not None:
-                self.runtime.trace.believed_up_ms.setdefault(outage_believed, now_ms)
+            self.observer.record_recovery(outage_believed, now_ms)
         else:
-            self._record_failure(destination, event.began_ms, now_ms)
-
-    def _record_failure(self, destination: int, began_ms: float, now_ms: float) -> None:
-        runtime = self.runtime
-        trace = runtime.trace
-        outage = runtime.platform.current_outage(destination, runtime.region, began_ms)
-        if outage is None:
-            return
-        trace.outages_met.add(outage.number)
-        is_new = now_ms < outage.end_ms and outage.number not in trace.believed_down_ms
-        if is_new and believes_down(runtime.engine, destination, now_ms):
-            trace.believed_down_ms[outage.number] = now_ms
-
-    def _outage_still_believed(self, destination: int, now_ms: float) -> int | None:
-        """Return the latest outage that has ended, if this relay still believes the destination down."""
-        runtime = self.runtime
-        ended = [
-            outage
-            for outage in runtime.platform.outages_of(destination)
-            if outage.end_ms <= now_ms and outage.affects_calls_from(runtime.region)
-        ]
-        if not ended or ended[-1].number not in runtime.trace.believed_down_ms:
-            return None
-        return ended[-1].number if believes_down(runtime.engine, destination, now_ms) else None
+            self.observer.record_failure(destination, event.began_ms, now_ms)
