--- a/linnetstile/testbed/scale/relay_process.py
+++ b/linnetstile/testbed/scale/relay_process.py
@@ -9,9 +9,8 @@
 import socket
 import subprocess
 import sys
-from dataclasses import dataclass, field
+from dataclasses import dataclass
 from pathlib import Path
-from typing import Any
 
 from .platform_model import PlatformModel
 from .report_schema import ProcessMemoryJson
@@ -67,6 +66,17 @@
         )
 
 
+@dataclass(frozen=True, slots=True)
+class ReadyEvent:
+    """The log event that a relay writes once it serves.
+
+    Attributes:
+        endpoints: Endpoints that it knows then.
+    """
+
+    endpoints: int
+
+
 @dataclass(slots=True)
 class RelayProcess:
     """One relay process.
@@ -75,15 +85,15 @@
         name: Name of the relay.
         process: Handle of the process.
         port: Loopback port where it listens.
-        log: File with what it wrote.
-        ready: Its log event `ready`, once it was found.
+        log: File with its output.
+        ready: Its log event `ready`; None until it has written it.
     """
 
     name: str
     process: subprocess.Popen[bytes]
     port: int
     log: Path
-    ready: dict[str, Any] = field(default_factory=dict)
+    ready: ReadyEvent | None = None
 
     @classmethod
     def start(cls, config: RelayConfig, platform: PlatformModel, folder: Path) -> RelayProcess:
@@ -110,7 +120,8 @@
     @property
     def endpoint_count(self) -> int:
         """Endpoints that it knew when it became ready."""
-        return int(self.ready["endpoints"])
+        assert self.ready is not None
+        return self.ready.endpoints
 
     def cpu_s(self) -> float:
         """Return the processor time so far in seconds."""
@@ -124,13 +135,13 @@
         values = {row.split(":")[0]: int(row.split()[1]) for row in rows if row.startswith(("VmRSS", "VmHWM"))}
         return ProcessMemory(values["VmRSS"] * KIB, values["VmHWM"] * KIB)
 
-    def find_ready_event(self) -> dict[str, Any] | None:
+    def find_ready_event(self) -> ReadyEvent | None:
         """Return its log event `ready`; None if it has not written it yet."""
         for line in self.log.read_text(encoding="utf-8").splitlines():
             with contextlib.suppress(ValueError):
                 event = json.loads(line)
                 if event.get("event") == "ready":
-                    return dict(event)
+                    return ReadyEvent(int(event["endpoints"]))
         return None
 
 
