--- a/tests/platform_relay/list_factories.py
+++ b/tests/platform_relay/list_factories.py
@@ -4,9 +4,13 @@
 
 from typing import Any
 
-from linnetstile.platform_relay.directory import Directory
+from linnetstile.engine.events import Endpoint
+from linnetstile.platform_relay.directory import Directory, ListUpdate
 from linnetstile.platform_relay.endpoint_record import EndpointAddress
 
+LONG_LIST_SIZE = 5000
+"""Endpoints: some 600 KB, which are read in parts."""
+
 
 def list_entry(name: str, state: str = "SERVING", destination: Any = 1, **fields: Any) -> dict[str, Any]:
     """Return an entry of a list; `fields` replace or extend the usual ones."""
@@ -28,3 +32,24 @@
 def listed_addresses(directory: Directory) -> list[EndpointAddress]:
     """Return the addresses of all endpoints of a directory, in the order of their ids."""
     return [address for address in map(directory.address_of, directory) if address]
+
+
+def apply_in_batches(
+    directory: Directory,
+    entries: list[Any],
+    batch_size: int,
+    version: int = 1,
+    full: bool = True,
+    entry_limit: int | None = None,
+) -> tuple[ListUpdate, list[list[Endpoint]]]:
+    """Apply a list in steps; with `entry_limit` only so many of its entries, and then the list is cut off.
+
+    Returns:
+        The update, and what each step has changed.
+    """
+    update = directory.begin_update({"version": version, "full": full})
+    received = entries[:entry_limit]
+    steps = [update.add_entries(received[at : at + batch_size]) for at in range(0, len(received), batch_size)]
+    while entry_limit is None and not update.is_complete:
+        steps.append(update.remove_missing())
+    return update, steps
--- a/tests/platform_relay/test_long_lists.py
+++ b/tests/platform_relay/test_long_lists.py
@@ -12,9 +12,9 @@
 from linnetstile.engine.watch_policy import ENTRIES_PER_EVENT
 
 from .discovery_emulator import FULL_LIST_REQUEST, RESPONSE_HEAD, DiscoveryEmulator, chunk, resume_request
-from .list_factories import list_entry, listed_addresses
+from .list_factories import LONG_LIST_SIZE, list_entry, listed_addresses
 from .relay_testbed import wait_until
-from .watch_testbed import LONG_LIST_SIZE, WatchTestbed, run_watch_scenario
+from .watch_testbed import WatchTestbed, run_watch_scenario
 
 CUT_AT_BYTE = 300_000
 
--- a/tests/platform_relay/test_watch_timing.py
+++ b/tests/platform_relay/test_watch_timing.py
@@ -15,9 +15,8 @@
 from linnetstile.platform_relay.discovery import Watch
 
 from .discovery_emulator import RESPONSE_HEAD, chunk
-from .list_factories import list_entry
+from .list_factories import LONG_LIST_SIZE, list_entry
 from .virtual_time import NO_RESPONSE, TimedResponse, VirtualTimeLoop
-from .watch_testbed import LONG_LIST_SIZE
 
 CHANGE_DUE_S = 6.0
 """A change that comes later is too late for discovery."""
--- a/tests/platform_relay/watch_testbed.py
+++ b/tests/platform_relay/watch_testbed.py
@@ -17,8 +17,6 @@
 from .list_factories import list_entry, listed_addresses
 from .relay_testbed import wait_until
 
-LONG_LIST_SIZE = 5000
-"""Endpoints: some 600 KB, which are read in parts."""
 STATE_NAMES = {EndpointStatus.READY: "SERVING", EndpointStatus.DRAINING: "DRAINING"}
 
 
