--- a/tests/platform_relay/discovery_emulator.py
+++ b/tests/platform_relay/discovery_emulator.py
@@ -6,17 +6,13 @@
 import json
 from typing import Any
 
-RESPONSE_HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+from .http_messages import WATCH_RESPONSE_HEAD, chunk
+
 FULL_LIST_REQUEST = "/api/targets?follow=1"
 RESUME_PARAMETER = "&since="
 INITIAL_VERSION = 40
 
 
-def chunk(data: bytes) -> bytes:
-    """Return `data` as one chunk of a chunked body."""
-    return b"%x\r\n%s\r\n" % (len(data), data)
-
-
 def resume_request(version: int) -> str:
     """Return the path of a watch that resumes from a version."""
     return f"{FULL_LIST_REQUEST}{RESUME_PARAMETER}{version}"
@@ -57,7 +53,9 @@
         path = (await reader.readuntil(b"\r\n\r\n")).decode().split()[1]
         self.requested_paths.append(path)
         self.watch_writers.append(writer)
-        beginning, list_follows = self.scripted_responses.pop(0) if self.scripted_responses else (RESPONSE_HEAD, True)
+        beginning, list_follows = (
+            self.scripted_responses.pop(0) if self.scripted_responses else (WATCH_RESPONSE_HEAD, True)
+        )
         writer.write(beginning)
         if list_follows:
             writer.write(self._first_list(resumed_from=path.partition(RESUME_PARAMETER)[2]))
--- a/tests/platform_relay/faulty_endpoint.py
+++ b/tests/platform_relay/faulty_endpoint.py
@@ -8,9 +8,8 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from .http_messages import OK_RESPONSE, read_http
+from .http_messages import BUSY_RESPONSE, OK_RESPONSE, read_http
 
-BUSY_RESPONSE = b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"
 PARTIAL_REQUEST_BYTES = 60
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER with a timeout of 0
 
--- a/tests/platform_relay/http_messages.py
+++ b/tests/platform_relay/http_messages.py
@@ -7,9 +7,10 @@
 from linnetstile.platform_relay.relay import PlatformRelay
 
 OK_RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
+BUSY_RESPONSE = b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"
 SERVER_ERROR_RESPONSE = b"HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n"
 MALFORMED_RESPONSE = b"garbage\r\n\r\n"
-CHUNKED_RESPONSE_HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+WATCH_RESPONSE_HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 READY_REQUEST = b"GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n"
 
 Connection = tuple[asyncio.StreamReader, asyncio.StreamWriter]
@@ -23,9 +24,14 @@
     return first_line, fields, await reader.readexactly(int(fields.get("content-length", "0")))
 
 
-def rejection(status: int, retry_after_s: float) -> bytes:
-    """Return an endpoint's response with a Retry-After."""
-    return b"HTTP/1.1 %d X\r\nRetry-After: %g\r\nContent-Length: 0\r\n\r\n" % (status, retry_after_s)
+def chunk(data: bytes) -> bytes:
+    """Return `data` as one chunk of a chunked body."""
+    return b"%x\r\n%s\r\n" % (len(data), data)
+
+
+def too_many_requests(retry_after_s: float) -> bytes:
+    """Return an endpoint's response 429 with a Retry-After."""
+    return b"HTTP/1.1 429 X\r\nRetry-After: %g\r\nContent-Length: 0\r\n\r\n" % retry_after_s
 
 
 def submission(
--- a/tests/platform_relay/relay_testbed.py
+++ b/tests/platform_relay/relay_testbed.py
@@ -13,7 +13,7 @@
 from linnetstile.platform_relay import config
 from linnetstile.platform_relay.relay import PlatformRelay
 
-from .http_messages import CHUNKED_RESPONSE_HEAD, OK_RESPONSE, read_http
+from .http_messages import OK_RESPONSE, WATCH_RESPONSE_HEAD, chunk, read_http
 from .list_factories import list_entry
 
 CLASSES = [
@@ -166,14 +166,14 @@
         if self.stalled_watch_responses:
             writer.write(self.stalled_watch_responses.pop(0))
             return
-        writer.write(CHUNKED_RESPONSE_HEAD)
+        writer.write(WATCH_RESPONSE_HEAD)
         self.send_list(self.entries, full=True)
 
     def send_list(self, entries: list[dict[str, Any]], full: bool = False) -> None:
         """Send a list, or changes of it, to the watch opened last."""
         self.list_version += 1
         line = json.dumps({"version": self.list_version, "full": full, "servers": entries}).encode() + b"\n"
-        self.watch_writers[-1].write(b"%x\r\n%s\r\n" % (len(line), line))
+        self.watch_writers[-1].write(chunk(line))
 
     # -- relays --------------------------------------------------------------------------------------------------
 
--- a/tests/platform_relay/test_at_most_once.py
+++ b/tests/platform_relay/test_at_most_once.py
@@ -18,8 +18,8 @@
 from linnetstile.platform_relay import notices
 
 from .fault_scenario import ConnectionUse, FaultScenario
-from .faulty_endpoint import BUSY_RESPONSE, CallEnding, Fault, FaultStage
-from .http_messages import SERVER_ERROR_RESPONSE
+from .faulty_endpoint import CallEnding, Fault, FaultStage
+from .http_messages import BUSY_RESPONSE, SERVER_ERROR_RESPONSE
 from .journal_hooks import call_after_each_write
 
 PARTIAL_OR_MALFORMED_RESPONSES = [
--- a/tests/platform_relay/test_call_races.py
+++ b/tests/platform_relay/test_call_races.py
@@ -20,7 +20,7 @@
 from linnetstile.net import client
 from linnetstile.platform_relay.relay import PlatformRelay
 
-from .http_messages import OK_RESPONSE, read_http, rejection, request_status, submission
+from .http_messages import OK_RESPONSE, read_http, request_status, submission, too_many_requests
 from .relay_testbed import (
     SETTINGS,
     EndpointCall,
@@ -127,7 +127,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def scenario(testbed: RelayTestbed) -> None:
-        testbed.scripted_responses[1] = [rejection(429, retry_after_s=0.9)]
+        testbed.scripted_responses[1] = [too_many_requests(retry_after_s=0.9)]
         relay = await testbed.start_relay()
         delay_connects(monkeypatch, relay, itertools.chain((0.0, 0.3), itertools.repeat(0.0)))
         submitted_at = relay.loop.time()
--- a/tests/platform_relay/test_delivery.py
+++ b/tests/platform_relay/test_delivery.py
@@ -12,9 +12,9 @@
     READY_REQUEST,
     SERVER_ERROR_RESPONSE,
     read_http,
-    rejection,
     request_status,
     submission,
+    too_many_requests,
 )
 from .relay_testbed import SETTINGS, RelayTestbed, delivered_ids, run_scenario, wait_until, wait_until_idle
 
@@ -61,7 +61,7 @@
         assert await request_status(relay, submission("a", "pay")) == 202
         await wait_until(lambda: not relay.accepted, 1.0)
         for submission_id in ("b", "c"):  # the next messages get responses of their own
-            testbed.scripted_responses[1] = [rejection(429, retry_after_s=0.05), OK_RESPONSE]
+            testbed.scripted_responses[1] = [too_many_requests(retry_after_s=0.05), OK_RESPONSE]
             assert await request_status(relay, submission(submission_id, "pay")) == 202
             await wait_until(lambda: not relay.accepted)
         assert delivered_ids(testbed) == ["a", "b", "b", "c", "c"]
--- a/tests/platform_relay/test_disk_faults.py
+++ b/tests/platform_relay/test_disk_faults.py
@@ -12,11 +12,10 @@
 from linnetstile.platform_relay import journal_codec
 from linnetstile.platform_relay.records import Notice, NoticeResult, PendingNotice
 
-from .http_messages import request_status, submission
+from .http_messages import BUSY_RESPONSE, request_status, submission
 from .relay_testbed import RelayTestbed, run_scenario, wait_until
 
 CLOSED_DESCRIPTOR = -1
-BUSY_RESPONSE = b"HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n"
 
 
 def test_message_that_cannot_be_journaled_is_rejected(tmp_path: Path) -> None:
--- a/tests/platform_relay/test_journal.py
+++ b/tests/platform_relay/test_journal.py
@@ -1,4 +1,4 @@
-"""The journal: what was promised is there again, whatever the last write left behind."""
+"""The journal: accepted messages are recovered, also after a torn or failed write."""
 
 from __future__ import annotations
 
@@ -39,18 +39,20 @@
     accepted_at_ms=1000.5,
     deadline_ms=9000.0,
 )
+COMPACTION_BYTES = 10_000
+BLOCK_BYTES = 512
 PENDING = PendingNotice(3, Notice("x", NoticeResult.FAILED))
 
 
-def accepted(message_id: int, body: bytes = b"") -> bytes:
+def accepted_record(message_id: int, body: bytes = b"") -> bytes:
     return encode_accepted(JournaledMessage(message_id, FIELDS, body))
 
 
-def started(message_id: int, at_ms: float, zone: int, endpoint_name: str) -> bytes:
+def started_record(message_id: int, at_ms: float, zone: int, endpoint_name: str) -> bytes:
     return encode_attempt_started(message_id, JournaledAttempt(at_ms, zone, endpoint_name))
 
 
-def ended(message_id: int, may_have_effect: bool) -> bytes:
+def ended_record(message_id: int, *, may_have_effect: bool) -> bytes:
     return encode_attempt_ended(message_id, may_have_effect=may_have_effect)
 
 
@@ -60,122 +62,130 @@
     return message
 
 
-def history() -> bytes:
+def example_journal() -> bytes:
     return b"".join(
         [
-            accepted(1, b"\x00body"),
-            started(1, 1.0, 0, "a"),
-            ended(1, False),
-            started(1, 2.0, 1, "b"),
-            ended(1, True),
-            started(1, 3.0, 0, "c"),
-            accepted(2),
+            accepted_record(1, b"\x00body"),
+            started_record(1, 1.0, 0, "a"),
+            ended_record(1, may_have_effect=False),
+            started_record(1, 2.0, 1, "b"),
+            ended_record(1, may_have_effect=True),
+            started_record(1, 3.0, 0, "c"),
+            accepted_record(2),
             encode_completed(2),
-            accepted(3),
+            accepted_record(3),
             encode_pending_notice(PENDING),
-            accepted(4, b"y" * 100),
-            started(4, 5.0, 0, "d"),
+            accepted_record(4, b"y" * 100),
+            started_record(4, 5.0, 0, "d"),
         ]
     )
 
 
-KEPT: dict[int, JournalRecord] = {
+RECOVERED: dict[int, JournalRecord] = {
     1: JournaledMessage(1, FIELDS, b"\x00body", 3, JournaledAttempt(3.0, 0, "c"), JournaledAttempt(2.0, 1, "b")),
     3: PENDING,
     4: JournaledMessage(4, FIELDS, b"y" * 100, 1, JournaledAttempt(5.0, 0, "d")),
 }
 
 
-def test_replay_restores_attempts_unclear_and_open_ones() -> None:
-    assert replay(history()) == (KEPT, 0)
+def test_replay_recovers_messages_with_their_unclear_and_open_attempts() -> None:
+    assert replay(example_journal()) == (RECOVERED, 0)
 
 
 def test_attempt_that_a_kill_left_open_stays_unclear_after_a_later_one() -> None:
-    message = replayed_message(accepted(1) + started(1, 1.0, 0, "a") + started(1, 2.0, 0, "b") + ended(1, False))
+    message = replayed_message(
+        accepted_record(1)
+        + started_record(1, 1.0, 0, "a")
+        + started_record(1, 2.0, 0, "b")
+        + ended_record(1, may_have_effect=False)
+    )
     assert message.attempts == 2
     assert message.unclear_attempt == JournaledAttempt(1.0, 0, "a")
     assert message.open_attempt is None
     assert replayed_message(b"".join(encode_compacted(message))) == message
 
 
-def test_torn_end_loses_the_last_record_alone() -> None:
-    first = accepted(1, b"a")
-    data = first + accepted(2, b"b")
-    for cut in range(len(first), len(data)):
-        assert replay(data[:cut]) == ({1: JournaledMessage(1, FIELDS, b"a")}, cut - len(first))
+def test_torn_write_loses_only_the_last_record() -> None:
+    first_record = accepted_record(1, b"a")
+    data = first_record + accepted_record(2, b"b")
+    for cut_at in range(len(first_record), len(data)):
+        torn_bytes = cut_at - len(first_record)
+        assert replay(data[:cut_at]) == ({1: JournaledMessage(1, FIELDS, b"a")}, torn_bytes)
 
 
-def test_damaged_record_costs_itself_alone_wherever_it_is_hit() -> None:
-    before, hit, after = (accepted(n, b"body %d" % n) for n in (1, 2, 3))
-    for at in range(len(hit)):
-        damaged = hit[:at] + bytes([hit[at] ^ 0x41]) + hit[at + 1 :]
-        records, damaged_bytes = replay(before + damaged + after)
+def test_damaged_byte_loses_only_its_record() -> None:
+    before, record, after = (accepted_record(message_id, b"body %d" % message_id) for message_id in (1, 2, 3))
+    for damaged_at in range(len(record)):
+        damaged = bytearray(record)
+        damaged[damaged_at] ^= 0x41
+        records, damaged_bytes = replay(before + bytes(damaged) + after)
         assert list(records) == [1, 3]
-        assert damaged_bytes == len(hit)
+        assert damaged_bytes == len(record)
 
 
 def test_attempt_end_whose_start_was_damaged_still_counts_as_unclear() -> None:
-    message = replayed_message(accepted(1) + ended(1, True))
+    message = replayed_message(accepted_record(1) + ended_record(1, may_have_effect=True))
     assert message.unclear_attempt == JournaledAttempt(FIELDS.accepted_at_ms, 0, "")
 
 
-def test_rewritten_journal_says_the_same_and_goes_on(tmp_path: Path) -> None:
-    (tmp_path / "journal").write_bytes(history() + b"torn")
+def test_rewritten_journal_has_the_same_records_and_accepts_more(tmp_path: Path) -> None:
+    (tmp_path / "journal").write_bytes(example_journal() + b"torn")
     (tmp_path / "journal.new").write_bytes(b"a rewrite that was cut short")
-    first = Journal(tmp_path, 10_000)
-    assert first.open() == KEPT
-    first.add(encode_completed(4))
-    assert first.flush()
-    first.close()
+    journal = Journal(tmp_path, COMPACTION_BYTES)
+    assert journal.open() == RECOVERED
+    journal.add(encode_completed(4))
+    assert journal.flush()
+    journal.close()
     assert sorted(os.listdir(tmp_path)) == ["journal"]
-    assert Journal(tmp_path, 10_000).open() == {message_id: KEPT[message_id] for message_id in (1, 3)}
+    assert Journal(tmp_path, COMPACTION_BYTES).open() == {1: RECOVERED[1], 3: RECOVERED[3]}
 
 
-def test_folder_stays_within_the_disk_at_every_instant(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    disk = 100_000
-    sizes = resource_limits(1024, disk, 8)
-    kept = Journal(tmp_path, sizes.compaction_bytes)
-    kept.open()
-    most = 0
+def disk_use(folder: Path) -> int:
+    """Return the bytes of all files of a folder, each in whole blocks."""
+    sizes = [path.stat().st_size for path in folder.iterdir()]
+    return sum(-(-size // BLOCK_BYTES) * BLOCK_BYTES for size in sizes)
 
-    def measured(*args: Any) -> None:
-        nonlocal most
-        most = max(most, sum(-(-path.stat().st_size // 512) * 512 for path in tmp_path.iterdir()))
 
+def test_folder_never_exceeds_the_disk_limit(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    disk_bytes = 100_000
+    limits = resource_limits(1024, disk_bytes, 8)
+    journal = Journal(tmp_path, limits.compaction_bytes)
+    journal.open()
+    disk_uses: list[int] = []
     rename = os.rename
 
-    def renamed(*names: Any) -> None:  # both files are there
-        measured()
-        rename(*names)
+    def measure_and_rename(*paths: Any) -> None:  # a rewrite: both files are there
+        disk_uses.append(disk_use(tmp_path))
+        rename(*paths)
 
-    monkeypatch.setattr(os, "rename", renamed)
-    held: dict[int, JournaledMessage] = {}
+    monkeypatch.setattr(os, "rename", measure_and_rename)
+    pending: dict[int, JournaledMessage] = {}
     for message_id in range(1, 2000):
-        each = JournaledMessage(message_id, FIELDS, b"b" * 700)
-        while held and sum(map(kept.weight, held.values())) + kept.weight(each) > sizes.max_message_bytes:
-            gone = next(iter(held))
-            del held[gone]
-            kept.add(encode_completed(gone))
-        held[message_id] = each
-        kept.add(encode_accepted(each))
-        assert kept.flush()
-        measured()
-        if kept.needs_rewrite:
-            kept.rewrite(held.values())
-    assert disk / 2 < most <= disk
-    kept.close()
-    assert Journal(tmp_path, sizes.compaction_bytes).open() == held
-
-
-def test_half_a_write_hides_nothing_that_comes_later(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    kept = Journal(tmp_path, 10_000)
-    kept.open()
+        message = JournaledMessage(message_id, FIELDS, b"b" * 700)
+        while pending and sum(map(journal.weight, [*pending.values(), message])) > limits.max_message_bytes:
+            oldest_id = next(iter(pending))
+            del pending[oldest_id]
+            journal.add(encode_completed(oldest_id))
+        pending[message_id] = message
+        journal.add(encode_accepted(message))
+        assert journal.flush()
+        disk_uses.append(disk_use(tmp_path))
+        if journal.needs_rewrite:
+            journal.rewrite(pending.values())
+    assert disk_bytes / 2 < max(disk_uses) <= disk_bytes
+    journal.close()
+    assert Journal(tmp_path, limits.compaction_bytes).open() == pending
+
+
+def test_partial_write_does_not_hide_later_records(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    journal = Journal(tmp_path, COMPACTION_BYTES)
+    journal.open()
     write = os.write
-    monkeypatch.setattr(os, "write", lambda file, data: write(file, data[: len(data) // 2]))
-    kept.add(accepted(1, b"lost"))
-    assert not kept.flush()
-    assert kept.failed_writes == 1
+    monkeypatch.setattr(os, "write", lambda descriptor, data: write(descriptor, data[: len(data) // 2]))
+    journal.add(accepted_record(1, b"lost"))
+    assert not journal.flush()
+    assert journal.failed_writes == 1
     monkeypatch.undo()
-    kept.add(accepted(2, b"kept"))
-    assert kept.flush()
-    assert list(Journal(tmp_path, 10_000).open()) == [2]
+    journal.add(accepted_record(2, b"written"))
+    assert journal.flush()
+    assert list(Journal(tmp_path, COMPACTION_BYTES).open()) == [2]
--- a/tests/platform_relay/test_list_updates.py
+++ b/tests/platform_relay/test_list_updates.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from .http_messages import CHUNKED_RESPONSE_HEAD, SERVER_ERROR_RESPONSE, read_http, request_status, submission
+from .http_messages import SERVER_ERROR_RESPONSE, WATCH_RESPONSE_HEAD, read_http, request_status, submission
 from .relay_testbed import (
     SETTINGS,
     RelayTestbed,
@@ -46,7 +46,7 @@
         b"",
         b"HTTP/1.1 200 OK\r\nTransfer-Enc",
         b"HTTP/1.1 500 X\r\n\r\n",
-        CHUNKED_RESPONSE_HEAD + b'40\r\n{"version":9,"full":fal',
+        WATCH_RESPONSE_HEAD + b'40\r\n{"version":9,"full":fal',
     ],
 )
 def test_stalled_watch_is_reopened_well_before_its_change_is_due(tmp_path: Path, response: bytes) -> None:
@@ -148,7 +148,7 @@
 
         async def serve_slowly(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await read_http(reader)
-            writer.write(CHUNKED_RESPONSE_HEAD + b"%x\r\n" % len(line))
+            writer.write(WATCH_RESPONSE_HEAD + b"%x\r\n" % len(line))
             writer.write(line[:FIRST_PIECE_BYTES])
             for start in range(FIRST_PIECE_BYTES, len(line), PIECE_BYTES):
                 await asyncio.sleep(0.1)
@@ -174,7 +174,7 @@
 
         async def serve_and_stall(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await read_http(reader)
-            writer.write(CHUNKED_RESPONSE_HEAD + b"%x\r\n" % len(line))
+            writer.write(WATCH_RESPONSE_HEAD + b"%x\r\n" % len(line))
             writer.write(line[:FIRST_PIECE_BYTES])
             for start in range(FIRST_PIECE_BYTES, 300_000, PIECE_BYTES):
                 await asyncio.sleep(0.2)
--- a/tests/platform_relay/test_long_lists.py
+++ b/tests/platform_relay/test_long_lists.py
@@ -11,7 +11,8 @@
 from linnetstile.engine.events import EndpointStatus
 from linnetstile.engine.watch_policy import ENTRIES_PER_EVENT
 
-from .discovery_emulator import FULL_LIST_REQUEST, RESPONSE_HEAD, DiscoveryEmulator, chunk, resume_request
+from .discovery_emulator import FULL_LIST_REQUEST, DiscoveryEmulator, resume_request
+from .http_messages import WATCH_RESPONSE_HEAD, chunk
 from .list_factories import LONG_LIST_SIZE, list_entry, listed_addresses
 from .relay_testbed import wait_until
 from .watch_testbed import WatchTestbed, run_watch_scenario
@@ -124,7 +125,7 @@
             list_entry("s-3", destination=77),
             list_entry("a", "DELETED"),
         )
-        emulator.scripted_responses = [(RESPONSE_HEAD + truncate(emulator.full_list()), False)] * 3
+        emulator.scripted_responses = [(WATCH_RESPONSE_HEAD + truncate(emulator.full_list()), False)] * 3
         emulator.watch_writers[0].close()
         for truncated_count in (1, 2, 3):
             await testbed.wait_for_watches(1 + truncated_count)
@@ -156,7 +157,7 @@
         older_list = emulator.encode(
             {"version": 39, "full": True, "servers": [list_entry(name, "DRAINING") for name in emulator.entries]}
         )
-        emulator.scripted_responses = [(RESPONSE_HEAD + chunk(older_list), False)]
+        emulator.scripted_responses = [(WATCH_RESPONSE_HEAD + chunk(older_list), False)]
         emulator.watch_writers[0].close()
         await testbed.wait_for_watches(3)
         await wait_until(testbed.is_watch_useful)
--- a/tests/platform_relay/test_old_state.py
+++ b/tests/platform_relay/test_old_state.py
@@ -1,4 +1,4 @@
-"""State of an earlier version: this one goes on with it, and writes records that the earlier one reads."""
+"""State of an earlier version: this one recovers it, and writes records that the earlier one reads."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
     PendingNotice,
 )
 
-from .relay_testbed import RelayTestbed, delivered_ids, is_idle, run_scenario, wait_until
+from .relay_testbed import RelayTestbed, delivered_ids, is_idle, run_scenario, wait_until, wait_until_idle
 
 DATA = Path(__file__).parent.parent / "data" / "platform_state"
 KILL: dict[str, Any] = json.loads((DATA / "kill.json").read_text())
@@ -41,7 +41,7 @@
 
 DESTINATIONS = range(1, 10)
 RESTART_DELAY_MS = 100.0
-CALLED_ONCE = [
+DELIVERED_ONCE = [
     "behind-charge",
     "no-effect-order",
     "no-effect-pay",
@@ -77,7 +77,7 @@
 
 
 @pytest.mark.parametrize("name", RECORDS)
-def test_each_kind_of_record_is_encoded_as_the_old_version_did(name: str) -> None:
+def test_each_kind_of_record_is_encoded_as_by_the_old_version(name: str) -> None:
     assert ENCODED[name] == RECORDS[name]
 
 
@@ -97,15 +97,14 @@
     assert (tmp_path / "journal").read_bytes() == REWRITTEN_JOURNAL
 
 
-def test_old_journal_says_the_same_before_and_after_its_compaction() -> None:
+def test_old_journal_has_the_same_records_before_and_after_its_compaction() -> None:
     assert replay(KILLED_JOURNAL) == replay(REWRITTEN_JOURNAL)
 
 
 async def prepare_platform(testbed: RelayTestbed, tmp_path: Path, folder: str) -> None:
     """Set up the platform as it was at the kill, and the state folder for the next relay."""
-    for destination in DESTINATIONS:
-        if destination > 1:  # which each testbed has
-            await testbed.add_endpoint(destination)
+    for destination in DESTINATIONS[1:]:  # each testbed has an endpoint of the first one
+        await testbed.add_endpoint(destination)
     testbed.settings = KILL["settings"]
     testbed.state_folder = tmp_path / folder
     shutil.copytree(DATA / folder, testbed.state_folder)
@@ -113,7 +112,7 @@
 
 @pytest.fixture
 def clock_after_kill(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Let the Unix time go on from shortly after the kill."""
+    """Let the Unix time continue from shortly after the kill."""
     offset_ms = KILL["killed_at_ms"] + RESTART_DELAY_MS - time.time() * 1000
     monkeypatch.setattr(clock, "unix_ms", lambda: time.time() * 1000 + offset_ms)
 
@@ -124,8 +123,8 @@
     async def scenario(testbed: RelayTestbed) -> None:
         await prepare_platform(testbed, tmp_path, folder)
         relay = await testbed.start_relay()
-        await wait_until(lambda: is_idle(relay))
-        assert sorted(delivered_ids(testbed)) == CALLED_ONCE
+        await wait_until_idle(relay)
+        assert sorted(delivered_ids(testbed)) == DELIVERED_ONCE
         notices = sorted((notice["ref"], notice["result"]) for notice in testbed.notices)
         # The attempt that was in flight may have run, and this class may not be retried.
         assert notices == sorted([*PENDING_AT_KILL.items(), ("open-pay", "dead")])
@@ -134,7 +133,7 @@
 
 
 @pytest.mark.usefixtures("clock_after_kill")
-def test_message_behind_an_old_notice_waits_until_the_platform_has_it(tmp_path: Path) -> None:
+def test_message_ordered_after_an_old_notice_waits_until_the_platform_accepts_it(tmp_path: Path) -> None:
     async def scenario(testbed: RelayTestbed) -> None:
         await prepare_platform(testbed, tmp_path, "killed")
         testbed.notice_statuses = [500]
@@ -150,12 +149,12 @@
 
 
 @pytest.mark.usefixtures("clock_after_kill")
-def test_relay_that_finished_an_old_state_leaves_nothing_to_the_next_one(tmp_path: Path) -> None:
+def test_relay_that_completed_an_old_state_leaves_no_message_to_the_next_one(tmp_path: Path) -> None:
     async def scenario(testbed: RelayTestbed) -> None:
         await prepare_platform(testbed, tmp_path, "killed")
         discovery_address = await testbed.start_discovery()
         first = await testbed.start_relay(discovery_address)
-        await wait_until(lambda: is_idle(first))
+        await wait_until_idle(first)
         await asyncio.sleep(0.05)
         testbed.stop_relay(first)
         second = await testbed.start_relay(discovery_address)
--- a/tests/platform_relay/test_ordered_messages.py
+++ b/tests/platform_relay/test_ordered_messages.py
@@ -5,7 +5,7 @@
 import asyncio
 from pathlib import Path
 
-from .http_messages import rejection, request_status, submission
+from .http_messages import request_status, submission, too_many_requests
 from .relay_testbed import RelayTestbed, delivered_ids, run_scenario, wait_until, wait_until_idle
 
 
@@ -42,7 +42,7 @@
     async def scenario(testbed: RelayTestbed) -> None:
         discovery_address = await testbed.start_discovery()
         testbed.notice_statuses = [500]
-        testbed.scripted_responses[1] = [rejection(429, retry_after_s=0.4)]
+        testbed.scripted_responses[1] = [too_many_requests(retry_after_s=0.4)]
         first = await testbed.start_relay(discovery_address)
         for submission_id, time_left in (("a1", "300m"), ("a2", "5000m")):
             request = submission(submission_id, "charge", path="/api/a", time_left=time_left)
--- a/tests/platform_relay/test_process.py
+++ b/tests/platform_relay/test_process.py
@@ -1,4 +1,4 @@
-"""The relay as a process: one clear error for a bad configuration, signals, kill and start again."""
+"""The relay as a process: one clear error for a bad configuration, signals, kill and restart."""
 
 from __future__ import annotations
 
@@ -14,6 +14,8 @@
 
 import pytest
 
+from .http_messages import READY_REQUEST, submission
+from .list_factories import list_entry
 from .relay_testbed import SETTINGS
 
 VALID_CONFIG: dict[str, Any] = {
@@ -27,17 +29,42 @@
 }
 
 
-def start_process(tmp_path: Path, raw: object) -> subprocess.Popen[str]:
-    path = tmp_path / "config.json"
-    path.write_text(raw if isinstance(raw, str) else json.dumps(raw))
-    env = {**os.environ, "GW_CONFIG": str(path), "GW_STATE": str(tmp_path / "state")}
+def start_process(folder: Path, raw_config: object) -> subprocess.Popen[str]:
+    """Start a relay with a configuration, given as text or as an object; its state is in `folder`."""
+    path = folder / "config.json"
+    path.write_text(raw_config if isinstance(raw_config, str) else json.dumps(raw_config))
+    environment = {**os.environ, "GW_CONFIG": str(path), "GW_STATE": str(folder / "state")}
     return subprocess.Popen(
-        [sys.executable, "-m", "linnetstile.platform_relay"], env=env, stderr=subprocess.PIPE, text=True
+        [sys.executable, "-m", "linnetstile.platform_relay"], env=environment, stderr=subprocess.PIPE, text=True
     )
 
 
+def free_port() -> int:
+    with socket.socket() as listener:
+        listener.bind(("127.0.0.1", 0))
+        return int(listener.getsockname()[1])
+
+
+def connect(port: int, timeout_s: float) -> socket.socket:
+    return socket.create_connection(("127.0.0.1", port), timeout=timeout_s)
+
+
+def wait_for_event(process: subprocess.Popen[str], event: str) -> dict[str, Any]:
+    """Return the next log event of this name.
+
+    Raises:
+        AssertionError: The process ended before it.
+    """
+    assert process.stderr is not None
+    for line in process.stderr:
+        fields: dict[str, Any] = json.loads(line)
+        if fields["event"] == event:
+            return fields
+    raise AssertionError(f"the process ended before it logged {event}")
+
+
 @pytest.mark.parametrize(
-    ("raw", "expected_text"),
+    ("raw_config", "expected_text"),
     [
         ("{", "config.json: expected JSON"),
         ({**VALID_CONFIG, "listen": "nowhere"}, "listen: expected HOST:PORT"),
@@ -54,75 +81,56 @@
         ("[" * 100_000, "config.json: expected JSON"),
     ],
 )
-def test_bad_configuration_gets_one_line_and_exit_2(tmp_path: Path, raw: object, expected_text: str) -> None:
-    process = start_process(tmp_path, raw)
+def test_bad_configuration_gets_one_line_and_exit_2(tmp_path: Path, raw_config: object, expected_text: str) -> None:
+    process = start_process(tmp_path, raw_config)
     _, error = process.communicate(timeout=20)
     assert process.returncode == 2
     assert expected_text in error
     assert error.count("\n") == 1
 
 
-def test_crowd_of_connections_leaves_descriptors_for_others(tmp_path: Path) -> None:
+def test_many_idle_connections_leave_descriptors_for_other_clients(tmp_path: Path) -> None:
     port = free_port()
     process = start_process(tmp_path, {**VALID_CONFIG, "listen": f"127.0.0.1:{port}", "limits": {"sockets": 64}})
     resource.prlimit(process.pid, resource.RLIMIT_NOFILE, (64, 64))
-    crowd: list[socket.socket] = []
+    idle_connections: list[socket.socket] = []
     try:
-        wait_for(process, "ready")
+        wait_for_event(process, "ready")
         for _ in range(5):
-            crowd += [socket.create_connection(("127.0.0.1", port), timeout=5) for _ in range(60)]
-            with socket.create_connection(("127.0.0.1", port), timeout=2) as client:
-                client.sendall(b"GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n")
+            idle_connections += [connect(port, timeout_s=5) for _ in range(60)]
+            with connect(port, timeout_s=2) as client:
+                client.sendall(READY_REQUEST)
                 assert b" 200 " in client.recv(1000)
     finally:
-        for each in crowd:
-            each.close()
+        for connection in idle_connections:
+            connection.close()
         process.kill()
-        _, told = process.communicate()
-    assert "fault" not in told
-
-
-def free_port() -> int:
-    with socket.socket() as probe:
-        probe.bind(("127.0.0.1", 0))
-        return int(probe.getsockname()[1])
-
-
-def wait_for(process: subprocess.Popen[str], event: str) -> dict[str, Any]:
-    assert process.stderr is not None
-    for line in process.stderr:
-        told: dict[str, Any] = json.loads(line)
-        if told["event"] == event:
-            return told
-    raise AssertionError(f"ended before it said {event}")
+        _, log_text = process.communicate()
+    assert "fault" not in log_text
 
 
-def test_bad_reload_changes_nothing_and_a_kill_loses_nothing_that_was_taken(tmp_path: Path) -> None:
+def test_bad_reload_changes_nothing_and_an_accepted_message_survives_a_kill(tmp_path: Path) -> None:
     port = free_port()
-    entry = {"id": "s", "addr": "127.0.0.1:9", "zone": "z", "kind": "k", "cell": 1, "state": "SERVING", "weight": 5.0}
-    good = {**VALID_CONFIG, "listen": f"127.0.0.1:{port}", "known": {"version": 1, "full": True, "servers": [entry]}}
-    process = start_process(tmp_path, good)
+    known_list = {"version": 1, "full": True, "servers": [list_entry("s")]}
+    valid_config = {**VALID_CONFIG, "listen": f"127.0.0.1:{port}", "known": known_list}
+    process = start_process(tmp_path, valid_config)
     try:
-        wait_for(process, "ready")
+        wait_for_event(process, "ready")
         (tmp_path / "config.json").write_text("{")
         process.send_signal(signal.SIGHUP)
-        assert "expected JSON" in wait_for(process, "config_rejected")["why"]
-        head = (
-            "POST /api HTTP/1.1\r\nHost: x\r\nX-Correlation-Id: m\r\nX-Service-Class: state\r\nX-Account: acme\r\n"
-            "X-Time-Left: 6000m\r\nEnvelope: dest=1\r\nContent-Length: 0\r\n\r\n"
-        )
-        with socket.create_connection(("127.0.0.1", port), timeout=5) as client:
-            client.sendall(head.encode())
+        assert "expected JSON" in wait_for_event(process, "config_rejected")["why"]
+        with connect(port, timeout_s=5) as client:
+            client.sendall(submission("m", body=b"", time_left="6000m"))
             assert b" 202 " in client.recv(1000)
     finally:
         process.kill()
         process.communicate()
-    process = start_process(tmp_path, good)
+    process = start_process(tmp_path, valid_config)
     try:
-        assert wait_for(process, "ready")["resumed"] == 1
+        assert wait_for_event(process, "ready")["resumed"] == 1
         process.send_signal(signal.SIGTERM)
-        stopped = wait_for(process, "stopped")
-        assert stopped["held"] + stopped["notices"] == 1  # still owed: nobody could be told
+        stopped = wait_for_event(process, "stopped")
+        assert stopped["held"] + stopped["notices"] == 1  # still pending: there is no platform to notify
         assert process.wait(10) == 0
     finally:
         process.kill()
--- a/tests/platform_relay/test_recovery.py
+++ b/tests/platform_relay/test_recovery.py
@@ -14,7 +14,7 @@
 
 from linnetstile.platform_relay import clock
 
-from .http_messages import MALFORMED_RESPONSE, OK_RESPONSE, rejection, request_status, submission
+from .http_messages import MALFORMED_RESPONSE, OK_RESPONSE, request_status, submission, too_many_requests
 from .journal_hooks import call_after_each_write
 from .relay_testbed import (
     CLASSES,
@@ -201,7 +201,7 @@
     async def scenario(testbed: RelayTestbed) -> None:
         discovery_address = await testbed.start_discovery()
         first = await testbed.start_relay(discovery_address)
-        testbed.scripted_responses[1] = [None if may_have_run else rejection(429, retry_after_s=1)]
+        testbed.scripted_responses[1] = [None if may_have_run else too_many_requests(retry_after_s=1)]
         assert await request_status(first, submission("m", "state")) == 202
         await wait_until(lambda: testbed.endpoint_calls if may_have_run else first.counts.get("ended_full"))
         testbed.kill_relay(first, tmp_path / "as killed")
--- a/tests/platform_relay/test_shutdown.py
+++ b/tests/platform_relay/test_shutdown.py
@@ -8,14 +8,14 @@
 from linnetstile.engine.graceful_shutdown import EXIT_MS, STOP_ACCEPTING_MS, STOP_ADMITTING_MS
 from linnetstile.platform_relay.relay import PlatformRelay
 
-from .http_messages import connect, connect_and_submit, read_status, rejection, request_status, submission
+from .http_messages import connect, connect_and_submit, read_status, request_status, submission, too_many_requests
 from .relay_testbed import RelayTestbed, delivered_ids, run_scenario, wait_until, wait_until_idle
 
 
 def test_draining_relay_serves_until_shortly_before_its_exit(tmp_path: Path) -> None:
     async def scenario(testbed: RelayTestbed) -> None:
         relay = await testbed.start_relay()
-        testbed.scripted_responses[1] = [rejection(429, retry_after_s=0.6)]
+        testbed.scripted_responses[1] = [too_many_requests(retry_after_s=0.6)]
         assert await request_status(relay, submission("m")) == 202
         relay.begin_shutdown()
         assert await request_status(relay, submission("n")) == 202
--- a/tests/platform_relay/test_watch_faults.py
+++ b/tests/platform_relay/test_watch_faults.py
@@ -10,33 +10,34 @@
 from linnetstile.engine import watch_policy
 from linnetstile.platform_relay import discovery
 
-from .discovery_emulator import FULL_LIST_REQUEST, RESPONSE_HEAD, DiscoveryEmulator, chunk
+from .discovery_emulator import FULL_LIST_REQUEST, DiscoveryEmulator
+from .http_messages import WATCH_RESPONSE_HEAD, chunk
 from .list_factories import list_entry
 from .relay_testbed import wait_until
 from .watch_testbed import WatchTestbed, run_watch_scenario
 
 STALLED_RESPONSES = [
     b"",
-    RESPONSE_HEAD[:20],
-    RESPONSE_HEAD,
-    RESPONSE_HEAD + b"5",
-    RESPONSE_HEAD + b"40\r\n",
-    RESPONSE_HEAD + b'40\r\n{"version":41,"full":true,"servers":[',
-    RESPONSE_HEAD + chunk(b"\n"),
-    RESPONSE_HEAD + chunk(b'{"version": 4') + b"1",
+    WATCH_RESPONSE_HEAD[:20],
+    WATCH_RESPONSE_HEAD,
+    WATCH_RESPONSE_HEAD + b"5",
+    WATCH_RESPONSE_HEAD + b"40\r\n",
+    WATCH_RESPONSE_HEAD + b'40\r\n{"version":41,"full":true,"servers":[',
+    WATCH_RESPONSE_HEAD + chunk(b"\n"),
+    WATCH_RESPONSE_HEAD + chunk(b'{"version": 4') + b"1",
 ]
 MALFORMED_RESPONSES = [
     b"HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n",
     b"\x16\x03 noise\r\n\r\n",
-    RESPONSE_HEAD + b"zz\r\n",
-    RESPONSE_HEAD + chunk(b"17\n"),
-    RESPONSE_HEAD + chunk(b"[]\n"),
-    RESPONSE_HEAD + chunk(b"{}\n"),
-    RESPONSE_HEAD + chunk(b'{"servers":7}\n'),
-    RESPONSE_HEAD + chunk(b"[" * 100_000),
-    RESPONSE_HEAD + chunk(b'{"version":41,"full":true,"servers":[{"id":"a"\n{'),
-    RESPONSE_HEAD + chunk(b'"\xff"'),
-    RESPONSE_HEAD + b"0\r\n\r\n",
+    WATCH_RESPONSE_HEAD + b"zz\r\n",
+    WATCH_RESPONSE_HEAD + chunk(b"17\n"),
+    WATCH_RESPONSE_HEAD + chunk(b"[]\n"),
+    WATCH_RESPONSE_HEAD + chunk(b"{}\n"),
+    WATCH_RESPONSE_HEAD + chunk(b'{"servers":7}\n'),
+    WATCH_RESPONSE_HEAD + chunk(b"[" * 100_000),
+    WATCH_RESPONSE_HEAD + chunk(b'{"version":41,"full":true,"servers":[{"id":"a"\n{'),
+    WATCH_RESPONSE_HEAD + chunk(b'"\xff"'),
+    WATCH_RESPONSE_HEAD + b"0\r\n\r\n",
 ]
 
 
@@ -120,7 +121,7 @@
         await testbed.wait_for_match()
         older_entries = [list_entry("a"), list_entry("b", destination=2)]
         older_list = json.dumps({"version": 40, "full": True, "servers": older_entries}).encode()
-        emulator.scripted_responses = [(RESPONSE_HEAD + chunk(older_list), False)]
+        emulator.scripted_responses = [(WATCH_RESPONSE_HEAD + chunk(older_list), False)]
         emulator.watch_writers[0].close()
         await testbed.wait_for_watches(3)
         assert not testbed.directory.id_of("b")  # also between the two
--- a/tests/platform_relay/test_watch_timing.py
+++ b/tests/platform_relay/test_watch_timing.py
@@ -14,7 +14,7 @@
 from linnetstile.platform_relay.directory import Directory
 from linnetstile.platform_relay.discovery import Watch
 
-from .discovery_emulator import RESPONSE_HEAD, chunk
+from .http_messages import WATCH_RESPONSE_HEAD, chunk
 from .list_factories import LONG_LIST_SIZE, list_entry
 from .virtual_time import NO_RESPONSE, TimedResponse, VirtualTimeLoop
 
@@ -35,11 +35,11 @@
     [
         ([NO_RESPONSE], [True, False]),
         ([NO_RESPONSE, NO_RESPONSE], [True, False, False]),
-        ([[(0.0, RESPONSE_HEAD)]], [True, False]),
-        ([[(0.99, RESPONSE_HEAD)]], [True, False]),
-        ([[(0.49, RESPONSE_HEAD[:9])], NO_RESPONSE], [True, False, False]),
-        ([[(0.99, RESPONSE_HEAD + b"5")]], [True, False]),
-        ([[(0.99, RESPONSE_HEAD), (2.59, b"\r")]], [True, False]),
+        ([[(0.0, WATCH_RESPONSE_HEAD)]], [True, False]),
+        ([[(0.99, WATCH_RESPONSE_HEAD)]], [True, False]),
+        ([[(0.49, WATCH_RESPONSE_HEAD[:9])], NO_RESPONSE], [True, False, False]),
+        ([[(0.99, WATCH_RESPONSE_HEAD + b"5")]], [True, False]),
+        ([[(0.99, WATCH_RESPONSE_HEAD), (2.59, b"\r")]], [True, False]),
     ],
 )
 def test_change_arrives_before_it_is_due_after_the_worst_sequence_of_stalled_watches(
@@ -51,8 +51,8 @@
         stalled_responses: All that the next watches receive.
         resumes: For each watch after the first one, whether it resumes from the version.
     """
-    first_response = [(0.0, RESPONSE_HEAD + full_list_chunk(ENTRIES))]
-    last_response = [(0.0, RESPONSE_HEAD + full_list_chunk(CHANGED_ENTRIES, version=42))]
+    first_response = [(0.0, WATCH_RESPONSE_HEAD + full_list_chunk(ENTRIES))]
+    last_response = [(0.0, WATCH_RESPONSE_HEAD + full_list_chunk(CHANGED_ENTRIES, version=42))]
     loop = VirtualTimeLoop([first_response, *stalled_responses, last_response])
     change_times: list[float] = []
 
@@ -80,7 +80,7 @@
 
 
 def test_slow_long_list_is_awaited_but_a_stalled_one_is_not() -> None:
-    response = RESPONSE_HEAD + full_list_chunk([list_entry(f"s-{number}") for number in range(LONG_LIST_SIZE)])
+    response = WATCH_RESPONSE_HEAD + full_list_chunk([list_entry(f"s-{number}") for number in range(LONG_LIST_SIZE)])
     pieces = [response[start : start + 24_000] for start in range(0, len(response), 24_000)]
     slow_response: TimedResponse = [(0.3 * number, piece) for number, piece in enumerate(pieces)]
     assert slow_response[-1][0] > 6
