--- a/tests/platform_relay/list_factories.py
+++ b/tests/platform_relay/list_factories.py
@@ -49,7 +49,7 @@
     """
     update = directory.begin_update({"version": version, "full": full})
     received = entries[:entry_limit]
-    steps = [update.add_entries(received[at : at + batch_size]) for at in range(0, len(received), batch_size)]
+    steps = [update.add_entries(received[start : start + batch_size]) for start in range(0, len(received), batch_size)]
     while entry_limit is None and not update.is_complete:
         steps.append(update.remove_missing())
     return update, steps
