--- a/tests/platform_relay/watch_testbed.py
+++ b/tests/platform_relay/watch_testbed.py
@@ -17,8 +17,6 @@
 from .list_factories import list_entry, listed_addresses
 from .relay_testbed import wait_until
 
-LONG_LIST_SIZE = 5000
-"""Endpoints: some 600 KB, which are read in parts."""
 SHORT_LIST_WAIT_S = 5.0
 LONG_LIST_WAIT_S = 30.0
 """Emulator, watch and checks share one thread: on a busy machine each reading of a long list takes some seconds."""
