--- a/linnetstile/config/platform.py
+++ b/linnetstile/config/platform.py
@@ -1,6 +1,7 @@
-"""The settings object of the users' platform, as the simulator's wire and a relay's configuration file both give it.
+"""Translates the settings object of the users' platform into engine settings.
 
-This is the one place that knows the object's keys.
+The simulator sends this object on its wire, and the configuration file of a platform relay holds it under `settings`.
+The keys of the object are known here alone. Standard library only, as the platform relay runs without other packages.
 """
 
 from __future__ import annotations
@@ -21,6 +22,7 @@
 )
 from ..errors import ConfigError
 
+# The values of the object's enumerations, by key: "effect", "dedup-scope" and "weight-kind".
 EFFECTS = {"repeatable": Effect.IDEMPOTENT, "by_key": Effect.DEDUPLICATED, "once": Effect.NON_IDEMPOTENT}
 DEDUPLICATION_SCOPES = {
     "all": DeduplicationScope.ALL,
@@ -28,40 +30,41 @@
     "cell": DeduplicationScope.ENDPOINT,
 }
 RATE_TRUST = {"nominal": RateTrust.NOMINAL, "rough": RateTrust.ROUGH}
-LOAD_FIELDS = ("x0", "x1")  # of a load report, that the engine reads
-
-
-class SettingsError(ConfigError):
-    """The object lacks a field, or one holds something else than expected."""
+LOAD_REPORT_FIELDS = ("x0", "x1")  # the two fields of a load report that the engine reads
 
 
 def settings_from(raw: dict[str, Any]) -> Settings:
-    """Translate the object; keys that are not known are skipped.
+    """Translate the object; unknown keys are ignored.
 
     Raises:
-        SettingsError: The object cannot be used.
+        ConfigError: A field is missing, or has a value that cannot be used.
     """
     try:
         return _settings(raw)
     except KeyError as error:
-        raise SettingsError(f"{error} is missing or not known", field=str(error.args[0])) from error
+        raise ConfigError(f"{error} is missing or not known", field=str(error.args[0])) from error
     except (ValueError, TypeError, AttributeError, IndexError) as error:
-        raise SettingsError(str(error)) from error
+        raise ConfigError(str(error)) from error
 
 
 def _settings(raw: dict[str, Any]) -> Settings:
-    # Of several faults the first is reported, in the order in which the fields are read here.
-    extra, limits, safety = raw["extra"], raw["limits"], raw["safety"]
-    goal, feedback, prices = raw.get("goal", {}), raw.get("feedback", {}), raw.get("prices", {})
+    # The order of the reads matters: of several faults, the first one found is reported.
+    extra = raw["extra"]
+    limits = raw["limits"]
+    safety = raw["safety"]
+    goal = raw.get("goal", {})
+    feedback = raw.get("feedback", {})
+    prices = raw.get("prices", {})
     kinds = raw["kinds"]
-    batches, separate_routes = extra.get("per-call", []), extra.get("separate-routes", [])
-    load_fields = feedback.get("fields", [])
+    batch_sizes = extra.get("per-call", [])
+    separate_routes = extra.get("separate-routes", [])
+    load_report_fields = feedback.get("fields", [])
     return Settings(
-        classes=tuple(_message_class(each) for each in raw["classes"]),
+        classes=tuple(_message_class(raw_class) for raw_class in raw["classes"]),
         kinds=tuple(
             DestinationKind(
                 name=name,
-                max_batch=batches[index] if index < len(batches) else 1,
+                max_batch=batch_sizes[index] if index < len(batch_sizes) else 1,
                 separate_routes=bool(separate_routes[index]) if index < len(separate_routes) else False,
             )
             for index, name in enumerate(kinds)
@@ -86,7 +89,7 @@
         max_retry_after_ms=limits.get("max-retry-after-ms", 0.0) if limits.get("retry-after") else 0.0,
         cross_zone_price=prices.get("cross-zone", 0.0),
         route_fees=tuple(extra.get("carriage", [])),
-        load_report_fields=_load_report_fields(load_fields),
+        load_report_fields=_load_report_indexes(load_report_fields),
         safety=_safety_limits(safety),
         score_weights=_score_weights(goal),
     )
@@ -106,9 +109,9 @@
     )
 
 
-def _load_report_fields(names: list[str]) -> tuple[int, int] | None:
-    """Return where the two fields stand in a load report; None if it does not have both."""
-    first, second = LOAD_FIELDS
+def _load_report_indexes(names: list[str]) -> tuple[int, int] | None:
+    """Return the indexes of `LOAD_REPORT_FIELDS` in a load report; None if it does not have both."""
+    first, second = LOAD_REPORT_FIELDS
     return (names.index(first), names.index(second)) if {first, second} <= set(names) else None
 
 
@@ -127,8 +130,8 @@
 
 def _score_weights(raw: dict[str, Any]) -> ScoreWeights:
     return ScoreWeights(
-        raw.get("whole", 1.0),
-        raw.get("worst-window", 0.0),
-        raw.get("worst-class", 0.0),
-        raw.get("worst-tenant", 0.0),
+        whole_day=raw.get("whole", 1.0),
+        worst_window=raw.get("worst-window", 0.0),
+        worst_class=raw.get("worst-class", 0.0),
+        worst_tenant=raw.get("worst-tenant", 0.0),
     )
--- a/linnetstile/net/engine_loop.py
+++ b/linnetstile/net/engine_loop.py
@@ -1,10 +1,13 @@
-"""The engine on an event loop: its clock, its timer, and one turn for all that happened in one pass of the loop."""
+"""Runs the engine on an asyncio event loop: its clock, its one timer, and its turns.
+
+A turn is one call of `DeliveryEngine.handle`. All events that were posted in one pass of the event loop share a turn.
+"""
 
 from __future__ import annotations
 
 import asyncio
 from collections.abc import Callable
-from dataclasses import replace
+from dataclasses import dataclass, replace
 
 from ..engine.actions import Action, HealthCheck, SetTimer
 from ..engine.engine import DeliveryEngine
@@ -12,9 +15,10 @@
 
 
 def age_event(event: Event, elapsed_ms: float) -> Event:
-    """Return the event as it is `elapsed_ms` after it was posted: what counts from that moment is that much older.
+    """Return an event as it is `elapsed_ms` after it was posted: its ages and remaining times are moved on.
 
-    Guards deadlines: a start posts all that it found before the first of it has its turn.
+    Without this, deadlines would end late: at its start a relay posts all messages that it recovers before the first
+    turn.
     """
     match event:
         case Message():
@@ -34,35 +38,48 @@
     return replace(message, remaining_ms=max(0.0, message.remaining_ms - elapsed_ms))
 
 
+@dataclass(slots=True)
+class PostedEvent:
+    """An event that waits for the next turn, with the loop time (ms) at which it was posted."""
+
+    posted_at_ms: float
+    event: Event
+
+
 class EngineLoop:
-    """Gives the engine its turns.
+    """Passes events to the engine, one turn for all events of one pass of the event loop.
 
     Attributes:
-        engine: Decides.
-        carry_out: Gets each turn's events, with the actions that are its host's to carry out.
-        events: Posted since the last turn, and when (loop time, ms).
+        engine: The engine, which makes all decisions.
+        carry_out: Called after each turn with its events and with the engine's actions, except the actions that are
+            carried out here: timers and health checks.
+        events: Events that were posted since the last turn.
+        turn_scheduled: Whether the next turn is scheduled.
+        closed: Whether `close` was called: no turn runs any more.
+        timer: The engine's timer, as it was set last.
     """
 
     def __init__(self, engine: DeliveryEngine, carry_out: Callable[[list[Event], list[Action]], None]) -> None:
         self.engine = engine
         self.carry_out = carry_out
         self.loop = asyncio.get_running_loop()
-        self.events: list[tuple[float, Event]] = []
-        self.turn_scheduled = self.closed = False
+        self.events: list[PostedEvent] = []
+        self.turn_scheduled = False
+        self.closed = False
         self.timer: asyncio.TimerHandle | None = None
 
     @property
     def now(self) -> float:
-        """The loop's time in ms, which is the engine's."""
+        """The loop time in ms, which is the clock of the engine."""
         return self.loop.time() * 1000
 
     def post(self, event: Event) -> None:
-        """Tell the engine of an event in its next turn, as of now."""
-        self.events.append((self.now, event))
+        """Pass an event to the engine in its next turn, as one that happened now."""
+        self.events.append(PostedEvent(self.now, event))
         self.schedule_turn()
 
     def schedule_turn(self) -> None:
-        """Let a turn follow, with whatever has happened by then."""
+        """Schedule a turn for the next pass of the event loop, with all events posted by then."""
         if not self.turn_scheduled:
             self.turn_scheduled = True
             self.loop.call_soon(self._run_turn)
@@ -71,30 +88,39 @@
         self.turn_scheduled = False
         if self.closed:
             return
-        now, posted, self.events = self.now, self.events, []
-        events = [event if now == at else age_event(event, now - at) for at, event in posted]
+        now_ms = self.now
+        events = self._take_events(now_ms)
         host_actions: list[Action] = []
-        for action in self.engine.handle(now, events):
+        for action in self.engine.handle(now_ms, events):
             match action:
-                case SetTimer(delay_ms, token):
+                case SetTimer(delay_ms=delay_ms, token=token):
                     self._set_timer(delay_ms, token)
-                case HealthCheck(endpoint):
+                case HealthCheck(endpoint=endpoint):
                     # None of our protocols has a health check.
                     self.post(HealthCheckEnded(endpoint, Outcome.NOT_SENT))
                 case _:
                     host_actions.append(action)
         self.carry_out(events, host_actions)
 
+    def _take_events(self, now_ms: float) -> list[Event]:
+        """Return the posted events as they are at `now_ms`, and leave none."""
+        posted = self.events
+        self.events = []
+        return [
+            each.event if each.posted_at_ms == now_ms else age_event(each.event, now_ms - each.posted_at_ms)
+            for each in posted
+        ]
+
     def _set_timer(self, delay_ms: float, token: int) -> None:
         self.stop()
         self.timer = self.loop.call_later(delay_ms / 1000, self.post, TimerFired(token))
 
     def stop(self) -> None:
-        """Cancel the timer that is set; what is posted still has its turn."""
+        """Cancel the timer; events that are posted still get their turn."""
         if self.timer:
             self.timer.cancel()
 
     def close(self) -> None:
-        """End the turns: what is posted from now on is judged by nobody."""
+        """Run no turn any more: events that are posted from now on have no effect."""
         self.closed = True
         self.stop()
--- a/linnetstile/platform_relay/config.py
+++ b/linnetstile/platform_relay/config.py
@@ -1,4 +1,7 @@
-"""What the platform tells a relay: GW_CONFIG names a JSON file; the other GW_ variables fill what it leaves out."""
+"""Reads the configuration of a platform relay.
+
+The environment variable GW_CONFIG names a JSON file; the other GW_ variables give the values that the file leaves out.
+"""
 
 from __future__ import annotations
 
@@ -13,36 +16,44 @@
 from ..engine.settings import Settings
 from ..errors import ConfigError
 
-Address = tuple[str, int]
+Address = tuple[str, int]  # host and port, as asyncio takes them
 HOST_PATTERN = re.compile(r"[0-9A-Za-z_][0-9A-Za-z_.-]{0,252}\Z")
 MAX_PORT = 65535
-LIMIT_BOUND = 1e12  # no limit is that large
+MAX_PORT_DIGITS = 5
+LIMIT_BOUND = 1e12  # in the unit of each limit: a larger number is a mistake
+
+DEFAULT_SOCKETS = 1024
+DEFAULT_MEMORY_MB = 192.0
+DEFAULT_DISK_MB = 3.0
+MIN_SOCKETS = 64  # a smaller limit, as those below, is taken for a mistake
+MIN_MEMORY_MB = 1.0
+MIN_DISK_MB = 0.01
 
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """What the platform grants a relay."""
+    """Resources that the platform grants a relay: open sockets, memory and disk space (MB)."""
 
-    sockets: int = 1024
-    memory_mb: float = 192.0
-    disk_mb: float = 3.0
+    sockets: int = DEFAULT_SOCKETS
+    memory_mb: float = DEFAULT_MEMORY_MB
+    disk_mb: float = DEFAULT_DISK_MB
 
 
 @dataclass(frozen=True, slots=True)
 class RelaySettings:
-    """All that a relay is started with.
+    """The configuration of one relay.
 
     Attributes:
-        name: For the log.
-        listen: Where clients come.
-        discovery: Where the list of endpoints is watched and notices go.
-        state: The folder that outlives the process.
-        seed: Of the random numbers.
-        limits: What the platform grants.
-        known_list: A list of endpoints in discovery's form; it may be old.
-        engine_settings: What the engine decides by.
-        zones: Names of the zones, by their number.
-        load_report_fields: Names in a load report, in the engine's order.
+        name: Name of the relay.
+        listen: Address at which the relay listens for clients.
+        discovery: Address at which the list of endpoints is watched, and to which notices are posted.
+        state: Folder of the journal; it outlives the process.
+        seed: Seed of the random numbers.
+        limits: Resources that the platform grants.
+        known_list: A cached list of endpoints in the format of discovery; it may be outdated.
+        engine_settings: Settings of the delivery engine.
+        zones: Names of the zones; an endpoint's zone is an index of it.
+        load_report_fields: Names of the fields in a load report, in the order in which the engine gets their values.
     """
 
     name: str
@@ -58,9 +69,15 @@
 
 
 def parse_address(text: object, field: str) -> Address:
-    """Return host and port of HOST:PORT. Raises ConfigError, which names `field`."""
+    """Parse HOST:PORT.
+
+    Raises:
+        ConfigError: It is not HOST:PORT; the message names `field`.
+    """
     host, colon, port = str(text).rpartition(":")
-    is_address = colon and HOST_PATTERN.match(host) and port.isascii() and port.isdigit() and len(port) < 6
+    is_address = (
+        colon and HOST_PATTERN.match(host) and port.isascii() and port.isdigit() and len(port) <= MAX_PORT_DIGITS
+    )
     if not is_address or int(port) > MAX_PORT:
         raise ConfigError(
             f"{field}: expected HOST:PORT, found {text!r}", field=field, expected="HOST:PORT", found=repr(text)
@@ -69,19 +86,20 @@
 
 
 def without_batches(settings: Settings) -> Settings:
-    """Return the settings as they hold on sockets: a call to an endpoint carries one message.
+    """Return the settings with batches of one message for each kind of destination.
 
-    So PROTOCOL has it, relays to endpoints, also where a destination takes several. Guards slots and limits, which
-    count each call: the engine's batched messages would go out as calls of their own that it does not count.
+    The platform's protocol between relays and endpoints has one message a call, also for destinations that take
+    batches. With larger batches, slots and rate limits would be exceeded: the engine counts a batch as one call, while
+    each of its messages would be a call of its own.
     """
     return replace(settings, kinds=tuple(replace(kind, max_batch=1) for kind in settings.kinds))
 
 
 def load(environ: Mapping[str, str]) -> RelaySettings:
-    """Read and check all that a relay is started with.
+    """Read and validate the configuration of a relay.
 
     Raises:
-        ConfigError: Something is missing, or is not what is expected.
+        ConfigError: A value is missing, or cannot be used.
     """
     path = environ.get("GW_CONFIG", "")
     if not path:
@@ -105,7 +123,7 @@
         if not isinstance(raw.get(field, {}), dict):
             raise ConfigError(f"{field}: expected an object", field=field, expected="an object")
     settings = raw.get("settings", {})
-    # In this order, as the first fault found is the one that is reported.
+    # The order of the reads matters: of several faults, the first one found is reported.
     zones = _zones(settings)
     state = _state_folder(environ)
     seed = _seed(raw)
@@ -168,25 +186,25 @@
 def _engine_settings(settings: dict[str, Any]) -> Settings:
     try:
         return without_batches(platform.settings_from(settings))
-    except platform.SettingsError as error:
+    except ConfigError as error:
         raise ConfigError(f"settings: {error}", field="settings") from error
 
 
 def _limits(raw: Mapping[str, Any]) -> Limits:
     return Limits(
-        int(_limit(raw, "sockets", default=1024, least=64)),
-        _limit(raw, "memory_mb", default=192, least=1),
-        _limit(raw, "disk_mb", default=3, least=0.01),
+        sockets=int(_limit(raw, "sockets", default=DEFAULT_SOCKETS, minimum=MIN_SOCKETS)),
+        memory_mb=_limit(raw, "memory_mb", default=DEFAULT_MEMORY_MB, minimum=MIN_MEMORY_MB),
+        disk_mb=_limit(raw, "disk_mb", default=DEFAULT_DISK_MB, minimum=MIN_DISK_MB),
     )
 
 
-def _limit(raw: Mapping[str, Any], name: str, *, default: float, least: float) -> float:
+def _limit(raw: Mapping[str, Any], name: str, *, default: float, minimum: float) -> float:
     value = raw.get(name, default)
-    if isinstance(value, bool) or not isinstance(value, (int, float)) or not least <= value < LIMIT_BOUND:
+    if isinstance(value, bool) or not isinstance(value, (int, float)) or not minimum <= value < LIMIT_BOUND:
         raise ConfigError(
-            f"limits.{name}: expected a number of {least:g} or more, found {value!r}",
+            f"limits.{name}: expected a number of {minimum:g} or more, found {value!r}",
             field=f"limits.{name}",
-            expected=f"a number of {least:g} or more",
+            expected=f"a number of {minimum:g} or more",
             found=repr(value),
         )
     return float(value)
