--- /dev/null
+++ b/linnetstile/platform_relay/counters.py
@@ -0,0 +1,27 @@
+"""Names of the counters of a relay, as the log event `stats` has them; docs/operate/node.md explains them to operators.
+
+A `collections.Counter` by these names is shared by the parts of the relay: `PlatformRelay.counts`.
+"""
+
+from __future__ import annotations
+
+from typing import Final
+
+from ..engine.events import Outcome
+
+# Submissions that were accepted, or rejected before the engine saw them.
+ACCEPTED: Final = "taken"
+REJECTED_DUPLICATE: Final = "known"
+REJECTED_UNKNOWN_DESTINATION: Final = "nowhere"
+REJECTED_JOURNAL_FULL: Final = "no_room"
+REJECTED_PAST_DEADLINE: Final = "late"
+REJECTED_NOT_JOURNALED: Final = "not_written"
+CLIENT_LEFT_BEFORE_ANSWER: Final = "unheard"
+
+# Attempts that began, and those that ended, by their outcome.
+ATTEMPTS: Final = "attempts"
+ATTEMPTS_ENDED: Final = {outcome: f"ended_{outcome.value}" for outcome in Outcome}
+
+# Messages that the engine gave up.
+MESSAGES_REJECTED: Final = "refused"
+MESSAGES_FAILED: Final = "failed"
--- a/linnetstile/platform_relay/delivery.py
+++ b/linnetstile/platform_relay/delivery.py
@@ -1,4 +1,4 @@
-"""Delivery: an attempt is journaled, then its call begins, and the engine hears how it ended."""
+"""Delivery of messages to endpoints: journals each attempt, makes its call, and posts its outcome to the engine."""
 
 from __future__ import annotations
 
@@ -11,16 +11,18 @@
 from ..engine.attempt_outcome import AttemptVerdict, WireResult
 from ..engine.events import AttemptEnded, Outcome
 from ..net.engine_loop import EngineLoop
-from . import clock, journal_codec
+from . import clock, counters, journal_codec
 from .accepted import AcceptedMessage, AcceptedMessages, Attempt
 from .directory import Directory
-from .endpoint_client import EndpointClient
+from .endpoint_client import AttemptResult, EndpointClient
 from .journal import Journal
 from .records import JournaledAttempt, PendingNotice
 
 
 @dataclass(slots=True, eq=False)
 class _StartedAttempt:
+    """An attempt that is journaled, with the engine's action that asked for it."""
+
     send: Send
     message: AcceptedMessage
     attempt: Attempt
@@ -30,7 +32,8 @@
     """Carries out the engine's sends and cancellations.
 
     Attributes:
-        waiting_for_order: By ordering key: a send that goes once the platform has the notice of the message before.
+        waiting_for_order: Sends that wait until the platform has the notice of an earlier message with the same
+            ordering key, by this key.
     """
 
     def __init__(
@@ -51,11 +54,11 @@
         self._directory = directory
         self._endpoint_client = endpoint_client
         self._engine_loop = engine_loop
-        self._post = engine_loop.post
+        self._post_event = engine_loop.post
         self._counts = counts
 
     def send_all(self, sends: Iterable[Send]) -> None:
-        """Begin the attempts that can begin, after one write of the journal for all of them."""
+        """Begin the attempts that can begin, after a single write of the journal for all of them."""
         unix_ms = clock.unix_ms()
         started: list[_StartedAttempt] = []
         for send in sends:
@@ -67,30 +70,35 @@
             if written:
                 self._call(started_attempt, unix_ms)
             else:
-                started_attempt.message.journaled.open_attempt = started_attempt.message.attempt = None
-                self._post_not_sent(started_attempt.send, started_attempt.attempt.number)
+                self._abandon(started_attempt)
+
+    def _abandon(self, started: _StartedAttempt) -> None:
+        """End an attempt that could not be journaled, and is not sent for this reason."""
+        started.message.journaled.open_attempt = None
+        started.message.attempt = None
+        self._post_not_sent(started.send, started.attempt.number)
 
     def _start(self, send: Send, unix_ms: float) -> _StartedAttempt | None:
-        """Journal an attempt; None if it does not begin now."""
+        """Add an attempt to the journal; return None if it does not begin now."""
         message = self._accepted.by_id.get(send.id)
         address = self._directory.address_of(send.endpoint)
-        if message is None or address is None:  # cancelled in this turn, or the endpoint has just gone
+        if message is None or address is None:  # cancelled in this turn, or the endpoint was just removed
             self._post_not_sent(send, message.journaled.attempts if message else 0)
             return None
         journaled = message.journaled
         ordering_key = message.ordering_key
         if ordering_key and self._has_pending_notice(ordering_key):
-            # The result of the message before is on its way: this call must not overtake it.
+            # The platform does not have the result of the earlier message yet: this call must not overtake it.
             self.waiting_for_order[ordering_key] = send
             return None
         now_ms = self._engine_loop.now
-        if now_ms >= min(send.timeout_at_ms, send.send_before_ms):  # it waited for such a result too long
+        if now_ms >= min(send.timeout_at_ms, send.send_before_ms):  # it waited too long for an earlier result
             self._post_not_sent(send, journaled.attempts)
             return None
         assert message.attempt is None, "two attempts at once"
-        message.attempt = Attempt(journaled.attempts, address, now_ms)
+        message.attempt = Attempt(number=journaled.attempts, address=address, started_at_ms=now_ms)
         journaled.attempts += 1
-        journaled.open_attempt = JournaledAttempt(unix_ms, address.zone, address.name)
+        journaled.open_attempt = JournaledAttempt(started_at_ms=unix_ms, zone=address.zone, endpoint_name=address.name)
         self._journal.add(journal_codec.encode_attempt_started(journaled.id, journaled.open_attempt))
         return _StartedAttempt(send, message, message.attempt)
 
@@ -98,9 +106,10 @@
         return any(pending.ordering_key == ordering_key for pending in self._pending_notices.values())
 
     def _call(self, started: _StartedAttempt, unix_ms: float) -> None:
-        send, attempt = started.send, started.attempt
+        send = started.send
+        attempt = started.attempt
         fields = started.message.journaled.fields
-        self._counts["attempts"] += 1
+        self._counts[counters.ATTEMPTS] += 1
         headers = [("X-Correlation-Id", fields.submission_id)]
         if fields.idempotency_key:
             headers.append(("Idempotency-Key", fields.idempotency_key))
@@ -116,33 +125,34 @@
             on_ended=partial(self._on_ended, started),
         )
 
-    def _on_ended(
-        self, started: _StartedAttempt, verdict: AttemptVerdict, load_report: tuple[float, ...], reused: bool
-    ) -> None:
-        send, attempt, journaled = started.send, started.attempt, started.message.journaled
+    def _on_ended(self, started: _StartedAttempt, result: AttemptResult) -> None:
+        send = started.send
+        attempt = started.attempt
+        verdict = result.verdict
         outcome = verdict.outcome
         attempt.call = None
         started.message.attempt = None
-        self._counts[f"ended_{outcome.value}"] += 1
+        self._counts[counters.ATTEMPTS_ENDED[outcome]] += 1
         self._journal_end(started.message, verdict)
-        self._post(
+        self._post_event(
             AttemptEnded(
-                send.id,
-                attempt.number,
-                send.endpoint,
-                outcome,
-                self._engine_loop.now - attempt.started_at_ms,
-                verdict.is_final,
-                verdict.retry_after_ms,
-                verdict.slots_exhausted,
-                load_report,
-                reused,
+                id=send.id,
+                attempt=attempt.number,
+                endpoint=send.endpoint,
+                outcome=outcome,
+                latency_ms=self._engine_loop.now - attempt.started_at_ms,
+                is_final=verdict.is_final,
+                retry_after_ms=verdict.retry_after_ms,
+                slots_exhausted=verdict.slots_exhausted,
+                load_report=result.load_report,
+                connection_reused=result.connection_reused,
             )
         )
         if verdict.is_final:
-            self._accepted.remove(journaled.id)
+            self._accepted.remove(started.message.journaled.id)
 
     def _journal_end(self, message: AcceptedMessage, verdict: AttemptVerdict) -> None:
+        """Add the end of an attempt to the journal."""
         journaled = message.journaled
         may_have_effect = not verdict.outcome.proves_no_effect
         if may_have_effect and journaled.unclear_attempt is None:
@@ -155,10 +165,10 @@
         self._journal.add(record)
 
     def _post_not_sent(self, send: Send, attempt_number: int) -> None:
-        self._post(AttemptEnded(send.id, attempt_number, send.endpoint, Outcome.NOT_SENT))
+        self._post_event(AttemptEnded(send.id, attempt_number, send.endpoint, Outcome.NOT_SENT))
 
     def send_waiting(self, ordering_keys: Iterable[int]) -> None:
-        """Begin the attempts that waited for notices of messages with these keys."""
+        """Begin the attempts that waited for the notices of messages with these ordering keys."""
         waiting = self.waiting_for_order
         self.send_all([waiting.pop(key) for key in ordering_keys if key in waiting])
 
@@ -170,7 +180,7 @@
             attempt.call.abort(WireResult.CANCELLED)
 
     def cancel_if_unsent(self, message_id: int) -> None:
-        """Take back an attempt whose request cannot have arrived in full; else nothing changes."""
+        """Cancel an attempt whose request cannot have arrived in full; any other goes on."""
         message = self._accepted.by_id.get(message_id)
         if message is None:
             return
--- a/linnetstile/platform_relay/discovery.py
+++ b/linnetstile/platform_relay/discovery.py
@@ -14,8 +14,10 @@
 from ..engine.resource_limits import WATCH_BACKOFF_MS, WATCH_CONNECT_TIMEOUT_S, backoff_ms
 from ..engine.watch_policy import ELEMENT_STALL_S, ENTRIES_PER_EVENT, ResumePolicy, watch_deadline
 from ..net.connection import BufferedConnection
+from . import log_events
 from .config import Address
 from .directory import Directory, InvalidListError, ListUpdate
+from .log_events import EventLog
 
 MAX_LIST_BYTES = 8 * 1024 * 1024  # bytes: a longer object is no list, where it can't be read in parts
 UNBOUNDED_BODY_BYTES = 1 << 60  # a watch's answer has no end
@@ -223,7 +225,7 @@
         address: Address,
         on_event: Callable[[EndpointList], None],
         rng: random.Random,
-        log: Callable[..., None] = lambda event, **fields: None,
+        log: EventLog = log_events.discard,
         *,
         max_list_bytes: int = MAX_LIST_BYTES,
     ) -> None:
@@ -276,7 +278,10 @@
         """Take note that a list has been read to its end, and is in force."""
         if update.entries_skipped:
             self.log(
-                "entries_skipped", skipped=update.entries_skipped, of=update.entries_read, first=update.first_fault
+                log_events.ENTRIES_SKIPPED,
+                skipped=update.entries_skipped,
+                of=update.entries_read,
+                first=update.first_fault,
             )
         if update.is_full:
             self.resume_policy.full_list_read(is_small)
@@ -289,7 +294,7 @@
         self.lists_rejected += 1
         update = connection.update
         entries = update.entries_read if update else 0
-        self.log("list_rejected", why=str(why)[:MAX_REASON_CHARACTERS], entries=entries)
+        self.log(log_events.LIST_REJECTED, why=str(why)[:MAX_REASON_CHARACTERS], entries=entries)
 
     # -- the loop --------------------------------------------------------------------------------------------
 
@@ -319,7 +324,7 @@
         self.resume_policy.watch_ended(is_useful, connection.is_valid, connection.is_midway)
         if connection.is_valid and (connection.update is not None or connection.objects.is_mid_value):
             entries = connection.update.entries_read if connection.update else 0
-            self.log("list_truncated", entries=entries, why="expected the rest of the list")
+            self.log(log_events.LIST_TRUNCATED, entries=entries, why="expected the rest of the list")
 
     async def _follow(self, connection: _WatchConnection) -> None:
         """Return once the connection has ended, or has been silent for too long."""
--- a/linnetstile/platform_relay/endpoint_client.py
+++ b/linnetstile/platform_relay/endpoint_client.py
@@ -1,10 +1,11 @@
-"""Calls to endpoints in the platform's words. What an end proves is asked of `engine/attempt_outcome.py`."""
+"""HTTP calls to endpoints, in the platform's protocol. `engine/attempt_outcome.py` judges what their results prove."""
 
 from __future__ import annotations
 
 import json
 import math
 from collections.abc import Callable
+from dataclasses import dataclass
 
 from ..codec import http1
 from ..engine.attempt_outcome import AttemptObservation, AttemptVerdict, judge_endpoint_attempt
@@ -14,15 +15,33 @@
 from .config import RelaySettings
 from .endpoint_record import EndpointAddress
 
-# Gets the verdict, the load report (empty if none came), and whether the connection had been used before.
-AttemptCallback = Callable[[AttemptVerdict, tuple[float, ...], bool], None]
+ENDPOINT_PATH = "/events"
 
-DEFAULT_CONNECT_TIMEOUT_S = 1.5  # where the settings name none
+# Timeouts of connections where the settings have none.
+DEFAULT_CONNECT_TIMEOUT_S = 1.5
 DEFAULT_IDLE_TIMEOUT_S = 5.0
 
 
+@dataclass(frozen=True, slots=True)
+class AttemptResult:
+    """How an attempt ended.
+
+    Attributes:
+        verdict: What the attempt proves.
+        load_report: The endpoint's load report, in the order of the configured fields; empty without one.
+        connection_reused: Whether the connection had carried a call before.
+    """
+
+    verdict: AttemptVerdict
+    load_report: tuple[float, ...]
+    connection_reused: bool
+
+
+AttemptCallback = Callable[[AttemptResult], None]
+
+
 def parse_retry_after_ms(headers: http1.Headers) -> float | None:
-    """Return an endpoint's Retry-After, which is in seconds, whole or decimal; None if there is none to be read."""
+    """Return an endpoint's Retry-After in ms; None if there is none, or if it is no number of seconds."""
     try:
         value_ms = float(headers.get("retry-after")) * 1000
     except ValueError:
@@ -31,7 +50,7 @@
 
 
 def parse_load_report(headers: http1.Headers, names: tuple[str, ...]) -> tuple[float, ...]:
-    """Return the load report in the order of `names`; empty if there is none that can be read."""
+    """Return the values of a load report in the order of `names`; empty without a valid report."""
     text = headers.get("x-backend-load") if names else ""
     try:
         report = json.loads(text) if text else {}
@@ -41,17 +60,28 @@
     return values if all(map(math.isfinite, values)) else ()
 
 
+def _pool_address(address: EndpointAddress) -> tuple[str, int, int]:
+    """Return the pool's key of an endpoint: another endpoint at the same address shares no connection with it."""
+    return address.host, address.port, address.id
+
+
 class EndpointClient:
-    """Sends attempts to endpoints on pooled connections."""
+    """Sends attempts to endpoints on pooled connections.
+
+    Attributes:
+        load_report_fields: Names of the fields of a load report that the engine reads.
+        pool: The connections.
+    """
 
     def __init__(self, settings: RelaySettings, limits: ResourceLimits) -> None:
         engine_settings = settings.engine_settings
         idle_ms = engine_settings.idle_timeout_ms
         self.load_report_fields = settings.load_report_fields
         self.pool = client.ConnectionPool(
-            engine_settings.connect_timeout_ms / 1000 or DEFAULT_CONNECT_TIMEOUT_S,
-            idle_ms * IDLE_REUSE_FRACTION / 1000 if idle_ms else DEFAULT_IDLE_TIMEOUT_S,  # the engine counts on no more
-            http1.Limits(max_body_bytes=MAX_BODY_BYTES, max_head_bytes=MAX_HEAD_BYTES),
+            connect_timeout_s=engine_settings.connect_timeout_ms / 1000 or DEFAULT_CONNECT_TIMEOUT_S,
+            # The engine expects no connection to be reused after this time.
+            idle_timeout_s=idle_ms * IDLE_REUSE_FRACTION / 1000 if idle_ms else DEFAULT_IDLE_TIMEOUT_S,
+            limits=http1.Limits(max_body_bytes=MAX_BODY_BYTES, max_head_bytes=MAX_HEAD_BYTES),
             finish_at_status_line=True,
             max_idle=limits.max_idle_connections,
         )
@@ -71,52 +101,56 @@
         """Begin one attempt.
 
         Args:
-            address: Where it goes.
-            headers: Fields of the request besides Host and X-Time-Left.
-            body: The message's body.
-            timeout_ms: The attempt is given up after this time; the endpoint learns the same from X-Time-Left.
-            last_byte_delay_ms: How long the request's last byte is held back.
+            address: The endpoint.
+            headers: Header fields of the request besides Host and X-Time-Left.
+            body: Body of the message.
+            timeout_ms: Time until the attempt times out; X-Time-Left tells the endpoint the same.
+            last_byte_delay_ms: How long the last byte of the request is delayed.
             send_within_ms: The last byte is not written later than this.
-            remaining_ms: Time until the message's deadline.
-            on_ended: Called once, and not from within.
+            remaining_ms: Time until the deadline of the message.
+            on_ended: Called once with the result, never from within this method.
 
         Returns:
-            The call, by which the attempt can be ended.
+            The call, which can be cancelled.
         """
-        lines = [("Host", f"{address.host}:{address.port}"), ("X-Time-Left", f"{max(1, int(timeout_ms))}m"), *headers]
+        time_left_ms = max(1, int(timeout_ms))
+        fields = [("Host", f"{address.host}:{address.port}"), ("X-Time-Left", f"{time_left_ms}m"), *headers]
         now = self.pool.loop.time()
         deadline = now + remaining_ms / 1000
 
-        def answered(answer: client.CallResult) -> None:
-            self._judge(answer, self.pool.loop.time() >= deadline, on_ended)
+        def on_done(call_result: client.CallResult) -> None:
+            after_deadline = self.pool.loop.time() >= deadline
+            on_ended(self._attempt_result(call_result, after_deadline=after_deadline))
 
         return self.pool.call(
-            (address.host, address.port, address.id),
+            _pool_address(address),
             "POST",
-            http1.encode_request_parts("POST", "/events", lines, body),
-            answered,
-            now + max(0.0, timeout_ms) / 1000,
+            http1.encode_request_parts("POST", ENDPOINT_PATH, fields, body),
+            on_done,
+            timeout_at=now + max(0.0, timeout_ms) / 1000,
             last_byte_delay_s=last_byte_delay_ms / 1000,
             send_before=now + send_within_ms / 1000,
         )
 
-    def _judge(self, answer: client.CallResult, after_deadline: bool, on_ended: AttemptCallback) -> None:
-        head = answer.head
+    def _attempt_result(self, call_result: client.CallResult, *, after_deadline: bool) -> AttemptResult:
+        head = call_result.head
         observation = AttemptObservation(
-            answer.wire_result,
-            head.status if head else 0,
-            parse_retry_after_ms(head.headers) if head else None,
-            request_complete=answer.request_complete,
+            wire_result=call_result.wire_result,
+            status=head.status if head else 0,
+            retry_after_ms=parse_retry_after_ms(head.headers) if head else None,
+            request_complete=call_result.request_complete,
             after_deadline=after_deadline,
         )
         slots_exhausted = head is not None and head.headers.get("slots-taken") == "1"
-        verdict = judge_endpoint_attempt(observation, answer.claimed_status, slots_exhausted)
-        load_report = parse_load_report(head.headers, self.load_report_fields) if head else ()
-        on_ended(verdict, load_report, answer.reused_connection)
+        return AttemptResult(
+            verdict=judge_endpoint_attempt(observation, call_result.claimed_status, slots_exhausted),
+            load_report=parse_load_report(head.headers, self.load_report_fields) if head else (),
+            connection_reused=call_result.reused_connection,
+        )
 
     def close_idle(self, address: EndpointAddress) -> None:
         """Close the idle connections to an endpoint."""
-        self.pool.close_idle((address.host, address.port, address.id))
+        self.pool.close_idle(_pool_address(address))
 
     def close(self) -> None:
         """Close all connections."""
--- a/linnetstile/platform_relay/intake.py
+++ b/linnetstile/platform_relay/intake.py
@@ -1,4 +1,4 @@
-"""Intake: a submission is checked, journaled, and then acknowledged to its client."""
+"""Intake: checks each submission, journals it, and then acknowledges it to its client."""
 
 from __future__ import annotations
 
@@ -11,31 +11,35 @@
 from ..engine.resource_limits import ResourceLimits
 from ..engine.settings import MessageClass, Settings
 from ..net import server
-from . import clock, journal_codec
+from . import clock, counters, journal_codec
 from .accepted import AcceptedMessage, AcceptedMessages
 from .directory import Directory
 from .http_frontend import Submission, reply
 from .journal import Journal
 from .records import JournaledMessage, MessageFields
 
-ORDERING_KEY_BYTES = 7  # so that the number fits 64 bits also after one is added
+ORDERING_KEY_BYTES = 7  # of a digest: the number fits 64 bits also after 1 is added
 
 
 def ordering_key_number(ordering_key: str, idempotency_key: str, message_class: MessageClass) -> int:
-    """Return what a message of an ordered class shares with others, as the engine knows it: 0 is nothing.
+    """Return the ordering key of a message as a number for the engine; 0 if the message has no order.
 
-    Where the path names no key, the idempotency key stands for it.
+    Without an ordering key in the path of the request, the idempotency key takes its place.
     """
-    if not message_class.in_order or not (ordering_key or idempotency_key):
+    key = ordering_key or idempotency_key
+    if not message_class.in_order or not key:
         return 0
-    digest = hashlib.blake2b((ordering_key or idempotency_key).encode(), digest_size=ORDERING_KEY_BYTES).digest()
+    digest = hashlib.blake2b(key.encode(), digest_size=ORDERING_KEY_BYTES).digest()
     return int.from_bytes(digest, "big") + 1
 
 
 class Intake:
-    """Accepts submissions: `submit` gets each one, `commit` ends each turn of the engine.
+    """Accepts submissions: `submit` takes each one, `commit` acknowledges those of one turn of the engine.
 
-    A client hears 202 only after its message is in the journal.
+    A client gets its 202 only after its message is in the journal.
+
+    Attributes:
+        is_open: Whether the relay is ready; until then it rejects all submissions.
     """
 
     def __init__(
@@ -47,7 +51,7 @@
         journal: Journal,
         directory: Directory,
         is_closing: Callable[[], bool],
-        post: Callable[[Event], None],
+        post_event: Callable[[Event], None],
         counts: Counter[str],
     ) -> None:
         self._loop = asyncio.get_running_loop()
@@ -56,28 +60,28 @@
         self._accepted = accepted
         self._journal = journal
         self._directory = directory
-        self._is_closing = is_closing  # whether the relay shuts down
-        self._post = post
+        self._is_closing = is_closing
+        self._post_event = post_event
         self._counts = counts
         self._uncommitted: list[AcceptedMessage] = []  # submitted since the last turn
-        self.is_open = False  # once the relay is ready
+        self.is_open = False
 
     def submit(self, request: server.RequestContext, submission: Submission) -> None:
-        """Take a submission that could be read; it is rejected here only where the engine could not judge it."""
+        """Take a valid submission. It is rejected here only for reasons that the engine cannot know."""
         remaining_ms = submission.remaining_ms - (self._loop.time() - request.started_at) * 1000
         if not self.is_open or self._is_closing():
             reply(request, 503, "refused: this relay is not taking messages on", close=True)
         elif submission.submission_id in self._accepted.submission_ids:
-            self._counts["known"] += 1
+            self._counts[counters.REJECTED_DUPLICATE] += 1
             reply(request, 409, "X-Correlation-Id: was handed in before", close=True)
         elif not self._directory.knows_destination(submission.destination):
-            self._counts["nowhere"] += 1
+            self._counts[counters.REJECTED_UNKNOWN_DESTINATION] += 1
             reply(request, 503, "refused: no such destination is listed")
         elif self._journal.message_bytes + len(request.body) > self._max_message_bytes:
-            self._counts["no_room"] += 1
+            self._counts[counters.REJECTED_JOURNAL_FULL] += 1
             reply(request, 503, "refused: no room to keep it")
         elif remaining_ms <= 0:
-            self._counts["late"] += 1
+            self._counts[counters.REJECTED_PAST_DEADLINE] += 1
             reply(request, 503, "refused: its time is up")
         else:
             self._accept(request, submission, remaining_ms)
@@ -85,25 +89,27 @@
     def _accept(self, request: server.RequestContext, submission: Submission, remaining_ms: float) -> None:
         message_id = self._accepted.next_id()
         fields = self._fields(submission, remaining_ms)
-        message = AcceptedMessage(JournaledMessage(message_id, fields, request.body), request)
+        journaled = JournaledMessage(id=message_id, fields=fields, body=request.body)
+        message = AcceptedMessage(journaled, request)
         request.body = b""
         self._accepted.add(message)
         self._uncommitted.append(message)
-        self._post(
+        self._post_event(
             Message(
-                message_id,
-                submission.destination,
-                submission.class_index,
-                remaining_ms,
-                submission.tenant_index,
-                message.ordering_key,
+                id=message_id,
+                destination=submission.destination,
+                class_index=submission.class_index,
+                remaining_ms=remaining_ms,
+                tenant=submission.tenant_index,
+                ordering_key=message.ordering_key,
                 is_retry=submission.is_retry,
                 from_dead_relay=submission.from_dead_relay,
             )
         )
 
     def _fields(self, submission: Submission, remaining_ms: float) -> MessageFields:
-        unix_ms, settings = clock.unix_ms(), self._settings
+        unix_ms = clock.unix_ms()
+        settings = self._settings
         message_class = settings.classes[submission.class_index]
         return MessageFields(
             submission_id=submission.submission_id,
@@ -117,33 +123,38 @@
         )
 
     def take_uncommitted(self) -> list[AcceptedMessage]:
-        """Return the messages that were submitted since the last call; `commit` gets those that were not rejected."""
-        uncommitted, self._uncommitted = self._uncommitted, []
+        """Return the messages that were submitted since the last call, to be passed to `commit` after the turn."""
+        uncommitted = self._uncommitted
+        self._uncommitted = []
         return uncommitted
 
     def commit(self, messages: Iterable[AcceptedMessage]) -> None:
-        """Journal messages and then acknowledge them; cancel those whose client has gone."""
-        fresh = [message for message in messages if message.request is not None]
-        for message in fresh:
+        """Journal the messages that the engine did not end at once, and acknowledge them.
+
+        A message is cancelled if its client has left, or if the journal cannot be written.
+        """
+        unanswered = [message for message in messages if message.request is not None]
+        for message in unanswered:
             self._journal.add(journal_codec.encode_accepted(message.journaled))
         written = self._journal.flush()
-        for message in fresh:
+        for message in unanswered:
             if not self._acknowledge(message, written):
                 message_id = message.journaled.id
                 self._accepted.remove(message_id)
-                self._post(ClientCancelled(message_id))
+                self._post_event(ClientCancelled(message_id))
 
     def _acknowledge(self, message: AcceptedMessage, written: bool) -> bool:
         """Answer the client; return False if the message is not accepted after all."""
-        request, message.request = message.request, None
+        request = message.request
         assert request is not None
+        message.request = None
         if not written:
-            self._counts["not_written"] += 1
+            self._counts[counters.REJECTED_NOT_JOURNALED] += 1
             reply(request, 503, "refused: it can't be kept")
             return False
         if reply(request, 202, close=self._is_closing()):
-            self._counts["taken"] += 1
+            self._counts[counters.ACCEPTED] += 1
             return True
-        self._counts["unheard"] += 1
+        self._counts[counters.CLIENT_LEFT_BEFORE_ANSWER] += 1
         self._journal.add(journal_codec.encode_completed(message.journaled.id))
         return False
--- /dev/null
+++ b/linnetstile/platform_relay/log_events.py
@@ -0,0 +1,35 @@
+"""Names of the log events of the platform relay, in one place; docs/on-call.md explains them to operators."""
+
+from __future__ import annotations
+
+from typing import Final, Protocol
+
+# Life cycle of the process.
+READY: Final = "ready"
+SHUTDOWN_STARTED: Final = "shutdown_started"
+STOPPED: Final = "stopped"
+STATS: Final = "stats"
+FAULT: Final = "fault"
+ENGINE_MESSAGE: Final = "engine"
+
+# Discovery and its lists.
+DISCOVERY_SILENT: Final = "discovery_silent"
+DISCOVERY_MOVED: Final = "discovery_moved"
+LIST_REJECTED: Final = "list_rejected"
+LIST_TRUNCATED: Final = "list_truncated"
+ENTRIES_SKIPPED: Final = "entries_skipped"
+
+# The configuration, when it is read again.
+CONFIG_REJECTED: Final = "config_rejected"
+CONFIG_CHANGE_DEFERRED: Final = "config_change_deferred"
+
+
+class EventLog(Protocol):
+    """Writes log events."""
+
+    def __call__(self, event: str, **fields: object) -> None:
+        """Write an event and its fields; names of fields are part of the log's format."""
+
+
+def discard(event: str, **fields: object) -> None:
+    """Write nothing: an `EventLog` for a part that is used without a log."""
--- a/linnetstile/platform_relay/process.py
+++ b/linnetstile/platform_relay/process.py
@@ -1,4 +1,4 @@
-"""The relay as the platform runs it: signals, the log on standard error, exit codes."""
+"""The process of a platform relay: signals, the log on standard error, exit codes."""
 
 from __future__ import annotations
 
@@ -12,16 +12,19 @@
 import time
 
 from ..errors import ConfigError
+from . import log_events
 from .config import RelaySettings, load
 from .relay import PlatformRelay
 
 STATS_INTERVAL_S = 5.0
 STOP_SIGNALS = (signal.SIGTERM, signal.SIGINT)
-EXIT_BAD_CONFIG, EXIT_CANNOT_START = 2, 3
+EXIT_BAD_CONFIG = 2
+EXIT_CANNOT_START = 3
+KIB_PER_MIB = 1024
 
 
 def log(event: str, **fields: object) -> None:
-    """Write one JSON object a line to standard error; a log that can't be written stops nothing."""
+    """Write a log event to standard error, one JSON object a line. Errors of writing are ignored."""
     try:
         sys.stderr.write(json.dumps({"at": round(time.time(), 3), "event": event, **fields}) + "\n")
         sys.stderr.flush()
@@ -30,7 +33,10 @@
 
 
 class StatsReporter:
-    """Logs what the relay believes, every few seconds: to hold against the traffic."""
+    """Logs the state of the relay every few seconds, to be compared with the traffic around it.
+
+    The names of the fields are part of the log's format; docs/operate/node.md explains them.
+    """
 
     def __init__(self, relay: PlatformRelay) -> None:
         self._relay = relay
@@ -44,22 +50,24 @@
         self._relay.loop.call_at(self._due_at, self._report)
 
     def _report(self) -> None:
-        cpu_s, delay_s = time.process_time(), self._relay.loop.time() - self._due_at
+        cpu_s = time.process_time()
+        delay_s = self._relay.loop.time() - self._due_at
         counts = dict(self._relay.counts)
         log(
-            "stats",
+            log_events.STATS,
             cpu=round(cpu_s - self._last_cpu_s, 2),
             late_ms=round(delay_s * 1000, 1),
             **self._load(),
-            memory_mb=resource.getrusage(resource.RUSAGE_SELF).ru_maxrss >> 10,
+            memory_mb=resource.getrusage(resource.RUSAGE_SELF).ru_maxrss // KIB_PER_MIB,
             since=self._increase(counts),
             **self._parts(),
         )
-        self._last_cpu_s, self._last_counts = cpu_s, counts
+        self._last_cpu_s = cpu_s
+        self._last_counts = counts
         self._schedule()
 
     def _load(self) -> dict[str, int]:
-        """Return how much of everything there is now."""
+        """Return the present numbers of messages, connections and so on."""
         relay = self._relay
         routes = [route for routes in relay.engine.routes.values() for route in routes.values()]
         return {
@@ -75,11 +83,12 @@
         }
 
     def _increase(self, counts: dict[str, int]) -> dict[str, int]:
+        """Return by how much each counter has grown since the last report, without those that have not."""
         last = self._last_counts
         return {name: count - last.get(name, 0) for name, count in counts.items() if count != last.get(name, 0)}
 
     def _parts(self) -> dict[str, dict[str, int]]:
-        """Return what the parts of the relay count of their own."""
+        """Return the counters that parts of the relay keep themselves."""
         relay = self._relay
         return {
             "watch": {
@@ -94,21 +103,21 @@
 
 
 def reload(relay: PlatformRelay) -> None:
-    """Read the configuration file again after a SIGHUP; one that can't be used leaves all as it was."""
+    """Read the configuration file again after a SIGHUP; an invalid one changes nothing."""
     try:
         settings = load(os.environ)
     except ConfigError as error:
-        log("config_rejected", why=str(error))
+        log(log_events.CONFIG_REJECTED, why=str(error))
         return
     if settings.discovery != relay.watch.address:
         relay.move_discovery(settings.discovery)
     current = relay.settings
     if settings.engine_settings != current.engine_settings or settings.listen != current.listen:
-        log("config_change_deferred", why="settings and listen take effect at the next start")
+        log(log_events.CONFIG_CHANGE_DEFERRED, why="settings and listen take effect at the next start")
 
 
 class _EarlySignals:
-    """Signals that come before the relay can act on them, and when (loop time, s)."""
+    """Records signals that arrive before there is a relay to act on them, with their loop times (s)."""
 
     def __init__(self) -> None:
         self._loop = asyncio.get_running_loop()
@@ -119,8 +128,8 @@
     def _record(self, number: int) -> None:
         self._received_at.setdefault(number, self._loop.time())
 
-    def hand_over(self, relay: PlatformRelay) -> None:
-        """From now on the relay acts on signals, and on those that came already."""
+    def pass_to(self, relay: PlatformRelay) -> None:
+        """Let the relay act on all signals from now on, and on those that have arrived already."""
         for number in STOP_SIGNALS:
             self._loop.add_signal_handler(number, relay.begin_shutdown)
         self._loop.add_signal_handler(signal.SIGHUP, reload, relay)
@@ -128,7 +137,7 @@
             reload(relay)
         stopped_at = [self._received_at[number] for number in STOP_SIGNALS if number in self._received_at]
         if stopped_at:
-            relay.begin_shutdown(min(stopped_at))  # the platform's time to the kill counts from there
+            relay.begin_shutdown(min(stopped_at))  # the platform kills the process a fixed time after the first one
 
 
 def _load_settings() -> RelaySettings | None:
@@ -142,7 +151,7 @@
 async def _start(settings: RelaySettings) -> PlatformRelay | None:
     try:
         relay = PlatformRelay(settings, log)
-        del settings  # it holds the known list, which the relay lets go of
+        del settings  # it refers to the cached list, which the relay drops to free its memory
         await relay.start()
     except OSError as error:
         print(f"linnetstile node: can't start: {error}", file=sys.stderr)
@@ -151,8 +160,8 @@
 
 
 def _log_fault(_: asyncio.AbstractEventLoop, context: dict[str, object]) -> None:
-    """Log what no caller sees: an error in a callback. Its message is owed, and its deadline ends it."""
-    log("fault", why=context.get("message", ""), error=repr(context.get("exception")))
+    """Log an exception in a callback of the event loop. The message concerned stays pending until its deadline."""
+    log(log_events.FAULT, why=context.get("message", ""), error=repr(context.get("exception")))
 
 
 async def run() -> int:
@@ -162,17 +171,17 @@
     if settings is None:
         return EXIT_BAD_CONFIG
     starting = _start(settings)
-    del settings  # as in `_start`
+    del settings  # as `_start` does
     relay = await starting
     if relay is None:
         return EXIT_CANNOT_START
     asyncio.get_running_loop().set_exception_handler(_log_fault)
-    early_signals.hand_over(relay)
+    early_signals.pass_to(relay)
     gc.collect()
-    gc.freeze()  # what a start made stays: collections look at what came since
+    gc.freeze()  # most objects made at the start live as long as the process: collections skip them
     StatsReporter(relay)
     await relay.shutdown.stopped.wait()
-    log("stopped", held=len(relay.accepted), notices=len(relay.reporter.pending_notices))
+    log(log_events.STOPPED, held=len(relay.accepted), notices=len(relay.reporter.pending_notices))
     relay.close()
     await asyncio.sleep(0)
     return 0
--- a/linnetstile/platform_relay/recovery.py
+++ b/linnetstile/platform_relay/recovery.py
@@ -1,4 +1,4 @@
-"""Recovery: what an earlier process left in the journal goes on, once discovery has sent its list."""
+"""Recovery: resumes the messages and notices that an earlier process left in the journal."""
 
 from __future__ import annotations
 
@@ -16,23 +16,28 @@
 from .records import JournaledAttempt, JournaledMessage, JournalRecord
 from .results import ResultReporter
 
+GRACE_CHECKS = 10  # in `DISCOVERY_GRACE_S`, of whether a list has begun: from then on the longer grace time holds
+
 
 async def wait_for_first_list(watch: Watch) -> bool:
-    """Wait for discovery's list; return False if it does not come within the grace time."""
+    """Wait for the first list of discovery; return False if it does not come within its grace time.
+
+    A list that is being read has a longer grace time than one that has not begun.
+    """
     loop = asyncio.get_running_loop()
-    began = loop.time()
+    started_at = loop.time()
     while not watch.first_list_read.is_set():
         grace_s = LONG_LIST_GRACE_S if watch.is_reading_list else DISCOVERY_GRACE_S
-        left_s = began + grace_s - loop.time()
-        if left_s <= 0:
+        remaining_s = started_at + grace_s - loop.time()
+        if remaining_s <= 0:
             return False
         with contextlib.suppress(TimeoutError):
-            await asyncio.wait_for(watch.first_list_read.wait(), min(left_s, DISCOVERY_GRACE_S / 10))
+            await asyncio.wait_for(watch.first_list_read.wait(), min(remaining_s, DISCOVERY_GRACE_S / GRACE_CHECKS))
     return True
 
 
 class Recovery:
-    """Restores what the journal holds: messages go to the engine, notices to the platform."""
+    """Passes recovered messages to the engine and recovered notices to the platform."""
 
     def __init__(
         self,
@@ -40,17 +45,17 @@
         accepted: AcceptedMessages,
         reporter: ResultReporter,
         directory: Directory,
-        reader: SubmissionReader,
-        post: Callable[[Event], None],
+        submission_reader: SubmissionReader,
+        post_event: Callable[[Event], None],
     ) -> None:
         self._accepted = accepted
         self._reporter = reporter
         self._directory = directory
-        self._reader = reader
-        self._post = post
+        self._submission_reader = submission_reader
+        self._post_event = post_event
 
     def restore(self, records: Mapping[int, JournalRecord]) -> None:
-        """Restore all records of an earlier process, in their order."""
+        """Restore all records of the journal, in their order."""
         unix_ms = clock.unix_ms()
         for message_id, record in records.items():
             self._accepted.last_id = max(self._accepted.last_id, message_id)
@@ -62,31 +67,35 @@
     def _restore_message(self, journaled: JournaledMessage, unix_ms: float) -> None:
         message = AcceptedMessage(journaled)
         self._accepted.add(message)
-        # What was in flight when the process ended may have taken effect.
+        # An attempt that was in flight when the process ended may have taken effect.
         unclear = journaled.unclear_attempt or journaled.open_attempt
-        journaled.unclear_attempt, journaled.open_attempt = unclear, None
-        self._post(
+        journaled.unclear_attempt = unclear
+        journaled.open_attempt = None
+        self._post_event(
             MessageRecovered(
-                self._engine_message(message, unix_ms),
-                max(0.0, unix_ms - journaled.fields.accepted_at_ms),
-                journaled.attempts,
-                max(0.0, unix_ms - unclear.started_at_ms) if unclear else None,
-                self._unclear_endpoint(unclear, journaled.fields.destination) if unclear else None,
+                message=self._engine_message(message, unix_ms),
+                age_ms=max(0.0, unix_ms - journaled.fields.accepted_at_ms),
+                attempts=journaled.attempts,
+                unclear_age_ms=max(0.0, unix_ms - unclear.started_at_ms) if unclear else None,
+                unclear_endpoint=self._unclear_endpoint(unclear, journaled.fields.destination) if unclear else None,
             )
         )
 
     def _engine_message(self, message: AcceptedMessage, unix_ms: float) -> Message:
-        fields, reader = message.journaled.fields, self._reader
-        # A clock that was set back gives no message more time than it had.
+        fields = message.journaled.fields
+        classes = self._submission_reader.classes
+        tenants = self._submission_reader.tenants
+        # A wall clock that was set back gives no message more time than it had at first.
         remaining_ms = min(fields.deadline_ms - unix_ms, fields.deadline_ms - fields.accepted_at_ms)
-        # The settings may have changed since: names go by what they are now, and what has none charges nobody.
+        # The settings may have changed since the message was accepted. A class or tenant that they no longer name has
+        # the index behind the last one: the engine has an unknown class there, and no quota for such a tenant.
         return Message(
-            message.journaled.id,
-            fields.destination,
-            reader.classes.get(fields.class_name, len(reader.classes)),
-            max(0.0, remaining_ms),
-            reader.tenants.get(fields.tenant, len(reader.tenants)),
-            message.ordering_key,
+            id=message.journaled.id,
+            destination=fields.destination,
+            class_index=classes.get(fields.class_name, len(classes)),
+            remaining_ms=max(0.0, remaining_ms),
+            tenant=tenants.get(fields.tenant, len(tenants)),
+            ordering_key=message.ordering_key,
         )
 
     def _unclear_endpoint(self, unclear: JournaledAttempt, destination: int) -> Endpoint:
--- a/linnetstile/platform_relay/relay.py
+++ b/linnetstile/platform_relay/relay.py
@@ -1,6 +1,6 @@
-"""One relay on the platform: joins intake, delivery, results, recovery and shutdown around the delivery engine.
+"""One relay on the platform: connects intake, delivery, results, recovery and shutdown with the delivery engine.
 
-The engine decides about messages; nothing here does.
+The engine makes all decisions about messages. This module passes events to it and carries out its actions.
 """
 
 from __future__ import annotations
@@ -9,7 +9,6 @@
 import contextlib
 import random
 from collections import Counter
-from collections.abc import Callable
 from dataclasses import replace
 
 from ..engine.actions import Action, Cancel, CancelIfUnsent, CloseIdle, Fail, Log, Reject, Send
@@ -19,6 +18,7 @@
 from ..engine.unknown_class import unknown_class
 from ..net import client
 from ..net.engine_loop import EngineLoop
+from . import log_events
 from .accepted import AcceptedMessages
 from .config import Address, RelaySettings
 from .delivery import Delivery
@@ -28,64 +28,107 @@
 from .http_frontend import HttpFrontend
 from .intake import Intake
 from .journal import Journal
+from .log_events import EventLog
 from .notices import NoticeSender
 from .recovery import Recovery, wait_for_first_list
 from .results import ResultReporter
 from .shutdown import GracefulShutdown
 
+BYTES_PER_MB = 1e6
+
 
 class PlatformRelay:
     """One relay: `start` it, end it with `begin_shutdown`, and `close` it once `shutdown.stopped` is set.
 
     Attributes:
-        accepted: The messages that were accepted and have no result yet.
-        counts: What happened so far, by name; for the log.
+        settings: The configuration of the relay.
+        log: Writes log events.
+        loop: The event loop.
+        limits: Bounds of memory, connections and disk, from the platform's limits.
+        counts: Counters by the names in `counters`.
+        engine: The delivery engine, which makes all decisions about messages.
+        engine_loop: Passes events to the engine and its actions to this relay.
+        directory: The endpoints that discovery lists.
+        journal: Journal of messages, attempts and notices.
+        accepted: Messages that were accepted and have no result yet.
+        watch: Reads the list of endpoints from discovery.
+        notice_sender: Posts notices to the platform.
+        endpoint_client: Makes calls to endpoints.
+        intake: Accepts submissions.
+        frontend: The HTTP front end for clients.
+        reporter: Reports messages that are not delivered.
+        delivery: Makes attempts.
+        recovery: Resumes what an earlier process left.
+        shutdown: Runs the phases of the graceful shutdown.
     """
 
-    def __init__(self, settings: RelaySettings, log: Callable[..., None]) -> None:
+    def __init__(self, settings: RelaySettings, log: EventLog) -> None:
         self.settings = settings
         self.log = log
         self.loop = asyncio.get_running_loop()
         self.counts: Counter[str] = Counter()
         engine_settings = settings.engine_settings
         self.limits = resource_limits(
-            settings.limits.sockets, settings.limits.disk_mb * 1e6, engine_settings.max_in_flight
+            settings.limits.sockets, settings.limits.disk_mb * BYTES_PER_MB, engine_settings.max_in_flight
         )
+
+        # The engine.
         classes = (*engine_settings.classes, unknown_class(engine_settings.classes))
         self.engine = DeliveryEngine(replace(engine_settings, classes=classes), settings.seed)
         self.engine_loop = EngineLoop(self.engine, self._run_turn)
+
+        # What the relay knows and keeps.
         self.directory = Directory(tuple(kind.name for kind in engine_settings.kinds), settings.zones)
         self.journal = Journal(settings.state, self.limits.compaction_bytes)
         self.accepted = AcceptedMessages(self.journal)
+
+        # Connections to discovery, the platform and endpoints. One source of random numbers serves all backoffs.
         rng = random.Random(settings.seed)
         self.watch = Watch(self.directory, settings.discovery, self._on_list_event, rng, log)
         self.notice_sender = NoticeSender(settings.discovery, self._on_notices_delivered, rng)
         self.endpoint_client = EndpointClient(settings, self.limits)
-        self._join_parts()
 
-    def _join_parts(self) -> None:
-        post = self.engine_loop.post
-        self.intake = Intake(
-            self.settings.engine_settings,
+        # The path of a message: from its client, by intake and delivery, to its result.
+        self.intake = self._make_intake()
+        self.frontend = HttpFrontend(
+            engine_settings,
             self.limits,
+            on_submission=self.intake.submit,
+            is_ready=lambda: self.intake.is_open,
+        )
+        self.reporter = ResultReporter(
             accepted=self.accepted,
             journal=self.journal,
-            directory=self.directory,
-            is_closing=lambda: self.frontend.is_closing,
-            post=post,
+            frontend=self.frontend,
+            notice_sender=self.notice_sender,
             counts=self.counts,
         )
-        self.frontend = HttpFrontend(
-            self.settings.engine_settings, self.limits, self.intake.submit, lambda: self.intake.is_open
+        self.delivery = self._make_delivery()
+
+        # Start and end of the process.
+        self.recovery = Recovery(
+            accepted=self.accepted,
+            reporter=self.reporter,
+            directory=self.directory,
+            submission_reader=self.frontend.reader,
+            post_event=self.engine_loop.post,
         )
-        self.reporter = ResultReporter(
+        self.shutdown = GracefulShutdown(frontend=self.frontend, post_event=self.engine_loop.post)
+
+    def _make_intake(self) -> Intake:
+        return Intake(
+            self.settings.engine_settings,
+            self.limits,
             accepted=self.accepted,
             journal=self.journal,
-            frontend=self.frontend,
-            notice_sender=self.notice_sender,
+            directory=self.directory,
+            is_closing=lambda: self.frontend.is_closing,
+            post_event=self.engine_loop.post,
             counts=self.counts,
         )
-        self.delivery = Delivery(
+
+    def _make_delivery(self) -> Delivery:
+        return Delivery(
             accepted=self.accepted,
             pending_notices=self.reporter.pending_notices,
             journal=self.journal,
@@ -94,19 +137,11 @@
             engine_loop=self.engine_loop,
             counts=self.counts,
         )
-        self.recovery = Recovery(
-            accepted=self.accepted,
-            reporter=self.reporter,
-            directory=self.directory,
-            reader=self.frontend.reader,
-            post=post,
-        )
-        self.shutdown = GracefulShutdown(self.frontend, post)
 
     # -- life cycle ------------------------------------------------------------------------------------------
 
     async def start(self) -> None:
-        """Read the journal, listen, wait for the list of endpoints, and go on with what the journal holds.
+        """Read the journal, listen, wait for the list of endpoints, and resume what the journal holds.
 
         Raises:
             OSError: The state folder or the address to listen at cannot be used.
@@ -116,12 +151,13 @@
         self._load_known_list()
         await self.frontend.start(*self.settings.listen)
         self.watch.start()
-        if not await wait_for_first_list(self.watch):  # what is owed goes on after it: a known list may be old
-            self.log("discovery_silent", known=len(self.directory))
+        # Recovered messages wait for the list: endpoints of the cached one may be gone.
+        if not await wait_for_first_list(self.watch):
+            self.log(log_events.DISCOVERY_SILENT, known=len(self.directory))
         self.recovery.restore(records)
         self.intake.is_open = True
         self.log(
-            "ready",
+            log_events.READY,
             listening=client.format_address(self.settings.listen),
             endpoints=len(self.directory),
             resumed=len(self.accepted),
@@ -130,30 +166,31 @@
         )
 
     def _load_known_list(self) -> None:
-        with contextlib.suppress(InvalidListError):  # the platform knows none
+        with contextlib.suppress(InvalidListError):  # the platform gave no list
             self._on_list_event(self.directory.apply_list(self.settings.known_list, cached=True))
-        # As text it takes ten times the memory of the directory.
+        # Dropped, as the parsed JSON takes ten times the memory of the directory.
         self.settings = replace(self.settings, known_list={})
 
     def move_discovery(self, discovery: Address) -> None:
-        """Follow discovery, which answers at another address from now on."""
-        self.log("discovery_moved", to=client.format_address(discovery))
+        """Use discovery at another address from now on."""
+        self.log(log_events.DISCOVERY_MOVED, to=client.format_address(discovery))
         self.watch.move(discovery)
         self.notice_sender.move(discovery)
 
     def begin_shutdown(self, signalled_at: float | None = None) -> None:
-        """Shut down as engine/graceful_shutdown.py says; a second call changes nothing.
+        """Start the graceful shutdown (engine/graceful_shutdown.py); a second call has no effect.
 
         Args:
-            signalled_at: Loop time, s, of the signal; now if not given.
+            signalled_at: Loop time (s) of the signal; now if not given.
         """
         if self.shutdown.started_at is None:
-            self.log("shutdown_started", held=len(self.accepted))
+            self.log(log_events.SHUTDOWN_STARTED, held=len(self.accepted))
             self.shutdown.begin(self.loop.time() if signalled_at is None else signalled_at)
 
     def close(self) -> None:
-        """End every connection; what is owed is in the journal."""
-        self.engine_loop.close()  # what ends with the process is judged by the next one, from the journal
+        """Close every connection; the next process resumes what the journal holds."""
+        # First, so that the engine learns of no attempt that ends here: the next process judges it by the journal.
+        self.engine_loop.close()
         self.journal.flush()
         self.watch.close()
         self.notice_sender.close()
@@ -164,9 +201,10 @@
     # -- the engine ------------------------------------------------------------------------------------------
 
     def _run_turn(self, events: list[Event], actions: list[Action]) -> None:
-        """Carry out one turn of the engine.
+        """Carry out the actions of one turn of the engine.
 
-        What it accepts is in the journal before its client hears of it, and an attempt is before its call begins.
+        The order guarantees that a message is journaled before its client gets the 202, and an attempt before its call
+        begins.
         """
         uncommitted = self.intake.take_uncommitted()
         sends = [action for action in actions if isinstance(action, Send)]
@@ -175,7 +213,7 @@
                 self._carry_out(action)
         self.intake.commit(uncommitted)
         self.delivery.send_all(sends)
-        for action in actions:  # what has just gone out may be on a connection that was idle
+        for action in actions:  # last, as the sends may reuse connections that were idle
             if isinstance(action, CloseIdle):
                 self._close_idle(action.endpoint)
         self.journal.flush()
@@ -184,16 +222,16 @@
 
     def _carry_out(self, action: Action) -> None:
         match action:
-            case Reject(message_id, retry_after_ms):
+            case Reject(id=message_id, retry_after_ms=retry_after_ms):
                 self.reporter.reject(message_id, retry_after_ms)
-            case Fail(message_id):
+            case Fail(id=message_id):
                 self.reporter.fail(message_id)
-            case Cancel(message_id, attempt_number):
+            case Cancel(id=message_id, attempt=attempt_number):
                 self.delivery.cancel(message_id, attempt_number)
-            case CancelIfUnsent(message_id):
+            case CancelIfUnsent(id=message_id):
                 self.delivery.cancel_if_unsent(message_id)
-            case Log(text):
-                self.log("engine", text=text)
+            case Log(text=text):
+                self.log(log_events.ENGINE_MESSAGE, text=text)
 
     def _close_idle(self, endpoint_id: int) -> None:
         address = self.directory.address_of(endpoint_id)
--- a/linnetstile/platform_relay/results.py
+++ b/linnetstile/platform_relay/results.py
@@ -1,11 +1,11 @@
-"""Results of messages that are not delivered: the client hears of it, or the platform by a notice."""
+"""Reports messages that are not delivered: to the client if it still waits for its answer, else to the platform."""
 
 from __future__ import annotations
 
 from collections import Counter
 from collections.abc import Sequence
 
-from . import journal_codec
+from . import counters, journal_codec
 from .accepted import AcceptedMessages
 from .http_frontend import HttpFrontend, reply
 from .journal import Journal
@@ -14,9 +14,9 @@
 
 
 class ResultReporter:
-    """Ends messages that the engine has given up.
+    """Ends messages that the engine has rejected or failed.
 
-    Their client is answered, or the platform is notified if the client has its answer.
+    The client gets the result as its answer. If it has its answer already, the platform gets the result as a notice.
 
     Attributes:
         pending_notices: Notices that the platform has not confirmed, by message id.
@@ -39,8 +39,8 @@
         self._counts = counts
 
     def reject(self, message_id: int, retry_after_ms: float) -> None:
-        """End a message of which no attempt took effect: it may be submitted again, after the time advised."""
-        self._counts["refused"] += 1
+        """End a message without effect: it may be submitted again after `retry_after_ms`."""
+        self._counts[counters.MESSAGES_REJECTED] += 1
         if self._answer_client(message_id, 503, "refused", retry_after_ms):
             return
         advice = int(retry_after_ms) if retry_after_ms > 0 else None
@@ -48,33 +48,35 @@
 
     def fail(self, message_id: int) -> None:
         """End a message of which an attempt may have taken effect."""
-        self._counts["failed"] += 1
+        self._counts[counters.MESSAGES_FAILED] += 1
         if not self._answer_client(message_id, 500, "failed"):
             self._notify(message_id, NoticeResult.FAILED)
 
     def _answer_client(self, message_id: int, status: int, text: str, retry_after_ms: float = 0.0) -> bool:
         """Return False if the client has its answer already."""
         message = self._accepted.by_id[message_id]
-        request, message.request = message.request, None
+        request = message.request
         if request is None:
             return False
+        message.request = None
         reply(request, status, text, close=self._frontend.is_closing, retry_after_ms=retry_after_ms)
         self._accepted.remove(message_id)
         return True
 
     def _notify(self, message_id: int, result: NoticeResult, retry_after_ms: int | None = None) -> None:
         message = self._accepted.remove(message_id)
-        pending = PendingNotice(message_id, Notice(message.submission_id, result, retry_after_ms), message.ordering_key)
+        notice = Notice(message.submission_id, result, retry_after_ms)
+        pending = PendingNotice(id=message_id, notice=notice, ordering_key=message.ordering_key)
         self._journal.add(journal_codec.encode_pending_notice(pending))
         self.post(pending)
 
     def post(self, pending: PendingNotice) -> None:
-        """Owe a notice that is in the journal, and post it to the platform."""
+        """Post a notice to the platform; it is in the journal already."""
         self.pending_notices[pending.id] = pending
         self._notice_sender.post(pending.id, pending.notice)
 
     def complete(self, message_ids: Sequence[int]) -> set[int]:
-        """Forget notices that the platform has confirmed.
+        """Complete the messages whose notices the platform has confirmed.
 
         Returns:
             The ordering keys of their messages.
--- a/linnetstile/platform_relay/shutdown.py
+++ b/linnetstile/platform_relay/shutdown.py
@@ -1,4 +1,4 @@
-"""Graceful shutdown: carries out the phases that `engine/graceful_shutdown.py` decides."""
+"""Graceful shutdown: carries out the phases that `engine/graceful_shutdown.py` defines."""
 
 from __future__ import annotations
 
@@ -9,29 +9,34 @@
 from ..engine.graceful_shutdown import EXIT_MS, shutdown_phase
 from .http_frontend import HttpFrontend
 
+# How often the phase is looked up: at first, and once no connection is accepted any more and the exit is near.
 CHECK_INTERVAL_S = 0.05
-FINAL_CHECK_INTERVAL_S = 0.01  # once nobody is let in any more
+FINAL_CHECK_INTERVAL_S = 0.01
 
 
 class GracefulShutdown:
-    """Begins with `begin`.
+    """The graceful shutdown of one relay; `begin` starts it.
 
     Attributes:
-        started_at: Loop time, s, of the signal; None before it.
-        stopped: Set when the process may end.
+        started_at: Loop time (s) of the signal; None before it.
+        stopped: Set when the process may exit.
     """
 
-    def __init__(self, frontend: HttpFrontend, post: Callable[[Event], None]) -> None:
+    def __init__(self, *, frontend: HttpFrontend, post_event: Callable[[Event], None]) -> None:
         self.started_at: float | None = None
         self.stopped = asyncio.Event()
         self._loop = asyncio.get_running_loop()
         self._frontend = frontend
-        self._post = post
+        self._post_event = post_event
 
     def begin(self, signalled_at: float) -> None:
-        """Begin; the time to the kill counts from the loop time `signalled_at`, in s."""
+        """Start the shutdown.
+
+        Args:
+            signalled_at: Loop time (s) of the signal: the platform kills the process a fixed time after it.
+        """
         self.started_at = signalled_at
-        self._post(ShutdownStarted(max(0.0, EXIT_MS - self._elapsed_ms())))
+        self._post_event(ShutdownStarted(max(0.0, EXIT_MS - self._elapsed_ms())))
         self._advance()
 
     def _elapsed_ms(self) -> float:
@@ -40,7 +45,7 @@
 
     def _advance(self) -> None:
         elapsed_ms = self._elapsed_ms()
-        # Whether requests are unread is a look at each connection: asked at the end alone.
+        # Looks at each connection, so it is asked at the end only.
         unread = elapsed_ms >= EXIT_MS and self._frontend.server.has_unread_input
         phase = shutdown_phase(elapsed_ms, unread)
         if not phase.admits:
--- a/tests/platform_relay/test_race_conditions.py
+++ b/tests/platform_relay/test_race_conditions.py
@@ -294,7 +294,7 @@
                 last_byte_delay_ms=0.0,
                 send_within_ms=math.inf,
                 remaining_ms=1000.0,
-                on_ended=lambda verdict, report, reused: ended.append(verdict),
+                on_ended=lambda result: ended.append(result.verdict),
             )
         await wait_until(lambda: ended)
         assert ended[0].outcome is Outcome.RESET
