--- a/benchmarks/slopes/internals.py
+++ b/benchmarks/slopes/internals.py
@@ -15,7 +15,7 @@
 from linnetstile.codec.json_stream import JsonStreamReader, ObjectPart
 from linnetstile.engine.events import Event
 from linnetstile.platform_relay import discovery
-from linnetstile.platform_relay.directory import Directory, ListUpdate
+from linnetstile.platform_relay.directory import Directory
 from linnetstile.platform_relay.journal import Journal
 from linnetstile.platform_relay.journal_codec import (
     encode_accepted,
@@ -23,6 +23,7 @@
     encode_attempt_started,
     replay,
 )
+from linnetstile.platform_relay.list_update import ListUpdate
 from linnetstile.platform_relay.records import JournaledAttempt, JournaledMessage, JournalRecord, MessageFields
 
 UNBOUNDED = 1 << 40
--- a/linnetstile/platform_relay/endpoint_record.py
+++ b/linnetstile/platform_relay/endpoint_record.py
@@ -1,7 +1,7 @@
-"""One endpoint as packed bytes: 64 or 80 bytes as Python counts them, for names of usual length.
+"""One endpoint as a packed record: a `bytes` object of 64 or 80 bytes in memory, for names of usual length.
 
-A record holds flags, destination, port, kind, zone and rate in one of two layouts; then the address, 4 bytes or a
-length and its text; then the name. What is asked of an endpoint is unpacked then.
+A record begins with flags, destination, port, kind, zone and advertised rate, in one of two layouts. The host follows:
+4 bytes of an IPv4 address, or a length byte and the text of the host. The name of the endpoint takes the rest.
 """
 
 from __future__ import annotations
@@ -12,18 +12,29 @@
 
 from ..engine.events import Endpoint, EndpointStatus
 
-NARROW_LAYOUT, WIDE_LAYOUT = struct.Struct("<BIHBBd"), struct.Struct("<BIHIId")
+# Flags, destination, port, kind, zone, advertised rate.
+NARROW_LAYOUT = struct.Struct("<BIHBBd")
+WIDE_LAYOUT = struct.Struct("<BIHIId")
 FLAG_DRAINING = 1
-FLAG_WIDE = 2  # WIDE_LAYOUT, for more than 256 kinds or zones
-FLAG_TEXT_HOST = 4  # a host that is no IPv4 address
-MAX_NARROW_INDEX = 255
+FLAG_WIDE = 2  # the record has the wide layout, for more than 256 kinds or zones
+FLAG_TEXT_HOST = 4  # the host is no IPv4 address
+MAX_NARROW_INDEX = 255  # the largest kind or zone in a byte of the narrow layout
 IPV4_BYTES = 4
 NAME_OFFSET = NARROW_LAYOUT.size + IPV4_BYTES  # where the name begins in most records
 
 
 @dataclass(frozen=True, slots=True)
 class EndpointAddress:
-    """Where an endpoint is to be called; `id` is the number that the engine knows it by."""
+    """The address of an endpoint.
+
+    Attributes:
+        id: The number by which the engine knows the endpoint.
+        name: Name of the endpoint in discovery's lists.
+        host: IPv4 address or host name.
+        port: TCP port.
+        zone: Index of its zone in the settings.
+        destination: Number of its destination.
+    """
 
     id: int
     name: str
@@ -35,66 +46,86 @@
 
 @dataclass(slots=True)
 class EndpointDetails:
-    """What a list says of an endpoint besides its name and state; kind and zone are indexes of the settings' names."""
+    """The fields of a list entry besides name and state.
+
+    Attributes:
+        host: IPv4 address or host name.
+        port: TCP port.
+        destination: Number of the destination.
+        kind: Index of the kind of destination in the settings.
+        zone: Index of the zone in the settings.
+        advertised_rate: Messages a second that the endpoint advertises; 0 if it advertises none.
+    """
 
     host: str
     port: int
     destination: int
     kind: int
     zone: int
-    rate: float
+    advertised_rate: float
 
 
 def pack_record(name: bytes, details: EndpointDetails) -> bytes:
-    """Return the record of an endpoint that is ready."""
-    flags, host = 0, details.host
+    """Return the record of an endpoint with the status `READY`."""
+    flags = 0
     if details.kind > MAX_NARROW_INDEX or details.zone > MAX_NARROW_INDEX:
         flags = FLAG_WIDE
     layout = WIDE_LAYOUT if flags else NARROW_LAYOUT
     try:
-        host_bytes = socket.inet_pton(socket.AF_INET, host)
+        host_bytes = socket.inet_pton(socket.AF_INET, details.host)
     except OSError:
-        host_bytes = bytes([len(host)]) + host.encode()
+        host_bytes = bytes([len(details.host)]) + details.host.encode()
         flags |= FLAG_TEXT_HOST
-    fields = layout.pack(flags, details.destination, details.port, details.kind, details.zone, details.rate)
+    fields = layout.pack(flags, details.destination, details.port, details.kind, details.zone, details.advertised_rate)
     return fields + host_bytes + name
 
 
 def with_draining(record: bytes) -> bytes:
-    """Return the record of the same endpoint while it drains."""
+    """Return the record of the same endpoint with the status `DRAINING`."""
     flags = record[0]
     return record if flags & FLAG_DRAINING else bytes([flags | FLAG_DRAINING]) + record[1:]
 
 
 def record_name(record: bytes) -> bytes:
-    """Return the endpoint's name, in UTF-8."""
+    """Return the name of the endpoint, in UTF-8."""
     flags = record[0]
     if not flags & (FLAG_WIDE | FLAG_TEXT_HOST):
         return record[NAME_OFFSET:]
-    at = WIDE_LAYOUT.size if flags & FLAG_WIDE else NARROW_LAYOUT.size
-    return record[at + 1 + record[at] :] if flags & FLAG_TEXT_HOST else record[at + IPV4_BYTES :]
+    host_start = WIDE_LAYOUT.size if flags & FLAG_WIDE else NARROW_LAYOUT.size
+    if flags & FLAG_TEXT_HOST:
+        return record[host_start + 1 + record[host_start] :]
+    return record[host_start + IPV4_BYTES :]
 
 
 def record_destination(record: bytes) -> int:
-    """Return the endpoint's destination."""
-    return int(NARROW_LAYOUT.unpack_from(record)[1])  # which stands at the same place in both layouts
+    """Return the destination of the endpoint."""
+    return int(NARROW_LAYOUT.unpack_from(record)[1])  # at the same offset in both layouts
 
 
 def endpoint_from_record(endpoint_id: int, record: bytes, status: EndpointStatus | None = None) -> Endpoint:
-    """Return the endpoint as the engine knows it, with another status if one is given."""
+    """Return the endpoint as the engine knows it; `status` replaces that of the record."""
     layout = WIDE_LAYOUT if record[0] & FLAG_WIDE else NARROW_LAYOUT
-    flags, destination, _, kind, zone, rate = layout.unpack_from(record)
+    flags, destination, _, kind, zone, advertised_rate = layout.unpack_from(record)
     status = status or (EndpointStatus.DRAINING if flags & FLAG_DRAINING else EndpointStatus.READY)
-    return Endpoint(endpoint_id, destination, status, kind, zone, rate)
+    return Endpoint(
+        id=endpoint_id, destination=destination, status=status, kind=kind, zone=zone, advertised_rate=advertised_rate
+    )
 
 
 def address_from_record(endpoint_id: int, record: bytes) -> EndpointAddress:
-    """Return where the endpoint is to be called."""
+    """Return the address of the endpoint."""
     layout = WIDE_LAYOUT if record[0] & FLAG_WIDE else NARROW_LAYOUT
     flags, destination, port, _, zone, _ = layout.unpack_from(record)
-    at = layout.size
+    host_start = layout.size
     if flags & FLAG_TEXT_HOST:
-        host = record[at + 1 : at + 1 + record[at]].decode()
+        host = record[host_start + 1 : host_start + 1 + record[host_start]].decode()
     else:
-        host = socket.inet_ntoa(record[at : at + IPV4_BYTES])
-    return EndpointAddress(endpoint_id, record_name(record).decode(), host, port, zone, destination)
+        host = socket.inet_ntoa(record[host_start : host_start + IPV4_BYTES])
+    return EndpointAddress(
+        id=endpoint_id,
+        name=record_name(record).decode(),
+        host=host,
+        port=port,
+        zone=zone,
+        destination=destination,
+    )
--- a/linnetstile/platform_relay/list_entry.py
+++ b/linnetstile/platform_relay/list_entry.py
@@ -1,4 +1,4 @@
-"""Entries of discovery's lists, read: what each has to say depends on the state that it tells."""
+"""Parses single entries of the lists of discovery. Which fields an entry must have depends on its state."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
     "DELETED": EndpointStatus.GONE,
 }
 MAX_NAME_BYTES = 256
-DESTINATION_BOUND = 10**9
+DESTINATION_BOUND = 10**9  # the platform numbers destinations with at most 9 digits
 
 
 def parse_name(raw: object) -> bytes:
-    """Return the name in an entry, in UTF-8.
+    """Return the name of the endpoint, in UTF-8.
 
     Raises:
-        ValueError: The entry or its name is not what is expected.
+        ValueError: The entry is no object, or its name is missing or too long.
     """
     if not isinstance(raw, dict):
         raise ValueError("expected an object")
@@ -34,12 +34,12 @@
 
 
 def parse_status(raw: Mapping[str, Any]) -> EndpointStatus:
-    """Return the status that an entry tells.
+    """Return the status of the endpoint.
 
     Raises:
         KeyError: The field is missing.
-        TypeError: The field cannot be the name of a state.
-        ValueError: The field is not what is expected.
+        TypeError: The field cannot be the name of a state, as a list cannot.
+        ValueError: The field is not the name of a state.
     """
     status = STATUS_BY_STATE.get(raw["state"])
     if status is None:
@@ -48,9 +48,17 @@
 
 
 def parse_details(raw: Mapping[str, Any], kinds: Mapping[str, int], zones: Mapping[str, int]) -> EndpointDetails:
-    """Read the rest of an entry, in the names that the settings know. Raises as `parse_status` does.
+    """Return the rest of an entry.
 
-    A kind or zone that the settings do not name has the index behind the last of them.
+    Args:
+        raw: The entry.
+        kinds: Index of each kind of destination in the settings, by its name.
+        zones: Index of each zone in the settings, by its name. A kind or zone that the settings do not name has the
+            index behind the last one.
+
+    Raises:
+        KeyError: A field is missing.
+        OverflowError, ValueError: A field has a value that cannot be used.
     """
     host, port = parse_address(raw["addr"], "addr")
     destination = raw["cell"]
@@ -58,13 +66,20 @@
         raise ValueError(f"cell: expected a whole number from 0 to {DESTINATION_BOUND - 1}, found {destination!r:.40}")
     rate = raw.get("weight") or 0.0
     if not isinstance(rate, (int, float)) or not math.isfinite(rate):
-        rate = 0.0  # none is advertised
+        rate = 0.0  # no rate is advertised
     zone = zones.get(str(raw.get("zone")), len(zones))
     kind = kinds.get(str(raw.get("kind")), len(kinds))
-    return EndpointDetails(host, port, destination, kind, zone, float(rate))
+    return EndpointDetails(
+        host=host, port=port, destination=destination, kind=kind, zone=zone, advertised_rate=float(rate)
+    )
 
 
 def entry_name(raw: object) -> str | None:
-    """Return the name in an entry that could not be read; None if not even that can be."""
+    """Return the name in an entry that could not be read; None if the name cannot be read either."""
     name = raw.get("id") if isinstance(raw, dict) else None
     return name if isinstance(name, str) else None
+
+
+def encode_name(name: str) -> bytes:
+    """Return a name in UTF-8, also one with surrogates, which JSON may contain."""
+    return name.encode("utf-8", "surrogatepass")
--- a/linnetstile/platform_relay/listed_destinations.py
+++ b/linnetstile/platform_relay/listed_destinations.py
@@ -1,4 +1,4 @@
-"""The destinations that have endpoints: 16 bytes each."""
+"""The destinations that have endpoints, at 16 bytes each."""
 
 from __future__ import annotations
 
@@ -10,19 +10,21 @@
 
 
 class ListedDestinations:
-    """How many endpoints each destination has; those that have none any more are remembered for a while.
+    """Counts the endpoints of each destination; destinations that have lost their last one stay known for a while.
 
     Attributes:
-        max_unlisted: How many are remembered.
-        ids: The destination of each row.
-        endpoint_counts: Its endpoints, by row.
-        free_rows: Rows to be used again.
-        recently_unlisted: The latest that have no endpoint any more, oldest first.
+        max_unlisted: Bound on `recently_unlisted`.
+        ids: The destination in each row.
+        endpoint_counts: Number of endpoints of the destination in each row.
+        free_rows: Rows that are free.
+        index: Rows by the hash of their destination.
+        recently_unlisted: The latest destinations without an endpoint, oldest first.
     """
 
     def __init__(self, max_unlisted: int = MAX_UNLISTED_DESTINATIONS) -> None:
         self.max_unlisted = max_unlisted
-        self.ids, self.endpoint_counts = array("I"), array("i")
+        self.ids = array("I")
+        self.endpoint_counts = array("i")
         self.free_rows = array("i")
         self.index = LinearHashTable(lambda row: hash_integer(self.ids[row]))
         self.recently_unlisted: OrderedDict[int, None] = OrderedDict()
@@ -38,7 +40,7 @@
         return self.index.row_count
 
     def add(self, destination: int) -> None:
-        """Count one endpoint more."""
+        """Add an endpoint to a destination."""
         row = self._find_row(destination)
         if row is not None:
             self.endpoint_counts[row] += 1
@@ -46,7 +48,8 @@
         self.recently_unlisted.pop(destination, None)
         if self.free_rows:
             row = self.free_rows.pop()
-            self.ids[row], self.endpoint_counts[row] = destination, 1
+            self.ids[row] = destination
+            self.endpoint_counts[row] = 1
         else:
             row = len(self.ids)
             self.ids.append(destination)
@@ -54,7 +57,7 @@
         self.index.add(row)
 
     def remove(self, destination: int) -> None:
-        """Count one endpoint less."""
+        """Remove an endpoint from a destination."""
         row = self._find_row(destination)
         assert row is not None, "a destination that was never added"
         self.endpoint_counts[row] -= 1
--- a/linnetstile/platform_relay/relay.py
+++ b/linnetstile/platform_relay/relay.py
@@ -22,12 +22,13 @@
 from .accepted import AcceptedMessages
 from .config import Address, RelaySettings
 from .delivery import Delivery
-from .directory import Directory, InvalidListError
+from .directory import Directory
 from .discovery import Watch
 from .endpoint_client import EndpointClient
 from .http_frontend import HttpFrontend
 from .intake import Intake
 from .journal import Journal
+from .list_update import InvalidListError
 from .log_events import EventLog
 from .notices import NoticeSender
 from .recovery import Recovery, wait_for_first_list
--- a/linnetstile/testbed/scale/watch_reader.py
+++ b/linnetstile/testbed/scale/watch_reader.py
@@ -8,7 +8,8 @@
 from ...codec.json_stream import JsonStreamReader, ObjectPart
 from ...engine.events import EndpointList, ListKind
 from ...platform_relay import discovery
-from ...platform_relay.directory import Directory, ListUpdate
+from ...platform_relay.directory import Directory
+from ...platform_relay.list_update import ListUpdate
 from .workload import DESTINATION_KINDS, ZONES
 
 READ_BYTES = 64 * 1024
--- a/tests/platform_relay/test_directory.py
+++ b/tests/platform_relay/test_directory.py
@@ -9,10 +9,10 @@
 
 from linnetstile.engine.events import Endpoint, EndpointStatus, ListKind
 from linnetstile.engine.watch_policy import ENTRIES_PER_EVENT
-from linnetstile.platform_relay import directory as directory_module
-from linnetstile.platform_relay import endpoint_record
-from linnetstile.platform_relay.directory import Directory, InvalidListError, ListUpdate
+from linnetstile.platform_relay import endpoint_record, endpoint_table
+from linnetstile.platform_relay.directory import Directory
 from linnetstile.platform_relay.endpoint_record import EndpointAddress
+from linnetstile.platform_relay.list_update import InvalidListError, ListUpdate
 from linnetstile.platform_relay.listed_destinations import ListedDestinations
 
 KINDS, ZONES = ("k", "l"), ("y", "z")
@@ -175,7 +175,7 @@
         looked += 1
         return name(record)
 
-    monkeypatch.setattr(directory_module, "record_name", counted)
+    monkeypatch.setattr(endpoint_table, "record_name", counted)
     work = {}
     for size in (100, 10_000):
         directory = Directory(KINDS, ZONES)
@@ -291,7 +291,7 @@
         number = directory.id_of("a")
         assert number not in seen
         seen.add(number)
-    assert len(directory.records) == 2
+    assert len(directory.table.records) == 2
 
 
 def test_draining_endpoint_is_reported_once_keeps_its_id_and_may_come_back() -> None:
--- a/tests/platform_relay/test_discovery.py
+++ b/tests/platform_relay/test_discovery.py
@@ -22,9 +22,10 @@
     watch_deadline,
 )
 from linnetstile.platform_relay import discovery
-from linnetstile.platform_relay.directory import Directory, InvalidListError
+from linnetstile.platform_relay.directory import Directory
 from linnetstile.platform_relay.discovery import Watch
 from linnetstile.platform_relay.endpoint_record import EndpointAddress
+from linnetstile.platform_relay.list_update import InvalidListError
 
 from .relay_testbed import wait_until
 
