--- a/benchmarks/slopes/internals.py
+++ b/benchmarks/slopes/internals.py
@@ -21,8 +21,8 @@
     encode_accepted,
     encode_attempt_ended,
     encode_attempt_started,
-    replay,
 )
+from linnetstile.platform_relay.journal_replay import replay
 from linnetstile.platform_relay.list_update import ListUpdate
 from linnetstile.platform_relay.records import JournaledAttempt, JournaledMessage, JournalRecord, MessageFields
 
@@ -122,8 +122,8 @@
 
 
 def replay_journal(data: bytes) -> dict[int, JournalRecord]:
-    """The messages without a final notice in a journal's bytes, by number. Touches platform_relay.journal_codec."""
-    return replay(data)[0]
+    """The messages without a final notice in a journal's bytes, by number. Touches platform_relay.journal_replay."""
+    return replay(data).records
 
 
 def rewrite_journal(folder: Path, messages: Iterable[JournalRecord], most_bytes: int) -> RewrittenJournal:
--- a/linnetstile/platform_relay/journal.py
+++ b/linnetstile/platform_relay/journal.py
@@ -1,6 +1,7 @@
-"""What this relay owes, in the folder that lasts: one file that is only appended to, and rewritten now and then.
+"""The journal: an append-only file of accepted messages, their attempts and pending notices, which is compacted.
 
-No fsync: the folder outlives the process, and nothing outlives the machine. `journal_codec` has the records' form.
+It is not synced to the disk: the state folder outlives the process but not the machine. `journal_codec` has the format
+of the records.
 """
 
 from __future__ import annotations
@@ -12,40 +13,44 @@
 from pathlib import Path
 
 from ..engine.resource_limits import JOURNAL_OVERHEAD_BYTES
-from .journal_codec import encode_compacted, replay
+from .journal_codec import encode_compacted
+from .journal_replay import replay
 from .records import JournaledMessage, JournalRecord
 
 FILE_NAME = "journal"
-REWRITE_NAME = "journal.new"  # takes the journal's place as a whole or not at all
+REWRITE_NAME = "journal.new"  # renamed to the journal once it is complete
 APPEND_FLAGS = os.O_WRONLY | os.O_CREAT | os.O_APPEND | os.O_CLOEXEC
 FILE_MODE = 0o600
 NO_SPACE = "no room on the disk"
+NO_DESCRIPTOR = -1  # the file is not open
 
 
 @dataclass(slots=True)
 class Journal:
-    """An append-only file of records: what was added before a `flush` that returned True outlives the process.
+    """An append-only file of records: those added before a successful `flush` outlive the process.
 
     Attributes:
-        folder: Where the file is.
-        compaction_bytes: Size of the file from which on it is rewritten.
-        size: Bytes of the file.
+        folder: The state folder.
+        compaction_bytes: Size above which the file is compacted.
+        size: Size of the file in bytes.
         message_bytes: Bytes that the accepted messages take, as `weight` counts them.
-        damaged_bytes: Bytes that an earlier process left and that could not be read.
+        failed_writes: Number of writes that failed.
+        damaged_bytes: Bytes of an earlier process's journal that could not be read.
+        last_error: Why the last failed write failed; empty without one.
     """
 
     folder: Path
     compaction_bytes: int
     size: int = 0
     message_bytes: int = 0
-    failed_writes: int = 0  # writes that failed
+    failed_writes: int = 0
     damaged_bytes: int = 0
-    last_error: str = ""  # why the latest write failed that did
-    _descriptor: int = -1
+    last_error: str = ""
+    _descriptor: int = NO_DESCRIPTOR
     _unwritten: list[bytes] = field(default_factory=list)
 
     def open(self) -> dict[int, JournalRecord]:
-        """Read what an earlier process left and go on from there.
+        """Read what an earlier process left, and open the file for writing.
 
         Raises:
             OSError: The folder or the file cannot be used.
@@ -54,27 +59,30 @@
         (self.folder / REWRITE_NAME).unlink(missing_ok=True)
         records: dict[int, JournalRecord] = {}
         if path.exists():
-            records, self.damaged_bytes = replay(path.read_bytes())
+            replayed = replay(path.read_bytes())
+            records = replayed.records
+            self.damaged_bytes = replayed.damaged_bytes
         self.rewrite(records.values())
-        if self._descriptor < 0:  # no space for another: this one goes on, and is rewritten as soon as there is
+        if self._descriptor == NO_DESCRIPTOR:  # no space for a new file: the old one is used, and compacted later
             self._descriptor = os.open(path, APPEND_FLAGS, FILE_MODE)
             self._request_rewrite()
         return records
 
     def add(self, record: bytes) -> None:
-        """Add an encoded record, to be written by the next `flush`."""
+        """Add an encoded record; the next `flush` writes it."""
         self._unwritten.append(record)
 
     def flush(self) -> bool:
-        """Write all that was added at once.
+        """Write all added records at once.
 
         Returns:
-            False if the disk would not take it, and then nothing of it counts. What had happened all the same, as
-            results and notices do, is only in memory then: the file is to be rewritten.
+            False if they could not be written, and then none of them is in the file. Records of what has happened all
+            the same, such as results, are in memory only: the file needs a rewrite.
         """
         if not self._unwritten:
             return True
-        data, self._unwritten = b"".join(self._unwritten), []
+        data = b"".join(self._unwritten)
+        self._unwritten = []
         try:
             written = os.write(self._descriptor, data)
             if written == len(data):
@@ -84,26 +92,29 @@
         except OSError as error:
             self.last_error = error.strerror or repr(error)
         self.failed_writes += 1
-        with contextlib.suppress(OSError):  # half a record is no promise: reading would only have to search past it
+        with contextlib.suppress(OSError):  # removes an incomplete record, which a replay would have to skip
             os.ftruncate(self._descriptor, min(self.size, os.fstat(self._descriptor).st_size))
         self._request_rewrite()
         return False
 
     @staticmethod
     def weight(message: JournaledMessage) -> int:
-        """Return the bytes that a message takes on the disk until its result, its attempts included."""
+        """Return the bytes that a message takes in the file until its result, with its attempts."""
         return len(message.body) + JOURNAL_OVERHEAD_BYTES
 
     @property
     def needs_rewrite(self) -> bool:
-        """Whether the file has grown past its limit, or a write failed."""
+        """Whether the file is larger than its limit, or a write failed."""
         return self.size > self.compaction_bytes
 
     def _request_rewrite(self) -> None:
         self.size = self.compaction_bytes + 1
 
     def rewrite(self, records: Iterable[JournalRecord]) -> None:
-        """Write what is owed into a new file, which takes the place of the old one as a whole or not at all."""
+        """Compact the journal: write these records into a new file, which replaces the old one atomically.
+
+        The old file stays in use if the new one cannot be written.
+        """
         data = b"".join(encoded for record in records for encoded in encode_compacted(record))
         try:
             descriptor = self._replace_file(data)
@@ -111,12 +122,16 @@
             self.failed_writes += 1
             self.last_error = error.strerror or str(error)
             return
-        if self._descriptor >= 0:
-            os.close(self._descriptor)
-        self._descriptor, self.size = descriptor, len(data)
+        self.close()
+        self._descriptor = descriptor
+        self.size = len(data)
 
     def _replace_file(self, data: bytes) -> int:
-        """Return the descriptor of a new file that holds `data` in the old one's place. Raises OSError."""
+        """Replace the file by a new one that holds `data`; return its descriptor.
+
+        Raises:
+            OSError: The new file cannot be written.
+        """
         new_path = self.folder / REWRITE_NAME
         descriptor = os.open(new_path, APPEND_FLAGS | os.O_TRUNC, FILE_MODE)
         try:
@@ -130,7 +145,7 @@
         return descriptor
 
     def close(self) -> None:
-        """Close the file; a second call does nothing."""
-        if self._descriptor >= 0:
+        """Close the file; a second call has no effect."""
+        if self._descriptor != NO_DESCRIPTOR:
             os.close(self._descriptor)
-            self._descriptor = -1
+            self._descriptor = NO_DESCRIPTOR
--- a/linnetstile/platform_relay/journal_codec.py
+++ b/linnetstile/platform_relay/journal_codec.py
@@ -1,7 +1,7 @@
-"""The journal's stored form: records to bytes and back. The one place that knows the stored names.
+"""The format of the journal: encodes its records and decodes them. The stored names are known here alone.
 
-A record is a head (kind, length, CRC-32 of kind and content) and its content. One that is torn or damaged costs
-itself alone: reading goes on at the next sound one. Times are Unix times in ms.
+A record is a head (kind, length of the content, CRC-32 of kind and content) and its content. Times are Unix times in
+ms. `journal_replay` reads a whole journal.
 """
 
 from __future__ import annotations
@@ -14,6 +14,10 @@
 
 from .records import (
     NO_EFFECT_ATTEMPT,
+    AttemptEndRecord,
+    AttemptStartRecord,
+    CompletionRecord,
+    DecodedRecord,
     JournaledAttempt,
     JournaledMessage,
     JournalRecord,
@@ -24,13 +28,17 @@
 )
 
 RECORD_HEAD = struct.Struct("<cII")  # kind, bytes of the content, CRC-32
-ACCEPTED, ATTEMPT_STARTED, ATTEMPT_ENDED, NOTICE_PENDING, COMPLETED = b"T", b"A", b"O", b"N", b"E"
+ACCEPTED = b"T"
+ATTEMPT_STARTED = b"A"
+ATTEMPT_ENDED = b"O"
+NOTICE_PENDING = b"N"
+COMPLETED = b"E"
 RECORD_KINDS = (ACCEPTED, ATTEMPT_STARTED, ATTEMPT_ENDED, NOTICE_PENDING, COMPLETED)
-MAX_CONTENT_BYTES = 256 * 1024  # a body of 64 KiB and its head
+MAX_CONTENT_BYTES = 256 * 1024  # ample for a body of 64 KiB and its metadata: a larger length is damage
 
-METADATA_LENGTH = struct.Struct("<I")  # bytes of the JSON that stands before the body
-ATTEMPT_LAYOUT = struct.Struct("<Qdi")  # message, when it began, zone of the endpoint; the endpoint's name follows
-MESSAGE_FLAG = struct.Struct("<Q?")  # message, whether the attempt may have taken effect
+METADATA_LENGTH = struct.Struct("<I")  # bytes of the JSON metadata that stand before the body
+ATTEMPT_LAYOUT = struct.Struct("<Qdi")  # message id, start time, zone of the endpoint; the name of the endpoint follows
+MESSAGE_FLAG = struct.Struct("<Q?")  # message id, whether the attempt may have taken effect
 
 _encode_json = json.JSONEncoder(separators=(",", ":")).encode
 
@@ -75,11 +83,15 @@
 
 
 def _notice_from_stored(stored: dict[str, Any]) -> Notice:
-    return Notice(stored["ref"], NoticeResult(stored["result"]), stored.get("wait_ms"))
+    return Notice(
+        submission_id=stored["ref"],
+        result=NoticeResult(stored["result"]),
+        retry_after_ms=stored.get("wait_ms"),
+    )
 
 
 def encode_notice(notice: Notice) -> bytes:
-    """Return the notice as the platform gets it, one JSON object without a line end; the journal stores the same."""
+    """Return a notice as it is posted to the platform and stored in the journal: a JSON object without a line end."""
     return _encode_json(_stored_notice(notice)).encode()
 
 
@@ -97,35 +109,37 @@
 
 
 def encode_attempt_started(message_id: int, attempt: JournaledAttempt) -> bytes:
-    """Return the record that an attempt begins."""
+    """Return the record that an attempt of a message begins."""
     content = ATTEMPT_LAYOUT.pack(message_id, attempt.started_at_ms, attempt.zone)
     return _record(ATTEMPT_STARTED, content + attempt.endpoint_name.encode())
 
 
 def encode_attempt_ended(message_id: int, *, may_have_effect: bool) -> bytes:
-    """Return the record that the open attempt ended and the message goes on."""
+    """Return the record that the open attempt has ended and the message stays pending."""
     return _record(ATTEMPT_ENDED, MESSAGE_FLAG.pack(message_id, may_have_effect))
 
 
 def encode_pending_notice(pending: PendingNotice) -> bytes:
-    """Return the record that a message has ended and the platform has to be notified."""
+    """Return the record that a message has ended and the platform is to be notified."""
     stored = [pending.id, _stored_notice(pending.notice), pending.ordering_key]
     return _record(NOTICE_PENDING, _encode_json(stored).encode())
 
 
 def encode_completed(message_id: int) -> bytes:
-    """Return the record that nothing is owed for a message any more."""
+    """Return the record that a message is complete: the journal holds nothing of it any more."""
     return _record(COMPLETED, MESSAGE_FLAG.pack(message_id, False))
 
 
 def encode_compacted(record: JournalRecord) -> Iterator[bytes]:
-    """Yield the fewest records that say the same again, for a journal that is rewritten."""
+    """Yield the shortest sequence of records with the same meaning, for a journal that is compacted."""
     if isinstance(record, PendingNotice):
         yield encode_pending_notice(record)
         return
-    unclear, open_attempt = record.unclear_attempt, record.open_attempt
+    unclear = record.unclear_attempt
+    open_attempt = record.open_attempt
+    attempts_without_effect = record.attempts - (unclear is not None) - (open_attempt is not None)
     yield encode_accepted(record)
-    for _ in range(record.attempts - (unclear is not None) - (open_attempt is not None)):
+    for _ in range(attempts_without_effect):
         yield encode_attempt_started(record.id, NO_EFFECT_ATTEMPT)
         yield encode_attempt_ended(record.id, may_have_effect=False)
     if unclear is not None:
@@ -138,94 +152,60 @@
 # -- bytes to records ------------------------------------------------------------------------------------------
 
 
-def _end_of_sound_record(data: bytes, at: int) -> int:
-    """Return where the record at `at` ends; 0 if there is none that is complete and undamaged."""
-    if at + RECORD_HEAD.size > len(data):
-        return 0
-    kind, size, crc = RECORD_HEAD.unpack_from(data, at)
-    end = at + RECORD_HEAD.size + size
+def sound_record_end(data: bytes, start: int) -> int | None:
+    """Return the offset behind the record at `start`; None if there is no complete and undamaged record."""
+    content_start = start + RECORD_HEAD.size
+    if content_start > len(data):
+        return None
+    kind, size, crc = RECORD_HEAD.unpack_from(data, start)
+    end: int = content_start + size
     if kind not in RECORD_KINDS or size > MAX_CONTENT_BYTES or end > len(data):
-        return 0
-    return end if zlib.crc32(kind + data[at + RECORD_HEAD.size : end]) == crc else 0
-
-
-def _end_of_damage(data: bytes, at: int) -> int:
-    """Return where reading goes on after a damaged record.
-
-    That is where its length says if that holds, or at the next sound record.
-    """
-    if at + RECORD_HEAD.size <= len(data):
-        end = at + RECORD_HEAD.size + int(RECORD_HEAD.unpack_from(data, at)[1])
-        if end == len(data) or _end_of_sound_record(data, end):
-            return end
-    return next((there for there in range(at + 1, len(data)) if _end_of_sound_record(data, there)), len(data))
-
-
-def replay(data: bytes) -> tuple[dict[int, JournalRecord], int]:
-    """Read a journal.
-
-    Returns:
-        What is still owed, by message id in the order it was accepted, and how many bytes were no sound record.
-    """
-    records: dict[int, JournalRecord] = {}
-    at = damaged_bytes = 0
-    while at < len(data):
-        end = _end_of_sound_record(data, at)
-        if end:
-            _apply(records, data[at : at + 1], data[at + RECORD_HEAD.size : end])
-        else:
-            end = _end_of_damage(data, at)
-            damaged_bytes += end - at
-        at = end
-    return records, damaged_bytes
-
-
-def _apply(records: dict[int, JournalRecord], kind: bytes, content: bytes) -> None:
+        return None
+    return end if zlib.crc32(kind + data[content_start:end]) == crc else None
+
+
+def stated_record_end(data: bytes, start: int) -> int | None:
+    """Return the offset behind the record at `start` by its stated length alone; None if its head is incomplete."""
+    content_start = start + RECORD_HEAD.size
+    if content_start > len(data):
+        return None
+    _, size, _ = RECORD_HEAD.unpack_from(data, start)
+    return content_start + int(size)
+
+
+def decode_record(data: bytes, start: int, end: int) -> DecodedRecord:
+    """Return the sound record from `start` to `end`."""
+    kind = data[start : start + 1]
+    content = data[start + RECORD_HEAD.size : end]
     if kind == ACCEPTED:
-        message = _decode_accepted(content)
-        records[message.id] = message
-    elif kind == NOTICE_PENDING:
-        pending = _decode_pending_notice(content)
-        records[pending.id] = pending
-    elif kind == ATTEMPT_STARTED:
-        _apply_attempt_started(records, content)
-    elif kind == ATTEMPT_ENDED:
-        _apply_attempt_ended(records, content)
-    else:
-        message_id, _ = MESSAGE_FLAG.unpack_from(content)
-        records.pop(message_id, None)
+        return _decode_accepted(content)
+    if kind == NOTICE_PENDING:
+        return _decode_pending_notice(content)
+    if kind == ATTEMPT_STARTED:
+        return _decode_attempt_started(content)
+    message_id, may_have_effect = MESSAGE_FLAG.unpack_from(content)
+    if kind == ATTEMPT_ENDED:
+        return AttemptEndRecord(message_id, may_have_effect)
+    return CompletionRecord(message_id)
 
 
 def _decode_accepted(content: bytes) -> JournaledMessage:
     (size,) = METADATA_LENGTH.unpack_from(content)
-    body_at = METADATA_LENGTH.size + size
-    message_id, stored = json.loads(content[METADATA_LENGTH.size : body_at])
-    return JournaledMessage(message_id, _fields_from_stored(stored), content[body_at:])
+    body_start = METADATA_LENGTH.size + size
+    message_id, stored = json.loads(content[METADATA_LENGTH.size : body_start])
+    return JournaledMessage(id=message_id, fields=_fields_from_stored(stored), body=content[body_start:])
 
 
 def _decode_pending_notice(content: bytes) -> PendingNotice:
-    message_id, stored, *ordering_key = json.loads(content)  # the key is missing in journals of earlier versions
-    return PendingNotice(message_id, _notice_from_stored(stored), ordering_key[0] if ordering_key else 0)
+    message_id, stored, *ordering_key = json.loads(content)  # earlier versions wrote no ordering key
+    return PendingNotice(
+        id=message_id,
+        notice=_notice_from_stored(stored),
+        ordering_key=ordering_key[0] if ordering_key else 0,
+    )
 
 
-def _apply_attempt_started(records: dict[int, JournalRecord], content: bytes) -> None:
+def _decode_attempt_started(content: bytes) -> AttemptStartRecord:
     message_id, started_at_ms, zone = ATTEMPT_LAYOUT.unpack_from(content)
-    message = records.get(message_id)
-    if not isinstance(message, JournaledMessage):
-        return
-    message.attempts += 1
-    # Its process ended before the attempt before this one did: that one may have taken effect.
-    message.unclear_attempt = message.unclear_attempt or message.open_attempt
-    message.open_attempt = JournaledAttempt(started_at_ms, zone, content[ATTEMPT_LAYOUT.size :].decode())
-
-
-def _apply_attempt_ended(records: dict[int, JournalRecord], content: bytes) -> None:
-    message_id, may_have_effect = MESSAGE_FLAG.unpack_from(content)
-    message = records.get(message_id)
-    if not isinstance(message, JournaledMessage):
-        return
-    if may_have_effect and message.unclear_attempt is None:
-        # Without its attempt, whose record was damaged: as early as can be.
-        earliest = JournaledAttempt(float(message.fields.accepted_at_ms), 0, "")
-        message.unclear_attempt = message.open_attempt or earliest
-    message.open_attempt = None
+    endpoint_name = content[ATTEMPT_LAYOUT.size :].decode()
+    return AttemptStartRecord(message_id, JournaledAttempt(started_at_ms, zone, endpoint_name))
--- a/linnetstile/platform_relay/records.py
+++ b/linnetstile/platform_relay/records.py
@@ -1,6 +1,6 @@
-"""What the journal holds, as typed records: accepted messages with their attempts, and notices owed to the platform.
+"""The content of the journal as typed records: accepted messages with their attempts, and pending notices.
 
-`journal_codec` joins them with their stored form; nothing else knows the stored names.
+`journal_codec` has the format in which they are stored.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MessageFields:
-    """What a client said of its message, and when the relay accepted it.
+    """The fields of a client's message, and when the relay accepted it.
 
     Attributes:
         submission_id: The client's correlation id.
@@ -19,8 +19,8 @@
         tenant: Name of the tenant in the settings of that time; empty where the settings name none.
         destination: Number of the destination.
         idempotency_key: Empty if the client gave none.
-        ordering_key: What messages of an ordered class share: 0 is nothing, None stands for a record that was
-            written by a version that knew no ordered classes.
+        ordering_key: Messages of an ordered class that share it keep their order; 0 without one. None in a record of
+            an earlier version, which had no ordered classes.
         accepted_at_ms: Unix time.
         deadline_ms: Unix time.
     """
@@ -37,14 +37,15 @@
 
 @dataclass(frozen=True, slots=True)
 class JournaledAttempt:
-    """One attempt: when it began (Unix ms), and the zone and name of its endpoint."""
+    """One attempt: its start (Unix time, ms), and the zone and name of its endpoint."""
 
     started_at_ms: float
     zone: int
     endpoint_name: str
 
 
-NO_EFFECT_ATTEMPT = JournaledAttempt(0.0, 0, "")  # stands for an attempt of which only its number matters
+# Stands in a compacted journal for an attempt without effect: only the number of these matters.
+NO_EFFECT_ATTEMPT = JournaledAttempt(started_at_ms=0.0, zone=0, endpoint_name="")
 
 
 @dataclass(slots=True)
@@ -53,9 +54,9 @@
 
     Attributes:
         id: The relay's own number of the message.
-        fields: What was accepted.
-        body: The message's body.
-        attempts: How many attempts have begun.
+        fields: The fields of the message.
+        body: Body of the message.
+        attempts: Number of attempts that have begun.
         open_attempt: The attempt that has no outcome yet.
         unclear_attempt: The first attempt that may have taken effect.
     """
@@ -69,7 +70,7 @@
 
 
 class NoticeResult(StrEnum):
-    """How a message ended that was accepted and not delivered, in the platform's words."""
+    """How an accepted message ended that was not delivered; the values are the platform's."""
 
     REJECTED = "bounced"  # no attempt took effect: the client may submit it again
     FAILED = "dead"  # an attempt may have taken effect
@@ -77,7 +78,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Notice:
-    """The result of one message, owed to the platform; `retry_after_ms` is None where nothing is advised."""
+    """The result of one message, for the platform; `retry_after_ms` is None without advice."""
 
     submission_id: str
     result: NoticeResult
@@ -90,8 +91,8 @@
 
     Attributes:
         id: The relay's own number of the message.
-        notice: What the platform is to be notified of.
-        ordering_key: The message's ordering key: the next message of this key waits for the notice; 0 means none does.
+        notice: The notice.
+        ordering_key: Ordering key of the message: the next message with this key waits for the notice. 0 without one.
     """
 
     id: int
@@ -99,4 +100,30 @@
     ordering_key: int = 0
 
 
-JournalRecord = JournaledMessage | PendingNotice  # what a journal still holds of one message
+JournalRecord = JournaledMessage | PendingNotice  # what a journal holds of one message that is not complete
+
+
+@dataclass(frozen=True, slots=True)
+class AttemptStartRecord:
+    """An attempt of a message has begun."""
+
+    message_id: int
+    attempt: JournaledAttempt
+
+
+@dataclass(frozen=True, slots=True)
+class AttemptEndRecord:
+    """The open attempt of a message has ended, and the message stays pending."""
+
+    message_id: int
+    may_have_effect: bool
+
+
+@dataclass(frozen=True, slots=True)
+class CompletionRecord:
+    """A message is complete."""
+
+    message_id: int
+
+
+DecodedRecord = JournalRecord | AttemptStartRecord | AttemptEndRecord | CompletionRecord  # one record of the file
--- a/tests/platform_relay/test_old_state.py
+++ b/tests/platform_relay/test_old_state.py
@@ -20,8 +20,8 @@
     encode_compacted,
     encode_completed,
     encode_pending_notice,
-    replay,
 )
+from linnetstile.platform_relay.journal_replay import replay
 from linnetstile.platform_relay.records import (
     JournaledAttempt,
     JournaledMessage,
--- a/tests/platform_relay/test_relay.py
+++ b/tests/platform_relay/test_relay.py
@@ -17,7 +17,7 @@
 import pytest
 
 from linnetstile.net import client, server
-from linnetstile.platform_relay import journal_codec
+from linnetstile.platform_relay import journal_replay
 from linnetstile.platform_relay.http_frontend import Submission
 from linnetstile.platform_relay.journal import Journal
 from linnetstile.platform_relay.records import Notice, NoticeResult, PendingNotice
@@ -529,7 +529,7 @@
         assert await request_status(relay, submission("m", "pay", left="700m")) == 202
         await wait_until(lambda: relay.reporter.pending_notices)
         await asyncio.sleep(0.05)
-        (record,) = journal_codec.replay((testbed.state / "journal").read_bytes())[0].values()
+        (record,) = journal_replay.replay((testbed.state / "journal").read_bytes())[0].values()
         assert failed
         assert isinstance(record, PendingNotice)
         assert record.notice == Notice("m", NoticeResult.REJECTED)
