--- a/linnetstile/platform_relay/intake.py
+++ b/linnetstile/platform_relay/intake.py
@@ -14,9 +14,10 @@
 from . import clock, counters, journal_codec
 from .accepted import AcceptedMessage, AcceptedMessages
 from .directory import Directory
-from .http_frontend import Submission, reply
+from .http_frontend import reply
 from .journal import Journal
 from .records import JournaledMessage, MessageFields
+from .submission import Submission
 
 ORDERING_KEY_BYTES = 7  # of a digest: the number fits 64 bits also after 1 is added
 
--- a/linnetstile/platform_relay/recovery.py
+++ b/linnetstile/platform_relay/recovery.py
@@ -12,9 +12,9 @@
 from .accepted import AcceptedMessage, AcceptedMessages
 from .directory import Directory
 from .discovery import Watch
-from .http_frontend import SubmissionReader
 from .records import JournaledAttempt, JournaledMessage, JournalRecord
 from .results import ResultReporter
+from .submission import SubmissionReader
 
 GRACE_CHECKS = 10  # in `DISCOVERY_GRACE_S`, of whether a list has begun: from then on the longer grace time holds
 
--- a/tests/platform_relay/test_race_conditions.py
+++ b/tests/platform_relay/test_race_conditions.py
@@ -19,8 +19,8 @@
 from linnetstile.engine.graceful_shutdown import EXIT_MS, STOP_ACCEPTING_MS, STOP_ADMITTING_MS
 from linnetstile.engine.retry_policy import DEADLINE_MARGIN_MS
 from linnetstile.net import client, server
-from linnetstile.platform_relay.http_frontend import Submission
 from linnetstile.platform_relay.relay import PlatformRelay
+from linnetstile.platform_relay.submission import Submission
 
 from .relay_testbed import (
     OK_RESPONSE,
--- a/tests/platform_relay/test_relay.py
+++ b/tests/platform_relay/test_relay.py
@@ -18,10 +18,10 @@
 
 from linnetstile.net import client, server
 from linnetstile.platform_relay import journal_replay
-from linnetstile.platform_relay.http_frontend import Submission
 from linnetstile.platform_relay.journal import Journal
 from linnetstile.platform_relay.records import Notice, NoticeResult, PendingNotice
 from linnetstile.platform_relay.relay import PlatformRelay
+from linnetstile.platform_relay.submission import Submission
 
 from .relay_testbed import (
     OK_RESPONSE,
