--- a/linnetstile/platform_relay/__init__.py
+++ b/linnetstile/platform_relay/__init__.py
@@ -1,16 +1,22 @@
-"""Floor 3: a relay on the users' platform; the same engine as everywhere decides. Standard library alone.
+"""Floor 3: a relay on the users' platform, around the delivery engine. Standard library alone.
 
 | module | job |
 |---|---|
-| `process` | signals, the log on standard error, exit codes |
+| `process` | the process: signals, the log on standard error, exit codes |
 | `config` | the environment and the configuration file |
-| `relay` | `PlatformRelay`: joins the parts around the engine, and carries out its actions |
-| `http_frontend`, `intake` | clients: reading requests; accepting, journaling and acknowledging messages |
-| `delivery`, `endpoint_client` | endpoints: journaling attempts; calls and what they prove |
-| `results`, `notices` | messages that are not delivered: answers and notices; posting notices to the platform |
-| `recovery`, `shutdown` | what an earlier process left; the phases between SIGTERM and the end |
-| `accepted`, `records`, `journal_codec`, `journal` | accepted messages; their stored form; the file |
-| `discovery` | the watch |
-| `directory`, `endpoint_record`, `list_entry`, `listed_destinations` | the endpoints that discovery lists |
+| `relay` | `PlatformRelay`: connects the parts with the engine and carries out the engine's actions |
+| `http_frontend`, `submission` | the HTTP front end for clients; reading the heads of their requests |
+| `intake` | accepts messages: journals and acknowledges them |
+| `accepted` | the messages that were accepted and have no result yet |
+| `delivery`, `endpoint_client` | makes attempts; HTTP calls to endpoints |
+| `results`, `notices` | reports messages that are not delivered; posts notices to the platform |
+| `recovery`, `shutdown` | resumes what an earlier process left; the phases of the graceful shutdown |
+| `records` | the content of the journal |
+| `journal`, `journal_codec`, `journal_replay` | the journal: its file, its format, reading it at the start |
+| `discovery`, `watch_connection` | opens watches of the endpoint list; reads one watch |
+| `directory`, `endpoint_table`, `endpoint_record` | the endpoints: look-ups, the table, a packed record |
+| `list_update`, `list_entry` | applies a list to the table; parses an entry |
+| `listed_destinations` | the destinations that have endpoints |
+| `counters`, `log_events` | names of counters and log events |
 | `clock` | Unix time |
 """
--- a/linnetstile/platform_relay/accepted.py
+++ b/linnetstile/platform_relay/accepted.py
@@ -1,4 +1,4 @@
-"""The messages that this relay has accepted and that have no result yet."""
+"""Messages that this relay has accepted and that have no result yet."""
 
 from __future__ import annotations
 
@@ -17,10 +17,10 @@
     """The attempt of a message that is in flight.
 
     Attributes:
-        number: How many attempts of the message came before it.
-        address: Where it goes.
-        started_at_ms: Loop time.
-        call: None until the call has begun.
+        number: Number of the attempt, from 0.
+        address: Address of its endpoint.
+        started_at_ms: Loop time (ms) of its start.
+        call: The HTTP call; None before it is made.
     """
 
     number: int
@@ -34,9 +34,9 @@
     """One message from its submission to its result.
 
     Attributes:
-        journaled: What the journal holds of it.
-        request: The client's request, until it has its response.
-        attempt: The attempt in flight.
+        journaled: What the journal holds of the message.
+        request: The client's request; None once it has its response.
+        attempt: The attempt in flight; None without one.
     """
 
     journaled: JournaledMessage
@@ -50,17 +50,17 @@
 
     @property
     def ordering_key(self) -> int:
-        """What it shares with others of an ordered class; 0 = nothing."""
+        """The key by which messages of an ordered class keep their order; 0 without one."""
         return self.journaled.fields.ordering_key or 0
 
 
 class AcceptedMessages:
-    """Accepted messages by the relay's own number, their submission ids, and the space they take in the journal.
+    """The accepted messages by id. Also accounts for their submission ids and their space in the journal.
 
     Attributes:
-        by_id: The messages, in the order they were accepted.
-        submission_ids: Ids of all open submissions and of the latest that ended.
-        last_id: The number given last; numbers of earlier processes count too.
+        by_id: The messages by the relay's own id, in the order they were accepted.
+        submission_ids: Submission ids of these messages, and of the latest that ended.
+        last_id: The id given last, by this process or an earlier one.
     """
 
     def __init__(self, journal: Journal) -> None:
@@ -77,19 +77,19 @@
         return (message.journaled for message in self.by_id.values())
 
     def next_id(self) -> int:
-        """Return a number that no message had before."""
+        """Return an id that no message has had."""
         self.last_id += 1
         return self.last_id
 
     def add(self, message: AcceptedMessage) -> None:
-        """Take a message in; it takes space in the journal from now on."""
+        """Add a message."""
         journaled = message.journaled
         self.by_id[journaled.id] = message
         self.submission_ids.add(journaled.fields.submission_id)
         self._journal.message_bytes += self._journal.weight(journaled)
 
     def remove(self, message_id: int) -> AcceptedMessage:
-        """Drop a message that has its result, and return it."""
+        """Remove a message that has its result; return it."""
         message = self.by_id.pop(message_id)
         self.submission_ids.complete(message.journaled.fields.submission_id)
         self._journal.message_bytes -= self._journal.weight(message.journaled)
--- a/linnetstile/platform_relay/clock.py
+++ b/linnetstile/platform_relay/clock.py
@@ -1,4 +1,4 @@
-"""The wall clock. Deadlines in the journal are Unix times, which outlive the process; all else uses the loop's time."""
+"""The wall clock, for the journal alone: its times have to outlive the process. All else uses the loop time."""
 
 from __future__ import annotations
 
--- a/linnetstile/platform_relay/notices.py
+++ b/linnetstile/platform_relay/notices.py
@@ -1,4 +1,7 @@
-"""Notices: the result of each message that was accepted and not delivered, posted to the platform until it has it."""
+"""Posts notices to the platform, and again until it confirms them.
+
+A notice is the result of a message that was accepted and not delivered.
+"""
 
 from __future__ import annotations
 
@@ -15,22 +18,25 @@
 from .records import Notice
 
 NOTICES_PATH = "/v2/finals"
-IDLE_TIMEOUT_S = 30.0
-BAD_REQUEST = 400
+IDLE_TIMEOUT_S = 30.0  # of the connection to the platform
+HTTP_BAD_REQUEST = 400
+NO_STATUS = 0  # no answer arrived
 
 
 class NoticeSender:
-    """Sends one post at a time, with all notices that wait as far as they fit.
+    """Makes one post at a time, with as many pending notices as fit into a body.
 
     Attributes:
-        address: Where the platform takes notices.
-        on_delivered: Gets the message ids of notices that the platform has, or that it cannot read.
-        pending: Lines still to be confirmed, by message id.
-        in_flight: Message ids of the post on its way.
-        failures: Posts that failed in a row.
-        sends_singly: A post was rejected as unreadable: the notice at fault is found alone.
-        rejected_count: Notices that the platform could not read.
-        delivered_count: Notices that it took.
+        address: Address of the platform.
+        on_delivered: Called with the message ids of notices that the platform has confirmed, or cannot read.
+        pool: The connection to the platform.
+        pending: Encoded notices that are not confirmed, by message id.
+        in_flight: Message ids of the notices in the present post; empty without one.
+        failures: Number of posts in a row that failed.
+        sends_singly: Whether each post carries one notice, as the platform rejected a post as invalid: the invalid
+            notice among several is found this way.
+        rejected_count: Number of posts that the platform cannot read.
+        delivered_count: Number of posts that the platform has confirmed.
     """
 
     def __init__(self, address: Address, on_delivered: Callable[[list[int]], None], rng: random.Random) -> None:
@@ -41,27 +47,29 @@
         self.in_flight: list[int] = []
         self.failures = 0
         self.sends_singly = False
-        self.rejected_count = self.delivered_count = 0
+        self.rejected_count = 0
+        self.delivered_count = 0
         self._loop = asyncio.get_running_loop()
         self._rng = rng
         self._timer: asyncio.TimerHandle | None = None
 
     def post(self, message_id: int, notice: Notice) -> None:
-        """Owe a notice to the platform; it goes with the next post."""
+        """Add a notice to the next post."""
         self.pending[message_id] = encode_notice(notice) + b"\n"
         if not self.in_flight and self._timer is None:
             self._schedule(0)
 
     def move(self, address: Address) -> None:
-        """Post to another address from now on; a post that waits for its retry goes now."""
+        """Post to another address from now on. A post that waits for its retry is made at once."""
         self.pool.close_idle(self.address)
-        self.address, self.failures = address, 0
+        self.address = address
+        self.failures = 0
         if self._timer is not None:
             self._timer.cancel()
             self._schedule(0)
 
     def close(self) -> None:
-        """Stop; what is pending is in the journal."""
+        """Stop posting. Pending notices are in the journal."""
         if self._timer:
             self._timer.cancel()
         self.pool.close()
@@ -78,32 +86,36 @@
         body = b"".join(self.pending[message_id] for message_id in self.in_flight)
         headers = [("Host", f"{host}:{port}"), ("Content-Type", "application/x-ndjson")]
         request = http1.encode_request("POST", NOTICES_PATH, headers, body)
-        self.pool.call(self.address, "POST", request, self._on_answer, self._loop.time() + NOTICE_TIMEOUT_S)
+        timeout_at = self._loop.time() + NOTICE_TIMEOUT_S
+        self.pool.call(self.address, "POST", request, self._on_answer, timeout_at)
 
     def _choose_batch(self) -> None:
-        size = 0
+        """Put the notices of the next post in flight, at least one if there is one."""
+        body_bytes = 0
         for message_id, line in self.pending.items():
-            size += len(line)
-            if self.in_flight and (size > MAX_BODY_BYTES or self.sends_singly):
+            body_bytes += len(line)
+            if self.in_flight and (body_bytes > MAX_BODY_BYTES or self.sends_singly):
                 break
             self.in_flight.append(message_id)
 
     def _on_answer(self, answer: client.CallResult) -> None:
-        message_ids, self.in_flight = self.in_flight, []
-        status = answer.head.status if answer.wire_result is WireResult.ANSWERED and answer.head else 0
-        if 200 <= status < 300 or (status == BAD_REQUEST and len(message_ids) == 1):
-            self._on_confirmed(message_ids, unreadable=status == BAD_REQUEST)
+        message_ids = self.in_flight
+        self.in_flight = []
+        status = answer.head.status if answer.wire_result is WireResult.ANSWERED and answer.head else NO_STATUS
+        is_bad_request = status == HTTP_BAD_REQUEST
+        if 200 <= status < 300 or (is_bad_request and len(message_ids) == 1):
+            self._on_confirmed(message_ids, is_unreadable=is_bad_request)
         else:
-            self.sends_singly = status == BAD_REQUEST
+            self.sends_singly = is_bad_request
             self.failures += 1
         if self.pending:
-            self._schedule(self._pause_s())
+            self._schedule(self._backoff_s())
         else:
             self.sends_singly = False
 
-    def _on_confirmed(self, message_ids: list[int], unreadable: bool) -> None:
+    def _on_confirmed(self, message_ids: list[int], *, is_unreadable: bool) -> None:
         self.failures = 0
-        if unreadable:
+        if is_unreadable:
             self.rejected_count += 1
         else:
             self.delivered_count += 1
@@ -111,7 +123,8 @@
             del self.pending[message_id]
         self.on_delivered(message_ids)
 
-    def _pause_s(self) -> float:
+    def _backoff_s(self) -> float:
+        """Return the time in seconds until the next post."""
         if not self.failures or self.sends_singly:
             return 0.0
         return backoff_ms(self.failures, NOTICE_BACKOFF_MS, self._rng) / 1000
