--- a/linnetstile/config/platform.py
+++ b/linnetstile/config/platform.py
@@ -61,14 +61,7 @@
     load_report_fields = feedback.get("fields", [])
     return Settings(
         classes=tuple(_message_class(raw_class) for raw_class in raw["classes"]),
-        kinds=tuple(
-            DestinationKind(
-                name=name,
-                max_batch=batch_sizes[index] if index < len(batch_sizes) else 1,
-                separate_routes=bool(separate_routes[index]) if index < len(separate_routes) else False,
-            )
-            for index, name in enumerate(kinds)
-        ),
+        kinds=_destination_kinds(kinds, batch_sizes, separate_routes),
         max_in_flight=extra["call-slots"],
         max_pending_messages=limits["open-cap"],
         max_attempts=limits["try-limit"],
@@ -95,6 +88,20 @@
     )
 
 
+def _destination_kinds(
+    names: list[str], batch_sizes: list[int], separate_routes: list[Any]
+) -> tuple[DestinationKind, ...]:
+    """Return the kinds of destinations; the lists of their properties may be shorter than that of their names."""
+    return tuple(
+        DestinationKind(
+            name=name,
+            max_batch=batch_sizes[index] if index < len(batch_sizes) else 1,
+            separate_routes=bool(separate_routes[index]) if index < len(separate_routes) else False,
+        )
+        for index, name in enumerate(names)
+    )
+
+
 def _message_class(raw: dict[str, Any]) -> MessageClass:
     return MessageClass(
         name=raw["name"],
--- a/linnetstile/platform_relay/directory.py
+++ b/linnetstile/platform_relay/directory.py
@@ -8,7 +8,7 @@
 from ..engine.watch_policy import ListVersionGuard
 from .endpoint_record import EndpointAddress, address_from_record, endpoint_from_record
 from .endpoint_table import EndpointTable
-from .list_entry import encode_name
+from .list_entry import ENTRIES_KEY, FULL_KEY, VERSION_KEY, encode_name
 from .list_update import InvalidListError, ListUpdate
 
 
@@ -71,15 +71,15 @@
         """
         if not isinstance(raw_list, dict):
             raise InvalidListError("expected an object with a list of servers")
-        is_full = bool(raw_list.get("full"))
-        version = raw_list.get("version")
+        is_full = bool(raw_list.get(FULL_KEY))
+        version = raw_list.get(VERSION_KEY)
         if isinstance(version, bool) or not isinstance(version, int):
             version = None
         if not cached and not self.version_guard.accepts(version, is_full):
             newest = self.version_guard.newest_version
             raise InvalidListError(
                 f"version: expected {newest} or later, found {version}",
-                field="version",
+                field=VERSION_KEY,
                 expected=f"{newest} or later",
                 found=str(version),
             )
@@ -102,7 +102,7 @@
         Raises:
             InvalidListError: It is no list, or an outdated one.
         """
-        servers = raw_list.get("servers") if isinstance(raw_list, dict) else None
+        servers = raw_list.get(ENTRIES_KEY) if isinstance(raw_list, dict) else None
         if not isinstance(servers, list):
             raise InvalidListError("expected an object with a list of servers")
         update = self.begin_update(raw_list, cached)
--- a/linnetstile/platform_relay/endpoint_client.py
+++ b/linnetstile/platform_relay/endpoint_client.py
@@ -22,7 +22,7 @@
 DEFAULT_IDLE_TIMEOUT_S = 5.0
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True)
 class AttemptResult:
     """How an attempt ended.
 
--- a/linnetstile/platform_relay/http_frontend.py
+++ b/linnetstile/platform_relay/http_frontend.py
@@ -62,6 +62,7 @@
         self,
         settings: Settings,
         limits: ResourceLimits,
+        *,
         on_submission: SubmissionHandler,
         is_ready: Callable[[], bool],
     ) -> None:
--- a/linnetstile/platform_relay/list_entry.py
+++ b/linnetstile/platform_relay/list_entry.py
@@ -1,4 +1,7 @@
-"""Parses single entries of the lists of discovery. Which fields an entry must have depends on its state."""
+"""The JSON format of the lists of discovery: the keys of a list, and the parser of its entries.
+
+Which fields an entry must have depends on its state.
+"""
 
 from __future__ import annotations
 
@@ -10,6 +13,11 @@
 from .config import parse_address
 from .endpoint_record import EndpointDetails
 
+# Keys of the JSON object of a list: its entries, its version, and whether it names all endpoints.
+ENTRIES_KEY = "servers"
+VERSION_KEY = "version"
+FULL_KEY = "full"
+
 STATUS_BY_STATE = {
     "SERVING": EndpointStatus.READY,
     "DRAINING": EndpointStatus.DRAINING,
--- a/linnetstile/platform_relay/relay.py
+++ b/linnetstile/platform_relay/relay.py
@@ -85,35 +85,20 @@
 
         # Connections to discovery, the platform and endpoints. One source of random numbers serves all backoffs.
         rng = random.Random(settings.seed)
-        self.watch = Watch(self.directory, settings.discovery, self._on_list_event, rng, log)
-        self.notice_sender = NoticeSender(settings.discovery, self._on_notices_delivered, rng)
+        self.watch = Watch(
+            directory=self.directory, address=settings.discovery, on_event=self._on_list_event, rng=rng, log=log
+        )
+        self.notice_sender = NoticeSender(address=settings.discovery, on_delivered=self._on_notices_delivered, rng=rng)
         self.endpoint_client = EndpointClient(settings, self.limits)
 
         # The path of a message: from its client, by intake and delivery, to its result.
         self.intake = self._make_intake()
-        self.frontend = HttpFrontend(
-            engine_settings,
-            self.limits,
-            on_submission=self.intake.submit,
-            is_ready=lambda: self.intake.is_open,
-        )
-        self.reporter = ResultReporter(
-            accepted=self.accepted,
-            journal=self.journal,
-            frontend=self.frontend,
-            notice_sender=self.notice_sender,
-            counts=self.counts,
-        )
+        self.frontend = self._make_frontend()
+        self.reporter = self._make_reporter()
         self.delivery = self._make_delivery()
 
         # Start and end of the process.
-        self.recovery = Recovery(
-            accepted=self.accepted,
-            reporter=self.reporter,
-            directory=self.directory,
-            submission_reader=self.frontend.reader,
-            post_event=self.engine_loop.post,
-        )
+        self.recovery = self._make_recovery()
         self.shutdown = GracefulShutdown(frontend=self.frontend, post_event=self.engine_loop.post)
 
     def _make_intake(self) -> Intake:
@@ -128,6 +113,23 @@
             counts=self.counts,
         )
 
+    def _make_frontend(self) -> HttpFrontend:
+        return HttpFrontend(
+            self.settings.engine_settings,
+            self.limits,
+            on_submission=self.intake.submit,
+            is_ready=lambda: self.intake.is_open,
+        )
+
+    def _make_reporter(self) -> ResultReporter:
+        return ResultReporter(
+            accepted=self.accepted,
+            journal=self.journal,
+            frontend=self.frontend,
+            notice_sender=self.notice_sender,
+            counts=self.counts,
+        )
+
     def _make_delivery(self) -> Delivery:
         return Delivery(
             accepted=self.accepted,
@@ -139,6 +141,15 @@
             counts=self.counts,
         )
 
+    def _make_recovery(self) -> Recovery:
+        return Recovery(
+            accepted=self.accepted,
+            reporter=self.reporter,
+            directory=self.directory,
+            submission_reader=self.frontend.reader,
+            post_event=self.engine_loop.post,
+        )
+
     # -- life cycle ------------------------------------------------------------------------------------------
 
     async def start(self) -> None:
--- a/linnetstile/platform_relay/submission.py
+++ b/linnetstile/platform_relay/submission.py
@@ -95,16 +95,12 @@
         if head.method != "POST":
             raise BadRequestError(405, "messages are handed in by POST")
         headers = head.headers
-        submission_id = _required_field(headers, "X-Correlation-Id")
-        if not IDENTIFIER.match(submission_id):
-            raise BadRequestError(400, "X-Correlation-Id: expected at most 128 visible characters")
+        submission_id = self._submission_id(headers)
         class_index = self._class_index(headers)
         tenant_index = self._tenant_index(headers)
         message_class = self._settings.classes[class_index]
         remaining_ms = self._remaining_ms(headers, message_class)
-        destination = DESTINATION.search(_required_field(headers, "Envelope"))
-        if not destination:
-            raise BadRequestError(400, "Envelope: expected dest=NUMBER")
+        destination = self._destination(headers)
         idempotency_key = self._idempotency_key(headers, message_class)
         ordering_key = path[1] or ""
         if ordering_key and not message_class.in_order:
@@ -114,7 +110,7 @@
             submission_id=submission_id,
             class_index=class_index,
             tenant_index=tenant_index,
-            destination=int(destination[1]),
+            destination=destination,
             idempotency_key=idempotency_key,
             ordering_key=ordering_key,
             remaining_ms=remaining_ms,
@@ -122,6 +118,13 @@
             from_dead_relay=repeat.lower() == REPEAT_AFTER_RELAY_DEATH,
         )
 
+    @staticmethod
+    def _submission_id(headers: http1.Headers) -> str:
+        submission_id = _required_field(headers, "X-Correlation-Id")
+        if not IDENTIFIER.match(submission_id):
+            raise BadRequestError(400, "X-Correlation-Id: expected at most 128 visible characters")
+        return submission_id
+
     def _class_index(self, headers: http1.Headers) -> int:
         index = self.classes.get(_required_field(headers, "X-Service-Class"))
         if index is None:
@@ -147,6 +150,13 @@
             raise BadRequestError(400, "X-Time-Left: longer than any message of its class has")
         return remaining_ms
 
+    @staticmethod
+    def _destination(headers: http1.Headers) -> int:
+        match = DESTINATION.search(_required_field(headers, "Envelope"))
+        if not match:
+            raise BadRequestError(400, "Envelope: expected dest=NUMBER")
+        return int(match[1])
+
     @staticmethod
     def _idempotency_key(headers: http1.Headers, message_class: MessageClass) -> str:
         keys = headers.get_all("Idempotency-Key")
--- a/linnetstile/platform_relay/watch_connection.py
+++ b/linnetstile/platform_relay/watch_connection.py
@@ -13,13 +13,12 @@
 from ..engine.watch_policy import ENTRIES_PER_EVENT
 from ..net.connection import BufferedConnection
 from .directory import Directory
+from .list_entry import ENTRIES_KEY, FULL_KEY, VERSION_KEY
 from .list_update import InvalidListError, ListUpdate
 
 HTTP_OK = 200
 UNBOUNDED_BODY_BYTES = 1 << 60  # the response of a watch has no end
-# A list is a JSON object with the endpoints in an array, which may be read in parts; these members stand before it.
-ENDPOINTS_KEY = "servers"
-KEYS_BEFORE_ENDPOINTS = ("version", "full")
+KEYS_BEFORE_ENTRIES = (VERSION_KEY, FULL_KEY)  # of a list that is read in parts
 
 
 class WatchListener(Protocol):
@@ -73,7 +72,7 @@
         self._directory = directory
         self._parser = http1.Parser(client=True, limits=http1.Limits(max_body_bytes=UNBOUNDED_BODY_BYTES))
         self._parser.expect_response("GET")
-        self._objects = JsonStreamReader(max_list_bytes, ENDPOINTS_KEY, KEYS_BEFORE_ENDPOINTS)
+        self._objects = JsonStreamReader(max_list_bytes, ENTRIES_KEY, KEYS_BEFORE_ENTRIES)
         self.last_byte_at = self._loop.time()
         self.incomplete_since: float | None = None
         self.head_received = False
@@ -199,9 +198,9 @@
 
     def _apply_object(self, value: dict[str, Any] | list[Any]) -> None:
         """Apply a list that came in one piece."""
-        servers = value.get(ENDPOINTS_KEY) if isinstance(value, dict) else None
+        servers = value.get(ENTRIES_KEY) if isinstance(value, dict) else None
         if not isinstance(servers, list):
-            raise InvalidListError("servers: expected an object with a list of them", field=ENDPOINTS_KEY)
+            raise InvalidListError("servers: expected an object with a list of them", field=ENTRIES_KEY)
         self.update = self._directory.begin_update(value)
         self._is_small = True
         changed = self.update.add_entries(servers)
