--- a/linnetstile/net/engine_loop.py
+++ b/linnetstile/net/engine_loop.py
@@ -69,13 +69,13 @@
         self.timer: asyncio.TimerHandle | None = None
 
     @property
-    def now(self) -> float:
+    def now_ms(self) -> float:
         """The loop time in ms, which is the clock of the engine."""
         return self.loop.time() * 1000
 
     def post(self, event: Event) -> None:
         """Pass an event to the engine in its next turn, as one that happened now."""
-        self.events.append(PostedEvent(self.now, event))
+        self.events.append(PostedEvent(self.now_ms, event))
         self.schedule_turn()
 
     def schedule_turn(self) -> None:
@@ -88,7 +88,7 @@
         self.turn_scheduled = False
         if self.closed:
             return
-        now_ms = self.now
+        now_ms = self.now_ms
         events = self._take_events(now_ms)
         host_actions: list[Action] = []
         for action in self.engine.handle(now_ms, events):
--- a/linnetstile/platform_relay/delivery.py
+++ b/linnetstile/platform_relay/delivery.py
@@ -91,7 +91,7 @@
             # The platform does not have the result of the earlier message yet: this call must not overtake it.
             self.waiting_for_order[ordering_key] = send
             return None
-        now_ms = self._engine_loop.now
+        now_ms = self._engine_loop.now_ms
         if now_ms >= min(send.timeout_at_ms, send.send_before_ms):  # it waited too long for an earlier result
             self._post_not_sent(send, journaled.attempts)
             return None
@@ -113,7 +113,7 @@
         headers = [("X-Correlation-Id", fields.submission_id)]
         if fields.idempotency_key:
             headers.append(("Idempotency-Key", fields.idempotency_key))
-        now_ms = self._engine_loop.now
+        now_ms = self._engine_loop.now_ms
         attempt.call = self._endpoint_client.send(
             attempt.address,
             headers,
@@ -140,7 +140,7 @@
                 attempt=attempt.number,
                 endpoint=send.endpoint,
                 outcome=outcome,
-                latency_ms=self._engine_loop.now - attempt.started_at_ms,
+                latency_ms=self._engine_loop.now_ms - attempt.started_at_ms,
                 is_final=verdict.is_final,
                 retry_after_ms=verdict.retry_after_ms,
                 slots_exhausted=verdict.slots_exhausted,
--- a/tests/net/test_engine_loop.py
+++ b/tests/net/test_engine_loop.py
@@ -29,7 +29,7 @@
     posted: Event, handled: Event, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     clock, found = [1000.0], []
-    monkeypatch.setattr(EngineLoop, "now", property(lambda turns: clock[0]))
+    monkeypatch.setattr(EngineLoop, "now_ms", property(lambda turns: clock[0]))
 
     async def story() -> None:
         turns = EngineLoop(DeliveryEngine(make_settings(), 1), lambda events, actions: found.extend(events))
--- a/tests/platform_relay/test_race_conditions.py
+++ b/tests/platform_relay/test_race_conditions.py
@@ -192,7 +192,7 @@
         relay.begin_shutdown(relay.loop.time() - (EXIT_MS - STOP_ADMITTING_MS) / 1000)
         relay.begin_shutdown()
         assert await request_status(relay, submission("m")) == 503  # it takes nothing on any more
-        assert relay.engine.retry_policy.shutdown_at < relay.engine_loop.now + STOP_ADMITTING_MS
+        assert relay.engine.retry_policy.shutdown_at < relay.engine_loop.now_ms + STOP_ADMITTING_MS
         async with asyncio.timeout(STOP_ADMITTING_MS / 1000 + 0.2):
             await relay.shutdown.stopped.wait()
         assert STOP_ACCEPTING_MS < STOP_ADMITTING_MS
--- a/tests/platform_relay/test_recovery.py
+++ b/tests/platform_relay/test_recovery.py
@@ -104,7 +104,7 @@
         await asyncio.sleep(0)
         held = second.engine.queues.messages.values()
         assert len(held) == COUNT
-        assert all(0 < each.deadline - second.engine_loop.now <= 5500 for each in held)
+        assert all(0 < each.deadline - second.engine_loop.now_ms <= 5500 for each in held)
 
     run_scenario(tmp_path, scenario)
 
