--- a/benchmarks/slopes/internals.py
+++ b/benchmarks/slopes/internals.py
@@ -15,14 +15,15 @@
 from linnetstile.codec.json_stream import JsonStreamReader, ObjectPart
 from linnetstile.engine.events import Event
 from linnetstile.platform_relay import discovery
-from linnetstile.platform_relay.directory import Directory, ListUpdate
+from linnetstile.platform_relay.directory import Directory
 from linnetstile.platform_relay.journal import Journal
 from linnetstile.platform_relay.journal_codec import (
     encode_accepted,
     encode_attempt_ended,
     encode_attempt_started,
-    replay,
 )
+from linnetstile.platform_relay.journal_replay import replay
+from linnetstile.platform_relay.list_update import ListUpdate
 from linnetstile.platform_relay.records import JournaledAttempt, JournaledMessage, JournalRecord, MessageFields
 
 UNBOUNDED = 1 << 40
@@ -122,8 +123,8 @@
 
 
 def replay_journal(data: bytes) -> dict[int, JournalRecord]:
-    """The messages without a final notice in a journal's bytes, by number. Touches platform_relay.journal_codec."""
-    return replay(data)[0]
+    """The messages without a final notice in a journal's bytes, by number. Touches platform_relay.journal_replay."""
+    return replay(data).records
 
 
 def rewrite_journal(folder: Path, messages: Iterable[JournalRecord], max_bytes: int) -> RewrittenJournal:
--- a/tests/platform_relay/list_factories.py
+++ b/tests/platform_relay/list_factories.py
@@ -5,8 +5,9 @@
 from typing import Any
 
 from linnetstile.engine.events import Endpoint
-from linnetstile.platform_relay.directory import Directory, ListUpdate
+from linnetstile.platform_relay.directory import Directory
 from linnetstile.platform_relay.endpoint_record import EndpointAddress
+from linnetstile.platform_relay.list_update import ListUpdate
 
 LONG_LIST_SIZE = 5000
 """Endpoints: some 600 KB, which are read in parts."""
--- a/tests/platform_relay/test_call_races.py
+++ b/tests/platform_relay/test_call_races.py
@@ -189,7 +189,7 @@
                 last_byte_delay_ms=0.0,
                 send_within_ms=math.inf,
                 remaining_ms=1000.0,
-                on_ended=lambda verdict, report, reused: verdicts.append(verdict),
+                on_ended=lambda result: verdicts.append(result.verdict),
             )
         await wait_until(lambda: verdicts)
         assert verdicts[0].outcome is Outcome.RESET
--- a/tests/platform_relay/test_client_connections.py
+++ b/tests/platform_relay/test_client_connections.py
@@ -12,8 +12,8 @@
 
 from linnetstile.net import server
 from linnetstile.net.request_rejection import close_for_limit
-from linnetstile.platform_relay.http_frontend import Submission
 from linnetstile.platform_relay.relay import PlatformRelay
+from linnetstile.platform_relay.submission import Submission
 
 from .http_messages import connect, connect_and_submit, read_status, request_status, submission
 from .relay_testbed import RelayTestbed, delivered_ids, is_idle, run_scenario, wait_until, wait_until_idle, with_limits
--- a/tests/platform_relay/test_directory.py
+++ b/tests/platform_relay/test_directory.py
@@ -8,9 +8,9 @@
 
 from linnetstile.engine.events import Endpoint, EndpointStatus, ListKind
 from linnetstile.engine.watch_policy import ENTRIES_PER_EVENT
-from linnetstile.platform_relay import directory as directory_module
-from linnetstile.platform_relay import endpoint_record
-from linnetstile.platform_relay.directory import Directory, InvalidListError
+from linnetstile.platform_relay import endpoint_record, endpoint_table
+from linnetstile.platform_relay.directory import Directory
+from linnetstile.platform_relay.list_update import InvalidListError
 
 from .list_factories import LONG_LIST_SIZE, apply_in_batches, list_entry, listed_addresses, raw_list
 
@@ -72,7 +72,7 @@
         read_count += 1
         return record_name(record)
 
-    monkeypatch.setattr(directory_module, "record_name", count_and_read)
+    monkeypatch.setattr(endpoint_table, "record_name", count_and_read)
     reads_by_size = {}
     for size in (100, 10_000):
         directory = Directory(KINDS, ZONES)
@@ -202,7 +202,7 @@
         endpoint_id = directory.id_of("a")
         assert endpoint_id not in used_ids
         used_ids.add(endpoint_id)
-    assert len(directory.records) == 2
+    assert len(directory.table.records) == 2
 
 
 def test_draining_endpoint_is_published_once_keeps_its_id_and_may_return(directory: Directory) -> None:
--- a/tests/platform_relay/test_disk_faults.py
+++ b/tests/platform_relay/test_disk_faults.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from linnetstile.platform_relay import journal_codec
+from linnetstile.platform_relay import journal_replay
 from linnetstile.platform_relay.records import Notice, NoticeResult, PendingNotice
 
 from .http_messages import BUSY_RESPONSE, request_status, submission
@@ -53,7 +53,7 @@
         assert await request_status(relay, submission("m", "pay", time_left="700m")) == 202
         await wait_until(lambda: relay.reporter.pending_notices)
         await asyncio.sleep(0.05)
-        records, _ = journal_codec.replay((testbed.state_folder / "journal").read_bytes())
+        records, _ = journal_replay.replay((testbed.state_folder / "journal").read_bytes())
         (record,) = records.values()
         assert failed_writes
         assert isinstance(record, PendingNotice)
--- a/tests/platform_relay/test_list_entries.py
+++ b/tests/platform_relay/test_list_entries.py
@@ -7,7 +7,8 @@
 import pytest
 
 from linnetstile.engine.events import EndpointStatus
-from linnetstile.platform_relay.directory import Directory, InvalidListError
+from linnetstile.platform_relay.directory import Directory
+from linnetstile.platform_relay.list_update import InvalidListError
 
 from .list_factories import list_entry, listed_addresses
 
--- a/tests/platform_relay/test_recovery.py
+++ b/tests/platform_relay/test_recovery.py
@@ -189,7 +189,7 @@
         await asyncio.sleep(0)
         messages = second.engine.queues.messages.values()
         assert len(messages) == MESSAGE_COUNT
-        assert all(0 < message.deadline - second.engine_loop.now <= 5500 for message in messages)
+        assert all(0 < message.deadline - second.engine_loop.now_ms <= 5500 for message in messages)
 
     run_scenario(tmp_path, scenario)
 
