--- a/linnetstile/simulator_adapter.py
+++ b/linnetstile/simulator_adapter.py
@@ -11,7 +11,7 @@
 import sys
 from collections.abc import Iterator
 from enum import IntEnum
-from typing import Any, BinaryIO, NamedTuple
+from typing import BinaryIO, NamedTuple
 
 from .config import platform
 from .engine.actions import (
@@ -95,14 +95,24 @@
 RECORD_HEADER = struct.Struct("<BI")  # code, size of the body
 INSTANCE = struct.Struct("<I")  # begins the body of each record but the list of endpoints
 ENDPOINTS_HEADER = struct.Struct("<BI")  # number of the list, number of entries
-ENDPOINT = struct.Struct("<BfdHBHI")  # status, rate, start, kind, zone, destination, id
+ENDPOINT = struct.Struct("<BfdHBHI")  # see `EndpointRow`
 INSTANCE_STARTED = struct.Struct("<QI")  # seed, size of the settings
-MESSAGE = struct.Struct("<IBIQddfB")
-ATTEMPT_ENDED = struct.Struct("<IHIBdBIB")
-LIST_CHANGED = struct.Struct("<BQB")
+MESSAGE = struct.Struct("<IBIQddfB")  # see `MessageRecord`
+ATTEMPT_ENDED = struct.Struct("<IHIBdBIB")  # see `AttemptEndedRecord`
+LIST_CHANGED = struct.Struct("<BQB")  # kind, not used, number of the list
 TIMER_FIRED = struct.Struct("<Q")
-HEALTH_CHECK_ENDED = struct.Struct("<IBdB")
+HEALTH_CHECK_ENDED = struct.Struct("<IBdB")  # see `HealthCheckRecord`
 CLIENT_CANCELLED = struct.Struct("<I")
+# Bodies of actions, after the instance.
+SEND = struct.Struct("<IId")  # message, endpoint, time at which it is given up
+REJECT = struct.Struct("<Id")  # message, Retry-After
+FAIL = struct.Struct("<I")  # message
+CANCEL = struct.Struct("<IH")  # message, attempt
+SET_TIMER = struct.Struct("<dQ")  # delay, token
+HEALTH_CHECK = struct.Struct("<I")  # endpoint
+CLOSE_IDLE = struct.Struct("<I")  # endpoint
+WATCH_ENDPOINTS = struct.Struct("<B")  # 1 = from now on
+LOG_HEADER = struct.Struct("<H")  # size of the line
 # Bits of a message's options.
 HAS_WORK_ESTIMATE = 1
 IS_RETRY = 2
@@ -121,6 +131,56 @@
     body: bytes
 
 
+class EndpointRow(NamedTuple):
+    """One entry of a list of endpoints."""
+
+    status_code: int
+    rate: float
+    start: float
+    kind: int
+    zone: int
+    destination: int
+    endpoint_id: int
+
+
+class MessageRecord(NamedTuple):
+    """Fields of the record of a message, with option bits such as `IS_RETRY`."""
+
+    message_id: int
+    class_index: int
+    tenant: int
+    ordering_key: int
+    remaining_ms: float
+    work_ms: float
+    destination: float
+    options: int
+
+
+class AttemptEndedRecord(NamedTuple):
+    """Fields of the record of an attempt's outcome.
+
+    `wait` is a Retry-After (ms) with REJECTED. With NOT_SENT it is not 0 if all slots of the relay were occupied.
+    """
+
+    message_id: int
+    attempt: int
+    endpoint: int
+    outcome_code: int
+    latency_ms: float
+    is_final: int
+    wait: int
+    report_size: int
+
+
+class HealthCheckRecord(NamedTuple):
+    """Fields of the record of a health check's outcome."""
+
+    endpoint: int
+    outcome_code: int
+    latency_ms: float
+    report_size: int
+
+
 def settings_from(text: bytes) -> Settings:
     """Translate the settings text; unknown keys are skipped.
 
@@ -141,7 +201,7 @@
         self.lists: dict[int, tuple[Endpoint, ...]] = {}
 
     def batch(self, now: float, count: int, body: bytes) -> bytes:
-        """Take one frame of events in; return the frame of actions.
+        """Handle one frame of events; return the frame of actions.
 
         Args:
             now: Time in ms.
@@ -179,28 +239,28 @@
             raise WireFormatError(f"frame holds {len(body) - at} bytes after its last record")
 
     def _take(self, record: Record, events: dict[int, list[Event]]) -> None:
-        code, body = record
-        if code == EventCode.ENDPOINTS:
-            self._take_endpoints(body)
+        """Apply a record to lists or engines, or add its event to those of its instance."""
+        if record.code == EventCode.ENDPOINTS:
+            self._store_list(record.body)
             return
-        (instance,) = INSTANCE.unpack_from(body)
-        if code == EventCode.INSTANCE_STARTED:
-            self._start_instance(instance, body)
+        (instance,) = INSTANCE.unpack_from(record.body)
+        if record.code == EventCode.INSTANCE_STARTED:
+            self._start_instance(instance, record.body)
             events[instance] = []
-        elif code == EventCode.INSTANCE_ENDED:
+        elif record.code == EventCode.INSTANCE_ENDED:
             self.engines.pop(instance, None)
             events.pop(instance, None)
-        elif code not in IGNORED_EVENTS:
-            event = self._event(code, body)
+        elif record.code not in IGNORED_EVENTS:
+            event = self._event(record.code, record.body)
             self._check_class(instance, event)
             events.setdefault(instance, []).append(event)
 
-    def _take_endpoints(self, body: bytes) -> None:
+    def _store_list(self, body: bytes) -> None:
         number, count = ENDPOINTS_HEADER.unpack_from(body)
         if len(body) != ENDPOINTS_HEADER.size + count * ENDPOINT.size:
             raise WireFormatError("list of endpoints is cut short")
         rows = ENDPOINT.iter_unpack(body[ENDPOINTS_HEADER.size :])
-        self.lists[number] = tuple(endpoint_from(row) for row in rows)
+        self.lists[number] = tuple(endpoint_from(EndpointRow(*row)) for row in rows)
 
     def _start_instance(self, instance: int, body: bytes) -> None:
         seed, size = INSTANCE_STARTED.unpack_from(body, INSTANCE.size)
@@ -245,42 +305,40 @@
 
 
 def _message(body: bytes) -> Message:
-    fields = MESSAGE.unpack_from(body, INSTANCE.size)
-    message_id, class_index, tenant, ordering_key, remaining_ms, work_ms, destination, options = fields
+    record = MessageRecord(*MESSAGE.unpack_from(body, INSTANCE.size))
     return Message(
-        id=message_id,
-        destination=int(destination),
-        class_index=class_index,
-        remaining_ms=remaining_ms,
-        tenant=tenant,
-        ordering_key=ordering_key,
-        estimated_work_ms=work_ms if options & HAS_WORK_ESTIMATE else None,
-        is_retry=bool(options & IS_RETRY),
-        from_dead_relay=bool(options & FROM_DEAD_RELAY),
+        id=record.message_id,
+        destination=int(record.destination),
+        class_index=record.class_index,
+        remaining_ms=record.remaining_ms,
+        tenant=record.tenant,
+        ordering_key=record.ordering_key,
+        estimated_work_ms=record.work_ms if record.options & HAS_WORK_ESTIMATE else None,
+        is_retry=bool(record.options & IS_RETRY),
+        from_dead_relay=bool(record.options & FROM_DEAD_RELAY),
     )
 
 
 def _attempt_ended(body: bytes) -> AttemptEnded:
-    fields = ATTEMPT_ENDED.unpack_from(body, INSTANCE.size)
-    message_id, attempt, endpoint, outcome_code, latency_ms, is_final, wait, report_size = fields
-    outcome = outcome_from(outcome_code)
+    record = AttemptEndedRecord(*ATTEMPT_ENDED.unpack_from(body, INSTANCE.size))
+    outcome = outcome_from(record.outcome_code)
     return AttemptEnded(
-        id=message_id,
-        attempt=attempt,
-        endpoint=endpoint,
+        id=record.message_id,
+        attempt=record.attempt,
+        endpoint=record.endpoint,
         outcome=outcome,
-        latency_ms=latency_ms,
-        is_final=bool(is_final),
-        retry_after_ms=wait if outcome is Outcome.REJECTED else 0.0,
-        slots_exhausted=bool(wait) and outcome is Outcome.NOT_SENT,
-        load_report=_load_report(body, INSTANCE.size + ATTEMPT_ENDED.size, report_size),
+        latency_ms=record.latency_ms,
+        is_final=bool(record.is_final),
+        retry_after_ms=record.wait if outcome is Outcome.REJECTED else 0.0,
+        slots_exhausted=bool(record.wait) and outcome is Outcome.NOT_SENT,
+        load_report=_load_report(body, INSTANCE.size + ATTEMPT_ENDED.size, record.report_size),
     )
 
 
 def _health_check_ended(body: bytes) -> HealthCheckEnded:
-    endpoint, outcome_code, latency_ms, report_size = HEALTH_CHECK_ENDED.unpack_from(body, INSTANCE.size)
-    report = _load_report(body, INSTANCE.size + HEALTH_CHECK_ENDED.size, report_size)
-    return HealthCheckEnded(endpoint, outcome_from(outcome_code), latency_ms, report)
+    record = HealthCheckRecord(*HEALTH_CHECK_ENDED.unpack_from(body, INSTANCE.size))
+    report = _load_report(body, INSTANCE.size + HEALTH_CHECK_ENDED.size, record.report_size)
+    return HealthCheckEnded(record.endpoint, outcome_from(record.outcome_code), record.latency_ms, report)
 
 
 def _load_report(body: bytes, at: int, size: int) -> tuple[float, ...]:
@@ -298,46 +356,53 @@
     return OUTCOMES[code]
 
 
-def endpoint_from(row: tuple[Any, ...]) -> Endpoint:
-    """Return the endpoint of one unpacked `ENDPOINT` row.
+def endpoint_from(row: EndpointRow) -> Endpoint:
+    """Return the endpoint of one row.
 
     Raises:
         WireFormatError: Its status is unknown.
     """
-    status_code, rate, _, kind, zone, destination, endpoint_id = row
-    if status_code not in ENDPOINT_STATUSES:
-        raise WireFormatError(f"unknown endpoint status {status_code}")
-    return Endpoint(endpoint_id, destination, ENDPOINT_STATUSES[status_code], kind, zone, rate)
+    if row.status_code not in ENDPOINT_STATUSES:
+        raise WireFormatError(f"unknown endpoint status {row.status_code}")
+    return Endpoint(
+        id=row.endpoint_id,
+        destination=row.destination,
+        status=ENDPOINT_STATUSES[row.status_code],
+        kind=row.kind,
+        zone=row.zone,
+        advertised_rate=row.rate,
+    )
 
 
 def encode(instance: int, action: Action) -> bytes:
     """Return the record of one action."""
-    code, body = _encode_body(action)
-    body = INSTANCE.pack(instance) + body
-    return RECORD_HEADER.pack(code, len(body)) + body
+    record = _encode_action(action)
+    body = INSTANCE.pack(instance) + record.body
+    return RECORD_HEADER.pack(record.code, len(body)) + body
 
 
-def _encode_body(action: Action) -> tuple[ActionCode, bytes]:
+def _encode_action(action: Action) -> Record:
+    """Return the record of an action, without the instance that its body begins with."""
     match action:
         case Send():
-            return ActionCode.SEND, struct.pack("<IId", action.id, action.endpoint, action.timeout_at_ms)
+            return Record(ActionCode.SEND, SEND.pack(action.id, action.endpoint, action.timeout_at_ms))
         case Reject():
-            return ActionCode.REJECT, struct.pack("<Id", action.id, action.retry_after_ms)
+            return Record(ActionCode.REJECT, REJECT.pack(action.id, action.retry_after_ms))
         case Fail():
-            return ActionCode.FAIL, struct.pack("<I", action.id)
+            return Record(ActionCode.FAIL, FAIL.pack(action.id))
         case Cancel():
-            return ActionCode.CANCEL, struct.pack("<IH", action.id, action.attempt)
+            return Record(ActionCode.CANCEL, CANCEL.pack(action.id, action.attempt))
         case SetTimer():
-            return ActionCode.SET_TIMER, struct.pack("<dQ", action.delay_ms, action.token)
+            return Record(ActionCode.SET_TIMER, SET_TIMER.pack(action.delay_ms, action.token))
         case HealthCheck():
-            return ActionCode.HEALTH_CHECK, struct.pack("<I", action.endpoint)
+            return Record(ActionCode.HEALTH_CHECK, HEALTH_CHECK.pack(action.endpoint))
         case CloseIdle():
-            return ActionCode.CLOSE_IDLE, struct.pack("<I", action.endpoint)
+            return Record(ActionCode.CLOSE_IDLE, CLOSE_IDLE.pack(action.endpoint))
         case WatchEndpoints():
-            return ActionCode.WATCH_ENDPOINTS, struct.pack("<B", 1)
+            return Record(ActionCode.WATCH_ENDPOINTS, WATCH_ENDPOINTS.pack(1))
         case Log():
             line = action.text.encode()[:MAX_LOG_BYTES]
-            return ActionCode.LOG, struct.pack("<H", len(line)) + line
+            return Record(ActionCode.LOG, LOG_HEADER.pack(len(line)) + line)
         case CancelIfUnsent():
             raise TypeError("a call leaves at once here: there is nothing to cancel")
 
