--- a/linnetstile/engine/message_queues.py
+++ b/linnetstile/engine/message_queues.py
@@ -91,7 +91,8 @@
 
     def blocks_successor(self, pending: PendingMessage) -> bool:
         """Return whether other messages of its ordering key wait for its end."""
-        return bool(pending.ordering_key) and len(self.ordered_ids[pending.ordering_key]) > 1
+        key = pending.ordering_key
+        return key != 0 and len(self.ordered_ids[key]) > 1
 
     def schedule(self, destination: int, at: float = 0.0) -> None:
         """Have the destination's queue, if it has one, checked at a time; 0 = with the next batch of events."""
--- a/linnetstile/engine/rate_limiter.py
+++ b/linnetstile/engine/rate_limiter.py
@@ -144,7 +144,8 @@
         """Bring the tokens of a route up to date, and return when it may get its next call."""
         allowance = self.allowance(now, route, is_down)
         rate = route.rate
-        self._withhold_initial_burst(now, route)
+        if rate.initial_tokens < 1 and self.unpaced_rates.get(route.kind, UNPACED_RATE) < UNPACED_RATE / 2:
+            self._withhold_initial_burst(now, rate)
         rate.tokens = min(allowance.burst, rate.tokens + allowance.calls_per_s * (now - rate.tokens_at) / MS_PER_SECOND)
         rate.tokens_at = now
         if is_down:
@@ -155,16 +156,15 @@
             return NextCall(at, at)
         return NextCall(at, at - MIN_BURST / allowance.calls_per_s * MS_PER_SECOND)
 
-    def _withhold_initial_burst(self, now: float, route: RouteState) -> None:
-        """Let a route start with its random part of one token where load reports say that little of limits is left.
+    @staticmethod
+    def _withhold_initial_burst(now: float, rate: RateState) -> None:
+        """Let a route start with its random part of one token, as load reports say that little of limits is left.
 
-        The first calls of many relays are spread over time then, too.
+        The first calls of many relays are then spread over time, too.
         """
-        rate = route.rate
-        if rate.initial_tokens < 1 and self.unpaced_rates.get(route.kind, UNPACED_RATE) < UNPACED_RATE / 2:
-            rate.tokens = min(rate.tokens, rate.initial_tokens)
-            rate.initial_tokens = 1.0
-            rate.tokens_at = now
+        rate.tokens = min(rate.tokens, rate.initial_tokens)
+        rate.initial_tokens = 1.0
+        rate.tokens_at = now
 
     def _next_trial_at(self, now: float, health: HealthState, calls_per_s: float) -> float:
         """Return when a route that is down gets its next trial call; one that is long overdue is scheduled anew."""
--- a/linnetstile/engine/scheduler.py
+++ b/linnetstile/engine/scheduler.py
@@ -167,23 +167,18 @@
 
     def _allowed_at(self, pending: PendingMessage, route: RouteState, schedule: RouteSchedule) -> float:
         """Return from when a message may be sent to a route."""
+        # The rate is an estimate: it may be exceeded if the client will not wait, or others wait for this message.
+        is_urgent = pending.expires_early or self.queues.blocks_successor(pending)
         allowed_at = max(
             pending.not_before,
             route.retry_after_until,
-            schedule.urgent_at if self._is_urgent(pending) else schedule.paced_at,
+            schedule.urgent_at if is_urgent else schedule.paced_at,
             self.retry_policy.ordering_allowed_at(pending),
         )
         if pending.message_class.effect is Effect.NON_IDEMPOTENT:  # an unclear outcome would be its final one
             return max(allowed_at, schedule.non_idempotent_at)
         return allowed_at
 
-    def _is_urgent(self, pending: PendingMessage) -> bool:
-        """Return whether a message may overdraw the tokens, as the rate is an estimate.
-
-        That is so if its client will not wait, and if other messages of its ordering key wait for its end.
-        """
-        return pending.expires_early or self.queues.blocks_successor(pending)
-
     @staticmethod
     def _slot_time_ms(route: RouteState) -> float:
         """Return the expected slot time of one delivery, with that of the calls that fail before it."""
@@ -193,9 +188,10 @@
     def _has_used_its_slots(self, route: RouteState, is_down: bool) -> bool:
         """Return whether a route occupies as many slots as it may, while others may need them."""
         divisor = SUSPECTED_SLOT_DIVISOR if is_down else ROUTE_SLOT_DIVISOR
-        max_calls = max(1, self.settings.max_in_flight // divisor)
+        if len(route.calls) < max(1, self.settings.max_in_flight // divisor):
+            return False
         others_are_waiting = len(self.queues.queues) > 1
-        return len(route.calls) >= max_calls and (is_down or others_are_waiting)
+        return is_down or others_are_waiting
 
     def _is_slow(self, now: float, route: RouteState) -> bool:
         oldest_call_ms = now - route.calls[0].started_at if route.calls else 0.0
@@ -207,10 +203,11 @@
 
         Slow routes are bounded together, so that quick destinations have slots however many are slow.
         """
+        if self.routing_table.index.destination_count <= 1:
+            return False
         max_in_flight = self.settings.max_in_flight
-        has_one_destination = self.routing_table.index.destination_count <= 1
-        is_scarce = max_in_flight - self.in_flight <= max_in_flight // SCARCE_SLOT_DIVISOR
-        if has_one_destination or not is_scarce or not self._is_slow(now, route):
+        slots_are_scarce = max_in_flight - self.in_flight <= max_in_flight // SCARCE_SLOT_DIVISOR
+        if not slots_are_scarce or not self._is_slow(now, route):
             return False
         return self._count_slow_calls(now) >= max(1, max_in_flight // SLOW_SLOT_DIVISOR)
 
