--- a/linnetstile/engine/destinations.py
+++ b/linnetstile/engine/destinations.py
@@ -1,8 +1,8 @@
 """All destinations that a relay knows: their endpoints in a compact index, and the routes of those in use.
 
-Of destinations that are not in use only what `idle_routes` says is kept. Work follows what changed or is used, never
-what exists: a change costs the routes of its destination, and a turn looks at as many idle routes as it had events.
-No I/O, no clock: times in ms come in.
+Of destinations that are not in use only the records of `idle_routes` are kept. The work grows with what changes or is
+used, never with what exists: a change costs the routes of its destination, and each event pays for the check of a few
+idle routes. No I/O and no clock: times in ms come in.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 from .route_state import EndpointState, RouteState
 from .settings import Settings
 
-WHOLE_DESTINATION = -1  # the route id where a destination has a single route
+WHOLE_DESTINATION = -1  # route id of the only route of a destination
 
 
 class KnownRoute(NamedTuple):
@@ -32,6 +32,7 @@
     """Owns the routes and endpoints in use, the index of all endpoints, and the records of evicted routes.
 
     Attributes:
+        queued_destinations: Destinations with queued messages, whose routes stay resident.
         index: All endpoints that take new calls.
         routes: Destination in use -> its routes by id; the most recently used last.
         endpoints: The endpoints of these by id.
@@ -63,47 +64,58 @@
         return RouteKey(info.destination, info.id if is_separate else WHOLE_DESTINATION)
 
     def apply_list(self, now: float, event: EndpointList) -> list[EndpointState]:
-        """Take a list or changes in; return the endpoints in use to which nothing new goes from now on."""
+        """Apply a list or changes; return the endpoints in use to which no new call may be sent from now on."""
         ready = {info.id: info for info in event.endpoints if info.status is EndpointStatus.READY}
         if event.kind is ListKind.CHANGES:
             found = map(self.index.get, {info.id for info in event.endpoints})
             known = [info for info in found if info is not None]
         else:
             known = list(self.index)
-        gone = [old for old in known if old.id not in ready or self.route_key(ready[old.id]) != self.route_key(old)]
+        gone = [old for old in known if old.id not in ready or self._has_moved(old, ready[old.id])]
         dropped = self._drop(now, sorted(gone, key=lambda old: old.id))
         for info in ready.values():
             self._add(now, info)
         return dropped
 
+    def _has_moved(self, old: Endpoint, new: Endpoint) -> bool:
+        return self.route_key(old) != self.route_key(new)
+
     def _drop(self, now: float, gone: list[Endpoint]) -> list[EndpointState]:
-        idle = {info.destination for info in gone} - self.routes.keys()
-        dropped = []
-        for info in gone:
-            self.open(now, info.destination)
-            self.index.pop(info.id)
-            endpoint = self.endpoints.pop(info.id)
-            dropped.append(endpoint)
-            route = endpoint.route
-            del route.endpoints[info.id]
-            if not route.endpoints:
-                route.health.endpoints_left_at = now
-                route.health.start_outage(now)
-                self.without_endpoints.add(info.destination)
+        destinations = {info.destination for info in gone}
+        idle = destinations - self.routes.keys()
+        dropped = [self._drop_endpoint(now, info) for info in gone]
         for destination in idle:
             self._evict(now, destination)
-        for destination in self.without_endpoints - {info.destination for info in gone} if gone else ():
+        if gone:
+            self._prune_unqueued(now, self.without_endpoints - destinations)
+        return dropped
+
+    def _drop_endpoint(self, now: float, info: Endpoint) -> EndpointState:
+        """Remove an endpoint; its route begins an outage if it was the last one."""
+        self.open(now, info.destination)
+        self.index.pop(info.id)
+        endpoint = self.endpoints.pop(info.id)
+        route = endpoint.route
+        del route.endpoints[info.id]
+        if not route.endpoints:
+            route.health.endpoints_left_at = now
+            route.health.start_outage(now)
+            self.without_endpoints.add(info.destination)
+        return endpoint
+
+    def _prune_unqueued(self, now: float, destinations: set[int]) -> None:
+        for destination in destinations:
             if destination not in self.queued_destinations:
                 self._prune(now, destination)
-        return dropped
 
     def _prune(self, now: float, destination: int) -> None:
-        """Forget routes without endpoints once nothing of them binds any more."""
+        """Remove routes without endpoints once no rule needs their state any more."""
         routes = self.routes[destination]
         for route_id, route in list(routes.items()):
             if route.endpoints or route.calls:
                 continue
-            if now > idle_routes.binds_until(route, has_endpoints=False, slow_start_ms=self.slow_start_ms):
+            expires_at = idle_routes.binds_until(route, has_endpoints=False, slow_start_ms=self.slow_start_ms)
+            if now > expires_at:
                 del routes[route_id]
         if all(route.endpoints for route in routes.values()):
             self.without_endpoints.discard(destination)
@@ -114,37 +126,41 @@
         destination = info.destination
         is_used = destination in self.routes or destination in self.evicted or destination in self.queued_destinations
         if is_used:
-            self.open(now, destination)  # before it is listed: it may come back to a route that has no endpoint
+            self.open(now, destination)  # first, as it may join a route that has no endpoint
         self.index.put(info)
         if is_used:
             self._attach(now, info, True)
 
     def _attach(self, now: float, info: Endpoint, is_listed: bool) -> None:
-        destination, route_id = self.route_key(info)
-        routes = self.routes.setdefault(destination, {})
-        self.factory.attach(now, info, routes, route_id, self.endpoints, is_listed)
+        key = self.route_key(info)
+        routes = self.routes.setdefault(key.destination, {})
+        self.factory.attach(now, info, routes, key.route_id, self.endpoints, is_listed)
 
     def open(self, now: float, destination: int) -> dict[int, RouteState]:
-        """Return the routes of a destination that is used now: as they were, as they were evicted, or new."""
+        """Return the routes of a destination that is used now: resident, restored or new ones."""
         if destination in self.routes:
-            self.routes[destination] = self.routes.pop(destination)  # the most recently used is the last
-        else:
-            if destination in self.evicted:
-                restored = idle_routes.restore_routes(self.evicted.pop(destination))
-                self.routes[destination] = restored.routes
-                if restored.without_endpoints:
-                    self.without_endpoints.add(destination)
-            for info in self.index.endpoints_of(destination):
-                self._attach(now, info, False)
+            routes = self.routes.pop(destination)
+            self.routes[destination] = routes  # the most recently used is the last
+            return routes
+        if destination in self.evicted:
+            self._restore(destination)
+        for info in self.index.endpoints_of(destination):
+            self._attach(now, info, False)
         return self.routes.get(destination, {})
 
+    def _restore(self, destination: int) -> None:
+        restored = idle_routes.restore_routes(self.evicted.pop(destination))
+        self.routes[destination] = restored.routes
+        if restored.without_endpoints:
+            self.without_endpoints.add(destination)
+
     def _evict(self, now: float, destination: int) -> None:
-        """Drop the routes of a destination but for what a rule may still need, unless something of it is here."""
+        """Evict the routes of a destination, unless it has queued messages or calls in flight."""
         routes = self.routes.pop(destination)
         is_queued = destination in self.queued_destinations
         record = None if is_queued else idle_routes.pack_routes(routes, now, self.slow_start_ms)
         if record is None:
-            self.routes[destination] = routes  # its turn comes again
+            self.routes[destination] = routes  # behind all others: it is in use
             return
         for route in routes.values():
             for endpoint_id in route.endpoints:
@@ -154,7 +170,7 @@
             self.evicted[destination] = record
 
     def evict_idle(self, now: float, events: int) -> None:
-        """Evict the least recently used routes, and forget records of which nothing binds; a turn's part of both."""
+        """Evict least recently used routes and remove expired records; visits a few of each for each event."""
         visits = idle_routes.VISITS_PER_EVENT * events
         surplus = len(self.routes) - idle_routes.MAX_RESIDENT_ROUTES
         if surplus > 0:
@@ -168,9 +184,9 @@
                 self.evicted[destination] = record
 
     def known_routes(self, destination: int) -> dict[int, KnownRoute]:
-        """Return the routes of a destination by id, also if it is not in use, which it stays.
+        """Return the routes of a destination by id, without bringing it into use.
 
-        Where nothing was ever seen of a destination there is none.
+        A destination that is not in use and has no record has none.
         """
         routes = self.routes.get(destination)
         if routes is not None:
--- a/linnetstile/engine/engine.py
+++ b/linnetstile/engine/engine.py
@@ -1,7 +1,7 @@
-"""The decision engine of a relay: routes events to the concerns that decide, and gathers their actions.
+"""The decision engine of a relay: dispatches events to the modules that decide, and collects their actions.
 
-Each concern is a module of its own; this one reads as their table of contents. The engine does no I/O and reads no
-clock: the host feeds `handle` with what happened and carries out the actions that come back. All times are in ms on the
+Each concern has a module of its own, and this one is their table of contents. The engine does no I/O and reads no
+clock: the host passes events to `handle` and carries out the actions that are returned. All times are in ms on the
 host's clock.
 """
 
@@ -43,18 +43,18 @@
 from .scheduler import Scheduler
 from .settings import Settings
 
-# Outcomes that say nothing of the destination.
+# Outcomes that are no evidence about the destination.
 UNINFORMATIVE_OUTCOMES = (Outcome.NOT_SENT, Outcome.CANCELLED)
 
 
 class DeliveryEngine:
-    """Decides for one relay: feed it events with `handle`, carry out the actions that it returns.
+    """Decides for one relay: pass events to `handle` and carry out the actions that it returns.
 
     Attributes:
-        settings: What it was told before its first event.
+        settings: Its configuration.
         queues: All pending messages.
         routing_table: All destinations, their routes and endpoints.
-        connections: What was met on connections to endpoints.
+        connections: Policy of the connections to endpoints.
         scheduler: The slots for calls in flight.
     """
 
@@ -130,11 +130,11 @@
         return self.scheduler.in_flight
 
     def handle(self, now_ms: float, events: list[Event]) -> list[Action]:
-        """Take in what happened, and decide.
+        """Handle events, and decide.
 
         Args:
             now_ms: Time on the host's clock, in ms; never smaller than before.
-            events: What happened since the last call, in order; may be empty.
+            events: The events since the last call, in order; may be empty.
 
         Returns:
             The actions to carry out, in order.
@@ -174,7 +174,7 @@
                     self.gossip_importer.record_sent(now, event)
 
     def _set_timer(self, now: float, actions: list[Action]) -> None:
-        """Ask for a timer at the next moment at which something is due, unless an earlier one is set."""
+        """Set a timer for the next time at which something is due, unless an earlier one is set."""
         candidates = (
             self.queues.next_due_at(now),
             self.queues.next_expiry_at(),
@@ -204,12 +204,12 @@
     def _accept(self, now: float, message: Message) -> None:
         message_class = self.settings.classes[message.class_index]
         deadline = now + message.remaining_ms
-        # An unmarked first submission is new however little time it has left: some clients are just in a hurry.
-        may_be_old = message.is_retry or message.from_dead_relay or not self.settings.clients_mark_retries
+        # Where clients mark retries, an unmarked message is new, however little time it has left.
+        may_be_retry = message.is_retry or message.from_dead_relay or not self.settings.clients_mark_retries
         pending = PendingMessage(
             message=message,
             message_class=message_class,
-            submitted_at=deadline - message_class.deadline_ms if may_be_old else now,
+            submitted_at=deadline - message_class.deadline_ms if may_be_retry else now,
             deadline=deadline,
             priority_weight=message_class.priority_weight * self.admission.charge_tenant(now, message),
             not_before=now,
@@ -218,10 +218,9 @@
         self._add(now, pending)
 
     def _recover(self, now: float, event: MessageRecovered) -> None:
-        """Go on with what an earlier process accepted as if there had been no restart.
+        """Resume a message that an earlier process accepted, as if there had been no restart.
 
-        A call that was in flight has an unclear outcome, and the gate of every send decides by effect, deduplication
-        window, attempts and time left.
+        A call that was in flight has an unclear outcome; `RetryPolicy` decides whether the message may be sent again.
         """
         message_class = self.settings.classes[event.message.class_index]
         pending = PendingMessage(
@@ -245,7 +244,7 @@
             rate.tokens = tokens_after_recovery(rate.tokens, rate.initial_tokens, event.attempts, event.age_ms)
 
     def _add(self, now: float, pending: PendingMessage) -> dict[int, RouteState]:
-        """Add a message; return the routes of its destination, which is in use from now on."""
+        """Add a message; return the routes of its destination, which comes into use."""
         routes = self.routing_table.open(now, pending.message.destination)
         self.queues.add(pending)
         self._enqueue(pending)
@@ -259,7 +258,7 @@
         pending = self.queues.messages.get(message_id)
         if pending is None:
             return
-        pending.cancelled = True  # one in flight waits for its outcome
+        pending.cancelled = True  # if it is in flight, it is removed with its outcome
         if pending.call is None:
             self.queues.remove(pending)
 
@@ -282,7 +281,7 @@
         self.retry_policy.record_attempt(now, pending, endpoint, event.outcome)
         endpoint.record_connection(now, event.outcome)
         self.retry_policy.back_off(now, pending)
-        if event.retry_after_ms > 0:  # binds whichever message of a call got it, the others' answers or not
+        if event.retry_after_ms > 0:  # also if it is not the first outcome of its call
             until = pending.not_before + event.retry_after_ms
             self.retry_policy.apply_retry_after(now, route, pending.message.destination, until, actions)
         self._record_evidence(now, endpoint, pending, event, is_evidence)
@@ -296,7 +295,7 @@
     def _record_evidence(
         self, now: float, endpoint: EndpointState, pending: PendingMessage, event: AttemptEnded, is_evidence: bool
     ) -> None:
-        """Let the outcome count for the destination's health and for its connections."""
+        """Record an outcome for the health of the destination and for its connections."""
         route = endpoint.route
         met_stale_connection = self.connections.record_reuse(route, event)
         lacked_connection = self.connections.explains_rejection(now, route, event)
--- a/linnetstile/engine/idle_routes.py
+++ b/linnetstile/engine/idle_routes.py
@@ -1,17 +1,17 @@
-"""What a relay keeps of a destination that it is not using, and when that may be forgotten. No I/O, no clock.
+"""Eviction of idle routes: what is kept of a destination that is not in use, and for how long. No I/O and no clock.
 
-A route in use is rich: some 2 kB with its endpoints. Of 120,000 destinations a relay uses a few thousand in a second,
-so routes beyond `MAX_RESIDENT_ROUTES` that carry no message are evicted, the least recently used first. What a rule
-still needs of a route goes into one record of some 200 bytes and is the same when the route is restored: a Retry-After,
-an outage or a slow start, a limit that was met, the time in which a replaced endpoint counts as a return. A route of
-which nothing binds any more keeps no record: the next one of its destination begins like one that was never used.
+A route in use takes some 2 kB with its endpoints. Of 120,000 destinations a relay uses a few thousand in a second, so
+routes beyond `MAX_RESIDENT_ROUTES` without messages are evicted, the least recently used first. The state that a
+delivery rule still needs is kept in one record of some 200 bytes, from which the route is restored: a Retry-After, an
+outage or a slow start, a recent rejection, the time in which a new endpoint counts as a recovery. A route without such
+state leaves no record: when its destination is used again, it begins like one that was never used.
 """
 
 from __future__ import annotations
 
 import struct
 from collections.abc import Mapping
-from typing import NamedTuple
+from typing import Any, NamedTuple
 
 from .route_state import (
     EVIDENCE_TTL_MS,
@@ -23,10 +23,10 @@
 )
 from .time_points import NEVER
 
-# Above it idle routes are evicted: some 4 MB. No relay with 1,024 destinations ever evicts one, and twice as many in
-# use make a turn that looks at all of them no dearer than twice.
+# Above this number idle routes are evicted: some 4 MB. A relay with 1,024 destinations never evicts one, and steps that
+# visit all resident routes take at most twice as long as there.
 MAX_RESIDENT_ROUTES = 2048
-VISITS_PER_EVENT = 2  # routes and records looked at in a turn for each event of it: an event makes one route at most
+VISITS_PER_EVENT = 2  # routes and records that are checked for each event: more than the one that an event may create
 
 # Fields of a record with their struct codes: doubles for times and for what settings may make as large as they like,
 # floats where six digits are enough.
@@ -62,9 +62,7 @@
     "next_trial_at": "d",
 }
 ROUTE_FIELDS = {"max_batch": "I", "kind": "I", "retry_after_until": "d"}
-# Before the fields: until when the record binds, the route's id, `outage_since` (NEVER for none), total and time of the
-# answer counter, and whether the route had no endpoints.
-RECORD_HEAD = "dqddd?"
+RECORD_HEAD = "dqddd?"  # see `RecordHead`
 RECORD = struct.Struct(
     "<"
     + RECORD_HEAD
@@ -73,6 +71,26 @@
 EXPIRY = struct.Struct("<d")  # the first field of a record
 
 
+class RecordHead(NamedTuple):
+    """First fields of a record.
+
+    Attributes:
+        expires_at: Until when the record is needed.
+        route_id: The route's id.
+        outage_since: Start of its outage; NEVER without one.
+        answer_total: Total of the answer counter.
+        answers_updated_at: Time of the answer counter.
+        had_no_endpoints: Whether the route had no endpoints.
+    """
+
+    expires_at: float
+    route_id: int
+    outage_since: float
+    answer_total: float
+    answers_updated_at: float
+    had_no_endpoints: bool
+
+
 class RestoredRoutes(NamedTuple):
     """Routes of one destination, restored from its record.
 
@@ -86,10 +104,10 @@
 
 
 def binds_until(route: RouteState, has_endpoints: bool, slow_start_ms: float) -> float:
-    """Return until when a rule may still need what is known of a route.
+    """Return until when a delivery rule may still need the state of a route.
 
-    That is a Retry-After, a slow start, an outage that has not ended (a return may come at any moment), a rejection or
-    a failure of late; of a route without endpoints, whether a new endpoint would still count as its return.
+    Rules need a Retry-After, a slow start, an outage that goes on (the route may recover at any moment), and a recent
+    rejection or failure. Of a route without endpoints they need whether a new endpoint would count as its recovery.
     """
     health = route.health
     until = max(route.retry_after_until, health.slow_start_since + slow_start_ms)
@@ -103,26 +121,29 @@
 
 
 def pack_routes(routes: Mapping[int, RouteState], now: float, slow_start_ms: float) -> bytes | None:
-    """Return the record of a destination's routes; empty if nothing binds, None if a call is in flight."""
+    """Return the record of a destination's routes, empty if no rule needs it; None if a call is in flight."""
     if any(route.calls for route in routes.values()):
         return None
     record = b""
     for route_id, route in routes.items():
-        until = binds_until(route, bool(route.endpoints), slow_start_ms)
-        if now <= until:
-            record += _pack(route_id, route, until)
+        expires_at = binds_until(route, bool(route.endpoints), slow_start_ms)
+        if now <= expires_at:
+            record += _pack(route_id, route, expires_at)
     return record
 
 
-def _pack(route_id: int, route: RouteState, until: float) -> bytes:
-    health, counter = route.health, route.rate.answer_counter
+def _pack(route_id: int, route: RouteState, expires_at: float) -> bytes:
+    health = route.health
+    head = RecordHead(
+        expires_at=expires_at,
+        route_id=route_id,
+        outage_since=NEVER if health.outage_since is None else health.outage_since,
+        answer_total=route.rate.answer_counter.total,
+        answers_updated_at=route.rate.answer_counter.updated_at,
+        had_no_endpoints=not route.endpoints,
+    )
     return RECORD.pack(
-        until,
-        route_id,
-        NEVER if health.outage_since is None else health.outage_since,
-        counter.total,
-        counter.updated_at,
-        not route.endpoints,
+        *head,
         *(getattr(route.latency, name) for name in LATENCY_FIELDS),
         *(getattr(route.rate, name) for name in RATE_FIELDS),
         *(getattr(health, name) for name in HEALTH_FIELDS),
@@ -132,21 +153,28 @@
 
 def restore_routes(record: bytes) -> RestoredRoutes:
     """Return the routes of a destination as they were evicted, without their endpoints."""
-    restored = RestoredRoutes({}, set())
-    for _, route_id, outage_since, total, updated_at, had_no_endpoints, *values in RECORD.iter_unpack(record):
-        fields = iter(values)
-        latency = LatencyEstimate(**dict(zip(LATENCY_FIELDS, fields, strict=False)))
-        rate = RateState(**dict(zip(RATE_FIELDS, fields, strict=False)))
-        rate.answer_counter = DecayingCounter(total, updated_at)
-        health = HealthState(**dict(zip(HEALTH_FIELDS, fields, strict=False)))
-        health.outage_since = None if outage_since == NEVER else outage_since
-        others = dict(zip(ROUTE_FIELDS, fields, strict=True))
-        restored.routes[route_id] = RouteState(latency, rate, health, **others)
-        if had_no_endpoints:
-            restored.without_endpoints.add(route_id)
+    restored = RestoredRoutes(routes={}, without_endpoints=set())
+    for values in RECORD.iter_unpack(record):
+        head = RecordHead(*values[: len(RecordHead._fields)])
+        restored.routes[head.route_id] = _unpack_route(head, values[len(RecordHead._fields) :])
+        if head.had_no_endpoints:
+            restored.without_endpoints.add(head.route_id)
     return restored
 
 
+def _unpack_route(head: RecordHead, values: tuple[Any, ...]) -> RouteState:
+    """Return the route of one record, from its head and the values of its fields."""
+    fields = iter(values)
+    latency = LatencyEstimate(**dict(zip(LATENCY_FIELDS, fields, strict=False)))
+    rate = RateState(**dict(zip(RATE_FIELDS, fields, strict=False)))
+    rate.answer_counter = DecayingCounter(head.answer_total, head.answers_updated_at)
+    health = HealthState(**dict(zip(HEALTH_FIELDS, fields, strict=False)))
+    health.outage_since = None if head.outage_since == NEVER else head.outage_since
+    others = dict(zip(ROUTE_FIELDS, fields, strict=True))
+    return RouteState(latency, rate, health, **others)
+
+
 def has_expired(record: bytes, now: float) -> bool:
-    """Return whether nothing of a record binds any more; an outage binds as long as there are endpoints."""
-    return all(now > EXPIRY.unpack_from(record, at)[0] for at in range(0, len(record), RECORD.size))
+    """Return whether all routes of a record have expired; one in an outage with endpoints never does."""
+    offsets = range(0, len(record), RECORD.size)
+    return all(now > EXPIRY.unpack_from(record, offset)[0] for offset in offsets)
--- a/linnetstile/engine/membership.py
+++ b/linnetstile/engine/membership.py
@@ -1,10 +1,11 @@
-"""Which other relays there are, and which of them to poll for gossip, and when.
+"""Membership of the fleet: the other relays that are known, which of them to poll for gossip, and when.
 
-Peers come from the settings and from what peers advertise of others. A peer that answers is alive; one that does not
-is suspected, and has left after some failures. What peers say of others never removes a peer and never makes one alive.
+Peers come from the settings and from what other peers advertise. A peer that answers is alive; one that does not is
+suspected, and has left after some failures. What peers advertise never removes a peer and never makes one alive.
 
-Polls are few: a fresh relay polls up to `BOOTSTRAP_PEERS` peers, one at a time and with jitter, so that a restart of a
-whole fleet makes no storm; then one in each `POLL_INTERVAL_MS`. An empty answer (all peers are fresh) is an answer.
+Polls are rare: a relay that has just started polls up to `BOOTSTRAP_PEERS` peers, one at a time and with jitter, so
+that a restart of a whole fleet causes no burst of polls; then one peer in each `POLL_INTERVAL_MS`. An empty answer (all
+peers have just started) is an answer.
 
 No I/O and no clock: times (ms) come in.
 """
@@ -15,17 +16,19 @@
 from dataclasses import dataclass
 from enum import Enum
 
-BOOTSTRAP_PEERS = 3  # peers that a fresh relay polls: one may be wrong, and two others outvote it
-FIRST_POLL_JITTER_MS = 500.0  # the first poll is spread over this time: 300 relays at once are one poll every 2 ms
+from .time_points import NEVER
+
+BOOTSTRAP_PEERS = 3  # peers that a relay polls first: if one is wrong, the two others outvote it
+FIRST_POLL_JITTER_MS = 500.0  # the first poll is at a random time within: 300 relays make one every 2 ms
 BOOTSTRAP_GAP_MS = 150.0  # least time between the first polls
-POLL_INTERVAL_MS = 10_000.0  # least time between later polls, each for what has changed
+POLL_INTERVAL_MS = 10_000.0  # least time between later polls, which ask for changes only
 MAX_INTERVAL_JITTER = 1.5  # the time between polls is longer by a random factor up to this
 MAX_FAILURES = 3  # unanswered polls in a row after which a peer has left
 FIRST_BACKOFF_MS = 2_000.0  # before a suspected peer is polled again; doubles with each failure
 MAX_BACKOFF_MS = 60_000.0
-MIN_BACKOFF_JITTER = 0.5  # a backoff is shortened by a random factor down to this
-MAX_PEERS = 1_000
-MAX_PEERS_PER_ANSWER = 32  # of the peers that one answer names, so many are taken up
+MIN_BACKOFF_JITTER = 0.5  # a backoff is shortened by a random factor, down to this
+MAX_PEERS = 1_000  # known peers
+MAX_PEERS_PER_ANSWER = 32  # advertised peers that are read from one answer
 
 
 class PeerStatus(Enum):
@@ -48,14 +51,14 @@
         failures: Unanswered polls in a row.
         last_answer_at: Time (ms) of its last answer.
         next_poll_at: Time (ms) before which it is not polled.
-        incarnation: Identifier of its process. A new one means that it knows nothing of what it knew before.
+        incarnation: Identifier of its process. A new one means that it has restarted and knows nothing.
     """
 
     address: str
     configured: bool
     status: PeerStatus = PeerStatus.UNKNOWN
     failures: int = 0
-    last_answer_at: float = float("-inf")
+    last_answer_at: float = NEVER
     next_poll_at: float = 0.0
     incarnation: str = ""
 
@@ -133,8 +136,8 @@
 
     def _end_poll(self, now_ms: float) -> None:
         self.polling = None
-        gap_ms = BOOTSTRAP_GAP_MS if self.is_bootstrapping else POLL_INTERVAL_MS
-        self.next_poll_at = now_ms + gap_ms * self.rng.uniform(1.0, MAX_INTERVAL_JITTER)
+        interval_ms = BOOTSTRAP_GAP_MS if self.is_bootstrapping else POLL_INTERVAL_MS
+        self.next_poll_at = now_ms + interval_ms * self.rng.uniform(1.0, MAX_INTERVAL_JITTER)
 
     def poll_answered(self, now_ms: float, address: str, incarnation: str, advertised: list[str]) -> bool:
         """Record the answer of a peer.
@@ -146,7 +149,7 @@
             advertised: Addresses of the peers that it has had answers from.
 
         Returns:
-            Whether another process answered than the last time, so that what the peer said before is void.
+            Whether the peer has restarted since its last answer, so that what it said before no longer counts.
         """
         peer = self.peers[address]
         has_restarted = bool(peer.incarnation) and peer.incarnation != incarnation
--- a/linnetstile/engine/recovery_throttle.py
+++ b/linnetstile/engine/recovery_throttle.py
@@ -1,13 +1,13 @@
-"""What a restarted relay concludes from the messages that it recovers. No I/O and no clock: ages come in.
+"""Rate limits after a restart, by the messages that were recovered. No I/O and no clock: ages come in.
 
-A process that starts has a few tokens for each destination, as for one that was idle. Where messages had waited for a
-destination without an attempt, the process before had no tokens left. If hundreds of relays restart at once and each
-sends a burst from its backlog, most destinations reject it, and the relays are then throttled for seconds.
+A process that starts has a few tokens for each destination, as for one that was idle. If messages had been pending for
+a destination without an attempt, the previous process had no tokens left. If hundreds of relays restart together and
+each sends a burst of recovered messages, most destinations reject it, and the relays are throttled for seconds.
 """
 
 from __future__ import annotations
 
-BACKLOG_AGE_MS = 2500.0  # longer than a restart takes, and than any period over which a rate limit counts
+MIN_PENDING_MS = 2500.0  # longer than a restart takes, and than any time window over which a rate limit counts
 
 
 def tokens_after_recovery(tokens: float, initial_tokens: float, attempts: int, age_ms: float) -> float:
@@ -20,7 +20,7 @@
         age_ms: Time (ms) since the message was submitted.
 
     Returns:
-        At most `initial_tokens` if the message had waited without an attempt, else `tokens`.
+        At most `initial_tokens` if the message had been held back for lack of tokens, else `tokens`.
     """
-    had_waited = attempts == 0 and age_ms > BACKLOG_AGE_MS
-    return min(tokens, initial_tokens) if had_waited else tokens
+    was_held_back = attempts == 0 and age_ms > MIN_PENDING_MS
+    return min(tokens, initial_tokens) if was_held_back else tokens
--- a/linnetstile/engine/route_factory.py
+++ b/linnetstile/engine/route_factory.py
@@ -1,4 +1,4 @@
-"""Makes the state of routes and endpoints when they are listed, or when their destination comes into use."""
+"""Creates the state of routes and endpoints when they are listed, or when their destination comes into use."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class RouteFactory:
-    """Adds endpoints to their routes, and makes routes that do not exist yet."""
+    """Adds endpoints to their routes, and creates routes that do not exist yet."""
 
     def __init__(
         self,
@@ -67,7 +67,7 @@
             endpoint.info = info
             return
         if is_listed and not route.endpoints and route.health.outage_since is not None:
-            # Its endpoints were replaced after an outage: the new one has no full capacity yet.
+            # Its endpoints were replaced after an outage: the new one does not have its full capacity yet.
             slow_start.begin_slow_start(now, route, self.settings.relay_count)
         endpoint = EndpointState(info, route, tie_breaker=self.rng.random())
         route.endpoints[info.id] = endpoint
@@ -75,7 +75,7 @@
         self.queues.schedule(info.destination)
 
     def _new_route(self, now: float, info: Endpoint, advertised_rate: float, is_listed: bool) -> RouteState:
-        # Of one that comes into use nothing is known: where others answer quickly, it may be a slow one.
+        # Nothing is known of a destination that comes into use: it may be slow although others answer quickly.
         if is_listed:
             estimate = LatencyEstimate(self.fleet_latency.mean_ms, self.fleet_latency.deviation_ms)
         else:
--- a/linnetstile/engine/slow_start.py
+++ b/linnetstile/engine/slow_start.py
@@ -10,24 +10,25 @@
 from .settings import RateTrust, Settings
 from .time_points import MS_PER_SECOND
 
-# Part of the calls since an outage began that another relay made: so many relays may know of it.
-CALLS_BY_OTHERS = 0.5
-ROUGH_RATE_MARGIN = 1.5  # a rough advertised rate may be this much too high
-MIN_SLOW_START_FRACTION = 0.01  # a capacity of 0 would never let a route be tried again
+# Fraction of the calls since an outage began that count as made by a relay that did not know of it yet.
+CALLS_BY_UNAWARE_RELAYS = 0.5
+ROUGH_RATE_MARGIN = 1.5  # a rough advertised rate may be too high by this factor
+MIN_SLOW_START_FRACTION = 0.01  # with a capacity of 0 a route would never be tried again
 
 
 def count_aware_relays(now: float, route: RouteState, relay_count: int) -> float:
-    """Estimate how many relays may have met the outage: no more than there are, nor than calls it failed."""
+    """Estimate how many relays know of the outage: no more than there are relays, nor than calls that it made fail."""
     health = route.health
-    since = now if health.outage_since is None else health.outage_since
-    since = max(min(since, health.last_success_at), since - EVIDENCE_TTL_MS)  # it may have begun at the last answer
-    most = max(float(relay_count), health.notified_relays)  # others may know of more relays than the settings do
-    failed_calls = CALLS_BY_OTHERS * route.rate.fleet_rate * (now - since) / MS_PER_SECOND
-    return min(most, 1 + failed_calls + health.notified_relays)
+    first_failure_at = now if health.outage_since is None else health.outage_since
+    # The outage may have begun right after the last answer.
+    began_at = max(min(first_failure_at, health.last_success_at), first_failure_at - EVIDENCE_TTL_MS)
+    max_relays = max(float(relay_count), health.notified_relays)  # the settings may not know of all relays
+    relays_with_failures = CALLS_BY_UNAWARE_RELAYS * route.rate.fleet_rate * (now - began_at) / MS_PER_SECOND
+    return min(max_relays, 1 + relays_with_failures + health.notified_relays)
 
 
 def begin_slow_start(now: float, route: RouteState, relay_count: int) -> None:
-    """Note that the route is back: from here on the slow-start budget holds."""
+    """Record that the route has recovered: its slow-start budget applies from now on."""
     health = route.health
     health.aware_relays = count_aware_relays(now, route, relay_count)
     health.ejected = False
@@ -44,8 +45,8 @@
 
 
 def budget_share(now: float, route: RouteState, settings: Settings) -> float:
-    """Return this relay's calls a second while the route is in slow start; grows with the time since the return."""
+    """Return this relay's calls a second while the route is in slow start; they grow with the time since recovery."""
     safety = settings.safety
-    grown = (1 - safety.slow_start_fraction) * (now - route.health.slow_start_since) / safety.slow_start_ms
-    growth = 1 + grown / max(safety.slow_start_fraction, MIN_SLOW_START_FRACTION)
+    added_fraction = (1 - safety.slow_start_fraction) * (now - route.health.slow_start_since) / safety.slow_start_ms
+    growth = 1 + added_fraction / max(safety.slow_start_fraction, MIN_SLOW_START_FRACTION)
     return initial_budget(route, settings) * growth / route.health.aware_relays
