--- a/linnetstile/engine/actions.py
+++ b/linnetstile/engine/actions.py
@@ -13,9 +13,10 @@
     Attributes:
         id: The message.
         endpoint: Where it goes.
-        timeout_at_ms: When the attempt is given up.
-        last_byte_delay_ms: Time for which its last byte is held back: a connection that ends before carried no call.
-        send_before_ms: Its last byte leaves by then or not at all; it then ends as NOT_SENT or CONNECT_FAILED.
+        timeout_at_ms: When the attempt times out.
+        last_byte_delay_ms: Delay of its last byte: if the connection ends before, the message has surely not run.
+        send_before_ms: When its last byte has to be written; if that is not possible, the attempt ends as NOT_SENT or
+            CONNECT_FAILED.
     """
 
     id: int
@@ -31,7 +32,7 @@
 
     Attributes:
         id: The message.
-        retry_after_ms: When to submit it again; 0 = no advice.
+        retry_after_ms: Time after which to submit it again; 0 = no Retry-After.
     """
 
     id: int
@@ -55,9 +56,9 @@
 
 @dataclass(frozen=True, slots=True)
 class CancelIfUnsent:
-    """Cancel the attempt of a message if its last byte has not left; it then ends as NOT_SENT, else it goes on.
+    """Cancel the attempt of a message if its last byte was not written; it then ends as NOT_SENT, else it goes on.
 
-    The reason to send it is gone. A connection may take a second to be made; where a call leaves at once, there is
+    The message may no longer be sent. A connection may take a second to be made; a host that sends calls at once has
     nothing to cancel.
     """
 
@@ -74,7 +75,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HealthCheck:
-    """Ask an endpoint whether it is healthy; reported as `HealthCheckEnded`."""
+    """Check the health of an endpoint; the outcome is reported as `HealthCheckEnded`."""
 
     endpoint: int
 
@@ -88,7 +89,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WatchEndpoints:
-    """Ask discovery for the endpoint list and its changes from now on."""
+    """Request the endpoint list and its changes from discovery from now on."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/linnetstile/engine/attempt_outcome.py
+++ b/linnetstile/engine/attempt_outcome.py
@@ -1,7 +1,7 @@
-"""What the end of one attempt proves: from what was seen on the wire to the engine's outcome.
+"""What the end of one attempt proves: from the observations on the wire to the engine's outcome.
 
-The engine acts on `Outcome`, and whether an effect may have happened follows from that alone. Where the wire proves
-less than an outcome says, the table takes the outcome that promises less. docs/design/relay.md argues each row.
+The engine acts on `Outcome`, and whether an effect may have happened follows from that alone. Where the observations
+prove less than an outcome says, the weaker outcome is used. docs/design/relay.md gives the reasons for each row.
 """
 
 from __future__ import annotations
@@ -47,7 +47,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptObservation:
-    """What was seen of one attempt when it ended.
+    """What was observed of one attempt when it ended.
 
     Attributes:
         wire_result: How far the attempt got.
@@ -144,7 +144,7 @@
     """Judge an attempt at an endpoint of the platform, by the rows of the platform's contract.
 
     Args:
-        observation: What was seen of the attempt.
+        observation: What was observed of the attempt.
         claimed_status: Status in a status line that was followed by a malformed answer. 200 counts even so, and no
             other does.
         slots_exhausted: Whether a 503 said that all slots of this relay were taken.
--- a/linnetstile/engine/connection_scarcity.py
+++ b/linnetstile/engine/connection_scarcity.py
@@ -1,20 +1,20 @@
-"""Whether the endpoints of a kind hold too few connections for all relays that keep one. No I/O and no clock.
+"""Whether the endpoints of a kind accept too few connections for all relays to keep one. No I/O and no clock.
 
-An endpoint that has all the connections it accepts rejects calls on new ones with 503, which as well means above the
-limit, a full queue or shut. Limits and queues reject what comes on reused connections too, and may send a Retry-After:
-where most of what comes on new connections is rejected without one, and hardly anything on reused ones, connections are
-scarce, and each that a relay keeps idle is missing to the others.
+An endpoint with as many connections as it accepts rejects calls on new ones with 503. The same status is sent above a
+rate limit, with a full queue or during an outage, but then on reused connections too, and perhaps with a Retry-After.
+So if most calls on new connections are rejected without a Retry-After, and hardly any on reused ones, connections are
+scarce: one that a relay keeps idle is then not available to the others.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
 
-CALL_WEIGHT = 0.05  # weight of one call: what is known goes by some twenty of each sort
-SCARCITY_ENTRY = 0.6  # part of calls rejected on new connections above which there is a scarcity,
-REUSED_MAX = 0.2  # if no more than this part is rejected on reused ones
-SCARCITY_EXIT = 0.1  # part of calls rejected on new connections below which it has ended
-PRIOR_CALLS = 1.0  # calls that count as accepted before any was made: a single rejection shows nothing
+CALL_WEIGHT = 0.05  # weight of one call: the latest twenty or so of each sort count
+SCARCITY_ENTRY = 0.6  # fraction of calls rejected on new connections above which connections are scarce,
+REUSED_MAX = 0.2  # if less than this fraction is rejected on reused ones
+SCARCITY_EXIT = 0.1  # fraction of calls rejected on new connections at which they no longer are
+PRIOR_CALLS = 1.0  # calls that count as accepted beforehand: a single rejection shows nothing
 
 
 @dataclass(slots=True)
@@ -37,12 +37,12 @@
 
 @dataclass(slots=True)
 class ConnectionScarcity:
-    """What one relay has met at the endpoints of one kind.
+    """Rejections at the endpoints of one kind, and whether connections are scarce.
 
     Attributes:
         new: Rejections on new connections.
         reused: Rejections on reused connections.
-        is_scarce: Whether connections are scarce; entry and exit lie apart.
+        is_scarce: Whether connections are scarce; entered and left at different ratios (hysteresis).
     """
 
     new: RejectionRate = field(default_factory=RejectionRate)
@@ -54,7 +54,7 @@
         if is_reused:
             self.reused.add(is_rejected)
         else:
-            self.new.add(is_rejected and not has_retry_after)  # a Retry-After comes from a limit, not from this
+            self.new.add(is_rejected and not has_retry_after)  # a Retry-After comes from a rate limit
         ratio = self.new.ratio
         if self.is_scarce:
             self.is_scarce = ratio > SCARCITY_EXIT
@@ -62,5 +62,5 @@
             self.is_scarce = ratio > SCARCITY_ENTRY and self.reused.ratio < REUSED_MAX
 
     def explains_rejection(self, is_reused: bool, has_retry_after: bool) -> bool:
-        """Return whether a rejection comes from the scarcity, and says nothing of a limit."""
+        """Return whether a rejection is due to the scarcity, and not to a rate limit."""
         return self.is_scarce and not is_reused and not has_retry_after and self.reused.ratio < REUSED_MAX
--- a/linnetstile/engine/destinations.py
+++ b/linnetstile/engine/destinations.py
@@ -114,7 +114,7 @@
         for route_id, route in list(routes.items()):
             if route.endpoints or route.calls:
                 continue
-            expires_at = idle_routes.binds_until(route, has_endpoints=False, slow_start_ms=self.slow_start_ms)
+            expires_at = idle_routes.needed_until(route, has_endpoints=False, slow_start_ms=self.slow_start_ms)
             if now > expires_at:
                 del routes[route_id]
         if all(route.endpoints for route in routes.values()):
--- a/linnetstile/engine/endpoint_index.py
+++ b/linnetstile/engine/endpoint_index.py
@@ -12,8 +12,8 @@
 class EndpointIndex:
     """The endpoints that take new requests, by id and by destination.
 
-    They take some 48 bytes each, in columns and without an object. A row is an index into the columns; `Endpoint`
-    objects are made as they are asked for.
+    Each takes some 48 bytes in columns, without an object of its own. A row is an index into the columns; `Endpoint`
+    objects are created on demand.
 
     Invariant: a row is either in `free_rows` or in both hash tables.
 
@@ -65,12 +65,12 @@
 
     def _entry(self, row: int) -> Endpoint:
         return Endpoint(
-            self.ids[row],
-            self.destination_ids[row],
-            EndpointStatus.READY,
-            self.kinds[row],
-            self.zones[row],
-            self.rates[row],
+            id=self.ids[row],
+            destination=self.destination_ids[row],
+            status=EndpointStatus.READY,
+            kind=self.kinds[row],
+            zone=self.zones[row],
+            advertised_rate=self.rates[row],
         )
 
     def get(self, endpoint_id: int) -> Endpoint | None:
--- a/linnetstile/engine/idle_routes.py
+++ b/linnetstile/engine/idle_routes.py
@@ -103,7 +103,7 @@
     without_endpoints: set[int]
 
 
-def binds_until(route: RouteState, has_endpoints: bool, slow_start_ms: float) -> float:
+def needed_until(route: RouteState, has_endpoints: bool, slow_start_ms: float) -> float:
     """Return until when a delivery rule may still need the state of a route.
 
     Rules need a Retry-After, a slow start, an outage that goes on (the route may recover at any moment), and a recent
@@ -126,7 +126,7 @@
         return None
     record = b""
     for route_id, route in routes.items():
-        expires_at = binds_until(route, bool(route.endpoints), slow_start_ms)
+        expires_at = needed_until(route, bool(route.endpoints), slow_start_ms)
         if now <= expires_at:
             record += _pack(route_id, route, expires_at)
     return record
--- a/linnetstile/engine/request_rotation.py
+++ b/linnetstile/engine/request_rotation.py
@@ -1,4 +1,4 @@
-"""Requests that wait for capacity: a queue for each claimant, and the claimants are served in rotation."""
+"""Requests that wait for capacity: a queue for each claimant, served round-robin."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class RequestRotation:
-    """Serves the claimants in turns, so that one with a thousand requests is served no more often than one with one.
+    """Serves the claimants round-robin: one with a thousand requests is served no more often than one with one.
 
     A request waits in the queue of its reservation's first leaf. Invariant between calls of `take_leaf` and
     `return_leaf`: the rotation has each leaf with a queue once and no other.
@@ -57,11 +57,11 @@
         return True
 
     def take_leaf(self) -> ShareNode:
-        """Take the leaf whose turn it is out of the rotation, until `return_leaf`."""
+        """Remove the next leaf from the rotation, until `return_leaf`."""
         return self._leaves.popleft()
 
     def return_leaf(self, leaf: ShareNode) -> None:
-        """Put a leaf that was taken to the end of the rotation, if requests of it still wait."""
+        """Put a leaf back at the end of the rotation, if requests of it still wait."""
         if leaf.queue:
             self._leaves.append(leaf)
 
--- a/linnetstile/engine/route_state.py
+++ b/linnetstile/engine/route_state.py
@@ -1,4 +1,4 @@
-"""What a relay remembers of a route that is in use: its endpoints, calls, latency, rate and health.
+"""State of a route that is in use: its endpoints, calls, latency, rate and health.
 
 A destination has one route, or one for each of its endpoints where the settings say so. Each record below is written
 by the module that its docstring names; others only read it.
@@ -13,7 +13,7 @@
 from .pending_message import PendingMessage
 from .time_points import NEVER
 
-EVIDENCE_TTL_MS = 10000.0  # an answer or a failure of longer ago counts no more
+EVIDENCE_TTL_MS = 10000.0  # an older answer or failure is no longer evidence
 
 
 @dataclass(slots=True)
@@ -40,9 +40,9 @@
     Attributes:
         mean_ms: Moving mean of the latency of answers.
         deviation_ms: Moving mean of the deviation from it.
-        answers: Answers seen; the first ones weigh more.
+        answers: Number of answers; the first ones weigh more.
         timeout_multiplier: Factor on the time-out, above 1 while calls time out.
-        mean_call_ms: Moving mean of the time that a call holds its slot, whatever its outcome; 0 = none has ended.
+        mean_call_ms: Moving mean of the time that a call occupies its slot, whatever its outcome; 0 = none has ended.
     """
 
     mean_ms: float
@@ -54,14 +54,14 @@
 
 @dataclass(slots=True)
 class RateState:
-    """Rate of one route; written by `rate_limiter`, and by `slow_start` when a destination is back.
+    """Rate of one route; written by `rate_limiter`, and by `slow_start` when a destination has recovered.
 
     Attributes:
         fleet_rate: Calls a second that all relays together may send.
         own_rate: Calls a second that this relay may send, as learned.
-        tokens: Calls saved up.
+        tokens: Tokens of the bucket: calls that may be sent now.
         tokens_at: When `tokens` was last brought up to date.
-        initial_tokens: Part of a call that a relay starts with where nothing else is saved up; drawn at random.
+        initial_tokens: Random part of one token, which a relay starts with where it should not send a burst.
         is_advertised: Whether `fleet_rate` comes from the list or a load report rather than from a guess.
         answer_counter: Answers of this route.
         throttle_ms: How long the latest rejection throttles the route.
@@ -88,18 +88,18 @@
     """Health of one route; written by `outlier_detection`, `slow_start` and `gossip_import`.
 
     Attributes:
-        last_success_at: The latest answer.
+        last_success_at: Time of the latest answer.
         failure_score: 0 for healthy to 1; rises with each failure and falls with each answer.
-        ejected: Whether the route is taken as down: it gets health checks by single trial calls only.
-        failed_at: The latest failure that no limit explains.
+        ejected: Whether the route is ejected: it gets single trial calls only.
+        failed_at: Time of the latest failure that no rate limit explains.
         last_failure_had_no_effect: Whether the latest failure proved that the message had no effect.
         last_failure_was_connect: Whether the latest failure was a connection that could not be made.
         outage_since: Start of the first call that failed since the last answer; None = no outage.
-        slow_start_since: When the route came back after an outage.
+        slow_start_since: When the route recovered from its latest outage.
         endpoints_left_at: When its last endpoint left the list.
         aware_relays: Relays that may know of the latest outage.
         notified_relays: Relays that learned of it by gossip.
-        from_gossip: Whether its state is what other relays said, until this relay has called it itself.
+        from_gossip: Whether its state was learned by gossip, and this relay has no outcome of its own yet.
         next_trial_at: When an ejected route may get its next trial call.
     """
 
@@ -118,7 +118,7 @@
     next_trial_at: float = 0.0
 
     def start_outage(self, at: float) -> None:
-        """Note that an outage began, unless one lasts already."""
+        """Record that an outage began, unless one goes on already."""
         if self.outage_since is None:
             self.outage_since = at
 
@@ -131,10 +131,10 @@
         info: Its latest entry in the endpoint list.
         route: The route that it belongs to.
         in_flight: Calls that are in flight to it.
-        class_failures: By message class, the latest failure, if no call of that class was answered since.
-        idle_connections: When each idle connection to it was last used.
-        tie_breaker: Drawn at random: which of two equal endpoints is used first.
-        rejected_at: The latest rejection on a new connection, if none was accepted since.
+        class_failures: By message class, the time of the latest failure, if no call of the class was answered since.
+        idle_connections: For each idle connection to it, when it was last used.
+        tie_breaker: A random number: of two equal endpoints the lower one is used.
+        rejected_at: Time of the latest rejection on a new connection, if none was accepted since.
     """
 
     info: Endpoint
@@ -146,7 +146,7 @@
     rejected_at: float = NEVER
 
     def record_connection(self, now: float, outcome: Outcome) -> None:
-        """Note what a call left behind: an idle connection if it was answered; else the others are doubtful too."""
+        """Record an idle connection if a call was answered; if not, no idle connection is trusted any more."""
         if outcome in (Outcome.OK, Outcome.ERROR, Outcome.REJECTED):
             self.idle_connections = [*self.idle_connections, now]
         else:
@@ -162,7 +162,7 @@
         started_at: When it was sent.
         messages: Its messages.
         unresolved: Messages without an outcome.
-        counted: Whether an outcome of it has counted as evidence; all its messages share one fate.
+        counted: Whether an outcome of it has counted as evidence, as only the first one of a call does.
     """
 
     endpoint: EndpointState
@@ -172,7 +172,7 @@
     counted: bool = False
 
     def resolve_one(self) -> bool:
-        """Note the outcome of one message; return whether it is the first, which counts as evidence."""
+        """Record the outcome of one message; return whether it is the first, which counts as evidence."""
         is_first = not self.counted
         self.counted = True
         self.unresolved -= 1
--- a/linnetstile/engine/settings.py
+++ b/linnetstile/engine/settings.py
@@ -29,7 +29,7 @@
 
 
 class RateTrust(Enum):
-    """How far the rates in the endpoint list can be trusted."""
+    """How accurate the rates in the endpoint list are."""
 
     NONE = "none"
     NOMINAL = "nominal"
@@ -50,7 +50,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MessageClass:
-    """What holds for all messages of one class.
+    """Settings of all messages of one class.
 
     Attributes:
         name: The class name that clients send.
@@ -96,7 +96,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DestinationKind:
-    """What holds for all destinations of one kind.
+    """Settings of all destinations of one kind.
 
     Attributes:
         name: The name in the settings.
@@ -114,17 +114,17 @@
 
 @dataclass(frozen=True, slots=True)
 class SafetyLimits:
-    """Figures of the delivery rules, all from the operators' settings.
+    """Limits of the delivery rules, all from the operators' settings.
 
     Attributes:
         answer_slack_ms: Time after the deadline within which a final answer still counts.
         drain_grace_ms: Time for which a call to a draining endpoint is still allowed.
         slow_start_fraction: Capacity of a destination right after an outage, as a part of its full capacity.
         slow_start_ms: Time until it has its full capacity again.
-        overload_multiple: Load above the slow-start capacity, as a multiple, that pushes it over again.
+        overload_multiple: Load, as a multiple of the slow-start capacity, that makes the destination fail again.
         overload_window_ms: Window over which that load is counted.
-        poll_within_ms: Time within which a lost endpoint list has to be asked for again.
-        ordering_pause_ms: Pause of an ordering key after a call whose work may go on at the destination.
+        poll_within_ms: Time within which discovery has to be polled again after a failed poll.
+        ordering_pause_ms: Pause of an ordering key after a call that the destination may still be working on.
     """
 
     answer_slack_ms: float = 0.0
@@ -187,8 +187,8 @@
         tenants: Tenants; a message names one by its index.
         over_quota_value_factor: Factor on the value of a message above its tenant's quota.
         value_decay: How value falls after the latency objective.
-        rate_trust: How far listed rates can be trusted.
-        polls_for_list: Whether the engine has to ask for the endpoint list.
+        rate_trust: How accurate listed rates are.
+        polls_for_list: Whether the engine has to poll for the endpoint list.
         probing: Whether health checks are possible.
         cancelling: Whether calls can be cancelled.
         streams_per_connection: Calls that one connection carries at once.
--- a/linnetstile/engine/slow_start.py
+++ b/linnetstile/engine/slow_start.py
@@ -1,7 +1,7 @@
 """Slow start: the reduced capacity of a destination after an outage, shared by the relays that know of the outage.
 
 All relays that may call a returning destination have to stay within its slow-start budget together. No relay knows how
-many others met the outage, so each estimates that from the calls that the outage made fail.
+many others know of the outage, so each estimates that from the calls that the outage made fail.
 """
 
 from __future__ import annotations
