--- a/linnetstile/engine/deduplication.py
+++ b/linnetstile/engine/deduplication.py
@@ -1,7 +1,7 @@
-"""What a repeated submission of a client is, and which answer it gets.
+"""Deduplication of submissions: what a repeated submission of a client is, and which answer it gets.
 
 A submission is identified by its sender and Message-ID (RFC 4130, 7.2: unique to the sender). While the message is
-open a repeat waits for the same final answer. After an answer that promises nothing more (delivered, failed) a repeat
+open a repeat waits for the same final answer. After a final answer other than a rejection (delivered, failed) a repeat
 gets the stored answer again. After a rejection it is a new submission, as a rejection says that a retry is harmless.
 The same identifier with other content is a conflict: two messages under one key would let a destination drop one as a
 repeat.
@@ -166,7 +166,7 @@
         self._shorten_oldest()
 
     def _shorten_oldest(self) -> None:
-        # Bytes alone never make the table forget early that there was an answer, and which: only its body goes.
+        # Too many bytes never make the table forget an answer early: only its body is dropped.
         while (key := self.complete_answers.pop_over_limit()) is not None:
             submission = self.known[key]
             if submission.answer is not None:
--- a/linnetstile/engine/engine.py
+++ b/linnetstile/engine/engine.py
@@ -67,11 +67,7 @@
         index = EndpointIndex()
         self.rate_limiter = RateLimiter(settings, self.rng, index)
         self.route_factory = RouteFactory(
-            settings,
-            self.rng,
-            queues=self.queues,
-            rate_limiter=self.rate_limiter,
-            fleet_latency=self.fleet_latency,
+            settings, self.rng, queues=self.queues, rate_limiter=self.rate_limiter, fleet_latency=self.fleet_latency
         )
         self.routing_table = RoutingTable(
             settings, index, queued_destinations=self.queues.queues, factory=self.route_factory
@@ -93,8 +89,14 @@
             retry_policy=self.retry_policy,
             rate_limiter=self.rate_limiter,
         )
-        self.scheduler = Scheduler(
-            settings,
+        self.scheduler = self._create_scheduler()
+        self.gossip_importer = self._create_gossip_importer()
+        self.list_poller = ListPoller(settings, self.rng)
+        self._timer_due_at = 0.0
+
+    def _create_scheduler(self) -> Scheduler:
+        return Scheduler(
+            self.settings,
             queues=self.queues,
             routing_table=self.routing_table,
             fleet_latency=self.fleet_latency,
@@ -103,16 +105,16 @@
             outliers=self.outliers,
             connections=self.connections,
         )
-        self.gossip_importer = GossipImporter(
-            settings,
+
+    def _create_gossip_importer(self) -> GossipImporter:
+        return GossipImporter(
+            self.settings,
             routing_table=self.routing_table,
             retry_policy=self.retry_policy,
             rate_limiter=self.rate_limiter,
             outliers=self.outliers,
             connections=self.connections,
         )
-        self.list_poller = ListPoller(settings, self.rng)
-        self._timer_due_at = 0.0
 
     @property
     def routes(self) -> dict[int, dict[int, RouteState]]:
@@ -325,6 +327,6 @@
         fields = self.settings.load_report_fields
         if fields is None or len(event.load_report) <= max(fields):
             return
-        remaining_index, limit_index = fields
+        remaining_index, limit_index = fields  # by position, as settings may hold a plain pair
         report = LoadReport(event.load_report[remaining_index], event.load_report[limit_index])
         self.rate_limiter.record_load_report(route, report)
--- a/linnetstile/engine/graceful_shutdown.py
+++ b/linnetstile/engine/graceful_shutdown.py
@@ -1,7 +1,7 @@
-"""What a relay does between SIGTERM and its exit: serve as before, then stop admitting, then exit.
+"""Phases of a graceful shutdown, from SIGTERM to the exit: serve as before, then stop admitting, then exit.
 
-The platform kills a process 3.7 s after SIGTERM at the soonest and starts the next one only after that, so an early
-exit serves nobody. Pending messages go on in the next process; only attempts in flight would have an unclear outcome.
+The platform kills a process 3.7 s after SIGTERM at the earliest and starts the next one only after that, so an early
+exit has no benefit. The next process recovers pending messages; only attempts in flight have an unclear outcome.
 
 The relay may close an idle connection just as its next request arrives. The client then submits again on a new
 connection, so the relay goes on listening, and rejects, for some time after it has closed the idle ones.
@@ -13,17 +13,17 @@
 
 from dataclasses import dataclass
 
-EXIT_MS = 3550.0  # from SIGTERM to the exit, with the journal closed: before the platform kills
-# Before the exit the relay admits nothing for so long: clients go to other relays, and each request read is answered.
+EXIT_MS = 3550.0  # from SIGTERM to the exit, with the journal closed: before the platform kills the process
+# Time before the exit from which no message is admitted: clients use other relays, and each request read is answered.
 STOP_ADMITTING_MS = 300.0
-# Before the exit it accepts no connection for so long, and requests that are incomplete are rejected.
+# Time before the exit from which no connection is accepted, and requests that are incomplete are rejected.
 STOP_ACCEPTING_MS = 100.0
-UNREAD_GRACE_MS = 50.0  # the exit waits so long for bytes that have arrived and were not read yet
+UNREAD_GRACE_MS = 50.0  # the exit is delayed for so long if bytes have arrived that were not read yet
 
 
 @dataclass(frozen=True, slots=True)
 class ShutdownPhase:
-    """What the relay does at one moment of its shutdown.
+    """What the relay does at one time of its shutdown.
 
     Attributes:
         admits: Messages are admitted. If not, they are rejected, and connections are closed as they become idle.
--- a/linnetstile/engine/linear_hash.py
+++ b/linnetstile/engine/linear_hash.py
@@ -1,9 +1,8 @@
-"""A hash table of row numbers in two arrays: eight bytes a row, and it never grows in one go. No I/O and no clock.
+"""A hash table of row numbers in two arrays: eight bytes a row, and it grows in small steps. No I/O and no clock.
 
-It serves indexes over everything there is, whose rows are kept in arrays elsewhere: a dict of 120,000 integers takes
-some 13 MB, this table 1 MB. Linear hashing (Litwin 1980) splits one chain with each row that is added, so that no step
-costs more than a few rows, however many there are. So clients of a relay never wait while a table of all endpoints is
-rebuilt.
+It serves indexes of all endpoints, whose rows are kept in arrays elsewhere: a dict of 120,000 integers takes some
+13 MB, this table 1 MB. Linear hashing (Litwin 1980) splits one chain with each row that is added, so that no step costs
+more than a few rows, however many there are, and clients never wait while a table of all endpoints is rebuilt.
 """
 
 from __future__ import annotations
--- a/linnetstile/engine/resource_limits.py
+++ b/linnetstile/engine/resource_limits.py
@@ -32,8 +32,8 @@
 NOTICE_BACKOFF_MS = BackoffRange(first_ms=20.0, max_ms=500.0)  # before notices are posted again
 
 # Bounds of memory, disk and input.
-MAX_ENDED_IDS = 20_000  # identifiers of ended messages that are remembered: the same one again is no new message
-# Destinations without an endpoint that stay known: messages for one of them are kept until their deadline.
+MAX_ENDED_IDS = 20_000  # identifiers of ended messages that are remembered, so that a repeat is no new message
+# Destinations without an endpoint that are remembered: messages for one of them stay pending until their deadline.
 MAX_UNLISTED_DESTINATIONS = 20_000
 JOURNAL_OVERHEAD_BYTES = 320  # of a pending message in the journal besides its body: fields and attempts
 MAX_BODY_BYTES = 64 * 1024  # the platform's bound on a body
@@ -48,7 +48,7 @@
 IDLE_DESCRIPTOR_DIVISOR = 4
 MESSAGE_DISK_DIVISOR = 4
 COMPACTION_DISK_DIVISOR = 2
-MAX_BACKOFF_DOUBLINGS = 16  # keeps the power finite; every backoff has reached its maximum before
+MAX_BACKOFF_DOUBLINGS = 16  # bounds the power; every backoff reaches its maximum earlier
 
 
 class SubmissionIds:
--- a/linnetstile/engine/watch_policy.py
+++ b/linnetstile/engine/watch_policy.py
@@ -1,4 +1,4 @@
-"""Which endpoint lists of discovery count, what a watch asks for, and how long it may be silent.
+"""Which endpoint lists of discovery are accepted, what a watch requests, and how long it may be silent.
 
 No I/O and no clock: times (s) come in.
 
@@ -52,12 +52,12 @@
 
 
 class ResumePolicy:
-    """Decides whether the next watch asks for the full list, or resumes from the known version.
+    """Decides whether the next watch requests the full list, or resumes from the known version.
 
-    It asks for the full list at first, after discovery has moved, and after a watch that delivered nothing useful, was
-    unsound, had an older list or ended in the middle of an element: only a full list makes up for whatever such a
-    watch left out. It also does while the full list is small: this costs less than the doubt whether a watch with
-    nothing to deliver leads anywhere.
+    It requests the full list at first, after discovery has moved, and after a watch that delivered nothing useful, was
+    unsound, had an older list or ended in the middle of an element: only a full list makes up for what such a watch may
+    have left out. It also does while the full list is small: that costs less than to find out whether a watch without
+    changes is connected to discovery at all.
 
     Attributes:
         is_current: Whether the known endpoints are what discovery had at the known version. Entered by
@@ -70,7 +70,11 @@
         self.is_small = True
 
     def full_list_read(self, small: bool) -> None:
-        """Record that a full list has been read to its end; `small` if it came in one piece."""
+        """Record that a full list has been read to its end.
+
+        Args:
+            small: Whether it came in one piece.
+        """
         self.is_current = True
         self.is_small = small
 
