--- a/linnetstile/codec/http1/head_parser.py
+++ b/linnetstile/codec/http1/head_parser.py
@@ -117,20 +117,14 @@
     """Require one Host field, or none in HTTP/1.0 (RFC 9112, 3.2)."""
     hosts = headers.get_all("host")
     if len(hosts) != 1 and (version == HTTP_1_1 or hosts):
-        raise Http1Error(400, "not one Host field", field="Host", expected="1 field", found=str(len(hosts)))
+        raise _field_error(400, "not one Host field", "Host", "1 field", hosts)
 
 
 def _has_expectation(headers: Headers) -> bool:
     """Tell whether the request expects `100 Continue`; raise `Http1Error` for another expectation."""
     expectations = headers.tokens("expect")
     if expectations and expectations != [CONTINUE_EXPECTATION]:
-        raise Http1Error(
-            417,
-            "an expectation other than 100-continue",
-            field="Expect",
-            expected=CONTINUE_EXPECTATION,
-            found=", ".join(expectations),
-        )
+        raise _field_error(417, "an expectation other than 100-continue", "Expect", CONTINUE_EXPECTATION, expectations)
     return bool(expectations)
 
 
@@ -158,13 +152,7 @@
     if not lengths:
         return None
     if len(lengths) > 1 or not CONTENT_LENGTH.fullmatch(lengths[0]):
-        raise Http1Error(
-            400,
-            "not one plain Content-Length",
-            field="Content-Length",
-            expected="1 decimal number",
-            found=", ".join(lengths),
-        )
+        raise _field_error(400, "not one plain Content-Length", "Content-Length", "1 decimal number", lengths)
     length = int(lengths[0])
     if length > limits.max_body_bytes:
         raise body_too_long(length, limits)
@@ -174,30 +162,18 @@
 def _check_transfer_encoding(version: HttpVersion, headers: Headers, lengths: list[str]) -> None:
     """Require that a message with Transfer-Encoding is in chunks, without ambiguity."""
     if lengths:
-        raise Http1Error(
-            400,
-            "both Content-Length and Transfer-Encoding",
-            field="Content-Length",
-            expected="no Content-Length beside Transfer-Encoding",
-            found=", ".join(lengths),
-        )
+        text = "both Content-Length and Transfer-Encoding"
+        raise _field_error(400, text, "Content-Length", "no Content-Length beside Transfer-Encoding", lengths)
     codings = headers.tokens("transfer-encoding")
     if version == HTTP_1_0:
-        raise Http1Error(
-            400,
-            "Transfer-Encoding in HTTP/1.0",
-            field="Transfer-Encoding",
-            expected="no Transfer-Encoding",
-            found=", ".join(codings),
-        )
+        raise _field_error(400, "Transfer-Encoding in HTTP/1.0", "Transfer-Encoding", "no Transfer-Encoding", codings)
     if codings != ["chunked"]:
-        raise Http1Error(
-            501,
-            "a transfer coding other than chunked",
-            field="Transfer-Encoding",
-            expected="chunked",
-            found=", ".join(codings),
-        )
+        raise _field_error(501, "a transfer coding other than chunked", "Transfer-Encoding", "chunked", codings)
+
+
+def _field_error(status: int, text: str, field: str, expected: str, found: list[str]) -> Http1Error:
+    """Return the error for the values of a header field."""
+    return Http1Error(status, text, field=field, expected=expected, found=", ".join(found))
 
 
 def body_too_long(size: int, limits: Limits) -> Http1Error:
--- a/linnetstile/codec/http1/input_buffer.py
+++ b/linnetstile/codec/http1/input_buffer.py
@@ -32,13 +32,13 @@
         """Remove and return bytes from the start: as many as there are, but not more than `max_bytes`."""
         data = self.data
         if len(data) <= max_bytes:
-            taken = bytes(data)
+            piece = bytes(data)
             data.clear()
         else:
             with memoryview(data) as view:
-                taken = bytes(view[:max_bytes])
+                piece = bytes(view[:max_bytes])
             del data[:max_bytes]
-        return taken
+        return piece
 
     def take_block(self, max_bytes: int) -> list[bytes] | None:
         """Remove and return the lines up to the next empty line; None while that was not received.
@@ -47,12 +47,13 @@
             Http1Error: The block is longer than `max_bytes`, or has a line end other than CRLF.
         """
         data = self.data
-        end = data.find(END_OF_BLOCK, max(0, self._scanned_bytes - 3))
+        end = data.find(END_OF_BLOCK, max(0, self._scanned_bytes - len(END_OF_BLOCK) + 1))
         if self._has_bare_line_feed(end, max_bytes):
             raise Http1Error(400, "a line feed without a carriage return", expected="CRLF", found="LF")
         self._scanned_bytes = len(data)
-        if (end < 0 and len(data) >= max_bytes) or end + 4 > max_bytes:
-            found_bytes = len(data) if end < 0 else end + 4
+        is_too_long = len(data) >= max_bytes if end < 0 else end + len(END_OF_BLOCK) > max_bytes
+        if is_too_long:
+            found_bytes = len(data) if end < 0 else end + len(END_OF_BLOCK)
             raise Http1Error(
                 431,
                 f"a head of more than {max_bytes} bytes",
@@ -62,7 +63,7 @@
         if end < 0:
             return None
         block = bytes(data[:end])
-        del data[: end + 4]
+        del data[: end + len(END_OF_BLOCK)]
         self._scanned_bytes = 0
         lines = block.split(b"\r\n")
         if block.count(b"\r") != len(lines) - 1:
@@ -73,7 +74,7 @@
         """Tell whether there is a bare line feed before `end`, or in all that was received if `end` is negative."""
         data = self.data
         if end >= 0:
-            stop = min(max_bytes, end + 4)
+            stop = min(max_bytes, end + len(END_OF_BLOCK))
             return data.count(b"\n", 0, stop) != data.count(b"\r\n", 0, stop)
         stop = min(max_bytes, len(data))
         if not BARE_LINE_FEED.search(data, max(0, self._scanned_bytes - 1), stop):
--- a/tests/config/test_files.py
+++ b/tests/config/test_files.py
@@ -86,7 +86,7 @@
         ("a: !!python/object:os.system x", "not YAML"),
     ],
 )
-def test_file_that_holds_no_settings_is_rejected(tmp_path: Path, text: str, expected: str) -> None:
+def test_file_without_settings_is_rejected(tmp_path: Path, text: str, expected: str) -> None:
     with pytest.raises(SettingsError, match=expected):
         load(write(tmp_path, text), RelaySettings)
     (tmp_path / "relay.yaml").write_bytes(b"\xff\xfe")
--- a/tests/net/test_client.py
+++ b/tests/net/test_client.py
@@ -47,12 +47,12 @@
 
 
 def run_scenario(
-    scenario: Callable[[ScriptedPeer, client.ConnectionPool, client.Address], Awaitable[None]], most_idle: int = 100
+    scenario: Callable[[ScriptedPeer, client.ConnectionPool, client.Address], Awaitable[None]], max_idle: int = 100
 ) -> None:
     async def run() -> None:
         peer = ScriptedPeer()
         server = await asyncio.start_server(peer.serve, "127.0.0.1", 0)
-        pool = client.ConnectionPool(finish_at_status_line=True, max_idle=most_idle)
+        pool = client.ConnectionPool(finish_at_status_line=True, max_idle=max_idle)
         host, port = server.sockets[0].getsockname()[:2]
         try:
             await scenario(peer, pool, client.IdentifiedAddress(host, port, 1))
@@ -149,7 +149,7 @@
         pool.close_idle(successor)
         assert pool.idle_count == sum(map(len, pool.idle_connections.by_address.values()))
 
-    run_scenario(scenario, most_idle=2)
+    run_scenario(scenario, max_idle=2)
 
 
 @pytest.mark.parametrize(("connect_delay_s", "result"), [(0.0, WireResult.ANSWERED), (0.6, WireResult.NOT_SENT)])
@@ -189,7 +189,7 @@
 
 
 @pytest.mark.parametrize("last_byte_delay_s", [0.0, 5.0])
-def test_last_byte_that_has_not_left_in_time_is_never_sent(last_byte_delay_s: float) -> None:
+def test_last_byte_that_is_late_is_never_sent(last_byte_delay_s: float) -> None:
     data = (
         REQUEST
         if last_byte_delay_s
@@ -217,7 +217,7 @@
         ("out", WireResult.ANSWERED),
     ],
 )
-def test_cancelled_call_is_not_sent_unless_its_last_byte_has_left(stage: str, result: WireResult) -> None:
+def test_cancelled_call_is_not_sent_unless_its_last_byte_was_sent(stage: str, result: WireResult) -> None:
     data = (
         REQUEST
         if stage != "blocked"
--- a/tests/storage/test_snapshot.py
+++ b/tests/storage/test_snapshot.py
@@ -33,7 +33,7 @@
 @pytest.mark.parametrize(
     ("boot", "wall", "known"), [("another", -60.0, True), ("another", 60.0, False), ("", -60.0, True)]
 )
-def test_age_after_another_boot_is_by_the_wall_clock_unless_that_went_back(
+def test_age_after_another_boot_is_by_the_wall_clock_unless_it_was_set_back(
     tmp_path: Path, boot: str, wall: float, known: bool
 ) -> None:
     header, _, body = snapshot.encode({"a": 1}).partition(b"\n")
