--- a/linnetstile/codec/http1/encoder.py
+++ b/linnetstile/codec/http1/encoder.py
@@ -97,8 +97,8 @@
 def _encode_head(first_line: str, headers: Iterable[tuple[str, str]], content_length: int | None) -> bytes:
     lines = [first_line]
     for name, value in headers:
-        invalid_name = name not in KNOWN_FIELD_NAMES and not is_field_name(name)
-        if invalid_name or not value.isprintable() and FORBIDDEN_IN_VALUE.search(value):
+        valid_name = name in KNOWN_FIELD_NAMES or is_field_name(name)
+        if not valid_name or (not value.isprintable() and FORBIDDEN_IN_VALUE.search(value)):
             # Guards against a message of our own that a value from elsewhere would split in two.
             raise UnsendableMessageError(
                 f"header field {name!r} can't be sent",
@@ -109,4 +109,5 @@
         lines.append(f"{name}: {value}")
     if content_length is not None:
         lines.append(f"Content-Length: {content_length}")
-    return ("\r\n".join(lines) + "\r\n\r\n").encode("latin-1")
+    lines += ("", "")  # the end of the last line, and the empty line
+    return "\r\n".join(lines).encode("latin-1")
--- a/linnetstile/codec/http1/head_parser.py
+++ b/linnetstile/codec/http1/head_parser.py
@@ -61,7 +61,7 @@
     reason = parts[2] if len(parts) > 2 else ""
     version = _parse_version(parts[0])
     headers = parse_fields(field_lines, limits)
-    if FORBIDDEN_IN_VALUE.search(reason):
+    if not reason.isprintable() and FORBIDDEN_IN_VALUE.search(reason):
         raise Http1Error(400, "a control character in the reason", expected="no control character", found=reason)
     return Response(status, reason, version, headers, keep_alive=_persists(version, headers))
 
@@ -122,6 +122,8 @@
 
 def _has_expectation(headers: Headers) -> bool:
     """Tell whether the request expects `100 Continue`; raise `Http1Error` for another expectation."""
+    if "expect" not in headers:
+        return False
     expectations = headers.tokens("expect")
     if expectations and expectations != [CONTINUE_EXPECTATION]:
         raise _field_error(417, "an expectation other than 100-continue", "Expect", CONTINUE_EXPECTATION, expectations)
--- a/linnetstile/codec/http1/input_buffer.py
+++ b/linnetstile/codec/http1/input_buffer.py
@@ -8,6 +8,7 @@
 
 BARE_LINE_FEED = re.compile(rb"(?<!\r)\n")
 END_OF_BLOCK = b"\r\n\r\n"
+END_OF_BLOCK_BYTES = 4
 
 
 class InputBuffer:
@@ -47,13 +48,12 @@
             Http1Error: The block is longer than `max_bytes`, or has a line end other than CRLF.
         """
         data = self.data
-        end = data.find(END_OF_BLOCK, max(0, self._scanned_bytes - len(END_OF_BLOCK) + 1))
+        end = data.find(END_OF_BLOCK, max(0, self._scanned_bytes - END_OF_BLOCK_BYTES + 1))
         if self._has_bare_line_feed(end, max_bytes):
             raise Http1Error(400, "a line feed without a carriage return", expected="CRLF", found="LF")
         self._scanned_bytes = len(data)
-        is_too_long = len(data) >= max_bytes if end < 0 else end + len(END_OF_BLOCK) > max_bytes
-        if is_too_long:
-            found_bytes = len(data) if end < 0 else end + len(END_OF_BLOCK)
+        if (end < 0 and len(data) >= max_bytes) or end + END_OF_BLOCK_BYTES > max_bytes:
+            found_bytes = len(data) if end < 0 else end + END_OF_BLOCK_BYTES
             raise Http1Error(
                 431,
                 f"a head of more than {max_bytes} bytes",
@@ -63,7 +63,7 @@
         if end < 0:
             return None
         block = bytes(data[:end])
-        del data[: end + len(END_OF_BLOCK)]
+        del data[: end + END_OF_BLOCK_BYTES]
         self._scanned_bytes = 0
         lines = block.split(b"\r\n")
         if block.count(b"\r") != len(lines) - 1:
@@ -74,7 +74,7 @@
         """Tell whether there is a bare line feed before `end`, or in all that was received if `end` is negative."""
         data = self.data
         if end >= 0:
-            stop = min(max_bytes, end + len(END_OF_BLOCK))
+            stop = min(max_bytes, end + END_OF_BLOCK_BYTES)
             return data.count(b"\n", 0, stop) != data.count(b"\r\n", 0, stop)
         stop = min(max_bytes, len(data))
         if not BARE_LINE_FEED.search(data, max(0, self._scanned_bytes - 1), stop):
--- a/linnetstile/codec/http1/parser.py
+++ b/linnetstile/codec/http1/parser.py
@@ -15,9 +15,17 @@
 from collections.abc import Callable
 
 from ..headers import Headers
-from . import head_parser
 from .errors import Http1Error
-from .head_parser import CHUNKED
+from .head_parser import (
+    CHUNKED,
+    body_length,
+    body_too_long,
+    is_bodiless,
+    line_too_long,
+    parse_fields,
+    parse_request_head,
+    parse_response_head,
+)
 from .input_buffer import InputBuffer
 from .limits import Limits
 from .messages import Data, EndOfMessage, Event
@@ -149,9 +157,9 @@
             return False
         self._skipped_empty_line = False
         self._total_body_bytes = 0
-        first_line, *field_lines = lines
+        first_line, field_lines = lines[0], lines[1:]
         if len(first_line) > self.limits.max_line_bytes:
-            raise head_parser.line_too_long("first", len(first_line), self.limits)
+            raise line_too_long("first", len(first_line), self.limits)
         if self.client:
             self._status_line_prefix = first_line[:STATUS_LINE_PREFIX_BYTES]
             return self._read_response(first_line.decode("latin-1"), field_lines, events)
@@ -165,21 +173,21 @@
             self._skipped_empty_line = True
 
     def _read_request(self, first_line: str, field_lines: list[bytes], events: list[Event]) -> bool:
-        request = head_parser.parse_request_head(first_line, field_lines, self.limits)
-        length = head_parser.body_length(request.version, request.headers, self.limits)
+        request = parse_request_head(first_line, field_lines, self.limits)
+        length = body_length(request.version, request.headers, self.limits)
         events.append(request)
         return self._begin_body(length or 0)
 
     def _read_response(self, first_line: str, field_lines: list[bytes], events: list[Event]) -> bool:
-        response = head_parser.parse_response_head(first_line, field_lines, self.limits)
+        response = parse_response_head(first_line, field_lines, self.limits)
         if not self.awaited_methods:
             raise Http1Error(400, "a response that nobody asked for", expected="a request first", found=first_line)
         if response.status < LOWEST_FINAL_STATUS:
             self._status_line_prefix = b""
             return True
         method = self.awaited_methods.pop(0)
-        length = head_parser.body_length(response.version, response.headers, self.limits)
-        if head_parser.is_bodiless(method, response.status):
+        length = body_length(response.version, response.headers, self.limits)
+        if is_bodiless(method, response.status):
             length = 0
         if length is None:
             events.append(dataclasses.replace(response, keep_alive=False))
@@ -208,7 +216,7 @@
         """Count bytes of a body whose length is not known beforehand against the limit."""
         self._total_body_bytes += size
         if self._total_body_bytes > self.limits.max_body_bytes:
-            raise head_parser.body_too_long(self._total_body_bytes, self.limits)
+            raise body_too_long(self._total_body_bytes, self.limits)
 
     def _end_message(self, events: list[Event], trailers: Headers) -> bool:
         events.append(EndOfMessage(trailers))
@@ -272,4 +280,4 @@
         if data == b"\r":
             return False
         lines = self._input.take_block(self.limits.max_head_bytes)
-        return lines is not None and self._end_message(events, head_parser.parse_fields(lines, self.limits))
+        return lines is not None and self._end_message(events, parse_fields(lines, self.limits))
--- a/linnetstile/net/request_body.py
+++ b/linnetstile/net/request_body.py
@@ -21,9 +21,11 @@
         self._pieces.append(piece)
         self.size += len(piece)
 
-    def join(self) -> bytes:
-        """Return the complete body; one that was received in one piece is not copied."""
-        return self._pieces[0] if len(self._pieces) == 1 else b"".join(self._pieces)
+    def take(self) -> bytes:
+        """Return the complete body and drop its pieces; one that was received in one piece is not copied."""
+        body = self._pieces[0] if len(self._pieces) == 1 else b"".join(self._pieces)
+        self._pieces.clear()
+        return body
 
     def drop_pieces(self) -> None:
         """Free the memory of the pieces."""
--- a/linnetstile/net/request_input.py
+++ b/linnetstile/net/request_input.py
@@ -30,15 +30,15 @@
         except http1.Http1Error:
             return  # reported by the parser's `error`, after the events before it
 
-    def next_event(self) -> http1.Event | None:
-        """Return the next event without removing it; None while it has not been received."""
+    def take_event(self) -> http1.Event | None:
+        """Remove and return the next event; None while it was not received."""
         if not self._events and self.parser.buffered_bytes and not self.parser.error:
             self.feed(b"")
-        return self._events[0] if self._events else None
+        return self._events.popleft() if self._events else None
 
-    def remove_next_event(self) -> None:
-        """Remove the event that `next_event` has returned."""
-        self._events.popleft()
+    def put_back(self, event: http1.Event) -> None:
+        """Return an event that can't be handled yet: `take_event` returns it again."""
+        self._events.appendleft(event)
 
     def clear_events(self) -> None:
         """Remove the events that have been parsed."""
--- a/linnetstile/net/server_connection.py
+++ b/linnetstile/net/server_connection.py
@@ -35,7 +35,7 @@
         self.server = server
         self.input = RequestInput(server.http_limits)
         self.current_request: RequestContext | None = None
-        self.request_complete = False  # its body has been read to its end
+        self.request_complete = False  # there is a current request, and its body has been read to its end
         self.skipping_body = False  # the current request was answered before its body was read
         self.waiting_for_capacity = False  # its body is not read on before `resume_body`
         self.body = RequestBody()  # of the current request
@@ -121,14 +121,18 @@
         if self.is_lost:  # scheduled before the connection ended: capacity granted now would never be released
             return
         requests_begun = 0
-        while self._can_process and (event := self.input.next_event()):
-            if isinstance(event, http1.Request):
+        while self._can_process and (event := self.input.take_event()):
+            if isinstance(event, http1.Data):
+                self._add_body_data(event.data)
+            elif isinstance(event, http1.EndOfMessage):
+                self._end_request()
+            elif isinstance(event, http1.Request):
                 if requests_begun >= REQUESTS_PER_PASS:
+                    self.input.put_back(event)
                     self.schedule_processing()
                     break
                 requests_begun += 1
-            self.input.remove_next_event()
-            self._handle_event(event)
+                self._begin_request(event)
         error = self.input.parser.error
         if error and not self.input.event_count and not self.finished and not self.response_pending:
             reject_malformed(self, error)
@@ -137,15 +141,13 @@
     @property
     def _can_process(self) -> bool:
         """Whether the next event may be handled now."""
-        return not (self.finished or self.waiting_for_capacity or self.response_pending or self.response_backlogged)
-
-    def _handle_event(self, event: http1.Event) -> None:
-        if isinstance(event, http1.Request):
-            self._begin_request(event)
-        elif isinstance(event, http1.Data):
-            self._add_body_data(event.data)
-        elif isinstance(event, http1.EndOfMessage):
-            self._end_request()
+        # `response_pending` and `response_backlogged`, spelled out because this is asked for each event.
+        return not (
+            self.finished
+            or self.waiting_for_capacity
+            or self.request_complete
+            or (self.write_paused and self.response_backlogged)
+        )
 
     def schedule_processing(self) -> None:
         """Handle what was received in the next pass of the event loop."""
@@ -159,7 +161,7 @@
             return
         pause = (
             self.waiting_for_capacity
-            or self.response_backlogged
+            or (self.write_paused and self.response_backlogged)
             or self.input.waiting_events > self.server.limits.max_pipelined_events
         )
         if pause != self.reading_paused and not self.is_closing:
@@ -231,8 +233,7 @@
             self.skipping_body, self.current_request = False, None
             return
         self.request_complete = True
-        request.body = self.body.join()
-        self.body.drop_pieces()
+        request.body = self.body.take()
         self.server.handler(request)
 
     # -- state -------------------------------------------------------------------------------------------
@@ -245,7 +246,7 @@
     @property
     def response_pending(self) -> bool:
         """Whether the current request is complete and waits for its response."""
-        return self.current_request is not None and self.request_complete
+        return self.request_complete and self.current_request is not None
 
     @property
     def phase(self) -> ConnectionPhase:
--- a/tests/net/test_request_input.py
+++ b/tests/net/test_request_input.py
@@ -10,9 +10,8 @@
 
 def take_events(requests: RequestInput) -> list[http1.Event]:
     events = []
-    while event := requests.next_event():
+    while event := requests.take_event():
         events.append(event)
-        requests.remove_next_event()
     return events
 
 
