--- a/linnetstile/__init__.py
+++ b/linnetstile/__init__.py
@@ -1,8 +1,8 @@
-"""linnetstile: a delivery service for messages to destinations it does not control.
+"""linnetstile: a delivery service for messages to destinations that it does not control.
 
-The names here are the public face of the decision module, for those who embed it: feed a `Relay` events with
-`handle`, carry out the actions that it returns. It needs the standard library only. The programs are started
-with the command `linnetstile`.
+The names here are the public interface of the decision engine, for programs that embed it: pass events to
+`DeliveryEngine.handle` and carry out the actions that it returns. The engine needs the standard library only. The
+programs of the package are started with the command `linnetstile`.
 """
 
 from .engine.actions import Action, Cancel, CloseIdle, Fail, HealthCheck, Log, Reject, Send, SetTimer, WatchEndpoints
@@ -24,6 +24,7 @@
     DeduplicationScope,
     DestinationKind,
     Effect,
+    LoadReportFields,
     MessageClass,
     RateTrust,
     SafetyLimits,
@@ -50,6 +51,7 @@
     "HealthCheck",
     "HealthCheckEnded",
     "ListKind",
+    "LoadReportFields",
     "Log",
     "Message",
     "MessageClass",
