--- a/linnetstile/engine/endpoint_selection.py
+++ b/linnetstile/engine/endpoint_selection.py
@@ -56,7 +56,9 @@
         return min(usable, key=lambda endpoint: self._cost(now, class_index, endpoint, is_scarce))
 
     def _cost(self, now: float, class_index: int, endpoint: EndpointState, is_scarce: bool) -> EndpointCost:
-        self._drop_expired_connections(now, endpoint)
+        # The endpoint may have closed connections that were idle for longer.
+        reusable_ms = self.settings.idle_timeout_ms * IDLE_REUSE_FRACTION
+        endpoint.idle_connections = [used_at for used_at in endpoint.idle_connections if now - used_at < reusable_ms]
         failing_classes = [index for index, at in endpoint.class_failures.items() if now - at < EVIDENCE_TTL_MS]
         was_rejected_lately = now - endpoint.rejected_at < RECENT_REJECTION_MS
         fee = self._fee(endpoint.info.zone)
@@ -67,11 +69,6 @@
         cost += FEE_COST * (fee > 0)
         return EndpointCost(cost, fee, endpoint.tie_breaker)
 
-    def _drop_expired_connections(self, now: float, endpoint: EndpointState) -> None:
-        """Forget idle connections that the endpoint may have closed by now."""
-        reusable_ms = self.settings.idle_timeout_ms * IDLE_REUSE_FRACTION
-        endpoint.idle_connections = [used_at for used_at in endpoint.idle_connections if now - used_at < reusable_ms]
-
     def _fee(self, zone: int) -> float:
         """Return the fee of a call into a zone."""
         settings = self.settings
--- a/linnetstile/engine/latency.py
+++ b/linnetstile/engine/latency.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 from dataclasses import dataclass
-from typing import NamedTuple
 
 from .route_state import LatencyEstimate
 
@@ -18,27 +17,13 @@
 CALL_TIME_GAIN = 0.15  # weight of one call in the mean time that calls hold a slot
 
 
-class MeanAndDeviation(NamedTuple):
-    """A moving mean, and the moving mean of the absolute deviation from it."""
-
-    mean: float
-    deviation: float
-
-    def updated(self, value: float, gain: float) -> MeanAndDeviation:
-        """Return both after one more value that weighs `gain`."""
-        return MeanAndDeviation(
-            self.mean + gain * (value - self.mean),
-            self.deviation + gain * (abs(value - self.mean) - self.deviation),
-        )
-
-
 def record_answer(estimate: LatencyEstimate, latency_ms: float) -> None:
     """Count one answer; it resets the multiplier of the time-out."""
     estimate.answers += 1
     gain = max(MIN_ROUTE_GAIN, 1 / (estimate.answers + 1))
-    updated = MeanAndDeviation(estimate.mean_ms, estimate.deviation_ms).updated(latency_ms, gain)
-    estimate.mean_ms = updated.mean
-    estimate.deviation_ms = updated.deviation
+    deviation_ms = abs(latency_ms - estimate.mean_ms)
+    estimate.mean_ms += gain * (latency_ms - estimate.mean_ms)
+    estimate.deviation_ms += gain * (deviation_ms - estimate.deviation_ms)
     estimate.timeout_multiplier = 1.0
 
 
@@ -79,7 +64,7 @@
 
     def record_answer(self, latency_ms: float, tick_ms: float) -> None:
         """Count one answer; latencies below the clock's tick count as one tick."""
-        updated = MeanAndDeviation(self.mean_ms, self.deviation_ms).updated(latency_ms, FLEET_GAIN)
-        self.mean_ms = updated.mean
-        self.deviation_ms = updated.deviation
+        deviation_ms = abs(latency_ms - self.mean_ms)
+        self.mean_ms += FLEET_GAIN * (latency_ms - self.mean_ms)
+        self.deviation_ms += FLEET_GAIN * (deviation_ms - self.deviation_ms)
         self.mean_inverse += FLEET_GAIN * (1 / max(latency_ms, tick_ms) - self.mean_inverse)
--- a/linnetstile/engine/route_state.py
+++ b/linnetstile/engine/route_state.py
@@ -148,7 +148,7 @@
     def record_connection(self, now: float, outcome: Outcome) -> None:
         """Record an idle connection if a call was answered; if not, no idle connection is trusted any more."""
         if outcome in (Outcome.OK, Outcome.ERROR, Outcome.REJECTED):
-            self.idle_connections = [*self.idle_connections, now]
+            self.idle_connections.append(now)
         else:
             self.idle_connections = []
 
--- a/linnetstile/engine/scheduler.py
+++ b/linnetstile/engine/scheduler.py
@@ -89,11 +89,12 @@
 
     def dispatch(self, now: float, actions: list[Action]) -> None:
         """Send the messages with most value per slot time while there are free slots; only due queues are read."""
-        if not self._has_free_slot():
+        max_in_flight = self.settings.max_in_flight
+        if self.in_flight >= max_in_flight:
             return
         candidates: dict[int, Candidate] = {}
         due = self.queues.due_destinations(now)
-        while self._has_free_slot():
+        while self.in_flight < max_in_flight:
             self._pick_candidates(now, due, candidates)
             if not candidates:
                 return
@@ -102,9 +103,6 @@
             self._send(now, best.pending, best.endpoint, actions)
             due = [destination]  # only its queue has changed
 
-    def _has_free_slot(self) -> bool:
-        return self.in_flight < self.settings.max_in_flight
-
     def _pick_candidates(self, now: float, destinations: list[int], candidates: dict[int, Candidate]) -> None:
         """Add the candidate of each of these destinations to `candidates`, if it has one."""
         for destination in destinations:
@@ -167,14 +165,13 @@
 
     def _allowed_at(self, pending: PendingMessage, route: RouteState, schedule: RouteSchedule) -> float:
         """Return from when a message may be sent to a route."""
+        allowed_at = max(pending.not_before, route.retry_after_until)
         # The rate is an estimate: it may be exceeded if the client will not wait, or others wait for this message.
-        is_urgent = pending.expires_early or self.queues.blocks_successor(pending)
-        allowed_at = max(
-            pending.not_before,
-            route.retry_after_until,
-            schedule.urgent_at if is_urgent else schedule.paced_at,
-            self.retry_policy.ordering_allowed_at(pending),
-        )
+        is_urgent = pending.expires_early
+        if pending.ordering_key:
+            allowed_at = max(allowed_at, self.retry_policy.ordering_allowed_at(pending))
+            is_urgent = is_urgent or self.queues.blocks_successor(pending)
+        allowed_at = max(allowed_at, schedule.urgent_at if is_urgent else schedule.paced_at)
         if pending.message_class.effect is Effect.NON_IDEMPOTENT:  # an unclear outcome would be its final one
             return max(allowed_at, schedule.non_idempotent_at)
         return allowed_at
