--- a/linnetstile/engine/scheduler.py
+++ b/linnetstile/engine/scheduler.py
@@ -165,13 +165,14 @@
 
     def _allowed_at(self, pending: PendingMessage, route: RouteState, schedule: RouteSchedule) -> float:
         """Return from when a message may be sent to a route."""
-        allowed_at = max(pending.not_before, route.retry_after_until)
+        ordering_allowed_at = 0.0
         # The rate is an estimate: it may be exceeded if the client will not wait, or others wait for this message.
         is_urgent = pending.expires_early
         if pending.ordering_key:
-            allowed_at = max(allowed_at, self.retry_policy.ordering_allowed_at(pending))
+            ordering_allowed_at = self.retry_policy.ordering_allowed_at(pending)
             is_urgent = is_urgent or self.queues.blocks_successor(pending)
-        allowed_at = max(allowed_at, schedule.urgent_at if is_urgent else schedule.paced_at)
+        rate_allowed_at = schedule.urgent_at if is_urgent else schedule.paced_at
+        allowed_at = max(pending.not_before, route.retry_after_until, rate_allowed_at, ordering_allowed_at)
         if pending.message_class.effect is Effect.NON_IDEMPOTENT:  # an unclear outcome would be its final one
             return max(allowed_at, schedule.non_idempotent_at)
         return allowed_at
