--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from linnetstile import simulator_adapter
+from linnetstile import simulator_adapter, simulator_wire
 from linnetstile.engine.actions import (
     Action,
     Cancel,
@@ -103,9 +103,7 @@
 
 def endpoint_list() -> bytes:
     """Return the record of a list with two ready endpoints of one destination."""
-    rows = [
-        simulator_adapter.ENDPOINT.pack(1, 8.0, 0.0, 0, 0, DESTINATION, endpoint_id) for endpoint_id in ENDPOINT_IDS
-    ]
+    rows = [simulator_wire.ENDPOINT.pack(1, 8.0, 0.0, 0, 0, DESTINATION, endpoint_id) for endpoint_id in ENDPOINT_IDS]
     return record(ENDPOINTS_CODE, struct.pack("<BI", LIST_NUMBER, len(rows)) + b"".join(rows))
 
 
@@ -159,9 +157,9 @@
     header = "00" + "02000000"
     first_row = "01" + "0000803f00000000000000000000003900074a1203"
     second_row = "01" + "0000c03f0000000000d4b7400000003900f211902c"
-    adapter._take(simulator_adapter.Record(ENDPOINTS_CODE, bytes.fromhex(header + first_row + second_row)), events)
+    adapter._take(simulator_wire.Record(ENDPOINTS_CODE, bytes.fromhex(header + first_row + second_row)), events)
     change = bytes.fromhex("0300000002290000000000000000")
-    adapter._take(simulator_adapter.Record(LIST_CHANGED_CODE, change), events)
+    adapter._take(simulator_wire.Record(LIST_CHANGED_CODE, change), events)
     entries = (
         Endpoint(0x03124A07, 57, EndpointStatus.READY, 0, 0, 1.0),
         Endpoint(0x2C9011F2, 57, EndpointStatus.READY, 0, 0, 1.5),
@@ -186,12 +184,12 @@
     ],
 )
 def test_documented_action_is_encoded(action: Action, wire: str) -> None:
-    assert simulator_adapter.encode(INSTANCE, action) == bytes.fromhex(wire)
+    assert simulator_wire.encode(INSTANCE, action) == bytes.fromhex(wire)
 
 
 def test_documented_log_line_is_encoded() -> None:
     wire = "5a1700000005000000110074776f2073657276657273206b6e6f776e"
-    assert simulator_adapter.encode(5, Log("two servers known")).hex() == wire
+    assert simulator_wire.encode(5, Log("two servers known")).hex() == wire
 
 
 # -- conversations with a child process ----------------------------------------------------------------------
@@ -214,7 +212,7 @@
     )
 
 
-def decode_replies(data: bytes) -> list[list[simulator_adapter.Record]]:
+def decode_replies(data: bytes) -> list[list[simulator_wire.Record]]:
     """Return the records of each reply."""
     replies, position = [], 0
     while position < len(data):
