--- a/linnetstile/testbed/message_rules.py
+++ b/linnetstile/testbed/message_rules.py
@@ -1,4 +1,4 @@
-"""The rules about messages: answers, effects, attempts at once, order."""
+"""The rules about messages: answers, effects, concurrent attempts, order."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from .verdict import Verdict
 
 CLIENT_SLACK_MS = 250.0  # a client's own delay in reading an answer, on a machine that runs the whole fleet
-ANSWERS_WITHOUT_PROMISE = ("refused", "conflict")  # a later answer may differ from these
+PROVISIONAL_ANSWERS = ("refused", "conflict")  # a later answer may differ from these
 VALID_RECEIPTS = (
     "none",
     ReceiptStatus.POSITIVE.value,
@@ -35,17 +35,17 @@
         self._messages_with_effect = {message.message_id for message in traffic.effects}
 
     def check(self) -> Verdict:
-        """Look at each submission."""
+        """Check each submission."""
         for submission in self._traffic.submissions.values():
             self._verdict.looked_at += 1
             ends = self._traffic.ends.get(submission.submission, [])
-            first = ends[0] if ends else None
-            if first is None or isinstance(first, SubmissionLost):
-                self._check_missing(submission, first)
+            first_end = ends[0] if ends else None
+            if first_end is None or isinstance(first_end, SubmissionLost):
+                self._check_missing(submission, first_end)
                 continue
             self._check_number_and_time(submission, ends)
-            if first.kind not in ANSWERS_WITHOUT_PROMISE:
-                self._check_answer(submission, first)
+            if first_end.kind not in PROVISIONAL_ANSWERS:
+                self._check_answer(submission, first_end)
         return self._verdict
 
     def _limit_ms(self, submission: MessageSubmitted) -> float:
@@ -57,41 +57,46 @@
         end_ms = lost.at_ms if lost else submission.at_ms + self._limit_ms(submission)
         processes = self._traffic.facts.processes
         if not processes.was_killed(submission.relay, submission.at_ms, end_ms):
-            how = f"connection {lost.wire_result}" if lost else "none"
-            self._verdict.breach(f"{submission.message_id} handed to {submission.relay}: no final answer ({how})")
+            end = f"connection {lost.wire_result}" if lost else "none"
+            self._verdict.breach(f"{_label(submission)}: no final answer ({end})")
 
     def _check_number_and_time(self, submission: MessageSubmitted, ends: list[SubmissionEnd]) -> None:
-        what = f"{submission.message_id} handed to {submission.relay}"
         if len(ends) > 1 and not submission.answer_by:
-            self._verdict.breach(f"{what}: {len(ends)} final answers")
+            self._verdict.breach(f"{_label(submission)}: {len(ends)} final answers")
         limit_ms = self._limit_ms(submission)
         latency_ms = ends[0].at_ms - submission.at_ms
         if latency_ms > limit_ms:
-            self._verdict.breach(f"{what}: answered {latency_ms - limit_ms:.0f} ms too late")
+            self._verdict.breach(f"{_label(submission)}: answered {latency_ms - limit_ms:.0f} ms too late")
 
     def _check_answer(self, submission: MessageSubmitted, answer: SubmissionAnswered) -> None:
         message_id = submission.message_id
         first = self._first_answers.setdefault(self._traffic.message_at_process(submission), answer)
         if (first.kind, first.digest) != (answer.kind, answer.digest):
-            self._verdict.breach(f"{message_id} handed to {submission.relay} again: {answer.kind} after {first.kind}")
+            self._verdict.breach(f"{_label(submission)} again: {answer.kind} after {first.kind}")
         if answer.receipt not in VALID_RECEIPTS:
             self._verdict.breach(f"{message_id}: the receipt handed on is {answer.receipt}")
         if answer.kind == "delivered" and message_id not in self._messages_with_effect:
             self._verdict.breach(f"{message_id}: delivered, but no partner's ledger has it")
 
 
+def _label(submission: MessageSubmitted) -> str:
+    """Return how a finding names a submission."""
+    return f"{submission.message_id} handed to {submission.relay}"
+
+
 # -- effects -------------------------------------------------------------------------------------------------
 
 
 class EffectRule:
-    """Nothing takes effect twice, and nothing is repeated or refused that may have run."""
+    """No message takes effect twice, and none that may have run is retried or rejected."""
 
     def __init__(self, traffic: RecordedTraffic) -> None:
         self._traffic = traffic
         self._verdict = Verdict("effects", "no effect twice, nothing repeated or refused that may have run")
-        self._refused_at_ms = self._refusals()
+        self._rejected_at_ms = self._find_rejections()
 
-    def _refusals(self) -> dict[MessageAtProcess, float]:
+    def _find_rejections(self) -> dict[MessageAtProcess, float]:
+        """Return when each rejected message was rejected."""
         submissions = self._traffic.submissions
         return {
             self._traffic.message_at_process(submissions[identifier]): ends[0].at_ms
@@ -100,7 +105,7 @@
         }
 
     def check(self) -> Verdict:
-        """Look at each message at each relay process."""
+        """Check each message at each relay process."""
         for message, attempts in self._traffic.attempts.items():
             self._verdict.looked_at += 1
             message_class = self._traffic.class_of(message.message_id)
@@ -114,30 +119,30 @@
         effects = len(self._traffic.effects.get(message, []))
         if effects > 1:
             self._verdict.breach(f"{message.message_id}: took effect {effects} times by {message.process}")
-        unclear = [attempt for attempt in attempts if not attempt.proves_no_effect]
+        may_have_run = [attempt for attempt in attempts if not attempt.proves_no_effect]
         for attempt in attempts:
-            self._check_repeat(message, attempt, unclear, message_class)
-        # A refusal promises that coming again is harmless: only after attempts that are known not to have run.
-        refused_at_ms = self._refused_at_ms.get(message)
-        if refused_at_ms is not None and any(attempt.start_ms < refused_at_ms for attempt in unclear):
+            self._check_retry(message, attempt, may_have_run, message_class)
+        # A rejection promises that a retry is harmless: every attempt before it must be known not to have run.
+        rejected_at_ms = self._rejected_at_ms.get(message)
+        if rejected_at_ms is not None and any(attempt.start_ms < rejected_at_ms for attempt in may_have_run):
             self._verdict.breach(f"{message.message_id}: {message.process} refused it though it may have run")
 
-    def _check_repeat(
+    def _check_retry(
         self,
         message: MessageAtProcess,
         attempt: AttemptRecord,
-        unclear: list[AttemptRecord],
+        may_have_run: list[AttemptRecord],
         message_class: MessageClass,
     ) -> None:
-        earlier = [other for other in unclear if other.start_ms < attempt.start_ms]
+        earlier = [other for other in may_have_run if other.start_ms < attempt.start_ms]
         if not earlier:
             return
-        what = f"{message.message_id}: {message.process} sent it again"
+        label = f"{message.message_id}: {message.process} sent it again"
         since_first_ms = attempt.start_ms - earlier[0].start_ms
         if message_class.effect is Effect.NON_IDEMPOTENT:
-            self._verdict.breach(f"{what} though it may have run")
+            self._verdict.breach(f"{label} though it may have run")
         elif since_first_ms > message_class.deduplication_window_ms + TRANSIT_MS:
-            self._verdict.breach(f"{what} {since_first_ms:.0f} ms after the first risk")
+            self._verdict.breach(f"{label} {since_first_ms:.0f} ms after the first risk")
 
 
 # -- attempts ------------------------------------------------------------------------------------------------
@@ -154,14 +159,15 @@
                     f"{message.message_id}: {message.process} had two attempts out, "
                     f"at {earlier.endpoint} and {later.endpoint}"
                 )
-        # A refused message comes again as a new one, with its own attempts.
-        rounds = max(1, traffic.submission_counts[message.message_id])
-        if len(attempts) > traffic.facts.max_attempts * rounds:
+        # A rejected message is submitted again as a new one, with its own attempts.
+        submission_count = max(1, traffic.submission_counts[message.message_id])
+        if len(attempts) > traffic.facts.max_attempts * submission_count:
             verdict.breach(f"{message.message_id}: {message.process} made {len(attempts)} attempts")
     return verdict
 
 
 def _overlaps(earlier: AttemptRecord, later: AttemptRecord) -> bool:
+    # A partner that reads slowly sees the end of a call late.
     is_end_unseen = earlier.reads_slowly and not earlier.status
     return later.start_ms < earlier.end_ms - TRANSIT_MS and not is_end_unseen
 
@@ -170,7 +176,7 @@
 
 
 def check_order(traffic: RecordedTraffic) -> Verdict:
-    """Check that a message of an ordered class is sent after the end of the one before it."""
+    """Check that each message of an ordered class is sent after the end of its predecessor."""
     verdict = Verdict("order", "order is kept where a class asks for it")
     for process, submissions in _ordered_submissions(traffic):
         for earlier, later in pairwise(submissions):
@@ -200,5 +206,6 @@
     sent = [attempt for attempt in attempts if attempt.start_ms >= later.at_ms]
     if not ends or not sent:
         return False
-    has_order = earlier.at_ms + TRANSIT_MS < later.at_ms
-    return has_order and sent[0].start_ms < ends[0].at_ms - TRANSIT_MS
+    # Submissions that are closer than the transit time may have arrived in either order.
+    is_order_certain = earlier.at_ms + TRANSIT_MS < later.at_ms
+    return is_order_certain and sent[0].start_ms < ends[0].at_ms - TRANSIT_MS
--- a/linnetstile/testbed/play.py
+++ b/linnetstile/testbed/play.py
@@ -64,8 +64,8 @@
         self._report_start(clients.ready["messages"])
         await self._play_script(clients)
         await self._relays.stop()
-        await self._processes.end(partners, ProcessEnd.STOPPED)
-        await self._processes.end(registry, ProcessEnd.STOPPED)
+        await self._processes.stop(partners, ProcessEnd.STOPPED)
+        await self._processes.stop(registry, ProcessEnd.STOPPED)
 
     async def _start_emulator(self, name: str, kind: str, settings: Path) -> ManagedProcess:
         return await self._processes.start(name, "standin", kind, str(settings))
--- a/linnetstile/testbed/processes.py
+++ b/linnetstile/testbed/processes.py
@@ -1,4 +1,4 @@
-"""The child processes of a run: started, asked for their ready line, ended."""
+"""Starts, supervises and stops the child processes of a run."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from .relay_lifetime import ProcessEnd, RelayLifetime
 
 READY_TIMEOUT_S = 20.0  # how long a process may take to print its ready line
-END_TIMEOUT_S = 30.0
+EXIT_TIMEOUT_S = 30.0  # how long a process may take to exit after its signal
 LOG_TAIL_CHARACTERS = 400  # of the log that an error message quotes
 
 
@@ -44,8 +44,8 @@
         return str(self.ready["listening"])
 
     @property
-    def has_ended(self) -> bool:
-        """Whether the process is gone."""
+    def has_exited(self) -> bool:
+        """Whether the process has exited."""
         return self.child.returncode is not None
 
 
@@ -53,7 +53,7 @@
     """All child processes of a run, and when each of them ran.
 
     Attributes:
-        lifetimes: The processes by name, in the order of their starts.
+        lifetimes: For each name its processes, in the order of their starts.
     """
 
     def __init__(self, folder: Path) -> None:
@@ -71,8 +71,15 @@
         Raises:
             PlayError: It did not print one in time.
         """
+        process = ManagedProcess(name, await self._spawn(name, arguments))
+        self._running.append(process)
+        process.ready = await self._read_ready_line(process)
+        self.lifetimes.setdefault(name, []).append(RelayLifetime(now_ms()))
+        return process
+
+    async def _spawn(self, name: str, arguments: tuple[str, ...]) -> asyncio.subprocess.Process:
         with self.log_file(name).open("ab") as log:
-            child = await asyncio.create_subprocess_exec(
+            return await asyncio.create_subprocess_exec(
                 sys.executable,
                 "-m",
                 "linnetstile.cli.main",
@@ -81,11 +88,6 @@
                 stdout=asyncio.subprocess.PIPE,
                 stderr=log,
             )
-        process = ManagedProcess(name, child)
-        self._running.append(process)
-        process.ready = await self._read_ready_line(process)
-        self.lifetimes.setdefault(name, []).append(RelayLifetime(now_ms()))
-        return process
 
     async def _read_ready_line(self, process: ManagedProcess) -> dict[str, Any]:
         assert process.child.stdout is not None
@@ -98,31 +100,36 @@
         return ready
 
     def check_running(self, process: ManagedProcess) -> None:
-        """Raise if a process ended by itself.
+        """Check that a process has not exited by itself.
 
         Raises:
-            PlayError: It did.
+            PlayError: It has.
         """
-        if process.has_ended:
+        if process.has_exited:
             raise PlayError(f"{process.name} ended by itself; see {self.log_file(process.name)}")
 
-    async def end(self, process: ManagedProcess, how: ProcessEnd) -> None:
-        """End a process of this run by its own handle, and wait until it is gone.
+    async def stop(self, process: ManagedProcess, end: ProcessEnd) -> None:
+        """Signal a process of this run by its own handle, and wait until it has exited.
 
-        Its lifetime ends once it is gone, not with the signal: on a busy machine a killed process may still accept
+        Its lifetime ends with its exit, not with the signal: on a busy machine a killed process may still accept
         connections for some 100 ms.
+
+        Args:
+            process: The process.
+            end: `KILLED` sends SIGKILL, anything else SIGTERM; recorded in the lifetime.
         """
-        if not process.has_ended:
+        if not process.has_exited:
+            signal_number = signal.SIGKILL if end is ProcessEnd.KILLED else signal.SIGTERM
             with contextlib.suppress(ProcessLookupError):
-                process.child.send_signal(signal.SIGKILL if how is ProcessEnd.KILLED else signal.SIGTERM)
+                process.child.send_signal(signal_number)
         with contextlib.suppress(TimeoutError):
-            await asyncio.wait_for(process.child.wait(), END_TIMEOUT_S)
+            await asyncio.wait_for(process.child.wait(), EXIT_TIMEOUT_S)
         if lifetimes := self.lifetimes.get(process.name):
-            lifetimes[-1] = replace(lifetimes[-1], end_ms=now_ms(), end=how)
+            lifetimes[-1] = replace(lifetimes[-1], end_ms=now_ms(), end=end)
         if process in self._running:
             self._running.remove(process)
 
     async def kill_all(self) -> None:
-        """Kill what still runs."""
+        """Kill the processes that still run."""
         for process in list(self._running):
-            await self.end(process, ProcessEnd.KILLED)
+            await self.stop(process, ProcessEnd.KILLED)
--- a/linnetstile/testbed/relay_fleet.py
+++ b/linnetstile/testbed/relay_fleet.py
@@ -80,7 +80,7 @@
         name = _relay_name(number)
         await asyncio.sleep(max(0.0, (start_ms - now_ms()) / 1000 + at_s))
         self._report(f"{at_s:6.1f} s  {name} is killed")
-        await self._processes.end(self.relays[number], ProcessEnd.KILLED)
+        await self._processes.stop(self.relays[number], ProcessEnd.KILLED)
         await asyncio.sleep(down_s)
         self.relays[number] = await self._start_relay(number)
         self._report(f"{(now_ms() - start_ms) / 1000:6.1f} s  {name} is back")
@@ -94,4 +94,4 @@
         """Stop the relays one after the other; raise `PlayError` at one that ended by itself."""
         for relay in list(self.relays.values()):
             self._processes.check_running(relay)
-            await self._processes.end(relay, ProcessEnd.STOPPED)
+            await self._processes.stop(relay, ProcessEnd.STOPPED)
--- a/linnetstile/testbed/relay_lifetime.py
+++ b/linnetstile/testbed/relay_lifetime.py
@@ -1,4 +1,4 @@
-"""From when to when a process of a relay ran, and how it ended."""
+"""The lifetime of each relay process of a run: its start, its exit, and whether it was killed."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from enum import Enum
 from typing import Any, Self
 
-KILL_NOTICE_MS = 2000  # a relay killed so soon after a submission should have ended may be why it has no answer
+KILL_DETECTION_MS = 2000  # a kill so soon after the answer was due can explain that there is none
 
 
 class ProcessEnd(Enum):
@@ -22,19 +22,26 @@
 
 @dataclass(frozen=True, slots=True)
 class RelayLifetime:
-    """One process of a relay, in ms of the clock of the run: from its ready line until it is gone."""
+    """One process of a relay.
+
+    Attributes:
+        start_ms: When it printed its ready line, on the clock of the run.
+        end_ms: When it had exited; infinite while it runs.
+        end: How it ended.
+    """
 
     start_ms: float
     end_ms: float = math.inf
     end: ProcessEnd = ProcessEnd.RUNNING
 
     def to_json(self) -> list[Any]:
-        """Return it as `run.json` has it: start, end or null, how it ended."""
-        return [self.start_ms, None if self.end_ms == math.inf else self.end_ms, self.end.value]
+        """Return its row in `run.json`: start, end or null, how it ended."""
+        end_ms = None if self.end_ms == math.inf else self.end_ms
+        return [self.start_ms, end_ms, self.end.value]
 
     @classmethod
     def from_json(cls, row: list[Any]) -> Self:
-        """Read it back from `run.json`."""
+        """Create it from its row in `run.json`."""
         start_ms, end_ms, end = row
         return cls(start_ms, math.inf if end_ms is None else end_ms, ProcessEnd(end))
 
@@ -48,16 +55,16 @@
     @classmethod
     def from_json(cls, rows: Mapping[str, list[list[Any]]]) -> Self:
         """Read the processes from `run.json`."""
-        return cls({relay: [RelayLifetime.from_json(row) for row in lives] for relay, lives in rows.items()})
+        return cls({relay: [RelayLifetime.from_json(row) for row in relay_rows] for relay, relay_rows in rows.items()})
 
     def process_at(self, relay: str, at_ms: float) -> str:
-        """Return the name of a relay's process at a time: its memory ends with it."""
+        """Return the name of the process of a relay at a time; no process has the memory of an earlier one."""
         starts = [lifetime.start_ms for lifetime in self._lifetimes.get(relay, [])]
         return f"{relay}#{bisect.bisect_right(starts, at_ms)}"
 
     def was_killed(self, relay: str, start_ms: float, end_ms: float) -> bool:
-        """Whether a killed process of a relay was gone within a time, or shortly after."""
+        """Whether a process of a relay was killed within an interval, or shortly after it."""
         return any(
-            lifetime.end is ProcessEnd.KILLED and start_ms <= lifetime.end_ms <= end_ms + KILL_NOTICE_MS
+            lifetime.end is ProcessEnd.KILLED and start_ms <= lifetime.end_ms <= end_ms + KILL_DETECTION_MS
             for lifetime in self._lifetimes.get(relay, [])
         )
--- a/tests/testbed/test_processes.py
+++ b/tests/testbed/test_processes.py
@@ -30,7 +30,7 @@
         group = ProcessGroup(tmp_path)
         group.lifetimes["r1"] = [RelayLifetime(start_ms=now_ms())]
         signalled_at_ms = now_ms()
-        await group.end(ManagedProcess("r1", child), ProcessEnd.STOPPED)
+        await group.stop(ManagedProcess("r1", child), ProcessEnd.STOPPED)
         return signalled_at_ms, group.lifetimes["r1"][-1]
 
     signalled_at_ms, lifetime = asyncio.run(end_slowly())
