--- a/linnetstile/cli/scale.py
+++ b/linnetstile/cli/scale.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+import signal
 import sys
 import tempfile
 from collections.abc import Callable
@@ -17,8 +18,7 @@
 if TYPE_CHECKING:
     from ..testbed.scale.report_schema import ReportJson
 
-SIGNAL_BASE = 128  # the exit code of a run that a signal ended is this and its number
-SIGINT = 2
+SIGNAL_EXIT_BASE = 128  # the exit code of a run that a signal ended is this plus the signal's number
 
 HELP = """Play a fleet at size: simulated relays (the shipped code on a simulated clock) beside a few real processes.
 Loopback only; it ends by itself. The report (scale.json, scale.txt, plots) goes to the folder, its text to standard
@@ -50,12 +50,13 @@
 
 
 def _fail(code: int, reason: object) -> NoReturn:
+    """End with an error line on standard error and an exit code."""
     die(code, f"linnetstile scale: {reason}")
 
 
-def parse_size(ctx: click.Context, param: click.Parameter, value: str) -> int:
-    """Return a whole number; end with one line about anything else."""
-    name = param.name or ""
+def parse_size(context: click.Context, parameter: click.Parameter, value: str) -> int:
+    """Parse the value of a size option; end with an error line if it is not a whole number."""
+    name = parameter.name or ""
     if not value.removeprefix("-").isdecimal():
         lowest, highest = OPTION_RANGES[name]
         expected = f"a whole number from {lowest} to {highest}"
@@ -65,14 +66,14 @@
 
 def _size_options(function: Callable[..., None]) -> Callable[..., None]:
     """Add an option for each size, in the order of their help texts."""
-    for name, text in reversed(SIZE_HELP.items()):
+    for name, help_text in reversed(SIZE_HELP.items()):
         add_option = click.option(
             f"--{name.replace('_', '-')}",
             name,
             metavar="N",
             default=str(getattr(DEFAULT, name)),
             show_default=True,
-            help=text,
+            help=help_text,
             callback=parse_size,
         )
         function = add_option(function)
@@ -81,34 +82,42 @@
 
 @click.command(help=HELP)
 @_size_options
-@click.option("--scenes", default=",".join(SCENARIOS), show_default=True, help="Scenarios, in this order.")
+@click.option(
+    "--scenes",
+    "scenario_list",
+    default=",".join(SCENARIOS),
+    show_default=True,
+    help="Scenarios, in this order.",
+)
 @click.option("--out", type=click.Path(path_type=Path), help="Folder of the report, new or empty.")
-def command(scenes: str, out: Path | None, **numbers: int) -> None:
+def command(scenario_list: str, out: Path | None, **sizes: int) -> None:
     """Play a fleet at size and show the report."""
-    sizes = ScaleOptions(**numbers, scenes=tuple(scene for scene in scenes.split(",") if scene))
+    scenarios = tuple(scenario for scenario in scenario_list.split(",") if scenario)
+    options = ScaleOptions(**sizes, scenes=scenarios)
     try:
-        sizes.check()
+        options.check()
     except OptionError as error:
         _fail(ExitCode.BAD_INPUT, error)
     folder = out or Path(tempfile.mkdtemp(prefix="linnetstile-scale-"))
     if not is_new_or_empty(folder):
         _fail(ExitCode.BAD_INPUT, f"--out: expected a new or empty folder, found {str(folder)!r}")
-    report = _run(sizes, folder)
+    report = _run(options, folder)
     click.echo((folder / "scale.txt").read_text(encoding="utf-8"), nl=False)
     click.echo(f"report: {folder}", err=True)
-    is_same = report["compared"] is None or report["compared"]["agrees"]
-    sys.exit(ExitCode.OK if is_same else ExitCode.NO)
+    comparison = report["compared"]
+    agrees = comparison is None or comparison["agrees"]
+    sys.exit(ExitCode.OK if agrees else ExitCode.NO)
 
 
-def _run(sizes: ScaleOptions, folder: Path) -> ReportJson:
+def _run(options: ScaleOptions, folder: Path) -> ReportJson:
     """Play the fleet; return the report, or end with an error."""
     from ..testbed.scale.errors import RelayStartError, RunFailedError
     from ..testbed.scale.run import RunInterrupted, run
 
     try:
-        return run(sizes, folder, lambda line: click.echo(line, err=True))
+        return run(options, folder, lambda line: click.echo(line, err=True))
     except (RunFailedError, RelayStartError, OSError) as error:
         _fail(ExitCode.NOT_STARTED, error)
     except KeyboardInterrupt as error:
-        number = error.args[0] if isinstance(error, RunInterrupted) else SIGINT
-        _fail(SIGNAL_BASE + number, "ended; no report")
+        signal_number = error.args[0] if isinstance(error, RunInterrupted) else signal.SIGINT
+        _fail(SIGNAL_EXIT_BASE + signal_number, "ended; no report")
--- a/linnetstile/testbed/day.py
+++ b/linnetstile/testbed/day.py
@@ -101,22 +101,22 @@
     traffic: TrafficSettings
     safety: SafetySettings = SafetySettings()
     faults: list[Fault] = []
-    troubles: list[FleetFault] = []  # the faults that are not partners' own
+    fleet_faults: list[FleetFault] = Field([], alias="troubles")  # the faults that are not partners' own
 
     @model_validator(mode="after")
     def _check_names(self) -> Day:
-        names = [f"{group.name}-{n + 1}" for group in self.partners for n in range(group.count)]
+        names = [f"{group.name}-{number}" for group in self.partners for number in range(1, group.count + 1)]
         for path, pattern in self._partner_patterns():
             if not any(fnmatch.fnmatchcase(name, pattern) for name in names):
                 raise ValueError(f"{path}: {pattern!r} fits no partner of this day")
-        for n, fleet_fault in enumerate(self.troubles):
+        for index, fleet_fault in enumerate(self.fleet_faults):
             if any(not 1 <= relay <= self.relays for relay in fleet_fault.relays):
-                raise ValueError(f"troubles.{n}.relays: expected numbers from 1 to {self.relays}")
+                raise ValueError(f"troubles.{index}.relays: expected numbers from 1 to {self.relays}")
         return self
 
     def _partner_patterns(self) -> Iterator[tuple[str, str]]:
-        """Yield each pattern of partner names with its path in the file."""
-        for n, fault in enumerate(self.faults):
-            yield from ((f"faults.{n}.partners", pattern) for pattern in fault.partners)
-        for n, fleet_fault in enumerate(self.troubles):
-            yield from ((f"troubles.{n}.partners", pattern) for pattern in fleet_fault.partners)
+        """Yield the path in the file and the text of each pattern of partner names."""
+        for index, fault in enumerate(self.faults):
+            yield from ((f"faults.{index}.partners", pattern) for pattern in fault.partners)
+        for index, fleet_fault in enumerate(self.fleet_faults):
+            yield from ((f"troubles.{index}.partners", pattern) for pattern in fleet_fault.partners)
--- a/linnetstile/testbed/emulator_settings.py
+++ b/linnetstile/testbed/emulator_settings.py
@@ -90,10 +90,10 @@
                 for partner in self._fleet.partners
                 for endpoint in partner.endpoint_ids
             ],
-            "changes": [change for fault in self._day.troubles for change in self._registry_changes(fault)],
+            "changes": [change for fault in self._day.fleet_faults for change in self._registry_changes(fault)],
             "troubles": [
                 {"kind": REGISTRY_FAULT_KINDS[fault.kind], "at_s": fault.at_s, "for_s": fault.for_s}
-                for fault in self._day.troubles
+                for fault in self._day.fleet_faults
                 if fault.kind in REGISTRY_FAULT_KINDS
             ],
         }
@@ -132,7 +132,7 @@
                 for name, message_class in day.classes.items()
             },
             "flows": [_flow(flow) for flow in self._fleet.flows],
-            "surges": [self._surge(fault) for fault in day.troubles if fault.kind in SURGE_KINDS],
+            "surges": [self._surge(fault) for fault in day.fleet_faults if fault.kind in SURGE_KINDS],
             "senders_pem": {name: self._keys.pem(name) for name in traffic.senders},
             "partners_pem": {partner.name: self._keys.pem(partner.name) for partner in self._fleet.partners},
             "relay_pem": self._keys.pem(RELAY_KEY),
--- a/linnetstile/testbed/play.py
+++ b/linnetstile/testbed/play.py
@@ -78,7 +78,7 @@
 
     async def _play_script(self, clients: ManagedProcess) -> None:
         """Play the faults of the relays until the clients have ended."""
-        faults = asyncio.create_task(self._relays.play_faults(self._day.troubles, self._folder.start_ms))
+        faults = asyncio.create_task(self._relays.play_faults(self._day.fleet_faults, self._folder.start_ms))
         self._relays.check_running()
         last_deadline_s = max(message_class.deadline_ms for message_class in self._day.classes.values()) / 1000
         await asyncio.wait_for(clients.child.wait(), self._day.seconds + last_deadline_s + CLIENT_MARGIN_S)
--- a/tests/testbed/test_play.py
+++ b/tests/testbed/test_play.py
@@ -91,7 +91,7 @@
 def test_every_kind_of_trouble_has_its_name() -> None:
     root = Path(__file__).parent.parent.parent / "days"
     day = Day.model_validate(yaml.safe_load((root / "every-trouble.yaml").read_text()))
-    names = {fault.kind for fault in day.faults} | {trouble.kind for trouble in day.troubles}
+    names = {fault.kind for fault in day.faults} | {fault.kind for fault in day.fleet_faults}
     assert names >= {
         "hang",
         "vanish",
