--- a/linnetstile/config/engine_mapping.py
+++ b/linnetstile/config/engine_mapping.py
@@ -97,12 +97,12 @@
     return SafetyLimits(
         answer_slack_ms=section.answer_slack_ms,
         drain_grace_ms=section.drain_grace_ms,
-        slow_start_fraction=section.cold_share,
-        slow_start_ms=section.cold_ms,
-        overload_multiple=section.fall_multiple,
-        overload_window_ms=section.fall_ms,
-        poll_within_ms=section.ask_within_ms,
-        ordering_pause_ms=section.key_rest_ms,
+        slow_start_fraction=section.slow_start_fraction,
+        slow_start_ms=section.slow_start_ms,
+        overload_multiple=section.overload_multiple,
+        overload_window_ms=section.overload_window_ms,
+        poll_within_ms=section.poll_within_ms,
+        ordering_pause_ms=section.ordering_pause_ms,
     )
 
 
--- a/linnetstile/config/sections.py
+++ b/linnetstile/config/sections.py
@@ -72,16 +72,16 @@
 
 
 class SafetySettings(StrictModel):
-    """The safety limits of the engine."""
+    """The safety limits of the engine; see `SafetyLimits`. The aliases are the keys of the file."""
 
     answer_slack_ms: NotNegative = 20.0
     drain_grace_ms: NotNegative = 250.0
-    cold_share: PositiveFraction = 0.2
-    cold_ms: NotNegative = 10_000.0
-    fall_multiple: Positive = 2.0
-    fall_ms: Positive = 1500.0
-    ask_within_ms: Positive = 10_000.0
-    key_rest_ms: NotNegative = 100.0
+    slow_start_fraction: PositiveFraction = Field(0.2, alias="cold_share")
+    slow_start_ms: NotNegative = Field(10_000.0, alias="cold_ms")
+    overload_multiple: Positive = Field(2.0, alias="fall_multiple")
+    overload_window_ms: Positive = Field(1500.0, alias="fall_ms")
+    poll_within_ms: Positive = Field(10_000.0, alias="ask_within_ms")
+    ordering_pause_ms: NotNegative = Field(100.0, alias="key_rest_ms")
 
 
 class GoalSettings(StrictModel):
--- a/linnetstile/testbed/emulator_settings.py
+++ b/linnetstile/testbed/emulator_settings.py
@@ -67,10 +67,10 @@
             "key_window_ms": max((message_class.key_window_ms for message_class in classes.values()), default=0.0),
             "receipts": group.receipts,
             "pem": self._keys.pem(partner.name),
-            "cold_share": safety.cold_share,
-            "cold_ms": safety.cold_ms,
-            "fall_multiple": safety.fall_multiple,
-            "fall_ms": safety.fall_ms,
+            "cold_share": safety.slow_start_fraction,
+            "cold_ms": safety.slow_start_ms,
+            "fall_multiple": safety.overload_multiple,
+            "fall_ms": safety.overload_window_ms,
         }
 
     # -- registry --------------------------------------------------------------------------------------------
--- a/linnetstile/testbed/relay_settings.py
+++ b/linnetstile/testbed/relay_settings.py
@@ -46,7 +46,7 @@
             },
             "limits": {"slots": day.max_in_flight, "hold": day.max_pending_messages, "attempts": day.attempts},
             "decay": day.decay,
-            "safety": day.safety.model_dump(),
+            "safety": day.safety.model_dump(by_alias=True),
             **self.gossip(name, []),
         }
 
--- a/linnetstile/testbed/run_folder.py
+++ b/linnetstile/testbed/run_folder.py
@@ -104,7 +104,7 @@
             "t0_ms": self.start_ms,
             "attempts": day.attempts,
             "classes": {name: message_class.model_dump() for name, message_class in day.classes.items()},
-            "safety": day.safety.model_dump(),
+            "safety": day.safety.model_dump(by_alias=True),
             "partners": {
                 partner.name: {"rate": partner.limit_per_s, "usual": round(partner.mean_per_s, 3)}
                 for partner in self._fleet.partners
--- a/tests/config/test_files.py
+++ b/tests/config/test_files.py
@@ -71,6 +71,24 @@
     assert expected in line
 
 
+@pytest.mark.parametrize(
+    ("key", "attribute"),
+    [
+        ("cold_share", "slow_start_fraction"),
+        ("cold_ms", "slow_start_ms"),
+        ("fall_multiple", "overload_multiple"),
+        ("fall_ms", "overload_window_ms"),
+        ("ask_within_ms", "poll_within_ms"),
+        ("key_rest_ms", "ordering_pause_ms"),
+    ],
+)
+def test_a_safety_key_sets_its_attribute_and_the_attribute_is_no_key(tmp_path: Path, key: str, attribute: str) -> None:
+    relay = load(write(tmp_path, VALID_SETTINGS | {"safety": {key: 0.5}}), RelaySettings)
+    assert getattr(relay.safety, attribute) == 0.5
+    with pytest.raises(SettingsError, match=rf"safety.{attribute} = 0.5: Extra inputs are not permitted"):
+        load(write(tmp_path, VALID_SETTINGS | {"safety": {attribute: 0.5}}), RelaySettings)
+
+
 def test_all_faults_are_reported_at_once(tmp_path: Path) -> None:
     with pytest.raises(SettingsError) as caught:
         load(write(tmp_path, VALID_SETTINGS | {"listen": "x", "relays": 0, "rates": "some"}), RelaySettings)
