--- a/linnetstile/as2_relay/gossip_snapshot.py
+++ b/linnetstile/as2_relay/gossip_snapshot.py
@@ -86,8 +86,8 @@
         except FileNotFoundError:
             return None
         except (snapshot.SnapshotError, ValueError) as error:
-            aside = snapshot.set_aside(self.path)
-            self.log.warning(log_events.GOSSIP_SNAPSHOT_INVALID, why=str(error), kept_as=str(aside))
+            quarantine_path = snapshot.quarantine(self.path)
+            self.log.warning(log_events.GOSSIP_SNAPSHOT_INVALID, why=str(error), kept_as=str(quarantine_path))
             return None
         age_ms = found.age_ms
         if age_ms is None:
--- a/linnetstile/storage/snapshot.py
+++ b/linnetstile/storage/snapshot.py
@@ -1,9 +1,9 @@
-"""One document on disk: replaced atomically, with a checksum, and with the means to compute its age after a restart.
+"""Stores one document on disk: atomic replacement, a checksum, and its age at the next read.
 
-The age is computed by the clock that runs on while the machine is suspended, if it is the same boot; else by the wall
-clock, and not at all where that was set back. Ages are what readers use, not times of day.
+Within a boot the age comes from the clock that also counts suspended time, after a reboot from the wall clock; it is
+unknown if that clock was set back. Readers use ages and not times of day.
 
-The file is one line of JSON, the header, and the document as JSON behind it.
+A file is a header, which is one line of JSON, followed by the document as JSON.
 """
 
 from __future__ import annotations
@@ -20,8 +20,11 @@
 FORMAT = 1
 MAGIC_FIELD = "linnetstile"  # the header's first field
 MAGIC = "snapshot"  # its value
-MAX_FILE_BYTES = 64 * 1024 * 1024  # bytes of a file
+MAX_FILE_BYTES = 64 * 1024 * 1024
 DIGEST_BYTES = 16
+MS_PER_S = 1000
+QUARANTINE_SUFFIX = ".bad"
+TEMPORARY_SUFFIX = ".new"
 BOOT_ID = Path("/proc/sys/kernel/random/boot_id")
 
 
@@ -55,6 +58,7 @@
 
 
 def _digest(body: bytes) -> str:
+    """Return the checksum of an encoded document, in hexadecimal."""
     return hashlib.blake2b(body, digest_size=DIGEST_BYTES).hexdigest()
 
 
@@ -81,12 +85,12 @@
 
 
 def write(path: Path, payload: dict[str, Any]) -> None:
-    """Replace the file: after a crash at any moment the old or the new one is there.
+    """Replace the file atomically: after a crash at any moment it is the old or the new one.
 
     Raises:
         OSError: It can't be written.
     """
-    temporary = path.with_name(path.name + ".new")
+    temporary = path.with_name(path.name + TEMPORARY_SUFFIX)
     with temporary.open("wb") as file:
         file.write(encode(payload))
         file.flush()
@@ -96,7 +100,7 @@
 
 
 def _sync_directory(path: Path) -> None:
-    """Make the names in a directory durable."""
+    """Make a rename in a directory durable."""
     descriptor = os.open(path, os.O_RDONLY)
     try:
         os.fsync(descriptor)
@@ -116,12 +120,13 @@
     if not newline:
         raise _foreign_file_error(path)
     header = _parse_header(path, header_line)
-    if len(body) != header.get("bytes") or _digest(body) != header.get("blake2b"):
+    digest = _digest(body)
+    if len(body) != header.get("bytes") or digest != header.get("blake2b"):
         raise SnapshotError(
             f"{path}: torn or changed: its checksum does not hold",
             field="blake2b",
             expected=str(header.get("blake2b")),
-            found=_digest(body),
+            found=digest,
         )
     payload = json.loads(body)
     if not isinstance(payload, dict):
@@ -143,12 +148,14 @@
 
 
 def _foreign_file_error(path: Path) -> SnapshotError:
+    """Return the error for a file that this program did not write."""
     return SnapshotError(
         f"{path}: not a snapshot of this program", field=MAGIC_FIELD, expected=f"a header line of JSON with {MAGIC!r}"
     )
 
 
 def _parse_header(path: Path, line: bytes) -> dict[str, Any]:
+    """Parse the header line; raise `SnapshotError` if it is another program's or another format."""
     try:
         header = json.loads(line)
     except (ValueError, RecursionError) as error:
@@ -167,6 +174,7 @@
 
 
 def _age_ms(header: dict[str, Any]) -> float | None:
+    """Return the time since the document was written; None if no clock can tell."""
     try:
         if header["boot"] and header["boot"] == _boot_id():
             age_s = _since_boot_s() - float(header["since_boot_s"])
@@ -174,11 +182,11 @@
             age_s = time.time() - float(header["wall_s"])
     except (KeyError, TypeError, ValueError):
         return None
-    return age_s * 1000 if age_s >= 0 else None
+    return age_s * MS_PER_S if age_s >= 0 else None
 
 
-def set_aside(path: Path) -> Path:
+def quarantine(path: Path) -> Path:
     """Rename a file that can't be used, so that it is kept for inspection and never read; return the new path."""
-    aside = path.with_name(f"{path.name}.bad")
-    os.replace(path, aside)
-    return aside
+    quarantine_path = path.with_name(path.name + QUARANTINE_SUFFIX)
+    os.replace(path, quarantine_path)
+    return quarantine_path
--- a/tests/storage/test_snapshot.py
+++ b/tests/storage/test_snapshot.py
@@ -71,7 +71,7 @@
                 assert payload == {"claims": ["x" * 50, 1.5]}  # a byte of the clocks in its header
 
 
-def test_foreign_file_is_named_and_set_aside(tmp_path: Path) -> None:
+def test_foreign_file_is_named_and_quarantined(tmp_path: Path) -> None:
     path = tmp_path / "s"
     for data, text in [
         (b"", "not a snapshot"),
@@ -82,7 +82,7 @@
         path.write_bytes(data)
         with pytest.raises(snapshot.SnapshotError, match=text):
             snapshot.read(path)
-    assert snapshot.set_aside(path) == tmp_path / "s.bad"
+    assert snapshot.quarantine(path) == tmp_path / "s.bad"
     assert not path.exists()
     with pytest.raises(FileNotFoundError):
         snapshot.read(path)
