--- a/tests/testbed/test_play.py
+++ b/tests/testbed/test_play.py
@@ -1,4 +1,4 @@
-"""A short day through real processes: it ends by itself, its record is judged, and a bad end is told."""
+"""A short day is played by real processes: it ends by itself and its record is checked."""
 
 from __future__ import annotations
 
@@ -14,6 +14,7 @@
 from linnetstile.emulators.client_settings import ClientSpec
 from linnetstile.testbed.day import Day
 
+ROOT = Path(__file__).parent.parent.parent
 DAY: dict[str, Any] = {
     "name": "short",
     "seconds": 5,
@@ -36,19 +37,20 @@
 }
 
 
-def play(folder: Path, day: dict[str, Any], *more: str) -> subprocess.CompletedProcess[str]:
-    (folder / "day.yaml").write_text(yaml.safe_dump(day))
+def play(folder: Path, day: dict[str, Any]) -> subprocess.CompletedProcess[str]:
+    """Play a day as `linnetstile play` does, with its record in the folder."""
+    day_file = folder / "day.yaml"
+    day_file.write_text(yaml.safe_dump(day))
     return subprocess.run(
         [
             sys.executable,
             "-m",
             "linnetstile.cli.main",
             "play",
-            str(folder / "day.yaml"),
+            str(day_file),
             "--json",
             "--record",
             str(folder / "record"),
-            *more,
         ],
         capture_output=True,
         text=True,
@@ -56,7 +58,7 @@
     )
 
 
-def test_a_short_day_is_played_judged_and_cleaned_up(tmp_path: Path) -> None:
+def test_a_short_day_is_played_and_checked_and_not_played_again_into_its_folder(tmp_path: Path) -> None:
     result = play(tmp_path, DAY)
     assert result.returncode == 0, result.stdout + result.stderr
     verdict = json.loads(result.stdout)
@@ -64,14 +66,14 @@
     assert verdict["messages"] > 60
     assert verdict["by_answer"]["delivered"] > 0.7 * verdict["messages"]
     facts = json.loads((tmp_path / "record" / "run.json").read_text())
-    assert [life[2] for life in facts["relays"]["r2"]] == ["killed", "stopped"]
+    assert [lifetime[2] for lifetime in facts["relays"]["r2"]] == ["killed", "stopped"]
     assert "gossip_snapshot_loaded" in (tmp_path / "record" / "r2.log").read_text()
-    again = play(tmp_path, DAY)
-    assert again.returncode == 2
-    assert "expected a new or empty folder" in again.stderr
+    second_result = play(tmp_path, DAY)
+    assert second_result.returncode == 2
+    assert "expected a new or empty folder" in second_result.stderr
 
 
-def test_the_same_seed_draws_the_same_script() -> None:
+def test_the_same_seed_draws_the_same_script_and_a_surge_has_more_traffic() -> None:
     spec = ClientSpec.model_validate(
         {
             "seconds": 5,
@@ -82,17 +84,19 @@
             "surges": [{"at_s": 1, "for_s": 1, "times": 4, "receivers": ["p"]}],
         }
     )
-    one, two = draw_script(spec), draw_script(spec)
-    assert one == two != draw_script(spec.model_copy(update={"seed": 4}))
-    early, surge = ([p for p in one if at <= p.at_s < at + 1] for at in (0, 1))
-    assert len(surge) > 2 * len(early)
+    script = draw_script(spec)
+    assert script == draw_script(spec)
+    assert script != draw_script(spec.model_copy(update={"seed": 4}))
+    before_surge = [message for message in script if 0 <= message.at_s < 1]
+    in_surge = [message for message in script if 1 <= message.at_s < 2]
+    assert len(in_surge) > 2 * len(before_surge)
 
 
-def test_every_kind_of_trouble_has_its_name() -> None:
-    root = Path(__file__).parent.parent.parent / "days"
-    day = Day.model_validate(yaml.safe_load((root / "every-trouble.yaml").read_text()))
-    names = {fault.kind for fault in day.faults} | {fault.kind for fault in day.fleet_faults}
-    assert names >= {
+def test_the_kinds_of_faults_have_their_names_in_the_file() -> None:
+    day_file = ROOT / "days" / "every-trouble.yaml"
+    day = Day.model_validate(yaml.safe_load(day_file.read_text()))
+    kinds = {fault.kind for fault in day.faults} | {fault.kind for fault in day.fleet_faults}
+    assert kinds >= {
         "hang",
         "vanish",
         "class_fail",
