--- a/tests/testbed/test_scale.py
+++ b/tests/testbed/test_scale.py
@@ -1,4 +1,4 @@
-"""A tiny scale run, its parts, bad options and how it ends: counts and rules, no timing."""
+"""A tiny scale run, its parts, invalid options and exit codes: counts and rules, no timing."""
 
 from __future__ import annotations
 
@@ -48,17 +48,17 @@
     held=5,
     cost_most=400,
 )
-MEASURED = {"cpu_ns", "longest_list_ns"}
-"""Fields of a trace that differ from run to run."""
+MEASURED_FIELDS = {"cpu_ns", "longest_list_ns"}  # of a trace; they differ from run to run
 
 
 def arguments(options: ScaleOptions) -> list[str]:
-    """The command line of these options."""
-    words = []
+    """Return the arguments of the command line for these options."""
+    words: list[str] = []
     for option in fields(options):
         value = getattr(options, option.name)
         text = ",".join(value) if option.name == "scenes" else str(value)
-        words += [f"--{option.name.replace('_', '-')}", text]
+        words.append(f"--{option.name.replace('_', '-')}")
+        words.append(text)
     return words
 
 
@@ -72,37 +72,38 @@
     )
 
 
-def play(
+def play_relay(
     options: ScaleOptions, relay: int = 0, resumes_by_version: bool = False, platform: PlatformModel | None = None
 ) -> RelayTrace:
-    """Play one relay to the end."""
+    """Play one simulated relay to the end and return its trace."""
     return SimulatedRelay(platform or scenarios.build(options), relay, resumes_by_version, lambda: False).play()
 
 
-def repeatable(trace: RelayTrace) -> dict[str, Any]:
-    """The fields of a trace that a seed repeats."""
-    return {field.name: getattr(trace, field.name) for field in fields(trace) if field.name not in MEASURED}
+def repeatable_fields(trace: RelayTrace) -> dict[str, Any]:
+    """Return the fields of a trace that a seed repeats."""
+    return {field.name: getattr(trace, field.name) for field in fields(trace) if field.name not in MEASURED_FIELDS}
 
 
 def test_a_tiny_run_plays_every_scenario_and_simulation_and_processes_agree(tmp_path: Path) -> None:
     process = start_run(tmp_path / "out", TINY)
-    out, errors = process.communicate(timeout=120)
-    assert process.returncode == 0, out + errors
-    found = json.loads((tmp_path / "out" / "scale.json").read_text())
-    first, compared = found["simulated"], found["compared"]
-    assert (tmp_path / "out" / "scale.txt").read_text() == out
-    assert first["relays_played"] == 10
-    assert found["left_out"]["relays"] == 0
-    assert first["lists_refused"] == 0
-    assert [scenario["scene"] for scenario in first["scenes"]] == list(SCENARIOS)
-    by_name = {scenario["scene"]: scenario for scenario in first["scenes"]}
+    output, errors = process.communicate(timeout=120)
+    assert process.returncode == 0, output + errors
+    scale_report = json.loads((tmp_path / "out" / "scale.json").read_text())
+    simulated = scale_report["simulated"]
+    compared = scale_report["compared"]
+    assert (tmp_path / "out" / "scale.txt").read_text() == output
+    assert simulated["relays_played"] == 10
+    assert scale_report["left_out"]["relays"] == 0
+    assert simulated["lists_refused"] == 0
+    assert [scenario["scene"] for scenario in simulated["scenes"]] == list(SCENARIOS)
+    by_name = {scenario["scene"]: scenario for scenario in simulated["scenes"]}
     day = by_name["day"]
     assert day["changes"]["changes"] == 20
     assert day["changes"]["never"] == 0
     assert 150 < day["changes"]["in_force_ms"]["n"] <= 200
     assert day["starts"]["starts"] == 2
     assert by_name["zone"]["starts"]["starts"] == by_name["zone"]["relays_down"]
-    for scenario in first["scenes"]:
+    for scenario in simulated["scenes"]:
         assert scenario["changes"]["later_than_bound"] == 0, scenario["scene"]
         assert scenario["cold"]["falls"] == 0, scenario["cold"]
         assert scenario["outages"]["learned"] <= scenario["outages"]["pairs"]
@@ -117,32 +118,40 @@
     assert all(row["real"] == row["hollow"] == [row["expected"]] for row in compared["changes"])
     assert compared["endpoints"] == [{"real": 200, "hollow": 200}]
     assert len(compared["reopened"]) == 1
-    assert found["telling"]["claim_bytes"] > 100
-    assert found["forecast"]["backlog_resume_s"] > 0
+    assert scale_report["telling"]["claim_bytes"] > 100
+    assert scale_report["forecast"]["backlog_resume_s"] > 0
     assert compared["sent_bytes"] > 2 * compared["list_bytes"]
     assert compared["watches"] == 2
-    assert [row["known"] for row in found["measured"]["costs"]] == [100, 200, 400]
+    assert [row["known"] for row in scale_report["measured"]["costs"]] == [100, 200, 400]
     for name in ("in-force.png", "learned.png", "bounds.png"):
         assert (tmp_path / "out" / name).read_bytes().startswith(b"\x89PNG")
 
 
-def test_a_seed_repeats_a_relay_and_another_does_not() -> None:
-    one, two, other = (repeatable(play(replace(TINY, seed=seed), 3)) for seed in (4, 4, 5))
-    assert one == two != other
+def test_the_same_seed_repeats_the_trace_of_a_relay_and_another_seed_does_not() -> None:
+    first, second, other = (repeatable_fields(play_relay(replace(TINY, seed=seed), 3)) for seed in (4, 4, 5))
+    assert first == second
+    assert first != other
+
+
+def endpoint_names(reader: WatchReader) -> set[str]:
+    """Return the names of the endpoints that a reader knows."""
+    return {reader.endpoint_name(number) for number in reader.directory}
 
 
 def test_the_full_list_is_the_first_one_with_all_changes_applied() -> None:
     discovery = scenarios.build(replace(TINY, changes=60)).discovery
-    steps, at_once = WatchReader(), WatchReader()
-    steps.read(discovery.full_list(1))
+    reader_of_changes = WatchReader()
+    reader_of_full_list = WatchReader()
+    reader_of_changes.read(discovery.full_list(1))
     for change in discovery.changes:
-        steps.read(change.line)
-    at_once.read(discovery.full_list(len(discovery.changes) + 1))
-    entries = [json.loads(change.line)["servers"] for change in discovery.changes]
-    drained = {raw["id"] for rows in entries for raw in rows if raw["state"] == "DRAINING"}
-    named = [{reader.endpoint_name(n) for n in reader.directory} for reader in (steps, at_once)]
-    assert named[0] - drained == named[1] - drained
-    assert len(named[1]) == discovery.destination_count
+        reader_of_changes.read(change.line)
+    reader_of_full_list.read(discovery.full_list(len(discovery.changes) + 1))
+    changed_lists = [json.loads(change.line)["servers"] for change in discovery.changes]
+    drained = {entry["id"] for entries in changed_lists for entry in entries if entry["state"] == "DRAINING"}
+    after_changes = endpoint_names(reader_of_changes)
+    in_full_list = endpoint_names(reader_of_full_list)
+    assert after_changes - drained == in_full_list - drained
+    assert len(in_full_list) == discovery.destination_count
     assert len(discovery.changes_between(5, 9)) == 4
     assert discovery.changes_between(5, 9)[0].version == 6
 
@@ -151,27 +160,27 @@
     options = replace(TINY, scenes=("parted",), changes=86_400)
     platform = scenarios.build(options)
     changes = platform.discovery.changes
-    far = next(relay for relay in range(10) if region_of(relay) == 1)
+    remote_relay = next(relay for relay in range(10) if region_of(relay) == 1)
     for resumes_by_version, full_lists in ((False, 2), (True, 1)):
-        trace = play(options, far, resumes_by_version, platform)
+        trace = play_relay(options, remote_relay, resumes_by_version, platform)
         partition = platform.discovery_outages[1][0]
         assert len(trace.in_force_ms) == len(changes) > 10
         late_versions = [change.version for change in changes if change.at_ms > partition.begin_ms]
         assert all(trace.in_force_ms[version] >= partition.end_ms for version in late_versions)
-        assert sum(n for (_, name), n in trace.counts.items() if name == "wholes") == full_lists
-    near = play(options, 0, False, platform)
-    assert sum(at_ms < partition.end_ms for at_ms in near.in_force_ms.values()) > 0
-    assert len(near.in_force_ms) == len(changes)
+        assert sum(count for (_, name), count in trace.counts.items() if name == "wholes") == full_lists
+    local_trace = play_relay(options, 0, False, platform)
+    assert sum(at_ms < partition.end_ms for at_ms in local_trace.in_force_ms.values()) > 0
+    assert len(local_trace.in_force_ms) == len(changes)
 
 
-def test_a_list_that_is_refused_is_offered_up_to_a_limit_and_reported(monkeypatch: pytest.MonkeyPatch) -> None:
-    def refuse(self: WatchReader, data: bytes) -> list[EndpointList]:
+def test_a_rejected_list_is_offered_again_up_to_a_limit_and_reported(monkeypatch: pytest.MonkeyPatch) -> None:
+    def reject_list(self: WatchReader, data: bytes) -> list[EndpointList]:
         raise ValueError("too long")
 
-    monkeypatch.setattr(WatchReader, "read", refuse)
+    monkeypatch.setattr(WatchReader, "read", reject_list)
     options = replace(TINY, scenes=("rack",))
     limit = watch_simulation.MAX_LISTS_REFUSED
-    trace = play(options, 9)
+    trace = play_relay(options, 9)
     assert trace.lists_refused == limit
     assert trace.endpoint_count == 0
     assert not trace.in_force_ms
@@ -187,7 +196,7 @@
     platform = scenarios.build(TINY)
     trace = SimulatedRelay(platform, 0, False, lambda: True).play()
     assert trace.cut
-    found, _ = report.build(platform, FleetResult([trace, play(TINY, 1, platform=platform)]), None)
+    found, _ = report.build(platform, FleetResult([trace, play_relay(TINY, 1, platform=platform)]), None)
     assert found["left_out"] == {"relays": 9}
     assert "LEFT OUT: 9 relays" in format_report(found)
 
@@ -218,16 +227,16 @@
     assert slow_starts["falls"] == 1
     assert slow_starts["breaks"] == breaks
     assert worst["met_by"] == 1
-    late = [SlowStartCall(outage.number, outage.end_ms + n * safety.overload_window_ms, True) for n in range(6)]
-    assert (
-        judge_slow_starts(platform, in_use, [RelayTrace(0, 0, slow_start_calls=late)], is_whole_fleet=True)["falls"]
-        == 0
-    )
-    part, _ = report.build(platform, FleetResult([trace]), None)  # one relay of two: nothing is said of the fleet
-    (scenario,) = part["simulated"]["scenes"]
+    spread_calls = [SlowStartCall(outage.number, outage.end_ms + n * safety.overload_window_ms, True) for n in range(6)]
+    spread_trace = RelayTrace(0, 0, slow_start_calls=spread_calls)
+    assert judge_slow_starts(platform, in_use, [spread_trace], is_whole_fleet=True)["falls"] == 0
+    partial_report, _ = report.build(
+        platform, FleetResult([trace]), None
+    )  # one relay of two: no statement on the fleet
+    (scenario,) = partial_report["simulated"]["scenes"]
     assert not scenario["cold"]["judged"]
-    assert "not judged" in format_report(part)
-    assert not any("cold" in row["what"] for row in part["bounds"])
+    assert "not judged" in format_report(partial_report)
+    assert not any("cold" in row["what"] for row in partial_report["bounds"])
     assert scenario["control"]["largest_second_a_machine"] is None
 
 
@@ -251,18 +260,18 @@
         (["--scenes", "day,day"], "--scenes: expected some of day,rack,zone,parted,hands, each once, found 'day,day'"),
     ],
 )
-def test_a_bad_option_is_reported_in_one_line(args: list[str], expected: str) -> None:
-    done = CliRunner().invoke(main, ["scale", *args])
-    assert done.exit_code == 2
-    assert done.output == f"linnetstile scale: {expected}\n"
+def test_an_invalid_option_is_reported_in_one_line(args: list[str], expected: str) -> None:
+    result = CliRunner().invoke(main, ["scale", *args])
+    assert result.exit_code == 2
+    assert result.output == f"linnetstile scale: {expected}\n"
 
 
 def test_a_folder_that_is_not_empty_is_left_alone(tmp_path: Path) -> None:
-    (tmp_path / "mine").write_text("x")
-    done = CliRunner().invoke(main, ["scale", "--out", str(tmp_path)])
-    assert done.exit_code == 2
-    assert "--out: expected a new or empty folder" in done.output
-    assert [path.name for path in tmp_path.iterdir()] == ["mine"]
+    (tmp_path / "existing").write_text("x")
+    result = CliRunner().invoke(main, ["scale", "--out", str(tmp_path)])
+    assert result.exit_code == 2
+    assert "--out: expected a new or empty folder" in result.output
+    assert [path.name for path in tmp_path.iterdir()] == ["existing"]
 
 
 def test_a_comparison_in_which_models_and_processes_differ_does_not_agree() -> None:
@@ -280,14 +289,15 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(sys, "executable", "/bin/false")
-    done = CliRunner().invoke(main, ["scale", *arguments(TINY), "--out", str(tmp_path / "out")])
-    assert done.exit_code == 3
-    last = done.output.splitlines()[-1]
-    assert last == "linnetstile scale: small did not start: it wrote nothing"
+    result = CliRunner().invoke(main, ["scale", *arguments(TINY), "--out", str(tmp_path / "out")])
+    assert result.exit_code == 3
+    last_line = result.output.splitlines()[-1]
+    assert last_line == "linnetstile scale: small did not start: it wrote nothing"
 
 
 def test_a_worker_that_has_drawn_another_platform_ends_the_run() -> None:
-    platform, other = scenarios.build(TINY), scenarios.build(replace(TINY, seed=2))
+    platform = scenarios.build(TINY)
+    other = scenarios.build(replace(TINY, seed=2))
     played = FleetResult([RelayTrace(0, platform.fingerprint()), RelayTrace(3, other.fingerprint())])
     with pytest.raises(RunFailedError, match="relay 3 played another world"):
         played.check(platform)
@@ -313,36 +323,45 @@
 
 
 def descendants(pid: int) -> set[int]:
-    """The processes that a process has started, and theirs."""
+    """Return the identifiers of all child processes of a process, and of their children."""
     found: set[int] = set()
     for path in Path("/proc").glob("[0-9]*/stat"):
         try:
-            fields_ = path.read_text().rpartition(")")[2].split()
+            fields_after_name = path.read_text().rpartition(")")[2].split()
         except OSError:
             continue
-        if int(fields_[1]) == pid:
-            found |= {int(path.parent.name)} | descendants(int(path.parent.name))
+        parent_pid = int(fields_after_name[1])
+        if parent_pid == pid:
+            child_pid = int(path.parent.name)
+            found.add(child_pid)
+            found |= descendants(child_pid)
     return found
 
 
+def running_processes(pids: set[int]) -> set[int]:
+    """Return those of the processes that still exist."""
+    return {pid for pid in pids if os.path.exists(f"/proc/{pid}")}
+
+
 @pytest.mark.parametrize(
-    ("real", "line", "number"), [(1, "ready with", signal.SIGTERM), (0, "relays played", signal.SIGINT)]
+    ("real", "expected_progress", "signal_number"),
+    [(1, "ready with", signal.SIGTERM), (0, "relays played", signal.SIGINT)],
 )
 def test_a_run_that_is_ended_leaves_no_process_running(
-    tmp_path: Path, real: int, line: str, number: signal.Signals
+    tmp_path: Path, real: int, expected_progress: str, signal_number: signal.Signals
 ) -> None:
     process = start_run(tmp_path, replace(TINY, real=real, day_s=3_600, in_use=100))  # it would go on for long
     assert process.stderr is not None
-    for text in process.stderr:
-        if line in text:
+    for line in process.stderr:
+        if expected_progress in line:
             break
     children = descendants(process.pid)
-    process.send_signal(number)
+    process.send_signal(signal_number)
     _, errors = process.communicate(timeout=60)
-    assert process.returncode == 128 + number
+    assert process.returncode == 128 + signal_number
     assert errors.endswith("linnetstile scale: ended; no report\n")
     assert len(children) >= 2
-    until = time.monotonic() + 10.0
-    while (left := {pid for pid in children if os.path.exists(f"/proc/{pid}")}) and time.monotonic() < until:
+    give_up_at = time.monotonic() + 10.0
+    while running_processes(children) and time.monotonic() < give_up_at:
         time.sleep(0.02)
-    assert not left
+    assert not running_processes(children)
