--- a/linnetstile/as2_relay/registry.py
+++ b/linnetstile/as2_relay/registry.py
@@ -96,7 +96,7 @@
     """Keeps the endpoints that are listed, and passes each list on.
 
     Attributes:
-        endpoints: Where each endpoint that is not gone is reached, by its identifier.
+        endpoints: Where each endpoint is reached, by its identifier; one that is gone stays until a full list omits it.
         partners: Number of each partner in the engine; numbers are never reused, as messages may still name them.
         version: Version of the latest list; -1 before the first one.
         list_counts: Counters of lists and failures.
--- a/linnetstile/platform_relay/relay.py
+++ b/linnetstile/platform_relay/relay.py
@@ -251,6 +251,10 @@
             self.endpoint_client.close_idle(address)
 
     def _on_list_event(self, event: EndpointList) -> None:
+        """Pass a list to the engine, and close the idle connections to endpoints that drain.
+
+        The address of a removed endpoint is no longer known: its idle connections end by their time-out.
+        """
         self.engine_loop.post(event)
         for entry in event.endpoints:
             if entry.status is not EndpointStatus.READY:
