--- a/linnetstile/net/client_call.py
+++ b/linnetstile/net/client_call.py
@@ -5,7 +5,7 @@
 import asyncio
 import math
 from collections.abc import Callable
-from dataclasses import dataclass, replace
+from dataclasses import dataclass
 from typing import TYPE_CHECKING, NamedTuple
 
 from ..codec import http1
@@ -73,13 +73,21 @@
         self.send_before = send_before  # loop time, s
         self.timer: asyncio.TimerHandle | None = None
 
-    def finish(self, result: CallResult) -> None:
-        """Notify the caller, if it still waits, how the call ended."""
+    def finish(
+        self,
+        wire_result: WireResult,
+        head: http1.Response | None = None,
+        body: bytes = b"",
+        *,
+        request_complete: bool = True,
+        claimed_status: int = 0,
+    ) -> None:
+        """Notify the caller, if it still waits, how the call ended; `CallResult` has the meaning of each argument."""
         done, self.on_done = self.on_done, None
         if self.timer:
             self.timer.cancel()
         if done:
-            done(replace(result, reused_connection=True) if self.reused_connection else result)
+            done(CallResult(wire_result, head, body, request_complete, claimed_status, self.reused_connection))
 
     def detach(self) -> None:
         """Drop the callback; the connection may still complete its exchange and be reused."""
@@ -115,4 +123,4 @@
             connection.call = None
             claimed_status = connection.parser.early_status
             connection.transport.abort()
-        self.finish(CallResult(result, claimed_status=claimed_status))
+        self.finish(result, claimed_status=claimed_status)
--- a/linnetstile/net/client_connection.py
+++ b/linnetstile/net/client_connection.py
@@ -8,7 +8,7 @@
 
 from ..codec import http1
 from ..engine.attempt_outcome import WireResult
-from .client_call import Address, Call, CallResult, RequestBytes
+from .client_call import Address, Call, RequestBytes
 from .connection import BufferedConnection
 
 if TYPE_CHECKING:
@@ -129,7 +129,9 @@
         if self.pool.finish_at_status_line and call.on_done is not None and self.parser.early_status == 200:
             # The status is final whatever follows, and the peer's slot is free. The rest is only read to find out
             # whether the connection can be reused.
-            call.finish(CallResult(WireResult.ANSWERED, self.head, b"", not self.request_incomplete, 200))
+            call.finish(
+                WireResult.ANSWERED, self.head, request_complete=not self.request_incomplete, claimed_status=200
+            )
             call.timer = self.pool.loop.call_later(RESPONSE_TAIL_TIMEOUT_S, call.abort, WireResult.TIMED_OUT)
         if self.parser.error:
             call.abort(WireResult.MALFORMED)
@@ -158,7 +160,7 @@
             self.pool.keep_idle(self)
         else:
             self.transport.close()
-        call.finish(CallResult(WireResult.ANSWERED, head, body, not request_incomplete))
+        call.finish(WireResult.ANSWERED, head, body, request_complete=not request_incomplete)
 
     def eof_received(self) -> None:
         """End a response that has no length with its connection. Called by asyncio."""
@@ -177,4 +179,4 @@
         if call is not None:
             call.connection = None
             result = WireResult.REQUEST_INCOMPLETE if request_incomplete else WireResult.CONNECTION_LOST
-            call.finish(CallResult(result, claimed_status=self.parser.early_status))
+            call.finish(result, claimed_status=self.parser.early_status)
--- a/linnetstile/net/client_pool.py
+++ b/linnetstile/net/client_pool.py
@@ -161,14 +161,14 @@
         elif not connection.send(call, method, data):
             if not connection.is_closing:
                 self.keep_idle(connection)  # too late for this call, and good for another one
-            call.finish(CallResult(WireResult.NOT_SENT))
+            call.finish(WireResult.NOT_SENT)
 
     def _finish_unconnected(self, call: Call, failure: WireResult) -> None:
         """End a call that no connection could be made for."""
         self.counts["failed"] += 1
         call.connecting = None
         too_late = self.loop.time() >= call.send_before
-        call.finish(CallResult(WireResult.NOT_SENT if too_late else failure))
+        call.finish(WireResult.NOT_SENT if too_late else failure)
 
     async def _free_descriptors(self) -> None:
         """Close all idle connections."""
