--- a/linnetstile/engine/engine.py
+++ b/linnetstile/engine/engine.py
@@ -1,8 +1,8 @@
-"""The decision engine of a relay: dispatches events to the modules that decide, and collects their actions.
+"""The decision engine of a relay: passes events to the modules that decide, and collects their actions.
 
-Each concern has a module of its own, and this one is their table of contents. The engine does no I/O and reads no
-clock: the host passes events to `handle` and carries out the actions that are returned. All times are in ms on the
-host's clock.
+Each kind of decision has its own module; this one connects them. The engine does no I/O and reads no clock: the host
+passes the current time and its events to `handle`, and carries out the actions that `handle` returns. All times are in
+ms on the host's clock.
 """
 
 from __future__ import annotations
@@ -43,19 +43,19 @@
 from .scheduler import Scheduler
 from .settings import Settings
 
-# Outcomes that are no evidence about the destination.
+# Outcomes that say nothing about the health of the destination.
 UNINFORMATIVE_OUTCOMES = (Outcome.NOT_SENT, Outcome.CANCELLED)
 
 
 class DeliveryEngine:
-    """Decides for one relay: pass events to `handle` and carry out the actions that it returns.
+    """Decides what one relay does: turns the events that `handle` gets into actions for the host.
 
     Attributes:
-        settings: Its configuration.
+        settings: Configuration of the relay.
         queues: All pending messages.
         routing_table: All destinations, their routes and endpoints.
-        connections: Policy of the connections to endpoints.
-        scheduler: The slots for calls in flight.
+        connections: Detects stale and scarce connections to endpoints, and closes idle ones.
+        scheduler: Assigns the slots for calls in flight.
     """
 
     def __init__(self, settings: Settings, seed: int) -> None:
@@ -132,10 +132,10 @@
         return self.scheduler.in_flight
 
     def handle(self, now_ms: float, events: list[Event]) -> list[Action]:
-        """Handle events, and decide.
+        """Process events, and return the actions that follow.
 
         Args:
-            now_ms: Time on the host's clock, in ms; never smaller than before.
+            now_ms: Time on the host's clock, in ms; must not decrease from call to call.
             events: The events since the last call, in order; may be empty.
 
         Returns:
@@ -176,7 +176,7 @@
                     self.gossip_importer.record_sent(now, event)
 
     def _set_timer(self, now: float, actions: list[Action]) -> None:
-        """Set a timer for the next time at which something is due, unless an earlier one is set."""
+        """Set a timer for the next due time, unless a timer is already set for the same time or earlier."""
         candidates = (
             self.queues.next_due_at(now),
             self.queues.next_expiry_at(),
@@ -201,12 +201,12 @@
         dropped = self.routing_table.apply_list(now, event)
         self.retry_policy.cancel_unsent(actions, dropped)
 
-    # -- life of a message -------------------------------------------------------------------------------
+    # -- message lifecycle -------------------------------------------------------------------------------
 
     def _accept(self, now: float, message: Message) -> None:
         message_class = self.settings.classes[message.class_index]
         deadline = now + message.remaining_ms
-        # Where clients mark retries, an unmarked message is new, however little time it has left.
+        # If clients mark retries, an unmarked message is new even if little of its time is left.
         may_be_retry = message.is_retry or message.from_dead_relay or not self.settings.clients_mark_retries
         pending = PendingMessage(
             message=message,
@@ -222,7 +222,7 @@
     def _recover(self, now: float, event: MessageRecovered) -> None:
         """Resume a message that an earlier process accepted, as if there had been no restart.
 
-        A call that was in flight has an unclear outcome; `RetryPolicy` decides whether the message may be sent again.
+        If a call was in flight at the restart, its outcome is unclear; `RetryPolicy` decides whether to send again.
         """
         message_class = self.settings.classes[event.message.class_index]
         pending = PendingMessage(
@@ -246,7 +246,7 @@
             rate.tokens = tokens_after_recovery(rate.tokens, rate.initial_tokens, event.attempts, event.age_ms)
 
     def _add(self, now: float, pending: PendingMessage) -> dict[int, RouteState]:
-        """Add a message; return the routes of its destination, which comes into use."""
+        """Add a message, bring its destination into use, and return the routes of that destination."""
         routes = self.routing_table.open(now, pending.message.destination)
         self.queues.add(pending)
         self._enqueue(pending)
@@ -260,7 +260,7 @@
         pending = self.queues.messages.get(message_id)
         if pending is None:
             return
-        pending.cancelled = True  # if it is in flight, it is removed with its outcome
+        pending.cancelled = True  # a message in flight is removed when its outcome arrives
         if pending.call is None:
             self.queues.remove(pending)
 
@@ -283,7 +283,7 @@
         self.retry_policy.record_attempt(now, pending, endpoint, event.outcome)
         endpoint.record_connection(now, event.outcome)
         self.retry_policy.back_off(now, pending)
-        if event.retry_after_ms > 0:  # also if it is not the first outcome of its call
+        if event.retry_after_ms > 0:  # applies to every outcome of a call, not only to the first
             until = pending.not_before + event.retry_after_ms
             self.retry_policy.apply_retry_after(now, route, pending.message.destination, until, actions)
         self._record_evidence(now, endpoint, pending, event, is_evidence)
@@ -297,7 +297,7 @@
     def _record_evidence(
         self, now: float, endpoint: EndpointState, pending: PendingMessage, event: AttemptEnded, is_evidence: bool
     ) -> None:
-        """Record an outcome for the health of the destination and for its connections."""
+        """Update the health of a route and its connection statistics with an outcome."""
         route = endpoint.route
         met_stale_connection = self.connections.record_reuse(route, event)
         lacked_connection = self.connections.explains_rejection(now, route, event)
@@ -327,6 +327,6 @@
         fields = self.settings.load_report_fields
         if fields is None or len(event.load_report) <= max(fields):
             return
-        remaining_index, limit_index = fields  # by position, as settings may hold a plain pair
+        remaining_index, limit_index = fields  # by position, as the setting may be a plain tuple
         report = LoadReport(event.load_report[remaining_index], event.load_report[limit_index])
         self.rate_limiter.record_load_report(route, report)
--- a/linnetstile/engine/outlier_detection.py
+++ b/linnetstile/engine/outlier_detection.py
@@ -1,4 +1,4 @@
-"""Outlier detection: which routes are ejected, when they get trial calls, and when the ejection ends.
+"""Outlier detection: ejects failing routes, schedules their trial calls, and ends the ejection.
 
 A failure score rises with each failure and falls with each answer. Above `EJECTION_THRESHOLD` a route is ejected
 (half-open): it gets single trial calls only, within this relay's share of the slow-start budget. The first answer that
@@ -17,19 +17,19 @@
 from .settings import Settings
 from .time_points import NEVER
 
-FAILURE_WEIGHT = 0.3  # weight of one failure in the moving mean: two in a row eject a route
+FAILURE_WEIGHT = 0.3  # weight of one failure in the failure score: two in a row eject a route
 EJECTION_THRESHOLD = 0.5  # failure score above which a route is ejected
-LONE_FAILURE_WEIGHT = EJECTION_THRESHOLD + 0.05  # of a failure that no recent answer contradicts: it ejects at once
-MAX_EJECTED_SCORE = 0.7  # an ejected route's score rises no higher: one answer brings it below the threshold
-TRUST_THRESHOLD = 0.25  # failure score below which a message that must not run twice may be risked again
-TRIAL_JITTER = (0.7, 1.3)  # random factor: many relays do not make their trial calls in step
+UNCONTRADICTED_FAILURE_WEIGHT = EJECTION_THRESHOLD + 0.05  # a failure that no recent answer contradicts ejects at once
+MAX_EJECTED_SCORE = 0.7  # upper bound of an ejected route's score: one answer brings it below the threshold
+TRUST_THRESHOLD = 0.25  # failure score up to which a route may get non-idempotent messages
+TRIAL_JITTER = (0.7, 1.3)  # range of the random factor on the time between trial calls: relays do not call in step
 
 
 def is_suspected(route: RouteState, now: float) -> bool:
     """Return whether a route seems to be down.
 
-    That is so if it is ejected, or if a call to each of its endpoints is overdue and no call to the route was answered
-    since that call started.
+    A route is suspected if it is ejected, or if a call to each of its endpoints is overdue and no call to the route was
+    answered since those calls started.
     """
     health = route.health
     if health.ejected or not route.calls:
@@ -40,12 +40,12 @@
 
 
 def is_trusted(route: RouteState) -> bool:
-    """Return whether the route's failures allow to send it a message that must not run twice."""
+    """Return whether the failures of a route permit sending it a non-idempotent message."""
     return route.health.failure_score <= TRUST_THRESHOLD or route.health.last_failure_had_no_effect
 
 
 class OutlierDetector:
-    """Judges routes by the outcomes of their calls."""
+    """Ejects routes, and ends their ejection, by the outcomes of their calls."""
 
     def __init__(self, settings: Settings, rng: random.Random, rate_limiter: RateLimiter) -> None:
         self.settings = settings
@@ -53,7 +53,7 @@
         self.rate_limiter = rate_limiter
 
     def record_success(self, now: float, route: RouteState) -> None:
-        """Lower the failure score; the first own answer replaces what is known by gossip."""
+        """Lower the failure score; an answer to this relay discards what it learned of the route by gossip."""
         health = route.health
         if health.from_gossip:
             health.from_gossip = False
@@ -63,16 +63,17 @@
         health.failure_score = health.failure_score * (1 - FAILURE_WEIGHT)
 
     def end_outage(self, now: float, route: RouteState) -> None:
-        """Record that the route answers; an ejected one whose score has fallen far enough begins slow start."""
+        """End the outage of a route that answers; an ejected one begins slow start if its score is low enough."""
         health = route.health
         if health.ejected and health.failure_score < EJECTION_THRESHOLD:
             slow_start.begin_slow_start(now, route, self.settings.relay_count)
         health.outage_since = None
 
     def record_failure(self, now: float, endpoint: EndpointState, pending: PendingMessage, event: AttemptEnded) -> None:
-        """Raise the failure score, and eject the route if it is too high.
+        """Raise the failure score, and eject the route if the score exceeds the threshold.
 
-        A rejection counts against the rate limit instead, unless its Retry-After is longer than a limit explains.
+        A rejection lowers the rate instead, and raises the score only if its Retry-After is longer than a limit
+        explains.
         """
         route = endpoint.route
         exceeds_limit_span = event.retry_after_ms > MAX_LIMIT_SPAN_MS
@@ -87,12 +88,12 @@
         if event.outcome is Outcome.TIMEOUT:
             latency.record_timeout(route.latency)
         ejects_alone = exceeds_limit_span or self._is_uncontradicted(now, route, pending, event.outcome)
-        self._raise_score(now, route, LONE_FAILURE_WEIGHT if ejects_alone else FAILURE_WEIGHT)
+        self._raise_score(now, route, UNCONTRADICTED_FAILURE_WEIGHT if ejects_alone else FAILURE_WEIGHT)
         if exceeds_limit_span:
             self._schedule_trial_after_retry_after(route)
 
     def _schedule_trial_after_retry_after(self, route: RouteState) -> None:
-        """Set the time of the first trial call after a Retry-After: at random, as all relays may have got the same."""
+        """Set a random time for the first trial call after a Retry-After, as all relays may have got the same one."""
         interval_ms = self.rate_limiter.trial_interval_ms(route.retry_after_until, route)
         route.health.next_trial_at = route.retry_after_until + interval_ms * self.rng.random()
 
@@ -108,9 +109,9 @@
 
     @staticmethod
     def _is_uncontradicted(now: float, route: RouteState, pending: PendingMessage, outcome: Outcome) -> bool:
-        """Return whether no recent answer and no endpoint without failures contradict an outage of the route.
+        """Return whether neither a recent answer nor an endpoint without failures contradicts an outage of the route.
 
-        One failure is then enough to eject it: a relay that seldom calls it would not see two in a row.
+        One failure is then enough to eject the route: a relay that seldom calls it would not see two in a row.
         """
         recent_since = pending.sent_at if outcome is Outcome.CONNECT_FAILED else now - EVIDENCE_TTL_MS
         has_recent_answer = route.health.last_success_at > recent_since
@@ -127,23 +128,23 @@
             health.failure_score = min(health.failure_score, MAX_EJECTED_SCORE)
 
     def schedule_trial(self, now: float, route: RouteState) -> None:
-        """Set the time of the next trial call after one that starts now, with jitter."""
+        """Set the time of the next trial call, counted from one that starts now, with jitter."""
         interval_ms = self.rate_limiter.trial_interval_ms(now, route)
         route.health.next_trial_at = now + interval_ms * self.rng.uniform(*TRIAL_JITTER)
 
     def adopt_outage(self, now: float, route: RouteState, age_ms: float, aware_relays: float) -> None:
-        """Eject a route that other relays found down; this weighs less than an own failure."""
+        """Eject a route that other relays found down; their evidence weighs less than a failure seen by this relay."""
         health = route.health
         if not health.ejected:
             health.outage_since = now - age_ms
             health.notified_relays = aware_relays
-            # At a random time, as many relays may learn of the outage together.
+            # The first trial call gets a random time, as many relays may learn of the outage together.
             health.next_trial_at = now + self.rate_limiter.trial_interval_ms(now, route) * self.rng.random()
         health.ejected = True
         health.from_gossip = True
-        # Dated back, so that messages that must not run twice wait half as long as after an own failure.
+        # Dated back, so that non-idempotent messages wait half as long as after a failure seen by this relay.
         health.failed_at = now - EVIDENCE_TTL_MS / 2
-        health.failure_score = LONE_FAILURE_WEIGHT
+        health.failure_score = UNCONTRADICTED_FAILURE_WEIGHT
 
     def adopt_slow_start(self, now: float, route: RouteState, age_ms: float, aware_relays: float) -> None:
         """Begin slow start on a route that other relays saw recover `age_ms` ago."""
--- a/linnetstile/engine/rate_limiter.py
+++ b/linnetstile/engine/rate_limiter.py
@@ -1,9 +1,9 @@
 """Rate limits of destinations: tokens, learned and advertised rates, throttling after rejections, load reports.
 
-The limit of a destination holds for all relays together, and is mostly not advertised. A relay begins with an equal
-share of the advertised rate or, without one, with rare calls that are not paced. A rejection throttles the route; each
-success of a route that has no whole token left raises its rate again. An ejected route, and one in slow start, get this
-relay's share of the slow-start budget.
+The limit of a destination holds for all relays together, and is usually not advertised. A relay begins with an equal
+share of the advertised rate or, without one, with infrequent calls that are not paced. A rejection throttles the route;
+each success of a route that has no whole token left raises its rate again. An ejected route, and one in slow start, get
+this relay's share of the slow-start budget.
 """
 
 from __future__ import annotations
@@ -17,25 +17,26 @@
 from .slow_start import budget_share, count_aware_relays, initial_budget
 from .time_points import MS_PER_SECOND
 
-# How long a rejection throttles a route: about the time of a burst. It doubles while calls are rejected.
-MIN_THROTTLE_MS = 4000.0
-MAX_THROTTLE_MS = 16000.0
-THROTTLE_JITTER = (0.5, 1.5)  # random factor: relays that were rejected together do not return together
-TOKENS_AFTER_REJECTION = (-0.5, 0.5)  # random bound of the tokens: rejected relays do not send their next call in step
-BURST_S = 2.0  # the token bucket holds the calls of this many seconds,
-MIN_BURST = 3.0  # but no fewer than this
-SINGLE_CALL = 1.0  # the burst of a route that gets its calls one at a time
-UNPACED_RATE = 0.5  # calls a second that one of many relays may send without pacing, until one is rejected
+MIN_THROTTLE_MS = 4000.0  # throttling after a first rejection, about as long as a burst; doubles with each further one
+MAX_THROTTLE_MS = 16000.0  # longest throttling after repeated rejections
+# Range of the random factor on a throttling time, so that relays which were rejected together do not resume together.
+THROTTLE_JITTER = (0.5, 1.5)
+# Range of the random cap on the tokens after a rejection, so that rejected relays do not send their next call in step.
+TOKENS_AFTER_REJECTION = (-0.5, 0.5)
+BURST_S = 2.0  # capacity of the token bucket, in seconds of calls at the allowed rate
+MIN_BURST = 3.0  # least capacity of the token bucket, in calls; less where load reports lower the unpaced rate
+SINGLE_CALL = 1.0  # burst of a route that gets its calls one at a time
+UNPACED_RATE = 0.5  # calls a second to a route that one of many relays may send without pacing, until one is rejected
 RATE_GAIN = 0.5  # fraction by which a success raises a rate that has no whole token left
-THROTTLED_RATE_GAIN = 0.1  # the same while the route is throttled
+THROTTLED_RATE_GAIN = 0.1  # fraction by which a success raises the rate of a throttled route
 REJECTION_FACTOR = 0.7  # fraction of the rate that is kept after a rejection
-MIN_SHARE_DIVISOR = 3  # rejections and load reports lower the rate to this part of the equal share at most
+MIN_SHARE_DIVISOR = 3  # rejections and load reports leave a relay at least its equal share divided by this
 MAX_LIMIT_SPAN_MS = 2500.0  # longer than any time window over which a destination counts calls for its limit
-TRIAL_EXPIRY_MS = 1000.0  # a trial call that is overdue for so long is scheduled anew: trials do not accumulate
+TRIAL_EXPIRY_MS = 1000.0  # a trial call that is overdue by more is rescheduled, so that trial calls do not accumulate
 
 
 class RateAllowance(NamedTuple):
-    """What a route may get now.
+    """The calls that a route may get now.
 
     Attributes:
         calls_per_s: Calls a second.
@@ -51,7 +52,7 @@
 
     Attributes:
         at: Time of a call within the tokens.
-        overdraw_at: Time of an urgent call, which may overdraw the tokens; no later than `at`.
+        overdraw_at: Time of an urgent call, which may overdraw the token bucket; no later than `at`.
     """
 
     at: float
@@ -59,11 +60,11 @@
 
 
 class LoadReport(NamedTuple):
-    """What an answer reports of its destination's rate limit.
+    """What an answer reports about the rate limit of its destination.
 
     Attributes:
         remaining_fraction: Fraction of the limit that is left.
-        limit_per_s: The limit in calls a second; 0 if there is none, or none is known.
+        limit_per_s: The limit in calls a second; 0 if there is none or it is unknown.
     """
 
     remaining_fraction: float
@@ -75,7 +76,7 @@
 
     Attributes:
         answer_counter: Recent answers of all destinations.
-        unpaced_rates: By kind of destination, the calls a second that need no pacing; `UNPACED_RATE` if missing.
+        unpaced_rates: By kind of destination, the calls a second that are not paced; `UNPACED_RATE` if missing.
     """
 
     def __init__(self, settings: Settings, rng: random.Random, index: EndpointIndex) -> None:
@@ -99,23 +100,23 @@
         )
 
     def trusted_rate(self, advertised_rate: float) -> float:
-        """Return the advertised rate if the settings say that it means something, else 0."""
+        """Return the advertised rate if there is one and the settings trust advertised rates, else 0."""
         return advertised_rate if self.settings.rate_trust is not RateTrust.NONE and advertised_rate > 0 else 0.0
 
     @staticmethod
     def apply_advertised_rate(rate: RateState, advertised_rate: float) -> None:
-        """Take over a changed rate of the list; what was learned stays in proportion."""
+        """Adopt a changed advertised rate, and scale the learned rate in proportion."""
         if advertised_rate and advertised_rate != rate.fleet_rate:
             rate.own_rate = rate.own_rate * advertised_rate / rate.fleet_rate
             rate.fleet_rate = advertised_rate
 
     def allowance(self, now: float, route: RouteState, is_down: bool) -> RateAllowance:
-        """Return what the route may get now.
+        """Return the calls that a route may get now.
 
-        For a route that is down or in slow start it is this relay's share of the slow-start budget, so that all relays
-        that know of the outage stay within the budget together.
+        A route that is down or in slow start gets this relay's share of the slow-start budget, so that all relays that
+        know of the outage together stay within the budget.
         """
-        if is_down or self._may_return_any_moment(now, route):
+        if is_down or self._may_recover_any_moment(now, route):
             budget = initial_budget(route, self.settings)
             return RateAllowance(budget / count_aware_relays(now, route, self.settings.relay_count), SINGLE_CALL)
         rate = route.rate
@@ -128,10 +129,11 @@
         return RateAllowance(allowed, burst)
 
     @staticmethod
-    def _may_return_any_moment(now: float, route: RouteState) -> bool:
-        """Return whether an outage lasts longer than a rate limit explains, so that its end begins a slow start.
+    def _may_recover_any_moment(now: float, route: RouteState) -> bool:
+        """Return whether a route is in an outage that a rate limit does not explain, and may recover into slow start.
 
-        Its calls failed or were rejected; where a rate is advertised, a single rejection does not count.
+        Such an outage exceeds the time window of any limit, and its calls failed or were rejected. Where a rate is
+        advertised, a single rejection does not count.
         """
         health = route.health
         if health.outage_since is None or now - health.outage_since <= MAX_LIMIT_SPAN_MS:
@@ -141,7 +143,7 @@
         return has_failed or route.rate.throttle_ms > explained_throttle_ms
 
     def next_call(self, now: float, route: RouteState, is_down: bool) -> NextCall:
-        """Bring the tokens of a route up to date, and return when it may get its next call."""
+        """Refill the tokens of a route, and return when it may get its next call."""
         allowance = self.allowance(now, route, is_down)
         rate = route.rate
         if rate.initial_tokens < 1 and self.unpaced_rates.get(route.kind, UNPACED_RATE) < UNPACED_RATE / 2:
@@ -152,22 +154,22 @@
             next_trial_at = self._next_trial_at(now, route.health, allowance.calls_per_s)
             return NextCall(next_trial_at, next_trial_at)
         at = now + max(0.0, 1 - rate.tokens) / allowance.calls_per_s * MS_PER_SECOND
-        if allowance.burst == SINGLE_CALL:  # no overdraft either
+        if allowance.burst == SINGLE_CALL:  # such a route may not be overdrawn
             return NextCall(at, at)
         return NextCall(at, at - MIN_BURST / allowance.calls_per_s * MS_PER_SECOND)
 
     @staticmethod
     def _withhold_initial_burst(now: float, rate: RateState) -> None:
-        """Let a route start with its random part of one token, as load reports say that little of limits is left.
+        """Reduce the first tokens of a route to a random part of one, as load reports show limits nearly used up.
 
-        The first calls of many relays are then spread over time, too.
+        This spreads the first calls of many relays over time.
         """
         rate.tokens = min(rate.tokens, rate.initial_tokens)
         rate.initial_tokens = 1.0
         rate.tokens_at = now
 
     def _next_trial_at(self, now: float, health: HealthState, calls_per_s: float) -> float:
-        """Return when a route that is down gets its next trial call; one that is long overdue is scheduled anew."""
+        """Return when a route that is down gets its next trial call; a call that is long overdue is rescheduled."""
         if now > health.next_trial_at + TRIAL_EXPIRY_MS:
             health.next_trial_at = now + MS_PER_SECOND / calls_per_s * self.rng.random()
         return health.next_trial_at
@@ -183,7 +185,7 @@
 
     @staticmethod
     def raise_rate(now: float, rate: RateState) -> None:
-        """Raise the rate after a success, if less than one token is left: only then has the rate held calls back."""
+        """Raise the rate after a success if less than one token is left: only then has the rate limited the calls."""
         if rate.tokens >= 1:
             return
         is_throttled = now <= rate.throttled_until
@@ -192,7 +194,7 @@
         rate.own_rate = min(rate.fleet_rate, raised) if rate.is_advertised else raised
 
     def record_rejection(self, now: float, rate: RateState) -> None:
-        """Throttle a route that has rejected a call above its limit."""
+        """Throttle a route after a rejection that is due to its rate limit."""
         equal_share = rate.fleet_rate / self.settings.relay_count if rate.is_advertised else UNPACED_RATE
         reduced = rate.own_rate * REJECTION_FACTOR
         was_paced = now < rate.throttled_until or equal_share > UNPACED_RATE
@@ -206,19 +208,19 @@
         rate.tokens = min(rate.tokens, self.rng.uniform(*TOKENS_AFTER_REJECTION))
 
     def adopt_rate(self, now: float, rate: RateState, calls_per_s: float) -> None:
-        """Adopt the rate to which rejections throttle another relay."""
+        """Adopt the rate of another relay that rejections have throttled."""
         rate.own_rate = calls_per_s
         rate.throttled_until = now + MIN_THROTTLE_MS * self.rng.uniform(*THROTTLE_JITTER)
 
     def record_load_report(self, route: RouteState, report: LoadReport) -> None:
-        """Adjust the rate to a load report."""
+        """Adjust the rates to the limit and the remaining fraction of a load report."""
         if report.limit_per_s <= 0:
             return
         rate = route.rate
         rate.is_advertised = True
         rate.own_rate = rate.own_rate * report.limit_per_s / rate.fleet_rate
         rate.fleet_rate = report.limit_per_s
-        change = 1 + THROTTLED_RATE_GAIN * (4 * report.remaining_fraction - 2)  # no change where half is left
+        change = 1 + THROTTLED_RATE_GAIN * (4 * report.remaining_fraction - 2)  # 1 if half of the limit is left
         self._adjust_unpaced_rate(route.kind, change)
         has_no_whole_token = rate.tokens < 1
         if change < 1 or has_no_whole_token:
@@ -226,19 +228,19 @@
             rate.own_rate = min(report.limit_per_s, max(rate.own_rate * change, equal_share / MIN_SHARE_DIVISOR))
 
     def _adjust_unpaced_rate(self, kind: int, change: float) -> None:
-        """Change the rate that needs no pacing.
+        """Multiply the unpaced rate of a kind by a factor.
 
-        Where rejected calls use up a limit too, no call should go unpaced while little of the limit is left.
+        Rejected calls may use up a limit too, so calls should be paced while little of the limit is left.
         """
         raised = min(UNPACED_RATE, self.unpaced_rates.get(kind, UNPACED_RATE) * change)
         self.unpaced_rates[kind] = max(UNPACED_RATE / self.settings.relay_count, raised)
 
     def estimate_fleet_rate(self, now: float, route: RouteState) -> None:
-        """Estimate a rate that nobody advertises: the recent answers to this relay times the number of relays.
+        """Estimate a rate that is not advertised: the recent answers to this relay times the number of relays.
 
-        The answers of a mean destination are the prior, so that the sum over all relays approaches what the destination
-        has answered, however unevenly the relays call it. The slow-start budget depends on the estimate, which
-        therefore stays as it is during an outage and a slow start.
+        The mean number of answers of a destination is the prior, so that the sum over all relays approaches what the
+        destination has answered even if the relays call it unevenly. The slow-start budget depends on the estimate,
+        which therefore stays unchanged during an outage and a slow start.
         """
         if now < route.health.slow_start_since + self.slow_start_ms:
             return
--- a/linnetstile/engine/retry_policy.py
+++ b/linnetstile/engine/retry_policy.py
@@ -1,7 +1,9 @@
-"""Whether a message may be sent, by attempts, effect, deduplication window, order, Retry-After and deadline; backoff.
+"""Retry rules: whether and until when a message may be sent, and the backoff before a retry.
 
-A message that a destination deduplicates may be repeated after an unclear outcome, within the window. One that is not
-idempotent is sent again only after proof that it had no effect. No other module decides whether a message may be sent.
+The rules cover the number of attempts, the effect of a message, its deduplication window, its order, Retry-After and
+its deadline. After an unclear outcome, a message that its destination deduplicates may be repeated within the window. A
+non-idempotent message is sent again only after proof that it had no effect. No other module decides whether a message
+may be sent.
 """
 
 from __future__ import annotations
@@ -17,11 +19,11 @@
 from .settings import DeduplicationScope, Effect, Settings
 from .time_points import NEVER
 
-DEADLINE_MARGIN_MS = 20.0  # a message gets its final answer so long before its deadline
-BACKOFF_MS = 120.0  # before the first retry: about one round trip; doubles with each attempt
-MAX_BACKOFF_MS = 4000.0  # after a longer one the latency objective would be missed in any case
-BACKOFF_JITTER = (0.7, 1.3)  # random factor
-MIN_LATENCY_DIVISOR = 4  # no attempt starts with less than this part of the mean latency left until the deadline
+DEADLINE_MARGIN_MS = 20.0  # a message gets its final answer at least this long before its deadline
+BACKOFF_MS = 120.0  # delay before the first retry, about one round trip; doubles with each attempt
+MAX_BACKOFF_MS = 4000.0  # a retry after a longer backoff would miss the latency objective anyway
+BACKOFF_JITTER = (0.7, 1.3)  # range of the random factor on each backoff
+MIN_LATENCY_DIVISOR = 4  # no attempt starts with less time left than the mean latency divided by this
 # Outcomes after which the destination may still be working on the message.
 LINGERING_OUTCOMES = (Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED)
 
@@ -31,7 +33,7 @@
 
     Attributes:
         ordering_pauses: End of the pause of each ordering key that is paused.
-        shutdown_at: When this process ends.
+        shutdown_at: When this process ends; infinite until a shutdown has started.
     """
 
     def __init__(
@@ -61,7 +63,7 @@
         if now >= min(pending.latest_send_at, self.retry_allowed_until(pending)):
             return False
         if pending.message_class.effect is Effect.NON_IDEMPOTENT and self._may_outlast_process(now, route):
-            return False  # the next process sends it
+            return False  # left to the next process
         allowed_at = max(route.retry_after_until, pending.not_before, self.ordering_allowed_at(pending))
         return now >= allowed_at and self.is_deduplicated_at(pending, endpoint.info)
 
@@ -73,13 +75,13 @@
     def may_reject(self, pending: PendingMessage) -> bool:
         """Return whether a message may be rejected, which promises that submitting it again is harmless.
 
-        After an unclear attempt only an idempotent message may. Deduplication does not suffice: a client may submit
-        again after the window has closed, and to any relay.
+        After an unclear attempt, only an idempotent message may be rejected. Deduplication is not enough: a client may
+        submit the message again after the window has closed, and to any relay.
         """
         return pending.first_unclear_at is None or pending.message_class.effect is Effect.IDEMPOTENT
 
     def is_deduplicated_at(self, pending: PendingMessage, endpoint: Endpoint) -> bool:
-        """Return whether an endpoint deduplicates a message that may have run, if it depends on deduplication."""
+        """Return whether an endpoint would deduplicate a message; also true if the message does not depend on it."""
         unclear_endpoint = pending.unclear_endpoint
         message_class = pending.message_class
         if unclear_endpoint is None or message_class.effect is not Effect.DEDUPLICATED:
@@ -90,7 +92,10 @@
         return scope is DeduplicationScope.ZONE and endpoint.zone == unclear_endpoint.zone
 
     def ordering_allowed_at(self, pending: PendingMessage) -> float:
-        """Return when a message may be sent by its order: as the first of its ordering key, after the key's pause."""
+        """Return the earliest time at which its ordering key allows a message to be sent.
+
+        Only the first message of a key may be sent, and only after the pause of the key.
+        """
         key = pending.ordering_key
         if not key:
             return 0.0
@@ -98,7 +103,7 @@
         return self.ordering_pauses.get(key, 0.0) if is_first else float("inf")
 
     def retry_allowed_until(self, pending: PendingMessage) -> float:
-        """Return until when another attempt is allowed; NEVER if all attempts are used up or it could run twice."""
+        """Return until when another attempt is allowed; NEVER if none is left or the message could run twice."""
         if pending.attempts >= self.settings.max_attempts:
             return NEVER
         return self.last_byte_allowed_until(pending)
@@ -106,7 +111,7 @@
     def last_byte_allowed_until(self, pending: PendingMessage) -> float:
         """Return until when the last byte of an attempt may be written.
 
-        As a connection may take long to be made, only the writer of that byte can enforce it.
+        Connecting may take long, so only the code that writes the last byte can enforce this limit.
         """
         effect = pending.message_class.effect
         if pending.first_unclear_at is None or effect is Effect.IDEMPOTENT:
@@ -114,21 +119,21 @@
         if effect is Effect.NON_IDEMPOTENT:
             return NEVER
         window_end = pending.first_unclear_at + pending.message_class.deduplication_window_ms
-        # A destination may look up its keys as late as just before its answer.
+        # A destination may look up the deduplication key as late as just before it answers.
         return window_end - self.settings.tick_ms - self.fleet_latency.mean_ms
 
     def latest_send_at(self, pending: PendingMessage) -> float:
-        """Return the last time at which an attempt may start; NEVER if none can be made any more.
+        """Return the latest time at which an attempt may start; NEVER if no further attempt is possible.
 
-        With NEVER the final answer is sent at once. Until then the message stays pending, for its order, for tokens,
-        for the recovery of its destination or for an endpoint to be listed.
+        With NEVER the message gets its final answer at once. Otherwise it stays pending until that time, waiting for
+        its turn in the order, for tokens, for the recovery of its destination or for an endpoint to be listed.
         """
         routes = [route for route in self.routes.get(pending.message.destination, {}).values() if route.endpoints]
         closing_at = pending.deadline - DEADLINE_MARGIN_MS - 2 * self.settings.tick_ms
         latest = min(self.retry_allowed_until(pending), closing_at)
         usable = self._usable_routes(pending, routes)
         if not usable:
-            return NEVER if routes and self._needs_one_endpoint(pending) else latest
+            return NEVER if routes and self._depends_on_one_endpoint(pending) else latest
         min_latency_ms = min(route.latency.mean_ms for route in usable) / MIN_LATENCY_DIVISOR
         latest = min(latest, pending.deadline - min_latency_ms)
         retry_after_until = min(route.retry_after_until for route in usable)
@@ -137,7 +142,7 @@
         return latest if allowed_at < latest else NEVER
 
     def _usable_routes(self, pending: PendingMessage, routes: list[RouteState]) -> list[RouteState]:
-        """Return the routes with an endpoint that deduplicates the message, if it may have run."""
+        """Return the routes that may get the message: if it may have run, only those that would deduplicate it."""
         if pending.unclear_endpoint is None:
             return routes
         return [
@@ -147,8 +152,8 @@
         ]
 
     @staticmethod
-    def _needs_one_endpoint(pending: PendingMessage) -> bool:
-        """Return whether only the endpoint where the message may have run can deduplicate it."""
+    def _depends_on_one_endpoint(pending: PendingMessage) -> bool:
+        """Return whether a retry is deduplicated only by the endpoint where the message may have run."""
         message_class = pending.message_class
         return (
             pending.unclear_endpoint is not None
@@ -157,7 +162,7 @@
         )
 
     def record_attempt(self, now: float, pending: PendingMessage, endpoint: EndpointState, outcome: Outcome) -> None:
-        """Record where a message may have run, and pause its ordering key if the destination may still work on it."""
+        """Record where a message may have run, and pause its ordering key if the destination may still run it."""
         if not outcome.proves_no_effect and pending.first_unclear_at is None:
             pending.first_unclear_at = pending.sent_at
             pending.unclear_endpoint = endpoint.info
@@ -172,13 +177,13 @@
         pending.not_before = now + backoff_ms * self.rng.uniform(*BACKOFF_JITTER)
 
     def recovery_delay_ms(self) -> float:
-        """Return the random delay of a message that was in flight before a restart, so that not all go at once."""
+        """Return a random delay for a message that was in flight at a restart, to spread these messages over time."""
         return BACKOFF_MS * self.rng.uniform(0.0, 1.0)
 
     def apply_retry_after(
         self, now: float, route: RouteState, destination: int, until: float, actions: list[Action]
     ) -> None:
-        """Apply a Retry-After to all messages of a route, and let those expire whose deadline comes before its end."""
+        """Apply a Retry-After to all messages of a route, and expire those whose deadline comes before it ends."""
         route.retry_after_until = max(route.retry_after_until, until)
         self.cancel_unsent(actions, list(route.endpoints.values()))
         for other in self.queues.queues.get(destination, {}).values():
@@ -187,7 +192,7 @@
 
     @staticmethod
     def cancel_unsent(actions: list[Action], endpoints: list[EndpointState]) -> None:
-        """Cancel the calls to these endpoints that still wait for a connection: they may no longer be sent."""
+        """Cancel the calls to these endpoints that still wait for a connection, as they may no longer be sent."""
         for endpoint in endpoints:
             for call in endpoint.route.calls:
                 if call.endpoint is endpoint:
--- a/linnetstile/engine/scheduler.py
+++ b/linnetstile/engine/scheduler.py
@@ -1,4 +1,4 @@
-"""The scheduler of in-flight slots: which message is sent next, and which slow destinations have to wait."""
+"""Schedules the in-flight slots: picks the next message, and delays slow destinations when slots are scarce."""
 
 from __future__ import annotations
 
@@ -20,22 +20,22 @@
 from .settings import Effect, Settings
 from .time_points import NEVER
 
-MAX_QUEUE_WAIT_MS = 500.0  # a queue without a message that may be sent is checked again after so long at most
-LAST_ATTEMPT_FACTOR = 3.0  # the last attempt of a message has so many times the time-out: a late answer still counts
-SLOW_FACTOR = 8.0  # a destination is slow whose calls take so many times the harmonic mean of all latencies
-SUSPECTED_SLOT_DIVISOR = 4  # a suspected route may occupy this part of all slots,
-ROUTE_SLOT_DIVISOR = 2  # and any other route this part, while several destinations have messages
-SCARCE_SLOT_DIVISOR = 4  # slots are scarce while no more than this part of them is free; then
-SLOW_SLOT_DIVISOR = 8  # slow destinations together may occupy this part of them
+MAX_QUEUE_WAIT_MS = 500.0  # longest time until a queue without a sendable message is checked again
+LAST_ATTEMPT_FACTOR = 3.0  # factor on the time-out of a message's last attempt: a late answer still counts
+SLOW_FACTOR = 8.0  # a destination is slow if its calls take more than this multiple of the harmonic mean latency
+SUSPECTED_SLOT_DIVISOR = 4  # a suspected route may occupy all slots divided by this
+ROUTE_SLOT_DIVISOR = 2  # any other route may occupy all slots divided by this while several destinations have messages
+SCARCE_SLOT_DIVISOR = 4  # slots are scarce if no more than all slots divided by this are free
+SLOW_SLOT_DIVISOR = 8  # slow routes together may occupy all slots divided by this while slots are scarce
 
 
 class Candidate(NamedTuple):
-    """The message of a queue that should be sent next.
+    """The message that a queue should send next.
 
     Attributes:
-        value: Value that a delivery can still have, for each ms of slot time.
+        value: Urgency of the message (see `send_order.urgency`) for each ms of expected slot time.
         pending: The message.
-        endpoint: Where it would be sent.
+        endpoint: The endpoint to send it to.
     """
 
     value: float
@@ -44,12 +44,12 @@
 
 
 class RouteSchedule(NamedTuple):
-    """When a route may get messages, and how valuable its slots are.
+    """When a route may get messages, and how long each is expected to occupy a slot.
 
     Attributes:
-        paced_at: From when it may get a message within its rate.
-        urgent_at: From when it may get an urgent message, which may exceed its rate.
-        non_idempotent_at: From when it may get a message that must not run twice, as far as its health goes.
+        paced_at: Earliest time of a message within the rate limit.
+        urgent_at: Earliest time of an urgent message, which may exceed the rate limit.
+        non_idempotent_at: Earliest time at which the health of the route permits a non-idempotent message.
         answer_at: When a call that starts now is expected to be answered.
         slot_ms: Expected slot time of one delivery.
     """
@@ -62,7 +62,7 @@
 
 
 class Scheduler:
-    """Assigns the slots of the relay to messages; owns the count of calls in flight."""
+    """Assigns the slots of the relay to messages, and counts the calls in flight."""
 
     def __init__(
         self,
@@ -88,7 +88,7 @@
         self.in_flight = 0
 
     def dispatch(self, now: float, actions: list[Action]) -> None:
-        """Send the messages with most value per slot time while there are free slots; only due queues are read."""
+        """Send messages while slots are free, the most value per slot time first; reads only queues that are due."""
         max_in_flight = self.settings.max_in_flight
         if self.in_flight >= max_in_flight:
             return
@@ -104,7 +104,7 @@
             due = [destination]  # only its queue has changed
 
     def _pick_candidates(self, now: float, destinations: list[int], candidates: dict[int, Candidate]) -> None:
-        """Add the candidate of each of these destinations to `candidates`, if it has one."""
+        """Add the candidates of these destinations to `candidates`; a destination may have none."""
         for destination in destinations:
             if destination not in self.queues.queues:
                 continue
@@ -113,7 +113,7 @@
                 candidates[destination] = candidate
 
     def release(self, now: float, call: InFlightCall) -> None:
-        """Free the slot of a call whose last message has its outcome."""
+        """Free the slot of a call after the outcome of its last message."""
         self.in_flight -= 1
         call.endpoint.in_flight -= 1
         route = call.endpoint.route
@@ -121,9 +121,9 @@
         latency.record_call_time(route.latency, now - call.started_at)
 
     def pick(self, now: float, destination: int) -> Candidate | None:
-        """Return the message of a queue with most value per slot time of those that may be sent now, if there is one.
+        """Return the sendable message of a queue with the most value per slot time, or None if none may be sent now.
 
-        If not, the queue is checked again when one of its messages may be sent, or after `MAX_QUEUE_WAIT_MS`.
+        With None, the queue is checked again when one of its messages may be sent, or after `MAX_QUEUE_WAIT_MS`.
         """
         best: Candidate | None = None
         next_check_at = now + MAX_QUEUE_WAIT_MS
@@ -147,7 +147,7 @@
         return best
 
     def _schedule(self, now: float, route: RouteState) -> RouteSchedule | None:
-        """Return when a route may get messages; None if it may have no further slot now."""
+        """Return when a route may get messages, or None if it may not occupy another slot now."""
         is_down = is_suspected(route, now)
         if self._has_used_its_slots(route, is_down) or self._must_yield(now, route):
             return None
@@ -164,27 +164,27 @@
         )
 
     def _allowed_at(self, pending: PendingMessage, route: RouteState, schedule: RouteSchedule) -> float:
-        """Return from when a message may be sent to a route."""
+        """Return the earliest time at which a message may be sent to a route."""
         ordering_allowed_at = 0.0
-        # The rate is an estimate: it may be exceeded if the client will not wait, or others wait for this message.
+        # The rate is an estimate, so a message may exceed it if its client gives up early or if it blocks others.
         is_urgent = pending.expires_early
         if pending.ordering_key:
             ordering_allowed_at = self.retry_policy.ordering_allowed_at(pending)
             is_urgent = is_urgent or self.queues.blocks_successor(pending)
         rate_allowed_at = schedule.urgent_at if is_urgent else schedule.paced_at
         allowed_at = max(pending.not_before, route.retry_after_until, rate_allowed_at, ordering_allowed_at)
-        if pending.message_class.effect is Effect.NON_IDEMPOTENT:  # an unclear outcome would be its final one
+        if pending.message_class.effect is Effect.NON_IDEMPOTENT:  # it could not be retried after an unclear outcome
             return max(allowed_at, schedule.non_idempotent_at)
         return allowed_at
 
     @staticmethod
     def _slot_time_ms(route: RouteState) -> float:
-        """Return the expected slot time of one delivery, with that of the calls that fail before it."""
+        """Return the expected slot time of one delivery, including failed calls before it."""
         failure_score = route.health.failure_score
         return route.latency.mean_ms + failure_score * latency.timeout_ms(route.latency) / (1 - failure_score)
 
     def _has_used_its_slots(self, route: RouteState, is_down: bool) -> bool:
-        """Return whether a route occupies as many slots as it may, while others may need them."""
+        """Return whether a route has reached its slot limit, which a healthy one has only while other queues wait."""
         divisor = SUSPECTED_SLOT_DIVISOR if is_down else ROUTE_SLOT_DIVISOR
         if len(route.calls) < max(1, self.settings.max_in_flight // divisor):
             return False
@@ -199,7 +199,7 @@
     def _must_yield(self, now: float, route: RouteState) -> bool:
         """Return whether a slow route has to leave the last free slots to quick ones.
 
-        Slow routes are bounded together, so that quick destinations have slots however many are slow.
+        One limit holds for all slow routes together, so that quick destinations get slots even if many are slow.
         """
         if self.routing_table.index.destination_count <= 1:
             return False
@@ -210,12 +210,12 @@
         return self._count_slow_calls(now) >= max(1, max_in_flight // SLOW_SLOT_DIVISOR)
 
     def _count_slow_calls(self, now: float) -> int:
-        """Return how many slots slow routes occupy."""
+        """Return how many slots all slow routes together occupy."""
         all_routes = (route for routes in self.routing_table.routes.values() for route in routes.values())
         return sum(len(route.calls) for route in all_routes if route.calls and self._is_slow(now, route))
 
     def _send(self, now: float, pending: PendingMessage, endpoint: EndpointState, actions: list[Action]) -> None:
-        """Start a call with a message, and with others of its queue where the destination takes batches."""
+        """Start a call with a message, adding others of its queue if the destination accepts batches."""
         route = endpoint.route
         timeout_at = self._timeout_at(now, pending, route)
         last_byte_delay_ms = self.connections.last_byte_delay_ms(route, pending.message_class)
@@ -240,7 +240,7 @@
             actions.append(send)
 
     def _start_call(self, now: float, endpoint: EndpointState, messages: list[PendingMessage]) -> InFlightCall:
-        """Record a call that occupies a slot from now on."""
+        """Record a new call, which occupies a slot and takes a token."""
         call = InFlightCall(endpoint, now, messages, len(messages))
         endpoint.route.calls.append(call)
         endpoint.in_flight += 1
@@ -249,10 +249,10 @@
         return call
 
     def _timeout_at(self, now: float, pending: PendingMessage, route: RouteState) -> float:
-        """Return when the call is given up: by its time-out, and in any case before the message's deadline.
+        """Return when the call times out, which is always before the message's deadline.
 
-        An answer close to the deadline may or may not count, and the final answer to the client would be late. A
-        time-out is no shorter than the first backoff, so that a short stall of a quick destination is no failure.
+        An answer just before the deadline might not count, and the final answer to the client would be late. A time-out
+        is never shorter than the first backoff, so that a short stall of a quick destination is no failure.
         """
         latest = pending.deadline - DEADLINE_MARGIN_MS
         timeout_ms = max(BACKOFF_MS, latency.timeout_ms(route.latency)) * route.latency.timeout_multiplier
@@ -262,7 +262,7 @@
         return min(latest, now + timeout_ms) if has_time_for_retry else latest
 
     def _is_last_attempt(self, now: float, pending: PendingMessage, timeout_ms: float) -> bool:
-        """Return whether no attempt is allowed after this one, should it time out."""
+        """Return whether no further attempt is allowed if this one times out."""
         message_class = pending.message_class
         if pending.attempts + 1 >= self.settings.max_attempts or message_class.effect is Effect.NON_IDEMPOTENT:
             return True
@@ -273,7 +273,7 @@
         return retry_at > first_unclear_at + message_class.deduplication_window_ms
 
     def _batch_companions(self, now: float, pending: PendingMessage, endpoint: EndpointState) -> list[PendingMessage]:
-        """Return further messages for the same call, which together take one slot and one token."""
+        """Return further messages to send in the same call, which takes one slot and one token in total."""
         route = endpoint.route
         trusted = is_trusted(route)
         companions = [
