--- a/linnetstile/engine/admission.py
+++ b/linnetstile/engine/admission.py
@@ -1,4 +1,4 @@
-"""Admission control: tenant quotas, load shedding when the relay is full, and final answers with their Retry-After."""
+"""Admission control: tenant quotas, load shedding when the relay is full, and final answers without a delivery."""
 
 from __future__ import annotations
 
@@ -21,19 +21,19 @@
 from .time_points import MS_PER_SECOND, NEVER
 
 SHED_THRESHOLD = 0.85  # fraction of `max_pending_messages` above which the least valuable messages are rejected
-EARLY_REJECTION_FRACTION = 0.7  # fraction of its time within which rejecting an accepted message costs more:
-EARLY_REJECTION_COST = 0.3  # this fraction of its full value in addition
-RETRY_AFTER_JITTER = (1.0, 1.5)  # random factor: clients do not return in step
-QUOTA_BURST_S = 2  # a tenant may save up its quota of so many seconds
-MIN_RATE_PER_S = 0.01  # assumed for a destination that has no route
+EARLY_REJECTION_FRACTION = 0.7  # the rejection of an accepted message within this fraction of its time is early
+EARLY_REJECTION_COST = 0.3  # extra cost of an early rejection, as a fraction of the full value of the message
+RETRY_AFTER_JITTER = (1.0, 1.5)  # range of the random factor on a Retry-After: clients do not return in step
+QUOTA_BURST_S = 2  # capacity of a tenant's token bucket, in seconds of its quota
+MIN_RATE_PER_S = 0.01  # calls a second that are assumed for a destination without a route
 
 
 @dataclass(slots=True)
 class TenantBucket:
-    """Token bucket of one tenant at this relay, for this relay's part of the quota.
+    """Token bucket of one tenant for the part of its quota that belongs to this relay.
 
     Attributes:
-        tokens: Messages that it may submit within its quota; the bucket is full at first.
+        tokens: Messages that the tenant may submit within its quota; infinite until the first refill fills the bucket.
         updated_at: When `tokens` was last brought up to date.
     """
 
@@ -42,7 +42,8 @@
 
     def refill(self, now: float, quota_per_s: float) -> None:
         """Add the tokens since the last update."""
-        capacity = max(1.0, QUOTA_BURST_S * quota_per_s)  # a message fits, if late, however small the quota
+        # Below 1, a tenant with a small quota would never have a whole token.
+        capacity = max(1.0, QUOTA_BURST_S * quota_per_s)
         self.tokens = min(capacity, self.tokens + quota_per_s * (now - self.updated_at) / MS_PER_SECOND)
         self.updated_at = now
 
@@ -51,7 +52,7 @@
     """A message that may be rejected when the relay is full.
 
     Attributes:
-        loss: Value that is lost by the rejection, by its expected time of sending.
+        loss: Value that a rejection would lose, given the expected time of sending.
         pending: The message.
     """
 
@@ -60,7 +61,7 @@
 
 
 class AdmissionController:
-    """Decides how much a message above its tenant's quota counts, and which messages are rejected under overload."""
+    """Lowers the value of messages above a tenant's quota, and rejects the least valuable messages under overload."""
 
     def __init__(
         self,
@@ -81,7 +82,7 @@
         self.tenant_buckets = [TenantBucket() for _ in settings.tenants]
 
     def charge_tenant(self, now: float, message: Message) -> float:
-        """Count a message against its tenant's quota; return the factor on its value."""
+        """Charge a message to its tenant's quota, and return the factor on its value."""
         if message.tenant >= len(self.tenant_buckets):
             return 1.0
         bucket = self.tenant_buckets[message.tenant]
@@ -94,7 +95,7 @@
         return 1.0
 
     def give_up(self, now: float, pending: PendingMessage, actions: list[Action]) -> None:
-        """Give a message its final answer: rejected if submitting it again is harmless, else failed."""
+        """End a message without a delivery: rejected if submitting it again is harmless, else failed."""
         message = pending.message
         if self.retry_policy.may_reject(pending):
             retry_after_ms = self._retry_after_ms(now, message.destination, pending.deadline)
@@ -109,10 +110,10 @@
             self.give_up(now, pending, actions)
 
     def shed_load(self, now: float, actions: list[Action]) -> None:
-        """Before the relay is full, reject the messages that will have least value at their expected time of sending.
+        """When the relay is nearly full, reject the messages with the least value at their expected time of sending.
 
-        All queues are read once, and after a rejection only the queue that it changed, as the expected times of the
-        others stay the same: an overloaded relay may have many messages to reject in one batch of events.
+        An overloaded relay may have many messages to reject in one batch of events. All queues are therefore read only
+        once, and after a rejection only the queue that it changed: the expected times of the others stay the same.
         """
         excess = len(self.queues.messages) - int(SHED_THRESHOLD * self.settings.max_pending_messages)
         if excess <= 0:
@@ -127,8 +128,8 @@
             by_destination[destination] = self._sheddable(now, destination)
 
     def _least_loss(self, now: float, candidates: Iterable[SheddableMessage]) -> SheddableMessage | None:
-        """Return the candidate with the least loss; of several, the first with the least loss by its value now."""
-        least: list[SheddableMessage] = []  # all have the same loss
+        """Return the candidate with the least loss; among equals, the first with the least loss by present value."""
+        least: list[SheddableMessage] = []  # the candidates with the least loss so far
         for candidate in candidates:
             if not least or candidate.loss < least[0].loss:
                 least = [candidate]
@@ -139,9 +140,9 @@
         return min(least, key=lambda candidate: self._loss(candidate.pending, now, now))
 
     def _sheddable(self, now: float, destination: int) -> list[SheddableMessage]:
-        """Return the messages of a queue that may be rejected, in its order.
+        """Return the messages of a queue that may be rejected, in the order of the queue.
 
-        A message that a restart found without an attempt is not shed before it has had one.
+        A message that was recovered without an attempt is not shed before it has had one.
         """
         queue = self.queues.queues.get(destination)
         if not queue:
@@ -158,8 +159,8 @@
     def _loss(self, pending: PendingMessage, now: float, delivered_at: float) -> float:
         """Return the loss if a message is rejected now that would otherwise be delivered at `delivered_at`.
 
-        A message that has just arrived has no cost of an early rejection: it is the one to be rejected, unless its
-        value is higher than that of another one and the cost of rejecting that one early.
+        Rejecting a message on arrival has no cost of an early rejection. So a new message is rejected before accepted
+        ones, unless its value exceeds the value of an accepted one plus the cost of rejecting that one early.
         """
         accepted_at = pending.accepted_at
         early_until = accepted_at + EARLY_REJECTION_FRACTION * (pending.deadline - accepted_at)
@@ -168,15 +169,15 @@
         return pending.value_at(delivered_at, self.settings.value_decay) + cost
 
     def _expected_rate(self, now: float, destination: int) -> float:
-        """Return the calls a second that this relay may expect to send to a destination."""
+        """Return the calls a second that this relay can expect to send to a destination."""
         routes = self.routes.get(destination, {}).values()
         rates = [self.rate_limiter.allowance(now, route, is_suspected(route, now)).calls_per_s for route in routes]
         return sum(rates) or MIN_RATE_PER_S
 
     def _retry_after_ms(self, now: float, destination: int, deadline: float) -> float:
-        """Return when there may be capacity: after the destination's Retry-After, and after its pending messages.
+        """Return the time until there may be capacity, after the destination's Retry-After and its queued messages.
 
-        It is bounded by what clients heed and by the time that the message has left.
+        It is at most the longest Retry-After that clients heed, and the time that the message has left.
         """
         max_ms = self.settings.max_retry_after_ms
         if max_ms == 0:
--- a/linnetstile/engine/connection_policy.py
+++ b/linnetstile/engine/connection_policy.py
@@ -1,4 +1,4 @@
-"""Connections to endpoints: which are stale, which are scarce, and which idle ones to close. No I/O and no clock."""
+"""Connections to endpoints: detects stale and scarce ones, and closes idle ones. No I/O and no clock."""
 
 from __future__ import annotations
 
@@ -12,24 +12,25 @@
 from .settings import Effect, MessageClass
 from .time_points import NEVER
 
-CALL_WEIGHT = 0.05  # weight of one call in the moving means: the latest twenty or so count
-LIMITED_THRESHOLD = 0.04  # ratio of `limited` above which idle connections are closed: one answer is enough
-# An idle connection is reused within this fraction of the idle time-out only: the peer's clock may be ahead.
+CALL_WEIGHT = 0.05  # weight of one call in the moving means, which cover about the latest 20 calls
+# Ratio in `limited` above which idle connections are closed; one success soon after a failed connect exceeds it.
+LIMITED_THRESHOLD = 0.04
+# Fraction of the idle time-out within which an idle connection is reused; below 1, as the peer's clock may be ahead.
 IDLE_REUSE_FRACTION = 0.9
-# A reused connection that is reset within this fraction of the mean latency had been closed before the call.
+# Fraction of the mean latency: a reused connection that is reset earlier was already closed before the call.
 STALE_RESET_FRACTION = 0.3
-# Stale ratio above which the last byte of calls that must not run twice is delayed.
+# Stale ratio above which the last byte of non-idempotent messages is delayed.
 STALE_THRESHOLD = 0.02
 
 
 class ConnectionPolicy:
-    """Learns from the outcomes of calls which connections can be used, by kind of destination.
+    """Learns from the outcomes of calls which kinds of destination limit their connections, and how many are stale.
 
     Attributes:
-        scarcity: By kind, whether its endpoints accept too few connections.
+        scarcity: By kind, whether its endpoints accept too few connections for all relays.
         limited: By kind, the fraction of its answers that followed a failed connect.
-        surplus: Endpoints whose idle connections are closed once all events are handled.
-        stale_ratio: Fraction of the calls on reused connections that met one that had been closed.
+        surplus: Endpoints whose idle connections are to be closed after the present batch of events.
+        stale_ratio: Fraction of the calls on reused connections for which the connection was already closed.
     """
 
     def __init__(self) -> None:
@@ -39,9 +40,9 @@
         self.stale_ratio = 0.0
 
     def record_reuse(self, route: RouteState, event: AttemptEnded) -> bool:
-        """Count a call on a reused connection; return whether that had been closed before the call.
+        """Count a call on a reused connection; return whether the connection was already closed before the call.
 
-        Such an outcome says nothing about the destination.
+        The outcome of such a call says nothing about the health of the destination.
         """
         is_early = event.latency_ms < STALE_RESET_FRACTION * route.latency.mean_ms
         is_early_reset = event.outcome is Outcome.RESET and is_early
@@ -51,22 +52,22 @@
         return is_stale
 
     def explains_rejection(self, now: float, route: RouteState, event: AttemptEnded) -> bool:
-        """Return whether a rejection is due to too few connections, and not to a rate limit."""
+        """Return whether an outcome is a rejection that is due to scarce connections rather than to a rate limit."""
         scarcity = self.scarcity[route.kind]
-        was_answered_lately = now - route.health.last_success_at < MAX_LIMIT_SPAN_MS
-        if event.outcome is not Outcome.REJECTED or not was_answered_lately:
+        was_answered_recently = now - route.health.last_success_at < MAX_LIMIT_SPAN_MS
+        if event.outcome is not Outcome.REJECTED or not was_answered_recently:
             return False
         return scarcity.explains_rejection(event.connection_reused, event.retry_after_ms > 0)
 
     def record_answer(self, now: float, endpoint: EndpointState, event: AttemptEnded) -> None:
-        """Count an answer, be it a rejection, by whether its connection was reused."""
+        """Count an answered call, which may be a rejection, for new or for reused connections."""
         is_rejected = event.outcome is Outcome.REJECTED
         scarcity = self.scarcity[endpoint.route.kind]
         scarcity.record(event.connection_reused, is_rejected, event.retry_after_ms > 0)
         endpoint.rejected_at = now if is_rejected and not event.connection_reused else NEVER
 
     def record_success(self, now: float, route: RouteState) -> None:
-        """Count a success: soon after a failed connect it shows a limit of connections rather than an outage."""
+        """Count a success; soon after a failed connect, it shows a limit on connections rather than an outage."""
         health = route.health
         is_soon_after_failure = now - (health.outage_since or NEVER) < EVIDENCE_TTL_MS
         shows_limit = health.last_failure_was_connect and is_soon_after_failure
@@ -74,17 +75,17 @@
         self.limited[route.kind] = ratio + CALL_WEIGHT * (shows_limit - ratio)
 
     def adopt_limited(self, limit: ConnectionLimit) -> None:
-        """Adopt what other relays know of a kind, unless this one has evidence of its own."""
+        """Adopt the ratio that other relays found for a kind, unless this relay already has one."""
         self.limited.setdefault(limit.kind, limit.ratio)
 
     def note_surplus(self, endpoint: EndpointState) -> None:
-        """Mark the endpoint's idle connections for closing where connections are scarce."""
+        """Mark the idle connections of an endpoint for closing if connections of its kind are scarce or limited."""
         kind = endpoint.route.kind
         if self.scarcity[kind].is_scarce or self.limited.get(kind, 0.0) > LIMITED_THRESHOLD:
             self.surplus.append(endpoint)
 
     def close_surplus(self, actions: list[Action]) -> None:
-        """Close the idle connections that were marked and are not in use again, so that other relays can connect."""
+        """Close the marked connections that are still idle, so that other relays can connect."""
         for endpoint in self.surplus:
             if endpoint.idle_connections:
                 endpoint.idle_connections = []
@@ -94,8 +95,9 @@
     def last_byte_delay_ms(self, route: RouteState, message_class: MessageClass) -> float:
         """Return how long the last byte of a call is delayed.
 
-        A reset after the last byte leaves open whether a message has run. For one that must not run twice, where stale
-        connections were met, the last byte is delayed until a stale connection would have been reset.
+        After a reset that follows the last byte, it is unclear whether the message has run. If stale connections were
+        found, the last byte of a non-idempotent message is therefore delayed until a stale connection would have been
+        reset.
         """
         if message_class.effect is Effect.NON_IDEMPOTENT and self.stale_ratio > STALE_THRESHOLD:
             return STALE_RESET_FRACTION * route.latency.mean_ms
--- a/linnetstile/engine/connection_scarcity.py
+++ b/linnetstile/engine/connection_scarcity.py
@@ -1,25 +1,25 @@
-"""Whether the endpoints of a kind accept too few connections for all relays to keep one. No I/O and no clock.
+"""Detects kinds of endpoints that accept too few connections for each relay to keep one. No I/O and no clock.
 
 An endpoint with as many connections as it accepts rejects calls on new ones with 503. The same status is sent above a
 rate limit, with a full queue or during an outage, but then on reused connections too, and perhaps with a Retry-After.
 So if most calls on new connections are rejected without a Retry-After, and hardly any on reused ones, connections are
-scarce: one that a relay keeps idle is then not available to the others.
+scarce. An idle connection of one relay then keeps other relays from connecting.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
 
-CALL_WEIGHT = 0.05  # weight of one call: the latest twenty or so of each sort count
-SCARCITY_ENTRY = 0.6  # fraction of calls rejected on new connections above which connections are scarce,
-REUSED_MAX = 0.2  # if less than this fraction is rejected on reused ones
-SCARCITY_EXIT = 0.1  # fraction of calls rejected on new connections at which they no longer are
-PRIOR_CALLS = 1.0  # calls that count as accepted beforehand: a single rejection shows nothing
+CALL_WEIGHT = 0.05  # weight of one call: about the latest 20 calls on new and on reused connections count
+SCARCITY_ENTRY = 0.6  # rejected fraction of the calls on new connections above which connections become scarce
+REUSED_MAX = 0.2  # rejected fraction of the calls on reused connections from which a rate limit is the likely cause
+SCARCITY_EXIT = 0.1  # rejected fraction of the calls on new connections at which connections are no longer scarce
+PRIOR_CALLS = 1.0  # accepted calls that are assumed at the start, so that a single rejection shows no scarcity
 
 
 @dataclass(slots=True)
 class RejectionRate:
-    """Calls and rejections, in which older ones weigh less and less."""
+    """Counts of calls and rejections in which older ones weigh exponentially less."""
 
     calls: float = 0.0
     rejected: float = 0.0
@@ -31,7 +31,7 @@
 
     @property
     def ratio(self) -> float:
-        """Part of the calls that were rejected."""
+        """Fraction of the calls that were rejected; 0 at first."""
         return self.rejected / (self.calls + PRIOR_CALLS)
 
 
@@ -40,9 +40,9 @@
     """Rejections at the endpoints of one kind, and whether connections are scarce.
 
     Attributes:
-        new: Rejections on new connections.
-        reused: Rejections on reused connections.
-        is_scarce: Whether connections are scarce; entered and left at different ratios (hysteresis).
+        new: Calls and rejections on new connections.
+        reused: Calls and rejections on reused connections.
+        is_scarce: Whether connections are scarce; begins and ends at different ratios (hysteresis).
     """
 
     new: RejectionRate = field(default_factory=RejectionRate)
@@ -62,5 +62,5 @@
             self.is_scarce = ratio > SCARCITY_ENTRY and self.reused.ratio < REUSED_MAX
 
     def explains_rejection(self, is_reused: bool, has_retry_after: bool) -> bool:
-        """Return whether a rejection is due to the scarcity, and not to a rate limit."""
+        """Return whether a rejection is due to scarce connections rather than to a rate limit."""
         return self.is_scarce and not is_reused and not has_retry_after and self.reused.ratio < REUSED_MAX
--- a/linnetstile/engine/latency.py
+++ b/linnetstile/engine/latency.py
@@ -6,19 +6,18 @@
 
 from .route_state import LatencyEstimate
 
-# Latency and its mean deviation until destinations have answered.
-INITIAL_MEAN_MS = 500.0
-INITIAL_DEVIATION_MS = 250.0
-TIMEOUT_DEVIATIONS = 10.0  # a time-out lies so many mean deviations above the mean: latency has a long tail
-OVERDUE_DEVIATIONS = 4.0  # an answer is overdue so many mean deviations above the mean
-MAX_TIMEOUT_MULTIPLIER = 8.0  # the time-out doubles with each call that times out, up to this factor
+INITIAL_MEAN_MS = 500.0  # mean latency that is assumed until a destination has answered
+INITIAL_DEVIATION_MS = 250.0  # mean deviation that is assumed until a destination has answered
+TIMEOUT_DEVIATIONS = 10.0  # mean deviations from the mean latency to the time-out; many, as latency has a long tail
+OVERDUE_DEVIATIONS = 4.0  # mean deviations from the mean latency after which an answer is overdue
+MAX_TIMEOUT_MULTIPLIER = 8.0  # limit of the factor on the time-out, which doubles with each call that times out
 FLEET_GAIN = 0.05  # weight of one answer in the estimate over all destinations
 MIN_ROUTE_GAIN = 0.15  # least weight of one answer in the estimate of its route; the first answers weigh more
-CALL_TIME_GAIN = 0.15  # weight of one call in the mean time that calls hold a slot
+CALL_TIME_GAIN = 0.15  # weight of one call in the mean time that calls occupy a slot
 
 
 def record_answer(estimate: LatencyEstimate, latency_ms: float) -> None:
-    """Count one answer; it resets the multiplier of the time-out."""
+    """Update the estimate with one answer, and reset the multiplier of the time-out."""
     estimate.answers += 1
     gain = max(MIN_ROUTE_GAIN, 1 / (estimate.answers + 1))
     deviation_ms = abs(latency_ms - estimate.mean_ms)
@@ -28,29 +27,29 @@
 
 
 def record_timeout(estimate: LatencyEstimate) -> None:
-    """Give the next calls more time: a destination may be slow rather than down."""
+    """Double the time-out of the next calls, as the destination may be slow rather than down."""
     estimate.timeout_multiplier = min(MAX_TIMEOUT_MULTIPLIER, estimate.timeout_multiplier * 2)
 
 
-def record_call_time(estimate: LatencyEstimate, took_ms: float) -> None:
-    """Count the time that one call held its slot, whatever its outcome."""
+def record_call_time(estimate: LatencyEstimate, occupied_ms: float) -> None:
+    """Update the mean time that a call occupies its slot, for a call with any outcome."""
     gain = CALL_TIME_GAIN if estimate.mean_call_ms else 1.0
-    estimate.mean_call_ms += gain * (took_ms - estimate.mean_call_ms)
+    estimate.mean_call_ms += gain * (occupied_ms - estimate.mean_call_ms)
 
 
 def overdue_after_ms(estimate: LatencyEstimate) -> float:
-    """Return the time after which an answer is overdue, before any multiplier."""
+    """Return the time after which an answer is overdue, without the time-out multiplier."""
     return estimate.mean_ms + OVERDUE_DEVIATIONS * estimate.deviation_ms
 
 
 def timeout_ms(estimate: LatencyEstimate) -> float:
-    """Return the time-out of a call, before any multiplier."""
+    """Return the time-out of a call, without the time-out multiplier."""
     return estimate.mean_ms + TIMEOUT_DEVIATIONS * estimate.deviation_ms
 
 
 @dataclass(slots=True)
 class FleetLatency:
-    """Latency over all destinations, which is the first estimate for a destination that was not called yet.
+    """Latency over all destinations; the initial estimate for routes that are listed while their destination is in use.
 
     Attributes:
         mean_ms: Moving mean.
@@ -63,7 +62,7 @@
     mean_inverse: float = 1 / INITIAL_MEAN_MS
 
     def record_answer(self, latency_ms: float, tick_ms: float) -> None:
-        """Count one answer; latencies below the clock's tick count as one tick."""
+        """Update the estimate with one answer; in `mean_inverse`, a latency below one clock tick counts as one tick."""
         deviation_ms = abs(latency_ms - self.mean_ms)
         self.mean_ms += FLEET_GAIN * (latency_ms - self.mean_ms)
         self.deviation_ms += FLEET_GAIN * (deviation_ms - self.deviation_ms)
--- a/linnetstile/engine/list_polling.py
+++ b/linnetstile/engine/list_polling.py
@@ -1,4 +1,4 @@
-"""When discovery is polled for the endpoint list."""
+"""Schedules the polls of discovery for the endpoint list."""
 
 from __future__ import annotations
 
@@ -6,13 +6,13 @@
 
 from .settings import Settings
 
-FIRST_BACKOFF_MS = 480.0  # after the first failure; doubles with each failure
+FIRST_BACKOFF_MS = 480.0  # delay after the first failed poll; doubles with each further one
 MAX_DOUBLINGS = 5
-BACKOFF_JITTER = (0.5, 1.0)
+BACKOFF_JITTER = (0.5, 1.0)  # range of the random factor on a backoff
 
 
 class ListPoller:
-    """Polls discovery if the settings say so, until a list has come.
+    """Polls discovery until a list has arrived, if the settings require polling.
 
     An exponential backoff with jitter keeps the polls of many relays from overloading discovery.
     """
@@ -30,12 +30,12 @@
         self.next_poll_at = now + backoff_ms * self.rng.uniform(*BACKOFF_JITTER)
 
     def list_received(self) -> None:
-        """Stop polling, as a list has come."""
+        """Stop polling, as a list has arrived."""
         self.failures = 0
         self.next_poll_at = None
 
     def is_due(self, now: float) -> bool:
-        """Return whether to poll now; if so, the next poll is scheduled in case that no answer comes."""
+        """Return whether to poll now; if so, also schedule the next poll, in case no answer arrives."""
         if self.next_poll_at is None or now < self.next_poll_at:
             return False
         self.next_poll_at = now + self.poll_within_ms / 2
--- a/linnetstile/engine/unknown_class.py
+++ b/linnetstile/engine/unknown_class.py
@@ -1,7 +1,7 @@
 """The message class of recovered messages whose class is no longer in the settings.
 
-A restart may recover messages that were accepted under earlier settings. Their effect is no longer known, so they get
-the class that promises least: what has certainly not run may be sent, and what may have run is not sent again.
+A restart may recover messages that were accepted under earlier settings. Their effect is no longer known, so they
+get the most cautious class: a message is sent only if it has certainly not run before.
 """
 
 from __future__ import annotations
@@ -12,8 +12,8 @@
 def unknown_class(classes: tuple[MessageClass, ...]) -> MessageClass:
     """Return the class for messages of no known class.
 
-    Its empty name can't be sent by a client. Its deadline is the longest and its weight the least of all classes, so it
-    takes no capacity from the others.
+    A client can't name this class, as its name is empty. It has the longest deadline and the least weight of all
+    classes, so that its messages take no capacity from the others.
 
     Args:
         classes: The classes of the settings, at least one.
