--- a/tests/engine/test_admission.py
+++ b/tests/engine/test_admission.py
@@ -1,4 +1,4 @@
-"""Which messages a full relay sheds, and what a rejection advises its client."""
+"""Admission control: which messages a full relay rejects, and the Retry-After of a rejection."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @pytest.fixture
 def full_relay() -> EngineHarness:
-    """A relay with room for 20 messages; destinations 1 and 2 were healthy, and 1 has been ejected since."""
+    """Return a relay with room for 20 messages, a healthy destination 2 and an ejected destination 1."""
     harness = EngineHarness(make_settings(max_pending_messages=20))
     harness.list_endpoints((11, 1), (12, 2))
     harness.warm_up(1)
@@ -40,7 +40,7 @@
     surplus = [full_relay.submit(DEDUPLICATED, 1) for _ in range(5)]
     assert not accepted & set(full_relay.final_answers)
     assert all(isinstance(full_relay.final_answers[message_id], Reject) for message_id in surplus)
-    full_relay.advance(7500)  # most of their time is over: they have no advantage over new ones any more
+    full_relay.advance(7500)  # past 70% of their time, so that rejecting them is no longer early and costs no more
     for _ in range(5):
         full_relay.submit(DEDUPLICATED, 1)
     assert accepted & set(full_relay.final_answers)
@@ -51,7 +51,7 @@
     harness.list_endpoints((11, 1), advertised_rate=1.0)
     harness.warm_up()
     late = harness.submit(IDEMPOTENT, remaining_ms=9000.0)
-    harness.advance(1200)  # past its latency objective; the rate limit holds it back, or it was sent
+    harness.advance(1200)  # past its latency objective, whether it was sent or waits for a token
     urgent = harness.submit(IDEMPOTENT, remaining_ms=800.0)
     harness.advance(400)
     assert harness.attempts.get(urgent) == 1
--- a/tests/engine/test_connection_scarcity.py
+++ b/tests/engine/test_connection_scarcity.py
@@ -1,4 +1,4 @@
-"""Connection scarcity: which rejections show it, which idle connections it closes, and what it does to the rate."""
+"""Connection scarcity: which rejections show it, and its effect on idle connections, endpoints and the rate."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class CallRecord(NamedTuple):
-    """One call as `ConnectionScarcity.record` takes it."""
+    """Arguments of `ConnectionScarcity.record` for one call."""
 
     is_reused: bool
     is_rejected: bool = False
@@ -40,18 +40,18 @@
 
 
 def make_scarce(harness: EngineHarness) -> None:
-    """Record so many rejections on new connections of the first kind that its connections count as scarce."""
+    """Record enough rejections on new connections of the first kind to make its connections scarce."""
     record_calls(harness.engine.connections.scarcity[0], [NEW_REJECTED] * 20)
 
 
-def test_rejections_on_new_connections_alone_are_a_scarcity() -> None:
-    assert not is_scarce_after(NEW_REJECTED)  # one shows nothing
+def test_rejections_on_new_connections_alone_show_scarcity() -> None:
+    assert not is_scarce_after(NEW_REJECTED)  # a single rejection shows nothing
     assert is_scarce_after(*[NEW_REJECTED] * 2)
     assert is_scarce_after(NEW, *[REUSED] * 5, *[NEW_REJECTED] * 4)
 
 
-def test_rejections_on_reused_connections_or_with_a_retry_after_are_no_scarcity() -> None:
-    """They come from a limit or a queue of the destination."""
+def test_rejections_on_reused_connections_or_with_a_retry_after_show_no_scarcity() -> None:
+    """Such rejections are due to a rate limit or a full queue of the destination."""
     assert not is_scarce_after(*[REUSED_REJECTED] * 3, *[NEW_REJECTED] * 10)
     assert not is_scarce_after(*[NEW_RETRY_AFTER] * 20)
     assert not is_scarce_after(*[NEW, NEW_REJECTED] * 20)
@@ -62,7 +62,7 @@
     record_calls(scarcity, [NEW_REJECTED] * 20)
     assert scarcity.is_scarce
     record_calls(scarcity, [NEW] * 10)
-    assert scarcity.is_scarce  # far below the bound of its beginning
+    assert scarcity.is_scarce  # below the entry threshold, but still above the exit threshold
     assert scarcity.new.ratio > SCARCITY_EXIT
     record_calls(scarcity, [NEW] * 60)
     assert not scarcity.is_scarce
@@ -73,7 +73,7 @@
 def submit_and_end(
     harness: EngineHarness, destination: int, outcome: Outcome = Outcome.OK, connection_reused: bool = False
 ) -> list[Action]:
-    """Submit a message and end it with its first attempt; return the actions that follow."""
+    """Submit a message, end it with the outcome of its first attempt, and return the actions of that outcome."""
     message_id = harness.submit(IDEMPOTENT, destination)
     for _ in range(400):
         if message_id in harness.in_flight:
@@ -86,7 +86,7 @@
 
 
 def test_idle_connections_are_closed_where_only_new_ones_are_rejected() -> None:
-    """190 relays kept one connection each at endpoints that accept eight, and used them for 50 ms in 700."""
+    """190 relays blocked each other: each kept a connection to endpoints that accept eight, in use 50 ms in 700."""
     harness = EngineHarness(make_settings(kinds=(DestinationKind("few"), DestinationKind("many"))))
     harness.list_endpoints((11, 1), (12, 2))
     harness.change_endpoints(make_endpoint(13, 3, kind=1))
@@ -94,7 +94,7 @@
     for _ in range(3):
         submit_and_end(harness, 2, Outcome.REJECTED)
     assert CloseIdle(11) in submit_and_end(harness, 1, connection_reused=True)
-    assert not any(isinstance(action, CloseIdle) for action in submit_and_end(harness, 3))  # another kind
+    assert not any(isinstance(action, CloseIdle) for action in submit_and_end(harness, 3))  # of another kind
 
 
 def test_connection_that_the_next_call_reuses_at_once_is_not_closed() -> None:
@@ -112,7 +112,7 @@
 
 
 def test_relays_do_not_all_use_the_same_one_of_two_equal_endpoints() -> None:
-    """Every relay once used the lower id first: harmless for one relay, and one endpoint for all of hundreds."""
+    """If every relay prefers the lower id of two equal endpoints, hundreds of relays all call the same endpoint."""
     first_endpoints = []
     for seed in range(40):
         harness = EngineHarness(seed=seed)
@@ -127,10 +127,10 @@
     ("is_scarce", "endpoints"),
     [
         (True, [11, 12, 11]),
-        (False, [11, 11, 11]),  # a limit is the whole destination's: no reason to pay a fee
+        (False, [11, 11, 11]),  # a rate limit holds for the whole destination: the fee would gain nothing
     ],
 )
-def test_endpoint_that_rejects_for_scarcity_is_avoided_for_a_while(is_scarce: bool, endpoints: list[int]) -> None:
+def test_endpoint_that_rejects_for_scarcity_is_avoided_for_some_time(is_scarce: bool, endpoints: list[int]) -> None:
     harness = EngineHarness(make_settings(route_fees=(0.0, 0.02)))
     harness.handle(EndpointList(ListKind.CACHED, (make_endpoint(11, 1, zone=0), make_endpoint(12, 1, zone=1))))
     if is_scarce:
@@ -145,7 +145,7 @@
 def rate_after_a_rejection(
     is_scarce: bool = True, idle_ms: float = 0.0, connection_reused: bool = False, retry_after_ms: float = 0.0
 ) -> float:
-    """Return the rate of a route after a rejection, as a part of its rate before."""
+    """Return the rate of a route after a rejection, as a fraction of its rate before."""
     harness = EngineHarness()
     harness.list_endpoints((11, 1))
     harness.warm_up(1)
@@ -167,20 +167,20 @@
 
 
 def test_rejection_for_scarcity_does_not_lower_the_rate() -> None:
-    """After 1,636 rejections on new connections and none on reused ones, relays kept a lowered rate for 4 s or more."""
+    """Rejections on new connections alone (1,636, none on reused ones) once lowered rates for 4 s or more."""
     assert rate_after_a_rejection() == 1.0
 
 
 def test_rejection_without_signs_of_scarcity_lowers_the_rate() -> None:
-    assert rate_after_a_rejection(is_scarce=False) < 1.0  # by a limit
+    assert rate_after_a_rejection(is_scarce=False) < 1.0  # the rejection is due to a rate limit
     assert rate_after_a_rejection(connection_reused=True) < 1.0
     assert rate_after_a_rejection(retry_after_ms=500.0) < 1.0
-    assert rate_after_a_rejection(idle_ms=4000.0) < 1.0  # without a recent answer, the destination may be down
+    assert rate_after_a_rejection(idle_ms=4000.0) < 1.0  # the destination may be down, as no answer is recent
 
 
 @pytest.mark.parametrize("one_connect_fails", [False, True])
 def test_idle_connections_are_closed_where_connects_of_that_kind_fail(one_connect_fails: bool) -> None:
-    """Idle connections of many relays exhaust endpoints that accept few connections."""
+    """Idle connections of many relays use up the connections of endpoints that accept few."""
     harness = EngineHarness(make_settings(relay_count=100))
     harness.list_endpoints((11, 1), (12, 2), (13, 3))
     for number in range(6):
--- a/tests/engine/test_early_final_answers.py
+++ b/tests/engine/test_early_final_answers.py
@@ -1,4 +1,4 @@
-"""Messages that can't be delivered any more end at once, rejected or failed by whether they may have run."""
+"""Messages that can no longer be delivered end at once: failed if they may have run, else rejected."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def answer_type(actions: list[Action], message_id: int) -> type | None:
-    """Return the type of the final answer that the actions have for a message; None = there is none."""
+    """Return the type of the final answer to a message among some actions, or None if there is none."""
     for action in actions:
         if isinstance(action, Reject | Fail) and action.id == message_id:
             return type(action)
@@ -46,10 +46,10 @@
     message_id = harness.submit(DEDUPLICATED)
     harness.advance(2980)  # the window is 3 s
     actions = harness.end_attempt(message_id, Outcome.RESET)
-    assert answer_type(actions, message_id) is Fail  # not rejected: it may have run, and may come again too late
+    assert answer_type(actions, message_id) is Fail  # it may have run, and a client could resubmit it after the window
 
 
-def test_message_fails_with_the_only_endpoint_that_knows_its_deduplication_key() -> None:
+def test_message_fails_when_the_only_endpoint_that_knows_its_deduplication_key_is_gone() -> None:
     message_class = make_message_class(
         Effect.DEDUPLICATED, deduplication_window_ms=6000.0, deduplication_scope=DeduplicationScope.ENDPOINT
     )
@@ -73,13 +73,13 @@
     assert len(harness.sends) == start
 
 
-def test_retry_leaves_time_for_its_way_within_the_deduplication_window() -> None:
-    """A retry sent 29 ms before the window closed was looked up after it, and the effect came twice."""
+def test_retry_is_sent_early_enough_to_arrive_within_the_deduplication_window() -> None:
+    """A retry that left 29 ms before the end of the window was looked up after it, and took effect twice."""
     harness = EngineHarness()
     harness.list_endpoints((11, 1))
     message_id = harness.submit(DEDUPLICATED)
     first_sent_at = harness.last_send(message_id)[0]
-    harness.advance(2700)  # the window is 3 s, a usual answer takes half a second
+    harness.advance(2700)  # the window is 3 s, and a usual answer takes 0.5 s
     harness.end_attempt(message_id, Outcome.RESET)
     harness.advance(1000)
     assert message_id in harness.final_answers
--- a/tests/engine/test_outlier_detection.py
+++ b/tests/engine/test_outlier_detection.py
@@ -1,4 +1,4 @@
-"""Outages of destinations and failing endpoints: detection, trial calls and slow start after the return."""
+"""Outlier detection: outages, failing endpoints, trial calls, and slow start after a recovery."""
 
 from __future__ import annotations
 
@@ -60,13 +60,13 @@
         harness.end_attempt(message_id, Outcome.TIMEOUT if times_out else Outcome.OK)
         harness.handle(ClientCancelled(message_id))
     deduplicated = [endpoint for class_index, endpoint in used if class_index == DEDUPLICATED]
-    assert len(used) >= 22  # no false outage
-    assert deduplicated.count(11) <= 3  # and the class avoids the endpoint
+    assert len(used) >= 22  # no call was delayed: the destination was not ejected
+    assert deduplicated.count(11) <= 3  # the class avoids the endpoint where it fails
 
 
 @pytest.mark.parametrize(("idle_ms", "is_outage"), [(4000.0, False), (20000.0, True)])
 def test_one_failure_of_a_rare_call_is_an_outage_unless_an_answer_is_recent(idle_ms: float, is_outage: bool) -> None:
-    """One of many relays calls a destination too seldom to see two failures in a row."""
+    """With many relays, each calls a destination too seldom to see two failures in a row."""
     harness = EngineHarness(make_settings(relay_count=100))
     harness.list_endpoints((11, 1), advertised_rate=100.0)
     harness.warm_up()
@@ -82,7 +82,7 @@
 
 
 def test_trial_calls_to_an_ejected_destination_do_not_accumulate() -> None:
-    """Many relays whose next trial is long due must not all call a returning destination at once."""
+    """Relays whose next trial call is long overdue must not all call a recovering destination at once."""
     immediate_sends = 0
     for seed in range(40):
         harness = EngineHarness(make_settings(relay_count=40), seed=seed)
@@ -101,16 +101,17 @@
     assert immediate_sends <= 20
 
 
-SLOW_START_MULTIPLE = 2.0 * 0.2  # the overload multiple of the settings, and the capacity right after an outage
-CHANCE = 2.0  # as much again for the random spread over the relays
+SLOW_START_MULTIPLE = 2.0 * 0.2  # overload multiple and slow-start fraction of the settings
+RANDOM_SPREAD_FACTOR = 2.0  # allowance for the random times of the calls of many relays
 
 
 def sends_to_an_ejected_destination(relay_count: int, seed: int) -> int:
-    """Return how many calls one relay makes in the last 10 of 12 s of an outage, while eight messages wait."""
+    """Return how many calls one relay makes in the last 10 s of an outage of 12 s, while eight messages wait."""
     harness = EngineHarness(make_settings(relay_count=relay_count, rate_trust=RateTrust.NONE), seed=seed)
     harness.list_endpoints((11, 1), *((20 + number, 2 + number) for number in range(9)), advertised_rate=1.0)
     for number in range(20):
-        message_id = harness.submit(destination=1 if number % 10 == 0 else 2 + number % 9)  # each gets a call in 12 s
+        # Destination 1 gets a call every 12 s.
+        message_id = harness.submit(destination=1 if number % 10 == 0 else 2 + number % 9)
         harness.advance(100, 50)
         harness.end_attempt(message_id)
         harness.advance(1100, 100)
@@ -123,11 +124,11 @@
     return len([sent_at for sent_at, _ in harness.sends if sent_at > start + 2000])
 
 
-def test_ejected_destination_without_an_advertised_rate_gets_no_more_than_its_own_rate() -> None:
-    """Many relays know of the outage, and messages wait in all of them."""
+def test_ejected_destination_without_an_advertised_rate_gets_no_more_than_its_slow_start_budget() -> None:
+    """The budget holds for all relays that know of the outage, while messages wait at each of them."""
     relay_count = 60
     sends = sum(sends_to_an_ejected_destination(relay_count, seed) for seed in range(relay_count))
-    assert sends <= 10 * SLOW_START_MULTIPLE * relay_count / 12 * CHANCE
+    assert sends <= 10 * SLOW_START_MULTIPLE * relay_count / 12 * RANDOM_SPREAD_FACTOR
 
 
 def sends_to_a_rejecting_destination(relay_count: int, seed: int) -> int:
@@ -135,7 +136,7 @@
     harness = EngineHarness(make_settings(relay_count=relay_count, rate_trust=RateTrust.NONE), seed=seed)
     harness.list_endpoints((11, 1), (12, 2), advertised_rate=1.0)
     for number in range(6):
-        message_id = harness.submit(destination=1 + number % 2)  # each gets a call in 8 s
+        message_id = harness.submit(destination=1 + number % 2)  # each destination gets a call every 8 s
         harness.advance(100, 50)
         harness.end_attempt(message_id)
         harness.advance(3900, 100)
@@ -148,14 +149,14 @@
 
 
 def test_rejecting_destination_without_an_advertised_rate_is_called_as_in_slow_start() -> None:
-    """A hung destination whose queue is full answers nothing but rejections, and may be about to return."""
+    """A hung destination with a full queue sends only rejections, and may recover at any time."""
     relay_count = 40
     sends = sum(sends_to_a_rejecting_destination(relay_count, seed) for seed in range(relay_count))
-    assert sends <= 3 * SLOW_START_MULTIPLE * relay_count / 8 * CHANCE
+    assert sends <= 3 * SLOW_START_MULTIPLE * relay_count / 8 * RANDOM_SPREAD_FACTOR
 
 
 def sends_after_a_replacement(gap_ms: float) -> int:
-    """Return how many of 12 messages are sent in 600 ms once another endpoint replaces the only one after a gap."""
+    """Return how many of 12 messages are sent in 600 ms once a new endpoint replaces one that left `gap_ms` earlier."""
     harness = EngineHarness()
     harness.list_endpoints((11, 1))
     harness.warm_up(calls=6)
--- a/tests/engine/test_rate_limiter.py
+++ b/tests/engine/test_rate_limiter.py
@@ -9,7 +9,7 @@
 
 
 def count_calls(harness: EngineHarness, duration_ms: float, outcome: Outcome = Outcome.OK) -> int:
-    """Keep three messages open for a while, end each call after 50 ms, and return how many calls were made."""
+    """Keep up to three messages in flight, end each call after 50 ms or so, and return how many calls were made."""
     start, end = len(harness.sends), harness.now + duration_ms
     while harness.now < end:
         if len(harness.in_flight) < 3:
@@ -44,7 +44,7 @@
 
 
 def sends_with_load_reports(remaining_fraction: float) -> int:
-    """Return how many calls are made in 5 s where each answer reports this part of the limit as left."""
+    """Return how many calls are made in 5 s if each answer reports this fraction of the limit as left."""
     harness = EngineHarness(make_settings(load_report_fields=(0, 1)))
     harness.list_endpoints((11, 1), advertised_rate=8.0)
     harness.warm_up()
@@ -60,7 +60,7 @@
 
 
 def first_calls_with_load_reports(remaining_fraction: float) -> int:
-    """Return how many of ten relays' first calls to 12 destinations are sent at once, after reports of 12 others."""
+    """Return how many first calls of ten relays to 12 destinations leave within 500 ms, after reports of 12 others."""
     sends = 0
     for seed in range(10):
         settings = make_settings(relay_count=100, load_report_fields=(0, 1), max_in_flight=40)
@@ -81,7 +81,7 @@
 
 
 def test_first_calls_are_spread_where_load_reports_show_exhausted_limits() -> None:
-    """Rejected calls use up a limit too: many relays call for the first time."""
+    """Rejected calls use up a limit too, so the first calls of many relays would keep it exhausted."""
     assert first_calls_with_load_reports(0.0) < 0.4 * first_calls_with_load_reports(0.9)
 
 
@@ -114,7 +114,7 @@
 
 
 def test_rare_call_is_not_limited_by_the_equal_share_of_one_relay() -> None:
-    """With many relays, the rate divided by their number is a fraction of a call a second."""
+    """With many relays, the equal share of the rate is only a fraction of a call a second."""
     harness = EngineHarness(make_settings(relay_count=200))
     harness.list_endpoints((11, 1), advertised_rate=10.0)
     for _ in range(6):
@@ -126,7 +126,7 @@
 
 
 def retry_delay_of_an_ordered_message(successors: int) -> float:
-    """Return the time until the retry of a rejected message that others of its ordering key wait for; 0 = none yet."""
+    """Return the time from a rejection to the retry, which successors of its ordering key wait for; 0 = none."""
     ordered = make_message_class(Effect.NON_IDEMPOTENT, deduplication_window_ms=0.0, in_order=True)
     harness = EngineHarness(make_settings(classes=(ordered,), relay_count=200))
     harness.list_endpoints((11, 1), advertised_rate=10.0)
--- a/tests/engine/test_recovery_throttle.py
+++ b/tests/engine/test_recovery_throttle.py
@@ -1,4 +1,4 @@
-"""The throttle after a restart: recovered messages that were queued show that their destination was limited."""
+"""The throttle after a restart: messages that were queued before it show that their destination was rate-limited."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 def test_recovered_message_that_was_queued_without_an_attempt_removes_the_tokens() -> None:
     assert tokens_after_recovery(3.0, 0.4, 0, 4000.0) == 0.4
     assert tokens_after_recovery(-1.0, 0.4, 0, 4000.0) == -1.0
-    assert tokens_after_recovery(3.0, 0.4, 1, 4000.0) == 3.0  # was in flight: may never have been queued
-    assert tokens_after_recovery(3.0, 0.4, 0, 900.0) == 3.0  # submitted just before the previous process ended
+    assert tokens_after_recovery(3.0, 0.4, 1, 4000.0) == 3.0  # it had an attempt, so it may not have waited for tokens
+    assert tokens_after_recovery(3.0, 0.4, 0, 900.0) == 3.0  # submitted just before the restart, so not held back
 
 
 def restarted_relay(seed: int, age_ms: float) -> EngineHarness:
-    """One of 200 relays that recovers six messages for a destination which takes 80 requests a second from all."""
+    """Return one of 200 relays that recovers six messages to a destination which accepts 80 calls a second in total."""
     harness = EngineHarness(make_settings(relay_count=200), seed=seed)
     harness.list_endpoints((11, 1), advertised_rate=80.0)
     harness.handle(
@@ -27,14 +27,14 @@
 
 
 def test_queues_of_restarted_relays_are_not_sent_in_one_burst() -> None:
-    """Without the throttle each sends three at once: 600 at once, where the destination takes 80 a second."""
+    """Without the throttle, the relays send three calls each, 600 at once, to a limit of 80 calls a second."""
     fleet = [restarted_relay(seed, 5000.0) for seed in range(200)]
     assert sum(len(harness.sends) for harness in fleet) <= 2
     for harness in fleet:
         harness.advance(2000, step_ms=50.0)
     send_times = sorted(sent_at for harness in fleet for sent_at, _ in harness.sends)
     per_second = [sum(start <= sent_at < start + 1000 for sent_at in send_times) for start in (1000, 2000)]
-    assert all(60 <= count <= 140 for count in per_second), per_second  # a start without pacing is 100 a second
+    assert all(60 <= count <= 140 for count in per_second), per_second  # unpaced, 200 relays send 100 a second together
 
 
 def test_messages_submitted_just_before_a_restart_use_the_tokens() -> None:
--- a/tests/engine/test_resource_use.py
+++ b/tests/engine/test_resource_use.py
@@ -1,4 +1,4 @@
-"""An engine without work sets no timers and keeps no state of endpoints that are gone."""
+"""An idle engine sets no timers, and an engine keeps no state of endpoints that are gone."""
 
 from __future__ import annotations
 
--- a/tests/engine/test_scheduler.py
+++ b/tests/engine/test_scheduler.py
@@ -1,4 +1,4 @@
-"""Which destination gets a slot when slots are scarce."""
+"""The scheduler: which destinations get slots when slots are scarce."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
         harness.warm_up(destination)
     message_id = harness.submit(IDEMPOTENT, 1)
     harness.advance(50)
-    harness.end_attempt(message_id, Outcome.ERROR)  # one failed call at destination 1 is no outage
+    harness.end_attempt(message_id, Outcome.ERROR)  # a single failed call does not eject destination 1
     harness.handle(ClientCancelled(message_id))
     blocking = [harness.submit(IDEMPOTENT, 3) for _ in range(4)]
     for_failing, for_healthy = harness.submit(IDEMPOTENT, 1), harness.submit(IDEMPOTENT, 2)
@@ -66,7 +66,7 @@
 
 
 def test_slow_destinations_leave_the_last_slots_to_quick_ones() -> None:
-    """Together, and however many they are: each alone keeps its limit of half the slots."""
+    """The limit holds for all slow destinations together: each alone may still occupy half of the slots."""
     harness = relay_with_slow_destinations()
     for _ in range(8):
         for destination in SLOW_DESTINATIONS:
@@ -74,7 +74,7 @@
     for _ in range(20):
         harness.advance(50)
     slow_in_flight = sum(send.endpoint != 10 + QUICK_DESTINATION for send in harness.in_flight.values())
-    assert 8 <= slow_in_flight <= 12  # they use free slots, except the last quarter
+    assert 8 <= slow_in_flight <= 12  # slow calls use the free slots, except for the last quarter
     for number in range(4):
         message_id = harness.submit(IDEMPOTENT, QUICK_DESTINATION)
         assert message_id in harness.in_flight, f"quick message {number} found no slot"
--- a/tests/engine/test_send_order.py
+++ b/tests/engine/test_send_order.py
@@ -1,4 +1,4 @@
-"""Which message is shed when the relay is full: by its expected send time, its value and the quota of its tenant."""
+"""Load shedding by expected send time, value and tenant quota, and the order of sending that it depends on."""
 
 from __future__ import annotations
 
@@ -24,8 +24,8 @@
 )
 
 
-def pending(message_id: int, message_class: MessageClass) -> PendingMessage:
-    """Return a message of a class that has just been submitted."""
+def make_pending(message_id: int, message_class: MessageClass) -> PendingMessage:
+    """Return a message that was submitted just now."""
     return PendingMessage(
         Message(message_id, 1, 0, message_class.deadline_ms),
         message_class,
@@ -38,7 +38,12 @@
 
 
 def test_expected_send_times_follow_the_order_of_sending() -> None:
-    queue = [pending(1, SLOW), pending(2, SLOW), pending(3, QUICK), pending(4, replace(SLOW, priority_weight=2.0))]
+    queue = [
+        make_pending(1, SLOW),
+        make_pending(2, SLOW),
+        make_pending(3, QUICK),
+        make_pending(4, replace(SLOW, priority_weight=2.0)),
+    ]
     assert expected_send_times(queue, 1000.0, 500.0, ValueDecay.HALF_LIFE) == {
         3: 1500.0,
         4: 2000.0,
@@ -49,13 +54,13 @@
 
 
 def test_message_that_loses_its_value_sooner_is_more_urgent_among_equal_weights() -> None:
-    quick_of_equal_weight = pending(1, replace(QUICK, priority_weight=SLOW.priority_weight))
-    slow = pending(2, SLOW)
+    quick_of_equal_weight = make_pending(1, replace(QUICK, priority_weight=SLOW.priority_weight))
+    slow = make_pending(2, SLOW)
     assert urgency(quick_of_equal_weight, 1400.0, ValueDecay.HALF_LIFE) > urgency(slow, 1400.0, ValueDecay.HALF_LIFE)
 
 
 def rate_limited_harness(**overrides: object) -> EngineHarness:
-    """Return a harness whose destination 1 is limited to a call a second, and has been called."""
+    """Return a harness whose destination 1 was called before and is limited to one call a second."""
     settings = make_settings(
         classes=(SLOW, QUICK), value_decay=ValueDecay.HALF_LIFE, clients_mark_retries=True, **overrides
     )
@@ -66,16 +71,17 @@
 
 
 def priority_weight(harness: EngineHarness, message_id: int) -> float:
-    """Return the weight of a pending message; lowered if its tenant was over its quota."""
+    """Return the weight of a pending message, which is lowered if its tenant exceeded its quota."""
     return harness.engine.queues.messages[message_id].priority_weight
 
 
-def test_message_that_is_sent_next_is_not_shed_for_the_length_of_its_queue() -> None:
+def test_message_that_is_sent_next_is_not_shed_although_its_queue_is_long() -> None:
     harness = rate_limited_harness(max_pending_messages=14)
     slow = [harness.submit(0, remaining_ms=16000.0) for _ in range(11)]
     assert not set(slow) & set(harness.final_answers)
     assert len(harness.engine.queues.queues[1]) > 8
-    quick = harness.submit(1, remaining_ms=8000.0)  # the queue needs longer than that, but this one is sent first
+    # The whole queue takes longer than 8 s, but this message is sent first.
+    quick = harness.submit(1, remaining_ms=8000.0)
     assert quick not in harness.final_answers
     assert len(set(slow) & set(harness.final_answers)) == 1
     harness.advance(2500)
@@ -83,8 +89,8 @@
 
 
 def test_retry_is_not_charged_to_its_tenant_again() -> None:
-    """Clients submit rejected messages again, several times in an outage: their first submissions have been charged,
-    and new messages of the tenant are still within its quota."""
+    """Clients may submit a rejected message again several times in an outage. Only its first submission is charged,
+    and new messages of the tenant stay within its quota."""
     tenants = (Tenant("a", 4.0), Tenant("b", 4.0))
     harness = rate_limited_harness(max_pending_messages=100, tenants=tenants, over_quota_value_factor=0.1)
     harness.advance(3000)
@@ -99,8 +105,8 @@
 
 
 def test_quota_of_less_than_half_a_message_a_second_still_admits_messages() -> None:
-    """Each of many relays has a small part of a quota. At most two seconds of it were accumulated once: less than one
-    message, so that every message of the tenant counted as over its quota."""
+    """Each of many relays has a small part of a quota. When the bucket held two seconds of that part, which is less
+    than one message, every message of the tenant counted as over its quota."""
     harness = rate_limited_harness(
         max_pending_messages=100, relay_count=200, tenants=(Tenant("small", 40.0),), over_quota_value_factor=0.1
     )
--- a/tests/engine/test_stale_connections.py
+++ b/tests/engine/test_stale_connections.py
@@ -1,4 +1,4 @@
-"""Connections that the destination had closed already: no failure of it, and a delay of the last byte after some."""
+"""Stale connections: their resets are not failures, but then the last byte of non-idempotent messages is delayed."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 def last_byte_delay(harness: EngineHarness, class_index: int) -> float:
-    """Return the delay of the last byte of a new message of a class, in ms; the message stays in flight."""
+    """Submit a message, which stays in flight, and return the delay of its last byte in ms."""
     return harness.last_send(harness.submit(class_index))[1].last_byte_delay_ms
 
 
--- a/tests/engine/test_timeouts.py
+++ b/tests/engine/test_timeouts.py
@@ -1,4 +1,4 @@
-"""Timeouts of attempts: long enough for a stall, a slow or a new destination, and shorter than the deadline."""
+"""Timeouts of attempts: long enough for stalls and for slow or new destinations, and shorter than the deadline."""
 
 from __future__ import annotations
 
@@ -28,11 +28,11 @@
     harness.end_attempt(message_id, Outcome.TIMEOUT)
     harness.advance(1000)
     retried_at, retry = harness.last_send(message_id)
-    assert retry.timeout_at_ms - retried_at >= 2 * first_timeout_ms  # slow is not down
+    assert retry.timeout_at_ms - retried_at >= 2 * first_timeout_ms  # the destination may be slow rather than down
 
 
 def test_short_stall_of_a_quick_destination_does_not_time_out() -> None:
-    """A partner that answers within 1 ms was timed out after 3 ms, and each time a backoff was lost."""
+    """Calls to a partner that answers within 1 ms timed out after 3 ms, and each cost the time of a backoff."""
     harness = EngineHarness()
     harness.list_endpoints((11, 1))
     for _ in range(40):
@@ -48,7 +48,7 @@
 
 
 def first_timeout_of_a_new_destination(calls_elsewhere: int) -> float:
-    """Return the timeout of the first call to a destination after some quick answers of another one, in ms."""
+    """Return the timeout, in ms, of the first call to a destination after quick answers of another destination."""
     harness = EngineHarness()
     harness.list_endpoints((11, 1), (21, 2))
     if calls_elsewhere:
@@ -59,5 +59,5 @@
 
 
 def test_first_timeout_of_a_new_destination_is_independent_of_quick_others() -> None:
-    """The latency of others says nothing of it: its first call once timed out after a tenth of the right time."""
+    """Other destinations do not predict its latency: a first call once timed out after a tenth of the right time."""
     assert first_timeout_of_a_new_destination(0) == first_timeout_of_a_new_destination(40) >= 2000.0
--- a/tests/engine/test_unsent_attempts.py
+++ b/tests/engine/test_unsent_attempts.py
@@ -1,4 +1,4 @@
-"""Attempts whose request has not left yet: until when it may leave, and which events cancel it."""
+"""Attempts that have not been sent yet: until when they may be sent, and which events cancel them."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
     harness.warm_up()
     message_id = harness.submit(class_index)
     first_sent_at, first = harness.last_send(message_id)
-    assert first.send_before_ms == harness.now + DEADLINE_MS  # nothing has run: until the deadline
+    assert first.send_before_ms == harness.now + DEADLINE_MS  # no attempt has run, so only the deadline limits it
     harness.end_attempt(message_id, Outcome.RESET)
     harness.advance(400)
     retries = [send for _, send in harness.sends_of(message_id)][1:]
@@ -43,7 +43,7 @@
 
 
 def test_retry_after_and_draining_endpoints_cancel_unsent_attempts() -> None:
-    """A connection may take a second to be made; the reason to send may be gone by then."""
+    """Connecting may take a second, and by then the message may no longer be sent."""
     harness = EngineHarness()
     harness.list_endpoints((1, 1), (2, 1), (3, 2), advertised_rate=1000.0)
     harness.warm_up()
@@ -58,4 +58,4 @@
     )
     assert cancelled_if_unsent(drained) == [third, elsewhere]
     assert cancelled_if_unsent(harness.end_attempt(elsewhere, Outcome.NOT_SENT)) == []
-    assert harness.route(2).health.failed_at == NEVER  # a cancelled call says nothing of its destination
+    assert harness.route(2).health.failed_at == NEVER  # a call that was not sent is no failure of its destination
