--- a/linnetstile/engine/outlier_detection.py
+++ b/linnetstile/engine/outlier_detection.py
@@ -133,7 +133,7 @@
         route.health.next_trial_at = now + interval_ms * self.rng.uniform(*TRIAL_JITTER)
 
     def adopt_outage(self, now: float, route: RouteState, age_ms: float, aware_relays: float) -> None:
-        """Eject a route that other relays found down; their evidence weighs less than a failure seen by this relay."""
+        """Eject a route that other relays report as down; this weighs less than a failure seen by this relay."""
         health = route.health
         if not health.ejected:
             health.outage_since = now - age_ms
--- a/linnetstile/engine/rate_limiter.py
+++ b/linnetstile/engine/rate_limiter.py
@@ -26,7 +26,7 @@
 BURST_S = 2.0  # capacity of the token bucket, in seconds of calls at the allowed rate
 MIN_BURST = 3.0  # least capacity of the token bucket, in calls; less where load reports lower the unpaced rate
 SINGLE_CALL = 1.0  # burst of a route that gets its calls one at a time
-UNPACED_RATE = 0.5  # calls a second to a route that one of many relays may send without pacing, until one is rejected
+UNPACED_RATE = 0.5  # calls a second that one of many relays may send to a route without pacing, until one is rejected
 RATE_GAIN = 0.5  # fraction by which a success raises a rate that has no whole token left
 THROTTLED_RATE_GAIN = 0.1  # fraction by which a success raises the rate of a throttled route
 REJECTION_FACTOR = 0.7  # fraction of the rate that is kept after a rejection
@@ -76,7 +76,7 @@
 
     Attributes:
         answer_counter: Recent answers of all destinations.
-        unpaced_rates: By kind of destination, the calls a second that are not paced; `UNPACED_RATE` if missing.
+        unpaced_rates: By kind of destination, the calls a second that need no pacing; `UNPACED_RATE` if missing.
     """
 
     def __init__(self, settings: Settings, rng: random.Random, index: EndpointIndex) -> None:
@@ -116,7 +116,7 @@
         A route that is down or in slow start gets this relay's share of the slow-start budget, so that all relays that
         know of the outage together stay within the budget.
         """
-        if is_down or self._may_recover_any_moment(now, route):
+        if is_down or self._may_recover_soon(now, route):
             budget = initial_budget(route, self.settings)
             return RateAllowance(budget / count_aware_relays(now, route, self.settings.relay_count), SINGLE_CALL)
         rate = route.rate
@@ -129,7 +129,7 @@
         return RateAllowance(allowed, burst)
 
     @staticmethod
-    def _may_recover_any_moment(now: float, route: RouteState) -> bool:
+    def _may_recover_soon(now: float, route: RouteState) -> bool:
         """Return whether a route is in an outage that a rate limit does not explain, and may recover into slow start.
 
         Such an outage exceeds the time window of any limit, and its calls failed or were rejected. Where a rate is
@@ -154,7 +154,7 @@
             next_trial_at = self._next_trial_at(now, route.health, allowance.calls_per_s)
             return NextCall(next_trial_at, next_trial_at)
         at = now + max(0.0, 1 - rate.tokens) / allowance.calls_per_s * MS_PER_SECOND
-        if allowance.burst == SINGLE_CALL:  # such a route may not be overdrawn
+        if allowance.burst == SINGLE_CALL:  # a route that gets single calls may not be overdrawn
             return NextCall(at, at)
         return NextCall(at, at - MIN_BURST / allowance.calls_per_s * MS_PER_SECOND)
 
@@ -208,7 +208,7 @@
         rate.tokens = min(rate.tokens, self.rng.uniform(*TOKENS_AFTER_REJECTION))
 
     def adopt_rate(self, now: float, rate: RateState, calls_per_s: float) -> None:
-        """Adopt the rate of another relay that rejections have throttled."""
+        """Adopt the rate to which rejections have throttled another relay."""
         rate.own_rate = calls_per_s
         rate.throttled_until = now + MIN_THROTTLE_MS * self.rng.uniform(*THROTTLE_JITTER)
 
--- a/linnetstile/engine/slow_start.py
+++ b/linnetstile/engine/slow_start.py
@@ -17,7 +17,7 @@
 
 
 def count_aware_relays(now: float, route: RouteState, relay_count: int) -> float:
-    """Estimate how many relays know of the outage, by their failed calls or by gossip; at most all relays."""
+    """Estimate how many relays know of the outage, from failed calls or from gossip; at most all relays."""
     health = route.health
     first_failure_at = now if health.outage_since is None else health.outage_since
     # The outage may have begun right after the last answer.
