--- a/linnetstile/engine/actions.py
+++ b/linnetstile/engine/actions.py
@@ -11,12 +11,13 @@
     """Start an attempt; several in a row with one endpoint and one kind may share a call.
 
     Attributes:
-        id: The message.
-        endpoint: Where it goes.
+        id: Id of the message.
+        endpoint: Id of the endpoint to call.
         timeout_at_ms: When the attempt times out.
-        last_byte_delay_ms: Delay of its last byte: if the connection ends before, the message has surely not run.
-        send_before_ms: When its last byte has to be written; if that is not possible, the attempt ends as NOT_SENT or
-            CONNECT_FAILED.
+        last_byte_delay_ms: Delay before the last byte is written. If the connection ends before then, the message has
+            certainly not run.
+        send_before_ms: Time by which the last byte has to be written. If that is not possible, the attempt ends as
+            NOT_SENT or CONNECT_FAILED.
     """
 
     id: int
@@ -28,10 +29,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Reject:
-    """Tell the client that its message is not delivered and that submitting it again is harmless.
+    """Tell the client that its message was not delivered and that it is safe to submit it again.
 
     Attributes:
-        id: The message.
+        id: Id of the message.
         retry_after_ms: Time after which to submit it again; 0 = no Retry-After.
     """
 
@@ -41,7 +42,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Fail:
-    """Tell the client that its message is not delivered as far as known; it may have run."""
+    """Tell the client that no delivery of its message is known, although the message may have run."""
 
     id: int
 
@@ -56,10 +57,10 @@
 
 @dataclass(frozen=True, slots=True)
 class CancelIfUnsent:
-    """Cancel the attempt of a message if its last byte was not written; it then ends as NOT_SENT, else it goes on.
+    """Cancel the attempt of a message if its last byte was not written yet; the attempt then ends as NOT_SENT.
 
-    The message may no longer be sent. A connection may take a second to be made; a host that sends calls at once has
-    nothing to cancel.
+    The engine asks for it when the message may no longer be sent. Connecting may take a second, during which a call can
+    still be cancelled; a host that sends each call at once has nothing to cancel.
     """
 
     id: int
@@ -67,7 +68,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    """Report `TimerFired` after a time; replaces the timer that is set."""
+    """Report `TimerFired` after a delay; replaces the timer that was set before."""
 
     delay_ms: float
     token: int
@@ -89,7 +90,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WatchEndpoints:
-    """Request the endpoint list and its changes from discovery from now on."""
+    """Request the endpoint list from discovery, and its changes from now on."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/linnetstile/engine/destinations.py
+++ b/linnetstile/engine/destinations.py
@@ -1,8 +1,8 @@
 """All destinations that a relay knows: their endpoints in a compact index, and the routes of those in use.
 
-Of destinations that are not in use only the records of `idle_routes` are kept. The work grows with what changes or is
-used, never with what exists: a change costs the routes of its destination, and each event pays for the check of a few
-idle routes. No I/O and no clock: times in ms come in.
+For destinations that are not in use, only the records of `idle_routes` are kept. The work depends on what changes or is
+used and not on the number of known destinations: a change visits the routes of its destination, and each event checks a
+few idle routes. No I/O and no clock: times in ms are passed in.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 
 class KnownRoute(NamedTuple):
-    """One route with the ids of its endpoints, also of a destination that is not in use."""
+    """One route with the ids of its endpoints; its destination may or may not be in use."""
 
     state: RouteState
     endpoint_ids: tuple[int, ...]
@@ -33,11 +33,11 @@
 
     Attributes:
         queued_destinations: Destinations with queued messages, whose routes stay resident.
-        index: All endpoints that take new calls.
-        routes: Destination in use -> its routes by id; the most recently used last.
-        endpoints: The endpoints of these by id.
+        index: All endpoints that accept new calls.
+        routes: Destination in use -> its routes by id; the most recently used destination comes last.
+        endpoints: Endpoints of the destinations in use, by id.
         without_endpoints: Destinations in use with a route that may have no endpoint.
-        evicted: Destination not in use -> its record.
+        evicted: Destination not in use -> record of its routes.
     """
 
     def __init__(
@@ -72,25 +72,25 @@
         else:
             known = list(self.index)
         gone = [old for old in known if old.id not in ready or self._has_moved(old, ready[old.id])]
-        dropped = self._drop(now, sorted(gone, key=lambda old: old.id))
+        removed = self._remove_endpoints(now, sorted(gone, key=lambda old: old.id))
         for info in ready.values():
             self._add(now, info)
-        return dropped
+        return removed
 
     def _has_moved(self, old: Endpoint, new: Endpoint) -> bool:
         return self.route_key(old) != self.route_key(new)
 
-    def _drop(self, now: float, gone: list[Endpoint]) -> list[EndpointState]:
+    def _remove_endpoints(self, now: float, gone: list[Endpoint]) -> list[EndpointState]:
         destinations = {info.destination for info in gone}
         idle = destinations - self.routes.keys()
-        dropped = [self._drop_endpoint(now, info) for info in gone]
+        removed = [self._remove_endpoint(now, info) for info in gone]
         for destination in idle:
             self._evict(now, destination)
         if gone:
             self._prune_unqueued(now, self.without_endpoints - destinations)
-        return dropped
+        return removed
 
-    def _drop_endpoint(self, now: float, info: Endpoint) -> EndpointState:
+    def _remove_endpoint(self, now: float, info: Endpoint) -> EndpointState:
         """Remove an endpoint; its route begins an outage if it was the last one."""
         self.open(now, info.destination)
         self.index.pop(info.id)
@@ -126,7 +126,7 @@
         destination = info.destination
         is_used = destination in self.routes or destination in self.evicted or destination in self.queued_destinations
         if is_used:
-            self.open(now, destination)  # first, as it may join a route that has no endpoint
+            self.open(now, destination)  # before the index changes: the endpoint may join a route without endpoints
         self.index.put(info)
         if is_used:
             self._attach(now, info, True)
@@ -137,10 +137,10 @@
         self.factory.attach(now, info, routes, key.route_id, self.endpoints, is_listed)
 
     def open(self, now: float, destination: int) -> dict[int, RouteState]:
-        """Return the routes of a destination that is used now: resident, restored or new ones."""
+        """Return the routes of a destination that is used now; restores or creates them if they are not resident."""
         if destination in self.routes:
             routes = self.routes.pop(destination)
-            self.routes[destination] = routes  # the most recently used is the last
+            self.routes[destination] = routes  # moved to the end: the most recently used destination comes last
             return routes
         if destination in self.evicted:
             self._restore(destination)
@@ -160,7 +160,7 @@
         is_queued = destination in self.queued_destinations
         record = None if is_queued else idle_routes.pack_routes(routes, now, self.slow_start_ms)
         if record is None:
-            self.routes[destination] = routes  # behind all others: it is in use
+            self.routes[destination] = routes  # moved to the end of the eviction order: the destination is in use
             return
         for route in routes.values():
             for endpoint_id in route.endpoints:
@@ -170,7 +170,7 @@
             self.evicted[destination] = record
 
     def evict_idle(self, now: float, events: int) -> None:
-        """Evict least recently used routes and remove expired records; visits a few of each for each event."""
+        """Evict the least recently used routes and remove expired records; visits a few of each per event."""
         visits = idle_routes.VISITS_PER_EVENT * events
         surplus = len(self.routes) - idle_routes.MAX_RESIDENT_ROUTES
         if surplus > 0:
@@ -186,7 +186,7 @@
     def known_routes(self, destination: int) -> dict[int, KnownRoute]:
         """Return the routes of a destination by id, without bringing it into use.
 
-        A destination that is not in use and has no record has none.
+        A destination that is neither in use nor has a record has no routes.
         """
         routes = self.routes.get(destination)
         if routes is not None:
--- a/linnetstile/engine/events.py
+++ b/linnetstile/engine/events.py
@@ -26,7 +26,7 @@
 
 
 class EndpointStatus(Enum):
-    """What the endpoint list says of an endpoint."""
+    """State of an endpoint according to the endpoint list."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -34,12 +34,12 @@
 
 
 class ListKind(Enum):
-    """What an endpoint list holds."""
+    """What an endpoint list contains."""
 
-    CHANGES = "changes"  # what has changed since the one before
+    CHANGES = "changes"  # the changes since the previous list
     FULL = "whole"  # all endpoints
-    CACHED = "cached"  # all endpoints as the relay last had them; may be old
-    FAILED = "failed"  # nothing: discovery did not answer
+    CACHED = "cached"  # all endpoints from the relay's cache; may be out of date
+    FAILED = "failed"  # no endpoints: discovery did not answer
 
 
 @dataclass(frozen=True, slots=True)
@@ -47,9 +47,9 @@
     """One entry of the endpoint list.
 
     Attributes:
-        id: Its number.
+        id: Id of the endpoint.
         destination: The destination that it serves.
-        status: Whether it takes new calls.
+        status: Whether it accepts new calls.
         kind: Index of the destination's kind in the settings.
         zone: Index of its zone.
         advertised_rate: Calls a second for its destination (or route); see `RateTrust`.
@@ -76,15 +76,15 @@
     """A client has submitted a message.
 
     Attributes:
-        id: Its number, never used before.
-        destination: Where it is to be delivered.
-        class_index: Its class in the settings.
+        id: Unique id of the message.
+        destination: Destination that it is to be delivered to.
+        class_index: Index of its class in the settings.
         remaining_ms: Time left until its deadline.
         tenant: Index of its tenant in the settings.
-        ordering_key: Messages of a class in order that share it keep their order; 0 = none.
-        estimated_work_ms: Work at the destination, if the client says so.
+        ordering_key: Messages of an in-order class with the same key are delivered in order; 0 = no key.
+        estimated_work_ms: Work at the destination, if the client gives an estimate.
         is_retry: Whether its client marks it as submitted again after a rejection.
-        from_dead_relay: Whether a relay that died, or did not answer, had it before.
+        from_dead_relay: Whether it was previously with a relay that died or did not answer.
     """
 
     id: int
@@ -100,14 +100,16 @@
 
 @dataclass(frozen=True, slots=True)
 class MessageRecovered:
-    """A restart has recovered a message that an earlier process accepted and did not end. Ages are by the wall clock.
+    """A message that an earlier process accepted but did not end was recovered after a restart.
+
+    Ages are measured on the wall clock.
 
     Attributes:
-        message: The message; its time left is as of now.
+        message: The message, with the time left as of now.
         age_ms: Time since it was submitted.
-        attempts: Attempts that were started.
-        unclear_age_ms: Time since the first attempt that may have run; None = none may have.
-        unclear_endpoint: Where that was.
+        attempts: Number of attempts that were started.
+        unclear_age_ms: Time since the first attempt that may have run; None = no attempt may have run.
+        unclear_endpoint: Endpoint of the first attempt that may have run.
     """
 
     message: Message
@@ -119,10 +121,12 @@
 
 @dataclass(frozen=True, slots=True)
 class ShutdownStarted:
-    """This process ends soon: calls in flight then have an unclear outcome; the next process recovers pending messages.
+    """This process is shutting down.
+
+    Calls that are still in flight when it ends have an unclear outcome; the next process recovers pending messages.
 
     Attributes:
-        within_ms: Time until its end.
+        within_ms: Time until the process ends.
     """
 
     within_ms: float
@@ -130,18 +134,18 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptEnded:
-    """An attempt has its outcome.
+    """An attempt has ended.
 
     Attributes:
-        id: The message.
-        attempt: Which of its attempts, counted from 0.
-        endpoint: Where it went.
-        outcome: How it ended.
-        latency_ms: Time from its start.
-        is_final: Whether the message has ended with it.
+        id: Id of the message.
+        attempt: Number of the attempt, counted from 0 for each message.
+        endpoint: Id of the endpoint that was called.
+        outcome: How the attempt ended.
+        latency_ms: Time since the attempt started.
+        is_final: Whether the message has ended with this attempt.
         retry_after_ms: Retry-After that came with `Outcome.REJECTED`; 0 = none.
         slots_exhausted: Whether the call was `Outcome.NOT_SENT` because all slots of the relay were occupied.
-        load_report: Figures that the answer carried; the settings say which is which.
+        load_report: Figures that the answer carried; `Settings.load_report_fields` gives their meaning.
         connection_reused: Whether it was sent on a connection of an earlier call.
     """
 
@@ -159,7 +163,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HealthCheckEnded:
-    """A health check has its outcome."""
+    """A health check has ended."""
 
     endpoint: int
     outcome: Outcome
@@ -183,19 +187,19 @@
 
 @dataclass(frozen=True, slots=True)
 class RouteFacts:
-    """What gossip says of a route that this relay has not called itself.
+    """Knowledge from gossip about a route that this relay has not called itself.
 
     Attributes:
         destination: The destination.
-        route: The endpoint's id where endpoints have routes of their own, else -1.
-        outage_age_ms: Time since its outage began; None = it has none.
-        slow_start_age_ms: Time since it recovered from an outage; None = it did not.
-        retry_after_ms: What is left of a Retry-After; 0 = nothing.
+        route: The endpoint's id where each endpoint has its own route, else -1.
+        outage_age_ms: Time since its outage began; None = no outage.
+        slow_start_age_ms: Time since it recovered from an outage; None = no recovery is known.
+        retry_after_ms: Remaining time of a Retry-After; 0 = none applies.
         latency_mean_ms: Mean latency.
-        latency_deviation_ms: Mean deviation from it.
-        answers: How many answers the latency counts as; 0 = it is not known.
-        aware_relays: Relays that may know of the outage.
-        rate: Calls a second to which rejections throttled a relay; 0 = none did.
+        latency_deviation_ms: Mean deviation of the latency from its mean.
+        answers: Number of answers that the latency counts as; 0 = the latency is not known.
+        aware_relays: Number of relays that may know of the outage.
+        rate: Calls a second to which rejections throttled a relay; 0 = not throttled.
     """
 
     destination: int
@@ -211,11 +215,11 @@
 
 
 class ConnectionLimit(NamedTuple):
-    """How far the endpoints of one kind limit their connections.
+    """Evidence that the endpoints of one kind limit their connections.
 
     Attributes:
         kind: Index of the destination kind in the settings.
-        ratio: Fraction of its answers that followed a failed connect.
+        ratio: Fraction of the kind's answers that followed a failed connect.
     """
 
     kind: int
@@ -223,7 +227,7 @@
 
 
 class RouteKey(NamedTuple):
-    """What identifies a route: its destination, and an endpoint's id where each endpoint has its own route, else -1."""
+    """Identifies a route: its destination, and the endpoint's id where each endpoint has its own route, else -1."""
 
     destination: int
     route_id: int
@@ -234,8 +238,8 @@
     """Gossip of other relays, or a snapshot from before a restart, as merged by `gossip.merge_claims`.
 
     Attributes:
-        facts: What is known of each route.
-        connection_limited: What is known of the connection limit of each kind.
+        facts: Knowledge about each route.
+        connection_limited: Evidence of a connection limit, by kind.
     """
 
     facts: tuple[RouteFacts, ...]
@@ -244,7 +248,7 @@
 
 @dataclass(frozen=True, slots=True)
 class GossipSent:
-    """Another relay has been notified of what this one knows of these routes, so it is aware of their outages."""
+    """Another relay has received this relay's knowledge of these routes, so it is aware of their outages."""
 
     routes: tuple[RouteKey, ...]
 
--- a/linnetstile/engine/settings.py
+++ b/linnetstile/engine/settings.py
@@ -21,7 +21,7 @@
 
 
 class DeduplicationScope(Enum):
-    """Which endpoints of a destination share one memory of deduplication keys."""
+    """Which endpoints of a destination share the remembered deduplication keys."""
 
     ALL = "all"
     ZONE = "zone"
@@ -56,11 +56,11 @@
         name: The class name that clients send.
         effect: Whether a message may be repeated after an unclear outcome.
         latency_objective_ms: Latency up to which a delivery has its full value.
-        deadline_ms: Time from the submission until a message has to have its final answer.
+        deadline_ms: Time from the submission within which a message must get its final answer.
         priority_weight: Value of one delivery within the latency objective.
-        late_value_fraction: Part of the value that a delivery just before the deadline still has.
+        late_value_fraction: Fraction of the full value that a delivery just before the deadline still has.
         deduplication_window_ms: Time for which a destination remembers a key.
-        deduplication_scope: Which endpoints share that memory.
+        deduplication_scope: Which endpoints of a destination share the remembered keys.
         in_order: Whether messages with the same ordering key are delivered in the order of arrival.
     """
 
@@ -119,10 +119,10 @@
     Attributes:
         answer_slack_ms: Time after the deadline within which a final answer still counts.
         drain_grace_ms: Time for which a call to a draining endpoint is still allowed.
-        slow_start_fraction: Capacity of a destination right after an outage, as a part of its full capacity.
-        slow_start_ms: Time until it has its full capacity again.
+        slow_start_fraction: Capacity of a destination right after an outage, as a fraction of its full capacity.
+        slow_start_ms: Time after an outage until a destination has its full capacity again.
         overload_multiple: Load, as a multiple of the slow-start capacity, that makes the destination fail again.
-        overload_window_ms: Window over which that load is counted.
+        overload_window_ms: Window over which the load of a destination in slow start is counted.
         poll_within_ms: Time within which discovery has to be polled again after a failed poll.
         ordering_pause_ms: Pause of an ordering key after a call that the destination may still be working on.
     """
@@ -152,7 +152,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ScoreWeights:
-    """Weights of the parts of the operators' score."""
+    """Weights of the components of the operators' score."""
 
     whole_day: float = 1.0
     worst_window: float = 0.0
@@ -174,20 +174,20 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """Everything that an engine is configured with.
+    """Configuration of a decision engine.
 
     Attributes:
         classes: Message classes; a message names one by its index.
         kinds: Destination kinds; an endpoint names one by its index.
         max_in_flight: Calls that may be in flight at once.
         max_pending_messages: Messages that may be pending at once.
-        max_attempts: Attempts that one message may have.
-        relay_count: Relays that share the destinations.
+        max_attempts: Maximum number of attempts for one message.
+        relay_count: Number of relays that share the destinations.
         zone: Index of the relay's own zone.
         tenants: Tenants; a message names one by its index.
         over_quota_value_factor: Factor on the value of a message above its tenant's quota.
-        value_decay: How value falls after the latency objective.
-        rate_trust: How accurate listed rates are.
+        value_decay: How the value of a message falls after the latency objective.
+        rate_trust: How accurate the rates in the endpoint list are.
         polls_for_list: Whether the engine has to poll for the endpoint list.
         probing: Whether health checks are possible.
         cancelling: Whether calls can be cancelled.
@@ -196,12 +196,12 @@
         connect_timeout_ms: Time after which a connection attempt has failed.
         tick_ms: Resolution of the host's clock and timers.
         clients_mark_retries: Whether clients mark a message that they submit again.
-        max_retry_after_ms: Longest Retry-After that clients heed; 0 = they heed none.
+        max_retry_after_ms: Longest Retry-After that clients honour; 0 = clients ignore Retry-After.
         cross_zone_price: Fee of a call into another zone.
         route_fees: Fee of a call by zone.
         load_report_fields: Indexes of the used figures in a load report; None = load reports are not used.
-        safety: Figures of the delivery rules.
-        score_weights: Weights of the parts of the score.
+        safety: Limits of the delivery rules.
+        score_weights: Weights of the components of the score.
     """
 
     classes: tuple[MessageClass, ...]
