--- a/linnetstile/__init__.py
+++ b/linnetstile/__init__.py
@@ -1,6 +1,6 @@
 """linnetstile: a delivery service for messages to destinations that it does not control.
 
-The names here are the public interface of the decision engine, for programs that embed it: pass events to
+This package exports the public interface of the decision engine for programs that embed it: pass events to
 `DeliveryEngine.handle` and carry out the actions that it returns. The engine needs the standard library only. The
 programs of the package are started with the command `linnetstile`.
 """
--- a/linnetstile/engine/endpoint_index.py
+++ b/linnetstile/engine/endpoint_index.py
@@ -1,4 +1,4 @@
-"""A compact index of all endpoints that take new requests. No I/O and no clock."""
+"""A compact index of all endpoints that accept new requests. No I/O and no clock."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 
 
 class EndpointIndex:
-    """The endpoints that take new requests, by id and by destination.
+    """The endpoints that accept new requests, by id and by destination.
 
-    Each takes some 48 bytes in columns, without an object of its own. A row is an index into the columns; `Endpoint`
+    An endpoint takes about 48 bytes in columns, without a Python object. A row is an index into the columns; `Endpoint`
     objects are created on demand.
 
     Invariant: a row is either in `free_rows` or in both hash tables.
@@ -37,7 +37,7 @@
         self.rates = array("d")
         self.free_rows: list[int] = []
         self.by_id = LinearHashTable(self._id_hash)
-        self.by_destination = LinearHashTable(self._dest_hash)
+        self.by_destination = LinearHashTable(self._destination_hash)
         self.destination_count = 0
 
     def __len__(self) -> int:
@@ -45,25 +45,25 @@
         return self.by_id.row_count
 
     def __iter__(self) -> Iterator[Endpoint]:
-        """Iterate over all endpoints. The index must not change meanwhile."""
+        """Iterate over all endpoints. The index must not change during the iteration."""
         free = set(self.free_rows)
-        return (self._entry(row) for row in range(len(self.ids)) if row not in free)
+        return (self._endpoint_at(row) for row in range(len(self.ids)) if row not in free)
 
     def _id_hash(self, row: int) -> int:
         return hash_integer(self.ids[row])
 
-    def _dest_hash(self, row: int) -> int:
+    def _destination_hash(self, row: int) -> int:
         return hash_integer(self.destination_ids[row])
 
-    def _row(self, endpoint_id: int) -> int | None:
+    def _row_of(self, endpoint_id: int) -> int | None:
         rows = self.by_id.find(hash_integer(endpoint_id))
         return next((row for row in rows if self.ids[row] == endpoint_id), None)
 
-    def _rows(self, destination: int) -> list[int]:
+    def _rows_of(self, destination: int) -> list[int]:
         rows = self.by_destination.find(hash_integer(destination))
         return [row for row in rows if self.destination_ids[row] == destination]
 
-    def _entry(self, row: int) -> Endpoint:
+    def _endpoint_at(self, row: int) -> Endpoint:
         return Endpoint(
             id=self.ids[row],
             destination=self.destination_ids[row],
@@ -75,19 +75,19 @@
 
     def get(self, endpoint_id: int) -> Endpoint | None:
         """Return an endpoint, or None if it is not in the index."""
-        row = self._row(endpoint_id)
-        return None if row is None else self._entry(row)
+        row = self._row_of(endpoint_id)
+        return None if row is None else self._endpoint_at(row)
 
     def endpoints_of(self, destination: int) -> list[Endpoint]:
         """Return the endpoints of a destination, in the order of their ids."""
-        rows = self._rows(destination)
+        rows = self._rows_of(destination)
         if len(rows) > 1:
             rows.sort(key=self.ids.__getitem__)
-        return [self._entry(row) for row in rows]
+        return [self._endpoint_at(row) for row in rows]
 
     def put(self, endpoint: Endpoint) -> None:
         """Add an endpoint, or update the one with its id."""
-        row = self._row(endpoint.id)
+        row = self._row_of(endpoint.id)
         if row is not None and self.destination_ids[row] != endpoint.destination:
             self.pop(endpoint.id)
             row = None
@@ -98,8 +98,8 @@
         self.rates[row] = endpoint.advertised_rate
 
     def _insert(self, endpoint_id: int, destination: int) -> int:
-        """Put a new endpoint into a free row and into both tables, and return the row."""
-        self.destination_count += not self._rows(destination)
+        """Add a new endpoint to a free row and to both hash tables; return the row."""
+        self.destination_count += not self._rows_of(destination)
         if not self.free_rows:
             self._append_row()
         row = self.free_rows.pop()
@@ -116,9 +116,9 @@
 
     def pop(self, endpoint_id: int) -> None:
         """Remove an endpoint that is in the index."""
-        row = self._row(endpoint_id)
+        row = self._row_of(endpoint_id)
         assert row is not None, f"endpoint {endpoint_id} is not in the index"
         self.by_id.remove(row)
         self.by_destination.remove(row)
         self.free_rows.append(row)
-        self.destination_count -= not self._rows(self.destination_ids[row])
+        self.destination_count -= not self._rows_of(self.destination_ids[row])
--- a/linnetstile/engine/idle_routes.py
+++ b/linnetstile/engine/idle_routes.py
@@ -1,10 +1,10 @@
-"""Eviction of idle routes: what is kept of a destination that is not in use, and for how long. No I/O and no clock.
+"""Eviction of idle routes: which state of a destination not in use is kept, and for how long. No I/O and no clock.
 
-A route in use takes some 2 kB with its endpoints. Of 120,000 destinations a relay uses a few thousand in a second, so
-routes beyond `MAX_RESIDENT_ROUTES` without messages are evicted, the least recently used first. The state that a
-delivery rule still needs is kept in one record of some 200 bytes, from which the route is restored: a Retry-After, an
-outage or a slow start, a recent rejection, the time in which a new endpoint counts as a recovery. A route without such
-state leaves no record: when its destination is used again, it begins like one that was never used.
+A route in use takes about 2 kB with its endpoints. Of 120,000 destinations, a relay uses a few thousand in a second.
+Routes without messages beyond `MAX_RESIDENT_ROUTES` are therefore evicted, the least recently used first. State that a
+delivery rule still needs is kept in one record of about 200 bytes, from which the route is restored: a Retry-After, an
+outage or a slow start, a recent rejection, and the time in which a new endpoint counts as a recovery. A route without
+such state leaves no record: when its destination is used again, it starts like one that was never used.
 """
 
 from __future__ import annotations
@@ -23,13 +23,13 @@
 )
 from .time_points import NEVER
 
-# Above this number idle routes are evicted: some 4 MB. A relay with 1,024 destinations never evicts one, and steps that
-# visit all resident routes take at most twice as long as there.
+# Idle routes above this number are evicted; this many take about 4 MB. A relay with 1,024 destinations never evicts a
+# route, and steps that visit all resident routes take at most twice as long as at such a relay.
 MAX_RESIDENT_ROUTES = 2048
-VISITS_PER_EVENT = 2  # routes and records that are checked for each event: more than the one that an event may create
+VISITS_PER_EVENT = 2  # routes and records checked per event; an event creates at most one, so eviction keeps up
 
-# Fields of a record with their struct codes: doubles for times and for what settings may make as large as they like,
-# floats where six digits are enough.
+# Fields of a record with their struct codes: doubles for times and for values that the settings do not bound, floats
+# where six digits are enough.
 LATENCY_FIELDS = {
     "mean_ms": "f",
     "deviation_ms": "f",
@@ -68,7 +68,7 @@
     + RECORD_HEAD
     + "".join([*LATENCY_FIELDS.values(), *RATE_FIELDS.values(), *HEALTH_FIELDS.values(), *ROUTE_FIELDS.values()])
 )
-EXPIRY = struct.Struct("<d")  # the first field of a record
+EXPIRY = struct.Struct("<d")  # the first field of a record, `RecordHead.expires_at`
 
 
 class RecordHead(NamedTuple):
@@ -76,11 +76,11 @@
 
     Attributes:
         expires_at: Until when the record is needed.
-        route_id: The route's id.
-        outage_since: Start of its outage; NEVER without one.
+        route_id: Id of the route.
+        outage_since: Start of the route's outage; NEVER = no outage.
         answer_total: Total of the answer counter.
-        answers_updated_at: Time of the answer counter.
-        had_no_endpoints: Whether the route had no endpoints.
+        answers_updated_at: When the answer counter was last updated.
+        had_no_endpoints: Whether the route had no endpoints when it was evicted.
     """
 
     expires_at: float
@@ -95,8 +95,8 @@
     """Routes of one destination, restored from its record.
 
     Attributes:
-        routes: By route id, without their endpoints.
-        without_endpoints: Ids of those that had no endpoints.
+        routes: The routes by id, without their endpoints.
+        without_endpoints: Ids of the routes that had no endpoints when they were evicted.
     """
 
     routes: dict[int, RouteState]
@@ -106,8 +106,8 @@
 def needed_until(route: RouteState, has_endpoints: bool, slow_start_ms: float) -> float:
     """Return until when a delivery rule may still need the state of a route.
 
-    Rules need a Retry-After, a slow start, an outage that goes on (the route may recover at any moment), and a recent
-    rejection or failure. Of a route without endpoints they need whether a new endpoint would count as its recovery.
+    Rules need a Retry-After, a slow start, an ongoing outage (the route may recover at any moment), and a recent
+    rejection or failure. For a route without endpoints, rules need to know if a new endpoint counts as its recovery.
     """
     health = route.health
     until = max(route.retry_after_until, health.slow_start_since + slow_start_ms)
@@ -121,7 +121,7 @@
 
 
 def pack_routes(routes: Mapping[int, RouteState], now: float, slow_start_ms: float) -> bytes | None:
-    """Return the record of a destination's routes, empty if no rule needs it; None if a call is in flight."""
+    """Return the record of a destination's routes: empty if no rule needs one, None if a call is in flight."""
     if any(route.calls for route in routes.values()):
         return None
     record = b""
@@ -152,7 +152,7 @@
 
 
 def restore_routes(record: bytes) -> RestoredRoutes:
-    """Return the routes of a destination as they were evicted, without their endpoints."""
+    """Return the routes of a destination in the state in which they were evicted, without their endpoints."""
     restored = RestoredRoutes(routes={}, without_endpoints=set())
     for values in RECORD.iter_unpack(record):
         head = RecordHead(*values[: len(RecordHead._fields)])
@@ -163,7 +163,7 @@
 
 
 def _unpack_route(head: RecordHead, values: tuple[Any, ...]) -> RouteState:
-    """Return the route of one record, from its head and the values of its fields."""
+    """Build a route from the head of its record and the values of the other fields."""
     fields = iter(values)
     latency = LatencyEstimate(**dict(zip(LATENCY_FIELDS, fields, strict=False)))
     rate = RateState(**dict(zip(RATE_FIELDS, fields, strict=False)))
@@ -175,6 +175,6 @@
 
 
 def has_expired(record: bytes, now: float) -> bool:
-    """Return whether all routes of a record have expired; one in an outage with endpoints never does."""
+    """Return whether all routes of a record have expired. A route in an outage that has endpoints never expires."""
     offsets = range(0, len(record), RECORD.size)
     return all(now > EXPIRY.unpack_from(record, offset)[0] for offset in offsets)
--- a/linnetstile/engine/pending_message.py
+++ b/linnetstile/engine/pending_message.py
@@ -1,4 +1,4 @@
-"""One accepted message, from its arrival until it has ended."""
+"""State of an accepted message that has not ended yet."""
 
 from __future__ import annotations
 
@@ -21,20 +21,20 @@
         message: The message as the host submitted it.
         message_class: Its class in the settings.
         submitted_at: When its client first submitted it.
-        deadline: When it has to have its final answer.
+        deadline: Time by which it must get its final answer.
         priority_weight: Value of its delivery within the latency objective.
-        not_before: No attempt starts before.
+        not_before: Earliest time at which an attempt may start.
         accepted_at: When this relay accepted it.
-        latest_send_at: No attempt starts from here on.
-        attempts: Attempts that were started.
+        latest_send_at: Time from which on no attempt may start.
+        attempts: Number of attempts that were started.
         call: Its call in flight, if there is one.
         sent_at: Start of its latest attempt.
-        first_unclear_at: Start of the first attempt that may have run; None = none may have.
-        unclear_endpoint: Where that was.
+        first_unclear_at: Start of the first attempt that may have run; None = no attempt may have run.
+        unclear_endpoint: Endpoint of the first attempt that may have run.
         cancelled: Whether its client has cancelled it.
-        recovered_untried: Whether a restart found it without an attempt: it is not shed before it has had one.
-        ordering_key: The key whose order it keeps; 0 = none.
-        expires_early: Whether its deadline comes before its latency objective: its client will not wait so long.
+        recovered_untried: Whether a restart recovered it without an attempt; it is not shed before its first attempt.
+        ordering_key: Messages with the same key are delivered in order; 0 = none.
+        expires_early: Whether its deadline comes before its latency objective, because its client waits less long.
     """
 
     message: Message
@@ -60,7 +60,7 @@
         self.expires_early = self.deadline < self.submitted_at + self.message_class.latency_objective_ms
 
     def start_attempt(self, now: float, call: InFlightCall) -> None:
-        """Note that an attempt has started."""
+        """Record that an attempt has started."""
         self.call = call
         self.sent_at = now
         self.attempts += 1
--- a/linnetstile/engine/route_claims.py
+++ b/linnetstile/engine/route_claims.py
@@ -1,6 +1,6 @@
-"""What one relay claims to know of one route, and how much such a claim is worth by its age.
+"""Claims: what one relay knows of one route, and the weight of that evidence by its age.
 
-No I/O and no clock: claims have ages instead of times, so that they can travel between relays.
+No I/O and no clock: claims hold ages instead of times, so that relays with different clocks can exchange them.
 """
 
 from __future__ import annotations
@@ -8,18 +8,18 @@
 from dataclasses import dataclass, replace
 from typing import NamedTuple
 
-# Evidence of this age has half its weight here. In the engine a failure of this age no longer counts at all.
+# In a claim, evidence of this age has half its weight. In the engine, a failure of this age no longer counts at all.
 HEALTH_HALF_LIFE_MS = 10_000.0
-LATENCY_HALF_LIFE_MS = 600_000.0  # ten minutes: latency follows the load of a day and the releases of a partner
-MIN_EVIDENCE_WEIGHT = 0.25  # two half-lives, 20 s for health and 20 min for latency: below it evidence is stale
-MAX_HALF_LIVES = 1000.0  # keeps the power above 0 and defined for any age
-MIN_LATENCY_MS = 0.1  # a latency outside these bounds is an error
-MAX_LATENCY_MS = 120_000.0
+LATENCY_HALF_LIFE_MS = 600_000.0  # ten minutes: latency follows the daily load and the releases of a partner
+MIN_EVIDENCE_WEIGHT = 0.25  # evidence is stale after two half-lives: 20 s for health, 20 min for latency
+MAX_HALF_LIVES = 1000.0  # limits the exponent, so that the weight stays above 0 and is defined for any age
+MIN_LATENCY_MS = 0.1  # a lower latency is an error
+MAX_LATENCY_MS = 120_000.0  # a higher latency is an error
 NEVER_AGE_MS = float("inf")
 
 
 class PartnerRoute(NamedTuple):
-    """What identifies a route: the partner, and an endpoint's id where routes are separate, else -1."""
+    """Identifies a route: the partner, and the endpoint's id where each endpoint has its own route, else -1."""
 
     partner: str
     route: int
@@ -27,54 +27,54 @@
 
 @dataclass(frozen=True, slots=True)
 class RouteClaim:
-    """One relay's knowledge of one route. Ages and durations are in ms; an age of None means never, or not so."""
+    """One relay's knowledge of one route. Ages and durations are in ms; an age is None if there was no such event."""
 
     partner: str
-    route: int  # an endpoint's id where routes are separate, else -1
+    route: int  # the endpoint's id where each endpoint has its own route, else -1
     # The endpoints that were observed. If none of them belongs to the route any more, the claim does not hold for it.
     endpoints: tuple[int, ...]
-    answer_age_ms: float | None = None  # of the latest answer
-    failure_age_ms: float | None = None  # of the latest failure that no rate limit explains
-    outage_age_ms: float | None = None  # of the first failure of the present outage
-    slow_start_age_ms: float | None = None  # since the route returned from an outage
-    retry_after_ms: float = 0.0  # what is left of a Retry-After
-    latency_mean_ms: float = 0.0  # mean latency
-    latency_deviation_ms: float = 0.0  # deviation of the latency
-    answers: int = 0  # answers that the latency is from
-    aware_relays: float = 1.0  # relays that may know of the outage, those that were notified included
-    rate: float = 0.0  # requests a second to which rejections throttle it now; 0 = not throttled
+    answer_age_ms: float | None = None  # age of the latest answer
+    failure_age_ms: float | None = None  # age of the latest failure that no rate limit explains
+    outage_age_ms: float | None = None  # age of the first failure of the present outage
+    slow_start_age_ms: float | None = None  # time since the route recovered from an outage
+    retry_after_ms: float = 0.0  # remaining time of a Retry-After
+    latency_mean_ms: float = 0.0
+    latency_deviation_ms: float = 0.0  # mean deviation of the latency from its mean
+    answers: int = 0  # number of answers in the latency estimate
+    aware_relays: float = 1.0  # relays that may know of the outage, including those that were notified
+    rate: float = 0.0  # requests a second to which rejections throttle the route now; 0 = not throttled
 
     @property
     def key(self) -> PartnerRoute:
-        """The route that the claim is about."""
+        """Identifier of the route that the claim describes."""
         return PartnerRoute(self.partner, self.route)
 
     @property
     def latest_evidence_age_ms(self) -> float:
-        """Age (ms) of the youngest evidence, infinite without any."""
+        """Age (ms) of the most recent evidence; infinite if there is none."""
         ages = (self.answer_age_ms, self.failure_age_ms, self.slow_start_age_ms)
         return min((age for age in ages if age is not None), default=NEVER_AGE_MS)
 
     @property
     def is_recent(self) -> bool:
-        """Whether the youngest evidence still counts."""
+        """Whether the most recent evidence is not stale yet."""
         return evidence_weight(self.latest_evidence_age_ms) >= MIN_EVIDENCE_WEIGHT
 
     @property
     def latency_weight(self) -> float:
-        """Weight of the latency, by the age of the latest answer."""
+        """Weight of the latency estimate, by the age of the latest answer."""
         return evidence_weight(self.answer_age_ms, LATENCY_HALF_LIFE_MS)
 
     @property
     def claims_outage(self) -> bool:
-        """Whether it says that the outage goes on: no answer came since it began."""
+        """Whether the claim reports an ongoing outage: no answer came since the outage began."""
         if self.outage_age_ms is None:
             return False
         return self.answer_age_ms is None or self.answer_age_ms >= self.outage_age_ms
 
     @property
     def is_plausible(self) -> bool:
-        """Whether all ages and figures are in their possible ranges."""
+        """Whether all ages and figures are within their valid ranges."""
         ages = (self.answer_age_ms, self.failure_age_ms, self.outage_age_ms, self.slow_start_age_ms)
         figures = [
             *(age for age in ages if age is not None),
@@ -96,7 +96,7 @@
         return claim.failure_age_ms is None or self.answer_age_ms < claim.failure_age_ms
 
     def aged(self, ms: float) -> RouteClaim:
-        """Return the claim as it is `ms` later."""
+        """Return the claim as it will be after `ms`, with older ages and a shorter Retry-After."""
 
         def older(age: float | None) -> float | None:
             return None if age is None else age + ms
@@ -134,9 +134,9 @@
 
 
 def evidence_weight(age_ms: float | None, half_life_ms: float = HEALTH_HALF_LIFE_MS) -> float:
-    """Return the weight of evidence by its age: 1 for now, half of it after each half-life.
+    """Return the weight of evidence by its age: 1 at age 0, halved after each half-life.
 
-    It is 0 for None, and for ages that no clock can tell (negative or not a number).
+    The weight is 0 for None and for invalid ages (negative or not a number).
     """
     if age_ms is None or not age_ms >= 0:
         return 0.0
--- a/linnetstile/engine/route_factory.py
+++ b/linnetstile/engine/route_factory.py
@@ -30,10 +30,10 @@
         self.queues = queues
         self.rate_limiter = rate_limiter
         self.fleet_latency = fleet_latency
-        self.first_list_at: float | None = None  # a destination that is not in use has been idle since then
+        self.first_list_at: float | None = None  # a destination that comes into use counts as idle since then
 
     def list_received(self, now: float) -> None:
-        """Note when the first list came."""
+        """Record the time of the first endpoint list."""
         if self.first_list_at is None:
             self.first_list_at = now
 
@@ -46,15 +46,15 @@
         endpoints: dict[int, EndpointState],
         is_listed: bool,
     ) -> None:
-        """Put an endpoint into its route.
+        """Add an endpoint to its route, and create the route if it does not exist.
 
         Args:
             now: Time in ms.
-            info: The endpoint's entry.
-            routes: The routes of its destination.
-            route_id: Which of them it belongs to; made if it does not exist.
-            endpoints: All endpoints in use.
-            is_listed: Whether it was listed just now; if not, its destination comes into use.
+            info: The endpoint's entry in the endpoint list.
+            routes: The routes of its destination, by id.
+            route_id: Id of the route that the endpoint belongs to.
+            endpoints: All endpoints in use, by id.
+            is_listed: True if the endpoint was listed just now, False if its destination comes into use.
         """
         advertised_rate = self.rate_limiter.trusted_rate(info.advertised_rate)
         route = routes.get(route_id)
@@ -67,7 +67,7 @@
             endpoint.info = info
             return
         if is_listed and not route.endpoints and route.health.outage_since is not None:
-            # Its endpoints were replaced after an outage: the new one does not have its full capacity yet.
+            # The endpoints of the route were replaced after an outage: the new one does not have full capacity yet.
             slow_start.begin_slow_start(now, route, self.settings.relay_count)
         endpoint = EndpointState(info, route, tie_breaker=self.rng.random())
         route.endpoints[info.id] = endpoint
--- a/linnetstile/engine/route_state.py
+++ b/linnetstile/engine/route_state.py
@@ -24,7 +24,7 @@
     updated_at: float = 0.0
 
     def count(self, now: float, decay_ms: float) -> float:
-        """Return the count as of `now`; an event of `decay_ms` ago weighs 1/e."""
+        """Return the count as of `now`; an event that is `decay_ms` old weighs 1/e."""
         return self.total * math.exp((self.updated_at - now) / decay_ms)
 
     def add(self, now: float, decay_ms: float) -> None:
@@ -39,10 +39,10 @@
 
     Attributes:
         mean_ms: Moving mean of the latency of answers.
-        deviation_ms: Moving mean of the deviation from it.
-        answers: Number of answers; the first ones weigh more.
+        deviation_ms: Moving mean of the deviation of the latency from `mean_ms`.
+        answers: Number of answers; the first answers have more weight in the means.
         timeout_multiplier: Factor on the time-out, above 1 while calls time out.
-        mean_call_ms: Moving mean of the time that a call occupies its slot, whatever its outcome; 0 = none has ended.
+        mean_call_ms: Moving mean of the time that a call occupies its slot, for any outcome; 0 = no call has ended.
     """
 
     mean_ms: float
@@ -58,14 +58,14 @@
 
     Attributes:
         fleet_rate: Calls a second that all relays together may send.
-        own_rate: Calls a second that this relay may send, as learned.
-        tokens: Tokens of the bucket: calls that may be sent now.
-        tokens_at: When `tokens` was last brought up to date.
-        initial_tokens: Random part of one token, which a relay starts with where it should not send a burst.
+        own_rate: Calls a second that this relay may send, as learned from outcomes.
+        tokens: Tokens in the bucket: calls that may be sent now.
+        tokens_at: When `tokens` was last updated.
+        initial_tokens: Random fraction of one token that a relay starts with where it should not send a burst.
         is_advertised: Whether `fleet_rate` comes from the list or a load report rather than from a guess.
-        answer_counter: Answers of this route.
+        answer_counter: Count of the answers of this route.
         throttle_ms: How long the latest rejection throttles the route.
-        throttled_until: When that ends.
+        throttled_until: When the throttling by the latest rejection ends.
     """
 
     fleet_rate: float
@@ -90,16 +90,16 @@
     Attributes:
         last_success_at: Time of the latest answer.
         failure_score: 0 for healthy to 1; rises with each failure and falls with each answer.
-        ejected: Whether the route is ejected: it gets single trial calls only.
+        ejected: Whether the route is ejected, which limits it to single trial calls.
         failed_at: Time of the latest failure that no rate limit explains.
         last_failure_had_no_effect: Whether the latest failure proved that the message had no effect.
         last_failure_was_connect: Whether the latest failure was a connection that could not be made.
         outage_since: Start of the first call that failed since the last answer; None = no outage.
         slow_start_since: When the route recovered from its latest outage.
         endpoints_left_at: When its last endpoint left the list.
-        aware_relays: Relays that may know of the latest outage.
-        notified_relays: Relays that learned of it by gossip.
-        from_gossip: Whether its state was learned by gossip, and this relay has no outcome of its own yet.
+        aware_relays: Number of relays that may know of the latest outage.
+        notified_relays: Number of relays that learned of the latest outage by gossip.
+        from_gossip: Whether its state was learned by gossip and this relay has not observed an outcome itself yet.
         next_trial_at: When an ejected route may get its next trial call.
     """
 
@@ -118,7 +118,7 @@
     next_trial_at: float = 0.0
 
     def start_outage(self, at: float) -> None:
-        """Record that an outage began, unless one goes on already."""
+        """Record the start of an outage, unless one is already ongoing."""
         if self.outage_since is None:
             self.outage_since = at
 
@@ -130,11 +130,11 @@
     Attributes:
         info: Its latest entry in the endpoint list.
         route: The route that it belongs to.
-        in_flight: Calls that are in flight to it.
-        class_failures: By message class, the time of the latest failure, if no call of the class was answered since.
-        idle_connections: For each idle connection to it, when it was last used.
-        tie_breaker: A random number: of two equal endpoints the lower one is used.
-        rejected_at: Time of the latest rejection on a new connection, if none was accepted since.
+        in_flight: Number of calls in flight to it.
+        class_failures: Time of the latest failure by message class, for classes without an answered call since.
+        idle_connections: For each idle connection to it, when the connection was last used.
+        tie_breaker: Random number; of two endpoints of equal rank, the one with the lower number is used.
+        rejected_at: Time of the latest rejection on a new connection, if no call was accepted since.
     """
 
     info: Endpoint
@@ -146,23 +146,23 @@
     rejected_at: float = NEVER
 
     def record_connection(self, now: float, outcome: Outcome) -> None:
-        """Record an idle connection if a call was answered; if not, no idle connection is trusted any more."""
+        """Record an idle connection after an answered call; after any other outcome, trust none of the idle ones."""
         if outcome in (Outcome.OK, Outcome.ERROR, Outcome.REJECTED):
             self.idle_connections.append(now)
         else:
             self.idle_connections = []
 
 
-@dataclass(slots=True, eq=False)  # compared by identity: two calls may be alike
+@dataclass(slots=True, eq=False)  # compared by identity: the fields of two calls may be equal
 class InFlightCall:
-    """One call without an outcome yet, with one message or several.
+    """A call that has no outcome yet and carries one or more messages.
 
     Attributes:
-        endpoint: Where it went.
+        endpoint: The endpoint that is called.
         started_at: When it was sent.
-        messages: Its messages.
-        unresolved: Messages without an outcome.
-        counted: Whether an outcome of it has counted as evidence, as only the first one of a call does.
+        messages: The messages that it carries.
+        unresolved: Number of its messages without an outcome.
+        counted: Whether an outcome of the call was already counted as evidence; only the first one counts.
     """
 
     endpoint: EndpointState
@@ -172,7 +172,7 @@
     counted: bool = False
 
     def resolve_one(self) -> bool:
-        """Record the outcome of one message; return whether it is the first, which counts as evidence."""
+        """Record the outcome of one message; return whether it is the first of the call, which counts as evidence."""
         is_first = not self.counted
         self.counted = True
         self.unresolved -= 1
@@ -186,7 +186,7 @@
     Attributes:
         latency: Latency estimate.
         rate: Rate limit.
-        health: Outlier detection.
+        health: State of outlier detection and slow start.
         max_batch: Messages that one call may carry.
         kind: Index of the destination's kind in the settings.
         retry_after_until: End of the latest Retry-After that a destination sent.
--- a/linnetstile/errors.py
+++ b/linnetstile/errors.py
@@ -4,12 +4,12 @@
 
 
 class LinnetstileError(Exception):
-    """Base class of all errors that this package raises on purpose.
+    """Base class of the errors that this package defines.
 
     Attributes:
-        field: Name of the offending field as the user wrote it; empty if the error concerns no single field.
-        expected: What would have been valid; empty if the message says it.
-        found: What came instead; empty if the message says it.
+        field: Name of the invalid field as the user wrote it; empty if the error is not about a single field.
+        expected: What would have been valid; empty if the message already says it.
+        found: What was found instead; empty if the message already says it.
     """
 
     def __init__(self, message: str, *, field: str = "", expected: str = "", found: str = "") -> None:
--- a/tests/engine/test_work_per_event.py
+++ b/tests/engine/test_work_per_event.py
@@ -44,9 +44,9 @@
         return counted_method
 
     for owner, name in (
-        (engine.routing_table.index, "_entry"),
+        (engine.routing_table.index, "_endpoint_at"),
         (engine.routing_table.index, "_id_hash"),
-        (engine.routing_table.index, "_dest_hash"),
+        (engine.routing_table.index, "_destination_hash"),
         (engine.routing_table, "_attach"),
         (engine.scheduler, "pick"),
     ):
