--- a/linnetstile/simulator_adapter.py
+++ b/linnetstile/simulator_adapter.py
@@ -1,6 +1,6 @@
-"""Hosts decision engines on the operators' simulator: its binary wire on standard input and output.
+"""Hosts decision engines for the operators' simulator, over its binary protocol on standard input and output.
 
-Every decision is left to `DeliveryEngine`; the records of the wire are in `simulator_wire.py`.
+Every decision is made by `DeliveryEngine`; the records of the protocol are in `simulator_wire.py`.
 """
 
 from __future__ import annotations
@@ -50,10 +50,10 @@
 
 
 def settings_from(text: bytes) -> Settings:
-    """Translate the settings text; unknown keys are skipped.
+    """Parse the settings text; unknown keys are ignored.
 
     Raises:
-        WireFormatError: The text is not JSON, or lacks a field.
+        WireFormatError: The text is not valid JSON, a field is missing, or a value is invalid.
     """
     try:
         return platform.settings_from(json.loads(text))
@@ -62,13 +62,18 @@
 
 
 class SimulatorAdapter:
-    """One engine an instance, and the numbered endpoint lists that the whole process shares."""
+    """Runs one engine for each instance of the simulator.
+
+    Attributes:
+        engines: The engines by instance.
+        lists: Endpoint lists by number, shared by all instances.
+    """
 
     def __init__(self) -> None:
         self.engines: dict[int, DeliveryEngine] = {}
         self.lists: dict[int, tuple[Endpoint, ...]] = {}
 
-    def batch(self, now: float, count: int, body: bytes) -> bytes:
+    def handle_frame(self, now: float, count: int, body: bytes) -> bytes:
         """Handle one frame of events; return the frame of actions.
 
         Args:
@@ -77,37 +82,37 @@
             body: The records.
 
         Raises:
-            WireFormatError: The frame does not follow the wire.
+            WireFormatError: The frame does not follow the protocol.
         """
         events: dict[int, list[Event]] = {}
-        for record in self._records(count, body):
-            self._take(record, events)
+        for record in self._split_records(count, body):
+            self._apply_record(record, events)
         replies: list[bytes] = []
-        for instance, own_events in events.items():
+        for instance, instance_events in events.items():
             if instance not in self.engines:
                 continue
-            for action in self.engines[instance].handle(now, own_events):
-                if not isinstance(action, CancelIfUnsent):  # a call leaves at once here
+            for action in self.engines[instance].handle(now, instance_events):
+                if not isinstance(action, CancelIfUnsent):  # the simulator sends each call at once: nothing to cancel
                     replies.append(encode(instance, action))
         return REPLY_HEADER.pack(sum(map(len, replies)), len(replies)) + b"".join(replies)
 
     @staticmethod
-    def _records(count: int, body: bytes) -> Iterator[Record]:
-        at = 0
+    def _split_records(count: int, body: bytes) -> Iterator[Record]:
+        offset = 0
         for _ in range(count):
-            start = at + RECORD_HEADER.size
+            start = offset + RECORD_HEADER.size
             if start > len(body):
-                raise WireFormatError("frame ends inside a record")
-            code, size = RECORD_HEADER.unpack_from(body, at)
-            at = start + size
-            if at > len(body):
-                raise WireFormatError(f"record {code} is longer than its frame")
-            yield Record(code, body[start:at])
-        if at != len(body):
-            raise WireFormatError(f"frame holds {len(body) - at} bytes after its last record")
-
-    def _take(self, record: Record, events: dict[int, list[Event]]) -> None:
-        """Apply a record to lists or engines, or add its event to those of its instance."""
+                raise WireFormatError("frame ends inside a record header")
+            code, size = RECORD_HEADER.unpack_from(body, offset)
+            offset = start + size
+            if offset > len(body):
+                raise WireFormatError(f"record with code {code} extends beyond the end of its frame")
+            yield Record(code, body[start:offset])
+        if offset != len(body):
+            raise WireFormatError(f"frame has {len(body) - offset} bytes after its last record")
+
+    def _apply_record(self, record: Record, events: dict[int, list[Event]]) -> None:
+        """Store an endpoint list, start or end an instance, or add an event to the events of its instance."""
         if record.code == EventCode.ENDPOINTS:
             self._store_list(record.body)
             return
@@ -119,14 +124,14 @@
             self.engines.pop(instance, None)
             events.pop(instance, None)
         elif record.code not in IGNORED_EVENTS:
-            event = self._event(record.code, record.body)
-            self._check_class(instance, event)
+            event = self._decode_event(record.code, record.body)
+            self._check_message_class(instance, event)
             events.setdefault(instance, []).append(event)
 
     def _store_list(self, body: bytes) -> None:
         number, count = ENDPOINTS_HEADER.unpack_from(body)
         if len(body) != ENDPOINTS_HEADER.size + count * ENDPOINT.size:
-            raise WireFormatError("list of endpoints is cut short")
+            raise WireFormatError("size of the endpoint list does not match its number of entries")
         rows = ENDPOINT.iter_unpack(body[ENDPOINTS_HEADER.size :])
         self.lists[number] = tuple(endpoint_from(EndpointRow(*row)) for row in rows)
 
@@ -134,24 +139,24 @@
         seed, size = INSTANCE_STARTED.unpack_from(body, INSTANCE.size)
         start = INSTANCE.size + INSTANCE_STARTED.size
         if len(body) != start + size:
-            raise WireFormatError("settings are cut short")
+            raise WireFormatError("size of the settings does not match the size in their record")
         self.engines[instance] = DeliveryEngine(settings_from(body[start:]), seed)
 
-    def _check_class(self, instance: int, event: Event) -> None:
+    def _check_message_class(self, instance: int, event: Event) -> None:
         engine = self.engines.get(instance)
         if engine is None or not isinstance(event, Message):
             return
         if event.class_index >= len(engine.settings.classes):
-            raise WireFormatError(f"message {event.id} is of class {event.class_index}, which the settings lack")
+            raise WireFormatError(f"message {event.id} has class {event.class_index}, which is not in the settings")
 
-    def _event(self, code: int, body: bytes) -> Event:
+    def _decode_event(self, code: int, body: bytes) -> Event:
         match code:
             case EventCode.MESSAGE:
                 return message_from(body)
             case EventCode.ATTEMPT_ENDED:
                 return attempt_ended_from(body)
             case EventCode.LIST_CHANGED:
-                return self._list_changed(body)
+                return self._decode_list_change(body)
             case EventCode.TIMER_FIRED:
                 return TimerFired(*TIMER_FIRED.unpack_from(body, INSTANCE.size))
             case EventCode.HEALTH_CHECK_ENDED:
@@ -160,10 +165,10 @@
                 return ClientCancelled(*CLIENT_CANCELLED.unpack_from(body, INSTANCE.size))
         raise WireFormatError(f"unknown event code {code}")
 
-    def _list_changed(self, body: bytes) -> EndpointList:
+    def _decode_list_change(self, body: bytes) -> EndpointList:
         kind_code, _, number = LIST_CHANGED.unpack_from(body, INSTANCE.size)
         if kind_code >= len(LIST_KINDS):
-            raise WireFormatError(f"unknown list kind {kind_code}")
+            raise WireFormatError(f"unknown list kind code {kind_code}")
         kind = LIST_KINDS[kind_code]
         if kind is ListKind.FAILED:
             return EndpointList(kind)
@@ -176,7 +181,7 @@
     """Return the next `size` bytes.
 
     Raises:
-        WireFormatError: The stream ends before.
+        WireFormatError: The stream ends earlier.
     """
     data = stream.read(size)
     if len(data) != size:
@@ -188,14 +193,14 @@
     """Answer frames until the source ends.
 
     Raises:
-        WireFormatError: What comes does not follow the wire.
+        WireFormatError: The input does not follow the protocol.
     """
     adapter = SimulatorAdapter()
     while header := source.read(FRAME_HEADER.size):
         if len(header) != FRAME_HEADER.size:
             raise WireFormatError("input ends inside a frame header")
         size, now, count = FRAME_HEADER.unpack(header)
-        sink.write(adapter.batch(now, count, read_exactly(source, size)))
+        sink.write(adapter.handle_frame(now, count, read_exactly(source, size)))
         sink.flush()
 
 
@@ -204,10 +209,10 @@
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
     except (WireFormatError, struct.error) as error:
-        print(f"wirehost: malformed input: {error}", file=sys.stderr)
+        print(f"simulator_adapter: malformed input: {error}", file=sys.stderr)
         return 1
     except BrokenPipeError:
-        print("wirehost: the other side went away", file=sys.stderr)
+        print("simulator_adapter: standard output was closed before the reply was written", file=sys.stderr)
         return 1
     return 0
 
--- a/linnetstile/simulator_wire.py
+++ b/linnetstile/simulator_wire.py
@@ -1,6 +1,6 @@
-"""The binary wire of the operators' simulator: codes, layouts, and the translation of records to events and back.
+"""The binary protocol of the operators' simulator: record codes and layouts, decoding of events, encoding of actions.
 
-A frame holds a header and records; a record is a code, the length of its body, and the body. Numbers are little-endian.
+A frame has a header and records; a record has a code, the length of its body, and the body. Numbers are little-endian.
 No I/O.
 """
 
@@ -36,9 +36,9 @@
 
 
 class EventCode(IntEnum):
-    """Codes of the records that come in."""
+    """Codes of incoming records."""
 
-    ATTEMPT_BEGUN = 10
+    ATTEMPT_STARTED = 10
     ENDPOINTS = 20
     LIST_CHANGED = 30
     TIMER_FIRED = 40
@@ -46,13 +46,13 @@
     HEALTH_CHECK_ENDED = 60
     CLIENT_CANCELLED = 70
     INSTANCE_STARTED = 80
-    NEIGHBOUR_SAYS = 90
+    PEER_MESSAGE = 90
     ATTEMPT_ENDED = 100
     MESSAGE = 110
 
 
 class ActionCode(IntEnum):
-    """Codes of the records that go out."""
+    """Codes of outgoing records."""
 
     SEND = 10
     REJECT = 20
@@ -65,8 +65,8 @@
     WATCH_ENDPOINTS = 110
 
 
-# No class of ours streams, and relays here share nothing.
-IGNORED_EVENTS = (EventCode.ATTEMPT_BEGUN, EventCode.NEIGHBOUR_SAYS)
+# Not used by the adapter: no message class here streams, and the relays of a simulation share no knowledge.
+IGNORED_EVENTS = (EventCode.ATTEMPT_STARTED, EventCode.PEER_MESSAGE)
 OUTCOMES = (
     Outcome.ERROR,
     Outcome.OK,
@@ -83,27 +83,27 @@
 FRAME_HEADER = struct.Struct("<IdI")  # size of the records, time in ms, number of records
 REPLY_HEADER = struct.Struct("<II")  # size of the records, number of records
 RECORD_HEADER = struct.Struct("<BI")  # code, size of the body
-INSTANCE = struct.Struct("<I")  # begins the body of each record but the list of endpoints
+INSTANCE = struct.Struct("<I")  # instance: the first field of each record body, except in an endpoint list
 ENDPOINTS_HEADER = struct.Struct("<BI")  # number of the list, number of entries
 ENDPOINT = struct.Struct("<BfdHBHI")  # see `EndpointRow`
-INSTANCE_STARTED = struct.Struct("<QI")  # seed, size of the settings
+INSTANCE_STARTED = struct.Struct("<QI")  # seed, size of the settings text in bytes
 MESSAGE = struct.Struct("<IBIQddfB")  # see `MessageRecord`
 ATTEMPT_ENDED = struct.Struct("<IHIBdBIB")  # see `AttemptEndedRecord`
 LIST_CHANGED = struct.Struct("<BQB")  # kind, not used, number of the list
-TIMER_FIRED = struct.Struct("<Q")
+TIMER_FIRED = struct.Struct("<Q")  # token
 HEALTH_CHECK_ENDED = struct.Struct("<IBdB")  # see `HealthCheckRecord`
-CLIENT_CANCELLED = struct.Struct("<I")
-# Bodies of actions, after the instance.
-SEND = struct.Struct("<IId")  # message, endpoint, time at which it is given up
-REJECT = struct.Struct("<Id")  # message, Retry-After
+CLIENT_CANCELLED = struct.Struct("<I")  # message
+# The layouts from here to LOG_HEADER are bodies of actions, after the instance.
+SEND = struct.Struct("<IId")  # message, endpoint, time (ms) at which the attempt times out
+REJECT = struct.Struct("<Id")  # message, Retry-After in ms
 FAIL = struct.Struct("<I")  # message
 CANCEL = struct.Struct("<IH")  # message, attempt
-SET_TIMER = struct.Struct("<dQ")  # delay, token
+SET_TIMER = struct.Struct("<dQ")  # delay in ms, token
 HEALTH_CHECK = struct.Struct("<I")  # endpoint
 CLOSE_IDLE = struct.Struct("<I")  # endpoint
-WATCH_ENDPOINTS = struct.Struct("<B")  # 1 = from now on
-LOG_HEADER = struct.Struct("<H")  # size of the line
-# Bits of a message's options.
+WATCH_ENDPOINTS = struct.Struct("<B")  # 1 = watch from now on
+LOG_HEADER = struct.Struct("<H")  # size of the line in bytes
+# HAS_WORK_ESTIMATE, IS_RETRY and FROM_DEAD_RELAY are bits of `MessageRecord.options`.
 HAS_WORK_ESTIMATE = 1
 IS_RETRY = 2
 FROM_DEAD_RELAY = 16
@@ -111,7 +111,7 @@
 
 
 class WireFormatError(ProtocolError):
-    """What came in does not follow the wire."""
+    """Input does not follow the simulator's protocol."""
 
 
 class Record(NamedTuple):
@@ -122,7 +122,7 @@
 
 
 class EndpointRow(NamedTuple):
-    """One entry of a list of endpoints."""
+    """Fields of one entry of an endpoint list, in the order of the wire."""
 
     status_code: int
     rate: float
@@ -134,7 +134,7 @@
 
 
 class MessageRecord(NamedTuple):
-    """Fields of the record of a message, with option bits such as `IS_RETRY`."""
+    """Fields of the record of a message; `options` holds bits such as `IS_RETRY`."""
 
     message_id: int
     class_index: int
@@ -149,7 +149,8 @@
 class AttemptEndedRecord(NamedTuple):
     """Fields of the record of an attempt's outcome.
 
-    `wait` is a Retry-After (ms) with REJECTED. With NOT_SENT it is not 0 if all slots of the relay were occupied.
+    With REJECTED, `wait` is a Retry-After in ms. With NOT_SENT, any value but 0 means that all slots of the relay were
+    occupied. `report_size` is the number of figures in the load report that follows.
     """
 
     message_id: int
@@ -163,7 +164,10 @@
 
 
 class HealthCheckRecord(NamedTuple):
-    """Fields of the record of a health check's outcome."""
+    """Fields of the record of a health check's outcome.
+
+    `report_size` is the number of figures in the load report that follows.
+    """
 
     endpoint: int
     outcome_code: int
@@ -172,7 +176,7 @@
 
 
 def message_from(body: bytes) -> Message:
-    """Decode a new message."""
+    """Decode the record of a new message."""
     record = MessageRecord(*MESSAGE.unpack_from(body, INSTANCE.size))
     return Message(
         id=record.message_id,
@@ -188,7 +192,7 @@
 
 
 def attempt_ended_from(body: bytes) -> AttemptEnded:
-    """Decode how an attempt ended."""
+    """Decode the record of an attempt's outcome."""
     record = AttemptEndedRecord(*ATTEMPT_ENDED.unpack_from(body, INSTANCE.size))
     outcome = outcome_from(record.outcome_code)
     return AttemptEnded(
@@ -205,35 +209,35 @@
 
 
 def health_check_ended_from(body: bytes) -> HealthCheckEnded:
-    """Decode how a health check ended."""
+    """Decode the record of a health check's outcome."""
     record = HealthCheckRecord(*HEALTH_CHECK_ENDED.unpack_from(body, INSTANCE.size))
     report = _load_report(body, INSTANCE.size + HEALTH_CHECK_ENDED.size, record.report_size)
     return HealthCheckEnded(record.endpoint, outcome_from(record.outcome_code), record.latency_ms, report)
 
 
-def _load_report(body: bytes, at: int, size: int) -> tuple[float, ...]:
-    return struct.unpack_from(f"<{size}f", body, at)
+def _load_report(body: bytes, offset: int, count: int) -> tuple[float, ...]:
+    return struct.unpack_from(f"<{count}f", body, offset)
 
 
 def outcome_from(code: int) -> Outcome:
-    """Return the outcome that a code stands for.
+    """Return the outcome with this code.
 
     Raises:
         WireFormatError: No outcome has this code.
     """
     if code >= len(OUTCOMES):
-        raise WireFormatError(f"unknown outcome {code}")
+        raise WireFormatError(f"unknown outcome code {code}")
     return OUTCOMES[code]
 
 
 def endpoint_from(row: EndpointRow) -> Endpoint:
-    """Return the endpoint of one row.
+    """Return the endpoint of one row of an endpoint list.
 
     Raises:
-        WireFormatError: Its status is unknown.
+        WireFormatError: The status code of the row is unknown.
     """
     if row.status_code not in ENDPOINT_STATUSES:
-        raise WireFormatError(f"unknown endpoint status {row.status_code}")
+        raise WireFormatError(f"unknown endpoint status code {row.status_code}")
     return Endpoint(
         id=row.endpoint_id,
         destination=row.destination,
@@ -252,7 +256,7 @@
 
 
 def _encode_action(action: Action) -> Record:
-    """Return the record of an action, without the instance that its body begins with."""
+    """Return the record of an action, without the instance at the start of the body."""
     match action:
         case Send():
             return Record(ActionCode.SEND, SEND.pack(action.id, action.endpoint, action.timeout_at_ms))
@@ -274,4 +278,4 @@
             line = action.text.encode()[:MAX_LOG_BYTES]
             return Record(ActionCode.LOG, LOG_HEADER.pack(len(line)) + line)
         case CancelIfUnsent():
-            raise TypeError("a call leaves at once here: there is nothing to cancel")
+            raise TypeError("CancelIfUnsent has no record: the simulator sends each call at once")
--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -148,7 +148,7 @@
 )
 def test_documented_event_is_decoded(code: int, wire: str, event: Event) -> None:
     adapter = simulator_adapter.SimulatorAdapter()
-    assert adapter._event(code, bytes.fromhex(wire)) == event
+    assert adapter._decode_event(code, bytes.fromhex(wire)) == event
 
 
 def test_documented_endpoint_list_is_decoded() -> None:
@@ -157,9 +157,9 @@
     header = "00" + "02000000"
     first_row = "01" + "0000803f00000000000000000000003900074a1203"
     second_row = "01" + "0000c03f0000000000d4b7400000003900f211902c"
-    adapter._take(simulator_wire.Record(ENDPOINTS_CODE, bytes.fromhex(header + first_row + second_row)), events)
+    adapter._apply_record(simulator_wire.Record(ENDPOINTS_CODE, bytes.fromhex(header + first_row + second_row)), events)
     change = bytes.fromhex("0300000002290000000000000000")
-    adapter._take(simulator_wire.Record(LIST_CHANGED_CODE, change), events)
+    adapter._apply_record(simulator_wire.Record(LIST_CHANGED_CODE, change), events)
     entries = (
         Endpoint(0x03124A07, 57, EndpointStatus.READY, 0, 0, 1.0),
         Endpoint(0x2C9011F2, 57, EndpointStatus.READY, 0, 0, 1.5),
@@ -219,7 +219,7 @@
         size, count = struct.unpack_from("<II", data, position)
         position += 8
         body = data[position : position + size]
-        replies.append(list(simulator_adapter.SimulatorAdapter._records(count, body)))
+        replies.append(list(simulator_adapter.SimulatorAdapter._split_records(count, body)))
         position += size
     return replies
 
