--- a/tests/engine/test_endpoint_index.py
+++ b/tests/engine/test_endpoint_index.py
@@ -1,4 +1,4 @@
-"""The index of all listed endpoints: the same content as a dict, in columns of a few bytes a row."""
+"""The index of all listed endpoints has the same content as a dict, in columns with a few bytes per row."""
 
 from __future__ import annotations
 
@@ -52,7 +52,7 @@
     assert sorted(index, key=by_id) == sorted(expected.values(), key=by_id)
 
 
-def test_index_has_no_object_for_each_endpoint() -> None:
+def test_index_columns_take_less_than_64_bytes_per_endpoint() -> None:
     index = EndpointIndex()
     endpoint_count = 20_000
     for endpoint_id in range(endpoint_count):
--- a/tests/engine/test_idle_routes.py
+++ b/tests/engine/test_idle_routes.py
@@ -1,4 +1,4 @@
-"""Eviction of idle routes: which stay resident, and that no delivery rule is forgotten while a route is evicted."""
+"""Eviction of idle routes: which routes stay resident, and that delivery rules still apply to evicted routes."""
 
 from __future__ import annotations
 
@@ -26,12 +26,12 @@
 from ..conftest import IDEMPOTENT, NON_IDEMPOTENT, EngineHarness, make_endpoint, make_list_changes, make_settings
 
 SEED = 1
-REPLACEMENT_COUNTS_AS_RETURN_MS = 10_000.0
+REPLACEMENT_COUNTS_AS_RECOVERY_MS = 10_000.0
 
 
 @pytest.fixture
 def evict_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Evict every route that may be evicted in its next turn."""
+    """Have the engine evict each route in the next turn in which it may be evicted."""
     monkeypatch.setattr(idle_routes, "MAX_RESIDENT_ROUTES", 0)
 
 
@@ -45,12 +45,12 @@
 
 
 def known_route(harness: EngineHarness, destination: int = 1) -> KnownRoute:
-    """Return what is known of a route, resident or evicted; it stays as it is."""
+    """Return a route, resident or evicted, without restoring it."""
     return harness.engine.routing_table.known_routes(destination)[-1]
 
 
 def open_route(harness: EngineHarness, destination: int = 1) -> RouteState:
-    """Return a route for its next use; restores it if it is evicted."""
+    """Return a route after bringing it into use, which restores it if it is evicted."""
     return harness.engine.routing_table.open(harness.now, destination)[-1]
 
 
@@ -58,7 +58,7 @@
 
 
 def engine_with_destinations(destination_count: int) -> DeliveryEngine:
-    """Return an engine with one endpoint for each destination, with the number of the destination as its id."""
+    """Return an engine with one endpoint for each destination; its id is the number of the destination."""
     engine = DeliveryEngine(make_settings(max_pending_messages=10**6), SEED)
     engine.handle(0.0, [make_list_changes(*(make_endpoint(number, number) for number in range(destination_count)))])
     return engine
@@ -76,7 +76,7 @@
     assert len(engine.endpoints) == len(engine.routes)
     assert max(engine.routes) == destination_count - 1
     assert min(engine.routes) >= 2 * idle_routes.MAX_RESIDENT_ROUTES - 2
-    assert not engine.routing_table.evicted  # no rule needs a record of them
+    assert not engine.routing_table.evicted  # no rule needs a record of the evicted routes
 
 
 def test_1024_destinations_with_pending_messages_are_not_evicted() -> None:
@@ -86,10 +86,10 @@
     assert len(engine.routes) == 1024
 
 
-# -- rules that outlast eviction -----------------------------------------------------------------------------
+# -- delivery rules across eviction --------------------------------------------------------------------------
 
 
-def test_retry_after_outlasts_eviction(evict_at_once: None) -> None:
+def test_retry_after_still_applies_after_eviction(evict_at_once: None) -> None:
     harness = EngineHarness()
     harness.list_endpoints((11, 1))
     rejected = harness.submit(IDEMPOTENT)
@@ -107,7 +107,7 @@
 
 
 def harness_after_failures(outcome: Outcome) -> EngineHarness:
-    """Return a harness whose destination was healthy, and then ended three messages in a row with this outcome."""
+    """Return a harness whose destination was healthy, and whose next three messages ended with this outcome."""
     harness = EngineHarness()
     harness.list_endpoints((11, 1))
     harness.warm_up()
@@ -121,7 +121,7 @@
 
 
 def sends_after_an_outage(idle_ms: float, is_evicted: bool) -> int:
-    """Return how many calls a returning destination gets in 2 s, after an outage and some time without messages."""
+    """Return how many calls a recovering destination gets in 2 s, after an outage and an idle time."""
     harness = harness_after_failures(Outcome.CONNECT_FAILED)
     assert known_route(harness).state.health.ejected
     harness.advance(idle_ms, 50)
@@ -137,10 +137,10 @@
 
 
 @pytest.mark.parametrize("idle_ms", [100.0, 60_000.0])
-def test_outage_outlasts_eviction_and_the_return_stays_within_the_slow_start_budget(
+def test_outage_persists_across_eviction_and_recovery_stays_within_the_slow_start_budget(
     idle_ms: float, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The first answer after an outage is followed by no more calls than for a route that was never evicted."""
+    """After an outage, an evicted route gets at most one call more than a route that was never evicted."""
     monkeypatch.setattr(idle_routes, "MAX_RESIDENT_ROUTES", 0)
     sends_of_evicted = sends_after_an_outage(idle_ms, is_evicted=True)
     monkeypatch.setattr(idle_routes, "MAX_RESIDENT_ROUTES", 2048)
@@ -181,11 +181,11 @@
 
 
 @pytest.mark.parametrize("gap_ms", [3000.0, 30_000.0])
-def test_destination_replaced_while_evicted_is_in_slow_start_if_that_may_be_its_return(
+def test_destination_replaced_while_evicted_is_in_slow_start_if_that_may_be_its_recovery(
     evict_at_once: None, gap_ms: float
 ) -> None:
-    """As a resident one: its last endpoint left, and another is listed after a gap."""
-    is_return = gap_ms < REPLACEMENT_COUNTS_AS_RETURN_MS
+    """The last endpoint leaves the list and another is listed after a gap: the same rule as for a resident route."""
+    is_recovery = gap_ms < REPLACEMENT_COUNTS_AS_RECOVERY_MS
     harness = EngineHarness()
     harness.list_endpoints((11, 1), (21, 2))
     harness.warm_up()
@@ -194,17 +194,20 @@
     advance_until_evicted(harness)
     assert harness.engine.routing_table.evicted
     harness.advance(gap_ms, 100)
-    assert bool(harness.engine.routing_table.evicted) == is_return  # an expired record is dropped
+    assert bool(harness.engine.routing_table.evicted) == is_recovery  # an expired record is dropped
     harness.change_endpoints(make_endpoint(12, 1))
     route = open_route(harness)
-    assert (route.health.slow_start_since == harness.now) == is_return
+    assert (route.health.slow_start_since == harness.now) == is_recovery
     assert set(route.endpoints) == {12}
 
 
 @pytest.mark.parametrize("is_used", [True, False])
 def test_destination_replaced_at_once_while_evicted_gets_its_first_call_at_once(is_used: bool) -> None:
-    """Tokens saved while it was idle count, whether it had a route or not: else the first message would wait for the
-    slow-start budget of one relay of many, longer than its deadline."""
+    """Tokens accumulated while a destination was idle must count, whether or not it had a route.
+
+    Without them, the first message waits for the slow-start budget of one of many relays, which takes longer than its
+    deadline.
+    """
     harness = EngineHarness(make_settings(relay_count=400))
     harness.list_endpoints((11, 1))
     if is_used:
@@ -214,7 +217,7 @@
     start = harness.now
     message_ids = [harness.submit(IDEMPOTENT) for _ in range(4)]
     harness.advance(20)
-    assert [sent_at for sent_at, _ in harness.sends if sent_at >= start] == [start]  # the others wait: slow start
+    assert [sent_at for sent_at, _ in harness.sends if sent_at >= start] == [start]  # slow start delays the others
     assert harness.route().health.slow_start_since == start
     assert harness.attempts.get(message_ids[0]) == 1
 
--- a/tests/engine/test_linear_hash.py
+++ b/tests/engine/test_linear_hash.py
@@ -1,4 +1,4 @@
-"""The linear hash table: the same rows as a dict, short chains, and one chain split for each row that is added."""
+"""The linear hash table has the same rows as a dict and short chains, and splits at most one chain per added row."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 
 
 @pytest.mark.parametrize("step", [1, 2, 1000, 1024, 2**24])
-def test_chains_and_the_work_of_an_insertion_are_short(step: int) -> None:
+def test_chains_are_short_and_an_insertion_hashes_few_rows(step: int) -> None:
     hash_count = 0
 
     def hash_of(row: int) -> int:
@@ -46,12 +46,12 @@
         return hash_integer(row * step)
 
     table = LinearHashTable(hash_of)
-    most_hashes = 0
+    max_hashes = 0
     for row in range(20_000):
         before = hash_count
         table.add(row)
-        most_hashes = max(most_hashes, hash_count - before)
-    assert most_hashes < 30  # the rows of one chain, and the new one
+        max_hashes = max(max_hashes, hash_count - before)
+    assert max_hashes < 30  # an insertion hashes the rows of the chain that it splits, and the new row
     lengths = [sum(1 for _ in table.find(hash_integer(row * step))) for row in range(0, 20_000, 50)]
     assert sum(lengths) / len(lengths) < 4
     assert max(lengths) < 20
--- a/tests/engine/test_message_queues.py
+++ b/tests/engine/test_message_queues.py
@@ -1,4 +1,4 @@
-"""Queues of pending messages: when each is due, and in which order."""
+"""Queues of pending messages: when each queue is due, and in which order."""
 
 from __future__ import annotations
 
--- a/tests/engine/test_recovered_messages.py
+++ b/tests/engine/test_recovered_messages.py
@@ -1,4 +1,4 @@
-"""Messages that a restarted relay recovers: sent again, rejected or failed by what their earlier attempts prove."""
+"""Messages that a restarted relay recovers are sent again, rejected or failed, depending on their earlier attempts."""
 
 from __future__ import annotations
 
--- a/tests/engine/test_route_records.py
+++ b/tests/engine/test_route_records.py
@@ -1,4 +1,4 @@
-"""Records of evicted routes: each field of a route comes back as it was, also at the largest permitted values."""
+"""Records of evicted routes restore each field of a route, also at the largest permitted values."""
 
 from __future__ import annotations
 
@@ -18,10 +18,10 @@
 from linnetstile.engine.route_state import HealthState, LatencyEstimate, RateState, RouteState
 from linnetstile.engine.time_points import NEVER
 
-# Fields of a record and their struct codes, by the part of the route that has them; "" is the route itself.
+# Fields of a record with their struct codes, by the attribute of the route that has them; "" is the route itself.
 PACKED_FIELDS = {"latency": LATENCY_FIELDS, "rate": RATE_FIELDS, "health": HEALTH_FIELDS, "": ROUTE_FIELDS}
-# Fields that a record stores in another form, or that are rebuilt from the endpoint list.
-FIELDS_STORED_APART: dict[str, set[str]] = {
+# Fields that a record stores in another form or that are rebuilt from the endpoint list, by attribute of the route.
+FIELDS_STORED_SEPARATELY: dict[str, set[str]] = {
     "latency": set(),
     "rate": {"answer_counter"},
     "health": {"outage_since"},
@@ -34,8 +34,8 @@
     return RouteState(latency, rate, HealthState(), **fields)
 
 
-def part_of_route(route: RouteState, name: str) -> Any:
-    """Return the part of a route with this name; the route itself for ""."""
+def route_attribute(route: RouteState, name: str) -> Any:
+    """Return the attribute of a route with this name; the route itself for an empty name."""
     return getattr(route, name) if name else route
 
 
@@ -53,7 +53,7 @@
     }
     for name, fields in PACKED_FIELDS.items():
         for field, code in fields.items():
-            setattr(part_of_route(route, name), field, random_values[code]())
+            setattr(route_attribute(route, name), field, random_values[code]())
 
 
 def test_record_restores_each_field_of_a_route() -> None:
@@ -71,16 +71,18 @@
     assert routes == {4: route}
     for name, fields in PACKED_FIELDS.items():
         for field in fields:
-            assert getattr(part_of_route(routes[4], name), field) == getattr(part_of_route(route, name), field), field
+            assert getattr(route_attribute(routes[4], name), field) == getattr(route_attribute(route, name), field), (
+                field
+            )
     assert routes[4].health.outage_since is None
     assert routes[4].rate.answer_counter == route.rate.answer_counter
     assert without_endpoints == {4}
 
 
-def test_record_leaves_out_no_field() -> None:
+def test_record_covers_each_field_of_a_route() -> None:
     route = make_route()
     for name, fields in PACKED_FIELDS.items():
-        assert set(type(part_of_route(route, name)).__slots__) == set(fields) | FIELDS_STORED_APART[name]
+        assert set(type(route_attribute(route, name)).__slots__) == set(fields) | FIELDS_STORED_SEPARATELY[name]
 
 
 def test_record_stores_the_largest_values_that_settings_permit() -> None:
--- a/tests/engine/test_work_per_event.py
+++ b/tests/engine/test_work_per_event.py
@@ -1,4 +1,4 @@
-"""The work of the engine follows the events of a turn and what is due, never the number of what is listed or queued."""
+"""The engine's work depends on the events of a turn and what is due, not on the number of endpoints or queues."""
 
 from __future__ import annotations
 
@@ -26,13 +26,13 @@
 SEED = 1
 
 
-def one_endpoint_each(destination_count: int) -> EndpointList:
-    """Return the event that lists an endpoint for each destination, with the number of the destination as its id."""
+def list_one_endpoint_per_destination(destination_count: int) -> EndpointList:
+    """Return the event that lists one endpoint for each destination; its id is the number of the destination."""
     return make_list_changes(*(make_endpoint(number, number) for number in range(destination_count)))
 
 
 def count_work(engine: DeliveryEngine, monkeypatch: pytest.MonkeyPatch, now: float, *events: Event) -> int:
-    """Return how many index rows and queues a turn reads and how many routes it makes."""
+    """Return how many index rows and queues a turn reads plus how many endpoints it attaches to routes."""
     count = 0
 
     def counting(method: Callable[..., Any]) -> Callable[..., Any]:
@@ -74,11 +74,11 @@
     work = []
     for destination_count in (64, 4096):
         engine = DeliveryEngine(make_settings(), SEED)
-        engine.handle(0.0, [one_endpoint_each(destination_count)])
+        engine.handle(0.0, [list_one_endpoint_per_destination(destination_count)])
         assert not engine.routes
         assert len(engine.routing_table.index) == destination_count
         work.append(count_work(engine, monkeypatch, 10.0, event))
-    assert work[1] <= work[0] + 4  # a longer chain of the index
+    assert work[1] <= work[0] + 4  # a chain of the larger index may be longer
 
 
 def reject_in_flight(engine: DeliveryEngine, now: float, retry_after_ms: float) -> None:
@@ -97,11 +97,11 @@
 
 
 def engine_with_throttled_queues(queue_count: int) -> DeliveryEngine:
-    """Return an engine with a message for each of some destinations, all of which have sent a Retry-After of 9 s."""
+    """Return an engine with one queued message for each destination, after each has sent a Retry-After of 9 s."""
     engine = DeliveryEngine(make_settings(max_pending_messages=10_000), SEED)
-    engine.handle(0.0, [one_endpoint_each(queue_count + 1)])
+    engine.handle(0.0, [list_one_endpoint_per_destination(queue_count + 1)])
     engine.handle(1.0, [Message(number, number, IDEMPOTENT, 1e4) for number in range(queue_count)])
-    for step in range(200):  # as many are in flight as there are slots
+    for step in range(200):  # each step rejects only as many messages as there are slots
         reject_in_flight(engine, 2.0 + step, retry_after_ms=9000.0)
         if not engine.in_flight and not engine.queues.due_now:
             break
@@ -118,7 +118,7 @@
 
 
 def seconds_to_apply_a_full_list(engine: DeliveryEngine, now: float, first_id: int) -> float:
-    """Return the time of a full list of the endpoints from `first_id` up to 1023, two for each destination."""
+    """Return how long a full list takes that has endpoints `first_id` to 1023, two for each destination."""
     entries: tuple[Endpoint, ...] = tuple(
         make_endpoint(endpoint_id, endpoint_id // 2) for endpoint_id in range(first_id, 1024)
     )
@@ -128,7 +128,11 @@
 
 
 def test_list_that_removes_half_of_1024_endpoints_costs_less_than_ten_that_add_them() -> None:
-    """A ratio within this run: each endpoint removed once cost a pass over all destinations, 50 lists in all."""
+    """Removing an endpoint must not cost a pass over all destinations.
+
+    Such passes once made the removal of 512 endpoints cost as much as 50 lists that add endpoints. Both times are
+    measured in the same run, so that their ratio does not depend on the speed of the machine.
+    """
     engines = [DeliveryEngine(make_settings(relay_count=1024), SEED) for _ in range(3)]
     adding_s = min(seconds_to_apply_a_full_list(engine, 0.0, 0) for engine in engines)
     removing_s = min(seconds_to_apply_a_full_list(engine, 10.0, 512) for engine in engines)
--- a/tests/invariant_checker.py
+++ b/tests/invariant_checker.py
@@ -1,4 +1,4 @@
-"""An independent check of the six delivery rules: sees the events and actions of an engine, nothing inside."""
+"""An independent checker of the six delivery rules. It sees only the events and actions of an engine, not its state."""
 
 from __future__ import annotations
 
@@ -18,13 +18,13 @@
 )
 from linnetstile.engine.settings import DeduplicationScope, Effect, MessageClass, Settings
 
-FAILURES_OF_AN_OUTAGE = 3  # connections that failed in a row
-SLOW_START_SLACK = 3  # calls above the budget that one relay may make
-OUTCOMES_WITH_WORK_GOING_ON = (Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED)
+CONNECT_FAILURES_OF_AN_OUTAGE = 3  # consecutive failed connects that count as an outage
+SLOW_START_SLACK_CALLS = 3  # calls above its slow-start budget that one relay may send
+OUTCOMES_WITH_POSSIBLE_ONGOING_WORK = (Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED)
 
 
 class RuleViolationError(AssertionError):
-    """A rule was broken; the first word names it."""
+    """The engine broke a delivery rule; the first word of the message names the rule."""
 
 
 @dataclass
@@ -37,7 +37,7 @@
 
     @property
     def may_have_run(self) -> bool:
-        """Whether the message may have had its effect by this attempt."""
+        """Whether the message may have had its effect through this attempt."""
         return self.outcome is None or not self.outcome.proves_no_effect
 
 
@@ -63,24 +63,24 @@
 
 @dataclass
 class InvariantChecker:
-    """Raise `RuleViolationError` at the first action that breaks a rule.
+    """Raises `RuleViolationError` for the first action that breaks a rule.
 
     Attributes:
         settings: The settings of the engine.
         messages: All messages by id, in the order of their submission.
         endpoints: Each endpoint that was ever listed, by id.
-        drained_since: When an endpoint was listed as ready no more, by id.
+        not_ready_since: Since when an endpoint is no longer listed as ready, by id.
         retry_after_until: End of the latest Retry-After, by route.
         ordering_pauses: End of the pause of each ordering key.
-        connect_failures: Connections that failed in a row, by route.
-        slow_start_since: When a route returned from an outage.
+        connect_failures: Number of consecutive failed connects, by route.
+        slow_start_since: When a route recovered from its latest outage, by route.
         send_times: Times of all calls, by route.
     """
 
     settings: Settings
     messages: dict[int, ObservedMessage] = field(default_factory=dict)
     endpoints: dict[int, Endpoint] = field(default_factory=dict)
-    drained_since: dict[int, float] = field(default_factory=dict)
+    not_ready_since: dict[int, float] = field(default_factory=dict)
     retry_after_until: dict[int, float] = field(default_factory=dict)
     ordering_pauses: dict[int, float] = field(default_factory=dict)
     connect_failures: dict[int, int] = field(default_factory=dict)
@@ -88,7 +88,7 @@
     send_times: dict[int, list[float]] = field(default_factory=dict)
 
     def route_of(self, endpoint_id: int) -> int:
-        """Return the route of an endpoint: its destination, or a negative number where it has a route of its own."""
+        """Return the route of an endpoint: its destination, or a negative number if the endpoint has its own route."""
         endpoint = self.endpoints[endpoint_id]
         has_own_route = self.settings.kinds[endpoint.kind].separate_routes
         return -1 - endpoint_id if has_own_route else endpoint.destination
@@ -98,7 +98,7 @@
         return self.settings.classes[observed.message.class_index]
 
     def observe_event(self, now: float, event: Event) -> None:
-        """Take note of an event before the engine handles it."""
+        """Record an event before the engine handles it."""
         match event:
             case Message():
                 self.messages[event.id] = ObservedMessage(event, now + event.remaining_ms)
@@ -115,9 +115,9 @@
         for entry in entries:
             self.endpoints.setdefault(entry.id, entry)
         for endpoint_id in covered - ready:
-            self.drained_since.setdefault(endpoint_id, now)
+            self.not_ready_since.setdefault(endpoint_id, now)
         for endpoint_id in ready:
-            self.drained_since.pop(endpoint_id, None)
+            self.not_ready_since.pop(endpoint_id, None)
 
     def _observe_outcome(self, now: float, event: AttemptEnded) -> None:
         observed = self.messages[event.id]
@@ -129,7 +129,7 @@
         if event.retry_after_ms:
             until = now + event.retry_after_ms
             self.retry_after_until[route] = max(self.retry_after_until.get(route, 0.0), until)
-        if event.outcome in OUTCOMES_WITH_WORK_GOING_ON and self.class_of(observed).in_order:
+        if event.outcome in OUTCOMES_WITH_POSSIBLE_ONGOING_WORK and self.class_of(observed).in_order:
             self.ordering_pauses[observed.message.ordering_key] = now + self.settings.safety.ordering_pause_ms
 
     def _observe_health(self, now: float, route: int, outcome: Outcome) -> None:
@@ -137,12 +137,12 @@
         if outcome is Outcome.CONNECT_FAILED:
             self.connect_failures[route] = failures + 1
         elif outcome is Outcome.OK:
-            if failures >= FAILURES_OF_AN_OUTAGE:
+            if failures >= CONNECT_FAILURES_OF_AN_OUTAGE:
                 self.slow_start_since[route] = now
             self.connect_failures[route] = 0
 
     def observe_action(self, now: float, action: Action) -> None:
-        """Check an action of the engine, and take note of it."""
+        """Check an action of the engine, and record it."""
         match action:
             case Send(message_id, endpoint_id, _):
                 self._observe_send(now, self.messages[message_id], endpoint_id)
@@ -167,33 +167,33 @@
 
     def _check_attempt_is_permitted(self, observed: ObservedMessage, endpoint_id: int) -> None:
         if observed.has_ended:
-            raise RuleViolationError("lost: sent after its end")
+            raise RuleViolationError("lost: sent after the message had ended")
         if self.endpoints[endpoint_id].destination != observed.message.destination:
-            raise RuleViolationError("fault: not an endpoint of its destination")
+            raise RuleViolationError("fault: sent to an endpoint of another destination")
         if observed.is_in_flight:
             raise RuleViolationError("twice: two attempts in flight at once")
         if len(observed.attempts) >= self.settings.max_attempts:
-            raise RuleViolationError("fault: too many attempts")
+            raise RuleViolationError("fault: more attempts than the settings allow")
 
     def _check_effect(self, now: float, observed: ObservedMessage, endpoint_id: int) -> None:
         message_class = self.class_of(observed)
         zone = self.endpoints[endpoint_id].zone
         for attempt in observed.unclear_attempts:
             if message_class.effect is Effect.NON_IDEMPOTENT:
-                raise RuleViolationError("twice: non-idempotent message may have run")
+                raise RuleViolationError("twice: non-idempotent message retried though it may have run")
             if message_class.effect is Effect.DEDUPLICATED:
                 if now - attempt.sent_at > message_class.deduplication_window_ms:
-                    raise RuleViolationError("twice: outside the deduplication window")
+                    raise RuleViolationError("twice: outside the deduplication window of an unclear attempt")
                 is_same_zone = self.endpoints[attempt.endpoint].zone == zone
                 if message_class.deduplication_scope is DeduplicationScope.ZONE and not is_same_zone:
                     raise RuleViolationError("twice: outside the zone of the deduplication key")
 
     def _check_endpoint(self, now: float, endpoint_id: int) -> None:
-        drained_since = self.drained_since.get(endpoint_id)
-        if drained_since is not None and now > drained_since + self.settings.safety.drain_grace_ms:
+        not_ready_since = self.not_ready_since.get(endpoint_id)
+        if not_ready_since is not None and now > not_ready_since + self.settings.safety.drain_grace_ms:
             raise RuleViolationError("drain: sent to a draining endpoint")
         if now < self.retry_after_until.get(self.route_of(endpoint_id), 0.0):
-            raise RuleViolationError("wait: sent before a Retry-After was over")
+            raise RuleViolationError("wait: sent before the end of a Retry-After")
 
     def _check_order(self, now: float, observed: ObservedMessage) -> None:
         ordering_key = observed.message.ordering_key
@@ -204,12 +204,12 @@
                 break
             is_same_key = earlier.message.ordering_key == ordering_key and self.class_of(earlier).in_order
             if is_same_key and (not earlier.has_ended or earlier.is_in_flight):
-                raise RuleViolationError("order: an earlier message of its key is open")
+                raise RuleViolationError("order: an earlier message of its key has not ended or is in flight")
         if not observed.attempts and now < self.ordering_pauses.get(ordering_key, 0.0):
-            raise RuleViolationError("order: its key has to pause")
+            raise RuleViolationError("order: its key is in a pause")
 
     def _check_slow_start_budget(self, now: float, endpoint_id: int) -> None:
-        """Check the relay's part of the budget of a destination that was down, with three calls of slack."""
+        """Check this relay's share of the slow-start budget of a destination, plus `SLOW_START_SLACK_CALLS`."""
         safety = self.settings.safety
         route = self.route_of(endpoint_id)
         sends = self.send_times.setdefault(route, [])
@@ -222,8 +222,8 @@
         fleet_rate = safety.overload_multiple * capacity * self.endpoints[endpoint_id].advertised_rate
         budget = fleet_rate / self.settings.relay_count * safety.overload_window_ms / 1000
         recent = [sent_at for sent_at in sends if sent_at > max(since, now - safety.overload_window_ms)]
-        if len(recent) > budget + SLOW_START_SLACK:
-            raise RuleViolationError("failback: over the budget of a destination in slow start")
+        if len(recent) > budget + SLOW_START_SLACK_CALLS:
+            raise RuleViolationError("failback: more calls than the slow-start budget of the destination allows")
 
     def check_deadlines(self, now: float) -> None:
         """Check that each message whose deadline has passed has its final answer."""
--- a/tests/test_delivery_rules.py
+++ b/tests/test_delivery_rules.py
@@ -1,4 +1,4 @@
-"""Delivery rules by effect and outcome, with routes kept resident and with each evicted as soon as possible."""
+"""Delivery rules by effect and outcome, once with resident routes and once with routes evicted as soon as possible."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 @pytest.fixture(autouse=True, params=[idle_routes.MAX_RESIDENT_ROUTES, 0], ids=["resident", "evicted"])
 def max_resident_routes(request: pytest.FixtureRequest, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Run each test with routes that stay resident, and with routes evicted as soon as possible."""
+    """Run each test twice: with routes that stay resident, and with routes that are evicted as soon as possible."""
     monkeypatch.setattr(idle_routes, "MAX_RESIDENT_ROUTES", request.param)
 
 
@@ -118,7 +118,7 @@
 # -- Retry-After, draining, order, slow start ----------------------------------------------------------------
 
 
-def test_retry_after_binds_the_whole_destination() -> None:
+def test_retry_after_applies_to_the_whole_destination() -> None:
     harness = EngineHarness()
     harness.list_endpoints((11, 1), (12, 1))
     harness.warm_up()
@@ -134,7 +134,7 @@
     assert min(later_sends) >= rejected_at + 800.0
 
 
-def test_retry_after_binds_one_endpoint_where_endpoints_have_routes_of_their_own() -> None:
+def test_retry_after_applies_to_one_endpoint_if_endpoints_have_separate_routes() -> None:
     harness = EngineHarness(make_settings(kinds=(DestinationKind("k", separate_routes=True),)))
     harness.list_endpoints((11, 1), (12, 1))
     message_id = harness.submit(IDEMPOTENT)
@@ -184,17 +184,17 @@
     assert harness.attempts.get(other_key) == 1
     harness.handle(ClientCancelled(first))
     harness.advance(300)
-    assert second not in harness.attempts  # the first one still has a call in flight
+    assert second not in harness.attempts  # the first message still has a call in flight
     harness.end_attempt(first, Outcome.TIMEOUT)
     ended_at = harness.now
     harness.advance(1000)
     assert harness.last_send(second)[0] >= ended_at + ORDERING_PAUSE_MS
 
 
-def send_times_after_a_return(harness: EngineHarness, duration_ms: float) -> list[float]:
-    """Answer each call after 50 ms from now on; return the times of all calls."""
+def answer_calls_and_return_send_times(harness: EngineHarness, duration_ms: float) -> list[float]:
+    """Answer each call after 50 ms for this duration; return the times of the calls."""
     start = harness.now
-    answered: set[tuple[int, int]] = set()  # message and time of each call
+    answered: set[tuple[int, int]] = set()  # message id and send time of each answered call
     while harness.now < start + duration_ms:
         harness.advance(50)
         for sent_at, send in harness.sends:
@@ -206,7 +206,7 @@
     return [sent_at for sent_at, _ in harness.sends if sent_at >= start]
 
 
-def test_return_from_an_outage_stays_within_the_slow_start_budget() -> None:
+def test_recovery_from_an_outage_stays_within_the_slow_start_budget() -> None:
     harness = EngineHarness()
     harness.list_endpoints((11, 1))
     harness.warm_up()
@@ -217,11 +217,11 @@
             harness.end_attempt(message_id, Outcome.CONNECT_FAILED)
     for _ in range(30):
         harness.submit(IDEMPOTENT)
-    returned_at = harness.now
-    send_times = send_times_after_a_return(harness, 4000)
-    budget = 2.0 * 20.0 / 2 * 1.5  # multiple x own part of the rate x window, at full capacity
-    in_first_window = [sent_at for sent_at in send_times if sent_at < returned_at + 1500]
-    assert 1 <= len(in_first_window) <= budget * (0.2 + 0.8 * 1500 / 9000 / 2) + 1  # the capacity grows meanwhile
+    recovered_at = harness.now
+    send_times = answer_calls_and_return_send_times(harness, 4000)
+    budget = 2.0 * 20.0 / 2 * 1.5  # overload multiple x this relay's half of the rate x window, at full capacity
+    in_first_window = [sent_at for sent_at in send_times if sent_at < recovered_at + 1500]
+    assert 1 <= len(in_first_window) <= budget * (0.2 + 0.8 * 1500 / 9000 / 2) + 1  # mean of the growing capacity
     assert len(send_times) > len(in_first_window)
 
 
--- a/tests/test_engine_invariants.py
+++ b/tests/test_engine_invariants.py
@@ -1,4 +1,4 @@
-"""The delivery rules under random legal events, watched by the invariant checker."""
+"""The delivery rules under random legal events, verified by the invariant checker."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
 STEPS_WITH_NEW_MESSAGES = 120
 STEPS_PER_FAILURE_RATE = 20
 FAILURE_RATES = [0.0, 0.2, 0.9]
-LONGEST_STEP_MS = 60.0  # beyond the slack of a final answer
+LONGEST_STEP_MS = 60.0  # allowed delay of a final answer beyond its slack, as the clock advances in steps
 
 
 def random_class(effect: Effect, scope: DeduplicationScope, in_order: bool) -> MessageClass:
@@ -76,18 +76,18 @@
 
 @dataclass
 class RandomHost:
-    """Carry out the actions of an engine, and make the legal events that may follow at random.
+    """Carries out the actions of an engine, and generates random legal events in response.
 
     Attributes:
         settings: The settings of the engine.
-        rng: The source of all its choices.
+        rng: The source of all random choices.
         checker: The checker, which knows the messages.
         now: The clock, in ms.
-        failure_rate: Part of the attempts that have a random outcome.
+        failure_rate: Fraction of the attempts that have a random outcome.
         in_flight: Sends without an outcome, by message and number of the attempt.
         attempts: Number of attempts of each message.
-        timers: When the timers that are set fire.
-        last_id: Id of the message submitted last.
+        timers: Times at which the timers fire.
+        last_id: Id of the latest message.
     """
 
     settings: Settings
@@ -110,7 +110,7 @@
             self.timers.append(self.now + action.delay_ms)
 
     def next_events(self, step: int) -> list[Event]:
-        """Let some time pass, and return the events of that time."""
+        """Advance the clock, and return the events up to the new time."""
         self._advance()
         events: list[Event] = [TimerFired(0)] if any(fires_at <= self.now for fires_at in self.timers) else []
         self.timers = [fires_at for fires_at in self.timers if fires_at > self.now]
@@ -126,7 +126,7 @@
         return events
 
     def _advance(self) -> None:
-        """Go to the next timer or timeout most of the time."""
+        """Advance the clock, mostly to the next timer or time-out."""
         timeouts = (send.timeout_at_ms for send in self.in_flight.values())
         upcoming = [time_ms for time_ms in (*self.timers, *timeouts) if time_ms > self.now]
         next_time = min(upcoming, default=self.now + 25.0)
@@ -177,7 +177,7 @@
         return EndpointList(kind, () if kind is ListKind.FAILED else entries)
 
     def _cancellations(self) -> list[Event]:
-        """Cancel the oldest open message, if there is one."""
+        """Cancel the oldest message that has not ended, if there is one."""
         for message_id, observed in self.checker.messages.items():
             if not observed.has_ended:
                 observed.has_ended = True
@@ -192,7 +192,7 @@
 
 @settings(max_examples=150)
 @given(engine_settings(), st.integers(0, 2**32))
-def test_engine_keeps_each_rule_under_legal_events(settings: Settings, seed: int) -> None:
+def test_engine_keeps_each_delivery_rule_under_legal_events(settings: Settings, seed: int) -> None:
     engine, checker = DeliveryEngine(settings, 5), InvariantChecker(settings)
     host = RandomHost(settings, random.Random(seed), checker)
     events: list[Event] = [EndpointList(ListKind.CACHED, ENDPOINTS)]
--- a/tests/test_invariant_checker.py
+++ b/tests/test_invariant_checker.py
@@ -1,4 +1,4 @@
-"""The invariant checker against a violation of each delivery rule."""
+"""The invariant checker detects a violation of each delivery rule."""
 
 from __future__ import annotations
 
@@ -22,12 +22,12 @@
 from .conftest import make_endpoint, make_list_changes, make_settings
 from .invariant_checker import InvariantChecker, RuleViolationError
 
-NON_IDEMPOTENT, DEDUPLICATED, FIRST_IN_ORDER, SECOND_IN_ORDER = range(4)  # messages of the checker
+NON_IDEMPOTENT, DEDUPLICATED, FIRST_IN_ORDER, SECOND_IN_ORDER = range(4)  # ids of the messages of `make_checker`
 SEND = Send(NON_IDEMPOTENT, 11, 4000.0)
 
 
 def make_checker(**overrides: Any) -> InvariantChecker:
-    """Return a checker that has seen four messages, of three classes, for a destination with two endpoints."""
+    """Return a checker that has observed four messages of three classes for one destination with two endpoints."""
     classes = (
         MessageClass("non-idempotent", Effect.NON_IDEMPOTENT, 400.0, 4000.0),
         MessageClass(
@@ -62,7 +62,7 @@
 
 
 def observe_attempt(checker: InvariantChecker, message_id: int, outcome: Outcome, sent_at: float) -> None:
-    """Let the checker see a send to endpoint 11 and, 1 ms later, its outcome."""
+    """Have the checker observe a send to endpoint 11 and its outcome 1 ms later."""
     checker.observe_action(sent_at, Send(message_id, 11, 4000.0))
     observe_outcome(checker, message_id, outcome, sent_at + 1.0)
 
@@ -86,7 +86,7 @@
         checker.observe_action(2.0, SEND)
 
 
-def test_checker_catches_a_retry_and_a_rejection_of_what_may_have_run(checker: InvariantChecker) -> None:
+def test_checker_catches_a_retry_and_a_rejection_of_a_message_that_may_have_run(checker: InvariantChecker) -> None:
     observe_attempt(checker, NON_IDEMPOTENT, Outcome.TIMEOUT, sent_at=1.0)
     with pytest.raises(RuleViolationError, match="twice: non-idempotent"):
         checker.observe_action(4.0, SEND)
@@ -114,7 +114,7 @@
         checker.observe_action(9.0, later)
 
 
-def test_checker_catches_a_send_before_a_retry_after_is_over(checker: InvariantChecker) -> None:
+def test_checker_catches_a_send_before_the_end_of_a_retry_after(checker: InvariantChecker) -> None:
     checker.observe_action(1.0, SEND)
     observe_outcome(checker, NON_IDEMPOTENT, Outcome.REJECTED, 2.0, retry_after_ms=500.0)
     with pytest.raises(RuleViolationError, match="wait"):
--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -1,4 +1,4 @@
-"""The simulator adapter: the bytes of the wire document, a conversation with a child process, malformed input."""
+"""The simulator adapter: the examples of the protocol document, a session with a child process, malformed input."""
 
 from __future__ import annotations
 
@@ -66,10 +66,10 @@
     },
     "tick-ms": 5.0,
     "weight-kind": "nominal",
-    "a-key-nobody-knows": {"x": 1},
+    "an-unknown-key": {"x": 1},
 }
 
-# Codes of the wire document, as numbers of their own: a renumbered code of the adapter is an error.
+# Codes from the protocol document, repeated here so that a test fails if a code of the adapter is renumbered.
 ENDPOINTS_CODE = 20
 LIST_CHANGED_CODE = 30
 TIMER_FIRED_CODE = 40
@@ -108,7 +108,7 @@
 
 
 def list_changed() -> bytes:
-    """Return the record that gives the instance the list that was sent last."""
+    """Return the record that reports the list `LIST_NUMBER` to the instance as a cached list."""
     return record(LIST_CHANGED_CODE, struct.pack("<IBQB", INSTANCE, 2, 41, LIST_NUMBER))
 
 
@@ -127,7 +127,7 @@
     )
 
 
-# -- the examples of the wire document -----------------------------------------------------------------------
+# -- the examples of the protocol document -------------------------------------------------------------------
 
 ATTEMPT_ENDED_EXAMPLE = "03000000c4913a5d0000074a12030100000000008032400100000000" + "00"
 MESSAGE_EXAMPLE = "03000000c4913a5d0000000000640ad2557c3bf0910000000000006e4000000000000028400000644201"
@@ -192,11 +192,11 @@
     assert simulator_wire.encode(5, Log("two servers known")).hex() == wire
 
 
-# -- conversations with a child process ----------------------------------------------------------------------
+# -- sessions with a child process ---------------------------------------------------------------------------
 
 
-def conversation() -> bytes:
-    """Return five frames: nothing, the start, a message, its success with seven more messages, and a timer."""
+def session_input() -> bytes:
+    """Return five frames: no event, the start, a message, its success with seven more messages, and a timer."""
     attempt_ended = record(
         ATTEMPT_ENDED_CODE, struct.pack("<IIHIBdBIB", INSTANCE, 1, 0, ENDPOINT_IDS[0], 1, 120.0, 1, 0, 0)
     )
@@ -213,7 +213,7 @@
 
 
 def decode_replies(data: bytes) -> list[list[simulator_wire.Record]]:
-    """Return the records of each reply."""
+    """Return the records of each reply frame."""
     replies, position = [], 0
     while position < len(data):
         size, count = struct.unpack_from("<II", data, position)
@@ -224,8 +224,8 @@
     return replies
 
 
-def test_conversation_with_a_child_process() -> None:
-    process = run_adapter(conversation())
+def test_session_with_a_child_process() -> None:
+    process = run_adapter(session_input())
     assert process.returncode == 0
     assert process.stderr == b""
     replies = decode_replies(process.stdout)
@@ -238,8 +238,8 @@
 
 
 def test_actions_are_independent_of_the_hash_seed() -> None:
-    first = run_adapter(conversation(), PYTHONHASHSEED="1")
-    second = run_adapter(conversation(), PYTHONHASHSEED="2")
+    first = run_adapter(session_input(), PYTHONHASHSEED="1")
+    second = run_adapter(session_input(), PYTHONHASHSEED="2")
     assert first.stdout == second.stdout
     assert len(first.stdout) > 100
 
@@ -266,7 +266,7 @@
         (frame(0.0, CANCELLATION + b"left"), "after its last record"),
     ],
 )
-def test_malformed_input_ends_the_process_with_one_plain_line(data: bytes, expected_text: str) -> None:
+def test_malformed_input_ends_the_process_with_status_1_and_one_error_line(data: bytes, expected_text: str) -> None:
     process = run_adapter(data)
     error_text = process.stderr.decode()
     assert process.returncode == 1
