--- a/linnetstile/engine/actions.py
+++ b/linnetstile/engine/actions.py
@@ -59,8 +59,9 @@
 class CancelIfUnsent:
     """Cancel the attempt of a message if its last byte was not written yet; the attempt then ends as NOT_SENT.
 
-    The engine asks for it when the message may no longer be sent. Connecting may take a second, during which a call can
-    still be cancelled; a host that sends each call at once has nothing to cancel.
+    An attempt whose last byte was written continues. The engine requests this when the message may no longer be sent.
+    Connecting may take a second, during which a call can still be cancelled; a host that sends each call at once has
+    nothing to cancel.
     """
 
     id: int
--- a/linnetstile/engine/destinations.py
+++ b/linnetstile/engine/destinations.py
@@ -18,7 +18,7 @@
 from .route_state import EndpointState, RouteState
 from .settings import Settings
 
-WHOLE_DESTINATION = -1  # route id of the only route of a destination
+SHARED_ROUTE_ID = -1  # id of the route that all endpoints of a destination share
 
 
 class KnownRoute(NamedTuple):
@@ -61,7 +61,7 @@
     def route_key(self, info: Endpoint) -> RouteKey:
         """Return the route that an endpoint belongs to."""
         is_separate = info.kind < len(self.kinds) and self.kinds[info.kind].separate_routes
-        return RouteKey(info.destination, info.id if is_separate else WHOLE_DESTINATION)
+        return RouteKey(info.destination, info.id if is_separate else SHARED_ROUTE_ID)
 
     def apply_list(self, now: float, event: EndpointList) -> list[EndpointState]:
         """Apply a list or changes; return the endpoints in use to which no new call may be sent from now on."""
--- a/linnetstile/engine/settings.py
+++ b/linnetstile/engine/settings.py
@@ -91,7 +91,7 @@
 
     def __post_init__(self) -> None:
         is_valid = isinstance(self.quota_per_s, (int, float)) and self.quota_per_s >= 0
-        _require(is_valid, "tenants.quota_per_s", "must be a number, not negative")
+        _require(is_valid, "tenants.quota_per_s", "must be a number that is not negative")
 
 
 @dataclass(frozen=True, slots=True)
@@ -198,7 +198,7 @@
         clients_mark_retries: Whether clients mark a message that they submit again.
         max_retry_after_ms: Longest Retry-After that clients honour; 0 = clients ignore Retry-After.
         cross_zone_price: Fee of a call into another zone.
-        route_fees: Fee of a call by zone.
+        route_fees: Fee of a call, by zone index.
         load_report_fields: Indexes of the used figures in a load report; None = load reports are not used.
         safety: Limits of the delivery rules.
         score_weights: Weights of the components of the score.
