--- a/linnetstile/platform_relay/__init__.py
+++ b/linnetstile/platform_relay/__init__.py
@@ -1,18 +1,18 @@
-"""Floor 3: a relay on the users' platform, around the delivery engine. Standard library alone.
+"""Floor 3: a relay on the users' platform, built on the delivery engine. Uses the standard library only.
 
 | module | job |
 |---|---|
 | `process` | the process: signals, the log on standard error, exit codes |
 | `config` | the environment and the configuration file |
 | `relay` | `PlatformRelay`: connects the parts with the engine and carries out the engine's actions |
-| `http_frontend`, `submission` | the HTTP front end for clients; reading the heads of their requests |
+| `http_frontend`, `submission` | the HTTP front end for clients; parses the heads of their requests |
 | `intake` | accepts messages: journals and acknowledges them |
-| `accepted` | the messages that were accepted and have no result yet |
-| `delivery`, `endpoint_client` | makes attempts; HTTP calls to endpoints |
+| `accepted` | the accepted messages that have no result yet |
+| `delivery`, `endpoint_client` | makes attempts; makes HTTP calls to endpoints |
 | `results`, `notices` | reports messages that are not delivered; posts notices to the platform |
-| `recovery`, `shutdown` | resumes what an earlier process left; the phases of the graceful shutdown |
-| `records` | the content of the journal |
-| `journal`, `journal_codec`, `journal_replay` | the journal: its file, its format, reading it at the start |
+| `recovery`, `shutdown` | resumes messages and notices of an earlier process; runs the graceful shutdown |
+| `records` | the typed records of the journal |
+| `journal`, `journal_codec`, `journal_replay` | the journal: its file, its format, its replay at the start |
 | `discovery`, `watch_connection` | opens watches of the endpoint list; reads one watch |
 | `directory`, `endpoint_table`, `endpoint_record` | the endpoints: look-ups, the table, a packed record |
 | `list_update`, `list_entry` | applies a list to the table; parses an entry |
--- a/linnetstile/platform_relay/__main__.py
+++ b/linnetstile/platform_relay/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m linnetstile.platform_relay`: one relay, as the platform starts it."""
+"""Entry point of `python -m linnetstile.platform_relay`: the command with which the platform starts a relay."""
 
 import sys
 
--- a/linnetstile/platform_relay/accepted.py
+++ b/linnetstile/platform_relay/accepted.py
@@ -34,8 +34,8 @@
     """One message from its submission to its result.
 
     Attributes:
-        journaled: What the journal holds of the message.
-        request: The client's request; None once it has its response.
+        journaled: The message as the journal stores it.
+        request: The client's request; None once it has been answered.
         attempt: The attempt in flight; None without one.
     """
 
@@ -50,7 +50,7 @@
 
     @property
     def ordering_key(self) -> int:
-        """The key by which messages of an ordered class keep their order; 0 without one."""
+        """Messages of an ordered class that share this key keep their order; 0 for an unordered message."""
         return self.journaled.fields.ordering_key or 0
 
 
@@ -59,8 +59,8 @@
 
     Attributes:
         by_id: The messages by the relay's own id, in the order they were accepted.
-        submission_ids: Submission ids of these messages, and of the latest that ended.
-        last_id: The id given last, by this process or an earlier one.
+        submission_ids: Submission ids of these messages, and of the messages that ended most recently.
+        last_id: The id assigned most recently, by this process or an earlier one.
     """
 
     def __init__(self, journal: Journal) -> None:
@@ -73,24 +73,24 @@
         return len(self.by_id)
 
     def journaled(self) -> Iterable[JournaledMessage]:
-        """Return what the journal holds of each message."""
+        """Return each message as the journal stores it."""
         return (message.journaled for message in self.by_id.values())
 
     def next_id(self) -> int:
-        """Return an id that no message has had."""
+        """Assign and return the next message id."""
         self.last_id += 1
         return self.last_id
 
     def add(self, message: AcceptedMessage) -> None:
-        """Add a message."""
+        """Add a message, and account for its submission id and its space in the journal."""
         journaled = message.journaled
         self.by_id[journaled.id] = message
         self.submission_ids.add(journaled.fields.submission_id)
-        self._journal.message_bytes += self._journal.weight(journaled)
+        self._journal.message_bytes += self._journal.reserved_bytes(journaled)
 
     def remove(self, message_id: int) -> AcceptedMessage:
-        """Remove a message that has its result; return it."""
+        """Remove and return a message that has its result."""
         message = self.by_id.pop(message_id)
         self.submission_ids.complete(message.journaled.fields.submission_id)
-        self._journal.message_bytes -= self._journal.weight(message.journaled)
+        self._journal.message_bytes -= self._journal.reserved_bytes(message.journaled)
         return message
--- a/linnetstile/platform_relay/config.py
+++ b/linnetstile/platform_relay/config.py
@@ -20,12 +20,13 @@
 HOST_PATTERN = re.compile(r"[0-9A-Za-z_][0-9A-Za-z_.-]{0,252}\Z")
 MAX_PORT = 65535
 MAX_PORT_DIGITS = 5
-LIMIT_BOUND = 1e12  # in the unit of each limit: a larger number is a mistake
+LIMIT_UPPER_BOUND = 1e12  # in the unit of each limit: this or a larger value is rejected as a mistake
 
 DEFAULT_SOCKETS = 1024
 DEFAULT_MEMORY_MB = 192.0
 DEFAULT_DISK_MB = 3.0
-MIN_SOCKETS = 64  # a smaller limit, as those below, is taken for a mistake
+# A limit below its minimum is rejected as a mistake.
+MIN_SOCKETS = 64
 MIN_MEMORY_MB = 1.0
 MIN_DISK_MB = 0.01
 
@@ -48,12 +49,12 @@
         listen: Address at which the relay listens for clients.
         discovery: Address at which the list of endpoints is watched, and to which notices are posted.
         state: Folder of the journal; it outlives the process.
-        seed: Seed of the random numbers.
+        seed: Seed of the random number generators.
         limits: Resources that the platform grants.
         known_list: A cached list of endpoints in the format of discovery; it may be outdated.
         engine_settings: Settings of the delivery engine.
-        zones: Names of the zones; an endpoint's zone is an index of it.
-        load_report_fields: Names of the fields in a load report, in the order in which the engine gets their values.
+        zones: Names of the zones; an endpoint's zone is an index into this tuple.
+        load_report_fields: Names of the fields in a load report, in the order in which the engine expects their values.
     """
 
     name: str
@@ -72,7 +73,7 @@
     """Parse HOST:PORT.
 
     Raises:
-        ConfigError: It is not HOST:PORT; the message names `field`.
+        ConfigError: `text` is not HOST:PORT; the message names `field`.
     """
     host, colon, port = str(text).rpartition(":")
     is_address = (
@@ -88,9 +89,9 @@
 def without_batches(settings: Settings) -> Settings:
     """Return the settings with batches of one message for each kind of destination.
 
-    The platform's protocol between relays and endpoints has one message a call, also for destinations that take
+    The platform's protocol between relays and endpoints carries one message per call, also for destinations that accept
     batches. With larger batches, slots and rate limits would be exceeded: the engine counts a batch as one call, while
-    each of its messages would be a call of its own.
+    each of its messages would be sent in a separate call.
     """
     return replace(settings, kinds=tuple(replace(kind, max_batch=1) for kind in settings.kinds))
 
@@ -99,7 +100,7 @@
     """Read and validate the configuration of a relay.
 
     Raises:
-        ConfigError: A value is missing, or cannot be used.
+        ConfigError: A value is missing or invalid.
     """
     path = environ.get("GW_CONFIG", "")
     if not path:
@@ -123,7 +124,7 @@
         if not isinstance(raw.get(field, {}), dict):
             raise ConfigError(f"{field}: expected an object", field=field, expected="an object")
     settings = raw.get("settings", {})
-    # The order of the reads matters: of several faults, the first one found is reported.
+    # The order of these reads decides which of several faults is reported: the first one found.
     zones = _zones(settings)
     state = _state_folder(environ)
     seed = _seed(raw)
@@ -155,7 +156,7 @@
 def _state_folder(environ: Mapping[str, str]) -> Path:
     path = environ.get("GW_STATE", "")
     if not path:
-        raise ConfigError("GW_STATE: expected the path of the folder that lasts, found nothing", field="GW_STATE")
+        raise ConfigError("GW_STATE: expected the path of the state folder, found nothing", field="GW_STATE")
     return Path(path)
 
 
@@ -200,7 +201,7 @@
 
 def _limit(raw: Mapping[str, Any], name: str, *, default: float, minimum: float) -> float:
     value = raw.get(name, default)
-    if isinstance(value, bool) or not isinstance(value, (int, float)) or not minimum <= value < LIMIT_BOUND:
+    if isinstance(value, bool) or not isinstance(value, (int, float)) or not minimum <= value < LIMIT_UPPER_BOUND:
         raise ConfigError(
             f"limits.{name}: expected a number of {minimum:g} or more, found {value!r}",
             field=f"limits.{name}",
--- a/linnetstile/platform_relay/delivery.py
+++ b/linnetstile/platform_relay/delivery.py
@@ -21,7 +21,7 @@
 
 @dataclass(slots=True, eq=False)
 class _StartedAttempt:
-    """An attempt that is journaled, with the engine's action that asked for it."""
+    """A journaled attempt, with the engine's action that requested it."""
 
     send: Send
     message: AcceptedMessage
@@ -32,8 +32,8 @@
     """Carries out the engine's sends and cancellations.
 
     Attributes:
-        waiting_for_order: Sends that wait until the platform has the notice of an earlier message with the same
-            ordering key, by this key.
+        waiting_for_order: Sends by ordering key. Each waits until the platform has confirmed the notice of an earlier
+            message with the same key.
     """
 
     def __init__(
@@ -58,7 +58,7 @@
         self._counts = counts
 
     def send_all(self, sends: Iterable[Send]) -> None:
-        """Begin the attempts that can begin, after a single write of the journal for all of them."""
+        """Start the attempts that can start now, after a single journal write for all of them."""
         unix_ms = clock.unix_ms()
         started: list[_StartedAttempt] = []
         for send in sends:
@@ -73,29 +73,29 @@
                 self._abandon(started_attempt)
 
     def _abandon(self, started: _StartedAttempt) -> None:
-        """End an attempt that could not be journaled, and is not sent for this reason."""
+        """End an attempt that is not sent because it could not be journaled."""
         started.message.journaled.open_attempt = None
         started.message.attempt = None
         self._post_not_sent(started.send, started.attempt.number)
 
     def _start(self, send: Send, unix_ms: float) -> _StartedAttempt | None:
-        """Add an attempt to the journal; return None if it does not begin now."""
+        """Journal the start of an attempt; return None if the attempt cannot start now."""
         message = self._accepted.by_id.get(send.id)
         address = self._directory.address_of(send.endpoint)
-        if message is None or address is None:  # cancelled in this turn, or the endpoint was just removed
+        if message is None or address is None:  # message cancelled in this turn, or endpoint removed
             self._post_not_sent(send, message.journaled.attempts if message else 0)
             return None
         journaled = message.journaled
         ordering_key = message.ordering_key
         if ordering_key and self._has_pending_notice(ordering_key):
-            # The platform does not have the result of the earlier message yet: this call must not overtake it.
+            # The platform has not confirmed the notice of an earlier message yet: this call must not overtake it.
             self.waiting_for_order[ordering_key] = send
             return None
         now_ms = self._engine_loop.now_ms
-        if now_ms >= min(send.timeout_at_ms, send.send_before_ms):  # it waited too long for an earlier result
+        if now_ms >= min(send.timeout_at_ms, send.send_before_ms):  # waited too long for an earlier notice
             self._post_not_sent(send, journaled.attempts)
             return None
-        assert message.attempt is None, "two attempts at once"
+        assert message.attempt is None, "the message has an attempt in flight already"
         message.attempt = Attempt(number=journaled.attempts, address=address, started_at_ms=now_ms)
         journaled.attempts += 1
         journaled.open_attempt = JournaledAttempt(started_at_ms=unix_ms, zone=address.zone, endpoint_name=address.name)
@@ -152,7 +152,7 @@
             self._accepted.remove(started.message.journaled.id)
 
     def _journal_end(self, message: AcceptedMessage, verdict: AttemptVerdict) -> None:
-        """Add the end of an attempt to the journal."""
+        """Journal the end of an attempt."""
         journaled = message.journaled
         may_have_effect = not verdict.outcome.proves_no_effect
         if may_have_effect and journaled.unclear_attempt is None:
@@ -168,7 +168,7 @@
         self._post_event(AttemptEnded(send.id, attempt_number, send.endpoint, Outcome.NOT_SENT))
 
     def send_waiting(self, ordering_keys: Iterable[int]) -> None:
-        """Begin the attempts that waited for the notices of messages with these ordering keys."""
+        """Start the attempts that were waiting for the notices of messages with these ordering keys."""
         waiting = self.waiting_for_order
         self.send_all([waiting.pop(key) for key in ordering_keys if key in waiting])
 
@@ -180,7 +180,7 @@
             attempt.call.abort(WireResult.CANCELLED)
 
     def cancel_if_unsent(self, message_id: int) -> None:
-        """Cancel an attempt whose request cannot have arrived in full; any other goes on."""
+        """Cancel the attempt of a message if its request cannot have arrived in full; otherwise let it continue."""
         message = self._accepted.by_id.get(message_id)
         if message is None:
             return
--- a/linnetstile/platform_relay/endpoint_client.py
+++ b/linnetstile/platform_relay/endpoint_client.py
@@ -1,4 +1,4 @@
-"""HTTP calls to endpoints, in the platform's protocol. `engine/attempt_outcome.py` judges what their results prove."""
+"""HTTP calls to endpoints in the platform's protocol. `engine/attempt_outcome.py` decides what their results prove."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 ENDPOINT_PATH = "/events"
 
-# Timeouts of connections where the settings have none.
+# Connection timeouts that apply if the settings specify none.
 DEFAULT_CONNECT_TIMEOUT_S = 1.5
 DEFAULT_IDLE_TIMEOUT_S = 5.0
 
@@ -41,7 +41,7 @@
 
 
 def parse_retry_after_ms(headers: http1.Headers) -> float | None:
-    """Return an endpoint's Retry-After in ms; None if there is none, or if it is no number of seconds."""
+    """Return an endpoint's Retry-After in ms; None if it is absent or not a number of seconds."""
     try:
         value_ms = float(headers.get("retry-after")) * 1000
     except ValueError:
@@ -61,7 +61,10 @@
 
 
 def _pool_address(address: EndpointAddress) -> client.IdentifiedAddress:
-    """Return the pool's key of an endpoint: another endpoint at the same address shares no connection with it."""
+    """Return the key of an endpoint's connections in the pool.
+
+    It includes the endpoint's id, so that another endpoint at the same address shares no connection with it.
+    """
     return client.IdentifiedAddress(address.host, address.port, address.id)
 
 
@@ -79,7 +82,7 @@
         self.load_report_fields = settings.load_report_fields
         self.pool = client.ConnectionPool(
             connect_timeout_s=engine_settings.connect_timeout_ms / 1000 or DEFAULT_CONNECT_TIMEOUT_S,
-            # The engine expects no connection to be reused after this time.
+            # The engine assumes that no connection is reused after this idle time.
             idle_timeout_s=idle_ms * IDLE_REUSE_FRACTION / 1000 if idle_ms else DEFAULT_IDLE_TIMEOUT_S,
             limits=http1.Limits(max_body_bytes=MAX_BODY_BYTES, max_head_bytes=MAX_HEAD_BYTES),
             finish_at_status_line=True,
@@ -98,15 +101,15 @@
         remaining_ms: float,
         on_ended: AttemptCallback,
     ) -> client.Call:
-        """Begin one attempt.
+        """Start one attempt.
 
         Args:
             address: The endpoint.
             headers: Header fields of the request besides Host and X-Time-Left.
             body: Body of the message.
-            timeout_ms: Time until the attempt times out; X-Time-Left tells the endpoint the same.
+            timeout_ms: Time until the attempt times out, which the endpoint receives in X-Time-Left.
             last_byte_delay_ms: How long the last byte of the request is delayed.
-            send_within_ms: The last byte is not written later than this.
+            send_within_ms: Time after which the last byte of the request may no longer be written.
             remaining_ms: Time until the deadline of the message.
             on_ended: Called once with the result, never from within this method.
 
--- a/linnetstile/platform_relay/http_frontend.py
+++ b/linnetstile/platform_relay/http_frontend.py
@@ -1,4 +1,4 @@
-"""The HTTP front end for clients: takes requests, one message each, and answers them and the health checks."""
+"""The HTTP front end for clients: receives requests with one message each, and answers them and health checks."""
 
 from __future__ import annotations
 
@@ -37,10 +37,10 @@
         status: HTTP status.
         text: Body without its line end; empty for no body.
         close: Whether to close the connection after the response.
-        retry_after_ms: Time of a Retry-After field; 0 for none.
+        retry_after_ms: Value of the Retry-After field, in ms; 0 for no such field.
 
     Returns:
-        False if the client has left.
+        False if the client has disconnected.
     """
     fields = [("Retry-After", f"{retry_after_ms / 1000:.3f}")] if retry_after_ms > 0 else []
     return request.reply(status, fields, f"{text}\n".encode() if text else b"", close)
@@ -53,7 +53,7 @@
         reader: Reads the heads of requests.
         on_submission: Called with each valid submission.
         is_ready: Returns the answer to readiness checks.
-        is_closing: Whether the relay shuts down: each answer closes its connection then.
+        is_closing: Whether the relay is shutting down; each response then closes its connection.
         bad_requests: Number of requests that were rejected as invalid.
         server: The HTTP server.
     """
@@ -91,7 +91,7 @@
         )
 
     async def start(self, host: str, port: int) -> int:
-        """Start to listen; return the port.
+        """Start listening; return the port.
 
         Raises:
             OSError: The address cannot be used.
@@ -99,19 +99,19 @@
         return await self.server.start(host, port)
 
     def stop_admitting(self) -> None:
-        """Reject messages from now on. Idle connections are closed, the others with their next answer."""
+        """Reject messages from now on. Idle connections are closed now, the others with their next response."""
         self.is_closing = True
         self.server.close_idle()
 
     def stop_accepting(self) -> None:
-        """Stop to listen, and reject requests that are incomplete."""
+        """Stop listening, and reject incomplete requests."""
         self.server.stop_listening()
         self.server.reject_incomplete_requests("refused: this relay ends")
 
     def _on_head(self, request: server.RequestContext) -> None:
-        """Reject invalid requests by their heads, before their bodies are read."""
+        """Reject an invalid request by its head, before its body is read."""
         head = request.head
-        # The time limit holds for the complete request, so it counts from its first byte.
+        # The time limit covers the complete request, so it is counted from the first byte.
         request.body_deadline = request.started_at + REQUEST_TIMEOUT_S
         if head.target.partition("?")[0] in HEALTH_PATHS:
             if head.method not in ("GET", "HEAD"):
--- a/linnetstile/platform_relay/intake.py
+++ b/linnetstile/platform_relay/intake.py
@@ -19,11 +19,11 @@
 from .records import JournaledMessage, MessageFields
 from .submission import Submission
 
-ORDERING_KEY_BYTES = 7  # of a digest: the number fits 64 bits also after 1 is added
+ORDERING_KEY_BYTES = 7  # size of the digest: the digest plus 1 fits into 64 bits
 
 
 def ordering_key_number(ordering_key: str, idempotency_key: str, message_class: MessageClass) -> int:
-    """Return the ordering key of a message as a number for the engine; 0 if the message has no order.
+    """Return the ordering key of a message as a number for the engine; 0 for an unordered message.
 
     Without an ordering key in the path of the request, the idempotency key takes its place.
     """
@@ -64,11 +64,11 @@
         self._is_closing = is_closing
         self._post_event = post_event
         self._counts = counts
-        self._uncommitted: list[AcceptedMessage] = []  # submitted since the last turn
+        self._uncommitted: list[AcceptedMessage] = []  # submitted since the last call of `take_uncommitted`
         self.is_open = False
 
     def submit(self, request: server.RequestContext, submission: Submission) -> None:
-        """Take a valid submission. It is rejected here only for reasons that the engine cannot know."""
+        """Accept a valid submission, or reject it for a reason that is unknown to the engine."""
         remaining_ms = submission.remaining_ms - (self._loop.time() - request.started_at) * 1000
         if not self.is_open or self._is_closing():
             reply(request, 503, "refused: this relay is not taking messages on", close=True)
@@ -130,9 +130,9 @@
         return uncommitted
 
     def commit(self, messages: Iterable[AcceptedMessage]) -> None:
-        """Journal the messages that the engine did not end at once, and acknowledge them.
+        """Journal and acknowledge the messages that the engine did not end in this turn.
 
-        A message is cancelled if its client has left, or if the journal cannot be written.
+        A message is cancelled if its client has disconnected or the journal cannot be written.
         """
         unanswered = [message for message in messages if message.request is not None]
         for message in unanswered:
--- a/linnetstile/platform_relay/journal.py
+++ b/linnetstile/platform_relay/journal.py
@@ -33,10 +33,10 @@
         folder: The state folder.
         compaction_bytes: Size above which the file is compacted.
         size: Size of the file in bytes.
-        message_bytes: Bytes that the accepted messages take, as `weight` counts them.
+        message_bytes: Sum of `reserved_bytes` over the accepted messages.
         failed_writes: Number of writes that failed.
         damaged_bytes: Bytes of an earlier process's journal that could not be read.
-        last_error: Why the last failed write failed; empty without one.
+        last_error: Reason of the last failed write; empty without one.
     """
 
     folder: Path
@@ -50,7 +50,7 @@
     _unwritten: list[bytes] = field(default_factory=list)
 
     def open(self) -> dict[int, JournalRecord]:
-        """Read what an earlier process left, and open the file for writing.
+        """Read the records of an earlier process, and open the file for writing.
 
         Raises:
             OSError: The folder or the file cannot be used.
@@ -76,8 +76,8 @@
         """Write all added records at once.
 
         Returns:
-            False if they could not be written, and then none of them is in the file. Records of what has happened all
-            the same, such as results, are in memory only: the file needs a rewrite.
+            False if they could not be written; none of them is in the file then. Events that have happened anyway, such
+            as results, are known in memory only, so the file needs a rewrite.
         """
         if not self._unwritten:
             return True
@@ -98,8 +98,8 @@
         return False
 
     @staticmethod
-    def weight(message: JournaledMessage) -> int:
-        """Return the bytes that a message takes in the file until its result, with its attempts."""
+    def reserved_bytes(message: JournaledMessage) -> int:
+        """Return the space in the file that is reserved for a message and its attempts until it has its result."""
         return len(message.body) + JOURNAL_OVERHEAD_BYTES
 
     @property
@@ -111,7 +111,7 @@
         self.size = self.compaction_bytes + 1
 
     def rewrite(self, records: Iterable[JournalRecord]) -> None:
-        """Compact the journal: write these records into a new file, which replaces the old one atomically.
+        """Compact the journal: write these records to a new file, which replaces the old one atomically.
 
         The old file stays in use if the new one cannot be written.
         """
--- a/linnetstile/platform_relay/journal_codec.py
+++ b/linnetstile/platform_relay/journal_codec.py
@@ -1,4 +1,4 @@
-"""The format of the journal: encodes its records and decodes them. The stored names are known here alone.
+"""The format of the journal: encodes and decodes its records. Only this module knows the stored names.
 
 A record is a head (kind, length of the content, CRC-32 of kind and content) and its content. Times are Unix times in
 ms. `journal_replay` reads a whole journal.
@@ -34,9 +34,9 @@
 NOTICE_PENDING = b"N"
 COMPLETED = b"E"
 RECORD_KINDS = (ACCEPTED, ATTEMPT_STARTED, ATTEMPT_ENDED, NOTICE_PENDING, COMPLETED)
-MAX_CONTENT_BYTES = 256 * 1024  # ample for a body of 64 KiB and its metadata: a larger length is damage
+MAX_CONTENT_BYTES = 256 * 1024  # ample for a body of 64 KiB and its metadata: a larger length shows damage
 
-METADATA_LENGTH = struct.Struct("<I")  # bytes of the JSON metadata that stand before the body
+METADATA_LENGTH = struct.Struct("<I")  # bytes of the JSON metadata, which precedes the body
 ATTEMPT_LAYOUT = struct.Struct("<Qdi")  # message id, start time, zone of the endpoint; the name of the endpoint follows
 MESSAGE_FLAG = struct.Struct("<Q?")  # message id, whether the attempt may have taken effect
 
@@ -103,35 +103,35 @@
 
 
 def encode_accepted(message: JournaledMessage) -> bytes:
-    """Return the record that a message was accepted."""
+    """Encode the record of an accepted message."""
     metadata = _encode_json([message.id, _stored_fields(message.fields)]).encode()
     return _record(ACCEPTED, METADATA_LENGTH.pack(len(metadata)) + metadata + message.body)
 
 
 def encode_attempt_started(message_id: int, attempt: JournaledAttempt) -> bytes:
-    """Return the record that an attempt of a message begins."""
+    """Encode the record of the start of an attempt."""
     content = ATTEMPT_LAYOUT.pack(message_id, attempt.started_at_ms, attempt.zone)
     return _record(ATTEMPT_STARTED, content + attempt.endpoint_name.encode())
 
 
 def encode_attempt_ended(message_id: int, *, may_have_effect: bool) -> bytes:
-    """Return the record that the open attempt has ended and the message stays pending."""
+    """Encode the record of the end of the open attempt of a message that stays pending."""
     return _record(ATTEMPT_ENDED, MESSAGE_FLAG.pack(message_id, may_have_effect))
 
 
 def encode_pending_notice(pending: PendingNotice) -> bytes:
-    """Return the record that a message has ended and the platform is to be notified."""
+    """Encode the record of a message that has ended and whose notice the platform has not confirmed."""
     stored = [pending.id, _stored_notice(pending.notice), pending.ordering_key]
     return _record(NOTICE_PENDING, _encode_json(stored).encode())
 
 
 def encode_completed(message_id: int) -> bytes:
-    """Return the record that a message is complete: the journal holds nothing of it any more."""
+    """Encode the record of a complete message: a replay drops all earlier records of the message."""
     return _record(COMPLETED, MESSAGE_FLAG.pack(message_id, False))
 
 
 def encode_compacted(record: JournalRecord) -> Iterator[bytes]:
-    """Yield the shortest sequence of records with the same meaning, for a journal that is compacted."""
+    """Yield the shortest sequence of records with the same meaning, for a compacted journal."""
     if isinstance(record, PendingNotice):
         yield encode_pending_notice(record)
         return
@@ -152,8 +152,8 @@
 # -- bytes to records ------------------------------------------------------------------------------------------
 
 
-def sound_record_end(data: bytes, start: int) -> int | None:
-    """Return the offset behind the record at `start`; None if there is no complete and undamaged record."""
+def valid_record_end(data: bytes, start: int) -> int | None:
+    """Return the offset after the record at `start`; None if there is no complete and undamaged record."""
     content_start = start + RECORD_HEAD.size
     if content_start > len(data):
         return None
@@ -165,7 +165,7 @@
 
 
 def stated_record_end(data: bytes, start: int) -> int | None:
-    """Return the offset behind the record at `start` by its stated length alone; None if its head is incomplete."""
+    """Return the offset after the record at `start` by its stated length alone; None if its head is incomplete."""
     content_start = start + RECORD_HEAD.size
     if content_start > len(data):
         return None
@@ -174,7 +174,7 @@
 
 
 def decode_record(data: bytes, start: int, end: int) -> DecodedRecord:
-    """Return the sound record from `start` to `end`."""
+    """Decode the valid record from `start` to `end`."""
     kind = data[start : start + 1]
     content = data[start + RECORD_HEAD.size : end]
     if kind == ACCEPTED:
--- a/linnetstile/platform_relay/journal_replay.py
+++ b/linnetstile/platform_relay/journal_replay.py
@@ -1,13 +1,13 @@
 """Reads a whole journal: applies its records in order and skips damaged ones.
 
-A record that is incomplete or damaged is lost alone: reading goes on at the next sound one.
+An incomplete or damaged record is lost, and no other one: reading continues at the next valid record.
 """
 
 from __future__ import annotations
 
 from typing import NamedTuple
 
-from .journal_codec import decode_record, sound_record_end, stated_record_end
+from .journal_codec import decode_record, stated_record_end, valid_record_end
 from .records import (
     AttemptEndRecord,
     AttemptStartRecord,
@@ -21,11 +21,11 @@
 
 
 class ReplayedJournal(NamedTuple):
-    """What a journal holds.
+    """Result of the replay of a journal.
 
     Attributes:
-        records: The messages and notices that are not complete, by message id, in the order they were accepted.
-        damaged_bytes: Number of bytes that were no sound record.
+        records: Messages and notices that are not complete, by message id, in the order they were accepted.
+        damaged_bytes: Number of bytes that belong to no valid record.
     """
 
     records: dict[int, JournalRecord]
@@ -33,12 +33,12 @@
 
 
 def replay(data: bytes) -> ReplayedJournal:
-    """Read a journal."""
+    """Replay the content of a journal file."""
     records: dict[int, JournalRecord] = {}
     damaged_bytes = 0
     start = 0
     while start < len(data):
-        end = sound_record_end(data, start)
+        end = valid_record_end(data, start)
         if end is not None:
             _apply(records, decode_record(data, start, end))
         else:
@@ -49,16 +49,16 @@
 
 
 def _end_of_damage(data: bytes, start: int) -> int:
-    """Return where reading goes on after the damaged record at `start`.
+    """Return the offset at which reading continues after the damaged record at `start`.
 
-    Its stated length is used if the journal ends there or a sound record follows. Otherwise the length is damaged too,
-    and the next sound record is searched for.
+    The record's stated length is used if the journal ends there or a valid record follows. Otherwise the length is
+    damaged too, and the next valid record is searched for.
     """
     stated_end = stated_record_end(data, start)
-    if stated_end is not None and (stated_end == len(data) or sound_record_end(data, stated_end) is not None):
+    if stated_end is not None and (stated_end == len(data) or valid_record_end(data, stated_end) is not None):
         return stated_end
     candidates = range(start + 1, len(data))
-    return next((at for at in candidates if sound_record_end(data, at) is not None), len(data))
+    return next((at for at in candidates if valid_record_end(data, at) is not None), len(data))
 
 
 def _apply(records: dict[int, JournalRecord], record: DecodedRecord) -> None:
@@ -78,7 +78,7 @@
     if not isinstance(message, JournaledMessage):
         return
     message.attempts += 1
-    # An attempt that is still open ended with an earlier process: it may have taken effect.
+    # An attempt that is still open was interrupted by the end of an earlier process: it may have taken effect.
     message.unclear_attempt = message.unclear_attempt or message.open_attempt
     message.open_attempt = record.attempt
 
@@ -88,7 +88,7 @@
     if not isinstance(message, JournaledMessage):
         return
     if record.may_have_effect and message.unclear_attempt is None:
-        # Without an open attempt, whose record was damaged, the earliest possible time is assumed.
+        # If the record of the attempt's start was damaged, the earliest possible start is assumed.
         earliest = JournaledAttempt(started_at_ms=float(message.fields.accepted_at_ms), zone=0, endpoint_name="")
         message.unclear_attempt = message.open_attempt or earliest
     message.open_attempt = None
--- a/linnetstile/platform_relay/notices.py
+++ b/linnetstile/platform_relay/notices.py
@@ -1,4 +1,4 @@
-"""Posts notices to the platform, and again until it confirms them.
+"""Posts notices to the platform, and retries until it confirms them.
 
 A notice is the result of a message that was accepted and not delivered.
 """
@@ -24,18 +24,18 @@
 
 
 class NoticeSender:
-    """Makes one post at a time, with as many pending notices as fit into a body.
+    """Posts pending notices in batches: one post at a time, with as many notices as fit into its body.
 
     Attributes:
         address: Address of the platform.
-        on_delivered: Called with the message ids of notices that the platform has confirmed, or cannot read.
+        on_delivered: Called with the message ids of notices that the platform has confirmed or rejected as invalid.
         pool: The connection to the platform.
         pending: Encoded notices that are not confirmed, by message id.
-        in_flight: Message ids of the notices in the present post; empty without one.
+        in_flight: Message ids of the notices in the current post; empty without one.
         failures: Number of posts in a row that failed.
-        sends_singly: Whether each post carries one notice, as the platform rejected a post as invalid: the invalid
-            notice among several is found this way.
-        rejected_count: Number of posts that the platform cannot read.
+        sends_singly: Whether each post carries a single notice. Set after the platform rejected a post as invalid, to
+            find the invalid notice among several.
+        rejected_count: Number of posts of a single notice that the platform rejected as invalid.
         delivered_count: Number of posts that the platform has confirmed.
     """
 
@@ -60,7 +60,7 @@
             self._schedule(0)
 
     def move(self, address: Address) -> None:
-        """Post to another address from now on. A post that waits for its retry is made at once."""
+        """Post to another address from now on. A post that waits for its retry is made immediately."""
         self.pool.close_idle(self.address)
         self.address = address
         self.failures = 0
@@ -69,7 +69,7 @@
             self._schedule(0)
 
     def close(self) -> None:
-        """Stop posting. Pending notices are in the journal."""
+        """Stop posting. Pending notices stay in the journal."""
         if self._timer:
             self._timer.cancel()
         self.pool.close()
@@ -90,7 +90,7 @@
         self.pool.call(self.address, "POST", request, self._on_answer, timeout_at)
 
     def _choose_batch(self) -> None:
-        """Put the notices of the next post in flight, at least one if there is one."""
+        """Put the notices of the next post in flight: at least one if any is pending."""
         body_bytes = 0
         for message_id, line in self.pending.items():
             body_bytes += len(line)
@@ -104,7 +104,7 @@
         status = answer.head.status if answer.wire_result is WireResult.ANSWERED and answer.head else NO_STATUS
         is_bad_request = status == HTTP_BAD_REQUEST
         if 200 <= status < 300 or (is_bad_request and len(message_ids) == 1):
-            self._on_confirmed(message_ids, is_unreadable=is_bad_request)
+            self._on_confirmed(message_ids, is_invalid=is_bad_request)
         else:
             self.sends_singly = is_bad_request
             self.failures += 1
@@ -113,9 +113,9 @@
         else:
             self.sends_singly = False
 
-    def _on_confirmed(self, message_ids: list[int], *, is_unreadable: bool) -> None:
+    def _on_confirmed(self, message_ids: list[int], *, is_invalid: bool) -> None:
         self.failures = 0
-        if is_unreadable:
+        if is_invalid:
             self.rejected_count += 1
         else:
             self.delivered_count += 1
--- a/linnetstile/platform_relay/process.py
+++ b/linnetstile/platform_relay/process.py
@@ -24,7 +24,7 @@
 
 
 def log(event: str, **fields: object) -> None:
-    """Write a log event to standard error, one JSON object a line. Errors of writing are ignored."""
+    """Write a log event to standard error as one line of JSON. Write errors are ignored."""
     try:
         sys.stderr.write(json.dumps({"at": round(time.time(), 3), "event": event, **fields}) + "\n")
         sys.stderr.flush()
@@ -33,7 +33,7 @@
 
 
 class StatsReporter:
-    """Logs the state of the relay every few seconds, to be compared with the traffic around it.
+    """Logs the state of the relay every `STATS_INTERVAL_S`, for comparison with the traffic around it.
 
     The names of the fields are part of the log's format; docs/operate/node.md explains them.
     """
@@ -67,7 +67,7 @@
         self._schedule()
 
     def _load(self) -> dict[str, int]:
-        """Return the present numbers of messages, connections and so on."""
+        """Return the current numbers of messages, attempts, connections and ejected routes, and the journal's size."""
         relay = self._relay
         routes = [route for routes in relay.engine.routes.values() for route in routes.values()]
         return {
@@ -83,12 +83,12 @@
         }
 
     def _increase(self, counts: dict[str, int]) -> dict[str, int]:
-        """Return by how much each counter has grown since the last report, without those that have not."""
+        """Return the increase of each counter since the last report; counters without an increase are left out."""
         last = self._last_counts
         return {name: count - last.get(name, 0) for name, count in counts.items() if count != last.get(name, 0)}
 
     def _parts(self) -> dict[str, dict[str, int]]:
-        """Return the counters that parts of the relay keep themselves."""
+        """Return the counters that the parts of the relay maintain."""
         relay = self._relay
         return {
             "watch": {
@@ -103,7 +103,7 @@
 
 
 def reload(relay: PlatformRelay) -> None:
-    """Read the configuration file again after a SIGHUP; an invalid one changes nothing."""
+    """Read the configuration file again after a SIGHUP; an invalid file is logged and otherwise ignored."""
     try:
         settings = load(os.environ)
     except ConfigError as error:
@@ -117,7 +117,7 @@
 
 
 class _EarlySignals:
-    """Records signals that arrive before there is a relay to act on them, with their loop times (s)."""
+    """Records the loop times (s) of signals that arrive before the relay has started."""
 
     def __init__(self) -> None:
         self._loop = asyncio.get_running_loop()
@@ -129,7 +129,7 @@
         self._received_at.setdefault(number, self._loop.time())
 
     def pass_to(self, relay: PlatformRelay) -> None:
-        """Let the relay act on all signals from now on, and on those that have arrived already."""
+        """Let the relay handle the signals that have arrived already, and all later ones."""
         for number in STOP_SIGNALS:
             self._loop.add_signal_handler(number, relay.begin_shutdown)
         self._loop.add_signal_handler(signal.SIGHUP, reload, relay)
@@ -151,7 +151,7 @@
 async def _start(settings: RelaySettings) -> PlatformRelay | None:
     try:
         relay = PlatformRelay(settings, log)
-        del settings  # it refers to the cached list, which the relay drops to free its memory
+        del settings  # refers to the cached list, whose memory the relay frees during its start
         await relay.start()
     except OSError as error:
         print(f"linnetstile node: can't start: {error}", file=sys.stderr)
@@ -171,14 +171,14 @@
     if settings is None:
         return EXIT_BAD_CONFIG
     starting = _start(settings)
-    del settings  # as `_start` does
+    del settings  # a reference here would keep the memory of the cached list in use
     relay = await starting
     if relay is None:
         return EXIT_CANNOT_START
     asyncio.get_running_loop().set_exception_handler(_log_fault)
     early_signals.pass_to(relay)
     gc.collect()
-    gc.freeze()  # most objects made at the start live as long as the process: collections skip them
+    gc.freeze()  # most objects created at the start live as long as the process, so collections skip them
     StatsReporter(relay)
     await relay.shutdown.stopped.wait()
     log(log_events.STOPPED, held=len(relay.accepted), notices=len(relay.reporter.pending_notices))
--- a/linnetstile/platform_relay/records.py
+++ b/linnetstile/platform_relay/records.py
@@ -1,6 +1,6 @@
 """The content of the journal as typed records: accepted messages with their attempts, and pending notices.
 
-`journal_codec` has the format in which they are stored.
+`journal_codec` defines the format in which they are stored.
 """
 
 from __future__ import annotations
@@ -15,8 +15,8 @@
 
     Attributes:
         submission_id: The client's correlation id.
-        class_name: Name of the message class in the settings of that time.
-        tenant: Name of the tenant in the settings of that time; empty where the settings name none.
+        class_name: Name of the message class in the settings at the time of acceptance.
+        tenant: Name of the tenant in these settings; empty if they name no tenants.
         destination: Number of the destination.
         idempotency_key: Empty if the client gave none.
         ordering_key: Messages of an ordered class that share it keep their order; 0 without one. None in a record of
@@ -44,16 +44,16 @@
     endpoint_name: str
 
 
-# Stands in a compacted journal for an attempt without effect: only the number of these matters.
+# Replaces each attempt without effect in a compacted journal, where only the number of such attempts matters.
 NO_EFFECT_ATTEMPT = JournaledAttempt(started_at_ms=0.0, zone=0, endpoint_name="")
 
 
 @dataclass(slots=True)
 class JournaledMessage:
-    """One accepted message that has no result yet, as the journal knows it.
+    """One accepted message that has no result yet, as the journal stores it.
 
     Attributes:
-        id: The relay's own number of the message.
+        id: The relay's own id of the message.
         fields: The fields of the message.
         body: Body of the message.
         attempts: Number of attempts that have begun.
@@ -70,7 +70,7 @@
 
 
 class NoticeResult(StrEnum):
-    """How an accepted message ended that was not delivered; the values are the platform's."""
+    """Result of an accepted message that was not delivered; the platform defines the values."""
 
     REJECTED = "bounced"  # no attempt took effect: the client may submit it again
     FAILED = "dead"  # an attempt may have taken effect
@@ -78,7 +78,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Notice:
-    """The result of one message, for the platform; `retry_after_ms` is None without advice."""
+    """The result of one message, for the platform; `retry_after_ms` is None if no retry delay is advised."""
 
     submission_id: str
     result: NoticeResult
@@ -90,7 +90,7 @@
     """A notice that the platform has not confirmed.
 
     Attributes:
-        id: The relay's own number of the message.
+        id: The relay's own id of the message.
         notice: The notice.
         ordering_key: Ordering key of the message: the next message with this key waits for the notice. 0 without one.
     """
@@ -100,7 +100,7 @@
     ordering_key: int = 0
 
 
-JournalRecord = JournaledMessage | PendingNotice  # what a journal holds of one message that is not complete
+JournalRecord = JournaledMessage | PendingNotice  # the state of one message that is not complete
 
 
 @dataclass(frozen=True, slots=True)
--- a/linnetstile/platform_relay/recovery.py
+++ b/linnetstile/platform_relay/recovery.py
@@ -16,13 +16,13 @@
 from .results import ResultReporter
 from .submission import SubmissionReader
 
-GRACE_CHECKS = 10  # in `DISCOVERY_GRACE_S`, of whether a list has begun: from then on the longer grace time holds
+GRACE_CHECKS = 10  # how often it is checked within `DISCOVERY_GRACE_S` whether `LONG_LIST_GRACE_S` applies
 
 
 async def wait_for_first_list(watch: Watch) -> bool:
-    """Wait for the first list of discovery; return False if it does not come within its grace time.
+    """Wait for discovery's first list; return False if it is not read within its grace time.
 
-    A list that is being read has a longer grace time than one that has not begun.
+    A list that is being read has a longer grace time than one whose reading has not begun.
     """
     loop = asyncio.get_running_loop()
     started_at = loop.time()
@@ -85,10 +85,10 @@
         fields = message.journaled.fields
         classes = self._submission_reader.classes
         tenants = self._submission_reader.tenants
-        # A wall clock that was set back gives no message more time than it had at first.
+        # Bounded by the initial remaining time, in case the wall clock was set back.
         remaining_ms = min(fields.deadline_ms - unix_ms, fields.deadline_ms - fields.accepted_at_ms)
-        # The settings may have changed since the message was accepted. A class or tenant that they no longer name has
-        # the index behind the last one: the engine has an unknown class there, and no quota for such a tenant.
+        # The settings may have changed since the message was accepted. A class or tenant that they no longer name gets
+        # the index after the last one: the engine has an unknown class there, and no quota for such a tenant.
         return Message(
             id=message.journaled.id,
             destination=fields.destination,
--- a/linnetstile/platform_relay/relay.py
+++ b/linnetstile/platform_relay/relay.py
@@ -59,7 +59,7 @@
         frontend: The HTTP front end for clients.
         reporter: Reports messages that are not delivered.
         delivery: Makes attempts.
-        recovery: Resumes what an earlier process left.
+        recovery: Resumes the messages and notices of an earlier process.
         shutdown: Runs the phases of the graceful shutdown.
     """
 
@@ -78,12 +78,12 @@
         self.engine = DeliveryEngine(replace(engine_settings, classes=classes), settings.seed)
         self.engine_loop = EngineLoop(self.engine, self._run_turn)
 
-        # What the relay knows and keeps.
+        # Endpoints, journal and accepted messages.
         self.directory = Directory(tuple(kind.name for kind in engine_settings.kinds), settings.zones)
         self.journal = Journal(settings.state, self.limits.compaction_bytes)
         self.accepted = AcceptedMessages(self.journal)
 
-        # Connections to discovery, the platform and endpoints. One source of random numbers serves all backoffs.
+        # Connections to discovery, the platform and endpoints. All backoffs share one random number generator.
         rng = random.Random(settings.seed)
         self.watch = Watch(
             directory=self.directory, address=settings.discovery, on_event=self._on_list_event, rng=rng, log=log
@@ -91,13 +91,13 @@
         self.notice_sender = NoticeSender(address=settings.discovery, on_delivered=self._on_notices_delivered, rng=rng)
         self.endpoint_client = EndpointClient(settings, self.limits)
 
-        # The path of a message: from its client, by intake and delivery, to its result.
+        # The path of a message: from its client, through intake and delivery, to its result.
         self.intake = self._make_intake()
         self.frontend = self._make_frontend()
         self.reporter = self._make_reporter()
         self.delivery = self._make_delivery()
 
-        # Start and end of the process.
+        # Recovery at the start of the process, shutdown at its end.
         self.recovery = self._make_recovery()
         self.shutdown = GracefulShutdown(frontend=self.frontend, post_event=self.engine_loop.post)
 
@@ -153,7 +153,7 @@
     # -- life cycle ------------------------------------------------------------------------------------------
 
     async def start(self) -> None:
-        """Read the journal, listen, wait for the list of endpoints, and resume what the journal holds.
+        """Read the journal, listen, wait for the list of endpoints, and resume the journaled messages and notices.
 
         Raises:
             OSError: The state folder or the address to listen at cannot be used.
@@ -163,7 +163,7 @@
         self._load_known_list()
         await self.frontend.start(*self.settings.listen)
         self.watch.start()
-        # Recovered messages wait for the list: endpoints of the cached one may be gone.
+        # Recovered messages wait for discovery's list, as endpoints of the cached list may be gone.
         if not await wait_for_first_list(self.watch):
             self.log(log_events.DISCOVERY_SILENT, known=len(self.directory))
         self.recovery.restore(records)
@@ -178,9 +178,9 @@
         )
 
     def _load_known_list(self) -> None:
-        with contextlib.suppress(InvalidListError):  # the platform gave no list
+        with contextlib.suppress(InvalidListError):  # the configuration has no valid cached list
             self._on_list_event(self.directory.apply_list(self.settings.known_list, cached=True))
-        # Dropped, as the parsed JSON takes ten times the memory of the directory.
+        # The parsed JSON takes ten times the memory of the directory, so the reference to it is dropped.
         self.settings = replace(self.settings, known_list={})
 
     def move_discovery(self, discovery: Address) -> None:
@@ -200,8 +200,9 @@
             self.shutdown.begin(self.loop.time() if signalled_at is None else signalled_at)
 
     def close(self) -> None:
-        """Close every connection; the next process resumes what the journal holds."""
-        # First, so that the engine learns of no attempt that ends here: the next process judges it by the journal.
+        """Close every connection; the next process resumes the journaled messages and notices."""
+        # The engine loop is closed first, so that attempts that end here are not reported to the engine: the next
+        # process decides about them by the journal.
         self.engine_loop.close()
         self.journal.flush()
         self.watch.close()
@@ -225,7 +226,7 @@
                 self._carry_out(action)
         self.intake.commit(uncommitted)
         self.delivery.send_all(sends)
-        for action in actions:  # last, as the sends may reuse connections that were idle
+        for action in actions:  # after the sends, which may reuse idle connections
             if isinstance(action, CloseIdle):
                 self._close_idle(action.endpoint)
         self.journal.flush()
@@ -253,7 +254,7 @@
     def _on_list_event(self, event: EndpointList) -> None:
         """Pass a list to the engine, and close the idle connections to endpoints that drain.
 
-        The address of a removed endpoint is no longer known: its idle connections end by their time-out.
+        The address of a removed endpoint is no longer known: its idle connections are closed by the idle timeout.
         """
         self.engine_loop.post(event)
         for entry in event.endpoints:
--- a/linnetstile/platform_relay/results.py
+++ b/linnetstile/platform_relay/results.py
@@ -1,4 +1,4 @@
-"""Reports messages that are not delivered: to the client if it still waits for its answer, else to the platform."""
+"""Reports messages that are not delivered: to the client if it still waits for its response, else to the platform."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 class ResultReporter:
     """Ends messages that the engine has rejected or failed.
 
-    The client gets the result as its answer. If it has its answer already, the platform gets the result as a notice.
+    The client gets the result as its response. If it has been answered already, the platform gets a notice.
 
     Attributes:
         pending_notices: Notices that the platform has not confirmed, by message id.
@@ -39,7 +39,7 @@
         self._counts = counts
 
     def reject(self, message_id: int, retry_after_ms: float) -> None:
-        """End a message without effect: it may be submitted again after `retry_after_ms`."""
+        """End a message that has had no effect: it may be submitted again after `retry_after_ms`."""
         self._counts[counters.MESSAGES_REJECTED] += 1
         if self._answer_client(message_id, 503, "refused", retry_after_ms):
             return
@@ -47,13 +47,13 @@
         self._notify(message_id, NoticeResult.REJECTED, advice)
 
     def fail(self, message_id: int) -> None:
-        """End a message of which an attempt may have taken effect."""
+        """End a message whose attempts may have taken effect."""
         self._counts[counters.MESSAGES_FAILED] += 1
         if not self._answer_client(message_id, 500, "failed"):
             self._notify(message_id, NoticeResult.FAILED)
 
     def _answer_client(self, message_id: int, status: int, text: str, retry_after_ms: float = 0.0) -> bool:
-        """Return False if the client has its answer already."""
+        """Answer the client and end the message; return False if the client has been answered before."""
         message = self._accepted.by_id[message_id]
         request = message.request
         if request is None:
@@ -79,7 +79,7 @@
         """Complete the messages whose notices the platform has confirmed.
 
         Returns:
-            The ordering keys of their messages.
+            The ordering keys of these messages.
         """
         ordering_keys = {self.pending_notices.pop(message_id).ordering_key for message_id in message_ids}
         for message_id in message_ids:
--- a/linnetstile/platform_relay/shutdown.py
+++ b/linnetstile/platform_relay/shutdown.py
@@ -9,9 +9,8 @@
 from ..engine.graceful_shutdown import EXIT_MS, shutdown_phase
 from .http_frontend import HttpFrontend
 
-# How often the phase is looked up: at first, and once no connection is accepted any more and the exit is near.
-CHECK_INTERVAL_S = 0.05
-FINAL_CHECK_INTERVAL_S = 0.01
+CHECK_INTERVAL_S = 0.05  # between checks of the phase while connections are accepted
+FINAL_CHECK_INTERVAL_S = 0.01  # between checks of the phase once no connection is accepted, shortly before the exit
 
 
 class GracefulShutdown:
@@ -45,9 +44,9 @@
 
     def _advance(self) -> None:
         elapsed_ms = self._elapsed_ms()
-        # Looks at each connection, so it is asked at the end only.
-        unread = elapsed_ms >= EXIT_MS and self._frontend.server.has_unread_input
-        phase = shutdown_phase(elapsed_ms, unread)
+        # Checked only once the exit is due, as it examines every connection.
+        has_unread_input = elapsed_ms >= EXIT_MS and self._frontend.server.has_unread_input
+        phase = shutdown_phase(elapsed_ms, has_unread_input)
         if not phase.admits:
             self._frontend.stop_admitting()
         if not phase.accepts:
--- a/linnetstile/platform_relay/submission.py
+++ b/linnetstile/platform_relay/submission.py
@@ -1,4 +1,4 @@
-"""Reads the head of a client's request into a typed submission, or into an error with its HTTP status."""
+"""Parses the head of a client's request: the result is a typed submission, or an error with its HTTP status."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 from ..errors import ProtocolError
 
 IDENTIFIER = re.compile(r"[\x21-\x7e]{1,128}\Z")
-TIME_LEFT = re.compile(r"(\d{1,12}(?:\.\d{1,6})?)([mu])\Z")  # in ms or us
-SUBMISSION_PATH = re.compile(r"/api(?:/([\x21-\x2e\x30-\x7e]{1,128}))?\Z")  # with an optional ordering key
+TIME_LEFT = re.compile(r"(\d{1,12}(?:\.\d{1,6})?)([mu])\Z")  # a number and its unit: m for ms, u for us
+SUBMISSION_PATH = re.compile(r"/api(?:/([\x21-\x2e\x30-\x7e]{1,128}))?\Z")  # the ordering key is optional
 DESTINATION = re.compile(r"(?:^|[;,]\s*)dest=(\d{1,9})\s*(?:[;,]|\Z)")
-MICROSECONDS = "u"  # the unit in `TIME_LEFT`
+MICROSECONDS = "u"  # unit in `TIME_LEFT`
 US_PER_MS = 1000.0
 
 # Values of X-Repeat, which marks a message that was submitted before.
@@ -23,7 +23,7 @@
 
 
 class BadRequestError(ProtocolError):
-    """A request that is no valid submission.
+    """A request that is not a valid submission.
 
     Attributes:
         status: HTTP status of the response.
@@ -43,13 +43,13 @@
     Attributes:
         submission_id: The client's correlation id.
         class_index: Index of the message class in the settings.
-        tenant_index: Index of the tenant in the settings; 0 if they have none.
+        tenant_index: Index of the tenant in the settings; 0 if they name no tenants.
         destination: Number of the destination.
         idempotency_key: Empty without one.
         ordering_key: Messages of an ordered class that share it keep their order; empty without one.
-        remaining_ms: Time until the deadline, from the first byte of the request on.
+        remaining_ms: Time until the deadline, counted from the first byte of the request.
         is_retry: Whether the client marks the message as submitted before.
-        from_dead_relay: Whether it was submitted before to a relay that died.
+        from_dead_relay: Whether the client marks it as submitted before to a relay that died.
     """
 
     submission_id: str
@@ -71,7 +71,7 @@
 
 
 class SubmissionReader:
-    """Reads heads of requests by the names in the settings.
+    """Parses heads of requests by the names of classes and tenants in the settings.
 
     Attributes:
         classes: Index of each message class in the settings, by its name.
@@ -84,10 +84,10 @@
         self._settings = settings
 
     def read(self, head: http1.Request) -> Submission:
-        """Return the submission of a head.
+        """Return the submission that a head describes.
 
         Raises:
-            BadRequestError: It is no valid submission. Of several faults, the first one found is reported.
+            BadRequestError: The head is not a valid submission. Of several faults, the first one found is reported.
         """
         path = SUBMISSION_PATH.match(head.target.partition("?")[0])
         if not path:
--- a/tests/platform_relay/test_journal.py
+++ b/tests/platform_relay/test_journal.py
@@ -162,7 +162,7 @@
     pending: dict[int, JournaledMessage] = {}
     for message_id in range(1, 2000):
         message = JournaledMessage(message_id, FIELDS, b"b" * 700)
-        while pending and sum(map(journal.weight, [*pending.values(), message])) > limits.max_message_bytes:
+        while pending and sum(map(journal.reserved_bytes, [*pending.values(), message])) > limits.max_message_bytes:
             oldest_id = next(iter(pending))
             del pending[oldest_id]
             journal.add(encode_completed(oldest_id))
