--- a/tests/platform_relay/delivery_rules.py
+++ b/tests/platform_relay/delivery_rules.py
@@ -1,4 +1,4 @@
-"""What the delivery rules forbid, judged by the calls that endpoints received and the notices of results."""
+"""Checks of the delivery rules, by the calls that endpoints received and the notices of results."""
 
 from __future__ import annotations
 
@@ -7,20 +7,20 @@
 from .faulty_endpoint import ReceivedCall
 
 DEDUPLICATION_WINDOW_S = 4.0
-"""Of the class "order" in the testbed's settings."""
+"""Deduplication window of the class "order" in the testbed's settings."""
 
 NoticeList = list[tuple[str, str]]
 """Submission id and result of each notice."""
 
 
 def find_breaches(class_name: str, calls: list[ReceivedCall], notices: NoticeList, is_one_process: bool) -> list[str]:
-    """Return what breaks the rules; messages with the same body are one message that was submitted again.
+    """Return the breaches of the rules. Calls with the same body belong to one message, also if it was submitted again.
 
     Args:
         class_name: Class of all messages.
         calls: Calls in the order in which they were received.
         notices: All notices.
-        is_one_process: Whether one relay made all calls; two may call at once, if the first one was killed.
+        is_one_process: Whether one relay made all calls. If not, calls of a killed relay and the next may overlap.
     """
     breaches = []
     for body in {call.body for call in calls}:
@@ -41,7 +41,7 @@
 
 
 def find_forbidden_retries(class_name: str, calls: list[ReceivedCall]) -> list[str]:
-    """Return the calls that follow one that may have run, where the class forbids it."""
+    """Return a breach for each call that the class forbids after an earlier call that may have run."""
     first_effect = find_first_effect(calls)
     if first_effect is None:
         return []
@@ -57,7 +57,7 @@
     first_effect = find_first_effect(calls)
     if first_effect is None or class_name == "state" or (first_effect.submission_id, "bounced") not in notices:
         return []
-    return [f"{first_effect.submission_id} may have run and was notified as harmless to submit again"]
+    return [f"{first_effect.submission_id} may have run, but its notice says that it may be submitted again"]
 
 
 def find_first_effect(calls: list[ReceivedCall]) -> ReceivedCall | None:
@@ -66,9 +66,11 @@
 
 
 def find_wrong_result_count(submission_id: str, calls: list[ReceivedCall], notices: NoticeList) -> list[str]:
-    """Return a breach unless a message was either delivered or notified once."""
+    """Return a breach unless a message has exactly one result: it was either delivered or notified once."""
     notice_count = sum(notified_id == submission_id for notified_id, _ in notices)
     is_delivered = any(call.is_delivered for call in calls if call.submission_id == submission_id)
     if notice_count + is_delivered == 1:
         return []
-    return [f"{submission_id} was notified {notice_count} times and delivered {is_delivered}"]
+    return [
+        f"{submission_id}: expected one notice or a delivery, found {notice_count} notices, delivered: {is_delivered}"
+    ]
--- a/tests/platform_relay/fault_scenario.py
+++ b/tests/platform_relay/fault_scenario.py
@@ -1,4 +1,4 @@
-"""One message, one fault of its call, and all that may follow: a kill after any write, a second relay."""
+"""Scenario of one message with one fault of its call, a kill of the relay after any write, and a second relay."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 TIME_LEFT = "2500m"
 RESULT_TIMEOUT_S = 8.0
 WARM_UP_CALLS = 6
-"""They make the destination a known one, whose timeouts are short."""
+"""Number of calls after which the engine knows the destination, and its timeouts are short."""
 REJECTIONS_WHEN_FULL = 8
 
 
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True)
 class JournalSnapshot:
-    """What a kill before the journal's next write leaves.
+    """State that a kill before the journal's next write leaves.
 
     Attributes:
         folder: A copy of the state folder after a write.
@@ -47,16 +47,16 @@
 
 @dataclass
 class FaultScenario:
-    """A scenario with a testbed of its own.
+    """A scenario with its own testbed.
 
     Attributes:
-        folder: Folder of everything that it writes.
+        folder: Folder of all files that the scenario writes.
         fault: The fault of the message's first call.
         connection_use: The connection of this call.
         class_name: Class of the message.
-        is_full: Whether the endpoint rejects the next calls as busy.
-        snapshots: The states of the first relay while it had the message.
-        is_recording: Whether its writes are recorded.
+        is_full: Whether the endpoint rejects the calls after the first one as busy.
+        snapshots: States of the first relay from the submission of the message to its result.
+        is_recording: Whether the writes of the first relay are recorded.
     """
 
     folder: Path
@@ -73,7 +73,7 @@
         self.testbed = RelayTestbed(self.first_state_folder)
 
     def __str__(self) -> str:
-        """Return what distinguishes it in a report of breaches."""
+        """Return the parameters that identify the scenario in a report of breaches."""
         return f"{self.fault} {self.connection_use.value} {self.class_name} {'full' if self.is_full else ''}"
 
     @property
@@ -94,7 +94,7 @@
             self.snapshots[-1] = JournalSnapshot(folder, len(self.endpoint.calls), len(self.testbed.notices))
 
     async def run(self) -> list[str]:
-        """Run it; return the breaches of the delivery rules."""
+        """Run the scenario; return the breaches of the delivery rules."""
         try:
             await self.testbed.add_endpoint(1, serve=self.endpoint.serve)
             discovery_address = await self.testbed.start_discovery()
@@ -130,7 +130,7 @@
             pool = relay.endpoint_client.pool
             pool.close_idle(next(iter(pool.idle_connections.by_address)))
         elif self.connection_use is ConnectionUse.LAST_BYTE_DELAYED:
-            # Many connections were found closed: the last byte of non-idempotent calls is delayed.
+            # As if many reused connections had been stale: the engine delays the last byte of non-idempotent calls.
             relay.engine.connections.stale_ratio = 1.0
 
     async def _run_after_each_kill(self, discovery_address: Address) -> list[str]:
@@ -151,7 +151,7 @@
         return find_breaches(self.class_name, self.endpoint.calls, self.notices, is_one_process)
 
     async def _wait_for_result(self, relay: PlatformRelay, discovery_address: Address, retry_id: str) -> None:
-        """Wait for a relay's results; a client whose message was rejected submits it to another relay."""
+        """Wait for a relay's results. If the message was rejected, submit it to another relay, as its client does."""
         await wait_until_idle(relay, RESULT_TIMEOUT_S)
         is_rejected = (MESSAGE_ID, "bounced") in self.notices
         if is_rejected and not any(map(self._is_retry_of_client, self.endpoint.calls)):
--- a/tests/platform_relay/faulty_endpoint.py
+++ b/tests/platform_relay/faulty_endpoint.py
@@ -1,4 +1,4 @@
-"""An endpoint that ends its calls at a given stage, and records what the delivery rules are checked by."""
+"""An endpoint that ends its calls at a given stage, and records them for the checks of the delivery rules."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 
 
 class FaultStage(Enum):
-    """Where a call ends."""
+    """Stage at which a call ends."""
 
     CONNECTED = "connected"  # before a byte was read
     REQUEST_PARTLY_READ = "request partly read"
     REQUEST_READ = "request read"
-    RESPONSE_WRITTEN = "response written"  # as far as the fault's response goes
+    RESPONSE_WRITTEN = "response written"  # after the fault's response, which may be incomplete
 
 
 class CallEnding(Enum):
@@ -34,7 +34,7 @@
 
 @dataclass(frozen=True)
 class Fault:
-    """How an endpoint treats a call; without an ending it keeps the connection and reads the next request."""
+    """How an endpoint handles a call; without an ending it keeps the connection and reads the next request."""
 
     stage: FaultStage
     ending: CallEnding | None
@@ -47,15 +47,15 @@
 
 @dataclass
 class ReceivedCall:
-    """A call whose last byte came.
+    """A call whose request arrived completely.
 
     Attributes:
         submission_id: The client's identifier of the message.
-        body: Its body.
-        received_at: Loop time of the last byte, s.
-        may_have_run: Whether it may have run by the platform's rules.
-        ended_at: Loop time at which it was answered or its connection closed, s.
-        is_delivered: Whether it was answered 200.
+        body: Body of the request.
+        received_at: Loop time (s) at which the last byte of the request arrived.
+        may_have_run: Whether the call may have taken effect, by the platform's rules.
+        ended_at: Loop time (s) at which the call was answered or its connection closed.
+        is_delivered: Whether the call was answered 200.
     """
 
     submission_id: str
@@ -68,7 +68,7 @@
 
 @dataclass
 class FaultyEndpoint:
-    """An endpoint whose next calls have the faults of a list; the calls after them are answered 200."""
+    """An endpoint that applies a list of faults to its next calls, one each, and answers all later calls 200."""
 
     faults: list[Fault] = field(default_factory=list)
     calls: list[ReceivedCall] = field(default_factory=list)
--- a/tests/platform_relay/http_messages.py
+++ b/tests/platform_relay/http_messages.py
@@ -43,7 +43,10 @@
     path: str = "/api",
     **headers: str,
 ) -> bytes:
-    """Return the request of a client; `headers` (with _ for -) replace or extend the usual ones, empty ones go."""
+    """Return the request of a client.
+
+    `headers` (with _ for -) replace or extend the default header fields; an empty value omits a field.
+    """
     fields = {
         "Host": "api.internal",
         "X-Correlation-Id": submission_id,
@@ -74,7 +77,7 @@
 async def connect_and_submit(relay: PlatformRelay, submission_id: str = "first") -> Connection:
     """Open a client's connection on which one request was answered.
 
-    What the client writes from now on is in the relay's kernel at once, and read in the next pass of the loop.
+    Later writes of the client reach the relay's socket buffer at once, and are read in the next pass of the event loop.
     """
     reader, writer = await connect(relay)
     writer.write(submission(submission_id))
@@ -88,16 +91,16 @@
         return int((await reader.readline()).split()[1])
 
 
-async def request_status(relay: PlatformRelay, request: bytes, seconds: float = 3.0) -> int:
+async def request_status(relay: PlatformRelay, request: bytes, timeout_s: float = 3.0) -> int:
     """Return the status of the response to a request on a new connection; 0 if it was closed without one.
 
     Raises:
-        TimeoutError: There was no response in time.
+        TimeoutError: No response arrived in time.
     """
     reader, writer = await connect(relay)
     try:
         writer.write(request)
-        async with asyncio.timeout(seconds):
+        async with asyncio.timeout(timeout_s):
             try:
                 status_line = await reader.readline()
             except ConnectionError:
--- a/tests/platform_relay/journal_hooks.py
+++ b/tests/platform_relay/journal_hooks.py
@@ -1,4 +1,4 @@
-"""Hooks into the journal, to see the state that a kill would leave at any moment."""
+"""Hook into the journal's writes, to observe the state that a kill after each write would leave."""
 
 from __future__ import annotations
 
--- a/tests/platform_relay/relay_testbed.py
+++ b/tests/platform_relay/relay_testbed.py
@@ -1,4 +1,4 @@
-"""The platform emulated on loopback: discovery with its watch and notices, endpoints that follow a script."""
+"""The platform emulated on loopback: discovery with its watch and notices, endpoints with scripted responses."""
 
 from __future__ import annotations
 
@@ -48,7 +48,7 @@
 
 @dataclass(frozen=True)
 class EndpointCall:
-    """A call that an endpoint received; names of `fields` are in lower case."""
+    """A call that an endpoint received; the names in `fields` are in lower case."""
 
     destination: int
     fields: dict[str, str]
@@ -71,19 +71,20 @@
 
 
 class RelayTestbed:
-    """Relays, and the platform around them.
+    """Relays and the emulated platform.
 
     Attributes:
         state_folder: Folder of the next relay's journal.
         settings: Settings of the next relay.
         entries: Entries of discovery's list.
-        scripted_responses: By destination, the responses still to be given; None gives none. Without one left: 200.
+        scripted_responses: The next responses by destination, where None leaves a call without a response. Calls after
+            the last one are answered 200.
         endpoint_calls: Calls that endpoints received.
         endpoint_connections: Number of connections made to endpoints.
         notices: Notices that the platform accepted.
-        notice_statuses: Statuses with which notices are answered; the last one stays.
-        watch_writers: The connection of each watch.
-        stalled_watch_responses: A watch gets the next one of these and no more.
+        notice_statuses: Statuses with which the next posts of notices are answered; the last one is repeated.
+        watch_writers: Writer of each watch's connection, in the order of their requests.
+        stalled_watch_responses: Incomplete responses; each new watch gets the next one and nothing after it.
     """
 
     def __init__(self, state_folder: Path) -> None:
@@ -170,7 +171,7 @@
         self.send_list(self.entries, full=True)
 
     def send_list(self, entries: list[dict[str, Any]], full: bool = False) -> None:
-        """Send a list, or changes of it, to the watch opened last."""
+        """Send a list, or changes of it, to the watch that was opened last."""
         self.list_version += 1
         line = json.dumps({"version": self.list_version, "full": full, "servers": entries}).encode() + b"\n"
         self.watch_writers[-1].write(chunk(line))
@@ -178,7 +179,7 @@
     # -- relays --------------------------------------------------------------------------------------------------
 
     async def start_relay(self, discovery_address: Address | None = None, **limits: Any) -> PlatformRelay:
-        """Start a relay and wait until it is ready; `limits` are those of its process."""
+        """Start a relay and wait until it is ready; `limits` are its resource limits."""
         host, port = discovery_address or await self.start_discovery()
         self.state_folder.parent.mkdir(parents=True, exist_ok=True)
         path = self.state_folder.parent / "config.json"
@@ -201,12 +202,12 @@
         return relay
 
     def stop_relay(self, relay: PlatformRelay) -> None:
-        """Close a relay; the next one gets its folder."""
+        """Close a relay; the next one uses the same state folder."""
         self.relays.remove(relay)
         relay.close()
 
     def kill_relay(self, relay: PlatformRelay, folder: Path) -> None:
-        """End a relay as a kill does: the next one gets its folder as it is now, copied to `folder`."""
+        """Simulate a kill: the next relay uses the state folder as it is now, copied to `folder`."""
         shutil.copytree(self.state_folder, folder)
         self.state_folder = folder
         self.stop_relay(relay)
@@ -220,14 +221,14 @@
             server.close()
 
 
-async def wait_until(condition: Callable[[], object], seconds: float = 5.0) -> None:
+async def wait_until(condition: Callable[[], object], timeout_s: float = 5.0) -> None:
     """Wait until a condition holds.
 
     Raises:
-        TimeoutError: It did not hold in time.
+        TimeoutError: The condition did not hold in time.
     """
-    async with asyncio.timeout(seconds):
-        while not condition():  # noqa: ASYNC110  what is waited for is any state, not an event
+    async with asyncio.timeout(timeout_s):
+        while not condition():  # noqa: ASYNC110  a condition on any state has no event to wait for
             await asyncio.sleep(0.005)
 
 
@@ -236,8 +237,8 @@
     return not relay.accepted and not relay.reporter.pending_notices
 
 
-async def wait_until_idle(relay: PlatformRelay, seconds: float = 5.0) -> None:
-    await wait_until(lambda: is_idle(relay), seconds)
+async def wait_until_idle(relay: PlatformRelay, timeout_s: float = 5.0) -> None:
+    await wait_until(lambda: is_idle(relay), timeout_s)
 
 
 def delivered_ids(testbed: RelayTestbed) -> list[str]:
@@ -249,7 +250,7 @@
 
 
 def run_scenario(folder: Path, scenario: Scenario) -> None:
-    """Run a scenario in a testbed of its own, with one endpoint of destination 1 and its state in `folder`."""
+    """Run a scenario in a new testbed, with one endpoint of destination 1 and its state in `folder`."""
 
     async def run() -> None:
         testbed = RelayTestbed(folder / "journal")
--- a/tests/platform_relay/test_at_most_once.py
+++ b/tests/platform_relay/test_at_most_once.py
@@ -1,7 +1,7 @@
-"""At-most-once delivery at every place where a call can end, judged by what the endpoint received.
+"""At-most-once delivery for each stage at which a call can end, checked by the calls that the endpoint received.
 
-Each scenario is also run with the relay killed after each of its journal's writes, and with a second relay to which
-the client submits when its message was rejected.
+Each scenario is also run with the relay killed after each write of its journal, and with a second relay, to which the
+client submits the message again if it was rejected.
 """
 
 from __future__ import annotations
@@ -76,14 +76,14 @@
             scenario_by_folder[state_folder].record_write()
 
     call_after_each_write(monkeypatch, record_write)
-    # Some twenty relays and their copied folders share one loop here: where that is late by the 0.2 s that a post may
-    # take, a notice is posted again, as it should be, and would count as two results.
+    # Some twenty relays share one event loop here, which also copies their folders. If it is late by 0.2 s, the timeout
+    # of a post, a notice is posted again. This is correct, but would count as two results.
     monkeypatch.setattr(notices, "NOTICE_TIMEOUT_S", 8.0)
     return selected
 
 
 async def run_scenarios(scenarios: list[FaultScenario]) -> list[str]:
-    """Run scenarios, some at a time; return all breaches."""
+    """Run scenarios, at most `CONCURRENT_SCENARIOS` at a time; return all breaches."""
     semaphore = asyncio.Semaphore(CONCURRENT_SCENARIOS)
 
     async def run_one(scenario: FaultScenario) -> list[str]:
@@ -101,11 +101,12 @@
 ) -> None:
     scenarios = make_scenarios(tmp_path, monkeypatch, lambda scenario: scenario.class_name == class_name)
     assert asyncio.run(run_scenarios(scenarios)) == [], "breaches"
-    assert min(len(scenario.snapshots) for scenario in scenarios) >= 3  # accepted, attempted, ended
+    # Each scenario has at least the writes for the accepted message, the start of its attempt and the attempt's end.
+    assert min(len(scenario.snapshots) for scenario in scenarios) >= 3
 
 
 def has_unclear_ending(scenario: FaultScenario) -> bool:
-    """Return whether it is a simple scenario in which a non-idempotent call may have run."""
+    """Return whether a non-idempotent call may have run, on a new connection to an endpoint that is not full."""
     return (
         scenario.class_name == "pay"
         and scenario.connection_use is ConnectionUse.NEW
--- a/tests/platform_relay/test_call_races.py
+++ b/tests/platform_relay/test_call_races.py
@@ -33,16 +33,16 @@
 )
 
 NOTICE_GRACE_S = 0.3
-"""The platform counts a notice that comes so long after the deadline."""
+"""The platform still counts a notice that arrives this long after the deadline."""
 CLOCK_ROUNDING_MS = 1.0
-"""Deadlines are journaled by the wall clock, in tenths of a ms."""
+"""Allowed difference: deadlines are journaled in wall-clock time, rounded to tenths of a ms."""
 
 
 @pytest.mark.parametrize(("class_name", "result"), [("pay", "dead"), ("order", "dead"), ("state", "bounced")])
 def test_message_answered_at_its_deadline_has_one_result(tmp_path: Path, class_name: str, result: str) -> None:
     """The endpoint answers 200 as the deadline passes, and the relay is busy until then.
 
-    The platform may have counted the response or not.
+    The platform may or may not have counted the response.
     """
 
     async def scenario(testbed: RelayTestbed) -> None:
@@ -86,7 +86,7 @@
 
 
 def delay_connects(monkeypatch: pytest.MonkeyPatch, relay: PlatformRelay, delays_s: Iterator[float]) -> None:
-    """Let each connection to an endpoint take so much longer from now on."""
+    """Delay the opening of each further connection to an endpoint, each by the next of `delays_s`."""
     open_connection = relay.endpoint_client.pool._open
 
     async def open_late(*arguments: Any) -> client.ClientConnection:
@@ -99,9 +99,9 @@
 def test_retry_whose_connection_opens_after_the_deduplication_window_is_not_sent(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A fault found in a fleet: the retry was decided inside the window, its connection took a second to open.
+    """Guards against a retry that is decided within the deduplication window but sent after it.
 
-    The listener's queue was full, and the request left outside the window.
+    In a fleet, the connection of a retry took a second to open, because the listener's queue was full.
     """
     settings = json.loads(json.dumps(SETTINGS))
     settings["classes"][0]["window-ms"] = 1200.0
@@ -116,7 +116,7 @@
         delay_connects(monkeypatch, relay, itertools.repeat(1.4))
         await wait_until(lambda: testbed.notices)
         await asyncio.sleep(1.6)
-        assert relay.counts["attempts"] == 2  # the second one ended without a byte
+        assert relay.counts["attempts"] == 2  # the second attempt ended before it sent a byte
         assert delivered_ids(testbed) == ["k"]
         assert testbed.notices == [{"ref": "k", "result": "dead"}]
 
@@ -158,7 +158,7 @@
         assert await request_status(relay, submission("m", "pay")) == 202
         await wait_until(lambda: relay.counts.get("ended_connect_failed"))
         monkeypatch.setattr(client.ClientConnection, "connection_made", connection_made)
-        await wait_until_idle(relay)  # that end proves no effect: the message is sent once
+        await wait_until_idle(relay)  # a failed connect proves that there was no effect, so the message is retried
         assert delivered_ids(testbed) == ["m"]
         assert not testbed.notices
         await wait_until(lambda: len(relay.endpoint_client.pool.connections) == relay.endpoint_client.pool.idle_count)
@@ -179,8 +179,9 @@
         verdicts: list[AttemptVerdict] = []
         (peer_writer,) = testbed.writers - set(testbed.watch_writers)
         with monkeypatch.context() as patch:
-            patch.setattr(client.ClientConnection, "has_unread_input", False)  # the check came before the close
-            peer_writer.get_extra_info("socket").shutdown(socket.SHUT_RDWR)  # which is in our kernel, and not read
+            patch.setattr(client.ClientConnection, "has_unread_input", False)  # as if checked before the close
+            # The relay's kernel has received the close, but the relay has not read it yet.
+            peer_writer.get_extra_info("socket").shutdown(socket.SHUT_RDWR)
             relay.endpoint_client.send(
                 address,
                 [("X-Correlation-Id", "m")],
@@ -207,7 +208,7 @@
         await wait_until_idle(relay)
         assert len(pool.connections) == 1
         assert not pool.idle_count
-        assert await request_status(relay, submission("n", "pay")) == 202  # on a connection of its own
+        assert await request_status(relay, submission("n", "pay")) == 202  # on a new connection
         await wait_until_idle(relay)
         await wait_until(lambda: len(pool.connections) == pool.idle_count == 1)
         assert delivered_ids(testbed) == ["m", "n"]
--- a/tests/platform_relay/test_client_connections.py
+++ b/tests/platform_relay/test_client_connections.py
@@ -52,7 +52,7 @@
     run_scenario(tmp_path, scenario)
 
 
-def test_idle_client_connections_stay_below_the_clients_third_of_descriptors(tmp_path: Path) -> None:
+def test_client_connections_use_at_most_a_third_of_the_descriptors_and_close_when_idle(tmp_path: Path) -> None:
     async def scenario(testbed: RelayTestbed) -> None:
         testbed.settings = with_limits(open_cap=200)  # so that no message is rejected for lack of capacity
         relay = await testbed.start_relay(sockets=120)
@@ -63,7 +63,7 @@
             assert b" 202 " in await reader.readline()
             writers.append(writer)
             assert len(relay.frontend.server.connections) <= 40
-        await asyncio.sleep(2.5)  # none of them stays open for good
+        await asyncio.sleep(2.5)  # longer than the idle timeout of 2 s
         assert not relay.frontend.server.connections
         for writer in writers:
             writer.close()
@@ -159,7 +159,7 @@
 
 
 def test_message_whose_client_closes_as_it_is_acknowledged_has_one_result(tmp_path: Path) -> None:
-    """The close has arrived and is not read as the 202 is written: the message is accepted."""
+    """The client's close has arrived but is not read yet when the 202 is written: the message is accepted."""
 
     async def scenario(testbed: RelayTestbed) -> None:
         relay = await testbed.start_relay()
@@ -169,7 +169,7 @@
 
         def submit_and_close(request: server.RequestContext, submitted: Submission) -> None:
             on_submission(request, submitted)
-            writer.close()  # arrives before the turn that answers
+            writer.close()  # arrives before the engine's turn, at whose end the request is answered
 
         relay.frontend.on_submission = submit_and_close
         writer.write(submission("m", "pay"))
@@ -202,7 +202,7 @@
 
 
 def test_small_writes_are_sent_without_delay(tmp_path: Path) -> None:
-    """Closing a connection with unread bytes resets it, and the kernel drops what it has not sent yet."""
+    """A delayed write could be lost: closing a connection with unread bytes resets it, and unsent bytes are dropped."""
 
     async def scenario(testbed: RelayTestbed) -> None:
         relay = await testbed.start_relay()
--- a/tests/platform_relay/test_delivery.py
+++ b/tests/platform_relay/test_delivery.py
@@ -60,7 +60,7 @@
         testbed.scripted_responses[1] = [response]
         assert await request_status(relay, submission("a", "pay")) == 202
         await wait_until(lambda: not relay.accepted, 1.0)
-        for submission_id in ("b", "c"):  # the next messages get responses of their own
+        for submission_id in ("b", "c"):  # the rest of the first response is not taken for a response to these
             testbed.scripted_responses[1] = [too_many_requests(retry_after_s=0.05), OK_RESPONSE]
             assert await request_status(relay, submission(submission_id, "pay")) == 202
             await wait_until(lambda: not relay.accepted)
@@ -97,7 +97,7 @@
 
 
 def test_destination_that_accepts_batches_gets_no_more_calls_than_max_in_flight(tmp_path: Path) -> None:
-    """The messages of a batch were sent as calls of their own: more than max_in_flight, which the platform rejects."""
+    """Guards against sending a batch as one call per message: more than max_in_flight, which the platform rejects."""
 
     async def scenario(testbed: RelayTestbed) -> None:
         testbed.settings = SETTINGS | {"extra": {"call-slots": 2, "per-call": [10]}, "weight-kind": "silent"}
--- a/tests/platform_relay/test_disk_faults.py
+++ b/tests/platform_relay/test_disk_faults.py
@@ -1,4 +1,4 @@
-"""A disk that takes no more: nothing is accepted without its record, and no result is lost."""
+"""Failed journal writes: no message is accepted without its record, and no result is lost."""
 
 from __future__ import annotations
 
@@ -32,10 +32,10 @@
     run_scenario(tmp_path, scenario)
 
 
-def test_result_whose_write_failed_is_known_to_the_next_process(
+def test_result_whose_write_failed_is_recovered_by_the_next_process(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A message whose rejection was notified is not sent any more: its client has submitted it again."""
+    """A message whose rejection was notified must not be sent again, as its client may have submitted it again."""
     write = os.write
     failed_writes: list[bytes] = []
 
--- a/tests/platform_relay/test_journal.py
+++ b/tests/platform_relay/test_journal.py
@@ -48,8 +48,8 @@
     return encode_accepted(JournaledMessage(message_id, FIELDS, body))
 
 
-def started_record(message_id: int, at_ms: float, zone: int, endpoint_name: str) -> bytes:
-    return encode_attempt_started(message_id, JournaledAttempt(at_ms, zone, endpoint_name))
+def started_record(message_id: int, started_at_ms: float, zone: int, endpoint_name: str) -> bytes:
+    return encode_attempt_started(message_id, JournaledAttempt(started_at_ms, zone, endpoint_name))
 
 
 def ended_record(message_id: int, *, may_have_effect: bool) -> bytes:
@@ -141,7 +141,7 @@
 
 
 def disk_use(folder: Path) -> int:
-    """Return the bytes of all files of a folder, each in whole blocks."""
+    """Return the disk space of all files in a folder, each rounded up to whole blocks."""
     sizes = [path.stat().st_size for path in folder.iterdir()]
     return sum(-(-size // BLOCK_BYTES) * BLOCK_BYTES for size in sizes)
 
@@ -154,7 +154,7 @@
     disk_uses: list[int] = []
     rename = os.rename
 
-    def measure_and_rename(*paths: Any) -> None:  # a rewrite: both files are there
+    def measure_and_rename(*paths: Any) -> None:  # called during a rewrite, when both files exist
         disk_uses.append(disk_use(tmp_path))
         rename(*paths)
 
--- a/tests/platform_relay/test_notices.py
+++ b/tests/platform_relay/test_notices.py
@@ -1,4 +1,4 @@
-"""Notices of results: repeated until the platform accepts them, and in time."""
+"""Notices of results: posted until the platform accepts them, and in time."""
 
 from __future__ import annotations
 
--- a/tests/platform_relay/test_old_state.py
+++ b/tests/platform_relay/test_old_state.py
@@ -1,4 +1,4 @@
-"""State of an earlier version: this one recovers it, and writes records that the earlier one reads."""
+"""State of an earlier version: this version recovers it, and writes records that the earlier version reads."""
 
 from __future__ import annotations
 
@@ -103,7 +103,7 @@
 
 async def prepare_platform(testbed: RelayTestbed, tmp_path: Path, folder: str) -> None:
     """Set up the platform as it was at the kill, and the state folder for the next relay."""
-    for destination in DESTINATIONS[1:]:  # each testbed has an endpoint of the first one
+    for destination in DESTINATIONS[1:]:  # each testbed already has an endpoint of the first destination
         await testbed.add_endpoint(destination)
     testbed.settings = KILL["settings"]
     testbed.state_folder = tmp_path / folder
@@ -126,7 +126,7 @@
         await wait_until_idle(relay)
         assert sorted(delivered_ids(testbed)) == DELIVERED_ONCE
         notices = sorted((notice["ref"], notice["result"]) for notice in testbed.notices)
-        # The attempt that was in flight may have run, and this class may not be retried.
+        # The attempt of open-pay was in flight at the kill: it may have run, and the class may not be retried.
         assert notices == sorted([*PENDING_AT_KILL.items(), ("open-pay", "dead")])
 
     run_scenario(tmp_path, scenario)
--- a/tests/platform_relay/test_ordered_messages.py
+++ b/tests/platform_relay/test_ordered_messages.py
@@ -1,4 +1,4 @@
-"""Classes whose messages are delivered in order, by the key in their path."""
+"""Classes whose messages are delivered in order, by the ordering key in the request's path."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def test_messages_with_the_same_key_are_sent_one_at_a_time(tmp_path: Path) -> None:
-    """Each submission of such a class was answered 404, so that none of them was served."""
+    """Guards against answering every submission of an ordered class 404."""
 
     async def scenario(testbed: RelayTestbed) -> None:
         relay = await testbed.start_relay()
@@ -37,7 +37,7 @@
 
 
 def test_next_message_is_sent_only_after_the_platform_accepted_the_notice_of_the_previous_one(tmp_path: Path) -> None:
-    """Both came out of one turn of the engine, and the call overtook the notice."""
+    """Guards against a call that overtakes the notice if both result from one turn of the engine."""
 
     async def scenario(testbed: RelayTestbed) -> None:
         discovery_address = await testbed.start_discovery()
--- a/tests/platform_relay/test_process.py
+++ b/tests/platform_relay/test_process.py
@@ -1,4 +1,4 @@
-"""The relay as a process: one clear error for a bad configuration, signals, kill and restart."""
+"""The relay as a process: errors for a bad configuration, limits, signals, kill and restart."""
 
 from __future__ import annotations
 
--- a/tests/platform_relay/test_recovery.py
+++ b/tests/platform_relay/test_recovery.py
@@ -1,4 +1,4 @@
-"""Recovery: accepted messages after a kill or a restart, whatever has changed meanwhile."""
+"""Recovery: accepted messages after a kill or a restart, also with other settings, endpoints or another clock."""
 
 from __future__ import annotations
 
@@ -233,7 +233,7 @@
         await wait_until_idle(second)
         assert len(set(delivered_ids(testbed))) == MESSAGE_COUNT
         assert not testbed.notices
-        assert second.journal.size <= second.journal.compaction_bytes  # rewritten as soon as there was room
+        assert second.journal.size <= second.journal.compaction_bytes  # rewritten once the disk had space again
 
     run_scenario(tmp_path, scenario)
 
--- a/tests/platform_relay/test_relay_settings.py
+++ b/tests/platform_relay/test_relay_settings.py
@@ -1,4 +1,4 @@
-"""Relays with other settings: two customers in one process share nothing, and any valid settings work."""
+"""Relays with other settings: two customers in one process share no state, and any valid settings work."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 def customer_settings(name: str, effects: list[str]) -> dict[str, Any]:
-    """Return settings that share no name and no order with another customer's."""
+    """Return settings whose names, and order of classes, differ from those of another customer."""
     classes = [
         {"name": f"{name}-{effect}", "effect": effect, "aim-ms": 1000.0, "deadline-ms": 4000.0, "window-ms": 900.0}
         for effect in effects
@@ -36,13 +36,13 @@
 def container_ids(engine: object) -> set[int]:
     """Return the identities of all dicts, lists and sets of an engine and of its parts."""
     found: set[int] = set()
-    parts, known = [engine], {id(engine)}
+    parts, visited = [engine], {id(engine)}
     while parts:
         for value in vars(parts.pop()).values():
             if isinstance(value, (dict, list, set)):
                 found.add(id(value))
-            elif is_engine_part(value) and id(value) not in known:
-                known.add(id(value))
+            elif is_engine_part(value) and id(value) not in visited:
+                visited.add(id(value))
                 parts.append(value)
     return found
 
@@ -51,7 +51,7 @@
     return type(value).__module__.startswith("linnetstile.engine") and hasattr(value, "__dict__")
 
 
-def test_two_relays_of_two_customers_in_one_process_share_nothing(tmp_path: Path) -> None:
+def test_two_relays_of_two_customers_in_one_process_share_no_state(tmp_path: Path) -> None:
     async def scenario(testbed: RelayTestbed) -> None:
         discovery_address = await testbed.start_discovery()
         customers = {"a": ["once", "by_key", "repeatable"], "b": ["repeatable", "once", "by_key"]}
@@ -136,7 +136,7 @@
 
 
 @pytest.mark.parametrize("seed", range(12))
-def test_any_valid_settings_start_accept_deliver_and_restart(tmp_path: Path, seed: int) -> None:
+def test_relay_starts_accepts_delivers_and_restarts_with_any_valid_settings(tmp_path: Path, seed: int) -> None:
     settings = generate_settings(random.Random(seed))
     class_names = [message_class["name"] for message_class in settings["classes"]]
     account = settings["orgs"][0]["name"] if "orgs" in settings else "anyone"
--- a/tests/platform_relay/test_shutdown.py
+++ b/tests/platform_relay/test_shutdown.py
@@ -1,4 +1,4 @@
-"""Graceful shutdown: what is served until when, and which requests still get their response."""
+"""Graceful shutdown: which requests are accepted, rejected and answered in each phase."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 def test_client_whose_connection_was_closed_as_it_wrote_is_answered_on_a_new_one(tmp_path: Path) -> None:
-    """It may submit once more on a new connection, for which the relay was not listening any more."""
+    """Guards against a relay that no longer listens when such a client submits again on a new connection."""
 
     async def scenario(testbed: RelayTestbed) -> None:
         relay = await testbed.start_relay()
