--- a/linnetstile/platform_relay/accepted.py
+++ b/linnetstile/platform_relay/accepted.py
@@ -14,7 +14,7 @@
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """The attempt of a message that is in flight.
+    """An attempt in flight.
 
     Attributes:
         number: Number of the attempt, from 0.
--- a/linnetstile/platform_relay/process.py
+++ b/linnetstile/platform_relay/process.py
@@ -57,16 +57,16 @@
             log_events.STATS,
             cpu=round(cpu_s - self._last_cpu_s, 2),
             late_ms=round(delay_s * 1000, 1),
-            **self._load(),
+            **self._current_state(),
             memory_mb=resource.getrusage(resource.RUSAGE_SELF).ru_maxrss // KIB_PER_MIB,
-            since=self._increase(counts),
-            **self._parts(),
+            since=self._increases(counts),
+            **self._counts_by_part(),
         )
         self._last_cpu_s = cpu_s
         self._last_counts = counts
         self._schedule()
 
-    def _load(self) -> dict[str, int]:
+    def _current_state(self) -> dict[str, int]:
         """Return the current numbers of messages, attempts, connections and ejected routes, and the journal's size."""
         relay = self._relay
         routes = [route for routes in relay.engine.routes.values() for route in routes.values()]
@@ -82,12 +82,12 @@
             "journal": relay.journal.size,
         }
 
-    def _increase(self, counts: dict[str, int]) -> dict[str, int]:
+    def _increases(self, counts: dict[str, int]) -> dict[str, int]:
         """Return the increase of each counter since the last report; counters without an increase are left out."""
         last = self._last_counts
         return {name: count - last.get(name, 0) for name, count in counts.items() if count != last.get(name, 0)}
 
-    def _parts(self) -> dict[str, dict[str, int]]:
+    def _counts_by_part(self) -> dict[str, dict[str, int]]:
         """Return the counters that the parts of the relay maintain."""
         relay = self._relay
         return {
--- a/linnetstile/platform_relay/recovery.py
+++ b/linnetstile/platform_relay/recovery.py
@@ -16,7 +16,7 @@
 from .results import ResultReporter
 from .submission import SubmissionReader
 
-GRACE_CHECKS = 10  # how often it is checked within `DISCOVERY_GRACE_S` whether `LONG_LIST_GRACE_S` applies
+GRACE_CHECKS = 10  # number of checks within `DISCOVERY_GRACE_S` whether `LONG_LIST_GRACE_S` applies
 
 
 async def wait_for_first_list(watch: Watch) -> bool:
