--- a/linnetstile/engine/gossip.py
+++ b/linnetstile/engine/gossip.py
@@ -1,21 +1,24 @@
-"""What a relay that has just started adopts from other relays by gossip, and how far it trusts them.
+"""Merges the claims that a relay receives by gossip after its start, and rejects those that are not credible.
 
 No I/O and no clock: claims have ages instead of times.
 
-A claim is what one relay knows of one route (a destination, or one endpoint of it where routes are separate). It is
-trusted by its age and by agreement; docs/design/knowledge.md argues the figures:
-
-- Evidence of health loses half its weight each `HEALTH_HALF_LIFE_MS`, latency, which changes slowly, each
-  `LATENCY_HALF_LIFE_MS`; below `MIN_EVIDENCE_WEIGHT` a claim is stale.
-- Outages, slow starts and Retry-After are cautions: one credible peer is enough, unless `CLEARANCE_QUORUM` others with
-  later evidence contradict it.
-- The opposite is never adopted: that a route answers other relays only cancels a caution. The first own answer counts.
-- A Retry-After is binding if this relay received it (its own snapshot); received by another it is a caution.
-- A relay that learns of an outage uses the smallest part of the slow-start budget, that of one of all relays: it can't
-  know how many others learned of it, and all of them together have to stay within the budget.
-- What this relay has observed itself since it started always wins: only routes without own evidence are merged.
-- A peer that claims outages of more than `DISTRUST_THRESHOLD` of what it knows, contradicted by others who know these
-  routes too, is distrusted as a whole: one that lies, or whose own network is at fault, must not stop a fleet.
+A claim is what one relay knows of one route (a destination, or one endpoint of it where routes are separate). How far
+it is trusted depends on its age and on the claims of others. docs/design/knowledge.md explains the figures:
+
+- Evidence of health loses half of its weight every `HEALTH_HALF_LIFE_MS`. Latency changes slowly, so its evidence
+  loses half of its weight every `LATENCY_HALF_LIFE_MS`. A claim with less weight than `MIN_EVIDENCE_WEIGHT` is stale.
+- Outages, slow starts and Retry-After are cautions: one credible peer is enough to adopt one, unless
+  `CLEARANCE_QUORUM` others with later evidence contradict it.
+- Health is never adopted: a claim that a route answers another relay can only cancel a caution. Only an answer to this
+  relay shows that the route is healthy.
+- A Retry-After that this relay received itself, and has read back from its snapshot, is binding. One that another relay
+  received is a caution.
+- A relay that learns of an outage uses the smallest part of the slow-start budget, its share among all relays: it can't
+  know how many others learned of the outage, and all of them together have to stay within the budget.
+- What this relay has observed since it started takes precedence: claims are merged only for routes of which it has no
+  evidence of its own.
+- A peer that claims outages of more than `DISTRUST_THRESHOLD` of the routes that it knows is distrusted as a whole if
+  other peers contradict most of these claims: a peer that lies, or whose own network is faulty, must not stop a fleet.
 """
 
 from __future__ import annotations
@@ -48,23 +51,23 @@
     "merge_connection_limits",
 ]
 
-CLEARANCE_QUORUM = 2  # so many sources with an answer since then outweigh one that claims an outage
+CLEARANCE_QUORUM = 2  # sources with a later answer that outweigh one that claims an outage
 DISTRUST_THRESHOLD = 0.5  # fraction of a peer's routes with claimed outages above which it may be distrusted
 MIN_OUTAGES_TO_DISTRUST = 2  # a peer that claims a single outage is not distrusted as a whole
-MAX_OUTAGE_MS = 3_600_000.0  # the age of an outage counts up to an hour
+MAX_OUTAGE_MS = 3_600_000.0  # upper bound of the age of an outage: an hour
 MAX_RETRY_AFTER_MS = 60_000.0  # a Retry-After that another relay received binds for at most a minute
 MIN_LATENCY_ANSWERS = 3  # a latency from fewer answers is not adopted
-MERGED_LATENCY_ANSWERS = 3  # answers that a merged latency counts as: own ones soon outweigh it
-MIN_DEVIATION_FRACTION = 0.25  # least deviation of a merged latency, as a fraction of its mean
+MERGED_LATENCY_ANSWERS = 3  # answers that a merged latency counts as: few, so that own answers soon outweigh it
+MIN_DEVIATION_FRACTION = 0.25  # lower bound of the deviation of a merged latency, as a fraction of its mean
 
-# Reasons of rejected claims, as operators see them.
+# Reasons for rejecting a claim, as shown to operators.
 OWN_OBSERVATION_WINS = "own observation wins"
 UNKNOWN_ROUTE = "no such partner or route now"
-IMPLAUSIBLE = "ages or figures that can't be"
+IMPLAUSIBLE = "implausible ages or figures"
 OTHER_ENDPOINTS = "learned from endpoints that are not its own now"
 STALE_OUTAGE = "says out, too long ago"
-DISTRUSTED_SOURCE = "says most are out, others say not"
-CONTRADICTED_OUTAGE = "says out, others have had answers since"
+DISTRUSTED_SOURCE = "claims outages of most of its routes, which other peers contradict"
+CONTRADICTED_OUTAGE = "claims an outage, but others have had answers since"
 
 
 @dataclass(frozen=True, slots=True)
@@ -76,12 +79,12 @@
         route: An endpoint's id where routes are separate, else -1.
         outage_age_ms: Age of the outage; None without one.
         slow_start_age_ms: Time since the route returned from an outage; None if it did not.
-        retry_after_ms: What is left of a Retry-After.
+        retry_after_ms: Remaining time of a Retry-After.
         latency_mean_ms: Mean latency; 0 if none is adopted.
         latency_deviation_ms: Deviation of the latency.
-        answers: How many answers the latency counts as.
+        answers: Number of answers that the latency counts as.
         aware_relays: Relays that may know of the outage.
-        rate: Requests a second to which rejections throttle the route; 0 if they do not.
+        rate: Requests a second to which rejections throttle the route; 0 if it is not throttled.
         sources: Names of the sources with claims of this route, for operators.
         age_ms: Age of the youngest evidence.
     """
@@ -106,8 +109,8 @@
 
     Attributes:
         source: Name of its source.
-        partner: The partner that it is about.
-        reason: Why, for operators.
+        partner: The partner that the claim is about.
+        reason: Why it was not adopted, for operators.
     """
 
     source: str
@@ -123,7 +126,7 @@
 
 
 class MergedLatency(NamedTuple):
-    """Latency (ms) that is adopted, and how many answers it counts as; all 0 if there is none."""
+    """Latency (ms) to adopt, and the number of answers that it counts as; all 0 if there is none."""
 
     mean_ms: float
     deviation_ms: float
@@ -282,7 +285,7 @@
 
 
 def _merge_retry_after(claims: list[AttributedClaim]) -> float:
-    """Return the longest Retry-After (ms); one that another relay received counts up to a bound."""
+    """Return the longest Retry-After (ms); one that another relay received is bounded."""
     longest = 0.0
     for source, claim in claims:
         retry_after_ms = claim.retry_after_ms if source.own else min(claim.retry_after_ms, MAX_RETRY_AFTER_MS)
@@ -295,7 +298,7 @@
 
 
 def merge_latency(claims: list[AttributedClaim]) -> MergedLatency:
-    """Return the weighted median of the claimed latencies: one that is wrong, however far, moves it by one place."""
+    """Return the weighted median of the claimed latencies: one that is wrong, by any amount, shifts it by one place."""
     latencies = sorted(
         _WeightedLatency(claim.latency_mean_ms, claim.latency_deviation_ms, claim.latency_weight)
         for _, claim in claims
@@ -314,13 +317,13 @@
 
 
 def merge_connection_limits(peers: list[dict[str, float]]) -> dict[str, float]:
-    """Merge how often answers of each destination kind followed a missed connection.
+    """Merge the fractions of answers that followed a failed connect, by kind of destination.
 
     Args:
         peers: For each peer, the fraction of such answers by the name of the kind.
 
     Returns:
-        By kind, the lower median of the peers with a possible fraction for it.
+        By kind, the lower median of the valid fractions (0 to 1) of the peers.
     """
     kinds = {kind for peer in peers for kind in peer}
     return {
@@ -329,5 +332,5 @@
 
 
 def lower_median(values: list[float]) -> float:
-    """Return the lower median, 0 without values: among three, one that is wrong, however far, decides nothing."""
+    """Return the lower median, or 0 without values. One wrong value among three, however far off, decides nothing."""
     return sorted(values)[(len(values) - 1) // 2] if values else 0.0
--- a/linnetstile/engine/gossip_export.py
+++ b/linnetstile/engine/gossip_export.py
@@ -17,7 +17,7 @@
     """The routes of a relay, by name of the destination and route id.
 
     Attributes:
-        endpoints: The endpoints of each route, also of destinations that are not in use.
+        endpoints: The endpoints of each route, including those of destinations that are not in use.
         observed: Routes that this relay has evidence of itself.
     """
 
@@ -32,9 +32,9 @@
 def export_route(
     engine: DeliveryEngine, now: float, partner: str, route_id: int, route: RouteState, endpoint_ids: tuple[int, ...]
 ) -> RouteClaim | None:
-    """Return a claim of own evidence, None without any.
+    """Return a claim of what this relay has observed of a route; None if it has observed nothing.
 
-    What was learned from others is not passed on: relays would pass it to each other long after its cause has ended.
+    What was learned from others is not passed on: relays would repeat it to each other long after its cause has ended.
     """
     health = route.health
     has_own_evidence = health.last_success_at != NEVER or health.failed_at != NEVER or route.retry_after_until > now
@@ -84,7 +84,7 @@
 
 
 def export_claims(engine: DeliveryEngine, now: float, names: Mapping[int, str]) -> list[RouteClaim]:
-    """Return all claims of a relay, of destinations in use and evicted.
+    """Return all claims of a relay, for destinations in use and for evicted ones.
 
     Args:
         engine: The relay's engine.
--- a/linnetstile/engine/gossip_import.py
+++ b/linnetstile/engine/gossip_import.py
@@ -45,7 +45,7 @@
                 route.health.notified_relays += 1
 
     def apply(self, now: float, event: GossipReceived, actions: list[Action]) -> None:
-        """Adopt what is known of each route that exists."""
+        """Adopt the received facts of each route that exists; facts of other routes are ignored."""
         for limit in event.connection_limited:
             self.connections.adopt_limited(limit)
         for facts in event.facts:
--- a/linnetstile/engine/membership.py
+++ b/linnetstile/engine/membership.py
@@ -1,11 +1,12 @@
 """Membership of the fleet: the other relays that are known, which of them to poll for gossip, and when.
 
-Peers come from the settings and from what other peers advertise. A peer that answers is alive; one that does not is
-suspected, and has left after some failures. What peers advertise never removes a peer and never makes one alive.
+Peers come from the settings and from what other peers advertise. A peer that answers is alive. One that does not is
+suspected, and counts as having left after `MAX_FAILURES` failures in a row. An advertisement only adds peers: it never
+removes one or makes one alive.
 
-Polls are rare: a relay that has just started polls up to `BOOTSTRAP_PEERS` peers, one at a time and with jitter, so
-that a restart of a whole fleet causes no burst of polls; then one peer in each `POLL_INTERVAL_MS`. An empty answer (all
-peers have just started) is an answer.
+Polls are rare. A relay that has just started polls up to `BOOTSTRAP_PEERS` peers, one at a time and with jitter, so
+that a restart of a whole fleet causes no burst of polls. From then on it polls one peer every `POLL_INTERVAL_MS`. An
+empty answer counts as an answer: when all peers have just started, none of them knows anything yet.
 
 No I/O and no clock: times (ms) come in.
 """
@@ -19,22 +20,22 @@
 from .time_points import NEVER
 
 BOOTSTRAP_PEERS = 3  # peers that a relay polls first: if one is wrong, the two others outvote it
-FIRST_POLL_JITTER_MS = 500.0  # the first poll is at a random time within: 300 relays make one every 2 ms
-BOOTSTRAP_GAP_MS = 150.0  # least time between the first polls
-POLL_INTERVAL_MS = 10_000.0  # least time between later polls, which ask for changes only
-MAX_INTERVAL_JITTER = 1.5  # the time between polls is longer by a random factor up to this
-MAX_FAILURES = 3  # unanswered polls in a row after which a peer has left
-FIRST_BACKOFF_MS = 2_000.0  # before a suspected peer is polled again; doubles with each failure
+FIRST_POLL_JITTER_MS = 500.0  # the first poll comes at a random time within this: 300 relays then make one every 2 ms
+BOOTSTRAP_GAP_MS = 150.0  # minimum time between the first polls
+POLL_INTERVAL_MS = 10_000.0  # minimum time between later polls, which request changes only
+MAX_INTERVAL_JITTER = 1.5  # the time between polls is multiplied by a random factor from 1 up to this
+MAX_FAILURES = 3  # unanswered polls in a row after which a peer counts as having left
+FIRST_BACKOFF_MS = 2_000.0  # time before a suspected peer is polled again; doubles with each failure
 MAX_BACKOFF_MS = 60_000.0
-MIN_BACKOFF_JITTER = 0.5  # a backoff is shortened by a random factor, down to this
-MAX_PEERS = 1_000  # known peers
+MIN_BACKOFF_JITTER = 0.5  # a backoff is multiplied by a random factor from this up to 1
+MAX_PEERS = 1_000  # upper bound of known peers
 MAX_PEERS_PER_ANSWER = 32  # advertised peers that are read from one answer
 
 
 class PeerStatus(Enum):
     """What is known of a peer."""
 
-    UNKNOWN = "unknown"  # named by settings or by a peer, and not polled yet
+    UNKNOWN = "unknown"  # from the settings or advertised by a peer, and not polled yet
     ALIVE = "alive"
     SUSPECTED = "suspected"
     LEFT = "left"
@@ -45,13 +46,13 @@
     """Another relay.
 
     Attributes:
-        address: Where it is polled.
+        address: Address at which it is polled.
         configured: Whether it is in the settings, so that it is never forgotten.
         status: What is known of it.
         failures: Unanswered polls in a row.
         last_answer_at: Time (ms) of its last answer.
         next_poll_at: Time (ms) before which it is not polled.
-        incarnation: Identifier of its process. A new one means that it has restarted and knows nothing.
+        incarnation: Identifier of its process. A new one means that the peer has restarted and knows nothing yet.
     """
 
     address: str
@@ -84,15 +85,15 @@
 class Membership:
     """The peers of a relay and the schedule of its polls.
 
-    `next_peer` returns the peer to poll now, if any; `poll_answered` or `poll_failed` has to report how the poll ended
-    before there is another one.
+    `next_peer` returns the peer to poll now, if any. `poll_answered` or `poll_failed` has to report how the poll ended
+    before `next_peer` returns another peer.
 
     Attributes:
         own_address: Address of this relay, which is never a peer.
         rng: Source of all jitter.
         peers: All known peers by address.
         polling: Address of the peer that is being polled.
-        answers: How many polls have been answered.
+        answers: Number of polls that have been answered.
         next_poll_at: Time (ms) before which no peer is polled.
     """
 
@@ -146,10 +147,10 @@
             now_ms: Present time (ms).
             address: The peer.
             incarnation: Identifier of the process that answered.
-            advertised: Addresses of the peers that it has had answers from.
+            advertised: Addresses of the peers that have answered this peer.
 
         Returns:
-            Whether the peer has restarted since its last answer, so that what it said before no longer counts.
+            Whether the peer has restarted since its last answer, so that its earlier answers no longer count.
         """
         peer = self.peers[address]
         has_restarted = bool(peer.incarnation) and peer.incarnation != incarnation
@@ -161,7 +162,7 @@
         return has_restarted
 
     def poll_failed(self, now_ms: float, address: str) -> None:
-        """Record that a peer gave no answer, or none that can be read."""
+        """Record that a peer gave no answer, or an unreadable one."""
         peer = self.peers[address]
         peer.record_failure()
         backoff_ms = min(MAX_BACKOFF_MS, FIRST_BACKOFF_MS * 2 ** (peer.failures - 1))
--- a/tests/engine/test_gossip.py
+++ b/tests/engine/test_gossip.py
@@ -103,8 +103,8 @@
     [
         (RouteClaim("p", -1, (99,), failure_age_ms=1, outage_age_ms=1), "not its own"),
         (RouteClaim("q", -1, (11,), failure_age_ms=1, outage_age_ms=1), "no such partner"),
-        (RouteClaim("p", -1, (11,), failure_age_ms=float("nan"), outage_age_ms=1), "can't be"),
-        (RouteClaim("p", -1, (11,), failure_age_ms=-5, outage_age_ms=1), "can't be"),
+        (RouteClaim("p", -1, (11,), failure_age_ms=float("nan"), outage_age_ms=1), "implausible"),
+        (RouteClaim("p", -1, (11,), failure_age_ms=-5, outage_age_ms=1), "implausible"),
     ],
     ids=["unknown endpoint", "unknown partner", "age is no number", "negative age"],
 )
