--- a/linnetstile/engine/deduplication.py
+++ b/linnetstile/engine/deduplication.py
@@ -1,10 +1,10 @@
-"""Deduplication of submissions: what a repeated submission of a client is, and which answer it gets.
+"""Deduplication of submissions: recognizes repeats, and decides which answer they get.
 
 A submission is identified by its sender and Message-ID (RFC 4130, 7.2: unique to the sender). While the message is
-open a repeat waits for the same final answer. After a final answer other than a rejection (delivered, failed) a repeat
-gets the stored answer again. After a rejection it is a new submission, as a rejection says that a retry is harmless.
-The same identifier with other content is a conflict: two messages under one key would let a destination drop one as a
-repeat.
+open, a repeat waits for the same final answer. After a final answer other than a rejection (delivered, failed), a
+repeat gets the stored answer again. After a rejection it is a new submission, as a rejection says that a retry is
+harmless. The same identifier with other content is a conflict: of two messages under one key, a destination could drop
+one as a repeat of the other.
 """
 
 from __future__ import annotations
@@ -20,12 +20,12 @@
 
 
 class SubmissionStatus(Enum):
-    """What a submission is in view of earlier ones."""
+    """How a submission relates to earlier ones."""
 
     NEW = "new"
     OPEN = "open"  # a repeat of a message without a final answer
     ANSWERED = "answered"  # a repeat of a message with a final answer
-    CONFLICT = "conflict"  # the identifier of another message
+    CONFLICT = "conflict"  # the identifier of an earlier message with other content
 
 
 class SubmissionKey(NamedTuple):
@@ -59,8 +59,8 @@
     submission: KnownSubmission[T, A] | None
 
 
-class AnswerStore(Generic[A]):
-    """Bounds the bytes of complete answers: the oldest ones are shortened first.
+class CompleteAnswerSizes(Generic[A]):
+    """Sizes of the complete answers against a limit, above which the oldest ones are to be shortened first.
 
     Invariant: `total_bytes` is the sum of `sizes`, the sizes of the answers that are still complete.
     """
@@ -95,13 +95,13 @@
     """The submissions that are open, and those answered within the retention time.
 
     Open submissions are never forgotten. Answered ones are forgotten after `retention_ms`, or earlier, the oldest
-    first, where there are more than `max_answers`. The retention has to cover the longest deduplication window and a
-    client's patience, as what is forgotten counts as new.
+    first, where there are more than `max_answers`. The retention has to cover the longest deduplication window and
+    the time for which a client repeats a submission, as a forgotten submission counts as new.
 
     Attributes:
         known: All known submissions.
         answered: Keys of the answered ones, the oldest answer first.
-        evicted_count: Answers that were forgotten before their time because there were too many.
+        evicted_count: Answers that were forgotten within the retention time because there were too many.
         shortened_count: Answers that were shortened because they had too many bytes.
     """
 
@@ -117,22 +117,25 @@
 
         Args:
             retention_ms: Time (ms) for which an answer is kept.
-            max_answers: Most answers that are kept.
-            max_answer_bytes: Most bytes of complete answers; beyond them the oldest are shortened.
-            size: Gives the bytes of an answer.
-            shorten: Gives the short form of an answer, which is not counted.
+            max_answers: Maximum number of answers that are kept.
+            max_answer_bytes: Maximum bytes of complete answers; above it the oldest ones are shortened.
+            size: Returns the bytes of an answer.
+            shorten: Returns the short form of an answer, whose bytes are not counted.
         """
         self.retention_ms = retention_ms
         self.max_answers = max_answers
         self.shorten = shorten
-        self.complete_answers = AnswerStore(max_answer_bytes, size)
+        self.complete_answers = CompleteAnswerSizes(max_answer_bytes, size)
         self.shortened_count = 0
         self.known: dict[SubmissionKey, KnownSubmission[T, A]] = {}
         self.answered: OrderedDict[SubmissionKey, None] = OrderedDict()
         self.evicted_count = 0
 
     def lookup(self, now_ms: float, sender: str, message_id: str, digest: bytes) -> SubmissionLookup[T, A]:
-        """Return what a submission is; `start` has to follow at once where it is NEW and gets accepted."""
+        """Return how a submission relates to earlier ones.
+
+        For a NEW one that is accepted, `start` has to follow at once.
+        """
         self._forget_expired(now_ms)
         submission = self.known.get(SubmissionKey(sender, message_id))
         if submission is None:
@@ -150,14 +153,14 @@
         self.known[key] = KnownSubmission(digest, message)
 
     def forget_rejected(self, sender: str, message_id: str) -> None:
-        """Forget a submission that was rejected after all, so that it may come again."""
+        """Forget a submission that was rejected after `start`, so that the client may submit it again."""
         del self.known[SubmissionKey(sender, message_id)]
 
     def complete(self, now_ms: float, sender: str, message_id: str, answer: A) -> None:
         """Record the final answer of an open submission, which repeats will get."""
         key = SubmissionKey(sender, message_id)
         submission = self.known[key]
-        assert submission.message is not None, "a second final answer"
+        assert submission.message is not None, "a submission got a second final answer"
         submission.message = None
         submission.answer = answer
         submission.expires_at = now_ms + self.retention_ms
@@ -166,7 +169,7 @@
         self._shorten_oldest()
 
     def _shorten_oldest(self) -> None:
-        # Too many bytes never make the table forget an answer early: only its body is dropped.
+        # An answer is never forgotten early because of too many bytes: only its body is dropped.
         while (key := self.complete_answers.pop_over_limit()) is not None:
             submission = self.known[key]
             if submission.answer is not None:
--- a/linnetstile/engine/fair_share.py
+++ b/linnetstile/engine/fair_share.py
@@ -1,10 +1,10 @@
-"""Who may reserve how much of one bounded capacity: weighted max-min fair shares in trees, with borrowing.
+"""Admission to a bounded capacity by weighted max-min fair shares in trees, with borrowing.
 
 A reservation (bytes and one message) counts at one leaf of each tree: by its source and by its destination. A
-claimant below its fair share is admitted while there is any capacity. Above it, the claimant borrows: only while a part
-of the capacity stays free for claimants below their fair share, and only while none of those waits. There is no
+claimant below its fair share is admitted while any capacity is free. A claimant above it borrows, which is allowed only
+while a part of the capacity stays free for claimants below their fair share and none of those waits. There is no
 preemption: borrowed capacity is available again when it is released, and first to claimants below their fair share.
-docs/design/slow-peers.md weighs the rules.
+docs/design/slow-peers.md gives the reasons for the rules.
 
 No I/O and no clock: times (ms) come in.
 """
@@ -34,15 +34,14 @@
 
 # Fractions of the capacity.
 BORROWING_LIMIT = 0.75  # claimants may borrow up to this use; the rest is for those below their fair share
-OVERSIZED_FRACTION = 0.5  # a message above it is oversized: one at a time may borrow all but the reserve
-RESERVE_FRACTION = 1 / 16  # the last part, which only small messages may use
-SMALL_FRACTION = 1 / 1024  # a message up to it is small
+OVERSIZED_FRACTION = 0.5  # a larger message is oversized: one of them at a time may borrow all but the reserve
+RESERVE_FRACTION = 1 / 16  # the reserve: the last part, which only small messages may use
+SMALL_FRACTION = 1 / 1024  # a message up to this size is small
 RELEASE_DECAY_MS = 5000.0  # time constant of the estimate of how fast capacity is released
 MIN_RELEASE_RATE = 1e-9  # bytes a ms; keeps the division by the rate finite
 MIN_RETRY_AFTER_MS = 1000.0
-# These two bound the time of one call under attack.
-MAX_LEAVES_VISITED = 256  # leaves that one `grant_waiting` visits
-MAX_UNDERSERVED_CHECKED = 16  # waiting requests that one update checks for being below their fair share
+MAX_LEAVES_VISITED = 256  # leaves that one `grant_waiting` visits, which bounds its time under attack
+MAX_UNDERSERVED_CHECKED = 16  # waiting requests that one update compares with their shares, to bound its time likewise
 
 DEFAULT_WEIGHT = 1.0
 SOURCE_TREE = "from"
@@ -57,15 +56,15 @@
 
 
 class AdmissionDecision(Enum):
-    """What becomes of a request."""
+    """Decision on a request for capacity."""
 
     GRANTED = "yes"
     QUEUED = "wait"
-    TOO_LARGE = "never"  # more than the whole capacity
+    TOO_LARGE = "never"  # more than the whole capacity without the reserve
 
 
 class AdmissionResult(NamedTuple):
-    """Answer to a request: the decision, and the reservation, which holds unless the request was too large."""
+    """Answer to a request: the decision, and the reservation, which is valid unless the request was too large."""
 
     decision: AdmissionDecision
     reservation: Reservation
@@ -86,7 +85,7 @@
 
 
 class ReleaseRate:
-    """Estimates how fast capacity is released, from released bytes that decay exponentially."""
+    """Estimates how fast capacity is released, from an exponentially decaying sum of released bytes."""
 
     def __init__(self) -> None:
         self._released_bytes = 0.0
@@ -109,14 +108,14 @@
     """Admission to a bounded capacity of bytes and messages.
 
     Attributes:
-        capacity: The capacity.
-        trees: Root of each tree by name, the one by which requests queue first.
+        capacity: Bytes and messages that may be reserved in total.
+        trees: Root of each tree by name; requests queue by the first one.
         used: Bytes and messages that are reserved.
-        rotation: The requests that wait.
-        underserved: How many of the first waiting requests are below their fair share; while there are any, nobody
-            may borrow.
+        rotation: The waiting requests.
+        underserved: How many of the first waiting requests are from claimants below their fair share; while there are
+            any, no claimant may borrow.
         oversized: The one reservation above `OVERSIZED_FRACTION`, if there is one.
-        counts: How many requests ended how, by label of the metric.
+        counts: Number of requests with each result, by label of the metric.
     """
 
     def __init__(self, capacity: tuple[float, float], trees: tuple[str, ...] = (SOURCE_TREE, DESTINATION_TREE)) -> None:
@@ -145,7 +144,7 @@
     # -- the trees ---------------------------------------------------------------------------------------
 
     def set_weight(self, tree: str, name: str, weight: float) -> None:
-        """Set the weight of a first-level node, from now on."""
+        """Set the weight of a first-level node, whether it exists already or is created later."""
         self._weights[tree][name] = weight
         node = self.trees[tree].children.get(name)
         if node is not None:
@@ -192,8 +191,8 @@
             paths: Names from the first level to the leaf, in each tree.
             size: Bytes.
             wait_ms: How long (ms) the request may wait.
-            token: What `grant_waiting` returns where the decision is QUEUED.
-            messages: Messages that the reservation counts for.
+            token: Handle that `grant_waiting` returns when a QUEUED request is granted or has expired.
+            messages: Messages that the reservation counts as.
 
         Returns:
             The decision and the reservation, which has to be released unless the decision is TOO_LARGE.
@@ -209,7 +208,7 @@
         decision = self.extend(now_ms, reservation, size, wait_ms, token, messages)
         if decision is AdmissionDecision.TOO_LARGE:
             reservation.released = True
-            self._leave(leaves)
+            self._remove_from_leaves(leaves)
         return AdmissionResult(decision, reservation)
 
     def extend(
@@ -221,7 +220,7 @@
         token: object,
         messages: int = 0,
     ) -> AdmissionDecision:
-        """Request more capacity for a message whose length was not known; the arguments are those of `request`."""
+        """Request more capacity for a message of unknown length; the arguments are those of `request`."""
         assert not reservation.released, "capacity requested for a reservation that was released"
         amount = ResourceAmount(float(size), float(messages))
         if reservation.amount[BYTES] + size > (1 - RESERVE_FRACTION) * self.capacity.bytes:
@@ -259,7 +258,7 @@
         return (1.0 if is_small else 1 - RESERVE_FRACTION) * self.capacity.bytes
 
     def _has_slack(self, amount: ResourceAmount) -> bool:
-        """Whether anyone may borrow the amount, if no request waits: the most common case, and the fast path."""
+        """Whether any claimant may borrow the amount if no request waits: the fast path, for the most common case."""
         return self._is_within(BORROWING_LIMIT, amount)
 
     def _is_within(self, fraction: float, amount: ResourceAmount) -> bool:
@@ -274,11 +273,11 @@
     def _borrowing_limit(self, reservation: Reservation, size: float) -> float:
         """Return the fraction of the capacity up to which this reservation may borrow.
 
-        One oversized message at a time may borrow all of it, as it could never be admitted beside others otherwise.
+        One oversized message at a time may borrow all of it: otherwise it could never be admitted beside others.
         """
         is_oversized = size > OVERSIZED_FRACTION * self.capacity.bytes
-        is_only_one = self.oversized is None or self.oversized is reservation
-        return 1.0 if is_oversized and is_only_one else BORROWING_LIMIT
+        is_only_oversized = self.oversized is None or self.oversized is reservation
+        return 1.0 if is_oversized and is_only_oversized else BORROWING_LIMIT
 
     def _borrows(self, reservation: Reservation, amount: ResourceAmount) -> bool:
         """Whether the amount would put one of the claimants above its fair share."""
@@ -309,7 +308,7 @@
                 usage[MESSAGES] += messages
 
     def release(self, now_ms: float, reservation: Reservation) -> None:
-        """Release a reservation, granted or still waiting; once for each of them."""
+        """Release a reservation that was granted or still waits. Each one is released exactly once."""
         assert not reservation.released, "a reservation was released twice"
         reservation.released = True
         size = reservation.amount[BYTES]
@@ -320,11 +319,11 @@
         self._add_usage(reservation, -size, -messages)
         if self.rotation.discard(reservation):
             self._count_underserved()
-        self._leave(reservation.leaves)
+        self._remove_from_leaves(reservation.leaves)
 
     @staticmethod
-    def _leave(leaves: tuple[ShareNode, ...]) -> None:
-        """Remove a reservation from its leaves, and the leaves that are idle then."""
+    def _remove_from_leaves(leaves: tuple[ShareNode, ...]) -> None:
+        """Remove a reservation from its leaves, and remove the leaves that become idle by this."""
         for leaf in leaves:
             leaf.reservations -= 1
             leaf.remove_if_idle()
@@ -369,21 +368,21 @@
         return self.rotation.next_expiry()
 
     def retry_after_ms(self, now_ms: float, size: float, max_ms: float) -> float:
-        """Return when (ms from now) there may be capacity for more bytes, by how fast it was released lately.
+        """Estimate the time (ms) until there is capacity for more bytes, from the recent release rate.
 
         Args:
             now_ms: Present time (ms).
             size: Bytes requested.
-            max_ms: Longest time to return, though never below `MIN_RETRY_AFTER_MS`.
+            max_ms: Upper bound of the result; `MIN_RETRY_AFTER_MS` takes precedence if it is larger.
         """
         expected_ms = size / self._release_rate.bytes_per_ms(now_ms)
         return min(max(MIN_RETRY_AFTER_MS, expected_ms), max(MIN_RETRY_AFTER_MS, max_ms))
 
     def verify_invariants(self) -> None:
-        """Assert that the trees add up; for tests and for a relay that checks itself."""
+        """Assert that the sums of the trees agree; for tests and for the self-check of a relay."""
         for root in self.trees.values():
             root.verify_invariants()
-            assert abs(root.used[BYTES] - self.used[BYTES]) < 1e-3, "a tree lost a reservation"
+            assert abs(root.used[BYTES] - self.used[BYTES]) < 1e-3, "the use of a tree differs from the total use"
         for _, node in self.nodes():
             node.verify_invariants()
-        assert self.used[BYTES] <= self.capacity[BYTES] + 1e-3, "more reserved than there is capacity"
+        assert self.used[BYTES] <= self.capacity[BYTES] + 1e-3, "more bytes are reserved than the capacity has"
--- a/linnetstile/engine/request_rotation.py
+++ b/linnetstile/engine/request_rotation.py
@@ -10,10 +10,10 @@
 
 
 class RequestRotation:
-    """Serves the claimants round-robin: one with a thousand requests is served no more often than one with one.
+    """Serves the claimants round-robin: one with a thousand requests is served no more often than one with only one.
 
-    A request waits in the queue of its reservation's first leaf. Invariant between calls of `take_leaf` and
-    `return_leaf`: the rotation has each leaf with a queue once and no other.
+    A request waits in the queue of its reservation's first leaf. Invariant, except between `take_leaf` and
+    `return_leaf`: the rotation contains each leaf with a queue once, and no other leaf.
     """
 
     def __init__(self) -> None:
@@ -41,7 +41,7 @@
         return request
 
     def discard(self, reservation: Reservation) -> bool:
-        """Remove all requests of a reservation; whether there were any."""
+        """Remove all requests of a reservation, and return whether there were any."""
         leaf = reservation.leaves[0]
         if not leaf.queue:
             return False
@@ -57,7 +57,7 @@
         return True
 
     def take_leaf(self) -> ShareNode:
-        """Remove the next leaf from the rotation, until `return_leaf`."""
+        """Remove the next leaf from the rotation and return it; `return_leaf` puts it back."""
         return self._leaves.popleft()
 
     def return_leaf(self, leaf: ShareNode) -> None:
@@ -72,5 +72,5 @@
                 yield leaf.queue[0]
 
     def next_expiry(self) -> float | None:
-        """Return the time (ms) at which the first of the oldest requests expires; None without requests."""
+        """Return the earliest expiry time (ms) among the oldest requests of all leaves; None without requests."""
         return min((leaf.queue[0].expires_at for leaf in self._leaves if leaf.queue), default=None)
--- a/linnetstile/engine/share_tree.py
+++ b/linnetstile/engine/share_tree.py
@@ -2,7 +2,7 @@
 
 A tree divides the capacity by one criterion, for example by tenant, then client, then sender. Each node is one
 claimant. A reservation uses one leaf of each tree, and its amount counts at that leaf and at all nodes above it. Nodes
-exist only while something is reserved below them, so that names from peers take no memory for long.
+exist only while something is reserved below them, so that names from peers do not accumulate in memory.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-# Indexes of an amount, which is a mutable pair where it is a running sum.
+# Indexes of an amount: a `ResourceAmount`, or a list of two where it is a running sum.
 BYTES = 0
 MESSAGES = 1
 RESOURCES = (BYTES, MESSAGES)
@@ -38,7 +38,7 @@
         weight: Weight among the children of the parent.
         used: Bytes and messages in use.
         waiting: Requests below this node that wait.
-        reservations: Reservations on this leaf that were not released.
+        reservations: Reservations on this leaf that have not been released.
         active_weight: Sum of the weights of the children.
         children: The nodes below by name.
         queue: Requests of this leaf that wait, the oldest first.
@@ -75,7 +75,7 @@
 
     def add_child(self, name: str, weight: float) -> ShareNode:
         """Create a node below this one."""
-        assert name not in self.children, f"{self.path()} has a child {name} already"
+        assert name not in self.children, f"{self.path()} already has a child {name}"
         child = ShareNode(name, self, weight)
         self.children[name] = child
         self.active_weight += weight
@@ -123,9 +123,13 @@
         if self.children:
             for resource in RESOURCES:
                 below = sum(child.used[resource] for child in self.children.values())
-                assert abs(below - self.used[resource]) < 1e-3, f"{self.path()}: {below} is not {self.used}"
+                assert abs(below - self.used[resource]) < 1e-3, (
+                    f"{self.path()}: children use {below}, expected {self.used}"
+                )
             weight = sum(child.weight for child in self.children.values())
-            assert abs(weight - self.active_weight) < 1e-6, f"weight below {self.path()}"
+            assert abs(weight - self.active_weight) < 1e-6, (
+                f"{self.path()}: the weights of the children do not add up to its active weight"
+            )
         assert self.used[BYTES] > -1e-3, f"{self.path()}: negative use"
         assert self.waiting >= 0, f"{self.path()}: negative count of waiting requests"
         assert self.parent is None or not self.is_idle, f"{self.path()}: an idle node was not removed"
@@ -154,7 +158,7 @@
         reservation: The reservation that the amount is for.
         amount: Bytes and messages requested.
         expires_at: Time (ms) at which the request is dropped.
-        token: The caller's own handle of the request.
+        token: The caller's handle of the request.
     """
 
     reservation: Reservation
