--- a/linnetstile/engine/slow_partners.py
+++ b/linnetstile/engine/slow_partners.py
@@ -1,6 +1,6 @@
-"""Which partners occupy in-flight slots for unusually long.
+"""Detects partners that occupy in-flight slots for unusually long.
 
-No I/O and no clock: times (ms) come in as arguments. docs/design/slow-peers.md weighs the rules.
+No I/O and no clock: times (ms) come in as arguments. docs/design/slow-peers.md gives the reasons for the rules.
 """
 
 from __future__ import annotations
@@ -9,13 +9,13 @@
 from dataclasses import dataclass, field
 
 # A partner becomes slow above `ENTRY_FACTOR` times the median slot time and recovers below `EXIT_FACTOR` times it.
-# Between the two nothing changes: this hysteresis keeps a partner that stalls now and then from flapping.
+# Between the two its state is kept: this hysteresis keeps a partner that stalls now and then from flapping.
 ENTRY_FACTOR = 4.0
 EXIT_FACTOR = 2.0
 MIN_SLOW_MS = 400.0  # a partner with a shorter slot time is never slow, whatever the median is
 MIN_ATTEMPTS = 3.0  # attempts before a partner is judged
 SLOT_TIME_GAIN = 0.2  # weight of one attempt in the moving mean of the slot time
-MIN_STATE_MS = 5000.0  # least time in the slow state, and time of quick attempts before a partner has recovered
+MIN_STATE_MS = 5000.0  # minimum time in the slow state, and below the exit bound before a partner has recovered
 SLOW_PARTNER_WEIGHT = 0.25  # weight of a slow partner in the fair shares
 
 
@@ -75,7 +75,7 @@
 
     Entry condition of the slow state: at least `MIN_ATTEMPTS` attempts and a slot time above `ENTRY_FACTOR` times the
     median. Exit condition: a slot time below `EXIT_FACTOR` times the median for `MIN_STATE_MS`. As the mean changes
-    only with attempts that end, a partner recovers by quick attempts and never by silence alone.
+    only with attempts that end, a partner recovers by quick attempts and never just because it has no attempts.
     """
 
     def __init__(self) -> None:
@@ -137,7 +137,7 @@
         partner.slow_since = now_ms
         partner.recovered_since = None
         partner.times_slow += 1
-        partner.reason = f"{slot_ms:.0f} ms of slot time an attempt, {median:.0f} ms is usual"
+        partner.reason = f"slot time of {slot_ms:.0f} ms an attempt, median of {median:.0f} ms"
         return True
 
     @staticmethod
@@ -155,5 +155,5 @@
         if now_ms - quick_since < MIN_STATE_MS:
             return False
         partner.slow_since = None
-        partner.reason = f"{slot_ms:.0f} ms of slot time an attempt for {MIN_STATE_MS / 1000:.0f} s"
+        partner.reason = f"slot time of {slot_ms:.0f} ms an attempt for {MIN_STATE_MS / 1000:.0f} s"
         return True
--- a/tests/engine/test_attempt_outcome.py
+++ b/tests/engine/test_attempt_outcome.py
@@ -1,4 +1,4 @@
-"""What the end of an attempt proves: its outcome, whether it is final, and its Retry-After."""
+"""How an ended attempt is judged: its outcome, whether its answer is final, and its Retry-After."""
 
 from __future__ import annotations
 
@@ -25,14 +25,14 @@
     return AttemptObservation(WireResult.ANSWERED, status=status, receipt=receipt, request_complete=request_complete)
 
 
-RECEIPT_ROWS = [
+PARTNER_CASES = [
     (AttemptObservation(WireResult.NOT_SENT), Outcome.NOT_SENT, False),
     (AttemptObservation(WireResult.NO_CONNECTION), Outcome.CONNECT_FAILED, False),
     (AttemptObservation(WireResult.CONNECTION_LOST), Outcome.RESET, False),
     (AttemptObservation(WireResult.TIMED_OUT), Outcome.TIMEOUT, False),
     (AttemptObservation(WireResult.MALFORMED), Outcome.RESET, False),
     (AttemptObservation(WireResult.CANCELLED), Outcome.CANCELLED, False),
-    (AttemptObservation(WireResult.REQUEST_INCOMPLETE), Outcome.CONNECT_FAILED, False),  # nothing can have run
+    (AttemptObservation(WireResult.REQUEST_INCOMPLETE), Outcome.CONNECT_FAILED, False),  # no effect is possible
     (answered(500, request_complete=False), Outcome.CONNECT_FAILED, False),
     *((answered(status), Outcome.REJECTED, False) for status in (429, 503)),
     *(
@@ -51,8 +51,8 @@
 ]
 
 
-@pytest.mark.parametrize(("observation", "outcome", "is_final"), RECEIPT_ROWS)
-def test_observation_has_the_outcome_of_its_row(
+@pytest.mark.parametrize(("observation", "outcome", "is_final"), PARTNER_CASES)
+def test_attempt_at_a_partner_has_the_expected_outcome(
     observation: AttemptObservation, outcome: Outcome, is_final: bool
 ) -> None:
     verdict = judge_attempt(observation)
@@ -80,12 +80,12 @@
     assert verdict.retry_after_ms == 0 or verdict.outcome is Outcome.REJECTED
 
 
-ENDPOINT_ROWS = [
+ENDPOINT_CASES = [
     (AttemptObservation(WireResult.ANSWERED, 200), 0, False, Outcome.OK, True),
     (AttemptObservation(WireResult.MALFORMED), 200, False, Outcome.OK, True),
     (AttemptObservation(WireResult.TIMED_OUT), 200, False, Outcome.OK, True),
     (AttemptObservation(WireResult.CONNECTION_LOST), 200, False, Outcome.OK, True),
-    # The platform may not count a late 200: a final notice is still due.
+    # The platform may not count a 200 after the deadline: a final notice is still due.
     (AttemptObservation(WireResult.ANSWERED, 200, after_deadline=True), 200, False, Outcome.TIMEOUT, False),
     (AttemptObservation(WireResult.TIMED_OUT, after_deadline=True), 200, False, Outcome.TIMEOUT, False),
     (AttemptObservation(WireResult.ANSWERED, 503, after_deadline=True), 0, False, Outcome.REJECTED, False),
@@ -100,8 +100,8 @@
 ]
 
 
-@pytest.mark.parametrize(("observation", "claimed_status", "slots_exhausted", "outcome", "is_final"), ENDPOINT_ROWS)
-def test_observation_at_a_platform_endpoint_has_the_outcome_of_its_row(
+@pytest.mark.parametrize(("observation", "claimed_status", "slots_exhausted", "outcome", "is_final"), ENDPOINT_CASES)
+def test_attempt_at_a_platform_endpoint_has_the_expected_outcome(
     observation: AttemptObservation, claimed_status: int, slots_exhausted: bool, outcome: Outcome, is_final: bool
 ) -> None:
     verdict = judge_endpoint_attempt(observation, claimed_status, slots_exhausted)
--- a/tests/engine/test_slow_partners.py
+++ b/tests/engine/test_slow_partners.py
@@ -1,4 +1,4 @@
-"""Detection of slow partners: by their slot time against that of the others, and their recovery."""
+"""Detection of slow partners, whose slot time is compared with that of the others, and their recovery."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
     run_attempts(detector, 1000.0, "slow", 3000.0)
     assert [partner.name for partner in detector.update(1000.0)] == ["slow"]
     assert not detector.update(60_000.0)
-    assert detector.partners["slow"].slow_since is not None  # silence proves nothing
+    assert detector.partners["slow"].slow_since is not None  # without attempts there is no evidence of recovery
     run_attempts(detector, 60_000.0, "slow", 100.0, 20)
     assert not detector.update(60_000.0)
     assert not detector.update(60_000.0 + MIN_STATE_MS - 1)
@@ -47,7 +47,10 @@
 
 
 def test_partner_between_the_bounds_does_not_flap(detector: SlowPartnerDetector) -> None:
-    """900 ms of stall a second: some attempts quick, some slow, the mean between the exit and the entry bound."""
+    """A partner that stalls for 900 ms of each second does not change its state with each attempt.
+
+    Some of its attempts are quick and some slow, and their mean is between the exit and the entry bound.
+    """
     run_quick_partners(detector, 0.0, 150.0)
     changes = 0
     for second in range(1, 120):
