--- a/linnetstile/engine/connection_eviction.py
+++ b/linnetstile/engine/connection_eviction.py
@@ -1,4 +1,4 @@
-"""Which connections a full listener closes to admit new ones."""
+"""Chooses the connections that a full listener closes to admit new ones."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 
     Attributes:
         host: Host of the client.
-        had_request: Whether a request on it was ever complete.
+        had_request: Whether it ever had a complete request.
         just_opened: Whether it was accepted a moment ago, so that its bytes may not have been read yet.
         rate: Bytes received a second since it was opened.
         since: Time since which it has been in its present state.
-        token: The caller's own handle of the connection.
+        token: The caller's handle of the connection.
     """
 
     host: str
@@ -36,15 +36,16 @@
 ) -> list[IdleConnection[T]]:
     """Choose the connections that make room for new ones.
 
-    The order of eviction: connections that never had a complete request before those that had one, of these the ones
-    opened just now last, then those of the host with most connections, those that received least, and the oldest. So
-    half-open and trickling connections make room for each other. Neither a client's idle keep-alive connections nor
-    its upload have to, nor a new connection that a busy relay has not read from yet.
+    Connections that never had a complete request are evicted before those that had one. Within each of these groups,
+    connections opened a moment ago come last. Otherwise the order is: those of the host with the most connections,
+    those with the lowest receive rate, and the oldest ones first. So half-open and trickling connections make room for
+    each other, rather than a client's idle keep-alive connections, its upload, or a new connection that a busy relay
+    has not read from yet.
 
     Args:
         hosts: Number of open connections of each host.
         connections: The candidates.
-        max_evicted: How many connections to choose at most.
+        max_evicted: Maximum number of connections to choose.
 
     Returns:
         The chosen connections, the first one to evict last.
--- a/linnetstile/engine/graceful_shutdown.py
+++ b/linnetstile/engine/graceful_shutdown.py
@@ -4,7 +4,7 @@
 exit has no benefit. The next process recovers pending messages; only attempts in flight have an unclear outcome.
 
 The relay may close an idle connection just as its next request arrives. The client then submits again on a new
-connection, so the relay goes on listening, and rejects, for some time after it has closed the idle ones.
+connection, so the relay still listens, and rejects messages, for some time after it has closed the idle connections.
 
 No I/O and no clock: the time since SIGTERM comes in.
 """
@@ -13,17 +13,18 @@
 
 from dataclasses import dataclass
 
-EXIT_MS = 3550.0  # from SIGTERM to the exit, with the journal closed: before the platform kills the process
-# Time before the exit from which no message is admitted: clients use other relays, and each request read is answered.
+EXIT_MS = 3550.0  # from SIGTERM to the exit, with the journal closed, before the platform kills the process
+# Time before the exit from which no message is admitted: clients use other relays, and requests that were read are
+# answered.
 STOP_ADMITTING_MS = 300.0
 # Time before the exit from which no connection is accepted, and requests that are incomplete are rejected.
 STOP_ACCEPTING_MS = 100.0
-UNREAD_GRACE_MS = 50.0  # the exit is delayed for so long if bytes have arrived that were not read yet
+UNREAD_GRACE_MS = 50.0  # delay of the exit if bytes have arrived that were not read yet
 
 
 @dataclass(frozen=True, slots=True)
 class ShutdownPhase:
-    """What the relay does at one time of its shutdown.
+    """What the relay does at a given time of its shutdown.
 
     Attributes:
         admits: Messages are admitted. If not, they are rejected, and connections are closed as they become idle.
--- a/linnetstile/engine/minimum_rate.py
+++ b/linnetstile/engine/minimum_rate.py
@@ -12,17 +12,17 @@
 
 @dataclass(slots=True)
 class MinimumRateMeter:
-    """Decide when a connection has been below its minimum rate for too long.
+    """Decides when a connection has been below its minimum rate for too long.
 
-    The meter is a leaky bucket of patience. Each ms that passes uses up one ms, and each `rate` bytes that move give
-    one second back. A peer at exactly the minimum rate lasts forever, a peer that stops lasts `grace_ms`, and a peer
-    that runs ahead saves nothing up beyond that.
+    The meter is a leaky bucket of the time that a connection lags behind its minimum rate. Each ms that passes adds one
+    ms, and each `rate` bytes that are transferred subtract one second. A connection at exactly the minimum rate is
+    never too slow, one that stalls is too slow after `grace_ms`, and one that is faster gains no credit beyond that.
 
     Attributes:
         rate: Minimum rate in bytes a second; 0 disables the meter.
-        grace_ms: Patience (ms) that a connection may use up before it is too slow.
-        patience_used_ms: Patience used up so far, never below 0.
-        last_tick_at: Time (ms) of the last tick. None while the clock is paused: this side has to act next, or nothing
+        grace_ms: Lag (ms) above which a connection is too slow.
+        patience_used_ms: Present lag (ms), never below 0.
+        last_tick_at: Time (ms) of the last tick. None while the clock is paused: this side has to act next, or no data
             is due.
     """
 
@@ -32,14 +32,14 @@
     last_tick_at: float | None = None
 
     def tick(self, now_ms: float, moved_bytes: int) -> bool:
-        """Account for the bytes that moved since the last tick.
+        """Account for the time and the bytes since the last tick.
 
         Args:
             now_ms: Present time (ms).
-            moved_bytes: Bytes that moved since the last tick.
+            moved_bytes: Bytes transferred since the last tick.
 
         Returns:
-            Whether the patience is used up, so that the connection should be closed.
+            Whether the lag is above `grace_ms`, so that the connection should be closed.
         """
         if self.rate <= 0:
             return False
@@ -50,6 +50,6 @@
         return self.patience_used_ms > self.grace_ms
 
     def pause(self) -> None:
-        """Stop the clock until the next tick and restore full patience, as another message begins."""
+        """Stop the clock until the next tick and reset the lag, as another message begins."""
         self.patience_used_ms = 0.0
         self.last_tick_at = None
--- a/linnetstile/engine/receipt_retry.py
+++ b/linnetstile/engine/receipt_retry.py
@@ -1,4 +1,4 @@
-"""How often, and when, a final answer is posted to a client's receipt address (RFC 4130, 7.1)."""
+"""Retry schedule for posting a final answer to a client's receipt address (RFC 4130, 7.1)."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 def next_attempt_ms(attempts: int, delivered: bool) -> float | None:
     """Return the backoff before the next post of a receipt.
 
-    A receipt may be posted twice: the client recognizes a repeat by its Original-Message-ID, and the bytes are the
-    same each time.
+    A receipt may be posted more than once: the client recognizes a repeat by its Original-Message-ID, and the bytes
+    are the same each time.
 
     Args:
         attempts: Posts made so far, at least 1.
--- a/linnetstile/engine/resource_limits.py
+++ b/linnetstile/engine/resource_limits.py
@@ -16,29 +16,30 @@
 
 
 # Timeouts of clients' connections, in s.
-REQUEST_TIMEOUT_S = 1.5  # a request is complete by then or gets an error: the platform asks for one within 3 s
-CLIENT_IDLE_TIMEOUT_S = 2.0  # a connection without a request is kept for so long: the platform allows to close it then
+REQUEST_TIMEOUT_S = 1.5  # a request that is incomplete by then gets an error, which the platform requires within 3 s
+CLIENT_IDLE_TIMEOUT_S = 2.0  # a connection without a request is kept this long, as the platform allows closing it then
 
 # Waits for discovery and for the platform, in s.
-DISCOVERY_GRACE_S = 1.0  # a start waits so long for discovery's list before it uses the cached one
-# While a long list is being read a start waits so long: endpoints that were not read yet would be rejected as unlisted.
-# The platform wants nine of ten restarted relays ready within 10 s, and a process takes some 2 s before and after this.
+DISCOVERY_GRACE_S = 1.0  # wait of a starting relay for discovery's list before it uses the cached one
+# Wait of a starting relay while a long list is being read: endpoints that were not read yet would be rejected as
+# unlisted. The platform requires nine of ten restarted relays to be ready within 10 s, and a process takes some 2 s
+# before and after this wait.
 LONG_LIST_GRACE_S = 6.0
 # Timeout of one post of notices. The platform answers at once, and a notice sent at the very deadline of its message
-# has 0.3 s to arrive: a connection that leads nowhere has to leave time for another one.
+# has 0.3 s to arrive: a connection that is not answered has to leave time for another one.
 NOTICE_TIMEOUT_S = 0.2
-WATCH_CONNECT_TIMEOUT_S = 1.0  # to open the connection of a watch: its peer is on this machine
+WATCH_CONNECT_TIMEOUT_S = 1.0  # for opening the connection of a watch, whose peer is on this machine
 WATCH_BACKOFF_MS = BackoffRange(first_ms=50.0, max_ms=1000.0)  # before a watch is opened again
 NOTICE_BACKOFF_MS = BackoffRange(first_ms=20.0, max_ms=500.0)  # before notices are posted again
 
 # Bounds of memory, disk and input.
-MAX_ENDED_IDS = 20_000  # identifiers of ended messages that are remembered, so that a repeat is no new message
-# Destinations without an endpoint that are remembered: messages for one of them stay pending until their deadline.
+MAX_ENDED_IDS = 20_000  # ended messages whose identifiers are kept, so that a repeat does not count as new
+# Destinations without an endpoint that are kept: messages for one of them stay pending until their deadline.
 MAX_UNLISTED_DESTINATIONS = 20_000
-JOURNAL_OVERHEAD_BYTES = 320  # of a pending message in the journal besides its body: fields and attempts
+JOURNAL_OVERHEAD_BYTES = 320  # size in the journal of a pending message without its body: fields and attempts
 MAX_BODY_BYTES = 64 * 1024  # the platform's bound on a body
-MAX_HEAD_BYTES = 16 * 1024  # of the head of a request
-MAX_DEADLINE_MULTIPLE = 4.0  # remaining time beyond so many deadlines of its class is an error of the client
+MAX_HEAD_BYTES = 16 * 1024  # bound on the head of a request
+MAX_DEADLINE_MULTIPLE = 4.0  # a remaining time above this multiple of its class's deadline is a client error
 
 # Division of the descriptors and of the disk.
 MIN_CLIENT_CONNECTIONS = 8
@@ -48,16 +49,16 @@
 IDLE_DESCRIPTOR_DIVISOR = 4
 MESSAGE_DISK_DIVISOR = 4
 COMPACTION_DISK_DIVISOR = 2
-MAX_BACKOFF_DOUBLINGS = 16  # bounds the power; every backoff reaches its maximum earlier
+MAX_BACKOFF_DOUBLINGS = 16  # bounds the exponent; every backoff reaches its maximum earlier
 
 
 class SubmissionIds:
     """Identifiers of submissions that were accepted: all open ones and the latest that have ended.
 
     Attributes:
-        max_ended: How many ended ones are remembered.
-        open: Identifiers of messages without an end.
-        ended: Identifiers of ended messages, the oldest end first.
+        max_ended: Maximum number of ended ones that are kept.
+        open: Identifiers of messages that have not ended.
+        ended: Identifiers of ended messages, the one that ended first at the front.
     """
 
     def __init__(self, max_ended: int = MAX_ENDED_IDS) -> None:
@@ -73,7 +74,7 @@
         self.open.add(message_id)
 
     def complete(self, message_id: str) -> None:
-        """Record that a message has ended, and forget the oldest end beyond the limit."""
+        """Record that a message has ended; above the limit, forget the one that ended first."""
         self.open.discard(message_id)
         self.ended[message_id] = None
         if len(self.ended) > self.max_ended:
@@ -88,7 +89,7 @@
         max_client_connections: Open connections of clients.
         max_idle_connections: Idle connections to endpoints that are kept.
         max_message_bytes: Bytes of pending messages in the journal; more are rejected.
-        compaction_bytes: Size of the journal from which on it is compacted.
+        compaction_bytes: Size of the journal at which it is compacted.
     """
 
     max_client_connections: int
@@ -101,8 +102,8 @@
     """Divide the descriptors and the disk.
 
     A quarter of the descriptors is for clients and a quarter for idle connections to endpoints. The platform gives
-    clients a third for requests, with keep-alive connections counted: where a relay keeps more of them open, clients
-    that want to submit find none left. The journal and its compacted version fit on the disk together.
+    clients a third for requests, including idle keep-alive connections: if a relay kept more of these open, clients
+    could not open connections to submit messages. The journal and its compacted version fit on the disk together.
 
     Args:
         sockets: Descriptors that the relay may open.
--- a/linnetstile/engine/routing.py
+++ b/linnetstile/engine/routing.py
@@ -1,4 +1,4 @@
-"""Which class, tenant and partner a message belongs to: the first rule that matches, or none."""
+"""Routing rules: the first rule that matches a message gives its class and its tenant."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
         sender: Pattern of the AS2-From name, case-sensitive.
         receiver: Pattern of the AS2-To name, case-sensitive.
         subject: Pattern of the subject, case-sensitive.
-        content_type: Pattern of the content type, not case-sensitive.
+        content_type: Pattern of the content type, case-insensitive.
     """
 
     class_index: int
@@ -58,7 +58,7 @@
 
 
 class Router:
-    """Find the rule of a message; the rules are tried in their order."""
+    """Finds the rule of a message. The rules are tried in the order in which they are given."""
 
     def __init__(self, rules: tuple[Rule, ...]) -> None:
         self._rules = [_CompiledRule.compile(rule) for rule in rules]
@@ -66,7 +66,7 @@
     def match(self, sender: str, receiver: str, subject: str, content_type: str) -> Rule | None:
         """Return the first rule whose four patterns match.
 
-        None has to become a rejection, so that the client hears of it.
+        The caller has to reject a message without a rule (None), so that the client is informed.
         """
         for compiled in self._rules:
             if compiled.matches(sender, receiver, subject, content_type):
--- a/linnetstile/engine/watch_policy.py
+++ b/linnetstile/engine/watch_policy.py
@@ -1,48 +1,49 @@
-"""Which endpoint lists of discovery are accepted, what a watch requests, and how long it may be silent.
+"""Rules of a watch: which lists of discovery are accepted, what it requests, and how long it may be silent.
 
 No I/O and no clock: times (s) come in.
 
-A change counts as notified 6 s after discovery had it, or after the watch that should have delivered it fell silent,
-whether it arrived or not. The worst chain of silences, in s since the last byte of a watch that then delivers nothing:
+A change counts as notified 6 s after discovery had it, or 6 s after the watch that should have delivered it fell
+silent, whether the change has arrived or not. The worst sequence of failures, in s since the last byte of a watch that
+is silent from then on:
 
 | s    | what happens | bound |
 |------|--------------|-------|
-| 0    | its last byte | |
-| 2.60 | it is given up, an empty line being overdue | `WATCH_SILENCE_S` |
-| 2.65 | the next watch: it resumes from the version, as the one before was sound | `WATCH_BACKOFF_MS`, 50 ms |
-| 3.65 | a) no head. A third asks for the full list at 3.75, a fourth at 4.95 | `FIRST_ELEMENT_S`; 100, 200 ms |
-| 5.25 | b) a head, then nothing: given up when an empty line is overdue since the request | `WATCH_SILENCE_S` |
-| 5.35 | the third asks for the full list: 0.65 s are left | 100 ms |
-
-So each case makes up in time for one failure more than the one that began it, and for two failures of the kind that
-delivers nothing at all. In b) this holds for a list that arrives within 0.65 s (some 30,000 endpoints): the last
-entries of a longer one are late. Counting `WATCH_SILENCE_S` from the head in b) would end at 6.25 s where the head
-itself is late, which is too late.
+| 0    | last byte of the first watch | |
+| 2.60 | the first watch is closed, as an empty line is overdue | `WATCH_SILENCE_S` |
+| 2.65 | a second watch resumes from the version, as the first one was sound | `WATCH_BACKOFF_MS`, 50 ms |
+| 3.65 | a) no head comes: a third requests the full list at 3.75, a fourth at 4.95 | `FIRST_ELEMENT_S`; 100, 200 ms |
+| 5.25 | b) only a head comes: closed when an empty line is overdue since the request | `WATCH_SILENCE_S` |
+| 5.35 | b) a third watch requests the full list, with 0.65 s left | 100 ms |
+
+So the relay recovers in time if one more watch fails after the first one, and also if two more fail that deliver
+nothing at all. In b) this holds for a list that arrives within 0.65 s (some 30,000 endpoints): the last entries of a
+longer one are late. If `WATCH_SILENCE_S` counted from the head in b), the second watch could last until 6.25 s where
+its head is late, which is too late.
 """
 
 from __future__ import annotations
 
-WATCH_SILENCE_S = 2.6  # a watch is opened again after so long a silence: an empty line comes every 2 s
-ELEMENT_STALL_S = 0.5  # or in the middle of an element: the age of a change counts from when the element began
-FIRST_ELEMENT_S = 1.0  # or before anything useful came: discovery is down, or the connection leads nowhere
-# At some 10 us an endpoint and 0.1 us a row, a batch of each stays below the few ms that a client notices, and a list
-# of today's usual size is one batch.
-ENTRIES_PER_EVENT = 256  # endpoints that the engine gets in one event
-ROWS_PER_SWEEP = 4096  # rows of the directory that one step of a sweep looks at
+WATCH_SILENCE_S = 2.6  # silence after which a watch is opened again: an empty line comes every 2 s
+ELEMENT_STALL_S = 0.5  # silence allowed within an element: its change ages from the start of the element
+FIRST_ELEMENT_S = 1.0  # silence allowed before useful data; beyond it, discovery is down or not reached
+# Batch sizes: at some 10 us an endpoint and 0.1 us a row, one batch of either takes less than the few ms that a client
+# notices, and a list of the usual size is a single batch.
+ENTRIES_PER_EVENT = 256  # endpoints that are passed to the engine in one event
+ROWS_PER_SWEEP = 4096  # rows of the directory that one step of a sweep checks
 
 
 def watch_deadline(
     last_byte_at: float, useful: bool, element_started_at: float | None, opened_at: float | None = None
 ) -> float:
-    """Return how long to wait for a watch, as a time (s). It bounds silence, and also data that trickles.
+    """Return the time (s) at which a watch times out. It bounds silence, and also data that trickles.
 
     Args:
         last_byte_at: Time (s) of the last byte.
-        useful: Whether what the watch asked for at its opening has come.
-        element_started_at: Time (s) at which the element that is incomplete began, None between elements. The elements
-            of a long list are progress: the time starts again with each of them.
-        opened_at: Time (s) at which the watch was opened, where it resumes from a version and no more than its head has
-            come: it leads somewhere, and may have nothing to deliver. Else None.
+        useful: Whether the watch has delivered what it requested when it was opened.
+        element_started_at: Time (s) at which the incomplete element began; None between elements. Each element of a
+            long list is progress, and the time starts again with it.
+        opened_at: Time (s) at which the watch was opened, if it resumes from a version and only its head has come: it
+            is connected to discovery, which may have nothing to deliver. None otherwise.
     """
     if element_started_at is not None:
         return min(last_byte_at + ELEMENT_STALL_S, element_started_at + WATCH_SILENCE_S)
@@ -60,7 +61,7 @@
     changes is connected to discovery at all.
 
     Attributes:
-        is_current: Whether the known endpoints are what discovery had at the known version. Entered by
+        is_current: Whether the known endpoints are what discovery had at the known version. Set by
             `full_list_read` alone.
         is_small: Whether the last full list came in one piece.
     """
@@ -86,7 +87,7 @@
         """Record that a watch has ended, or could not be opened.
 
         Args:
-            useful: Whether it delivered something, or was seen to lead somewhere.
+            useful: Whether it delivered something, or was seen to be connected to discovery.
             sound: Whether nothing of it was rejected.
             in_element: Whether it ended in the middle of an element.
         """
@@ -110,10 +111,10 @@
         self.older_list_rejected = False
 
     def accepts(self, version: int | None, is_full: bool) -> bool:
-        """Judge a list by its head.
+        """Return whether a list is accepted, judged by its head.
 
-        An older full list is accepted the second time in a row: discovery, asked again, confirms that it has started
-        over, and its earlier lists are no longer valid.
+        An older full list is accepted the second time in a row: it confirms that the versions of discovery have
+        started over, and that its earlier lists are no longer valid.
 
         Args:
             version: Version of the list; None without one.
@@ -128,9 +129,9 @@
     def list_read(self, version: int | None) -> None:
         """Record that an accepted list has been read to its end.
 
-        A list that was cut must not be recorded: it says nothing of what stood behind the cut.
+        A truncated list must not be recorded, as its missing entries are unknown.
         """
         if version is None:
-            return  # there is nothing to compare later lists with
+            return  # without a version, later lists can't be compared with it
         self.older_list_rejected = False
         self.newest_version = version
