--- a/tests/engine/test_deduplication.py
+++ b/tests/engine/test_deduplication.py
@@ -21,7 +21,8 @@
     assert lookup(table, 1, "<1>", b"y") is SubmissionStatus.CONFLICT
     assert lookup(table, 1, "<1>", b"y", sender="b") is SubmissionStatus.NEW
     table.forget_rejected("a", "<1>")
-    assert lookup(table, 2, "<1>", b"y") is SubmissionStatus.NEW  # a rejected one may come again with other content
+    # A rejected submission may be repeated with other content.
+    assert lookup(table, 2, "<1>", b"y") is SubmissionStatus.NEW
     table.start("a", "<1>", b"y", "pending")
     table.complete(10, "a", "<1>", "receipt")
     status, submission = table.lookup(109, "a", "<1>", b"y")
--- a/tests/engine/test_fair_share.py
+++ b/tests/engine/test_fair_share.py
@@ -1,4 +1,4 @@
-"""Fair shares of a capacity, borrowing and its return, and trees that add up after any sequence of calls."""
+"""Fair shares of a capacity, borrowing, and sums of the trees that agree after any sequence of calls."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
     token: object = None,
     tenant: str = "",
 ) -> AdmissionResult:
-    """Request a reservation of some bytes and one slot for a sender and a partner."""
+    """Request a reservation of some bytes and one message for a sender and a partner."""
     return shares.request(now, ((tenant, "host", sender), (partner,)), size, max_wait_ms, token or object())
 
 
@@ -55,12 +55,12 @@
     request(shares, "b", "q", 1)  # a second claimant: from now on anything above half of the capacity is borrowed
     borrowed = fill(shares, "a", "p")
     assert len(borrowed) == BORROWING_LIMIT * 100 - 1
-    below_share = fill(shares, "b", "q")  # the rest is its own at once
+    below_share = fill(shares, "b", "q")  # the rest is granted to it at once
     assert len(below_share) == 18
     waiting: list[Reservation] = []
     for token in ("b1", "b2"):
         decision, reservation = request(shares, "b", "q", 1, token=token)
-        assert decision is AdmissionDecision.QUEUED  # the capacity is used up, yet it is still below its share
+        assert decision is AdmissionDecision.QUEUED  # the capacity is used up, though the claimant is below its share
         waiting.append(reservation)
     decision, _ = request(shares, "a", "p", 1, token="a1")
     assert decision is AdmissionDecision.QUEUED
@@ -164,7 +164,7 @@
 
 @dataclass
 class RandomClients:
-    """Make random calls of a `FairShare`, and remember what it has granted and queued.
+    """Makes random calls of a `FairShare`, and records what it has granted and queued.
 
     Attributes:
         shares: The shares under test.
@@ -181,7 +181,7 @@
     waiting: dict[object, Reservation] = field(default_factory=dict)
 
     def step(self) -> None:
-        """Let some time pass and make one call."""
+        """Advance the clock by a random time and make one call."""
         self.now += self.rng.random() * 10
         choice = self.rng.random()
         if choice < 0.5:
@@ -198,7 +198,7 @@
             self._grant_waiting()
 
     def release_all(self) -> None:
-        """Release what is granted or queued."""
+        """Release all reservations that are granted or queued."""
         for reservation in [*self.granted, *self.waiting.values()]:
             self.shares.release(self.now, reservation)
 
@@ -241,7 +241,7 @@
 
 @settings(max_examples=60, deadline=None)
 @given(st.integers(0, 2**32))
-def test_trees_add_up_after_any_sequence_of_calls(seed: int) -> None:
+def test_sums_of_the_trees_agree_after_any_sequence_of_calls(seed: int) -> None:
     rng = random.Random(seed)
     shares = FairShare((rng.choice((50, 1000)), rng.choice((5, 200))))
     clients = RandomClients(shares, rng)
--- a/tests/engine/test_gossip.py
+++ b/tests/engine/test_gossip.py
@@ -47,7 +47,7 @@
 
 
 def merge(*claims: RouteClaim, own: bool = False, relays: int = 10) -> tuple[MergedRoute | None, list[RejectedClaim]]:
-    """Merge claims of one route, each from a peer of its own."""
+    """Merge claims of one route, each from a different peer."""
     sources = [ClaimSource(f"peer{number}", own, (claim,)) for number, claim in enumerate(claims)]
     merged, rejected = merge_claims(sources, ROUTES, set(), relays)
     return (merged[0] if merged else None), rejected
@@ -60,7 +60,7 @@
     assert route.aware_relays == 10.0
     route, _ = merge(outage_claim(), healthy_claim(50))
     assert route is not None
-    assert route.outage_age_ms == 3000  # one contradiction is not agreement
+    assert route.outage_age_ms == 3000  # one contradiction is below the quorum
 
 
 def test_two_peers_with_later_answers_outweigh_a_claimed_outage() -> None:
@@ -68,7 +68,8 @@
     assert route is not None
     assert route.outage_age_ms is None
     assert "answers since" in rejected[0].reason
-    route, _ = merge(outage_claim(age=50), healthy_claim(500), healthy_claim(600))  # they know less than it does
+    # Answers from before the last failure do not contradict the outage.
+    route, _ = merge(outage_claim(age=50), healthy_claim(500), healthy_claim(600))
     assert route is not None
     assert route.outage_age_ms == 3000
 
@@ -80,11 +81,11 @@
     assert bool(rejected) != is_accepted
 
 
-def test_route_that_returned_for_one_peer_is_in_slow_start_and_not_ejected() -> None:
-    returned_claim = RouteClaim(
+def test_route_that_recovered_for_one_peer_is_in_slow_start_and_not_ejected() -> None:
+    recovered_claim = RouteClaim(
         "p", -1, (11,), answer_age_ms=300, slow_start_age_ms=900, answers=1, latency_mean_ms=100, aware_relays=4.0
     )
-    route, _ = merge(outage_claim(age=1200, since=5000), returned_claim)
+    route, _ = merge(outage_claim(age=1200, since=5000), recovered_claim)
     assert route is not None
     assert (route.outage_age_ms, route.slow_start_age_ms, route.aware_relays) == (None, 900, 10.0)
 
@@ -137,7 +138,7 @@
 
 
 def merge_ten_routes(*sources: ClaimSource) -> tuple[int, list[RejectedClaim]]:
-    """Return how many of the ten routes count as down, and the rejected claims."""
+    """Return how many of the ten routes have a merged outage, and the rejected claims."""
     routes = {PartnerRoute(f"p{number}", -1): {number} for number in range(10)}
     merged, rejected = merge_claims(list(sources), routes, set(), 10)
     return len([route for route in merged if route.outage_age_ms is not None]), rejected
@@ -149,7 +150,7 @@
     assert {claim.source for claim in rejected} == {"liar"}
 
 
-def test_outages_of_most_routes_that_nobody_contradicts_are_accepted() -> None:
+def test_outages_of_most_routes_that_no_peer_contradicts_are_accepted() -> None:
     assert merge_ten_routes(source_of_ten_routes("a", True), source_of_ten_routes("b", True))[0] == 10
     assert merge_ten_routes(source_of_ten_routes("only", True))[0] == 10
 
@@ -161,7 +162,7 @@
     route, _ = merge(healthy_claim(mean=0.2), healthy_claim(mean=120), healthy_claim(mean=130))
     assert route is not None
     assert route.latency_mean_ms == 120
-    assert merge(healthy_claim(age=2_000_000))[0] is None  # half an hour old
+    assert merge(healthy_claim(age=2_000_000))[0] is None  # evidence that is half an hour old is stale
 
 
 AGES = st.one_of(st.none(), st.floats(-10, 1e7), st.just(float("nan")), st.just(float("inf")))
@@ -221,7 +222,7 @@
 
 
 def sends_of_a_fresh_relay(rate: float) -> int:
-    """Return how many of 20 messages a fresh relay sends in 900 ms, given the rate that others were held to."""
+    """Return how many of 20 messages a fresh relay sends in 900 ms, given the rate that others were throttled to."""
     harness = fresh_relay(rate=rate)
     for _ in range(20):
         harness.submit(IDEMPOTENT)
@@ -249,7 +250,7 @@
 
 
 def fresh_relay(relay_count: int = 4, **facts: Any) -> EngineHarness:
-    """Return a relay that has made no call; with facts, it has received gossip with them about its destination."""
+    """Return a relay that has made no call; facts, if given, are received by gossip and about its destination."""
     harness = EngineHarness(make_settings(relay_count=relay_count))
     harness.list_endpoints((11, 1))
     if facts:
@@ -268,7 +269,7 @@
 
 def test_fresh_relay_that_received_gossip_of_an_outage_sends_trials_within_the_slow_start_budget() -> None:
     assert sends_in_three_seconds(fresh_relay()) == 30
-    # 3 s of the slow-start budget (20 a second, a fifth, twice), shared by four: 6 calls, growing meanwhile.
+    # The slow-start budget (20 a second, times a fifth, times two) over 3 s and four relays is 6 calls, and it grows.
     assert sends_in_three_seconds(fresh_relay(outage_age_ms=4000.0, aware_relays=4.0)) <= 10
 
 
--- a/tests/engine/test_graceful_shutdown.py
+++ b/tests/engine/test_graceful_shutdown.py
@@ -1,4 +1,4 @@
-"""Graceful shutdown: its phases, and what is not started any more shortly before the process ends."""
+"""Graceful shutdown: its phases, and which attempts are no longer started shortly before the exit."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
     assert not shutdown_phase(EXIT_MS - STOP_ACCEPTING_MS).accepts
 
 
-def test_exit_is_postponed_while_answers_are_unread() -> None:
+def test_exit_is_postponed_while_received_bytes_are_unread() -> None:
     assert not shutdown_phase(EXIT_MS - 1).exits
     assert shutdown_phase(EXIT_MS).exits
     assert not shutdown_phase(EXIT_MS + UNREAD_GRACE_MS - 1, unread=True).exits
--- a/tests/engine/test_membership.py
+++ b/tests/engine/test_membership.py
@@ -36,7 +36,7 @@
 
 
 def test_polls_of_300_relays_that_start_at_once_are_spread() -> None:
-    """All start at the same moment; a restart of 95% within 23 s is the worst that happens."""
+    """Starts all relays at once, which is harder than the worst restart that happens: 95% of them within 23 s."""
     names = [f"r{number}" for number in range(300)]
     fleet = [Membership(name, names, 0.0, seed) for seed, name in enumerate(names)]
     polls: dict[str, int] = {}
--- a/tests/engine/test_minimum_rate.py
+++ b/tests/engine/test_minimum_rate.py
@@ -1,4 +1,4 @@
-"""Minimum rates of a peer: judged by the mean rate, with a stall that is tolerated."""
+"""The minimum rate of a peer: it is judged by its mean rate, and a limited stall is tolerated."""
 
 from __future__ import annotations
 
@@ -29,13 +29,13 @@
     too_slow_at = [ms for ms in range(0, 60_000, TICK_MS) if meter.tick(float(ms), bytes_at(ms))]
     assert (not too_slow_at) == is_fast_enough
     if too_slow_at:
-        assert too_slow_at[0] >= 5000  # never before the stall that is tolerated
+        assert too_slow_at[0] >= 5000  # never before the tolerated stall has ended
 
 
-def test_fast_start_gains_no_credit_and_a_paused_clock_costs_none() -> None:
+def test_fast_start_gains_no_credit_and_a_pause_adds_no_lag() -> None:
     meter = MinimumRateMeter(1000, 5000.0)
     meter.tick(0.0, 10**9)
     assert not meter.tick(4900.0, 0)
     meter.last_tick_at = None  # this side has to act: the peer waits
     assert not meter.tick(60_000.0, 0)
-    assert meter.tick(60_200.0, 0)  # what was used up before the pause still counts
+    assert meter.tick(60_200.0, 0)  # the lag from before the pause still counts
--- a/tests/engine/test_receipt_retry.py
+++ b/tests/engine/test_receipt_retry.py
@@ -1,4 +1,4 @@
-"""Delivery attempts of a receipt: their backoff and their end."""
+"""Delivery attempts of a receipt: their backoff and their maximum number."""
 
 from __future__ import annotations
 
--- a/tests/engine/test_resource_limits.py
+++ b/tests/engine/test_resource_limits.py
@@ -1,4 +1,4 @@
-"""Limits of connections, memory and disk, and the bounded memory of submission identifiers."""
+"""Limits of connections, memory and disk, and the submission identifiers that are kept."""
 
 from __future__ import annotations
 
@@ -33,5 +33,5 @@
     for number in range(5):
         message_ids.complete(str(number))
     assert [number for number in range(9) if str(number) in message_ids] == [2, 3, 4, 5, 6, 7, 8]
-    message_ids.complete("3")  # a second end counts once
+    message_ids.complete("3")  # completing a message again changes nothing
     assert list(message_ids.ended) == ["2", "3", "4"]
--- a/tests/engine/test_routing.py
+++ b/tests/engine/test_routing.py
@@ -1,4 +1,4 @@
-"""Which routing rule a message gets."""
+"""Selection of the routing rule of a message."""
 
 from __future__ import annotations
 
--- a/tests/platform_relay/test_watch_policy.py
+++ b/tests/platform_relay/test_watch_policy.py
@@ -1,4 +1,4 @@
-"""The rules of a watch without its connection: which lists count, from what it resumes, how long it may be silent."""
+"""Rules of a watch, without a connection: accepted lists, the version it resumes from, and the allowed silence."""
 
 from __future__ import annotations
 
@@ -85,7 +85,8 @@
 
 
 def test_watch_does_not_resume_while_the_full_list_is_small() -> None:
-    assert resume_policy_after_list(small=True).resume_version(5) is None  # it costs less than the doubt
+    # A small list costs less than finding out whether a watch without changes is connected to discovery.
+    assert resume_policy_after_list(small=True).resume_version(5) is None
 
 
 @pytest.mark.parametrize(
