--- a/linnetstile/engine/deduplication.py
+++ b/linnetstile/engine/deduplication.py
@@ -60,7 +60,7 @@
 
 
 class CompleteAnswerSizes(Generic[A]):
-    """Sizes of the complete answers against a limit, above which the oldest ones are to be shortened first.
+    """Tracks the bytes of the complete answers; above the limit, the oldest ones are to be shortened first.
 
     Invariant: `total_bytes` is the sum of `sizes`, the sizes of the answers that are still complete.
     """
--- a/linnetstile/engine/fair_share.py
+++ b/linnetstile/engine/fair_share.py
@@ -41,7 +41,7 @@
 MIN_RELEASE_RATE = 1e-9  # bytes a ms; keeps the division by the rate finite
 MIN_RETRY_AFTER_MS = 1000.0
 MAX_LEAVES_VISITED = 256  # leaves that one `grant_waiting` visits, which bounds its time under attack
-MAX_UNDERSERVED_CHECKED = 16  # waiting requests that one update compares with their shares, to bound its time likewise
+MAX_UNDERSERVED_CHECKED = 16  # requests that one update compares with their fair shares: bounds its time under attack
 
 DEFAULT_WEIGHT = 1.0
 SOURCE_TREE = "from"
--- a/linnetstile/engine/gossip.py
+++ b/linnetstile/engine/gossip.py
@@ -332,5 +332,5 @@
 
 
 def lower_median(values: list[float]) -> float:
-    """Return the lower median, or 0 without values. One wrong value among three, however far off, decides nothing."""
+    """Return the lower median, or 0 without values. One of three values is never the result if it is far off."""
     return sorted(values)[(len(values) - 1) // 2] if values else 0.0
--- a/linnetstile/engine/membership.py
+++ b/linnetstile/engine/membership.py
@@ -20,7 +20,7 @@
 from .time_points import NEVER
 
 BOOTSTRAP_PEERS = 3  # peers that a relay polls first: if one is wrong, the two others outvote it
-FIRST_POLL_JITTER_MS = 500.0  # the first poll comes at a random time within this: 300 relays then make one every 2 ms
+FIRST_POLL_JITTER_MS = 500.0  # the first poll is at a random time within it: 300 relays make one every 2 ms
 BOOTSTRAP_GAP_MS = 150.0  # minimum time between the first polls
 POLL_INTERVAL_MS = 10_000.0  # minimum time between later polls, which request changes only
 MAX_INTERVAL_JITTER = 1.5  # the time between polls is multiplied by a random factor from 1 up to this
@@ -147,7 +147,7 @@
             now_ms: Present time (ms).
             address: The peer.
             incarnation: Identifier of the process that answered.
-            advertised: Addresses of the peers that have answered this peer.
+            advertised: Addresses of the peers that the answering peer has had answers from.
 
         Returns:
             Whether the peer has restarted since its last answer, so that its earlier answers no longer count.
--- a/linnetstile/engine/request_rotation.py
+++ b/linnetstile/engine/request_rotation.py
@@ -10,7 +10,7 @@
 
 
 class RequestRotation:
-    """Serves the claimants round-robin: one with a thousand requests is served no more often than one with only one.
+    """Serves the claimants round-robin: equally often, whether a claimant has one request or a thousand.
 
     A request waits in the queue of its reservation's first leaf. Invariant, except between `take_leaf` and
     `return_leaf`: the rotation contains each leaf with a queue once, and no other leaf.
--- a/tests/engine/test_deduplication.py
+++ b/tests/engine/test_deduplication.py
@@ -1,4 +1,4 @@
-"""The table of submissions: what a repeated identifier gets, and what is forgotten."""
+"""The table of submissions: the status of a repeated identifier, and what is forgotten."""
 
 from __future__ import annotations
 
