--- a/linnetstile/platform_relay/discovery.py
+++ b/linnetstile/platform_relay/discovery.py
@@ -1,7 +1,8 @@
-"""Discovery: keeps a watch open, which brings the list of endpoints and its changes, and publishes them to the engine.
+"""Keeps a watch of discovery open and publishes the endpoint list and its changes to the engine.
 
-`watch_connection` reads one watch; this module opens watches, one after the other, and limits how long each may be
-silent. `engine/watch_policy.py` decides what a watch asks for and how long that is.
+`watch_connection` reads one watch. This module opens watches one after the other and closes a watch that has been
+silent for too long. `engine/watch_policy.py` decides whether a watch requests the full list, and how long it may be
+silent.
 """
 
 from __future__ import annotations
@@ -23,14 +24,14 @@
 from .watch_connection import WatchConnection
 
 WATCH_PATH = "/api/targets?follow=1"
-MAX_LIST_BYTES = 8 * 1024 * 1024  # of a JSON value that cannot be read in parts: a longer one is rejected
-MAX_REASON_CHARACTERS = 200  # of the reason why a list was rejected, in the log
+MAX_LIST_BYTES = 8 * 1024 * 1024  # limit of a JSON value that cannot be read in parts
+MAX_REASON_CHARACTERS = 200  # the logged reason for a rejected list is cut to this length
 
 
 def change_events(entries: Iterable[Endpoint]) -> Iterator[EndpointList]:
     """Yield changed endpoints as events of bounded size.
 
-    Endpoints that end come first, so that the engine has removed one before it gets its replacement.
+    Draining and removed endpoints come first, so that the engine removes an endpoint before it adds the replacement.
     """
     changed = sorted(entries, key=lambda entry: entry.status is EndpointStatus.READY)
     for start in range(0, len(changed), ENTRIES_PER_EVENT):
@@ -38,23 +39,23 @@
 
 
 class Watch:
-    """Keeps one watch open at the present address of discovery.
+    """Keeps one watch open at the current address of discovery.
 
-    Each list that was rejected, was truncated, or had entries that could not be read is logged.
+    Logs each list that is rejected, truncated, or has entries that cannot be read.
 
     Attributes:
         loop: The event loop.
-        directory: The endpoints, which the lists update.
+        directory: The endpoints; updated by the lists.
         address: Address of discovery.
         on_event: Called with each event for the engine.
-        rng: Source of the jitter of backoffs.
+        rng: Random source for the jitter of backoffs.
         log: Writes log events.
-        max_list_bytes: Bound on a JSON value that cannot be read in parts.
-        connection: The connection of the present watch; None without one.
+        max_list_bytes: Maximum size of a JSON value that cannot be read in parts.
+        connection: The connection of the current watch; None if there is none.
         task: The task that opens watches; None before `start`.
-        resume_policy: Decides what the next watch asks for.
+        resume_policy: Decides whether the next watch requests the full list or resumes from a version.
         first_list_read: Set once a list has been read to its end.
-        failures: Watches in a row that delivered nothing useful.
+        failures: Number of consecutive watches that delivered nothing useful.
         watches_opened: Number of watches since the start.
         lists_rejected: Number of rejected lists since the start.
     """
@@ -86,15 +87,15 @@
 
     @property
     def is_reading_list(self) -> bool:
-        """Whether a list has begun to arrive and is not complete."""
+        """Whether a list is being read and is not complete."""
         return self.connection is not None and self.connection.update is not None
 
     def start(self) -> None:
-        """Open a watch, and another one whenever it ends."""
+        """Open a watch, and open the next one whenever a watch ends."""
         self.task = self.loop.create_task(self._run())
 
     def move(self, address: Address) -> None:
-        """Watch discovery at another address from now on."""
+        """Close the current watch and watch discovery at a new address."""
         self.close()
         self.address = address
         self.failures = 0
@@ -102,7 +103,7 @@
         self.start()
 
     def close(self) -> None:
-        """End the watch: whatever still arrives is ignored."""
+        """Close the current watch and stop opening watches; bytes that arrive later are ignored."""
         if self.task:
             self.task.cancel()
         if self.connection:
@@ -117,7 +118,7 @@
             self.on_event(event)
 
     def list_read(self, update: ListUpdate, *, is_small: bool) -> None:
-        """Record that a list has been read to its end, and is in force."""
+        """Record that a list has been read to its end and applied."""
         if update.entries_skipped:
             self.log(
                 log_events.ENTRIES_SKIPPED,
@@ -128,21 +129,22 @@
         if update.is_full:
             self.resume_policy.full_list_read(is_small)
         if not self.first_list_read.is_set():
-            self.on_event(EndpointList(ListKind.CHANGES))  # also without changes: the engine learns of the answer
+            # Without changes, too: the event tells the engine that discovery has answered.
+            self.on_event(EndpointList(ListKind.CHANGES))
             self.first_list_read.set()
 
     def list_rejected(self, update: ListUpdate | None, error: Exception) -> None:
-        """Record that what arrived is no valid list: the last good one stays in force.
+        """Record that the received data is not a valid list. The endpoints of earlier lists stay in use.
 
         Args:
-            update: The list that was being read; None without one.
-            error: Why it was rejected.
+            update: The list that was being read; None if there was none.
+            error: Why the data was rejected.
         """
         self.lists_rejected += 1
         entries = update.entries_read if update else 0
         self.log(log_events.LIST_REJECTED, why=str(error)[:MAX_REASON_CHARACTERS], entries=entries)
 
-    # -- the loop --------------------------------------------------------------------------------------------
+    # -- watch loop ------------------------------------------------------------------------------------------
 
     async def _run(self) -> None:
         while True:
@@ -150,11 +152,11 @@
             is_useful = False
             try:
                 connection = await self._connect()
-                await self._follow(connection)
+                await self._run_watch(connection)
                 is_useful = connection.is_useful
-                if is_useful and connection.is_valid and (connection.list_received or not connection.is_midway):
+                if is_useful and connection.is_valid and (connection.list_received or not connection.is_mid_element):
                     self.failures = 0
-            except (OSError, TimeoutError, ValueError):  # ValueError: a host name that cannot be looked up
+            except (OSError, TimeoutError, ValueError):  # ValueError: the host name cannot be resolved
                 pass
             self._connection_ended(connection, is_useful)
             self.failures += 1
@@ -178,13 +180,15 @@
         if connection is None:  # discovery could not be reached
             self.resume_policy.watch_ended(useful=False, sound=True, in_element=False)
             return
-        self.resume_policy.watch_ended(useful=is_useful, sound=connection.is_valid, in_element=connection.is_midway)
-        if connection.is_valid and connection.is_in_list:
+        self.resume_policy.watch_ended(
+            useful=is_useful, sound=connection.is_valid, in_element=connection.is_mid_element
+        )
+        if connection.is_valid and connection.is_mid_list:
             entries = connection.update.entries_read if connection.update else 0
-            self.log(log_events.LIST_TRUNCATED, entries=entries, why="expected the rest of the list")
+            self.log(log_events.LIST_TRUNCATED, entries=entries, why="the watch ended before the end of the list")
 
-    async def _follow(self, connection: WatchConnection) -> None:
-        """Return once the connection has ended, or has been silent for too long."""
+    async def _run_watch(self, connection: WatchConnection) -> None:
+        """Send the request of a watch; return once its connection has ended or has been silent for too long."""
         self.connection = connection
         self.watches_opened += 1
         self._send_request(connection)
@@ -192,11 +196,13 @@
         while not connection.closed.done():
             now = self.loop.time()
             deadline = self._deadline(connection, requested_at)
-            # Discovery is down, or this connection leads nowhere. A step that is scheduled still has input to read.
+            # Past the deadline, discovery is down or unreachable over this connection. While a step is scheduled, the
+            # connection still has received input to process, so it stays open.
             if deadline <= now and not connection.step_scheduled:
                 connection.close()
                 return
-            # The deadline moves with each byte: an element may begin, and stall, at any moment.
+            # Received bytes move the deadline, and an element may begin and stall during the wait, so the deadline is
+            # checked at least every ELEMENT_STALL_S.
             await asyncio.wait([connection.closed], timeout=min(max(0.0, deadline - now), ELEMENT_STALL_S))
 
     def _send_request(self, connection: WatchConnection) -> None:
--- a/linnetstile/platform_relay/watch_connection.py
+++ b/linnetstile/platform_relay/watch_connection.py
@@ -1,4 +1,4 @@
-"""One connection with a watch of discovery: an HTTP response with JSON values in, changed endpoints out."""
+"""One watch connection to discovery: reads JSON lists from an HTTP response and publishes the changed endpoints."""
 
 from __future__ import annotations
 
@@ -17,50 +17,51 @@
 from .list_update import InvalidListError, ListUpdate
 
 HTTP_OK = 200
-UNBOUNDED_BODY_BYTES = 1 << 60  # the response of a watch has no end
-KEYS_BEFORE_ENTRIES = (VERSION_KEY, FULL_KEY)  # of a list that is read in parts
+UNBOUNDED_BODY_BYTES = 1 << 60  # the response of a watch is unlimited
+KEYS_BEFORE_ENTRIES = (VERSION_KEY, FULL_KEY)  # a list is read in parts only if these keys come first
 
 
 class WatchListener(Protocol):
-    """What a connection reports the content of its watch to."""
+    """Receives the endpoints and lists that a watch connection has read."""
 
     def publish(self, entries: Iterable[Endpoint]) -> None:
         """Pass changed endpoints to the engine."""
 
     def list_read(self, update: ListUpdate, *, is_small: bool) -> None:
-        """Record that a list has been read to its end; `is_small` if it came in one piece."""
+        """Record that a list has been read to its end; `is_small` tells whether it came in one piece."""
 
     def list_rejected(self, update: ListUpdate | None, error: Exception) -> None:
-        """Record that what arrived is no valid list; `update` is the list that was being read, if any."""
+        """Record that the received data is not a valid list; `update` is the list that was being read, if any."""
 
 
 class _EndOfResponse:
-    """Stands behind the last value of a response that has ended."""
+    """Marks the end of the response in the pending input."""
 
 
-# What a step takes: a list that came in one piece, a part of a longer one, a fault in the input, or its end.
+# One item of the pending input: a list in one piece, a part of a longer list, an error in the input, or the end of the
+# response.
 WatchInput = dict[str, Any] | list[Any] | ObjectPart | Exception | _EndOfResponse
 
 
 class WatchConnection(BufferedConnection):
     """Reads the response of one watch.
 
-    Input waits in `pending_input` until a step takes it. The end of a long list takes several steps, each in a pass of
-    the event loop of its own. Until it is over, nothing behind the list is looked at, and no more is read from the
-    socket.
+    Input is queued in `pending_input` until a step processes it. Removing the missing endpoints at the end of a long
+    list takes several steps, one per pass of the event loop. Until the list is finished, the input after it is not
+    processed, and reading from the socket is paused.
 
     Attributes:
-        resume_version: Version from which the watch resumes; None if it asks for the full list.
-        last_byte_at: Loop time (s) of the last byte.
-        incomplete_since: Loop time (s) since which an element is incomplete; None between elements.
+        resume_version: Version from which the watch resumes; None if it requests the full list.
+        last_byte_at: Loop time (s) at which the last bytes were received, or at which the last scheduled step ran.
+        incomplete_since: Loop time (s) since which an element has been incomplete; None between elements.
         head_received: Whether the head of a successful response has arrived.
-        list_received: Whether a list was read to its end.
-        is_useful: Whether a list was read to its end, or the watch resumes from a version and its body has begun.
-        is_valid: Whether nothing was rejected.
-        pending_input: Input that no step has taken yet.
-        update: The list that is being read; None without one.
+        list_received: Whether a list has been read to its end.
+        is_useful: Whether a list has been read to its end, or the watch resumes from a version and its body has begun.
+        is_valid: Whether no input has been rejected.
+        pending_input: Input that no step has processed yet.
+        update: The list that is being read; None if there is none.
         step_scheduled: Whether a step is scheduled for the next pass of the event loop.
-        closed: Done once the watch has ended; whatever arrives later is ignored.
+        closed: Done once the watch has ended; input that arrives later is ignored.
     """
 
     def __init__(
@@ -88,17 +89,17 @@
         self.closed: asyncio.Future[None] = self._loop.create_future()
 
     @property
-    def is_midway(self) -> bool:
-        """Whether an element of the response has begun and is not complete."""
-        return self._parser.has_partial_input or self.is_in_list
+    def is_mid_element(self) -> bool:
+        """Whether an HTTP element or a list of the response has begun and is not complete."""
+        return self._parser.has_partial_input or self.is_mid_list
 
     @property
-    def is_in_list(self) -> bool:
+    def is_mid_list(self) -> bool:
         """Whether a list has begun and is not complete."""
         return self._objects.is_mid_value or self.update is not None
 
     def received(self, data: memoryview) -> None:
-        """Take bytes of the response."""
+        """Process received bytes of the response."""
         if self.closed.done():
             return
         self.last_byte_at = self._loop.time()
@@ -110,7 +111,7 @@
             self.pending_input.append(error)
         if not self.step_scheduled:
             self._run_steps()
-        if not self.is_midway:
+        if not self.is_mid_element:
             self.incomplete_since = None
         elif self.incomplete_since is None:
             self.incomplete_since = self.last_byte_at
@@ -119,12 +120,12 @@
         """Add the values of the body to the pending input.
 
         Raises:
-            ValueError: The response is no watch, or its body is not valid.
+            ValueError: The response has an error status, or its body is not valid.
         """
         for event in events:
             if isinstance(event, http1.Response):
                 if event.status != HTTP_OK:
-                    raise ValueError(f"the watch was answered {event.status}, expected 200")
+                    raise ValueError(f"watch response: expected status 200, found {event.status}")
                 self.head_received = True
             elif isinstance(event, http1.Data):
                 self.is_useful = self.is_useful or self.resume_version is not None
@@ -137,7 +138,7 @@
     # -- steps -----------------------------------------------------------------------------------------------
 
     def _run_steps(self) -> None:
-        """Take pending input, until there is none or the end of a long list needs another pass of the event loop."""
+        """Process pending input until it is empty or the end of a long list needs another pass of the event loop."""
         self.step_scheduled = False
         try:
             while not self.closed.done():
@@ -147,7 +148,7 @@
                         self._schedule_step()
                         return
                 elif self.pending_input:
-                    self._take_input(self.pending_input.popleft())
+                    self._process_item(self.pending_input.popleft())
                 else:
                     break
         except (http1.Http1Error, ValueError) as error:
@@ -163,19 +164,19 @@
         self._loop.call_soon(self._run_scheduled_step)
 
     def _run_scheduled_step(self) -> None:
-        self.last_byte_at = self._loop.time()  # the silence is our own: reading was paused
+        self.last_byte_at = self._loop.time()  # reading was paused, so the silence is not discovery's
         self._run_steps()
         if self._reading_paused and not self.step_scheduled and not self.is_closing:
             self.transport.resume_reading()
             self._reading_paused = False
         if not self.step_scheduled:
-            self.incomplete_since = self.last_byte_at if self.is_midway else None
+            self.incomplete_since = self.last_byte_at if self.is_mid_element else None
 
-    def _take_input(self, item: WatchInput) -> None:
-        """Act on one item of the pending input.
+    def _process_item(self, item: WatchInput) -> None:
+        """Process one item of the pending input.
 
         Raises:
-            ValueError: It is a fault, or no valid list.
+            ValueError: The item is an error or is not a valid list.
         """
         if isinstance(item, _EndOfResponse):
             self.close()
@@ -187,31 +188,31 @@
             self._apply_object(item)
 
     def _apply_part(self, part: ObjectPart) -> None:
-        """Apply a part of a list that is too long to be read in one piece."""
+        """Apply one part of a list that is too long to be read in one piece."""
         if part.is_first:
             self.update = self._directory.begin_update(part.members)
             self._is_small = False
         assert self.update is not None
         self._listener.publish(self.update.add_entries(part.elements))
         self._list_complete = part.is_last
-        self.incomplete_since = None  # each part is progress
+        self.incomplete_since = None  # each part of a list restarts the stall time
 
     def _apply_object(self, value: dict[str, Any] | list[Any]) -> None:
         """Apply a list that came in one piece."""
         servers = value.get(ENTRIES_KEY) if isinstance(value, dict) else None
         if not isinstance(servers, list):
-            raise InvalidListError("servers: expected an object with a list of them", field=ENTRIES_KEY)
+            raise InvalidListError("expected an object with a list of servers", field=ENTRIES_KEY)
         self.update = self._directory.begin_update(value)
         self._is_small = True
         changed = self.update.add_entries(servers)
         if len(changed) <= ENTRIES_PER_EVENT:
-            changed += self.update.remove_missing()  # an endpoint and its replacement are published together
+            changed += self.update.remove_missing()  # publishes an endpoint and its replacement together
         self._listener.publish(changed)
         self._list_complete = True
         self.incomplete_since = None
 
     def _finish_list(self, update: ListUpdate) -> None:
-        """Take one step of the end of a list."""
+        """Remove the next missing endpoints; after the last step, report that the list has been read."""
         if not update.is_complete:
             self._listener.publish(update.remove_missing())
         if update.is_complete:
@@ -223,13 +224,13 @@
     # -- end -------------------------------------------------------------------------------------------------
 
     def close(self) -> None:
-        """End the watch; whatever still arrives is ignored."""
+        """End the watch; bytes that arrive later are ignored."""
         if not self.closed.done():
             self.closed.set_result(None)
         if not self.is_lost:
             self.transport.abort()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Record that discovery or the network has ended the connection. Called by asyncio."""
+        """End the watch after its connection was lost. Called by asyncio."""
         super().connection_lost(exc)
         self.close()
