--- a/linnetstile/platform_relay/clock.py
+++ b/linnetstile/platform_relay/clock.py
@@ -1,4 +1,4 @@
-"""The wall clock, for the journal alone: its times have to outlive the process. All else uses the loop time."""
+"""Wall-clock time for the journal, whose times must stay valid across restarts. All other code uses the loop time."""
 
 from __future__ import annotations
 
--- a/linnetstile/platform_relay/counters.py
+++ b/linnetstile/platform_relay/counters.py
@@ -1,6 +1,6 @@
-"""Names of the counters of a relay, as the log event `stats` has them; docs/operate/node.md explains them to operators.
+"""Names of a relay's counters in the log event `stats`; docs/operate/node.md explains them to operators.
 
-A `collections.Counter` by these names is shared by the parts of the relay: `PlatformRelay.counts`.
+The components of a relay share one `collections.Counter` with these keys, `PlatformRelay.counts`.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 REJECTED_NOT_JOURNALED: Final = "not_written"
 CLIENT_LEFT_BEFORE_ANSWER: Final = "unheard"
 
-# Attempts that began, and those that ended, by their outcome.
+# Started attempts, and ended attempts by outcome.
 ATTEMPTS: Final = "attempts"
 ATTEMPTS_ENDED: Final = {outcome: f"ended_{outcome.value}" for outcome in Outcome}
 
--- a/linnetstile/platform_relay/directory.py
+++ b/linnetstile/platform_relay/directory.py
@@ -1,4 +1,4 @@
-"""The directory of endpoints: look-ups by id and name, and the entry point for lists of discovery."""
+"""The directory of endpoints: look-up by id and by name, and the entry point for lists from discovery."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 
 
 class Directory:
-    """The endpoints that discovery lists, by name and by the id that the engine knows them by.
+    """The endpoints that discovery lists, by name and by their id in the engine.
 
     Attributes:
         kinds: Index of each kind of destination in the settings, by its name.
         zones: Index of each zone in the settings, by its name.
         table: The endpoints.
         version_guard: Rejects outdated lists.
-        skipped_entries: Number of list entries that could not be read, since the start.
+        skipped_entries: Number of list entries since the start that could not be read.
     """
 
     def __init__(self, kinds: tuple[str, ...], zones: tuple[str, ...]) -> None:
@@ -34,40 +34,40 @@
         return len(self.table)
 
     def __iter__(self) -> Iterator[int]:
-        """Iterate over the ids of all endpoints. No list may be read meanwhile."""
+        """Iterate over the ids of all endpoints. No list may be applied during the iteration."""
         return self.table.ids()
 
     def __contains__(self, endpoint_id: int) -> bool:
         return self.table.record_of(endpoint_id) is not None
 
     def id_of(self, name: str) -> int:
-        """Return the id of the endpoint with this name; 0 without one."""
+        """Return the id of the endpoint with this name; 0 if there is none."""
         row = self.table.find_row(encode_name(name))
         return 0 if row is None else self.table.row_id(row)
 
     def address_of(self, endpoint_id: int) -> EndpointAddress | None:
-        """Return the address of an endpoint; None once it was removed."""
+        """Return the address of an endpoint; None after its removal."""
         record = self.table.record_of(endpoint_id)
         return None if record is None else address_from_record(endpoint_id, record)
 
     def endpoint(self, endpoint_id: int) -> Endpoint | None:
-        """Return an endpoint as the engine knows it; None once it was removed."""
+        """Return an endpoint in the form that the engine uses; None after its removal."""
         record = self.table.record_of(endpoint_id)
         return None if record is None else endpoint_from_record(endpoint_id, record)
 
     def knows_destination(self, destination: int) -> bool:
-        """Return whether a destination has endpoints, or had some a while ago."""
+        """Return whether a destination has endpoints, or recently lost its last one."""
         return destination in self.table.destinations
 
     def begin_update(self, raw_list: object, cached: bool = False) -> ListUpdate:
         """Begin to read a list.
 
         Args:
-            raw_list: The parsed JSON object of the list, or those of its members that stand before its servers.
+            raw_list: The parsed JSON object of the list, or only its members before the array of servers.
             cached: Whether it is the cached list of the configuration, which may be outdated.
 
         Raises:
-            InvalidListError: It is no list, or an outdated one.
+            InvalidListError: The value is not a list, or the list is outdated.
         """
         if not isinstance(raw_list, dict):
             raise InvalidListError("expected an object with a list of servers")
@@ -97,10 +97,10 @@
         self.skipped_entries += 1
 
     def apply_list(self, raw_list: object, cached: bool = False) -> EndpointList:
-        """Read a complete list at once; return one event with all that it changes.
+        """Apply a complete list at once and return one event with all changed endpoints.
 
         Raises:
-            InvalidListError: It is no list, or an outdated one.
+            InvalidListError: The value is not a list, or the list is outdated.
         """
         servers = raw_list.get(ENTRIES_KEY) if isinstance(raw_list, dict) else None
         if not isinstance(servers, list):
--- a/linnetstile/platform_relay/endpoint_record.py
+++ b/linnetstile/platform_relay/endpoint_record.py
@@ -1,7 +1,7 @@
-"""One endpoint as a packed record: a `bytes` object of 64 or 80 bytes in memory, for names of usual length.
+"""Packed records of endpoints: one `bytes` object each, of 64 or 80 bytes in memory for names of usual length.
 
-A record begins with flags, destination, port, kind, zone and advertised rate, in one of two layouts. The host follows:
-4 bytes of an IPv4 address, or a length byte and the text of the host. The name of the endpoint takes the rest.
+A record begins with flags, destination, port, kind, zone and advertised rate, in one of two layouts. The host follows
+as the 4 bytes of an IPv4 address, or as a length byte and the host name. The remaining bytes are the endpoint's name.
 """
 
 from __future__ import annotations
@@ -12,15 +12,15 @@
 
 from ..engine.events import Endpoint, EndpointStatus
 
-# Flags, destination, port, kind, zone, advertised rate.
+# Both layouts hold flags, destination, port, kind, zone and advertised rate.
 NARROW_LAYOUT = struct.Struct("<BIHBBd")
 WIDE_LAYOUT = struct.Struct("<BIHIId")
 FLAG_DRAINING = 1
-FLAG_WIDE = 2  # the record has the wide layout, for more than 256 kinds or zones
-FLAG_TEXT_HOST = 4  # the host is no IPv4 address
-MAX_NARROW_INDEX = 255  # the largest kind or zone in a byte of the narrow layout
+FLAG_WIDE = 2  # the record has the wide layout, needed for more than 256 kinds or zones
+FLAG_TEXT_HOST = 4  # the host is a host name, not an IPv4 address
+MAX_NARROW_INDEX = 255  # the largest index of a kind or zone in the narrow layout
 IPV4_BYTES = 4
-NAME_OFFSET = NARROW_LAYOUT.size + IPV4_BYTES  # where the name begins in most records
+NAME_OFFSET = NARROW_LAYOUT.size + IPV4_BYTES  # of the name in a narrow record with an IPv4 address
 
 
 @dataclass(frozen=True, slots=True)
@@ -28,12 +28,12 @@
     """The address of an endpoint.
 
     Attributes:
-        id: The number by which the engine knows the endpoint.
+        id: Id of the endpoint in the engine.
         name: Name of the endpoint in discovery's lists.
         host: IPv4 address or host name.
         port: TCP port.
-        zone: Index of its zone in the settings.
-        destination: Number of its destination.
+        zone: Index of the zone in the settings.
+        destination: Number of the destination.
     """
 
     id: int
@@ -54,7 +54,7 @@
         destination: Number of the destination.
         kind: Index of the kind of destination in the settings.
         zone: Index of the zone in the settings.
-        advertised_rate: Messages a second that the endpoint advertises; 0 if it advertises none.
+        advertised_rate: Message rate (1/s) that the endpoint advertises; 0 if it advertises none.
     """
 
     host: str
@@ -103,7 +103,7 @@
 
 
 def endpoint_from_record(endpoint_id: int, record: bytes, status: EndpointStatus | None = None) -> Endpoint:
-    """Return the endpoint as the engine knows it; `status` replaces that of the record."""
+    """Return the endpoint for the engine; a `status` overrides that of the record."""
     layout = WIDE_LAYOUT if record[0] & FLAG_WIDE else NARROW_LAYOUT
     flags, destination, _, kind, zone, advertised_rate = layout.unpack_from(record)
     status = status or (EndpointStatus.DRAINING if flags & FLAG_DRAINING else EndpointStatus.READY)
--- a/linnetstile/platform_relay/endpoint_table.py
+++ b/linnetstile/platform_relay/endpoint_table.py
@@ -1,8 +1,8 @@
 """The endpoints that discovery lists, as a table of packed records with stable ids.
 
-An idle endpoint costs some 100 bytes here (docs/design/quiet.md has the measured figure): a `bytes` object of 64 or 80
-bytes in the list of records, and its row in the index of names. A destination costs 16 bytes in an index of its own.
-Fields are unpacked when they are asked for.
+An idle endpoint takes about 100 bytes (docs/design/quiet.md has the measured figure): a `bytes` object of 64 or 80
+bytes in the list of records, and its row in the name index. Each destination takes another 16 bytes in a separate
+index. Fields are unpacked on access.
 """
 
 from __future__ import annotations
@@ -15,20 +15,20 @@
 from .endpoint_record import endpoint_from_record, record_name
 from .listed_destinations import ListedDestinations
 
-ROW_BITS = 24  # of an endpoint's id; the bits above count how often the row was used before
+ROW_BITS = 24  # low bits of an endpoint's id; the bits above hold the generation of the row
 MAX_ROWS = (1 << ROW_BITS) - 1
 
 
 class EndpointTable:
     """Records of endpoints by row, by id and by name.
 
-    An id is never used twice. An endpoint that takes over the address or the name of an earlier one, or whose
-    destination changes, has another id: the engine shares nothing between the two.
+    An id is never reused. An endpoint that takes over the address or the name of an earlier one, or whose destination
+    changes, gets a new id, so the engine shares no state between the two.
 
     Attributes:
         records: The record in each row; None in a free row.
-        generations: How often each row was used before.
-        free_rows: Rows that are free.
+        generations: For each row, the number of endpoints that were removed from it.
+        free_rows: Rows without an endpoint.
         name_index: Rows by the hash of their endpoint's name.
         destinations: The destinations of all endpoints.
     """
@@ -37,10 +37,10 @@
         self.records: list[bytes | None] = []
         self.generations = array("I")
         self.free_rows = array("i")
-        self.name_index = LinearHashTable(self._hash)
+        self.name_index = LinearHashTable(self._name_hash)
         self.destinations = ListedDestinations()
 
-    def _hash(self, row: int) -> int:
+    def _name_hash(self, row: int) -> int:
         record = self.records[row]
         assert record is not None
         return hash(record_name(record))
@@ -49,20 +49,20 @@
         return self.name_index.row_count
 
     def ids(self) -> Iterator[int]:
-        """Yield the ids of all endpoints. The table must not change meanwhile."""
+        """Yield the ids of all endpoints. The table must not change during the iteration."""
         return (self.row_id(row) for row, record in enumerate(self.records) if record is not None)
 
     def row_id(self, row: int) -> int:
         """Return the id of the endpoint in a row."""
-        return self.generations[row] << ROW_BITS | row + 1  # never 0, which stands for no endpoint
+        return self.generations[row] << ROW_BITS | row + 1  # never 0, which means "no endpoint"
 
     def record_of(self, endpoint_id: int) -> bytes | None:
-        """Return the record of an endpoint; None once it was removed."""
+        """Return the record of an endpoint; None after its removal."""
         row = (endpoint_id & MAX_ROWS) - 1
         return self.records[row] if 0 <= row < len(self.records) and self.row_id(row) == endpoint_id else None
 
     def find_row(self, name: bytes) -> int | None:
-        """Return the row of the endpoint with this name, in UTF-8; None without one."""
+        """Return the row of the endpoint with this name, given in UTF-8; None if there is none."""
         for row in self.name_index.find(hash(name)):
             record = self.records[row]
             if record is not None and record.endswith(name) and record_name(record) == name:
@@ -70,13 +70,13 @@
         return None
 
     def add_row(self, record: bytes, destination: int) -> int:
-        """Add an endpoint; return its row."""
+        """Add an endpoint and return its row."""
         if self.free_rows:
             row = self.free_rows.pop()
             self.records[row] = record
         else:
             row = len(self.records)
-            assert row < MAX_ROWS, "more endpoints than ids tell apart"
+            assert row < MAX_ROWS, "the endpoint table is full: an id cannot hold another row number"
             self.records.append(record)
             self.generations.append(0)
         self.name_index.add(row)
@@ -84,7 +84,7 @@
         return row
 
     def drop_row(self, row: int) -> Endpoint:
-        """Remove an endpoint; return it with the status `GONE`."""
+        """Remove an endpoint and return it with the status `GONE`."""
         record = self.records[row]
         assert record is not None
         gone = endpoint_from_record(self.row_id(row), record, EndpointStatus.GONE)
--- a/linnetstile/platform_relay/list_update.py
+++ b/linnetstile/platform_relay/list_update.py
@@ -1,4 +1,4 @@
-"""Applies one list of discovery to the table of endpoints, in steps of bounded work."""
+"""Applies one list from discovery to the endpoint table, in steps of bounded work."""
 
 from __future__ import annotations
 
@@ -12,27 +12,27 @@
 from .endpoint_table import EndpointTable
 from .list_entry import encode_name, entry_name, parse_details, parse_name, parse_status
 
-MAX_FAULT_CHARACTERS = 200  # of the fault of an entry, in the log
+MAX_FAULT_CHARACTERS = 200  # the logged fault of an entry is cut to this length
 
 
 class InvalidListError(ProtocolError):
-    """Discovery sent something that is no list, or a list that is older than the known one."""
+    """Discovery sent data that is not a list, or a list that is older than the last one read."""
 
 
 class ListUpdate:
-    """One list that is being read: its entries in any number of parts, and then its end in steps.
+    """One list that is being read: first its entries in any number of parts, then the removal of missing endpoints.
 
-    Each entry is in force at once, and each step returns what it changed: a change counts as known once discovery has
-    written it, and an endpoint that drains must not be called while the rest of a long list is read. Endpoints that a
-    full list does not name are removed at its end only. So a list that is truncated or malformed removes nothing, and
-    its version is not recorded.
+    Each entry takes effect immediately, and each step returns the endpoints that it changed. Discovery treats a change
+    as known once it has written it, so a draining endpoint must not be called while the rest of a long list is read.
+    Endpoints that a full list does not name are removed only after its last entry, so a truncated or malformed list
+    removes no missing endpoint, and its version is not recorded.
 
     Attributes:
         is_full: Whether the list names all endpoints.
-        version: Version of the list; None without one.
-        entries_read: Number of entries so far.
+        version: Version of the list; None if it has none.
+        entries_read: Number of entries so far, including skipped ones.
         entries_skipped: Number of entries that could not be read.
-        first_fault: Fault of the first entry that could not be read; empty without one.
+        first_fault: Fault of the first entry that could not be read; empty if there is none.
         is_complete: Whether the list has been read to its end.
     """
 
@@ -54,8 +54,8 @@
             kinds: Index of each kind of destination, by its name.
             zones: Index of each zone, by its name.
             is_full: Whether the list names all endpoints.
-            version: Version of the list; None without one.
-            version_guard: Records the version at the end of the list; None for a list whose version does not count.
+            version: Version of the list; None if it has none.
+            version_guard: Records the version at the end of the list; None if the version must not be recorded.
             on_entry_skipped: Called for each entry that could not be read.
         """
         self.is_full = is_full
@@ -69,16 +69,16 @@
         self._zones = zones
         self._version_guard = version_guard
         self._on_entry_skipped = on_entry_skipped
-        # Of a full list: a byte for each row, 1 once the list has named its endpoint. Empty for a list of changes.
+        # For a full list, one byte per row: 1 once the list has named the row's endpoint. Empty for a list of changes.
         self._named_rows = bytearray(len(table.records) if is_full else 0)
-        self._next_row = 0  # the first row that `remove_missing` has not looked at
+        self._next_row = 0  # the next row that `remove_missing` checks
 
     # -- entries ---------------------------------------------------------------------------------------------
 
     def add_entries(self, servers: list[Any]) -> list[Endpoint]:
-        """Apply some entries; of several for one endpoint, the last one counts.
+        """Apply the next entries of the list in order; a later entry for an endpoint overrides an earlier one.
 
-        An entry that cannot be read leaves its endpoint as it was.
+        An entry that cannot be read is skipped, and its endpoint does not change.
 
         Returns:
             The endpoints that changed.
@@ -110,7 +110,7 @@
             if row is not None:
                 self._drop(row, changed)
             return
-        if row is not None and status is EndpointStatus.DRAINING:  # the rest of the entry does not matter any more
+        if row is not None and status is EndpointStatus.DRAINING:  # the other fields are ignored
             self._store(row, status, None, changed)
             return
         details = parse_details(raw, self._kinds, self._zones)
@@ -124,9 +124,9 @@
         self._store(row, status, record, changed, is_new=is_new)
 
     def _has_moved(self, row: int, record: bytes, destination: int) -> bool:
-        """Return whether the endpoint in a row has another destination now."""
-        before = self._table.records[row]
-        return before is not None and before != record and record_destination(before) != destination
+        """Return whether the new record assigns the endpoint in a row to another destination."""
+        old_record = self._table.records[row]
+        return old_record is not None and old_record != record and record_destination(old_record) != destination
 
     def _drop(self, row: int, changed: dict[int, Endpoint]) -> None:
         gone = self._table.drop_row(row)
@@ -141,22 +141,22 @@
         *,
         is_new: bool = False,
     ) -> None:
-        """Store a record in a row with its status; None keeps the record that is there."""
+        """Store a record and its status in a row; None as the record keeps the stored one."""
         self._mark_named(row)
         records = self._table.records
-        before = records[row]
-        record = record or before
-        assert before is not None
+        old_record = records[row]
+        record = record or old_record
+        assert old_record is not None
         assert record is not None
         if status is EndpointStatus.DRAINING:
             record = with_draining(record)
-        if record == before and not is_new:
+        if record == old_record and not is_new:
             return
         records[row] = record
         endpoint_id = self._table.row_id(row)
         endpoint = endpoint_from_record(endpoint_id, record)
-        # A change of the address alone is none for the engine.
-        if is_new or endpoint != endpoint_from_record(endpoint_id, before):
+        # The engine does not use addresses, so a change of the address alone is not published.
+        if is_new or endpoint != endpoint_from_record(endpoint_id, old_record):
             changed[endpoint_id] = endpoint
 
     def _mark_named(self, row: int) -> None:
@@ -169,10 +169,12 @@
     # -- end -------------------------------------------------------------------------------------------------
 
     def remove_missing(self) -> list[Endpoint]:
-        """Take one step of the end of the list: remove endpoints that a full list did not name.
+        """Check the next rows and remove the endpoints that a full list did not name.
+
+        The last call completes the list and records its version.
 
         Returns:
-            The removed ones, at most `ENTRIES_PER_EVENT`, of the next `ROWS_PER_SWEEP` rows.
+            The removed endpoints: at most `ENTRIES_PER_EVENT`, from at most `ROWS_PER_SWEEP` rows.
         """
         table = self._table
         gone: list[Endpoint] = []
--- a/linnetstile/platform_relay/listed_destinations.py
+++ b/linnetstile/platform_relay/listed_destinations.py
@@ -1,4 +1,4 @@
-"""The destinations that have endpoints, at 16 bytes each."""
+"""The destinations that have endpoints, in 16 bytes each."""
 
 from __future__ import annotations
 
@@ -10,15 +10,15 @@
 
 
 class ListedDestinations:
-    """Counts the endpoints of each destination; destinations that have lost their last one stay known for a while.
+    """Counts the endpoints of each destination, and remembers destinations that recently lost their last endpoint.
 
     Attributes:
-        max_unlisted: Bound on `recently_unlisted`.
+        max_unlisted: Maximum length of `recently_unlisted`.
         ids: The destination in each row.
         endpoint_counts: Number of endpoints of the destination in each row.
-        free_rows: Rows that are free.
+        free_rows: Rows without a destination.
         index: Rows by the hash of their destination.
-        recently_unlisted: The latest destinations without an endpoint, oldest first.
+        recently_unlisted: The destinations that most recently lost their last endpoint, oldest first.
     """
 
     def __init__(self, max_unlisted: int = MAX_UNLISTED_DESTINATIONS) -> None:
@@ -59,7 +59,7 @@
     def remove(self, destination: int) -> None:
         """Remove an endpoint from a destination."""
         row = self._find_row(destination)
-        assert row is not None, "a destination that was never added"
+        assert row is not None, "the destination has no endpoint to remove"
         self.endpoint_counts[row] -= 1
         if self.endpoint_counts[row]:
             return
--- a/linnetstile/platform_relay/log_events.py
+++ b/linnetstile/platform_relay/log_events.py
@@ -1,4 +1,4 @@
-"""Names of the log events of the platform relay, in one place; docs/on-call.md explains them to operators."""
+"""Names of the platform relay's log events; docs/on-call.md explains them to operators."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 LIST_TRUNCATED: Final = "list_truncated"
 ENTRIES_SKIPPED: Final = "entries_skipped"
 
-# The configuration, when it is read again.
+# Reload of the configuration.
 CONFIG_REJECTED: Final = "config_rejected"
 CONFIG_CHANGE_DEFERRED: Final = "config_change_deferred"
 
@@ -28,8 +28,8 @@
     """Writes log events."""
 
     def __call__(self, event: str, **fields: object) -> None:
-        """Write an event and its fields; names of fields are part of the log's format."""
+        """Write an event and its fields; the field names are part of the log format."""
 
 
 def discard(event: str, **fields: object) -> None:
-    """Write nothing: an `EventLog` for a part that is used without a log."""
+    """Discard the event: an `EventLog` for components that run without a log."""
