--- a/linnetstile/net/client.py
+++ b/linnetstile/net/client.py
@@ -1,7 +1,7 @@
-"""HTTP/1.1 client: the names that other packages use, and a single call for tools.
+"""HTTP/1.1 client: the names that other packages import, and a function that makes a single call.
 
-The parts: `client_call.py` is one call, `client_connection.py` one connection, `client_pool.py` the pool of them,
-`connector.py` opens them, and `idle_connections.py` has those that wait for another call.
+The modules: `client_call.py` is one call, `client_connection.py` is one connection, `client_pool.py` is the connection
+pool, `connector.py` opens connections, and `idle_connections.py` stores the connections that have no call.
 """
 
 from __future__ import annotations
@@ -31,11 +31,11 @@
 async def call_once(
     address: Address, method: str, data: RequestBytes, seconds: float, limits: http1.Limits | None = None
 ) -> CallResult:
-    """Make one call, with a timeout in seconds, on a connection of its own; for tools."""
-    answered: asyncio.Future[CallResult] = asyncio.get_running_loop().create_future()
+    """Make one call on a new connection, and close the connection; `seconds` is the timeout. For command-line tools."""
+    pending_result: asyncio.Future[CallResult] = asyncio.get_running_loop().create_future()
     pool = ConnectionPool(limits=limits)
     try:
-        pool.call(address, method, data, answered.set_result, asyncio.get_running_loop().time() + seconds)
-        return await answered
+        pool.call(address, method, data, pending_result.set_result, asyncio.get_running_loop().time() + seconds)
+        return await pending_result
     finally:
         pool.close()
--- a/linnetstile/net/client_call.py
+++ b/linnetstile/net/client_call.py
@@ -1,4 +1,4 @@
-"""One request on its way to a peer: what is sent where, how it can be ended, and how it ended."""
+"""A call, which is one request to a peer: its address, its cancellation and its result."""
 
 from __future__ import annotations
 
@@ -17,9 +17,9 @@
 
 
 class IdentifiedAddress(NamedTuple):
-    """A TCP address that peers may use one after the other, with the identifier of one of them.
+    """A TCP address with the identifier of the peer that listens there.
 
-    A connection to one of them is never used for its successor.
+    Another peer may take over the address later; a connection to the earlier peer is never used for the later one.
     """
 
     host: str
@@ -28,7 +28,7 @@
 
 
 class TlsParameters(NamedTuple):
-    """How to connect with TLS: the context, and the name that the peer's certificate has to show."""
+    """How to connect with TLS: the context, and the name that the peer's certificate must contain."""
 
     context_files: TlsContextFiles
     server_name: str
@@ -36,7 +36,7 @@
 
 # Host and port, with an identifier or without, or the path of a local socket.
 Address = tuple[str, int] | IdentifiedAddress | str
-# The bytes of a request: in one piece, or its head and its body.
+# The bytes of a request, either joined or as a pair of head and body.
 RequestBytes = bytes | http1.EncodedMessage
 
 
@@ -50,17 +50,17 @@
     """How a call ended."""
 
     wire_result: WireResult
-    head: http1.Response | None = None  # only where the call was answered
+    head: http1.Response | None = None  # None if no response was received
     body: bytes = b""
-    # The last byte of the request was sent, so that the peer may have had all of it.
+    # Whether the last byte of the request was sent, so that the peer may have received the complete request.
     request_complete: bool = True
-    # The status in the first line of a response whose rest was not received or can't be read; 0 = none can be read.
+    # Status from the first line of a response whose rest was not received or can't be parsed; 0 = no status is known.
     claimed_status: int = 0
-    reused_connection: bool = False  # it was sent on an idle connection of an earlier call
+    reused_connection: bool = False  # whether it was sent on an idle connection of an earlier call
 
 
 class Call:
-    """One request on its way. Its callback is called once, never from within `ConnectionPool.call`."""
+    """One request to a peer. Its callback is called once, never from within `ConnectionPool.call`."""
 
     def __init__(
         self, on_done: Callable[[CallResult], None], last_byte_delay_s: float = 0.0, send_before: float = math.inf
@@ -82,30 +82,34 @@
         request_complete: bool = True,
         claimed_status: int = 0,
     ) -> None:
-        """Notify the caller, if it still waits, how the call ended; `CallResult` has the meaning of each argument."""
-        done, self.on_done = self.on_done, None
+        """Pass the result to the callback, unless it was called or detached; `CallResult` documents the arguments."""
+        callback, self.on_done = self.on_done, None
         if self.timer:
             self.timer.cancel()
-        if done:
-            done(CallResult(wire_result, head, body, request_complete, claimed_status, self.reused_connection))
+        if callback:
+            callback(CallResult(wire_result, head, body, request_complete, claimed_status, self.reused_connection))
 
     def detach(self) -> None:
         """Drop the callback; the connection may still complete its exchange and be reused."""
         self.on_done = None
 
     def abort(self, result: WireResult) -> None:
-        """End the call now, with this result unless the request can't have been sent."""
+        """End the call now.
+
+        Args:
+            result: The result of the call if its complete request was sent; otherwise the result says that it was not.
+        """
         self._end(self._unsent_result() or result)
 
     def cancel_if_unsent(self) -> None:
-        """End the call as not sent if the peer can't have had all of the request; else change nothing."""
+        """End the call with `NOT_SENT` if the peer can't have received the complete request; otherwise do nothing."""
         if self.on_done is not None and self._unsent_result():
             self._end(WireResult.NOT_SENT)
 
     def _unsent_result(self) -> WireResult | None:
-        """Return what an end proves as long as the last byte was not sent; None once it was.
+        """Return the result of ending the call now if its last byte was not sent; None if it was.
 
-        The rest of the request goes with the connection, and the peer never had all of it.
+        Ending the call closes the connection, so the peer never receives the rest of the request.
         """
         if self.connecting:
             return WireResult.NO_CONNECTION
@@ -114,7 +118,7 @@
         return None
 
     def _end(self, result: WireResult) -> None:
-        """Close the connection too: one with a request in flight can't be reused."""
+        """End the call and close its connection: a connection with a request in flight can't be reused."""
         if self.connecting:
             self.connecting.cancel()
         connection, self.connection = self.connection, None
--- a/linnetstile/net/client_connection.py
+++ b/linnetstile/net/client_connection.py
@@ -14,7 +14,7 @@
 if TYPE_CHECKING:
     from .client_pool import ConnectionPool
 
-# Time in seconds for the rest of a response that was reported by its status line; then its connection is closed.
+# Time to receive the rest of a response whose call was finished at its status line; then the connection is closed.
 RESPONSE_TAIL_TIMEOUT_S = 1.0
 
 
@@ -29,8 +29,8 @@
         self.head: http1.Response | None = None
         self.body_pieces: list[bytes] = []
         self.idle_since = 0.0  # loop time, s
-        self.withheld_end = b""  # the last byte of a request, while it is delayed
-        self.call_started_at = pool.loop.time()  # loop time, s, at which the current or last call was sent
+        self.delayed_last_byte = b""  # the last byte of the request while it is delayed, otherwise empty
+        self.call_started_at = pool.loop.time()  # loop time (s) at which the latest call was sent
         self.start_rate_meters(pool.rates.response_rate, pool.rates.request_rate, pool.rates.grace_s)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -40,16 +40,18 @@
 
     @property
     def request_incomplete(self) -> bool:
-        """Whether a byte of the request was not sent.
+        """Whether some bytes of the request have not been sent.
 
-        RFC 9112, 8: what is not complete can't be acted on, and an AS2 message has its digest over all of it.
+        A peer can't act on such a request: RFC 9112, section 8 treats it as incomplete, and the digest of an AS2
+        message covers the complete message.
         """
-        return self.write_paused or self.queued_bytes > 0 or bool(self.withheld_end)
+        return self.write_paused or self.queued_bytes > 0 or bool(self.delayed_last_byte)
 
     def abort_if_unsolicited_input(self) -> bool:
         """Close an idle connection whose peer has sent something, or has closed it.
 
-        Guards the next request against surplus bytes of an earlier response, and against a closed connection.
+        Otherwise the next request could be matched with surplus bytes of an earlier response, or be sent on a
+        connection that the peer has closed.
 
         Returns:
             Whether it was closed.
@@ -63,8 +65,8 @@
         """Send the request of a call.
 
         Returns:
-            False if not a byte was sent: the connection had ended, the first write found that it has, or it is too
-            late.
+            False if no byte was sent: the connection had ended before or at the first write, or `call.send_before` has
+            passed.
         """
         if self.is_closing or self.pool.loop.time() > call.send_before:
             return False
@@ -86,22 +88,22 @@
 
     def _write_all_but_last_byte(self, call: Call, data: RequestBytes) -> None:
         joined = data if isinstance(data, bytes) else b"".join(data)
-        self.withheld_end = joined[-1:]
+        self.delayed_last_byte = joined[-1:]
         self.write(joined[:-1])
         self.pool.loop.call_later(call.last_byte_delay_s, self._write_last_byte, call)
 
     def _write_last_byte(self, call: Call) -> None:
-        if self.call is call and self.withheld_end:
-            withheld_end, self.withheld_end = self.withheld_end, b""
-            self.write(withheld_end)
+        if self.call is call and self.delayed_last_byte:
+            delayed_last_byte, self.delayed_last_byte = self.delayed_last_byte, b""
+            self.write(delayed_last_byte)
 
     def _abort_if_partial(self, call: Call) -> None:
-        """Abort a call that is not completely sent in time: a peer that reads on later must not receive all of it."""
+        """Abort a call that is still incomplete at its `send_before`, so that the peer never receives all of it."""
         if self.call is call and self.request_incomplete:
             call.abort(WireResult.REQUEST_INCOMPLETE)
 
     def violated_rate(self, now_ms: float) -> str:
-        """Tick the rate meters; return the name of the minimum rate that the peer is below, or an empty string."""
+        """Update the rate meters; return the name of the minimum rate that the peer violates, or an empty string."""
         if self.call is None:
             return ""
         written = self.take_written_bytes()
@@ -109,13 +111,13 @@
             return "request_rate" if self.write_meter.tick(now_ms, written) else ""
         self.write_meter.pause()
         read = self.take_read_bytes()
-        # Until the first byte of the response the peer processes the request; the caller's timeout bounds that.
+        # Before the first byte of the response the peer processes the request, which only the caller's timeout limits.
         return "response_rate" if self.bytes_read and self.read_meter.tick(now_ms, read) else ""
 
     def received(self, data: memoryview) -> None:
         """Handle received bytes of a response."""
         self.bytes_read += len(data)
-        if self.call is None:  # bytes without a request: such a connection is not reused
+        if self.call is None:  # a connection with unsolicited bytes is not reused
             self.transport.abort()
             return
         try:
@@ -127,8 +129,8 @@
         if call is None:
             return
         if self.pool.finish_at_status_line and call.on_done is not None and self.parser.early_status == 200:
-            # The status is final whatever follows, and the peer's slot is free. The rest is only read to find out
-            # whether the connection can be reused.
+            # The status is final whatever follows, and the peer's call slot is free. The rest of the response is read
+            # only to find out whether the connection can be reused.
             call.finish(
                 WireResult.ANSWERED, self.head, request_complete=not self.request_incomplete, claimed_status=200
             )
@@ -152,7 +154,7 @@
         assert call is not None
         assert head is not None
         call.connection = None
-        request_incomplete = self.request_incomplete  # the response was received before the request was sent
+        request_incomplete = self.request_incomplete  # the response arrived before all of the request was sent
         response_was_clean = head.keep_alive and self.parser.is_idle and not self.parser.error
         if request_incomplete:
             self.transport.abort()
@@ -163,7 +165,7 @@
         call.finish(WireResult.ANSWERED, head, body, request_complete=not request_incomplete)
 
     def eof_received(self) -> None:
-        """End a response that has no length with its connection. Called by asyncio."""
+        """Complete a response without a length, which ends with its connection. Called by asyncio."""
         if self.call is not None and not self.parser.error:
             try:
                 self._handle_events(self.parser.eof())
--- a/linnetstile/net/client_pool.py
+++ b/linnetstile/net/client_pool.py
@@ -1,4 +1,4 @@
-"""The pool of client connections: keeps idle ones by address, and makes new ones."""
+"""The connection pool of the client: reuses idle connections by address, and opens new ones."""
 
 from __future__ import annotations
 
@@ -18,28 +18,29 @@
 DEFAULT_CONNECT_TIMEOUT_S = 3.0
 DEFAULT_IDLE_TIMEOUT_S = 15.0
 UNLIMITED_IDLE = 1 << 30
-# How often idle times and minimum rates are checked. A rate needs finer steps: its grace may be well below a second.
+# Interval at which idle connections are checked if no minimum rates are set.
 SWEEP_INTERVAL_S = 1.0
+# Interval at which idle connections and minimum rates are checked; short, as the grace of a rate may be below a second.
 SWEEP_INTERVAL_WITH_RATES_S = 0.25
-NO_DESCRIPTORS = (errno.EMFILE, errno.ENFILE)
+NO_DESCRIPTORS_ERRNOS = (errno.EMFILE, errno.ENFILE)
 
 
 @dataclass(frozen=True, slots=True)
 class MinimumRates:
     """Minimum rates in bytes a second (0 = none), and the stall in seconds that they allow."""
 
-    request_rate: float = 0.0  # at which a peer reads
-    response_rate: float = 0.0  # at which it responds, from the first byte of its response on
+    request_rate: float = 0.0  # at which a peer reads the request
+    response_rate: float = 0.0  # at which a peer sends its response, from the first byte on
     grace_s: float = 5.0
 
 
 class ConnectionPool:
-    """Connections by address: idle ones are used again, the newest first.
+    """Open connections by address; idle ones are reused, the newest first.
 
     Attributes:
-        idle_connections: Connections that wait for another call.
+        idle_connections: Connections without a call, which can be reused.
         connections: All open connections.
-        counts: Connections made, reused and failed, and how often there were no file descriptors.
+        counts: Connections opened, reused and failed, and how often the process had no free file descriptor.
     """
 
     def __init__(
@@ -55,13 +56,13 @@
         """Start an empty pool on the running event loop.
 
         Args:
-            connect_timeout_s: Time in seconds in which a connection, with its TLS handshake, has to be made.
+            connect_timeout_s: Maximum time in seconds to open a connection, including its TLS handshake.
             idle_timeout_s: Time in seconds after which an idle connection is closed.
             limits: Limits on the size of responses.
-            rates: Minimum rates that peers have to keep.
-            on_slow: Called with a connection and the name of the limit that it is closed for.
-            finish_at_status_line: Report a 200 as soon as its first line can be read, for peers whose status is final
-                whatever follows.
+            rates: Minimum rates at which peers must read requests and send responses.
+            on_slow: Called with a connection and the limit for which it is closed, or the reason of a failed handshake.
+            finish_at_status_line: Whether a call ends as soon as the status line of a 200 was received; for peers
+                whose status is final whatever follows.
             max_idle: Maximum number of idle connections; the oldest is closed first.
         """
         self.finish_at_status_line = finish_at_status_line
@@ -99,14 +100,14 @@
 
         Args:
             address: The peer.
-            method: The request's method, which the response is read by.
+            method: The request's method, which determines how the response is parsed.
             data: The bytes of the request.
-            on_done: Called once with the end of the call, never from within this method.
+            on_done: Called once with the result, never from within this method.
             timeout_at: Loop time (s) at which the call times out; None = never.
-            tls: Makes new connections with TLS.
+            tls: How to open new connections with TLS; None = without TLS.
             last_byte_delay_s: Time in seconds by which the last byte is delayed. If the connection ends before that,
-                as one does that the peer had closed, the peer did not receive the request.
-            send_before: Loop time (s) after which the request is not sent, however long a connection takes to open.
+                for instance because the peer had closed it already, the peer did not receive the complete request.
+            send_before: Loop time (s) after which the request is not sent, even if a connection was opened for it.
         """
         call = Call(on_done, last_byte_delay_s, send_before)
         if timeout_at is not None:
@@ -118,20 +119,20 @@
     def _send_on_idle_connection(
         self, call: Call, address: Address, method: str, data: RequestBytes, uses_tls: bool
     ) -> bool:
-        """Send the call on the newest idle connection that can be written to; return False if there is none."""
+        """Send the call on the newest usable idle connection; return False if there is none."""
         while connection := self._take_idle_connection(call, address):
-            # Under TLS there may be records that are not for us.
+            # Under TLS the unread input may be records without application data.
             if connection.is_closing or (not uses_tls and connection.abort_if_unsolicited_input()):
                 continue
             if connection.send(call, method, data):
                 self.counts["reused"] += 1
                 call.reused_connection = True
                 return True
-            # Not a byte was sent: another connection is no second attempt.
+            # No byte was sent, so using another connection does not make a second attempt.
         return False
 
     def _take_idle_connection(self, call: Call, address: Address) -> ClientConnection | None:
-        """Return the newest idle connection to an address; None if there is none, or it is too late for the call."""
+        """Remove and return the newest idle connection; None if there is none or the call's `send_before` is past."""
         if self.loop.time() > call.send_before:
             return None
         return self.idle_connections.take_newest(address)
@@ -146,9 +147,9 @@
                 try:
                     connection = await self._open(address, tls)
                 except OSError as error:
-                    if error.errno not in NO_DESCRIPTORS:
+                    if error.errno not in NO_DESCRIPTORS_ERRNOS:
                         raise
-                    # Our own lack of descriptors proves nothing about the peer.
+                    # A lack of file descriptors in this process says nothing about the peer.
                     failure = WireResult.NOT_SENT
                     await self._free_descriptors()
                     connection = await self._open(address, tls)
@@ -160,28 +161,28 @@
             connection.transport.close()
         elif not connection.send(call, method, data):
             if not connection.is_closing:
-                self.keep_idle(connection)  # too late for this call, and good for another one
+                self.keep_idle(connection)  # too late for this call, but usable by another one
             call.finish(WireResult.NOT_SENT)
 
     def _finish_unconnected(self, call: Call, failure: WireResult) -> None:
-        """End a call that no connection could be made for."""
+        """End a call for which no connection could be opened."""
         self.counts["failed"] += 1
         call.connecting = None
         too_late = self.loop.time() >= call.send_before
         call.finish(WireResult.NOT_SENT if too_late else failure)
 
     async def _free_descriptors(self) -> None:
-        """Close all idle connections."""
+        """Close all idle connections to free their file descriptors."""
         self.counts["no_descriptors"] += 1
         for address in list(self.idle_connections.by_address):
             self.close_idle(address)
         await asyncio.sleep(0)  # the loop closes their sockets in its next pass
 
     async def _open(self, address: Address, tls: TlsParameters | None) -> ClientConnection:
-        """Make a connection.
+        """Open a connection.
 
         Raises:
-            OSError: It can't be made.
+            OSError: The connection can't be opened.
         """
         connection = ClientConnection(self, address)
         try:
@@ -192,7 +193,7 @@
         return connection
 
     def keep_idle(self, connection: ClientConnection) -> None:
-        """Keep a connection whose exchange has ended for another call."""
+        """Keep an open connection that has no call, so that a later call can use it."""
         connection.idle_since = self.loop.time()
         self.idle_connections.add(connection)
         if self.idle_connections.count > self.max_idle:
@@ -232,7 +233,7 @@
                 connection.call.abort(WireResult.TIMED_OUT)
 
     def close(self) -> None:
-        """End every connection at once, with or without a call."""
+        """Abort all connections, including those with a call, and stop the periodic checks."""
         self._sweep_timer.cancel()
         for connection in list(self.connections):
             connection.transport.abort()
--- a/linnetstile/net/connection.py
+++ b/linnetstile/net/connection.py
@@ -1,4 +1,4 @@
-"""What client and server connections share: the receive buffer, and a write side that knows what was not sent."""
+"""Base class of client and server connections: a shared receive buffer, and a write queue that counts unsent bytes."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 from ..engine.minimum_rate import MinimumRateMeter
 from .receive_buffer import LARGE_BUFFER, SMALL_BUFFER
 
-# Passed to the transport at a time: it copies what the kernel does not accept.
+# Maximum size of a write to the transport, which copies the bytes that the kernel does not accept.
 WRITE_SLICE_BYTES = 128 * 1024
 
 
 class Transport(Protocol):
-    """What a `BufferedConnection` needs of a transport: asyncio's own, or TLS over one.
+    """The interface that `BufferedConnection` needs of a transport: asyncio's own one, or TLS over it.
 
     The methods have the meaning that `asyncio.Transport` gives them.
     """
@@ -26,7 +26,7 @@
         """Write bytes; what the kernel does not accept is buffered."""
 
     def write_eof(self) -> None:
-        """Close the write side after what was written."""
+        """Close the write side after the buffered bytes have been written."""
 
     def can_write_eof(self) -> bool:
         """Whether `write_eof` is supported."""
@@ -44,33 +44,33 @@
         """Read nothing from the kernel until `resume_reading`."""
 
     def resume_reading(self) -> None:
-        """Read on after `pause_reading`."""
+        """Continue reading after `pause_reading`."""
 
     def get_write_buffer_size(self) -> int:
-        """Bytes that the kernel has not accepted."""
+        """Return the number of bytes that the kernel has not accepted."""
 
     def set_write_buffer_limits(self, high: int | None = None, low: int | None = None) -> None:
-        """Set when the protocol's `pause_writing` and `resume_writing` are called."""
+        """Set the buffered bytes at which the protocol's `pause_writing` and `resume_writing` are called."""
 
     def get_extra_info(self, name: str, default: object = None) -> object:
-        """Information about the connection, by the names that asyncio documents."""
+        """Return information about the connection by one of the names that asyncio documents."""
 
 
 class BufferedConnection(asyncio.BufferedProtocol):
-    """A connection that reads into the shared buffer and knows which bytes were not sent.
+    """A connection that reads into the shared buffer and counts the bytes that were not sent.
 
-    `received` is called with a view that is valid during the call only. What the kernel does not accept of the written
-    bytes waits here, uncopied, so that the count of unsent bytes is exact to a slice.
+    `received` is called with a view that is valid during the call only. Written bytes that the kernel does not accept
+    are queued here without a copy, so that the count of unsent bytes is exact to one slice.
     """
 
     transport: Transport
     is_lost = False  # the event loop has reported the end of the connection
-    uses_large_buffer = False  # reads by whole buffers
+    uses_large_buffer = False  # whether the next bytes are read into the large receive buffer
     write_paused = False  # the kernel has not accepted all that was written to the transport
     closing_when_written = False  # closes once all has been written
 
     def start_rate_meters(self, read_rate: float, write_rate: float, grace_s: float) -> None:
-        """Set the minimum rates that the peer has to keep.
+        """Set the minimum rates at which the peer has to send and read.
 
         Args:
             read_rate: Bytes a second at which the peer has to send; 0 = none.
@@ -79,8 +79,8 @@
         """
         self.read_meter = MinimumRateMeter(read_rate, grace_s * 1000)
         self.write_meter = MinimumRateMeter(write_rate, grace_s * 1000)
-        self.bytes_read = 0  # bytes received
-        self.metered_read_bytes = 0  # those of them that were counted by the meter
+        self.bytes_read = 0  # bytes received so far
+        self.metered_read_bytes = 0  # bytes that had been received at the last tick of the meter
         self.metered_written_bytes = 0  # bytes that had been sent at the last tick of the meter
 
     def take_read_bytes(self) -> int:
@@ -96,13 +96,13 @@
 
     @property
     def remaining_grace(self) -> float:
-        """The fraction of the allowed stall that is left: 1 = all, 0 = about to be closed."""
+        """The fraction of the allowed stall that is left: 1 = all of it, 0 = the connection is about to be closed."""
         return 1 - max(self.read_meter.patience_used_ms, self.write_meter.patience_used_ms) / self.read_meter.grace_ms
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Start with an empty write queue. Called by asyncio."""
         self.transport = cast(Transport, transport)
-        # asyncio calls us at once when the kernel accepts no more, and when it has accepted the last byte.
+        # asyncio then pauses writing as soon as the kernel accepts no more, until it has accepted the last byte.
         self.transport.set_write_buffer_limits(high=0)
         self.write_queue: deque[memoryview] = deque()
         self.queued_bytes = 0  # bytes in the write queue
@@ -121,7 +121,7 @@
         raise NotImplementedError
 
     def write(self, head: bytes, body: bytes = b"") -> None:
-        """Write both in order; a large body is neither joined to its head nor copied here."""
+        """Write the head, then the body; a large body is neither joined to its head nor copied here."""
         if self.is_lost:
             return
         size = len(head) + len(body)
@@ -146,7 +146,7 @@
 
     @property
     def unsent_bytes(self) -> int:
-        """Bytes that the kernel has not accepted: the peer can't have the complete message while there are any."""
+        """Bytes that the kernel has not accepted; until it is 0, the peer can't have received the complete message."""
         return self.queued_bytes + self.transport.get_write_buffer_size()
 
     def pause_writing(self) -> None:
@@ -159,13 +159,13 @@
         self._write_queued()
 
     def close_when_written(self) -> None:
-        """Close once all that was written was sent."""
+        """Close after all queued bytes have been written."""
         self.closing_when_written = True
         if not self.write_queue and not self.is_closing:
             self.transport.close()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Drop what is queued: the connection has ended. Called by asyncio."""
+        """Clear the write queue after the end of the connection. Called by asyncio."""
         self.is_lost = True
         self.write_queue.clear()
 
@@ -176,12 +176,12 @@
 
     @property
     def has_unread_input(self) -> bool:
-        """Whether the kernel has unread bytes, or the end, of this connection.
+        """Whether the kernel has unread bytes of this connection, or its end.
 
-        Closing on unread bytes resets the connection, and what was written before may be lost.
+        Closing a connection that has unread bytes resets it, and bytes written before may be lost.
         """
-        endpoint = self.transport.get_extra_info("socket")
-        descriptor = endpoint.fileno() if isinstance(endpoint, (socket.socket, TransportSocket)) else -1
+        transport_socket = self.transport.get_extra_info("socket")
+        descriptor = transport_socket.fileno() if isinstance(transport_socket, (socket.socket, TransportSocket)) else -1
         if descriptor < 0:
             return False
         poll = select.poll()
@@ -194,5 +194,5 @@
         return f"{name[0]}:{name[1]}" if isinstance(name, tuple) else "?"
 
     def peer_host(self) -> str:
-        """Return the peer's address without its port: limits by client use it until the client is identified."""
+        """Return the peer's address without its port; limits on each client use it until the client is identified."""
         return self.peer_address().rpartition(":")[0]
--- a/linnetstile/net/connection_phase.py
+++ b/linnetstile/net/connection_phase.py
@@ -1,7 +1,7 @@
 """The phases of a server connection; the values are the names that the admin socket and the logs show.
 
-They are plain strings and no enumeration: the sweep over all connections compares them, and members of an enumeration
-cost more than ten times as much to access.
+They are plain strings instead of an enumeration because the sweep over all connections compares them, and members of
+an enumeration take more than ten times as long to access.
 """
 
 from __future__ import annotations
@@ -10,18 +10,18 @@
 
 ConnectionPhase = Literal["handshake", "closing", "room", "held", "answer", "body", "head", "idle"]
 
-HANDSHAKE: Final = "handshake"  # of TLS
+HANDSHAKE: Final = "handshake"  # the TLS handshake is not complete
 CLOSING: Final = "closing"  # the last response is written; further input is dropped
-WAITING_FOR_CAPACITY: Final = "room"  # the body is not read on until there is capacity for it
-RESPONSE_PENDING: Final = "held"  # the request is complete, and its response is not
-WRITING_RESPONSE: Final = "answer"  # a part of a response was not sent
-READING_BODY: Final = "body"
-READING_HEAD: Final = "head"  # or the connection is new and nothing was received yet
+WAITING_FOR_CAPACITY: Final = "room"  # reading the body is paused until there is capacity for it
+RESPONSE_PENDING: Final = "held"  # the request is complete, and its response was not written yet
+WRITING_RESPONSE: Final = "answer"  # a part of the response was not sent yet
+READING_BODY: Final = "body"  # the body of the request is incomplete
+READING_HEAD: Final = "head"  # the head of a request is incomplete, or nothing was received on a new connection
 IDLE: Final = "idle"  # between two requests
 
-# A connection in one of these waits for a response, or for the end of one.
+# Phases in which the client waits for a response or for the rest of one.
 OBLIGED_PHASES: Final[tuple[ConnectionPhase, ...]] = (RESPONSE_PENDING, WRITING_RESPONSE, CLOSING)
-# A request has begun, or may have, and is not complete.
+# Phases in which a request has begun, or may have begun, and is incomplete.
 INCOMPLETE_PHASES: Final[tuple[ConnectionPhase, ...]] = (READING_HEAD, READING_BODY, WAITING_FOR_CAPACITY)
-# What is received is read at once.
+# Phases in which received bytes are read immediately.
 READING_PHASES: Final[tuple[ConnectionPhase, ...]] = (IDLE, READING_HEAD, READING_BODY)
--- a/linnetstile/net/connection_registry.py
+++ b/linnetstile/net/connection_registry.py
@@ -1,4 +1,4 @@
-"""The open connections of a listener, and which of them is evicted for a new one when the listener is full."""
+"""Registry of a listener's open connections; evicts one for a new connection when the listener is full."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 from ..engine.connection_eviction import IdleConnection, connections_to_evict
 from .server_connection import ServerConnection
 
-# For so long a new connection is evicted only after the others: its first bytes may not have been read.
+# Time in which a new connection is evicted only after all others, because its first bytes may not have been read yet.
 NEW_CONNECTION_GRACE_S = 0.5
-# How long a ranking is valid: one pass over all connections serves many new ones.
+# Time for which a ranking is reused, so that one pass over all connections serves many new ones.
 RANKING_VALID_S = 0.25
 
 
 class ConnectionRegistry:
-    """Counts open connections, in all and by host, and evicts one where the limit is reached."""
+    """Counts the open connections, in total and by host, and evicts one if the limit is reached."""
 
     def __init__(
         self,
@@ -24,13 +24,13 @@
         candidates_per_ranking: int,
         on_evict: Callable[[ServerConnection], None],
     ) -> None:
-        """Start empty.
+        """Create an empty registry.
 
         Args:
-            loop: Gives the time.
-            max_connections: Connections that may be open.
-            candidates_per_ranking: How many connections one ranking chooses.
-            on_evict: Called before a connection is closed for another one.
+            loop: The event loop, whose clock is used.
+            max_connections: Maximum number of open connections.
+            candidates_per_ranking: Number of candidates for eviction that one ranking selects.
+            on_evict: Called with a connection before it is evicted.
         """
         self.connections: set[ServerConnection] = set()
         self._loop = loop
@@ -42,12 +42,12 @@
         self._ranked_at = 0.0  # loop time, s
 
     def add(self, connection: ServerConnection) -> None:
-        """Count a new connection."""
+        """Register a new connection."""
         self.connections.add(connection)
         self._count_by_host[connection.host] = self._count_by_host.get(connection.host, 0) + 1
 
     def remove(self, connection: ServerConnection) -> None:
-        """Count a connection no more, if it was counted."""
+        """Remove a connection, if it is registered."""
         if connection in self.connections:
             self.connections.remove(connection)
             self._count_by_host[connection.host] -= 1
@@ -55,9 +55,10 @@
                 del self._count_by_host[connection.host]
 
     def admit_connection(self, connection: ServerConnection) -> bool:
-        """Return whether a new connection may stay; at the limit one without an obligation is evicted for it.
+        """Return whether a new connection may stay open.
 
-        So half-open connections don't keep others out.
+        At the limit, a connection without an obligation is evicted for it, so that half-open connections can't block
+        new ones.
         """
         if len(self.connections) < self._max_connections:
             return True
@@ -75,7 +76,7 @@
         return False
 
     def _may_evict(self, candidate: ServerConnection) -> bool:
-        """Whether a connection still is as it was when it was ranked."""
+        """Whether a candidate may still be evicted; its state may have changed since the ranking."""
         if candidate.is_closing or candidate.has_obligation or candidate not in self.connections:
             return False
         next_request_arrived = candidate.had_complete_request and candidate.has_unread_input
@@ -84,12 +85,12 @@
     def _evict(self, connection: ServerConnection) -> None:
         self._on_evict(connection)
         connection.transport.abort()
-        # Now, and not when the event loop reports its end: the new connection counts already.
+        # Removed before the event loop reports its end, because the new connection takes its place in the count now.
         self.remove(connection)
         connection.release_incomplete()
 
     def _rank(self) -> None:
-        """Choose the connections that are evicted next, and their order."""
+        """Select the connections that are evicted next, and their order."""
         now = self._ranked_at = self._loop.time()
         idle = [
             IdleConnection(
--- a/linnetstile/net/connector.py
+++ b/linnetstile/net/connector.py
@@ -1,4 +1,4 @@
-"""Opens the connections of a client pool: to a TCP address or a local socket, with TLS or without."""
+"""Opens the connections of a client pool to a TCP address, with or without TLS, or to a local socket."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 
 
 async def open_connection(connection: ClientConnection, tls: TlsParameters | None) -> None:
-    """Connect a new connection to its address; local sockets are connected without TLS.
+    """Open a connection to its address; TLS is not used with local sockets.
 
     Raises:
         HandshakeError: The TLS handshake failed.
-        OSError: It can't be connected.
+        OSError: The connection can't be opened.
     """
     loop = asyncio.get_running_loop()
     address = connection.address
--- a/linnetstile/net/engine_loop.py
+++ b/linnetstile/net/engine_loop.py
@@ -1,6 +1,6 @@
-"""Runs the engine on an asyncio event loop: its clock, its one timer, and its turns.
+"""Runs the engine on an asyncio event loop, which gives it its clock, its timer and its turns.
 
-A turn is one call of `DeliveryEngine.handle`. All events that were posted in one pass of the event loop share a turn.
+A turn is one call of `DeliveryEngine.handle` with all events that were posted in one pass of the event loop.
 """
 
 from __future__ import annotations
@@ -15,9 +15,9 @@
 
 
 def age_event(event: Event, elapsed_ms: float) -> Event:
-    """Return an event as it is `elapsed_ms` after it was posted: its ages and remaining times are moved on.
+    """Return an event with its ages and remaining times adjusted by the time since it was posted.
 
-    Without this, deadlines would end late: at its start a relay posts all messages that it recovers before the first
+    Otherwise deadlines would expire late, because a relay that starts posts all recovered messages before its first
     turn.
     """
     match event:
@@ -47,16 +47,16 @@
 
 
 class EngineLoop:
-    """Passes events to the engine, one turn for all events of one pass of the event loop.
+    """Passes posted events to the engine, in one turn for each pass of the event loop.
 
     Attributes:
         engine: The engine, which makes all decisions.
-        carry_out: Called after each turn with its events and with the engine's actions, except the actions that are
-            carried out here: timers and health checks.
+        carry_out: Called after each turn with its events and the engine's actions, except timers and health checks,
+            which are carried out here.
         events: Events that were posted since the last turn.
         turn_scheduled: Whether the next turn is scheduled.
-        closed: Whether `close` was called: no turn runs any more.
-        timer: The engine's timer, as it was set last.
+        closed: Whether `close` was called; no further turn runs after it.
+        timer: The engine's timer that was set last.
     """
 
     def __init__(self, engine: DeliveryEngine, carry_out: Callable[[list[Event], list[Action]], None]) -> None:
@@ -96,14 +96,14 @@
                 case SetTimer(delay_ms=delay_ms, token=token):
                     self._set_timer(delay_ms, token)
                 case HealthCheck(endpoint=endpoint):
-                    # None of our protocols has a health check.
+                    # None of the relays' protocols has a health check.
                     self.post(HealthCheckEnded(endpoint, Outcome.NOT_SENT))
                 case _:
                     host_actions.append(action)
         self.carry_out(events, host_actions)
 
     def _take_events(self, now_ms: float) -> list[Event]:
-        """Return the posted events as they are at `now_ms`, and leave none."""
+        """Remove and return the posted events, adjusted to `now_ms`."""
         posted = self.events
         self.events = []
         return [
@@ -116,11 +116,11 @@
         self.timer = self.loop.call_later(delay_ms / 1000, self.post, TimerFired(token))
 
     def stop(self) -> None:
-        """Cancel the timer; events that are posted still get their turn."""
+        """Cancel the timer; posted events are still handled in their turn."""
         if self.timer:
             self.timer.cancel()
 
     def close(self) -> None:
-        """Run no turn any more: events that are posted from now on have no effect."""
+        """Cancel the timer and run no further turn; events that were not handled before have no effect."""
         self.closed = True
         self.stop()
--- a/linnetstile/net/idle_connections.py
+++ b/linnetstile/net/idle_connections.py
@@ -1,4 +1,4 @@
-"""The idle connections of a client pool, by address; the newest is used first, and the oldest closed first."""
+"""The idle connections of a client pool by address; the newest is reused first, the oldest is closed first."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 
 
 class IdleConnections:
-    """Connections without a call; this class never closes one itself.
+    """The connections without a call; closing them is left to the pool.
 
     Attributes:
-        by_address: The connections to each address, the newest last.
-        count: Number of all connections.
+        by_address: The idle connections to each address, the newest last.
+        count: Number of idle connections to all addresses.
     """
 
     def __init__(self) -> None:
@@ -42,7 +42,7 @@
         return connections
 
     def remove(self, connection: ClientConnection) -> None:
-        """Remove a connection if it is idle, and its address if no connection is left there."""
+        """Remove a connection if it is idle, and its address if it has no other idle connection."""
         connections = self.by_address.get(connection.address, [])
         if connection in connections:
             connections.remove(connection)
@@ -51,7 +51,7 @@
             self.by_address.pop(connection.address, None)
 
     def oldest(self) -> ClientConnection:
-        """Return the connection that has been idle for longest; there must be one."""
+        """Return the connection that has been idle the longest; at least one must be idle."""
         oldest_by_address = (connections[0] for connections in self.by_address.values() if connections)
         return min(oldest_by_address, key=lambda connection: connection.idle_since)
 
--- a/linnetstile/net/receive_buffer.py
+++ b/linnetstile/net/receive_buffer.py
@@ -1,13 +1,13 @@
 """The receive buffer that all connections of a process share.
 
-A selector loop fills a buffer and passes it on within one callback, so one buffer is never in use twice. A buffer for
-each of 10,000 connections would occupy 640 MB for nothing.
+A selector event loop fills the buffer and passes it to the protocol within one callback, so two connections never use
+it at the same time. A separate buffer for each of 10,000 connections would occupy 640 MB.
 """
 
 from __future__ import annotations
 
 LARGE_BUFFER_BYTES = 64 * 1024
-# Read at a time from a peer that was granted no memory: bounds the memory of incomplete requests.
+# Maximum read at once from a peer without granted capacity; limits the memory of incomplete requests.
 SMALL_BUFFER_BYTES = 16 * 1024
 
 LARGE_BUFFER = memoryview(bytearray(LARGE_BUFFER_BYTES))
--- a/linnetstile/net/request_body.py
+++ b/linnetstile/net/request_body.py
@@ -7,7 +7,7 @@
     """The pieces of a body, joined once it is complete.
 
     Attributes:
-        size: Bytes received of the body, also of one whose pieces were dropped.
+        size: Number of body bytes received, including pieces that were dropped.
     """
 
     __slots__ = ("_pieces", "size")
@@ -22,7 +22,7 @@
         self.size += len(piece)
 
     def take(self) -> bytes:
-        """Return the complete body and drop its pieces; one that was received in one piece is not copied."""
+        """Return the complete body and drop its pieces; a body of a single piece is not copied."""
         body = self._pieces[0] if len(self._pieces) == 1 else b"".join(self._pieces)
         self._pieces.clear()
         return body
@@ -32,6 +32,6 @@
         self._pieces.clear()
 
     def reset(self) -> None:
-        """Begin another body."""
+        """Prepare for the next body."""
         self._pieces.clear()
         self.size = 0
--- a/linnetstile/net/request_context.py
+++ b/linnetstile/net/request_context.py
@@ -22,13 +22,13 @@
     body: bytes  # empty until the request is complete
     started_at: float  # loop time, s
     answered: bool
-    on_disconnect: Callable[[], None] | None  # called if the client disconnects before it was answered
-    content_length: int | None  # of the body in bytes; None = chunked, and not known
-    granted_bytes: int  # bytes of the body that capacity was granted for
-    reservation: object  # what was recorded with the capacity granted; given back by the server's `release`
-    body_deadline: float | None  # loop time from which on it is too late for the body to be complete
+    on_disconnect: Callable[[], None] | None  # called if the client disconnects before the response
+    content_length: int | None  # length of the body; None = unknown, because the body is chunked
+    granted_bytes: int  # number of body bytes for which capacity was granted
+    reservation: object  # record of the granted capacity, which the server's `release` returns
+    body_deadline: float | None  # loop time (s) by which the body must be complete; None = no deadline
     on_body_data: Callable[[bytes], object] | None  # called with each piece of the body
-    submission: object  # what the owner of the server has read from the head already
+    submission: object  # what the owner of the server has parsed from the head
 
     def __init__(self, connection: ServerConnection, head: http1.Request, started_at: float) -> None:
         self.connection = connection
@@ -46,24 +46,24 @@
         self.submission = None
 
     def resume_body(self) -> None:
-        """Read the body on: there is capacity for it."""
+        """Continue reading the body, because there is capacity for it now."""
         self.connection.resume_body(self)
 
     def reply(
         self, status: int, headers: Iterable[tuple[str, str]] = (), body: bytes = b"", close: bool = False
     ) -> bool:
-        """Write the response. It must not be called twice.
+        """Write the response. Must not be called twice.
 
         Args:
             status: The status code.
-            headers: Header fields; those for the body's length and the connection are added.
+            headers: Header fields; the fields for the body's length and the connection are added to them.
             body: The body.
             close: Whether to close the connection afterwards.
 
         Returns:
             False if the client has disconnected.
         """
-        assert not self.answered, "a second answer to one request"
+        assert not self.answered, "the request was already answered"
         self.answered = True
         if self.reservation is not None:
             self.connection.server.release(self)
--- a/linnetstile/net/request_input.py
+++ b/linnetstile/net/request_input.py
@@ -6,15 +6,15 @@
 
 from ..codec import http1
 
-EVENTS_PER_PARSE = 8  # parsed at a time, so that what waits unparsed is bytes and not objects
-BYTES_PER_EVENT = 512  # unparsed bytes that count as one waiting event
+EVENTS_PER_PARSE = 8  # limit of one parse; further input waits as bytes instead of parsed objects
+BYTES_PER_EVENT = 512  # number of unparsed bytes that count as one waiting event
 
 
 class RequestInput:
     """The requests that a client has sent and that have not been handled yet.
 
     Attributes:
-        parser: Holds the bytes that have not been parsed; its `error` counts once there are no more events.
+        parser: Holds the bytes that have not been parsed; its `error` applies after the last parsed event.
     """
 
     __slots__ = ("_events", "parser")
@@ -24,14 +24,14 @@
         self._events: deque[http1.Event] = deque()  # parsed, and not handled yet
 
     def feed(self, data: bytes | memoryview) -> None:
-        """Add bytes, and parse them up to a number of events; an error in them is recorded as the parser's `error`."""
+        """Add bytes and parse a limited number of events; a parse error is recorded as the parser's `error`."""
         try:
             self._events.extend(self.parser.feed(data, EVENTS_PER_PARSE))
         except http1.Http1Error:
             return  # reported by the parser's `error`, after the events before it
 
     def take_event(self) -> http1.Event | None:
-        """Remove and return the next event; None while it was not received."""
+        """Remove and return the next event; None if it was not received yet."""
         if not self._events and self.parser.buffered_bytes and not self.parser.error:
             self.feed(b"")
         return self._events.popleft() if self._events else None
@@ -51,10 +51,10 @@
 
     @property
     def is_exhausted(self) -> bool:
-        """Whether nothing is left to be handled: neither an event nor bytes nor an error."""
+        """Whether there is nothing left to handle: no event, no unparsed bytes and no error."""
         return not (self._events or self.parser.buffered_bytes or self.parser.error)
 
     @property
     def waiting_events(self) -> int:
-        """Number of events that wait, with the unparsed bytes counted as events."""
+        """Number of waiting events, including the unparsed bytes at one event for `BYTES_PER_EVENT`."""
         return len(self._events) + self.parser.buffered_bytes // BYTES_PER_EVENT
--- a/linnetstile/net/request_rejection.py
+++ b/linnetstile/net/request_rejection.py
@@ -1,4 +1,4 @@
-"""How a server connection ends for a fault, a limit or a shutdown: what the client is answered before it is closed."""
+"""Rejects requests because of an error, a limit or a shutdown: answers the client and closes the connection."""
 
 from __future__ import annotations
 
@@ -17,26 +17,27 @@
 
 
 def reject_malformed(connection: ServerConnection, error: http1.Http1Error) -> None:
-    """Answer bytes that are not HTTP with the status of the error, and close."""
+    """Answer malformed input with the status of its error, and close the connection."""
     connection.server.count("protocol_errors")
     connection.server.on_error(connection.peer_address(), error)
     write_final_response(connection, error.status, error.text)
 
 
 def reject_for_shutdown(connection: ServerConnection, text: str) -> None:
-    """Answer 503 to a request that has begun and is not complete; nothing if not a byte of it was received."""
+    """Answer 503 to an incomplete request and close; do nothing if no byte of a request was received."""
     request_begun = connection.current_request is not None or not connection.input.parser.is_idle
     if request_begun and not connection.skipping_body:
         _reject_incomplete(connection, SHUTDOWN_STATUS, text)
 
 
 def close_for_limit(connection: ServerConnection, limit: str) -> None:
-    """Close for the limit of this name, in the way that proves most to the client.
+    """Close a connection that exceeds the limit of this name.
 
-    The client of an incomplete request is answered that the request was not accepted.
+    The connection is closed in the way that tells the client most: the client of an incomplete request is answered that
+    the request was not accepted.
     """
     if limit == server_limits.IDLE:
-        if not connection.has_unread_input:  # else its next request was received, and is read in a moment
+        if not connection.has_unread_input:  # otherwise its next request has arrived and is read soon
             finish(connection)
         return
     slow_request = limit in server_limits.SLOW_REQUEST_LIMITS and not connection.input.parser.is_idle
@@ -47,7 +48,7 @@
 
 
 def _reject_incomplete(connection: ServerConnection, status: int, text: str) -> None:
-    """Answer a request that is not complete, and close."""
+    """Answer an incomplete request, and close the connection."""
     request = connection.current_request
     if request is not None and not request.answered:
         request.answered = True
--- a/linnetstile/net/response_writer.py
+++ b/linnetstile/net/response_writer.py
@@ -1,4 +1,4 @@
-"""The write side of a server connection: responses in order, and the orderly end after the last one."""
+"""Writes the responses of a server connection in order, and closes the connection after the last one."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
     from .request_context import RequestContext
     from .server_connection import ServerConnection
 
-# Up to here the body of a request that was rejected by its head is read and dropped; in front of a larger one the
-# connection is closed. A larger one is also read by whole buffers.
+# Largest body that is read and dropped if its request was answered early; for a larger one the connection is closed.
+# Bodies above this size are read into the large receive buffer.
 SMALL_BODY_BYTES = 64 * 1024
-# Bytes that are dropped after the last response before the connection is aborted: the peer will not stop.
+# Maximum input dropped after the last response; a peer that sends more does not stop, and its connection is aborted.
 MAX_DISCARDED_BYTES = 1024 * 1024
 
 
@@ -50,28 +50,28 @@
 
 
 def _can_skip_body(request: RequestContext) -> bool:
-    """Whether the rest of a request that was answered early is read and dropped.
+    """Whether the rest of a request that was answered early can be read and dropped.
 
-    That needs a body that is known to be small, and a client that does not wait for `100 Continue`.
+    Its body must be known to be small, and the client must not wait for `100 Continue`.
     """
     small = request.content_length is not None and request.content_length <= SMALL_BODY_BYTES
     return small and not request.head.headers.get("expect")
 
 
 def write_final_response(connection: ServerConnection, status: int, text: str) -> None:
-    """Write a response of plain text, and close."""
+    """Write a plain-text response, and close the connection."""
     headers = [("Content-Type", "text/plain"), ("Connection", "close")]
     connection.write(*http1.encode_response_parts(status, headers, f"{text}\n".encode()))
     finish(connection, linger=True)
 
 
 def finish(connection: ServerConnection, linger: bool = False) -> None:
-    """Write what is queued, then close; what the peer still sends is dropped.
+    """Write what is queued, then close the connection; further input is dropped.
 
     Args:
         connection: The connection to close.
-        linger: Whether the peer may send on for a while: closing on unread bytes resets the connection, and the
-            response might never be read.
+        linger: Whether the peer may continue to send for a while. Closing with unread bytes resets the connection, and
+            the peer might never read the response.
     """
     connection.finished = True
     connection.input.clear_events()
@@ -90,7 +90,7 @@
 
 
 def discard_input(connection: ServerConnection, size_bytes: int) -> None:
-    """Drop bytes received after the last response; abort a peer that does not stop."""
+    """Drop bytes received after the last response; abort the connection of a peer that does not stop sending."""
     connection.discarded_bytes += size_bytes
     if connection.discarded_bytes > MAX_DISCARDED_BYTES:
         connection.transport.abort()
--- a/linnetstile/net/server.py
+++ b/linnetstile/net/server.py
@@ -1,8 +1,8 @@
-"""HTTP/1.1 server: the listener with its life cycle, and the names that other packages use.
+"""HTTP/1.1 server: the listener and its life cycle, and the names that other packages import.
 
-The parts: `server_connection.py` reads requests, `request_context.py` is one request, `response_writer.py` writes
-responses, `request_rejection.py` answers what is not accepted, `server_limits.py` has the limits on idle and slow
-peers, `connection_registry.py` the open connections.
+The modules: `server_connection.py` reads requests, `request_context.py` is one request, `response_writer.py` writes
+responses, `request_rejection.py` rejects requests, `server_limits.py` defines the limits on idle and slow peers, and
+`connection_registry.py` stores the open connections.
 """
 
 from __future__ import annotations
@@ -24,20 +24,21 @@
 
 __all__ = ["ServerLimits", "ServerConnection", "Handler", "RequestContext", "Server"]
 
-# Called with the peer's address and what was wrong with its bytes or its TLS handshake.
+# Called with the peer's address and the error in its bytes or its TLS handshake.
 ErrorCallback = Callable[[str, http1.Http1Error], None]
-# Called with a request and a number of bytes when a body is due. True = there is capacity; False = the request was
-# answered, or waits for `RequestContext.resume_body`.
+# Called with a request and a number of bytes before these bytes of its body are accepted. Returns True if there is
+# capacity, False if the request was answered or waits for `RequestContext.resume_body`.
 AdmitCallback = Callable[[RequestContext, int], bool]
 # Called with a connection and the name of the limit that it is closed for.
 LimitCallback = Callable[[ServerConnection, str], None]
 
-# Connections accepted in one pass of the event loop: by so many the open files may exceed the limit for a moment, since
-# asyncio counts none of them before the pass ends. Fewer, down to the second figure, where few may be open.
+# Maximum number of connections accepted in one pass of the event loop. The open files may exceed the limit by this
+# number for a moment, because asyncio reports no accepted connection before the pass ends.
 MAX_ACCEPTS_PER_PASS = 64
+# A listener with few `max_connections` accepts half of them in one pass, but no fewer than this.
 MIN_ACCEPTS_PER_PASS = 8
 ACCEPT_QUEUE = 1024  # connections that the kernel queues until they are accepted
-LOCAL_ACCEPT_QUEUE = 16
+LOCAL_ACCEPT_QUEUE = 16  # connections to a local socket that the kernel queues until they are accepted
 OWNER_ONLY_UMASK = 0o177
 
 
@@ -46,12 +47,12 @@
 
     Attributes:
         handler: Called with each complete request.
-        on_head: Called when a head is complete, and may answer.
+        on_head: Called with a request when its head is complete; may answer it.
         http_limits: Limits on the size of requests.
         limits: Limits on connections, times and rates.
         on_error: Called for an error in a client's bytes.
-        admit: Called when a body is due.
-        release: Called when a request ends by a response, or ended before it was complete.
+        admit: Called to request capacity for a body; see `AdmitCallback`.
+        release: Called to release the capacity of a request that was answered or ended incomplete.
         on_slow: Called for a connection that is closed for a limit.
         tls: Keys and certificates; None = without TLS.
         counts: Events by name, among them `server_limits.counter_name` of each limit that connections were closed for.
@@ -69,7 +70,7 @@
         on_slow: LimitCallback | None = None,
         tls: TlsContextFiles | None = None,
     ) -> None:
-        """Make a server on the running event loop; `start` makes it listen."""
+        """Create a server on the running event loop; `start` or `start_local` makes it listen."""
         self.handler = handler
         self.on_head = on_head or _ignore_request
         self.admit = admit or _admit_always
@@ -104,12 +105,12 @@
         self._server = await self.loop.create_server(self._make_protocol, host, port, backlog=accepts_per_pass)
         for server_socket in self._server.sockets:
             with socket.socket(fileno=os.dup(server_socket.fileno())) as listening:
-                listening.listen(ACCEPT_QUEUE)  # asyncio uses its backlog for this figure too
+                listening.listen(ACCEPT_QUEUE)  # asyncio uses `backlog` for this and for the accepts per pass
         self._sweep()
         return int(self._server.sockets[0].getsockname()[1])
 
     async def start_local(self, path: str) -> None:
-        """Listen on a socket of the file system, for the owner alone."""
+        """Listen on a Unix socket at `path` that only the file's owner can connect to."""
         previous_umask = os.umask(OWNER_ONLY_UMASK)
         try:
             self._server = await self.loop.create_unix_server(self._make_protocol, path, backlog=LOCAL_ACCEPT_QUEUE)
@@ -125,7 +126,7 @@
         return connection.tls
 
     def admit_connection(self, connection: ServerConnection) -> bool:
-        """Return whether a new connection may stay, where needed in place of another one that is closed."""
+        """Return whether a new connection may stay open; if necessary, another one is evicted for it."""
         return self.registry.admit_connection(connection)
 
     def _report_eviction(self, connection: ServerConnection) -> None:
@@ -136,7 +137,7 @@
     # -- limits ------------------------------------------------------------------------------------------
 
     def _sweep(self) -> None:
-        """Close the connections that exceed a limit, now and from time to time."""
+        """Close the connections that exceed a limit, now and at regular intervals."""
         now = self.loop.time()
         for connection in list(self.connections):
             limit = violated_limit(connection, now)
@@ -151,7 +152,7 @@
     # -- shutting down -----------------------------------------------------------------------------------
 
     def close_idle(self) -> None:
-        """Close idle connections in an orderly way; one with unread input stays, as a request was received."""
+        """Close idle connections in an orderly way, except those with unread input, whose next request has arrived."""
         for connection in self._open_connections_in((connection_phase.IDLE,)):
             close_for_limit(connection, server_limits.IDLE)
 
@@ -161,14 +162,14 @@
             reject_for_shutdown(connection, text)
 
     def _open_connections_in(self, phases: tuple[ConnectionPhase, ...]) -> list[ServerConnection]:
-        """Return the connections that are in one of these phases and not being closed."""
+        """Return the connections that are in one of these phases and are not being closed."""
         return [
             connection for connection in self.connections if connection.phase in phases and not connection.is_closing
         ]
 
     @property
     def has_unread_input(self) -> bool:
-        """Whether the kernel has bytes of clients that were not read."""
+        """Whether the kernel has unread bytes of a connection that currently reads its input."""
         return any(
             connection.has_unread_input
             for connection in self.connections
@@ -176,12 +177,12 @@
         )
 
     def stop_listening(self) -> None:
-        """Accept no further connection; open ones are not affected."""
+        """Stop accepting connections; open ones are not affected."""
         if self._server:
             self._server.close()
 
     def close(self) -> None:
-        """Close the listener and every connection at once, with or without a response."""
+        """Close the listener and abort all connections, including those that wait for a response."""
         self.stop_listening()
         if self._sweep_timer:
             self._sweep_timer.cancel()
--- a/linnetstile/net/server_connection.py
+++ b/linnetstile/net/server_connection.py
@@ -1,7 +1,7 @@
 """One connection of the server: reads requests one at a time and passes them to the server's callbacks.
 
-The parts: `request_input.py` parses what was received, `request_body.py` collects a body, `response_writer.py` writes
-responses, `request_rejection.py` answers what is not accepted; `server_limits.py` says which limit is exceeded.
+The modules: `request_input.py` parses received bytes, `request_body.py` collects a body, `response_writer.py` writes
+responses, `request_rejection.py` rejects requests, and `server_limits.py` finds the limit that a connection exceeds.
 """
 
 from __future__ import annotations
@@ -23,9 +23,10 @@
 if TYPE_CHECKING:
     from .server import Server
 
-REQUESTS_PER_PASS = 1  # begun in one pass of a connection: guards the others against a peer that pipelines without end
-NO_ANSWER = 0  # status of an error that no response can report
-BODY_STEP_BYTES = 64 * 1024  # of capacity that is requested at a time for a body of unknown length
+# Requests that a connection starts in one pass, so that a peer that pipelines many can't delay other connections.
+REQUESTS_PER_PASS = 1
+NO_RESPONSE_STATUS = 0  # status of an error that can't be reported in a response
+BODY_STEP_BYTES = 64 * 1024  # capacity requested at once for a body of unknown length
 
 
 class ServerConnection(BufferedConnection):
@@ -35,19 +36,19 @@
         self.server = server
         self.input = RequestInput(server.http_limits)
         self.current_request: RequestContext | None = None
-        self.request_complete = False  # there is a current request, and its body has been read to its end
+        self.request_complete = False  # there is a current request, and all of its body was read
         self.skipping_body = False  # the current request was answered before its body was read
-        self.waiting_for_capacity = False  # its body is not read on before `resume_body`
-        self.body = RequestBody()  # of the current request
-        self.request_count = 0  # begun on this connection
+        self.waiting_for_capacity = False  # the current body is not read further until `resume_body`
+        self.body = RequestBody()  # body of the current request
+        self.request_count = 0  # number of requests begun on this connection
         self.opened_at = server.loop.time()
-        self.phase_started_at = self.opened_at  # the start of the current head, or of being idle
+        self.phase_started_at = self.opened_at  # loop time (s) at which the current head or idle time began
         self.reading_paused = False  # back-pressure: nothing is read from the kernel
         self.processing_scheduled = False
         self.peer_half_closed = False
         self.finished = False  # the last response was written; further input is dropped
         self.linger_started_at: float | None = None  # loop time, s
-        self.discarded_bytes = 0  # received after the last response
+        self.discarded_bytes = 0  # number of bytes received after the last response
         self.tls: TlsTransport | None = None
         limits = server.limits
         self.start_rate_meters(limits.min_body_rate, limits.min_response_rate, limits.rate_grace_s)
@@ -65,18 +66,18 @@
         self.server.registry.add(self)
 
     def handshake_ended(self, failure: str | None) -> None:
-        """Report a TLS handshake that failed."""
+        """Report the TLS handshake if it failed."""
         if failure is not None:
             self.server.count("handshakes_failed")
             error = http1.Http1Error(
-                NO_ANSWER, f"no TLS handshake: {failure}", expected="a TLS handshake", found=failure
+                NO_RESPONSE_STATUS, f"no TLS handshake: {failure}", expected="a TLS handshake", found=failure
             )
             self.server.on_error(self.peer_address(), error)
 
     def eof_received(self) -> bool:
-        """Keep the connection only for a response. Called by asyncio.
+        """Return whether to keep the connection open, which is done only for a response. Called by asyncio.
 
-        A client may close its half and still read the response; an incomplete request is lost.
+        A client may close its sending half and still read the response; an incomplete request is lost.
         """
         self.peer_half_closed = True
         request = self.current_request
@@ -116,9 +117,9 @@
         self._process_events()
 
     def _process_events(self) -> None:
-        """Handle what was received until the current request waits for something."""
+        """Handle received events until the current request has to wait."""
         self.processing_scheduled = False
-        if self.is_lost:  # scheduled before the connection ended: capacity granted now would never be released
+        if self.is_lost:  # scheduled before the connection ended; capacity granted now would never be released
             return
         requests_begun = 0
         while self._can_process and (event := self.input.take_event()):
@@ -141,7 +142,7 @@
     @property
     def _can_process(self) -> bool:
         """Whether the next event may be handled now."""
-        # `response_pending` and `response_backlogged`, spelled out because this is asked for each event.
+        # `response_pending` and `response_backlogged` are inlined because this is evaluated for each event.
         return not (
             self.finished
             or self.waiting_for_capacity
@@ -150,13 +151,13 @@
         )
 
     def schedule_processing(self) -> None:
-        """Handle what was received in the next pass of the event loop."""
+        """Schedule the handling of received input for the next pass of the event loop."""
         if not self.processing_scheduled:
             self.processing_scheduled = True
             self.server.loop.call_soon(self._process_events)
 
     def _apply_back_pressure(self) -> None:
-        """Pause or resume reading: input behind a request that waits stays in the kernel."""
+        """Pause or resume reading, so that input behind a waiting request stays in the kernel."""
         if self.finished:
             return
         pause = (
@@ -169,7 +170,7 @@
             self.transport.pause_reading() if pause else self.transport.resume_reading()
 
     def resume_writing(self) -> None:
-        """Write what is queued, and go on with the requests behind it. Called by asyncio."""
+        """Write what is queued, and continue with the next requests. Called by asyncio."""
         super().resume_writing()
         if self.input.event_count or self.reading_paused:
             self.schedule_processing()
@@ -187,21 +188,21 @@
             self.waiting_for_capacity = not request.answered
             return
         request.granted_bytes = needed_bytes
-        self._invite_body(request)
+        self._start_body(request)
 
-    def _invite_body(self, request: RequestContext) -> None:
-        """Read large bodies by large buffers, and ask a client that waits for it to send its body."""
+    def _start_body(self, request: RequestContext) -> None:
+        """Select the receive buffer for the body, and send `100 Continue` to a client that waits for it."""
         self.uses_large_buffer = request.content_length is None or request.content_length > SMALL_BODY_BYTES
         if request.head.expects_continue:
             self.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
     def resume_body(self, request: RequestContext) -> None:
-        """Read the body on: there is capacity for it, or for its next step."""
+        """Continue reading the body, because there is capacity for it or for its next step now."""
         if request is not self.current_request or request.answered or self.is_closing:
             return
         self.waiting_for_capacity = False
         if not request.granted_bytes:
-            self._invite_body(request)
+            self._start_body(request)
         request.granted_bytes += _next_grant_bytes(request)
         self._process_events()
 
@@ -216,7 +217,7 @@
             self._request_capacity(request)
 
     def _request_capacity(self, request: RequestContext) -> None:
-        """Request capacity for what was received of a body of unknown length, step by step."""
+        """Request capacity, step by step, for the received bytes of a body of unknown length."""
         while self.body.size > request.granted_bytes and not request.answered:
             if not self.server.admit(request, BODY_STEP_BYTES):
                 self.waiting_for_capacity = not request.answered
@@ -250,7 +251,7 @@
 
     @property
     def phase(self) -> ConnectionPhase:
-        """What this connection does now."""
+        """The current phase of this connection."""
         if self.tls is not None and not self.tls.handshake_done:
             return connection_phase.HANDSHAKE
         if self.linger_started_at is not None or self.finished:
@@ -269,17 +270,17 @@
 
     @property
     def has_obligation(self) -> bool:
-        """Whether a request was accepted or a response is not complete; an incomplete request is no obligation."""
+        """Whether a request was accepted or a response is incomplete; an incomplete request does not count."""
         return self.phase in connection_phase.OBLIGED_PHASES
 
     @property
     def had_complete_request(self) -> bool:
-        """Whether a request of it was ever complete."""
+        """Whether at least one request on this connection was complete."""
         return self.request_count > 1 or (
             self.request_count == 1 and (self.current_request is None or self.request_complete)
         )
 
 
 def _next_grant_bytes(request: RequestContext) -> int:
-    """Return the bytes of a body that capacity is requested for next: all of it, or a step of an unknown length."""
+    """Return the body bytes to request capacity for next: the whole body, or one step if its length is unknown."""
     return request.content_length if request.content_length is not None else BODY_STEP_BYTES
--- a/linnetstile/net/server_limits.py
+++ b/linnetstile/net/server_limits.py
@@ -1,4 +1,4 @@
-"""Limits on the connections of a server: how many, how idle and how slow; which of them a connection exceeds."""
+"""Limits on a server's connections: their number, their idle time and their speed; finds the limit that is exceeded."""
 
 from __future__ import annotations
 
@@ -11,21 +11,21 @@
 if TYPE_CHECKING:
     from .server_connection import ServerConnection
 
-# For so long further input is dropped, so that the peer can read why its request was rejected.
+# Time for which further input is dropped before closing, so that the peer can read why its request was rejected.
 LINGER_TIMEOUT_S = 2.0
 
 # Names of the limits, as counters and logs show them.
 RESPONSE_RATE: Final = "answer_rate"  # the peer reads its response too slowly
-BODY_RATE: Final = "body_rate"  # it sends a body too slowly
-BODY_DEADLINE: Final = "body_time"  # the body is not complete by its deadline
+BODY_RATE: Final = "body_rate"  # the peer sends a body too slowly
+BODY_DEADLINE: Final = "body_time"  # a body is not complete by its deadline
 LISTENER_FULL: Final = "full"  # the maximum number of connections is open
-HANDSHAKE: Final = "handshake"  # TLS takes too long
+HANDSHAKE: Final = "handshake"  # the TLS handshake takes too long
 HEAD: Final = "head"  # the head of a request takes too long
 IDLE: Final = "idle"  # there was no request for too long
 LINGER: Final = "linger"  # the peer does not close after the last response
-# No fault of the peer: neither is reported as a slow peer.
+# Limits that are not a fault of the peer, and are not reported as a slow peer.
 ORDERLY_LIMITS = (IDLE, LINGER)
-# The peer was too slow with a request, and is answered so.
+# Limits on an incomplete request; the peer is answered that it was too slow.
 SLOW_REQUEST_LIMITS = (BODY_RATE, BODY_DEADLINE, HEAD)
 
 COUNTER_PREFIX = "let_go_"
@@ -44,18 +44,18 @@
     """
 
     max_connections: int = 4096
-    head_timeout_s: float = 10.0  # from the first byte of a head to its end, and from the connection's start
+    head_timeout_s: float = 10.0  # for the TLS handshake, for the first byte of a new connection, for a head
     idle_timeout_s: float = 60.0  # between two requests
-    min_body_rate: float = 0.0  # minimum rate of a body
+    min_body_rate: float = 0.0  # minimum rate at which a body is sent
     min_response_rate: float = 0.0  # minimum rate at which a response is read
-    rate_grace_s: float = 5.0  # of a stall that the minimum rates allow
-    max_pipelined_events: int = 32  # events, or 512 bytes each, that wait behind a request that is not answered yet
-    max_unsent_bytes: int = 256 * 1024  # of responses that a peer has not read, before no more is read from it
+    rate_grace_s: float = 5.0  # stall that the minimum rates allow
+    max_pipelined_events: int = 32  # events behind an unanswered request; 512 unparsed bytes count as one
+    max_unsent_bytes: int = 256 * 1024  # bytes of responses not read by the peer, above which its input is not read
     sweep_interval_s: float = 1.0  # how often the limits are checked
 
 
 def violated_limit(connection: ServerConnection, now: float) -> str:
-    """Tick the rate meters of a connection; return the name of the limit that it exceeds, or an empty string.
+    """Update the rate meters of a connection; return the name of the limit that it exceeds, or an empty string.
 
     Args:
         connection: The connection to check.
@@ -78,7 +78,7 @@
 
 
 def _body_deadline_passed(connection: ServerConnection, now: float) -> bool:
-    """Whether the body of the current request is not complete and too late."""
+    """Whether the body of the current request is still incomplete after its deadline."""
     request = connection.current_request
     if request is None or connection.response_pending:
         return False
@@ -86,7 +86,7 @@
 
 
 def _violated_timeout(phase: ConnectionPhase, duration_s: float, limits: ServerLimits) -> str:
-    """Return the name of the timeout that a phase of this duration exceeds, or an empty string."""
+    """Return the name of the timeout that is exceeded by a phase of this duration, or an empty string."""
     if phase == connection_phase.READING_HEAD:
         return HEAD if duration_s > limits.head_timeout_s else ""
     if phase == connection_phase.HANDSHAKE:
--- a/linnetstile/net/tls.py
+++ b/linnetstile/net/tls.py
@@ -1,7 +1,7 @@
 """TLS (RFC 8446, RFC 5246) between a transport and a connection, over memory BIOs.
 
-asyncio's own TLS creates the protocol's connection only after the handshake, so that no limit would apply to peers that
-never finish one. Here the connection exists from its first byte, and its limits apply during the handshake.
+asyncio's own TLS calls the protocol's `connection_made` only after the handshake, so that no limit would apply to peers
+that never finish it. Here the connection exists from its first byte, and its limits apply during the handshake.
 """
 
 from __future__ import annotations
@@ -18,14 +18,14 @@
 
 __all__ = ["HandshakeCallback", "TlsContextFiles", "TlsTransport", "TlsError"]
 
-# Called once: with None after the handshake, or with the reason why there is none.
+# Called once: with None after a successful handshake, or with the reason why the handshake failed.
 HandshakeCallback = Callable[[str | None], None]
 
 
 class TlsTransport(asyncio.BufferedProtocol):
-    """The protocol that asyncio sees, and the transport that the connection sees.
+    """The TLS layer, which is the protocol of asyncio's transport and the transport of a connection.
 
-    The methods that asyncio calls and those of `Transport` have the meaning that asyncio documents.
+    The methods of both interfaces have the meaning that asyncio documents.
     """
 
     def __init__(
@@ -39,11 +39,11 @@
         """Wrap a connection.
 
         Args:
-            connection: Gets the decrypted bytes and writes through this object.
+            connection: Receives the decrypted bytes, and writes through this object.
             context: Keys, certificates and authorities.
             server_side: Whether the peer has connected to us.
-            server_name: The name that the peer's certificate has to show (client side).
-            on_handshake: Called when the handshake has ended.
+            server_name: The name that the peer's certificate must contain (client side).
+            on_handshake: Called when the handshake has ended; see `HandshakeCallback`.
         """
         self.connection = connection
         self.incoming = ssl.MemoryBIO()
@@ -55,7 +55,7 @@
         self.closing = False
         self.peer_closed = False
 
-    # -- towards asyncio ---------------------------------------------------------------------------------
+    # -- called by asyncio -------------------------------------------------------------------------------
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Start the handshake."""
@@ -74,7 +74,7 @@
         self._advance()
 
     def _advance(self) -> None:
-        """Go on with the handshake or, after it, with reading."""
+        """Continue the handshake or, once it is complete, read decrypted bytes."""
         if not self.handshake_done and not self.closing:
             try:
                 self.tls.do_handshake()
@@ -125,26 +125,30 @@
             self.raw.write(self.outgoing.read())
 
     def eof_received(self) -> bool:
-        """Close: without close_notify the stream was cut. Guards responses that end with the connection."""
+        """Return False, which closes the transport.
+
+        A stream that ends without close_notify was truncated; a response that ends with the connection must not be
+        taken as complete then.
+        """
         return False
 
     def pause_writing(self) -> None:
-        """Pass on that the kernel accepts no more."""
+        """Notify the connection that the kernel accepts no more."""
         self.connection.pause_writing()
 
     def resume_writing(self) -> None:
-        """Pass on that the kernel has accepted the last byte."""
+        """Notify the connection that the kernel has accepted the last byte."""
         self.connection.resume_writing()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Pass on that the connection has ended."""
-        self._report_handshake("the connection ended in the handshake")
+        """Notify the connection of its end, and report a handshake that was not complete as failed."""
+        self._report_handshake("the connection ended during the handshake")
         self.connection.connection_lost(exc)
 
-    # -- towards the connection (Transport) --------------------------------------------------------------
+    # -- `Transport`, called by the connection -----------------------------------------------------------
 
     def write(self, data: bytes | bytearray | memoryview) -> None:
-        """Encrypt and write."""
+        """Encrypt the bytes and write them."""
         if self.closing or self.raw.is_closing():
             return
         rest = memoryview(data)
@@ -161,11 +165,11 @@
         return False
 
     def write_eof(self) -> None:
-        """Not supported."""
+        """Raise `NotImplementedError`: not supported, see `can_write_eof`."""
         raise NotImplementedError
 
     def close(self) -> None:
-        """Write close_notify and close; the peer's close_notify is not waited for."""
+        """Write close_notify and close, without waiting for the peer's close_notify."""
         if not self.closing:
             self.closing = True
             if self.handshake_done:
@@ -175,7 +179,7 @@
             self.raw.close()
 
     def abort(self) -> None:
-        """Close now."""
+        """Close now; buffered bytes are lost."""
         self.closing = True
         self.raw.abort()
 
@@ -189,7 +193,7 @@
         self.raw.pause_reading()
 
     def resume_reading(self) -> None:
-        """Read on, first what has been received already but not decrypted."""
+        """Resume reading, first of the bytes that were received but not decrypted."""
         self.reading_paused = False
         self.raw.resume_reading()
         asyncio.get_running_loop().call_soon(self._read_received)
@@ -199,18 +203,18 @@
             self._read()
 
     def get_write_buffer_size(self) -> int:
-        """Encrypted bytes that the kernel has not accepted."""
+        """Return the number of encrypted bytes that the kernel has not accepted."""
         return self.outgoing.pending + self.raw.get_write_buffer_size()
 
     def set_write_buffer_limits(self, high: int | None = None, low: int | None = None) -> None:
-        """Change nothing: the limits of the transport below apply."""
+        """Do nothing: the limits of the underlying transport apply."""
 
     def get_extra_info(self, name: str, default: object = None) -> object:
-        """Information about the transport below."""
+        """Return information about the underlying transport."""
         return self.raw.get_extra_info(name, default)
 
     def peer_subject(self) -> str:
-        """Return the subject of the peer's verified certificate as `CN=...`; empty if it showed none."""
+        """Return the subject of the peer's verified certificate as `CN=...`; empty if it presented none."""
         if not self.handshake_done:
             return ""
         subject = (self.tls.getpeercert() or {}).get("subject", ())
--- a/linnetstile/net/tls_context.py
+++ b/linnetstile/net/tls_context.py
@@ -1,4 +1,4 @@
-"""TLS contexts made of key and certificate files, which may change while the program runs."""
+"""TLS contexts that are loaded from key and certificate files, which may change while the program runs."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class FileVersion(NamedTuple):
-    """What identifies a state of a file."""
+    """Identifies one version of a file."""
 
     modified_ns: int
     inode: int
@@ -23,10 +23,10 @@
 
 
 class TlsContextFiles:
-    """A TLS context made of files, made anew when they change.
+    """A TLS context that is loaded from files, and reloaded when they change.
 
     Attributes:
-        context: The latest good context. Connections that were made with an earlier one keep theirs.
+        context: The latest valid context. Connections that were opened with an earlier one keep it.
     """
 
     def __init__(
@@ -41,10 +41,10 @@
 
         Args:
             server: Whether the context is for the side that accepts connections.
-            certificate: Our certificate chain (PEM); None = we show none.
-            key: Its private key (PEM); None = the key is in the certificate's file.
-            authorities: Certificates (PEM) that the peer's one is verified with; a client needs them.
-            need_client: Whether a server rejects clients that show no certificate.
+            certificate: Certificate chain (PEM) that is presented to the peer; None = none is presented.
+            key: Private key (PEM) of the certificate; None = the key is in the certificate's file.
+            authorities: Authorities (PEM) with which the peer's certificate is verified; required for a client.
+            need_client: Whether a server rejects clients that present no certificate.
 
         Raises:
             TlsError: A file can't be used.
@@ -58,7 +58,7 @@
         self.context = self._make_context()
 
     def reload(self) -> bool:
-        """Make a new context if a file has changed.
+        """Load a new context if a file has changed.
 
         A file that could not be used is not read again until it changes.
 
@@ -76,13 +76,16 @@
         return True
 
     def _read_files_version(self) -> list[FileVersion | int | None]:
-        """Return what identifies a state of all files: the version of each, or the errno if it can't be read."""
+        """Return the version of each file, or its errno if it can't be read, or None if it is not configured."""
         return [_read_file_version(path) for path in (self.certificate, self.key, self.authorities)]
 
     def _make_context(self) -> ssl.SSLContext:
         context = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER if self.server else ssl.PROTOCOL_TLS_CLIENT)
         context.minimum_version = ssl.TLSVersion.TLSv1_2
-        field, path = "certificate", self.certificate  # what is being read, for the message of an error
+        field, path = (
+            "certificate",
+            self.certificate,
+        )  # the setting and the file that are being read, for error messages
         try:
             if self.certificate is not None:
                 _check_validity(self.certificate)
@@ -92,7 +95,7 @@
                 context.load_verify_locations(self.authorities)
             elif not self.server:
                 raise TlsError("no authorities to verify the peer with", field="authorities", expected="a PEM file")
-        except OSError as error:  # ssl.SSLError is one
+        except OSError as error:  # also catches `ssl.SSLError`, a subclass
             reason = error.reason if isinstance(error, ssl.SSLError) and error.reason else error.strerror or str(error)
             raise TlsError(f"{path}: can't be used: {reason}", field=field, expected="PEM", found=reason) from error
         if self.server and self.authorities is not None:
@@ -111,8 +114,8 @@
 
 
 def _check_validity(path: Path) -> None:
-    """Raise `TlsError` for a certificate that is not valid now: OpenSSL loads it, and every peer then rejects it."""
-    # Not at the top of the module: the relay on the platform has no certificates and runs without these.
+    """Raise `TlsError` if a certificate is not valid now: OpenSSL would load it, and every peer would reject it."""
+    # Imported here because the platform relay has no certificates and runs without these packages.
     import datetime
 
     from cryptography import x509
@@ -135,5 +138,5 @@
         f"{path}: the certificate {reason}",
         field="certificate",
         expected="a certificate that is valid now",
-        found=f"one that {reason}",
+        found=f"a certificate that {reason}",
     )
