--- a/linnetstile/storage/__init__.py
+++ b/linnetstile/storage/__init__.py
@@ -1,1 +1,1 @@
-"""Floor 2: durable files, which outlive the process."""
+"""Layer 2: durable files, which outlive the process."""
--- a/linnetstile/storage/snapshot.py
+++ b/linnetstile/storage/snapshot.py
@@ -1,9 +1,9 @@
 """Stores one document on disk: atomic replacement, a checksum, and its age at the next read.
 
-Within a boot the age comes from the clock that also counts suspended time, after a reboot from the wall clock; it is
-unknown if that clock was set back. Readers use ages and not times of day.
+Within a boot the age is measured by the clock that also counts suspended time, after a reboot by the wall clock; it is
+unknown if the wall clock was set back. Readers use ages instead of times of day.
 
-A file is a header, which is one line of JSON, followed by the document as JSON.
+A file consists of a header, which is one line of JSON, and the document as JSON.
 """
 
 from __future__ import annotations
@@ -18,18 +18,18 @@
 from ..errors import JournalError
 
 FORMAT = 1
-MAGIC_FIELD = "linnetstile"  # the header's first field
-MAGIC = "snapshot"  # its value
+MAGIC_FIELD = "linnetstile"  # first field of the header
+MAGIC = "snapshot"  # value of `MAGIC_FIELD`
 MAX_FILE_BYTES = 64 * 1024 * 1024
 DIGEST_BYTES = 16
 MS_PER_S = 1000
 QUARANTINE_SUFFIX = ".bad"
 TEMPORARY_SUFFIX = ".new"
-BOOT_ID = Path("/proc/sys/kernel/random/boot_id")
+BOOT_ID_PATH = Path("/proc/sys/kernel/random/boot_id")
 
 
 class SnapshotError(JournalError):
-    """A snapshot can't be used; the message says which file and why."""
+    """A snapshot can't be used; the message names the file and the reason."""
 
 
 class Snapshot(NamedTuple):
@@ -37,7 +37,7 @@
 
     Attributes:
         payload: The document.
-        age_ms: Milliseconds since it was written; None if no clock can tell.
+        age_ms: Milliseconds since the document was written; None if unknown.
     """
 
     payload: dict[str, Any]
@@ -47,13 +47,13 @@
 def _boot_id() -> str:
     """Return the identifier of this boot; empty where the system has none."""
     try:
-        return BOOT_ID.read_text(encoding="ascii").strip()
+        return BOOT_ID_PATH.read_text(encoding="ascii").strip()
     except OSError:
         return ""
 
 
 def _since_boot_s() -> float:
-    """Return the seconds since the boot, with the time that the machine was suspended where the system counts it."""
+    """Return the seconds since the boot, including suspended time where the system counts it."""
     return time.clock_gettime(time.CLOCK_BOOTTIME) if hasattr(time, "CLOCK_BOOTTIME") else time.monotonic()
 
 
@@ -63,13 +63,13 @@
 
 
 def encode(payload: dict[str, Any]) -> bytes:
-    """Encode a document, written now.
+    """Encode a document with a header that has the present time.
 
     Args:
-        payload: The document; JSON values alone.
+        payload: The document, which may contain JSON values only.
 
     Raises:
-        ValueError: It has a float that is not finite.
+        ValueError: The document has a float that is not finite.
     """
     body = json.dumps(payload, separators=(",", ":"), allow_nan=False).encode()
     header = {
@@ -85,10 +85,10 @@
 
 
 def write(path: Path, payload: dict[str, Any]) -> None:
-    """Replace the file atomically: after a crash at any moment it is the old or the new one.
+    """Replace the file atomically: after a crash at any moment it has either the old or the new document.
 
     Raises:
-        OSError: It can't be written.
+        OSError: The file can't be written.
     """
     temporary = path.with_name(path.name + TEMPORARY_SUFFIX)
     with temporary.open("wb") as file:
@@ -113,7 +113,7 @@
 
     Raises:
         FileNotFoundError: There is no file.
-        SnapshotError: The file can't be read, is another program's or another format, or its checksum does not match.
+        SnapshotError: The file can't be read, is of another program or format, or its checksum does not match.
         ValueError: The document is not JSON, although its checksum matches.
     """
     header_line, newline, body = _read_bytes(path).partition(b"\n")
@@ -123,7 +123,7 @@
     digest = _digest(body)
     if len(body) != header.get("bytes") or digest != header.get("blake2b"):
         raise SnapshotError(
-            f"{path}: torn or changed: its checksum does not hold",
+            f"{path}: truncated or changed: its checksum does not match",
             field="blake2b",
             expected=str(header.get("blake2b")),
             found=digest,
@@ -135,7 +135,7 @@
 
 
 def _read_bytes(path: Path) -> bytes:
-    """Return the bytes of a file, or the first `MAX_FILE_BYTES` and one more, whose checksum then does not match."""
+    """Return the bytes of a file; one above `MAX_FILE_BYTES` is truncated, so that its checksum does not match."""
     try:
         with path.open("rb") as file:
             return file.read(MAX_FILE_BYTES + 1)
@@ -148,14 +148,14 @@
 
 
 def _foreign_file_error(path: Path) -> SnapshotError:
-    """Return the error for a file that this program did not write."""
+    """Create the error for a file that this program did not write."""
     return SnapshotError(
         f"{path}: not a snapshot of this program", field=MAGIC_FIELD, expected=f"a header line of JSON with {MAGIC!r}"
     )
 
 
 def _parse_header(path: Path, line: bytes) -> dict[str, Any]:
-    """Parse the header line; raise `SnapshotError` if it is another program's or another format."""
+    """Parse the header line; raise `SnapshotError` if it is of another program or format."""
     try:
         header = json.loads(line)
     except (ValueError, RecursionError) as error:
@@ -174,7 +174,7 @@
 
 
 def _age_ms(header: dict[str, Any]) -> float | None:
-    """Return the time since the document was written; None if no clock can tell."""
+    """Return the time since the document was written; None if unknown."""
     try:
         if header["boot"] and header["boot"] == _boot_id():
             age_s = _since_boot_s() - float(header["since_boot_s"])
@@ -186,7 +186,7 @@
 
 
 def quarantine(path: Path) -> Path:
-    """Rename a file that can't be used, so that it is kept for inspection and never read; return the new path."""
+    """Rename a file that can't be used, so that it is kept for inspection and not read again; return the new path."""
     quarantine_path = path.with_name(path.name + QUARANTINE_SUFFIX)
     os.replace(path, quarantine_path)
     return quarantine_path
--- a/linnetstile/telemetry/log.py
+++ b/linnetstile/telemetry/log.py
@@ -11,26 +11,26 @@
     """The interface of a structured logger that the program uses: an event name and named fields at each level."""
 
     def debug(self, event: str, **fields: Any) -> Any:
-        """Log an event that matters while searching for a fault."""
+        """Log an event that is useful for debugging."""
 
     def info(self, event: str, **fields: Any) -> Any:
         """Log an event of normal operation."""
 
     def warning(self, event: str, **fields: Any) -> Any:
-        """Log an event that operators may have to look at."""
+        """Log an event that operators may have to investigate."""
 
     def error(self, event: str, **fields: Any) -> Any:
-        """Log an event that operators have to look at."""
+        """Log an event that operators have to investigate."""
 
 
 class NonFailingStream:
     """A text stream whose write errors are counted and not raised.
 
-    It guards messages against a full disk or a closed pipe behind the log: an error raised by a log line would lose
-    the final answer of a message.
+    The log may be on a full disk or a closed pipe; an error that is raised by a log line would lose the final answer of
+    a message.
 
     Attributes:
-        failed_writes: Number of writes that were lost.
+        failed_writes: Number of writes that failed, whose text is lost.
     """
 
     def __init__(self, stream: TextIO) -> None:
@@ -38,7 +38,7 @@
         self.failed_writes = 0
 
     def write(self, text: str) -> int:
-        """Write and flush `text`; on an error count it and go on."""
+        """Write and flush `text`; count an error instead of raising it."""
         try:
             self.stream.write(text)
             self.stream.flush()
@@ -55,7 +55,7 @@
 
     Args:
         level: Name of the lowest level that is written.
-        **bound: Fields that go into each line.
+        **bound: Fields that are added to each line.
     """
     import structlog
 
--- a/linnetstile/telemetry/log_events.py
+++ b/linnetstile/telemetry/log_events.py
@@ -1,4 +1,4 @@
-"""Names of the log events of the AS2 relay, in one place; `docs/on-call.md` explains them to operators."""
+"""Names of the AS2 relay's log events; `docs/on-call.md` explains them to operators."""
 
 from __future__ import annotations
 
--- a/linnetstile/telemetry/metrics.py
+++ b/linnetstile/telemetry/metrics.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 
 PREFIX = "linnetstile_"
-MAX_SERIES_PER_NAME = 500  # bounds the page where names are chosen by peers
+MAX_SERIES_PER_NAME = 500  # limits the page size where peers choose label values
 
 
 @dataclass(frozen=True, slots=True)
@@ -16,8 +16,8 @@
     Attributes:
         name: Name of the metric without `PREFIX`.
         kind: "counter" or "gauge".
-        help: One line of explanation.
-        value: The value now.
+        help: Description of the metric in one line.
+        value: The current value.
         labels: Pairs of label name and label value, in the order of the label names.
     """
 
@@ -29,7 +29,7 @@
 
 
 def render_metrics(samples: Iterable[MetricSample]) -> bytes:
-    """Return the page that a scraper reads; series beyond `MAX_SERIES_PER_NAME` of one metric are left out."""
+    """Return the page that a scraper reads; series of a metric beyond `MAX_SERIES_PER_NAME` are left out."""
     from prometheus_client import CollectorRegistry, generate_latest
     from prometheus_client.core import CounterMetricFamily, GaugeMetricFamily
     from prometheus_client.metrics_core import Metric
@@ -50,7 +50,7 @@
         family.add_metric([value for _, value in sample.labels], sample.value)
 
     class FamiliesCollector(Collector):
-        """Hands the families of this page to the registry that renders them."""
+        """Provides the metric families of this page to the registry that renders them."""
 
         def collect(self) -> Iterator[Metric]:
             """Return all families."""
--- a/tests/storage/test_snapshot.py
+++ b/tests/storage/test_snapshot.py
@@ -102,7 +102,7 @@
     header = json.loads(RECORDED.read_bytes().partition(b"\n")[0])
     boot_id = tmp_path / "boot_id"
     boot_id.write_text(header["boot"] + "\n")
-    monkeypatch.setattr(snapshot, "BOOT_ID", boot_id)
+    monkeypatch.setattr(snapshot, "BOOT_ID_PATH", boot_id)
     monkeypatch.setattr(snapshot, "_since_boot_s", lambda: header["since_boot_s"])
     monkeypatch.setattr(time, "time", lambda: header["wall_s"])
 
