--- a/tests/net/certificates.py
+++ b/tests/net/certificates.py
@@ -1,4 +1,4 @@
-"""Certificates for the tests of TLS: an authority, and what it signed."""
+"""Certificates for TLS tests: an authority, and the certificates that it signed."""
 
 from __future__ import annotations
 
@@ -17,7 +17,10 @@
 def make_certificate(
     name: str, issuer: CertificateAndKey | None = None, valid_days: tuple[int, int] = (-1, 10)
 ) -> CertificateAndKey:
-    """A certificate for a name and 127.0.0.1, valid from and to so many days from now; without issuer an authority."""
+    """Create a certificate for a name and 127.0.0.1; without an issuer it is an authority.
+
+    `valid_days` is the start and the end of its validity, in days from now.
+    """
     key, now = ec.generate_private_key(ec.SECP256R1()), datetime.datetime.now(datetime.UTC)
     subject = x509.Name([x509.NameAttribute(NameOID.COMMON_NAME, name)])
     certificate = (
@@ -39,7 +42,7 @@
 
 
 def write_pem(pair: CertificateAndKey, path: Path) -> Path:
-    """Write certificate and key into one file, in place of what stood there."""
+    """Write certificate and key to one file, and replace an existing file atomically."""
     new_file = path.with_suffix(".new")
     new_file.write_bytes(
         pair[0].public_bytes(serialization.Encoding.PEM)
--- a/tests/net/test_client.py
+++ b/tests/net/test_client.py
@@ -1,4 +1,4 @@
-"""The client pool: idle connections are checked before reuse; a delayed last byte keeps a request incomplete."""
+"""The client's connection pool: checks idle connections before reuse, and can delay the last byte of a request."""
 
 from __future__ import annotations
 
@@ -23,9 +23,9 @@
         self.connections = self.complete_requests = 0
         self.received_pieces: list[bytes] = []
         self.reset_on_bytes = False
-        self.extra_bytes: list[bytes] = []  # written after each response in turn
+        self.extra_bytes: list[bytes] = []  # one entry is written after each response
         self.writers: list[asyncio.StreamWriter] = []
-        self.may_read: asyncio.Event | None = None  # nothing is read before
+        self.may_read: asyncio.Event | None = None  # if set, the peer reads nothing until this event
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.connections += 1
@@ -102,7 +102,7 @@
         peer.reset_on_bytes = True
         assert (await send_request(pool, address, 0.5)).wire_result is WireResult.REQUEST_INCOMPLETE
         assert peer.complete_requests == 0
-        # Without the delay the end proves nothing.
+        # Without the delay the peer may have received the complete request.
         assert (await send_request(pool, address)).wire_result is WireResult.CONNECTION_LOST
 
     run_scenario(scenario)
@@ -112,7 +112,7 @@
     async def scenario(peer: ScriptedPeer, pool: client.ConnectionPool, address: client.Address) -> None:
         await send_request(pool, address)
         (connection,) = pool.idle_connections.by_address[address]
-        peer.writers[0].write(RESPONSE)  # as an answer to a request that is still to come
+        peer.writers[0].write(RESPONSE)  # a response to a request that was not sent yet
         connection.transport.pause_reading()
         await asyncio.sleep(0.05)
         answer = await send_request(pool, address)
@@ -135,13 +135,14 @@
     run_scenario(scenario)
 
 
-def test_idle_connections_are_limited_and_not_reused_for_a_successor_of_the_peer() -> None:
+def test_idle_connections_are_limited_and_not_reused_for_a_later_peer_at_the_address() -> None:
     async def scenario(peer: ScriptedPeer, pool: client.ConnectionPool, address: client.Address) -> None:
         await asyncio.gather(*(send_request(pool, address) for _ in range(5)))
         assert pool.idle_count == len(pool.idle_connections.by_address[address]) == 2
         other = client.IdentifiedAddress(str(address[0]), int(address[1]), 3)
-        both = [asyncio.ensure_future(send_request(pool, address, 0.2)) for _ in range(2)]  # an address with none idle
-        answers = await asyncio.gather(*(send_request(pool, other) for _ in range(4)), *both)
+        # These calls take both idle connections of the address, so that no idle one is left there.
+        delayed_calls = [asyncio.ensure_future(send_request(pool, address, 0.2)) for _ in range(2)]
+        answers = await asyncio.gather(*(send_request(pool, other) for _ in range(4)), *delayed_calls)
         assert {answer.wire_result for answer in answers} == {WireResult.ANSWERED}
         assert pool.idle_count == sum(map(len, pool.idle_connections.by_address.values())) == 2
         successor = client.IdentifiedAddress(str(address[0]), int(address[1]), 2)
@@ -153,7 +154,7 @@
 
 
 @pytest.mark.parametrize(("connect_delay_s", "result"), [(0.0, WireResult.ANSWERED), (0.6, WireResult.NOT_SENT)])
-def test_connection_made_too_late_sends_nothing(
+def test_connection_opened_too_late_sends_nothing(
     connect_delay_s: float, result: WireResult, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     open_connection = client.ConnectionPool._open
@@ -172,7 +173,7 @@
     run_scenario(scenario)
 
 
-def test_connection_made_at_the_last_moment_stays_open_for_another_call() -> None:
+def test_connection_opened_just_too_late_stays_open_for_another_call() -> None:
     async def scenario(peer: ScriptedPeer, pool: client.ConnectionPool, address: client.Address) -> None:
         connection = await pool._open(address, None)
         answered: asyncio.Future[client.CallResult] = pool.loop.create_future()
@@ -189,7 +190,7 @@
 
 
 @pytest.mark.parametrize("last_byte_delay_s", [0.0, 5.0])
-def test_last_byte_that_is_late_is_never_sent(last_byte_delay_s: float) -> None:
+def test_last_byte_is_never_sent_after_its_deadline(last_byte_delay_s: float) -> None:
     data = (
         REQUEST
         if last_byte_delay_s
@@ -212,29 +213,31 @@
     ("stage", "result"),
     [
         ("connecting", WireResult.NOT_SENT),
-        ("held", WireResult.NOT_SENT),
-        ("blocked", WireResult.NOT_SENT),
-        ("out", WireResult.ANSWERED),
+        ("last byte delayed", WireResult.NOT_SENT),
+        ("writing blocked", WireResult.NOT_SENT),
+        ("sent", WireResult.ANSWERED),
     ],
 )
 def test_cancelled_call_is_not_sent_unless_its_last_byte_was_sent(stage: str, result: WireResult) -> None:
     data = (
         REQUEST
-        if stage != "blocked"
+        if stage != "writing blocked"
         else http1.encode_request("POST", "/", [("Host", "x")], bytes(16_000_000) + b"body")
     )
 
     async def scenario(peer: ScriptedPeer, pool: client.ConnectionPool, address: client.Address) -> None:
         peer.may_read = asyncio.Event()
         answered: asyncio.Future[client.CallResult] = pool.loop.create_future()
-        call = pool.call(address, "POST", data, answered.set_result, last_byte_delay_s=0.3 if stage == "held" else 0.0)
+        call = pool.call(
+            address, "POST", data, answered.set_result, last_byte_delay_s=0.3 if stage == "last byte delayed" else 0.0
+        )
         if stage != "connecting":
             await asyncio.sleep(0.1)
         call.cancel_if_unsent()
         peer.may_read.set()
         assert (await answered).wire_result is result
         await asyncio.sleep(0.3)
-        assert peer.complete_requests == (stage == "out")
-        call.cancel_if_unsent()  # a call that has ended stays as it is
+        assert peer.complete_requests == (stage == "sent")
+        call.cancel_if_unsent()  # has no effect on a call that has ended
 
     run_scenario(scenario)
--- a/tests/net/test_engine_loop.py
+++ b/tests/net/test_engine_loop.py
@@ -1,4 +1,4 @@
-"""The module's turns: what counts from the moment of telling is right however late its turn comes."""
+"""The engine loop's turns: ages and remaining times of an event count from its posting, however late its turn runs."""
 
 from __future__ import annotations
 
@@ -25,18 +25,20 @@
         (ClientCancelled(1), ClientCancelled(1)),
     ],
 )
-def test_turn_that_comes_late_takes_the_time_off(
+def test_late_turn_adjusts_ages_and_remaining_times(
     posted: Event, handled: Event, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    clock, found = [1000.0], []
-    monkeypatch.setattr(EngineLoop, "now_ms", property(lambda turns: clock[0]))
-
-    async def story() -> None:
-        turns = EngineLoop(DeliveryEngine(make_settings(), 1), lambda events, actions: found.extend(events))
-        turns.post(posted)
+    clock, handled_events = [1000.0], []
+    monkeypatch.setattr(EngineLoop, "now_ms", property(lambda engine_loop: clock[0]))
+
+    async def scenario() -> None:
+        engine_loop = EngineLoop(
+            DeliveryEngine(make_settings(), 1), lambda events, actions: handled_events.extend(events)
+        )
+        engine_loop.post(posted)
         clock[0] += 20.0
         await asyncio.sleep(0)
-        turns.close()
+        engine_loop.close()
 
-    asyncio.run(story())
-    assert found == [handled]
+    asyncio.run(scenario())
+    assert handled_events == [handled]
--- a/tests/net/test_errors.py
+++ b/tests/net/test_errors.py
@@ -1,4 +1,4 @@
-"""The errors of TLS are in the exception hierarchy and say field, expected and found."""
+"""TLS errors belong to the package's exception hierarchy, and have the fields `field`, `expected` and `found`."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from linnetstile.net.tls import TlsContextFiles, TlsError
 
 
-def test_handshake_error_is_of_the_package_and_a_connection_error() -> None:
+def test_handshake_error_is_a_package_error_and_a_connection_error() -> None:
     error = HandshakeError("unknown ca", expected="a TLS handshake", found="unknown ca")
     assert isinstance(error, LinnetstileError)
     assert isinstance(error, ConnectionError)
--- a/tests/net/test_request_input.py
+++ b/tests/net/test_request_input.py
@@ -1,4 +1,4 @@
-"""Received requests wait as bytes: they are parsed a few events at a time."""
+"""Received requests wait as bytes, and are parsed a few events at a time."""
 
 from __future__ import annotations
 
@@ -8,28 +8,28 @@
 REQUEST = http1.encode_request("GET", "/", [("Host", "x")])
 
 
-def take_events(requests: RequestInput) -> list[http1.Event]:
+def take_events(request_input: RequestInput) -> list[http1.Event]:
     events = []
-    while event := requests.take_event():
+    while event := request_input.take_event():
         events.append(event)
     return events
 
 
 def test_pipelined_requests_are_parsed_a_few_at_a_time() -> None:
-    requests = RequestInput(http1.Limits())
-    requests.feed(REQUEST * 100)
-    assert EVENTS_PER_PARSE <= requests.event_count <= EVENTS_PER_PARSE + 1
-    unparsed_bytes = requests.parser.buffered_bytes
+    request_input = RequestInput(http1.Limits())
+    request_input.feed(REQUEST * 100)
+    assert EVENTS_PER_PARSE <= request_input.event_count <= EVENTS_PER_PARSE + 1
+    unparsed_bytes = request_input.parser.buffered_bytes
     assert unparsed_bytes > 90 * len(REQUEST)
-    assert requests.waiting_events == requests.event_count + unparsed_bytes // BYTES_PER_EVENT
-    assert sum(isinstance(event, http1.Request) for event in take_events(requests)) == 100
-    assert requests.is_exhausted
+    assert request_input.waiting_events == request_input.event_count + unparsed_bytes // BYTES_PER_EVENT
+    assert sum(isinstance(event, http1.Request) for event in take_events(request_input)) == 100
+    assert request_input.is_exhausted
 
 
 def test_error_follows_the_events_before_it() -> None:
-    requests = RequestInput(http1.Limits())
-    requests.feed(REQUEST + b"no request\r\n\r\n")
-    assert requests.parser.error is not None
-    assert [type(event) for event in take_events(requests)] == [http1.Request, http1.EndOfMessage]
-    assert requests.event_count == 0
-    assert not requests.is_exhausted
+    request_input = RequestInput(http1.Limits())
+    request_input.feed(REQUEST + b"no request\r\n\r\n")
+    assert request_input.parser.error is not None
+    assert [type(event) for event in take_events(request_input)] == [http1.Request, http1.EndOfMessage]
+    assert request_input.event_count == 0
+    assert not request_input.is_exhausted
--- a/tests/net/test_tls.py
+++ b/tests/net/test_tls.py
@@ -1,4 +1,4 @@
-"""TLS on both sides: incomplete and failed handshakes, client certificates, files that change in service."""
+"""TLS of server and client: incomplete and failed handshakes, client certificates, and reloaded certificates."""
 
 from __future__ import annotations
 
@@ -23,41 +23,43 @@
 def make_server(
     files: CertificateFiles,
     *,
-    limits: http1.Limits | None = None,
-    bounds: server.ServerLimits | None = None,
+    http_limits: http1.Limits | None = None,
+    connection_limits: server.ServerLimits | None = None,
     on_error: Callable[[str, http1.Http1Error], None] | None = None,
     need_client: bool = False,
 ) -> server.Server:
-    """A server with TLS that answers with the body reversed and the subject of the client's certificate."""
+    """Create a TLS server that answers with the reversed body and the subject of the client's certificate."""
 
     def answer(request: server.RequestContext) -> None:
         subject = request.connection.tls.peer_subject() if request.connection.tls else ""
         request.reply(200, [("X-Shown", subject)], bytes(request.body[::-1]))
 
-    keys = TlsContextFiles(True, files.server, None, files.authority, need_client)
-    return server.Server(answer, http_limits=limits, limits=bounds, on_error=on_error, tls=keys)
+    context_files = TlsContextFiles(True, files.server, None, files.authority, need_client)
+    return server.Server(
+        answer, http_limits=http_limits, limits=connection_limits, on_error=on_error, tls=context_files
+    )
 
 
 async def send_request(
     port: int,
-    keys: TlsContextFiles,
+    context_files: TlsContextFiles,
     name: str = "relay",
     body: bytes = b"abc",
     pool: client.ConnectionPool | None = None,
 ) -> client.CallResult:
     answered: asyncio.Future[client.CallResult] = asyncio.get_running_loop().create_future()
-    used = pool or client.ConnectionPool(connect_timeout_s=1.0)
-    used.call(
+    call_pool = pool or client.ConnectionPool(connect_timeout_s=1.0)
+    call_pool.call(
         ("127.0.0.1", port),
         "POST",
         http1.encode_request_parts("POST", "/", [("Host", "x")], body),
         answered.set_result,
         asyncio.get_running_loop().time() + 8,
-        client.TlsParameters(keys, name),
+        client.TlsParameters(context_files, name),
     )
     answer = await answered
     if pool is None:
-        used.close()
+        call_pool.close()
     return answer
 
 
@@ -68,13 +70,13 @@
     run_test(scenario)
 
 
-def test_bodies_of_all_sizes_pass_over_one_connection(tmp_path: Path) -> None:
+def test_bodies_of_all_sizes_are_transferred_on_one_connection(tmp_path: Path) -> None:
     async def test(files: CertificateFiles) -> None:
         limits = http1.Limits(max_body_bytes=2**24)
-        listener, pool = make_server(files, limits=limits), client.ConnectionPool(limits=limits)
-        port, keys = await listener.start(), TlsContextFiles(False, authorities=files.authority)
+        listener, pool = make_server(files, http_limits=limits), client.ConnectionPool(limits=limits)
+        port, context_files = await listener.start(), TlsContextFiles(False, authorities=files.authority)
         for size in (0, 1, 70_000, 5_000_000):
-            answer = await send_request(port, keys, body=os.urandom(size), pool=pool)
+            answer = await send_request(port, context_files, body=os.urandom(size), pool=pool)
             assert answer.head is not None
             assert answer.head.status == 200
             assert len(answer.body) == size
@@ -103,20 +105,22 @@
 
 @pytest.mark.parametrize("defect", ["name", "authority", "plain", "expired"])
 def test_unverified_peer_counts_as_no_connection(tmp_path: Path, defect: str) -> None:
-    """Not a byte of the request was sent, so nothing can have run."""
+    """No byte of the request was sent, so the peer can't have processed it."""
 
     async def test(files: CertificateFiles) -> None:
         listener = make_server(files)
-        if defect == "expired":  # it was good when it was loaded; the peer must see it as what it is
+        if defect == "expired":  # simulates a certificate that expired after it was loaded
             write_pem(make_certificate("relay", files.root, (-9, -1)), files.server)
             assert listener.tls is not None
             listener.tls.context.load_cert_chain(files.server)
         if defect == "plain":
             listener.tls = None
         port = await listener.start()
-        stranger = write_pem(make_certificate("stranger"), files.folder / "stranger.pem")
-        keys = TlsContextFiles(False, authorities=stranger if defect == "authority" else files.authority)
-        answer = await send_request(port, keys, "other" if defect == "name" else "relay")
+        unknown_authority = write_pem(make_certificate("stranger"), files.folder / "stranger.pem")
+        context_files = TlsContextFiles(
+            False, authorities=unknown_authority if defect == "authority" else files.authority
+        )
+        answer = await send_request(port, context_files, "other" if defect == "name" else "relay")
         assert answer.wire_result is WireResult.NO_CONNECTION
         listener.close()
 
@@ -126,11 +130,11 @@
 def test_incomplete_handshakes_are_limited_and_time_out(tmp_path: Path) -> None:
     async def test(files: CertificateFiles) -> None:
         listener = make_server(
-            files, bounds=server.ServerLimits(max_connections=20, head_timeout_s=0.6, sweep_interval_s=0.05)
+            files, connection_limits=server.ServerLimits(max_connections=20, head_timeout_s=0.6, sweep_interval_s=0.05)
         )
         port = await listener.start()
-        outgoing, keys = ssl.MemoryBIO(), TlsContextFiles(False, authorities=files.authority)
-        handshake = keys.context.wrap_bio(ssl.MemoryBIO(), outgoing, server_hostname="relay")
+        outgoing, context_files = ssl.MemoryBIO(), TlsContextFiles(False, authorities=files.authority)
+        handshake = context_files.context.wrap_bio(ssl.MemoryBIO(), outgoing, server_hostname="relay")
         with pytest.raises(ssl.SSLWantReadError):
             handshake.do_handshake()
         client_hello = outgoing.read()
@@ -140,7 +144,7 @@
         await asyncio.sleep(0.1)
         assert len(listener.connections) <= 20
         assert {connection.phase for connection in listener.connections} == {"handshake"}
-        answer = await send_request(port, keys)  # the oldest of them gives way
+        answer = await send_request(port, context_files)  # the oldest incomplete handshake is evicted
         assert answer.head is not None
         assert answer.head.status == 200
         await asyncio.sleep(1.0)
@@ -153,7 +157,7 @@
     run_with_files(test, tmp_path)
 
 
-def test_bytes_that_are_no_handshake_are_reported_as_such(tmp_path: Path) -> None:
+def test_bytes_that_are_not_a_handshake_are_reported(tmp_path: Path) -> None:
     async def test(files: CertificateFiles) -> None:
         errors: list[str] = []
         listener = make_server(files, on_error=lambda peer, error: errors.append(error.text))
@@ -186,20 +190,20 @@
         TlsContextFiles(True, files.server, other)
 
 
-def test_certificates_are_reloaded_in_service_and_unusable_ones_change_nothing(tmp_path: Path) -> None:
+def test_certificates_are_reloaded_in_service_and_unusable_ones_are_ignored(tmp_path: Path) -> None:
     async def test() -> None:
         files = CertificateFiles(tmp_path)
-        async with RelayTestbed(tmp_path, partner={"work_ms": 150}, limits={"slots": 32}) as rig:
+        async with RelayTestbed(tmp_path, partner={"work_ms": 150}, limits={"slots": 32}) as testbed:
             from linnetstile.as2_relay.relay import As2Relay
             from linnetstile.telemetry.log import logger
 
-            settings = rig.relay_settings("t", tls={"certificate": str(files.server)})
+            settings = testbed.relay_settings("t", tls={"certificate": str(files.server)})
             service = As2Relay(settings, logger("critical"), seed=9)
             port = int((await service.start()).rpartition(":")[2])
             while service.registry.version < 0:  # noqa: ASYNC110  (the registry client has no event for its first list)
                 await asyncio.sleep(0.01)
             pool, answers = client.ConnectionPool(), []
-            old_authority_only, new_root = (
+            trusting_old, new_root = (
                 TlsContextFiles(False, authorities=files.authority),
                 make_certificate("root2"),
             )
@@ -210,9 +214,9 @@
             trusting_both = TlsContextFiles(False, authorities=both_authorities)
 
             async def submit() -> None:
-                message = rig.make_message("safe")
+                message = testbed.make_message("safe")
                 answered: asyncio.Future[client.CallResult] = asyncio.get_running_loop().create_future()
-                # A connection of its own each time: every message meets the keys of its moment.
+                # Each message is sent on a new connection, so that it uses the certificate in service at that time.
                 fields = [("Host", "x"), ("Connection", "close"), *message.headers]
                 pool.call(
                     ("127.0.0.1", port),
@@ -228,15 +232,15 @@
             for n in range(60):
                 tasks.append(asyncio.create_task(submit()))
                 if n == 20:
-                    files.server.write_text("torn")  # what a rotation may leave for a moment, or for good
+                    files.server.write_text("torn")  # a rotation may leave a truncated file, for a moment or longer
                 elif n == 40:
                     write_pem(make_certificate("relay", new_root), files.server)
                 await asyncio.sleep(0.06)
             await asyncio.gather(*tasks)
             assert [answer_kind(each) for each in answers] == ["delivered"] * 60
             assert service.counts["tls_keys_refused"] == 1
-            refused = await send_request(port, old_authority_only)
-            assert refused.wire_result is WireResult.NO_CONNECTION  # the new certificate is in service
+            refused = await send_request(port, trusting_old)
+            assert refused.wire_result is WireResult.NO_CONNECTION  # only the new certificate is in service
             pool.close()
             service.close()
 
@@ -251,14 +255,15 @@
         tls = {"authorities": files.authority, "name": "relay", "certificate": certificate}
         async with RelayTestbed(
             tmp_path, warm=trusted, tls=tls, partner={"tls_pem": files.server, "tls_clients": files.authority}
-        ) as rig:
+        ) as testbed:
             if trusted:
-                assert answer_kind(await rig.submit(rig.make_message("unsafe", b"x" * 500_000))) == "delivered"
-                assert len(rig.partner_records("effect")) == 1
+                assert answer_kind(await testbed.submit(testbed.make_message("unsafe", b"x" * 500_000))) == "delivered"
+                assert len(testbed.partner_records("effect")) == 1
                 return
-            # Without a certificate the partner ends the handshake; in TLS 1.3 that shows after the first write.
-            assert answer_kind(await rig.submit(rig.make_message("safe"))) in ("refused", "failed")
-            assert not rig.partner_records("began")
-        assert not rig.broken_rules()
+            # Without a client certificate the partner ends the handshake; in TLS 1.3 the relay notices that only
+            # after its first write.
+            assert answer_kind(await testbed.submit(testbed.make_message("safe"))) in ("refused", "failed")
+            assert not testbed.partner_records("began")
+        assert not testbed.broken_rules()
 
     run_test(test)
--- a/tests/storage/test_snapshot.py
+++ b/tests/storage/test_snapshot.py
@@ -1,4 +1,4 @@
-"""A snapshot is the old or the new one, never half of one; its age is right or not known; old files stay readable."""
+"""Snapshots: a partial file is detected, the age is correct or unknown, and files of earlier releases are readable."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from linnetstile.as2_relay.gossip_document import parse
 from linnetstile.storage import snapshot
 
-# Written by the program of commit ea85c36, with the boot id and the clocks that its header has.
+# Written by the program at commit ea85c36; its header has the boot id and the clock values of the writing.
 RECORDED = Path(__file__).parent.parent / "data" / "snapshots" / "gossip-ea85c36.snapshot"
 
 
@@ -68,7 +68,7 @@
             if message:
                 assert str(path) in message
             else:
-                assert payload == {"claims": ["x" * 50, 1.5]}  # a byte of the clocks in its header
+                assert payload == {"claims": ["x" * 50, 1.5]}  # the changed byte belongs to a clock value in the header
 
 
 def test_foreign_file_is_named_and_quarantined(tmp_path: Path) -> None:
@@ -98,7 +98,7 @@
 
 @pytest.fixture
 def recorded_clocks(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Let the boot id and the clocks be those of the recorded file."""
+    """Set the boot id and the clocks to the values in the recorded file."""
     header = json.loads(RECORDED.read_bytes().partition(b"\n")[0])
     boot_id = tmp_path / "boot_id"
     boot_id.write_text(header["boot"] + "\n")
@@ -111,7 +111,7 @@
     payload, age_ms = snapshot.read(RECORDED)
     assert [claim["partner"] for claim in payload["claims"]] == ["firma", "Müller & Söhne"]
     assert payload["few_connections"] == {"firma": 0.25}
-    assert age_ms is None or age_ms > 0  # not of this boot: None as long as the wall clock is before its time
+    assert age_ms is None or age_ms > 0  # written in another boot; None if the wall clock is before that time
     parse(payload)
 
 
