--- a/linnetstile/net/client.py
+++ b/linnetstile/net/client.py
@@ -29,13 +29,13 @@
 
 
 async def call_once(
-    address: Address, method: str, data: RequestBytes, seconds: float, limits: http1.Limits | None = None
+    address: Address, method: str, data: RequestBytes, timeout_s: float, limits: http1.Limits | None = None
 ) -> CallResult:
-    """Make one call on a new connection, and close the connection; `seconds` is the timeout. For command-line tools."""
+    """Make one call on a new connection, which is closed afterwards; `timeout_s` is in seconds. For tools."""
     pending_result: asyncio.Future[CallResult] = asyncio.get_running_loop().create_future()
     pool = ConnectionPool(limits=limits)
     try:
-        pool.call(address, method, data, pending_result.set_result, asyncio.get_running_loop().time() + seconds)
+        pool.call(address, method, data, pending_result.set_result, asyncio.get_running_loop().time() + timeout_s)
         return await pending_result
     finally:
         pool.close()
--- a/linnetstile/net/client_call.py
+++ b/linnetstile/net/client_call.py
@@ -97,7 +97,7 @@
         """End the call now.
 
         Args:
-            result: The result of the call if its complete request was sent; otherwise the result says that it was not.
+            result: The result if the complete request was sent; else it is `NO_CONNECTION` or `REQUEST_INCOMPLETE`.
         """
         self._end(self._unsent_result() or result)
 
--- a/linnetstile/net/client_connection.py
+++ b/linnetstile/net/client_connection.py
@@ -42,8 +42,8 @@
     def request_incomplete(self) -> bool:
         """Whether some bytes of the request have not been sent.
 
-        A peer can't act on such a request: RFC 9112, section 8 treats it as incomplete, and the digest of an AS2
-        message covers the complete message.
+        A peer can't act on such a request: it is incomplete by RFC 9112, section 8, and the digest of an AS2 message
+        covers the complete message.
         """
         return self.write_paused or self.queued_bytes > 0 or bool(self.delayed_last_byte)
 
--- a/linnetstile/net/connection.py
+++ b/linnetstile/net/connection.py
@@ -17,7 +17,7 @@
 
 
 class Transport(Protocol):
-    """The interface that `BufferedConnection` needs of a transport: asyncio's own one, or TLS over it.
+    """The interface that `BufferedConnection` needs of a transport: asyncio's own transport, or TLS over it.
 
     The methods have the meaning that `asyncio.Transport` gives them.
     """
@@ -67,7 +67,7 @@
     is_lost = False  # the event loop has reported the end of the connection
     uses_large_buffer = False  # whether the next bytes are read into the large receive buffer
     write_paused = False  # the kernel has not accepted all that was written to the transport
-    closing_when_written = False  # closes once all has been written
+    closing_when_written = False  # the transport is closed once the write queue is empty
 
     def start_rate_meters(self, read_rate: float, write_rate: float, grace_s: float) -> None:
         """Set the minimum rates at which the peer has to send and read.
@@ -102,7 +102,7 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Start with an empty write queue. Called by asyncio."""
         self.transport = cast(Transport, transport)
-        # asyncio then pauses writing as soon as the kernel accepts no more, until it has accepted the last byte.
+        # With this limit asyncio pauses writing once the kernel accepts no more, until it has accepted the last byte.
         self.transport.set_write_buffer_limits(high=0)
         self.write_queue: deque[memoryview] = deque()
         self.queued_bytes = 0  # bytes in the write queue
--- a/linnetstile/net/connection_phase.py
+++ b/linnetstile/net/connection_phase.py
@@ -20,7 +20,7 @@
 IDLE: Final = "idle"  # between two requests
 
 # Phases in which the client waits for a response or for the rest of one.
-OBLIGED_PHASES: Final[tuple[ConnectionPhase, ...]] = (RESPONSE_PENDING, WRITING_RESPONSE, CLOSING)
+RESPONSE_PHASES: Final[tuple[ConnectionPhase, ...]] = (RESPONSE_PENDING, WRITING_RESPONSE, CLOSING)
 # Phases in which a request has begun, or may have begun, and is incomplete.
 INCOMPLETE_PHASES: Final[tuple[ConnectionPhase, ...]] = (READING_HEAD, READING_BODY, WAITING_FOR_CAPACITY)
 # Phases in which received bytes are read immediately.
--- a/linnetstile/net/connection_registry.py
+++ b/linnetstile/net/connection_registry.py
@@ -57,8 +57,8 @@
     def admit_connection(self, connection: ServerConnection) -> bool:
         """Return whether a new connection may stay open.
 
-        At the limit, a connection without an obligation is evicted for it, so that half-open connections can't block
-        new ones.
+        At the limit, a connection without an outstanding response is evicted for it, so that half-open connections
+        can't block new ones.
         """
         if len(self.connections) < self._max_connections:
             return True
@@ -77,7 +77,7 @@
 
     def _may_evict(self, candidate: ServerConnection) -> bool:
         """Whether a candidate may still be evicted; its state may have changed since the ranking."""
-        if candidate.is_closing or candidate.has_obligation or candidate not in self.connections:
+        if candidate.is_closing or candidate.has_outstanding_response or candidate not in self.connections:
             return False
         next_request_arrived = candidate.had_complete_request and candidate.has_unread_input
         return not next_request_arrived
@@ -102,7 +102,7 @@
                 token=connection,
             )
             for connection in self.connections
-            if not connection.has_obligation and not connection.is_closing
+            if not connection.has_outstanding_response and not connection.is_closing
         ]
         ranked = connections_to_evict(self._count_by_host, idle, self._candidates_per_ranking)
         self._candidates = [(candidate.host, candidate.token) for candidate in ranked]
--- a/linnetstile/net/engine_loop.py
+++ b/linnetstile/net/engine_loop.py
@@ -1,4 +1,4 @@
-"""Runs the engine on an asyncio event loop, which gives it its clock, its timer and its turns.
+"""Runs the engine on an asyncio event loop: provides its clock and its timer, and schedules its turns.
 
 A turn is one call of `DeliveryEngine.handle` with all events that were posted in one pass of the event loop.
 """
@@ -17,8 +17,7 @@
 def age_event(event: Event, elapsed_ms: float) -> Event:
     """Return an event with its ages and remaining times adjusted by the time since it was posted.
 
-    Otherwise deadlines would expire late, because a relay that starts posts all recovered messages before its first
-    turn.
+    Otherwise deadlines would expire late: when a relay starts, it posts all recovered messages before the first turn.
     """
     match event:
         case Message():
@@ -47,7 +46,7 @@
 
 
 class EngineLoop:
-    """Passes posted events to the engine, in one turn for each pass of the event loop.
+    """Passes events to the engine, all events of one pass of the event loop in one turn.
 
     Attributes:
         engine: The engine, which makes all decisions.
--- a/linnetstile/net/request_context.py
+++ b/linnetstile/net/request_context.py
@@ -25,7 +25,7 @@
     on_disconnect: Callable[[], None] | None  # called if the client disconnects before the response
     content_length: int | None  # length of the body; None = unknown, because the body is chunked
     granted_bytes: int  # number of body bytes for which capacity was granted
-    reservation: object  # record of the granted capacity, which the server's `release` returns
+    reservation: object  # record of the granted capacity, which the server's `release` frees
     body_deadline: float | None  # loop time (s) by which the body must be complete; None = no deadline
     on_body_data: Callable[[bytes], object] | None  # called with each piece of the body
     submission: object  # what the owner of the server has parsed from the head
--- a/linnetstile/net/server.py
+++ b/linnetstile/net/server.py
@@ -26,8 +26,8 @@
 
 # Called with the peer's address and the error in its bytes or its TLS handshake.
 ErrorCallback = Callable[[str, http1.Http1Error], None]
-# Called with a request and a number of bytes before these bytes of its body are accepted. Returns True if there is
-# capacity, False if the request was answered or waits for `RequestContext.resume_body`.
+# Called with a request and the number of body bytes that it needs capacity for. Returns True if there is capacity,
+# False if the request was answered or waits for `RequestContext.resume_body`.
 AdmitCallback = Callable[[RequestContext, int], bool]
 # Called with a connection and the name of the limit that it is closed for.
 LimitCallback = Callable[[ServerConnection, str], None]
--- a/linnetstile/net/server_connection.py
+++ b/linnetstile/net/server_connection.py
@@ -61,7 +61,7 @@
         self.host = self.peer_host()
         if not self.server.admit_connection(self):
             self.server.count("refused_connections")
-            self.transport.abort()  # guards descriptors and memory
+            self.transport.abort()  # limits the use of file descriptors and memory
             return
         self.server.registry.add(self)
 
@@ -269,9 +269,9 @@
         return connection_phase.IDLE
 
     @property
-    def has_obligation(self) -> bool:
+    def has_outstanding_response(self) -> bool:
         """Whether a request was accepted or a response is incomplete; an incomplete request does not count."""
-        return self.phase in connection_phase.OBLIGED_PHASES
+        return self.phase in connection_phase.RESPONSE_PHASES
 
     @property
     def had_complete_request(self) -> bool:
--- a/linnetstile/net/tls_context.py
+++ b/linnetstile/net/tls_context.py
@@ -82,10 +82,8 @@
     def _make_context(self) -> ssl.SSLContext:
         context = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER if self.server else ssl.PROTOCOL_TLS_CLIENT)
         context.minimum_version = ssl.TLSVersion.TLSv1_2
-        field, path = (
-            "certificate",
-            self.certificate,
-        )  # the setting and the file that are being read, for error messages
+        # The setting and the file that are being read, for error messages.
+        field, path = "certificate", self.certificate
         try:
             if self.certificate is not None:
                 _check_validity(self.certificate)
