--- a/linnetstile/codec/__init__.py
+++ b/linnetstile/codec/__init__.py
@@ -1,1 +1,4 @@
-"""Floor 1: conversion of bytes to values and back. No I/O; incremental where bytes come from a peer, and bounded."""
+"""Layer 1: conversion between bytes and typed values, without I/O.
+
+Parsers of bytes that come from a peer are incremental, and the memory that they use is bounded.
+"""
--- a/linnetstile/codec/as2.py
+++ b/linnetstile/codec/as2.py
@@ -1,4 +1,4 @@
-"""The AS2 header fields (RFC 4130, 6 and 7; RFC 2822 identifiers)."""
+"""AS2 header fields (RFC 4130, 6 and 7) with the message identifiers of RFC 2822."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 from .headers import Headers
 
 MAX_NAME_LENGTH = 128  # characters of an AS2 name (RFC 4130, 6.2)
-MAX_MESSAGE_ID_LENGTH = 998  # characters of a Message-ID: those of a line (RFC 2822, 2.1.1)
-DEFAULT_VERSION = "1.0"  # of a message without AS2-Version
+MAX_MESSAGE_ID_LENGTH = 998  # characters of a Message-ID: the limit of a line (RFC 2822, 2.1.1)
+DEFAULT_VERSION = "1.0"  # AS2 version of a message without an AS2-Version field
 
 MESSAGE_ID = re.compile(r"<[\x21-\x3b\x3d\x3f-\x7e]+>\Z")
 QUOTED_NAME = re.compile(r'"(?:[\x20\x21\x23-\x5b\x5d-\x7e]|\\["\\])*"\Z')
@@ -21,7 +21,7 @@
 
 
 class As2Error(ProtocolError):
-    """An AS2 field is missing or malformed; the message names it."""
+    """An AS2 header field is missing or malformed; the error text names the field."""
 
 
 def _field_error(field: str, expected: str, found: str = "") -> As2Error:
@@ -29,14 +29,14 @@
 
 
 def parse_name(text: str, field: str) -> str:
-    """Parse an AS2 name; names are compared unquoted, with regard to case (RFC 4130, 6.2).
+    """Return an AS2 name without quotes, the form in which names are compared, case-sensitively (RFC 4130, 6.2).
 
     Args:
-        text: The value as it is in the field.
-        field: Name of the field, for the error.
+        text: The field value as received.
+        field: Name of the field, for the error text.
 
     Raises:
-        As2Error: It is not a plain or quoted name of 1 to 128 characters.
+        As2Error: The value is not a plain or quoted name of 1 to 128 characters.
     """
     if QUOTED_NAME.match(text):
         plain = re.sub(r"\\(.)", r"\1", text[1:-1])
@@ -50,17 +50,17 @@
 
 
 def quote_name(plain: str) -> str:
-    """Return a name as it is written in a field: in quotes where needed."""
+    """Return the form of a name for a header field: in quotes if it needs them."""
     if PLAIN_NAME.match(plain):
         return plain
     return '"' + re.sub(r'(["\\])', r"\\\1", plain) + '"'
 
 
 def parse_message_id(text: str, field: str = "Message-ID") -> str:
-    """Check an identifier and return it as it is.
+    """Check a message identifier and return it unchanged.
 
     Raises:
-        As2Error: It is not in angle brackets, or too long.
+        As2Error: The identifier is not in angle brackets, or is too long.
     """
     if not MESSAGE_ID.match(text) or len(text) > MAX_MESSAGE_ID_LENGTH:
         raise _field_error(field, f"an identifier in angle brackets, at most {MAX_MESSAGE_ID_LENGTH} characters", text)
@@ -69,11 +69,11 @@
 
 @dataclass(frozen=True, slots=True)
 class ReceiptOptions:
-    """What the sender requests of the receipt (RFC 4130, 7.3).
+    """Options that the sender requests for the receipt (RFC 4130, 7.3).
 
     Attributes:
-        signed: Whether it should be signed.
-        required: Whether that is a condition.
+        signed: Whether the receipt should be signed.
+        required: Whether the signature is required; optional otherwise.
         micalgs: Digest algorithms in order of preference, in lower case.
     """
 
@@ -86,7 +86,7 @@
     """Parse Disposition-Notification-Options: `name=importance, value, value; ...` (RFC 4130, 7.3).
 
     Raises:
-        As2Error: A part does not follow that form.
+        As2Error: A part does not have that form.
     """
     signed = False
     required = False
@@ -107,7 +107,7 @@
 
 @dataclass(frozen=True, slots=True)
 class As2Headers:
-    """The fields of one AS2 message.
+    """The header fields of one AS2 message.
 
     Attributes:
         sender: AS2-From, unquoted.
@@ -116,7 +116,7 @@
         version: AS2-Version.
         subject: Subject.
         receipt_to: Disposition-Notification-To; empty if no receipt is requested.
-        receipt_options: What the receipt should be like.
+        receipt_options: Disposition-Notification-Options, parsed.
         async_receipt_url: Receipt-Delivery-Option: the URL for an asynchronous receipt; empty for a synchronous one.
     """
 
@@ -134,7 +134,7 @@
         """Parse the header fields of a message.
 
         Raises:
-            As2Error: A field is missing, malformed or repeated; it says the field's name and what was expected.
+            As2Error: A field is missing, malformed or repeated; the error has the field's name and the expected value.
         """
         for field in SINGLE_FIELDS:
             if len(headers.get_all(field)) > 1:
@@ -142,9 +142,9 @@
         version = headers.get("as2-version", DEFAULT_VERSION)
         if not VERSION.fullmatch(version):
             raise _field_error("AS2-Version", "1.x", version)
-        reply_to = headers.get("receipt-delivery-option")
-        if reply_to and not RECEIPT_URL.match(reply_to):
-            raise _field_error("Receipt-Delivery-Option", "an http or https URL", reply_to)
+        receipt_url = headers.get("receipt-delivery-option")
+        if receipt_url and not RECEIPT_URL.match(receipt_url):
+            raise _field_error("Receipt-Delivery-Option", "an http or https URL", receipt_url)
         return cls(
             sender=parse_name(headers.get("as2-from"), "AS2-From"),
             receiver=parse_name(headers.get("as2-to"), "AS2-To"),
@@ -153,5 +153,5 @@
             subject=headers.get("subject"),
             receipt_to=headers.get("disposition-notification-to"),
             receipt_options=parse_receipt_options(headers.get("disposition-notification-options")),
-            async_receipt_url=reply_to,
+            async_receipt_url=receipt_url,
         )
--- a/linnetstile/codec/cms/__init__.py
+++ b/linnetstile/codec/cms/__init__.py
@@ -1,11 +1,11 @@
-"""S/MIME and CMS (RFC 5652, 8551, 1847, 3274, 5402), on cryptography and asn1crypto.
+"""S/MIME and CMS (RFC 5652, 8551, 1847, 3274, 5402), based on the packages cryptography and asn1crypto.
 
-Entities are bytes with their MIME headers. The heavy libraries are imported where first used, so that a process that
-needs none of this starts quickly.
+Entities are bytes with their MIME headers. The two packages are imported where they are first used, because they are
+large and a process that needs neither should start quickly.
 
-Other packages import the names of this module. The parts: `identity.py` has certificates with keys, `digests.py` the
-digest algorithms, `signing.py` signatures, `envelope.py` encryption and compression, `layers.py` opens a message that
-has several of these.
+Other packages import from this module only. Its parts: `identity.py` has certificates with their keys, `digests.py` the
+digest algorithms, `signing.py` signatures, `envelope.py` encryption and compression; `layers.py` opens a message that
+has several of these layers.
 """
 
 from __future__ import annotations
--- a/linnetstile/codec/cms/content_info.py
+++ b/linnetstile/codec/cms/content_info.py
@@ -7,12 +7,12 @@
 from .errors import CmsError
 
 
-def load_content(der: bytes, content_type: str, otherwise: str) -> Any:
-    """Return the content of a ContentInfo of the expected type; raises `CmsError(otherwise)` for others."""
+def load_content(der: bytes, content_type: str, error_text: str) -> Any:
+    """Return the content of a ContentInfo of the expected type; raises `CmsError(error_text)` for another type."""
     from asn1crypto import cms
 
     info = cms.ContentInfo.load(der, strict=True)
     found = info["content_type"].native
     if found != content_type:
-        raise CmsError(otherwise, field="content_type", expected=content_type, found=str(found))
+        raise CmsError(error_text, field="content_type", expected=content_type, found=str(found))
     return info["content"]
--- a/linnetstile/codec/cms/digests.py
+++ b/linnetstile/codec/cms/digests.py
@@ -1,4 +1,4 @@
-"""Digest algorithms by the names of micalg parameters."""
+"""Digest algorithms by the values of micalg parameters."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 from .errors import CmsError
 
-# Names of hashlib by the names of micalg parameters (RFC 3851 and RFC 5751).
+# Algorithm names of hashlib by the values of micalg parameters (RFC 3851 and RFC 5751).
 HASH_NAMES = {
     "sha1": "sha1",
     "sha-1": "sha1",
@@ -23,11 +23,9 @@
     """Return the digest of `data`.
 
     Raises:
-        CmsError: The algorithm is not known.
+        CmsError: The algorithm is unknown.
     """
     algorithm = HASH_NAMES.get(micalg.lower())
     if algorithm is None:
-        raise CmsError(
-            "a digest algorithm that is not known", field="micalg", expected=" or ".join(HASH_NAMES), found=micalg
-        )
+        raise CmsError("an unknown digest algorithm", field="micalg", expected=" or ".join(HASH_NAMES), found=micalg)
     return hashlib.new(algorithm, data).digest()
--- a/linnetstile/codec/cms/envelope.py
+++ b/linnetstile/codec/cms/envelope.py
@@ -13,7 +13,7 @@
 if TYPE_CHECKING:
     from cryptography.x509 import Certificate
 
-MAX_DECOMPRESSED_BYTES = 256 * 1024 * 1024  # bytes of decompressed data
+MAX_DECOMPRESSED_BYTES = 256 * 1024 * 1024
 
 
 def encrypt(content: bytes, recipient: Certificate) -> EncodedEntity:
@@ -36,7 +36,7 @@
     """Decrypt an enveloped entity.
 
     Raises:
-        CmsError: It is not for this key, or can't be read.
+        CmsError: The entity is not encrypted for this key, or can't be read.
     """
     from cryptography.hazmat.primitives.serialization import pkcs7
 
@@ -45,7 +45,7 @@
         return pkcs7.pkcs7_decrypt_der(der, identity.certificate, identity.key, [])  # type: ignore[arg-type]
     except (ValueError, TypeError) as error:
         raise CmsError(
-            "an enveloped message that can't be opened", expected="CMS enveloped data for this key", found=str(error)
+            "an enveloped message that can't be decrypted", expected="CMS enveloped data for this key", found=str(error)
         ) from error
 
 
@@ -67,10 +67,10 @@
 
 
 def decompress(der: bytes, max_bytes: int = MAX_DECOMPRESSED_BYTES) -> bytes:
-    """Decompress an entity; bounded by `max_bytes`, as a few bytes can swell to gigabytes.
+    """Decompress an entity to `max_bytes` at most, because a few bytes can expand to gigabytes.
 
     Raises:
-        CmsError: It is not compressed data, is cut short, can't be read or has more than `max_bytes`.
+        CmsError: The input is not compressed data, is truncated, can't be read or expands to more than `max_bytes`.
     """
     try:
         compressed_data = load_content(der, "compressed_data", "not compressed data")
@@ -84,6 +84,7 @@
         ) from error
     if inflater.unconsumed_tail or not inflater.eof:
         raise CmsError(
-            f"compressed data that is cut short or holds more than {max_bytes} bytes", expected=f"<= {max_bytes} bytes"
+            f"compressed data that is truncated or expands to more than {max_bytes} bytes",
+            expected=f"<= {max_bytes} bytes",
         )
     return data
--- a/linnetstile/codec/cms/errors.py
+++ b/linnetstile/codec/cms/errors.py
@@ -1,4 +1,4 @@
-"""The error of CMS objects."""
+"""The error that is raised for invalid CMS objects."""
 
 from __future__ import annotations
 
--- a/linnetstile/codec/cms/identity.py
+++ b/linnetstile/codec/cms/identity.py
@@ -1,4 +1,4 @@
-"""Certificates with their private keys: made, read from PEM and written as PEM."""
+"""Certificates with their private keys: generation, reading from PEM and writing as PEM."""
 
 from __future__ import annotations
 
@@ -24,11 +24,11 @@
 
 
 def make_identity(common_name: str, days: int = 3650, rsa: bool = False) -> Identity:
-    """Make a self-signed certificate with a new key.
+    """Generate a key and a self-signed certificate for it.
 
     Args:
-        common_name: Common name of subject and issuer; cut to 64 characters.
-        days: How long it is valid, from a day ago on.
+        common_name: Common name of subject and issuer; truncated to 64 characters.
+        days: Validity of the certificate in days, counted from one day before now.
         rsa: Whether the key is RSA 2048, which decryption needs; P-256 otherwise.
     """
     import datetime
@@ -66,7 +66,7 @@
 
 
 def load_identity(pem: bytes) -> Identity:
-    """Read an identity from PEM that has the key and the certificate; raises `ValueError` where it has not."""
+    """Read an identity from PEM with the key and the certificate; raises `ValueError` if one of them is missing."""
     from cryptography import x509
     from cryptography.hazmat.primitives.serialization import load_pem_private_key
 
@@ -75,7 +75,7 @@
 
 
 def load_certificate(pem: bytes) -> Certificate:
-    """Read a certificate from PEM; raises `ValueError` where there is none."""
+    """Read a certificate from PEM; raises `ValueError` if there is none."""
     from cryptography import x509
 
     return x509.load_pem_x509_certificate(pem)
--- a/linnetstile/codec/cms/layers.py
+++ b/linnetstile/codec/cms/layers.py
@@ -9,16 +9,17 @@
 from .identity import Identity
 from .signing import split_signed
 
-MAX_LAYERS = 4  # of signature, compression and encryption around a content
+MAX_LAYERS = 4  # nested entities of one message that are examined, including the innermost one
 
 
 class DigestInput(NamedTuple):
-    """What the digest of a receipt is taken over (RFC 4130, 7.3.1; RFC 5402, 5).
+    """The bytes of a message that the digest in its receipt covers (RFC 4130, 7.3.1; RFC 5402, 5).
 
     Attributes:
-        content: Signed: the signed entity. Compressed or encrypted only: the entity inside. Plain: the body without
-            headers. None if it is encrypted and there is no key, or there are more than `MAX_LAYERS`.
-        is_plain: Whether that is a plain body.
+        content: Of a signed message, the signed entity; of one that is only compressed or encrypted, the entity inside;
+            of a plain one, the body without headers. None if the message is encrypted and there is no key, a layer has
+            an unknown type, or there are more than `MAX_LAYERS`.
+        is_plain: Whether `content` is the body of a plain message.
     """
 
     content: bytes | None
@@ -29,19 +30,19 @@
 
 
 def open_layers(content_type: str, encoding: str, body: bytes, key: Identity | None) -> DigestInput:
-    """Return what a receipt's digest is taken over.
+    """Open the layers of a message; return the bytes that the digest in its receipt covers.
 
     Args:
         content_type: Content-Type of the message.
-        encoding: Its Content-Transfer-Encoding; may be empty.
-        body: Its body.
-        key: What decrypts it; None if there is no key.
+        encoding: Content-Transfer-Encoding of the message; may be empty.
+        body: Body of the message.
+        key: Identity that decrypts the message; None if there is none.
 
     Raises:
         CmsError: A layer can't be read.
         MimeError: A layer can't be read.
     """
-    entity: bytes | None = None  # what the last layer contained
+    entity: bytes | None = None  # content of the layer that was opened last
     for _ in range(MAX_LAYERS):
         media_type = mime.parse_content_type(content_type)
         if media_type.name == "multipart/signed":
@@ -62,7 +63,7 @@
 
 
 def _open_layer(smime_type: str, der: bytes, key: Identity | None) -> bytes | None:
-    """Return the entity inside one layer; None if there is no key for it, or its type is not known."""
+    """Return the entity inside one layer; None if there is no key for it, or its type is unknown."""
     if smime_type == "compressed-data":
         return decompress(der)
     if smime_type == "enveloped-data" and key is not None:
--- a/linnetstile/codec/cms/signing.py
+++ b/linnetstile/codec/cms/signing.py
@@ -30,11 +30,11 @@
 
     Args:
         content: The entity with its MIME headers.
-        signer: Who signs.
+        signer: Identity that signs.
         micalg: `sha-256`, `sha-384` or `sha-512`.
 
     Returns:
-        The multipart/signed.
+        The multipart/signed entity.
     """
     from cryptography.hazmat.primitives import hashes, serialization
     from cryptography.hazmat.primitives.serialization import pkcs7
@@ -67,23 +67,23 @@
         raise CmsError("not a multipart/signed", field="Content-Type", expected="multipart/signed", found=content_type)
     parts = mime.split_multipart(body, media_type.params.get("boundary", ""))
     if len(parts) != 2:
-        raise CmsError("a multipart/signed without two parts", expected="2 parts", found=str(len(parts)))
+        raise CmsError("a multipart/signed that does not have two parts", expected="2 parts", found=str(len(parts)))
     return SignedParts(parts[0], mime.parse_entity(parts[1]).decoded_body())
 
 
 def verify(content: bytes, der: bytes, certificate: Certificate, allow_sha1: bool = False) -> str:
-    """Check a detached signature by the holder of `certificate` (RFC 5652, 5.4 to 5.6).
+    """Verify a detached signature with the key of `certificate` (RFC 5652, 5.4 to 5.6).
 
-    The certificate is trusted as such: partners exchange them beforehand.
+    The certificate itself is trusted, without a chain: partners exchange their certificates beforehand.
 
     Args:
         content: The signed entity, byte for byte.
         der: The signature.
-        certificate: Whose signature it should be.
-        allow_sha1: Whether signatures over SHA-1 are accepted.
+        certificate: Certificate of the expected signer.
+        allow_sha1: Whether signatures over SHA-1 digests are accepted.
 
     Returns:
-        The digest algorithm.
+        The name of the digest algorithm.
 
     Raises:
         CmsError: The signature is not valid or can't be read.
@@ -94,7 +94,7 @@
         signed_data = load_content(der, "signed_data", "not signed data")
         signers = signed_data["signer_infos"]
         if len(signers) != 1:
-            raise CmsError("not one signer", expected="1 signer", found=str(len(signers)))
+            raise CmsError("a signature that does not have one signer", expected="1 signer", found=str(len(signers)))
         signer = signers[0]
         algorithm = signer["digest_algorithm"]["algorithm"].native
         _check_algorithm(algorithm, allow_sha1)
@@ -104,13 +104,15 @@
     except CmsError:
         raise
     except InvalidSignature as error:
-        raise CmsError("the signature does not hold", expected="a signature by the certificate's key") from error
+        raise CmsError(
+            "a signature that is not valid for the certificate", expected="a signature by the certificate's key"
+        ) from error
     except (ValueError, KeyError, TypeError, IndexError, AttributeError) as error:
         raise CmsError("a signature that can't be read", expected="CMS signed data", found=str(error)) from error
 
 
 def _check_algorithm(algorithm: Any, allow_sha1: bool) -> None:
-    """Raise `CmsError` for a digest algorithm that is not known, or too weak."""
+    """Raise `CmsError` for a digest algorithm that is unknown or too weak."""
     is_too_weak = algorithm == "sha1" and not allow_sha1
     if algorithm not in HASH_NAMES.values() or is_too_weak:
         raise CmsError(
@@ -122,7 +124,10 @@
 
 
 def _signed_bytes(content: bytes, signed_data: Any, attributes: Any, algorithm: str) -> bytes:
-    """Return what the signature is over: the signed attributes, which contain the digest of the content, if any."""
+    """Return the bytes that the signature covers.
+
+    These are the signed attributes, which contain the digest of the content, or the content if there are none.
+    """
     if not len(attributes):
         return content
     values = {attribute["type"].native: attribute["values"] for attribute in attributes}
@@ -139,11 +144,11 @@
         found=signed_data["encap_content_info"]["content_type"].native,
     )
     attributes_der: bytes = attributes.dump()
-    return SET_OF_TAG + attributes_der[1:]  # as a SET OF, its own tag (RFC 5652, 5.4)
+    return SET_OF_TAG + attributes_der[1:]  # signed with the tag of a SET OF (RFC 5652, 5.4)
 
 
 def _require_signed_value(text: str, *, field: str, signed: Any, found: Any) -> None:
-    """Raise `CmsError` if the signed value of an attribute is not the one of this message."""
+    """Raise `CmsError` if the signed value of an attribute differs from that of this message."""
     if signed != found:
         raise CmsError(text, field=field, expected=str(signed), found=str(found))
 
@@ -158,9 +163,9 @@
     if isinstance(key, rsa.RSAPublicKey):
         scheme = signer["signature_algorithm"].signature_algo
         if scheme != "rsassa_pkcs1v15":
-            raise CmsError("a signature scheme that is not known", expected="rsassa_pkcs1v15", found=str(scheme))
+            raise CmsError("an unsupported signature scheme", expected="rsassa_pkcs1v15", found=str(scheme))
         key.verify(signature, signed_bytes, padding.PKCS1v15(), chosen_hash)
     elif isinstance(key, ec.EllipticCurvePublicKey):
         key.verify(signature, signed_bytes, ec.ECDSA(chosen_hash))
     else:
-        raise CmsError("a key type that is not known", expected="RSA or EC", found=type(key).__name__)
+        raise CmsError("an unsupported key type", expected="RSA or EC", found=type(key).__name__)
--- a/linnetstile/codec/headers.py
+++ b/linnetstile/codec/headers.py
@@ -6,19 +6,19 @@
 from collections.abc import Iterable, Iterator
 
 TOKEN = re.compile(r"[!#$%&'*+\-.^_`|~0-9A-Za-z]+\Z")  # RFC 9110, 5.6.2
-FORBIDDEN_IN_VALUE = re.compile(r"[\x00-\x08\x0a-\x1f\x7f]")  # controls other than tab
+FORBIDDEN_IN_VALUE = re.compile(r"[\x00-\x08\x0a-\x1f\x7f]")  # control characters other than tab
 
-# Field names that were found to be valid tokens, with their lower case: most messages have the same few names, so that
-# each is matched and lowered once. Bounded, because the peers choose the names.
+# Cache of valid field names with their lower-case form: most messages have the same few names, so each name is matched
+# and converted once. The cache is bounded because peers choose the names.
 KNOWN_FIELD_NAMES: dict[str, str] = {}
 MAX_KNOWN_FIELD_NAMES = 1024
 MAX_KNOWN_FIELD_NAME_LENGTH = 64
 
 
 def is_field_name(name: str) -> bool:
-    """Tell whether `name` is a token, and remember it if so.
+    """Return whether `name` is a token; valid names are added to `KNOWN_FIELD_NAMES`.
 
-    Code that runs for each field looks into `KNOWN_FIELD_NAMES` first and calls this only for the others.
+    Code that runs for each field looks the name up in `KNOWN_FIELD_NAMES` first and calls this only if it is missing.
     """
     if not TOKEN.match(name):
         return False
@@ -28,7 +28,7 @@
 
 
 class Headers:
-    """Header fields in their order; names compare without regard to case, values are kept as received.
+    """Header fields in their order; names are case-insensitive, values are kept as received.
 
     Attributes:
         fields: Name and value of each field.
