--- a/linnetstile/codec/cms/envelope.py
+++ b/linnetstile/codec/cms/envelope.py
@@ -45,7 +45,7 @@
         return pkcs7.pkcs7_decrypt_der(der, identity.certificate, identity.key, [])  # type: ignore[arg-type]
     except (ValueError, TypeError) as error:
         raise CmsError(
-            "an enveloped message that can't be decrypted", expected="CMS enveloped data for this key", found=str(error)
+            "an enveloped message that can't be opened", expected="CMS enveloped data for this key", found=str(error)
         ) from error
 
 
@@ -84,7 +84,6 @@
         ) from error
     if inflater.unconsumed_tail or not inflater.eof:
         raise CmsError(
-            f"compressed data that is truncated or expands to more than {max_bytes} bytes",
-            expected=f"<= {max_bytes} bytes",
+            f"compressed data that is cut short or holds more than {max_bytes} bytes", expected=f"<= {max_bytes} bytes"
         )
     return data
--- a/linnetstile/codec/cms/signing.py
+++ b/linnetstile/codec/cms/signing.py
@@ -67,7 +67,7 @@
         raise CmsError("not a multipart/signed", field="Content-Type", expected="multipart/signed", found=content_type)
     parts = mime.split_multipart(body, media_type.params.get("boundary", ""))
     if len(parts) != 2:
-        raise CmsError("a multipart/signed that does not have two parts", expected="2 parts", found=str(len(parts)))
+        raise CmsError("a multipart/signed without two parts", expected="2 parts", found=str(len(parts)))
     return SignedParts(parts[0], mime.parse_entity(parts[1]).decoded_body())
 
 
--- a/linnetstile/codec/http1/__init__.py
+++ b/linnetstile/codec/http1/__init__.py
@@ -1,10 +1,11 @@
-"""HTTP/1.1 messages (RFC 9110, RFC 9112) without I/O: bytes in, events out, the same for any split of the bytes.
+"""HTTP/1.1 messages (RFC 9110, RFC 9112) without I/O: a parser from bytes to events, and an encoder.
 
-What is ambiguous is rejected and not repaired, since two readings of one message are how requests are smuggled
-(RFC 9112, 11.2). Every fault of a peer is an `Http1Error` with the status to answer; the connection then closes.
+The events are the same however the bytes are split. Ambiguous input is rejected instead of repaired, because request
+smuggling relies on two readings of one message (RFC 9112, 11.2). Every protocol error of a peer is an `Http1Error` with
+the status to respond with; the connection then closes.
 
-Other packages import the names of this module. The parts: `parser.py` is the state machine, on `input_buffer.py` and
-`head_parser.py`; `messages.py` has its events, `limits.py` its bounds, `errors.py` the errors; `encoder.py` writes
+Other packages import from this module only. Its parts: `parser.py` is the state machine, based on `input_buffer.py` and
+`head_parser.py`; `messages.py` has its events, `limits.py` its limits, `errors.py` the errors; `encoder.py` encodes
 messages.
 """
 
--- a/linnetstile/codec/http1/encoder.py
+++ b/linnetstile/codec/http1/encoder.py
@@ -1,4 +1,4 @@
-"""Encodes HTTP/1.1 messages of our own; one that would not be valid is refused before a byte of it is written."""
+"""Encodes outgoing HTTP/1.1 messages; an invalid one is refused before any byte of it is written."""
 
 from __future__ import annotations
 
@@ -51,10 +51,10 @@
         method: A token.
         target: The request target, in visible ASCII.
         headers: The header fields, without a Content-Length.
-        body: The body; returned as it is.
+        body: The body; returned unchanged.
 
     Raises:
-        UnsendableMessageError: The method, target or a header field would not be valid.
+        UnsendableMessageError: The method, the target or a header field is not valid.
     """
     if not TOKEN.match(method) or not REQUEST_TARGET.match(target):
         raise UnsendableMessageError(
@@ -64,7 +64,7 @@
 
 
 def encode_request(method: str, target: str, headers: Iterable[tuple[str, str]], body: bytes = b"") -> bytes:
-    """Encode a request as `encode_request_parts` does, in one piece."""
+    """Encode a request as `encode_request_parts` does, and join its parts."""
     return b"".join(encode_request_parts(method, target, headers, body))
 
 
@@ -76,11 +76,11 @@
     Args:
         status: The status code.
         headers: The header fields, without a Content-Length.
-        body: The body; returned as it is.
-        head_only: Whether this answers HEAD: the body is counted and omitted (RFC 9110, 9.3.2).
+        body: The body; returned unchanged.
+        head_only: Whether this responds to HEAD: Content-Length counts the body, which is omitted (RFC 9110, 9.3.2).
 
     Raises:
-        UnsendableMessageError: A header field would not be valid.
+        UnsendableMessageError: A header field is not valid.
     """
     first_line = f"HTTP/1.1 {status} {REASON_PHRASES.get(status, UNKNOWN_REASON_PHRASE)}"
     content_length = None if status == NO_CONTENT else len(body)
@@ -90,7 +90,7 @@
 def encode_response(
     status: int, headers: Iterable[tuple[str, str]], body: bytes = b"", head_only: bool = False
 ) -> bytes:
-    """Encode a response as `encode_response_parts` does, in one piece."""
+    """Encode a response as `encode_response_parts` does, and join its parts."""
     return b"".join(encode_response_parts(status, headers, body, head_only))
 
 
@@ -99,7 +99,7 @@
     for name, value in headers:
         valid_name = name in KNOWN_FIELD_NAMES or is_field_name(name)
         if not valid_name or (not value.isprintable() and FORBIDDEN_IN_VALUE.search(value)):
-            # Guards against a message of our own that a value from elsewhere would split in two.
+            # Prevents header injection: a value from another source could split the message in two.
             raise UnsendableMessageError(
                 f"header field {name!r} can't be sent",
                 field=name,
@@ -109,5 +109,5 @@
         lines.append(f"{name}: {value}")
     if content_length is not None:
         lines.append(f"Content-Length: {content_length}")
-    lines += ("", "")  # the end of the last line, and the empty line
+    lines += ("", "")  # the line end of the last field, and the empty line
     return "\r\n".join(lines).encode("latin-1")
--- a/linnetstile/codec/http1/errors.py
+++ b/linnetstile/codec/http1/errors.py
@@ -1,4 +1,4 @@
-"""The errors of HTTP/1.1: faults in a peer's bytes, and messages of our own that can't be sent."""
+"""HTTP/1.1 errors: invalid bytes from a peer, and outgoing messages that can't be sent."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 
 
 class Http1Error(errors.ProtocolError):
-    """The peer's bytes are not HTTP/1.1 as this codec accepts it.
+    """The bytes from the peer are not HTTP/1.1 that this codec accepts.
 
     Attributes:
-        status: The status to answer; 0 where no answer is possible.
-        text: The message, for the answer and the log.
+        status: The status to respond with; 0 if no response is possible.
+        text: The error text, for the response and the log.
     """
 
     def __init__(self, status: int, text: str, *, field: str = "", expected: str = "", found: str = "") -> None:
@@ -20,4 +20,4 @@
 
 
 class UnsendableMessageError(errors.LinnetstileError, ValueError):
-    """A message of our own would not be valid HTTP, for example a header field that would split it."""
+    """An outgoing message is not valid HTTP; for example, a line end in a header field would split it."""
--- a/linnetstile/codec/http1/head_parser.py
+++ b/linnetstile/codec/http1/head_parser.py
@@ -17,14 +17,14 @@
 CONTINUE_EXPECTATION = "100-continue"
 STATUSES_WITHOUT_BODY = (204, 304)  # RFC 9112, 6.3
 
-CHUNKED = -1  # body length of a message in chunks
+CHUNKED = -1  # body length of a message with the transfer coding chunked
 
 
 def parse_request_head(first_line: str, field_lines: list[bytes], limits: Limits) -> Request:
     """Parse the head of a request.
 
     Raises:
-        Http1Error: A line is malformed, there is not one Host field, or the expectation is not known.
+        Http1Error: A line is malformed, there is no single Host field, or the expectation is not supported.
     """
     parts = first_line.split(" ")
     if len(parts) != 3 or not TOKEN.match(parts[0]) or not REQUEST_TARGET.match(parts[1]):
@@ -47,7 +47,7 @@
 
 
 def parse_response_head(first_line: str, field_lines: list[bytes], limits: Limits) -> Response:
-    """Parse the head of a response; `keep_alive` is valid for a body of known length.
+    """Parse the head of a response; its `keep_alive` applies only if the length of the body is known.
 
     Raises:
         Http1Error: A line is malformed.
@@ -70,7 +70,7 @@
     """Parse the lines of header or trailer fields.
 
     Raises:
-        Http1Error: There are too many, or one is too long or malformed.
+        Http1Error: There are too many fields, or one is too long or malformed.
     """
     if len(lines) > limits.max_fields:
         raise Http1Error(
@@ -91,7 +91,7 @@
                 400, "a header line without a proper name before its colon", expected="name: value", found=name
             )
         value = value.strip(" \t")
-        if not value.isprintable() and FORBIDDEN_IN_VALUE.search(value):  # the first is quick, the second exact
+        if not value.isprintable() and FORBIDDEN_IN_VALUE.search(value):  # fast check, then exact
             text = f"a control character in the value of {name}"
             raise Http1Error(400, text, field=name, expected="no control character", found=value)
         fields.append((name, value))
@@ -99,7 +99,7 @@
 
 
 def line_too_long(kind: str, size: int, limits: Limits) -> Http1Error:
-    """Return the error for a `first` or `header` line of so many bytes."""
+    """Return the error for a line of `size` bytes; `kind` is `first` or `header`."""
     limit = limits.max_line_bytes
     text = f"a {kind} line of more than {limit} bytes"
     return Http1Error(431, text, expected=f"<= {limit} bytes", found=str(size))
@@ -114,14 +114,14 @@
 
 
 def _check_host(version: HttpVersion, headers: Headers) -> None:
-    """Require one Host field, or none in HTTP/1.0 (RFC 9112, 3.2)."""
+    """Require exactly one Host field; HTTP/1.0 requests may have none (RFC 9112, 3.2)."""
     hosts = headers.get_all("host")
     if len(hosts) != 1 and (version == HTTP_1_1 or hosts):
         raise _field_error(400, "not one Host field", "Host", "1 field", hosts)
 
 
 def _has_expectation(headers: Headers) -> bool:
-    """Tell whether the request expects `100 Continue`; raise `Http1Error` for another expectation."""
+    """Return whether the request expects `100 Continue`; raise `Http1Error` for any other expectation."""
     if "expect" not in headers:
         return False
     expectations = headers.tokens("expect")
@@ -131,13 +131,13 @@
 
 
 def _persists(version: HttpVersion, headers: Headers) -> bool:
-    """Tell whether the connection persists after a message with this head (RFC 9112, 9.3)."""
+    """Return whether the connection persists after a message with this head (RFC 9112, 9.3)."""
     options = headers.tokens("connection")
     return "close" not in options and (version == HTTP_1_1 or "keep-alive" in options)
 
 
 def is_bodiless(method: str, status: int) -> bool:
-    """Tell whether the response to this method has no body, whatever its fields say (RFC 9112, 6.3)."""
+    """Return whether the response to this method has no body regardless of its header fields (RFC 9112, 6.3)."""
     return method == "HEAD" or status in STATUSES_WITHOUT_BODY
 
 
@@ -145,7 +145,7 @@
     """Return the length of the body in bytes, `CHUNKED`, or None if no field declares it (RFC 9112, 6.3).
 
     Raises:
-        Http1Error: The fields contradict each other, are malformed, or name a body that is too long.
+        Http1Error: The fields contradict each other, are malformed, or declare a body that is too long.
     """
     lengths = headers.get_all("content-length")
     if "transfer-encoding" in headers:
@@ -162,7 +162,7 @@
 
 
 def _check_transfer_encoding(version: HttpVersion, headers: Headers, lengths: list[str]) -> None:
-    """Require that a message with Transfer-Encoding is in chunks, without ambiguity."""
+    """Require HTTP/1.1, chunked as the only transfer coding, and no Content-Length."""
     if lengths:
         text = "both Content-Length and Transfer-Encoding"
         raise _field_error(400, text, "Content-Length", "no Content-Length beside Transfer-Encoding", lengths)
@@ -179,6 +179,6 @@
 
 
 def body_too_long(size: int, limits: Limits) -> Http1Error:
-    """Return the error for a body of at least so many bytes."""
+    """Return the error for a body of at least `size` bytes."""
     limit = limits.max_body_bytes
     return Http1Error(413, f"a body of more than {limit} bytes", expected=f"<= {limit} bytes", found=f"{size} bytes")
--- a/linnetstile/codec/http1/input_buffer.py
+++ b/linnetstile/codec/http1/input_buffer.py
@@ -1,4 +1,4 @@
-"""The bytes of a stream that have not become an event yet, and the blocks of lines that are cut from them."""
+"""A buffer for the bytes of a stream that have not become an event yet; blocks of lines are taken from its start."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
     def __init__(self) -> None:
         self.data = bytearray()
-        self._scanned_bytes = 0  # of the data, in which no end of a block was found
+        self._scanned_bytes = 0  # bytes of `data` already searched for the end of a block
 
     def discard(self, size: int) -> None:
         """Remove bytes from the start."""
@@ -30,7 +30,7 @@
         self._scanned_bytes = 0
 
     def take_up_to(self, max_bytes: int) -> bytes:
-        """Remove and return bytes from the start: as many as there are, but not more than `max_bytes`."""
+        """Remove and return at most `max_bytes` bytes from the start."""
         data = self.data
         if len(data) <= max_bytes:
             piece = bytes(data)
@@ -42,7 +42,7 @@
         return piece
 
     def take_block(self, max_bytes: int) -> list[bytes] | None:
-        """Remove and return the lines up to the next empty line; None while that was not received.
+        """Remove and return the lines up to the next empty line; None until that line is received.
 
         Raises:
             Http1Error: The block is longer than `max_bytes`, or has a line end other than CRLF.
@@ -71,7 +71,7 @@
         return lines
 
     def _has_bare_line_feed(self, end: int, max_bytes: int) -> bool:
-        """Tell whether there is a bare line feed before `end`, or in all that was received if `end` is negative."""
+        """Return whether there is a bare line feed before `end`, or in all received bytes if `end` is negative."""
         data = self.data
         if end >= 0:
             stop = min(max_bytes, end + END_OF_BLOCK_BYTES)
@@ -79,5 +79,6 @@
         stop = min(max_bytes, len(data))
         if not BARE_LINE_FEED.search(data, max(0, self._scanned_bytes - 1), stop):
             return False
-        # A search from the middle does not see the carriage return just before it: this one decides.
+        # A search that starts inside the data can't see a carriage return just before its start, so it may report a
+        # bare line feed wrongly. The search from the start of the data decides.
         return BARE_LINE_FEED.search(data, 0, stop) is not None
--- a/linnetstile/codec/http1/limits.py
+++ b/linnetstile/codec/http1/limits.py
@@ -1,4 +1,4 @@
-"""Bounds on the HTTP/1.1 messages of a peer, which bound the memory that its messages occupy."""
+"""Limits on the HTTP/1.1 messages of a peer, which bound the memory that these messages occupy."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """Bounds on what a peer may send.
+    """Limits on the messages that a peer may send.
 
     Attributes:
         max_line_bytes: Bytes of the first line, and of one header line.
-        max_head_bytes: Bytes of the first line and all header lines; of all trailer lines as well.
+        max_head_bytes: Bytes of the first line and all header lines together; also of all trailer lines together.
         max_fields: Number of header fields.
         max_body_bytes: Bytes of a body.
         max_chunk_line_bytes: Bytes of the line that begins a chunk.
--- a/linnetstile/codec/http1/messages.py
+++ b/linnetstile/codec/http1/messages.py
@@ -61,7 +61,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EndOfMessage:
-    """The message is complete; trailers are reported here and never merged into the headers (RFC 9110, 6.5.1)."""
+    """The end of a message; it has the trailers, which are never merged into the headers (RFC 9110, 6.5.1)."""
 
     trailers: Headers = field(default_factory=Headers)
 
--- a/linnetstile/codec/http1/parser.py
+++ b/linnetstile/codec/http1/parser.py
@@ -1,11 +1,11 @@
-"""The incremental parser of HTTP/1.1 as a state machine: bytes of one connection in, events out.
+"""The incremental HTTP/1.1 parser: a state machine that turns the bytes of one connection into events.
 
 Each state is a method of `Parser` that consumes from the input buffer, appends events and returns whether another step
-may be made:
+is possible:
 
     head -> fixed body -> head
     head -> chunk size -> chunk data -> chunk size -> ... -> trailers -> head
-    head -> body until close (responses alone; the end of the stream ends it)
+    head -> body until close (responses only; ended by the end of the stream)
 """
 
 from __future__ import annotations
@@ -36,7 +36,7 @@
 STATUS_LINE_PREFIX_BYTES = 32  # more than `FINAL_STATUS_LINE` needs
 UNLIMITED_EVENTS = 1 << 30
 CARRIAGE_RETURN = 13
-LOWEST_FINAL_STATUS = 200  # a lower one is that of an interim response, which is skipped (RFC 9110, 15.2)
+LOWEST_FINAL_STATUS = 200  # lower ones belong to interim responses, which are skipped (RFC 9110, 15.2)
 
 _State = Callable[[list[Event]], bool]
 
@@ -48,9 +48,9 @@
 
     Attributes:
         client: Whether responses are read; requests otherwise.
-        limits: Bounds on what the peer may send.
+        limits: Limits on the messages of the peer.
         awaited_methods: Methods of the requests whose responses are awaited, in order.
-        error: The error that ended the reading; None while there is none.
+        error: The error that stopped the parser; None before an error.
     """
 
     def __init__(self, client: bool = False, limits: Limits | None = None) -> None:
@@ -58,11 +58,11 @@
         self.limits = limits or Limits()
         self.awaited_methods: list[str] = []
         self.error: Http1Error | None = None
-        self._status_line_prefix = b""  # of the latest final response that was begun
+        self._status_line_prefix = b""  # start of the status line of the latest final response
         self._input = InputBuffer()
         self._state: _State = self._read_head
-        self._remaining_bytes = 0  # of the body or the chunk
-        self._total_body_bytes = 0  # of a body whose length is not known beforehand
+        self._remaining_bytes = 0  # bytes of the body or chunk that are not received yet
+        self._total_body_bytes = 0  # counted if the body's length is not known beforehand
         self._skipped_empty_line = False
 
     def expect_response(self, method: str) -> None:
@@ -81,20 +81,20 @@
 
     @property
     def has_partial_input(self) -> bool:
-        """Whether a part of a head, a chunk or its size was received, and not all of it."""
+        """Whether a head, a chunk or a chunk size has been received only in part."""
         return bool(self._input.data) or self._state == self._read_chunk_data
 
     @property
     def early_status(self) -> int:
-        """The status in the first line of a response whose rest was not received or can't be read; 0 = none so far.
+        """The final status in the first line of a response that is incomplete or malformed; 0 = none received yet.
 
-        Only for peers whose status is final whatever follows that line.
+        It is meant for peers whose status is valid regardless of what follows the first line.
         """
         match = FINAL_STATUS_LINE.match(self._status_line_prefix or self._incomplete_status_line())
         return int(match[1]) if match else 0
 
     def _incomplete_status_line(self) -> bytes:
-        """Return what the next response begins with, where its head is not complete."""
+        """Return the start of the next response if its head is incomplete; empty otherwise."""
         if self.client and self._state == self._read_head:
             return bytes(self._input.data[:STATUS_LINE_PREFIX_BYTES])
         return b""
@@ -104,11 +104,12 @@
 
         Args:
             data: The next bytes of the stream.
-            max_events: Number of events after which to stop, about, which bounds the time for the bytes of one peer;
-                `feed(b"")` goes on.
+            max_events: Approximate number of events after which to stop, which bounds the time spent on one peer;
+                `feed(b"")` continues.
 
         Raises:
-            Http1Error: From the first error on, always; events before the error are returned first.
+            Http1Error: The bytes are invalid. Events before the error are returned first, and every later call raises
+                the error again.
         """
         if self.error:
             raise self.error
@@ -126,7 +127,7 @@
         return events
 
     def eof(self) -> list[Event]:
-        """Return what the end of the stream completes.
+        """Return the events that the end of the stream completes.
 
         Raises:
             Http1Error: The stream ended inside a message, or there was an earlier error.
@@ -138,7 +139,7 @@
             return [EndOfMessage()]
         if not self.is_idle:
             raise Http1Error(
-                400, "the connection ended inside a message", expected="the rest of it", found="end of stream"
+                400, "the connection ended inside a message", expected="the rest of the message", found="end of stream"
             )
         return []
 
@@ -181,7 +182,7 @@
     def _read_response(self, first_line: str, field_lines: list[bytes], events: list[Event]) -> bool:
         response = parse_response_head(first_line, field_lines, self.limits)
         if not self.awaited_methods:
-            raise Http1Error(400, "a response that nobody asked for", expected="a request first", found=first_line)
+            raise Http1Error(400, "a response without a request", expected="a request first", found=first_line)
         if response.status < LOWEST_FINAL_STATUS:
             self._status_line_prefix = b""
             return True
@@ -199,7 +200,7 @@
     # -- the body of a message -------------------------------------------------------------------------------
 
     def _begin_body(self, length: int) -> bool:
-        """Go on with a body of this length in bytes, or `CHUNKED`."""
+        """Start to read a body of `length` bytes, or a chunked one if `length` is `CHUNKED`."""
         self._remaining_bytes = length
         self._state = self._read_chunk_size if length == CHUNKED else self._read_fixed_body
         return True
