--- a/linnetstile/codec/json_object_parts.py
+++ b/linnetstile/codec/json_object_parts.py
@@ -1,4 +1,4 @@
-"""Reads one JSON object that is too long for one value: runs of the elements of its array, then its other members."""
+"""Reads a JSON object that is too long to return as one value: its array in batches, then the members after it."""
 
 from __future__ import annotations
 
@@ -7,16 +7,16 @@
 
 from .json_scanner import MAX_DEPTH, NOT_BLANK, OBJECT_DEPTH, JsonScanner, JsonStreamError, parse_json
 
-BATCH_PARSE_BYTES = 2 * 1024  # bytes from which on elements are parsed together: one by one costs ten times as much
-MIN_ELEMENT_DEPTH = 3  # of an element that is an object or array itself
+BATCH_PARSE_BYTES = 2 * 1024  # buffered bytes from which elements are parsed in batches, ten times as fast as singly
+MIN_ELEMENT_DEPTH = 3  # levels of nesting in an element that is an object or array itself
 
 
 @dataclass(frozen=True, slots=True)
 class ObjectPart:
-    """A run of array elements, in order, of an object that is too long for one value.
+    """Consecutive array elements of an object that is too long to return as one value.
 
     Attributes:
-        members: The members before the array: the same in each part.
+        members: The members before the array, repeated in each part.
         elements: The next elements of the array; none in the last part.
         is_first: Whether this is the first part of the object.
         is_last: Whether the object is complete and valid.
@@ -29,7 +29,7 @@
 
 
 def check_value_size(size: int, max_value_bytes: int) -> None:
-    """Raise `JsonStreamError` if a value, or the part of it that was received, is too long."""
+    """Raise `JsonStreamError` if a value, or its received part, has more than `max_value_bytes`."""
     if size > max_value_bytes:
         raise JsonStreamError(
             f"a value of more than {max_value_bytes} bytes",
@@ -39,7 +39,7 @@
 
 
 class ObjectPartsReader:
-    """Reads an object from the first element of its array on.
+    """Reads the rest of an object, starting at the first element of its array.
 
     Attributes:
         is_complete: Whether the last part has been returned.
@@ -48,14 +48,14 @@
     def __init__(
         self, scanner: JsonScanner, members: dict[str, Any], array_key: str, max_value_bytes: int, step_bytes: int
     ) -> None:
-        """Start where the scanner's buffer begins with the elements of the array.
+        """Prepare to read from a scanner whose buffer begins with the elements of the array.
 
         Args:
-            scanner: Holds the bytes.
+            scanner: Scanner of the buffered bytes.
             members: The members before the array.
             array_key: Key of the array.
-            max_value_bytes: Bytes that the members after the array may have.
-            step_bytes: Bytes that one element may have.
+            max_value_bytes: Maximum size of the members after the array.
+            step_bytes: Maximum size of one element.
         """
         self.is_complete = False
         self._scanner = scanner
@@ -66,10 +66,10 @@
         self._in_array = True
         self._part_returned = False
         self._array_has_elements = False
-        self._parse_one_by_one = False  # until more bytes are received
+        self._parse_one_by_one = False  # set when a batch does not parse, until more bytes are received
 
-    def bytes_received(self) -> None:
-        """Note that there are more bytes: several elements may be parsed together again."""
+    def on_bytes_received(self) -> None:
+        """Allow batches again, because more bytes were received."""
         self._parse_one_by_one = False
 
     def advance(self, values: list[Any]) -> bool:
@@ -85,7 +85,7 @@
         try:
             while self._in_array and self._take_elements(elements):
                 pass
-        finally:  # what precedes an error is returned first
+        finally:  # elements before an error are returned first
             if elements:
                 self._append_part(values, elements, is_last=False)
 
@@ -102,22 +102,22 @@
         members_after = parse_json(b'{"":0' + data[:end])
         for key in members_after:
             if key == self._array_key or key in self._members:
-                raise JsonStreamError(f"{key}: told twice", field=key, expected="one such member")
+                raise JsonStreamError(f"{key}: duplicate member", field=key, expected="one member with this key")
         self._append_part(values, [], is_last=True)
         self.is_complete = True
         self._scanner.discard(end)
 
     def _take_elements(self, elements: list[Any]) -> bool:
-        """Append the next elements of the array; return False while they were not received."""
+        """Append the next elements; return False at the end of the array or of the received bytes."""
         enough_for_batch = len(self._scanner.data) >= BATCH_PARSE_BYTES
         if enough_for_batch and not self._parse_one_by_one and not self._scanner.has_begun:
-            if self._take_several(elements):
+            if self._take_batch(elements):
                 return True
             self._parse_one_by_one = True
         return self._take_one(elements)
 
     def _take_one(self, elements: list[Any]) -> bool:
-        """Append the next element, if there is one; return False at the end of the array or of the bytes."""
+        """Append the next element, if there is one; return False at the end of the array or of the received bytes."""
         data = self._scanner.data
         end = self._scanner.find_element_end()
         self._check_element_size(len(data) if end is None else end - 1)
@@ -141,13 +141,14 @@
                 found=f"{size} bytes",
             )
 
-    def _take_several(self, elements: list[Any]) -> bool:
-        """Append all elements up to the last that surely ends in the buffer, parsed in one go.
+    def _take_batch(self, elements: list[Any]) -> bool:
+        """Append the elements before the last `},` in the buffer, parsed together as one array.
 
-        If the bytes up to there are valid, they are the elements, whatever the comma belongs to.
+        The comma may be inside an element or after the array. The bytes before it are then not valid as elements, so if
+        they are valid, they are exactly the next elements.
 
         Returns:
-            False if they have to be parsed one by one, for an error, or a comma that is inside one of them.
+            False if the elements have to be parsed one by one: the bytes are not valid, or may be nested too deeply.
         """
         data = self._scanner.data
         end = data.rfind(b"},", 0, self._step_bytes + 1) + 1
@@ -155,13 +156,13 @@
             return False
         text = data[:end]
         try:
-            several = parse_json(b"[" + text + b"]")
+            batch = parse_json(b"[" + text + b"]")
         except (ValueError, RecursionError):
             return False
-        brackets_inside = text.count(b"{") + text.count(b"[") - _count_containers(several)
-        if brackets_inside > MAX_DEPTH - MIN_ELEMENT_DEPTH:  # one of them may be too deep
+        brackets_inside = text.count(b"{") + text.count(b"[") - _count_containers(batch)
+        if brackets_inside > MAX_DEPTH - MIN_ELEMENT_DEPTH:  # an element may be nested too deeply
             return False
-        elements += several
+        elements += batch
         self._array_has_elements = True
         self._scanner.discard(end + 1)
         return True
--- a/linnetstile/codec/json_stream.py
+++ b/linnetstile/codec/json_stream.py
@@ -1,9 +1,9 @@
-"""Incremental reader of a stream of JSON values (RFC 8259): bytes in, values out, the same for any split.
+"""Incremental reader of a stream of JSON values (RFC 8259); the values are the same however the bytes are split.
 
 The values may be separated by blanks, line ends or nothing. Memory is bounded: an object that is longer than the reader
-may buffer can come in parts, a run of array elements each.
+may buffer can be returned in parts with consecutive array elements.
 
-The parts: `json_scanner.py` finds where values end, `json_object_parts.py` reads an object that comes in parts.
+`json_scanner.py` finds the ends of values, `json_object_parts.py` reads an object that is returned in parts.
 """
 
 from __future__ import annotations
@@ -15,13 +15,13 @@
 
 __all__ = ["DEFAULT_STEP_BYTES", "MAX_DEPTH", "JsonStreamError", "JsonStreamReader", "ObjectPart"]
 
-DEFAULT_STEP_BYTES = 64 * 1024  # bytes: a longer object comes in parts, if it may; also the limit of one element of it
-SCAN_BYTES = 16 * 1024  # bytes that are scanned in one go
+DEFAULT_STEP_BYTES = 64 * 1024  # a longer object is returned in parts if it may; also the limit of one of its elements
+SCAN_BYTES = 16 * 1024  # bytes that are buffered before each scan
 TOP_LEVEL_DEPTH = 0
 
 
 def _as_stream_error(error: Exception) -> JsonStreamError:
-    """Return a new error without a traceback, which would keep the buffers alive that its frames refer to."""
+    """Return a copy of the error without its traceback, because the frames in it would keep the buffers in memory."""
     if isinstance(error, JsonStreamError):
         return JsonStreamError(str(error), field=error.field, expected=error.expected, found=error.found)
     return JsonStreamError(str(error))
@@ -30,18 +30,18 @@
 class JsonStreamReader:
     """Splits a stream into objects and arrays; only blanks may be between them.
 
-    Objects of more than `step_bytes` come as `ObjectPart`s instead if their member `array_key` is an array that begins
-    within these bytes, after the members `required_keys`, which readers need before the elements. The elements are
-    bounded by `step_bytes` each, and `max_value_bytes` bounds what follows the array, so that memory is bounded however
-    long the object is. An element is returned once the comma or bracket after it was received, and none after an error.
+    An object of more than `step_bytes` is returned as `ObjectPart`s if its member `array_key` is an array that begins
+    within these bytes, after the members `required_keys`, which callers need before the elements. Each element may have
+    `step_bytes`, and the members after the array `max_value_bytes`, so memory is bounded regardless of the length of
+    the object. An element is returned once the comma or bracket after it is received; none is returned after an error.
 
     Attributes:
-        max_value_bytes: Bytes that one value may have.
-        array_key: Key of the array that may come in parts; empty if there is none.
+        max_value_bytes: Maximum size of one value.
+        array_key: Key of the array that may be returned in parts; empty if there is none.
         required_keys: Keys of the members that have to precede the array.
-        step_bytes: Bytes from which on an object comes in parts.
-        error: The error that ended the reading, since the start of the next value is not known; None while there is
-            none.
+        step_bytes: Size above which an object is returned in parts.
+        error: The error that stopped the reader, as the start of the next value is unknown after it; None before an
+            error.
     """
 
     def __init__(
@@ -57,8 +57,8 @@
         self.step_bytes = step_bytes
         self.error: JsonStreamError | None = None
         self._scanner = JsonScanner(array_key)
-        self._exceeds_step = False  # the value is longer than a step, and does not come in parts so far
-        self._parts: ObjectPartsReader | None = None  # reads the object that comes in parts; None if none does
+        self._exceeds_step = False  # the value has more than `step_bytes` and is not read in parts
+        self._parts: ObjectPartsReader | None = None  # reader of an object in parts; None outside of such an object
 
     @property
     def is_mid_value(self) -> bool:
@@ -69,7 +69,8 @@
         """Return the values, and parts of values, that these bytes complete.
 
         Raises:
-            JsonStreamError: From the first error on, always; an error after a value is raised by the next call.
+            JsonStreamError: The stream is invalid. Values before the error are returned first, and every later call
+                raises the error.
         """
         if self.error:
             raise self.error
@@ -78,7 +79,7 @@
             for start in range(0, len(data), SCAN_BYTES):
                 self._scanner.data += data[start : start + SCAN_BYTES]
                 if self._parts is not None:
-                    self._parts.bytes_received()
+                    self._parts.on_bytes_received()
                 while self._advance(values):
                     pass
         except (ValueError, RecursionError) as error:  # UnicodeDecodeError and JSONDecodeError are ValueErrors
@@ -90,7 +91,7 @@
         return values
 
     def _advance(self, values: list[Any]) -> bool:
-        """Take one step; return whether there may be another one."""
+        """Read at most one value or part of the buffer; return whether another call may read more."""
         if self._parts is None:
             return self._read_value(values)
         if not self._parts.advance(values):
@@ -99,7 +100,7 @@
         return True
 
     def _read_value(self, values: list[Any]) -> bool:
-        """Append the value that the buffer begins with, if it is complete, or begin to read it in parts."""
+        """Append the value at the start of the buffer if it is complete, or begin to read it in parts."""
         data = self._scanner.data
         end = self._scanner.find_value_end(TOP_LEVEL_DEPTH, len(data) if self._exceeds_step else self.step_bytes)
         if end is None and not self._exceeds_step and len(data) > self.step_bytes:
@@ -114,7 +115,7 @@
         return True
 
     def _begin_parts(self) -> None:
-        """Read the object that the buffer begins with in parts from now on, if that is possible."""
+        """Begin to read the object at the start of the buffer in parts, if its members allow it."""
         elements_start = self._scanner.elements_start
         if not elements_start:
             return
--- a/linnetstile/codec/mdn.py
+++ b/linnetstile/codec/mdn.py
@@ -16,22 +16,22 @@
 
 
 class MdnError(ProtocolError):
-    """Not a disposition notification that can be read."""
+    """The input is not a disposition notification, or can't be read."""
 
 
 @dataclass(frozen=True, slots=True)
 class Mdn:
-    """One receipt.
+    """The receipt for one message.
 
     Attributes:
-        original_message_id: Message-ID of the message it is for.
-        recipient: AS2 name of who received that, as the field holds it.
+        original_message_id: Message-ID of the message that was received.
+        recipient: AS2 name of the receiver of that message, as it is in the field.
         disposition_type: `processed` or `failed`.
         modifier: `error`, `warning`, `failure` or empty.
         detail: The detail of the modifier, such as `authentication-failed`.
-        mic: Digest of the content as it was received; empty if there is none.
+        mic: Digest of the received content; empty if there is none.
         micalg: Algorithm of the digest, in lower case.
-        text: For human readers.
+        text: Explanation for human readers.
     """
 
     original_message_id: str
@@ -50,7 +50,7 @@
 
     @property
     def is_duplicate(self) -> bool:
-        """Whether the receiver had the message before (RFC 4130, 7.5.4)."""
+        """Whether the receiver reports that it already had the message (RFC 4130, 7.5.4)."""
         return self.modifier in ("warning", "error") and "duplicate-document" in self.detail.lower()
 
     def encode(self) -> mime.EncodedEntity:
@@ -87,7 +87,7 @@
     """Parse a multipart/report that contains a disposition notification.
 
     Raises:
-        MdnError: It is not one, or can't be read.
+        MdnError: The body is not such a report, or can't be read.
     """
     try:
         return _parse_report(content_type, body)
@@ -121,7 +121,10 @@
     disposition = DISPOSITION.match(disposition_text)
     if not disposition:
         raise MdnError(
-            "no readable Disposition", field="Disposition", expected="mode; type/modifier", found=disposition_text
+            "a missing or malformed Disposition",
+            field="Disposition",
+            expected="mode; type/modifier",
+            found=disposition_text,
         )
     mic = RECEIVED_MIC.match(fields.get("received-content-mic"))
     return Mdn(
--- a/linnetstile/codec/mime.py
+++ b/linnetstile/codec/mime.py
@@ -1,4 +1,4 @@
-"""MIME entities (RFC 2045, 2046) and the multiparts of RFC 1847, as exact bytes: signatures are over them."""
+"""MIME entities (RFC 2045, 2046) and the multiparts of RFC 1847, kept as exact bytes because signatures cover them."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 MAX_PARTS = 32  # parts of a multipart
 MAX_HEAD_BYTES = 32_768  # bytes of the header lines of an entity
-CONTENT_TYPES_CACHED = 512  # most messages of a client have the same one
+CONTENT_TYPES_CACHED = 512  # parsed values that are kept, as most messages of a client have the same Content-Type
 BOUNDARY_RANDOM_BYTES = 12
 DEFAULT_CONTENT_TYPE = "text/plain"  # RFC 2045, 5.2
 LINE_FEED = 10
@@ -26,7 +26,7 @@
 
 
 class MimeError(ProtocolError):
-    """Not a MIME entity as this codec accepts it."""
+    """The input is not a MIME entity that this codec accepts."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -47,7 +47,7 @@
     """Parse the value of a Content-Type field.
 
     Raises:
-        MimeError: It has no subtype, or parameters that can't be read.
+        MimeError: The value has no subtype, or its parameters can't be read.
     """
     media_type = text.split(";", 1)[0]
     name = media_type.strip().lower()
@@ -89,22 +89,22 @@
         return parse_content_type(self.headers.get("content-type", DEFAULT_CONTENT_TYPE))
 
     def decoded_body(self) -> bytes:
-        """Return the body without its transfer encoding; raises `MimeError` if that can't be undone."""
+        """Return the body without its transfer encoding; raises `MimeError` if it can't be decoded."""
         return decode_body(self.body, self.headers.get("content-transfer-encoding"))
 
 
 class EncodedEntity(NamedTuple):
-    """The content type and the body of an entity of our own."""
+    """The content type and the body of an outgoing entity."""
 
     content_type: str
     body: bytes
 
 
 def decode_body(body: bytes, encoding: str) -> bytes:
-    """Undo a content transfer encoding (RFC 2045, 6).
+    """Decode a body from its content transfer encoding (RFC 2045, 6).
 
     Raises:
-        MimeError: The encoding is not known, or the body does not follow it.
+        MimeError: The encoding is unknown, or the body is not valid in it.
     """
     encoding = encoding.strip().lower()
     if encoding == "base64":
@@ -125,10 +125,10 @@
 
 
 def parse_entity(raw: bytes) -> Entity:
-    """Parse an entity: header lines (folding undone), an empty line, the body; lines may end in CRLF or LF.
+    """Parse an entity: header lines, which are unfolded, an empty line, and the body; lines may end in CRLF or LF.
 
     Raises:
-        MimeError: The headers do not end, or one has no name.
+        MimeError: The headers have no end within `MAX_HEAD_BYTES`, or a header line has no name.
     """
     if raw[:2] == b"\r\n" or raw[:1] == b"\n":
         return Entity(Headers(), raw[2 if raw[:1] == b"\r" else 1 :], raw)
@@ -153,7 +153,7 @@
 
 
 class DelimiterLine(NamedTuple):
-    """A delimiter of a multipart body: where its line begins and ends, and whether it is the closing one."""
+    """A delimiter line of a multipart body: its start and end, and whether it is the closing delimiter."""
 
     start: int
     end: int
@@ -185,7 +185,7 @@
 
 def _find_delimiter(body: bytes, delimiter: bytes, position: int) -> DelimiterLine | None:
     """Find the next delimiter from `position` on; None if there is none."""
-    # Plain search: a pattern for each boundary would be compiled anew for each message (1.3 ms of 4.7).
+    # A plain search, because a pattern would be compiled for the boundary of each message (1.3 ms of 4.7 ms a message).
     while (start := body.find(delimiter, position)) >= 0:
         position = start + len(delimiter)
         if start and body[start - 1] != LINE_FEED:
@@ -200,18 +200,18 @@
 
 
 def _part_before(body: bytes, part_start: int, delimiter_start: int) -> bytes:
-    """Return a part without the line end before its delimiter, which belongs to that (RFC 2046, 5.1.1)."""
+    """Return a part without the line end before the delimiter, which belongs to the delimiter (RFC 2046, 5.1.1)."""
     line_end_length = 2 if body[delimiter_start - 2 : delimiter_start] == b"\r\n" else 1
     return body[part_start : max(part_start, delimiter_start - line_end_length)]
 
 
 def encode_multipart(kind: str, bodies: list[bytes], params: dict[str, str]) -> EncodedEntity:
-    """Join raw parts to a multipart.
+    """Join raw parts into a multipart.
 
     Args:
         kind: The subtype, such as `signed`.
         bodies: The parts with their headers.
-        params: Parameters of the content type besides the boundary.
+        params: Parameters of the content type in addition to the boundary.
     """
     boundary = "=_" + secrets.token_hex(BOUNDARY_RANDOM_BYTES)
     extra = "".join(f'; {name}="{value}"' for name, value in params.items())
--- a/tests/codec/test_json_stream.py
+++ b/tests/codec/test_json_stream.py
@@ -259,14 +259,14 @@
 
 def test_long_element_in_small_chunks_is_not_parsed_repeatedly(monkeypatch: pytest.MonkeyPatch) -> None:
     parsed_bytes = 0
-    take_several = ObjectPartsReader._take_several
+    take_batch = ObjectPartsReader._take_batch
 
-    def counted(self: ObjectPartsReader, elements: list[Any]) -> bool:
+    def count_and_take_batch(self: ObjectPartsReader, elements: list[Any]) -> bool:
         nonlocal parsed_bytes
         parsed_bytes += len(self._scanner.data)
-        return take_several(self, elements)
+        return take_batch(self, elements)
 
-    monkeypatch.setattr(ObjectPartsReader, "_take_several", counted)
+    monkeypatch.setattr(ObjectPartsReader, "_take_batch", count_and_take_batch)
     element = b'{"a":[' + b'{"b":1},' * 6000 + b"0]}"
     stream = b'{"version":1,"full":true,"servers":[' + b",".join([b"{}"] * 30_000) + b"," + element + b",{}]}"
     for chunk_bytes in (16, 1024):
