--- a/linnetstile/codec/json_object_parts.py
+++ b/linnetstile/codec/json_object_parts.py
@@ -156,13 +156,13 @@
             return False
         text = data[:end]
         try:
-            batch = parse_json(b"[" + text + b"]")
+            parsed_elements = parse_json(b"[" + text + b"]")
         except (ValueError, RecursionError):
             return False
-        brackets_inside = text.count(b"{") + text.count(b"[") - _count_containers(batch)
+        brackets_inside = text.count(b"{") + text.count(b"[") - _count_containers(parsed_elements)
         if brackets_inside > MAX_DEPTH - MIN_ELEMENT_DEPTH:  # an element may be nested too deeply
             return False
-        elements += batch
+        elements += parsed_elements
         self._array_has_elements = True
         self._scanner.discard(end + 1)
         return True
--- a/linnetstile/config/__init__.py
+++ b/linnetstile/config/__init__.py
@@ -1,5 +1,5 @@
-"""Floor 1: settings files in YAML, validated completely before anything starts.
+"""Layer 1: settings files in YAML, validated completely before anything starts.
 
-Names of models' fields are keys of the files and stay as they are. So do the names of the models: the messages of
-pydantic quote them, and operators' notes quote those.
+The fields of the models are the keys of the files and must not be renamed. The models must not be renamed either:
+pydantic's error messages contain their names, and operators' notes quote these messages.
 """
--- a/linnetstile/config/addresses.py
+++ b/linnetstile/config/addresses.py
@@ -1,4 +1,4 @@
-"""Addresses and URLs in settings; this program listens on loopback and calls loopback alone."""
+"""Addresses and URLs in settings; this program listens on and connects to loopback addresses only."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 
 
 def require_loopback(text: str) -> str:
-    """Check an address that this program may listen on or call: `127.x.y.z:port` or `[::1]:port`.
+    """Check an address that this program may listen on or connect to: `127.x.y.z:port` or `[::1]:port`.
 
     Returns:
-        The address as it is.
+        The address, unchanged.
 
     Raises:
-        ValueError: It is another one, or no address.
+        ValueError: The text is not a loopback address with a port.
     """
     host, colon, port = text.rpartition(":")
     try:
@@ -37,14 +37,14 @@
 
 
 def require_loopback_url(text: str, schemes: tuple[str, ...] = ("http",)) -> str:
-    """Check a URL on a loopback address and return it as it is.
+    """Check a URL on a loopback address and return it unchanged.
 
     Args:
         text: The URL.
         schemes: The schemes it may have.
 
     Raises:
-        ValueError: It has another scheme or address, a user or a fragment.
+        ValueError: The URL has another scheme or address, a user or a fragment.
     """
     parts = urllib.parse.urlsplit(text)
     if parts.scheme not in schemes or parts.username or parts.fragment:
--- a/linnetstile/config/engine_mapping.py
+++ b/linnetstile/config/engine_mapping.py
@@ -1,4 +1,4 @@
-"""Maps the settings of a relay to those of the engine, whose names are the terms of the field."""
+"""Maps the settings of an AS2 relay to those of the engine, which use the standard terms of the field."""
 
 from __future__ import annotations
 
@@ -22,11 +22,11 @@
     from .relay import RelaySettings
     from .sections import ClassSettings, GoalSettings, KindSettings, RuleSettings, SafetySettings
 
-DEFAULT_KIND = "any"  # where a file names no kinds of destinations
+DEFAULT_KIND = "any"  # the only kind of destinations if a file defines none
 
 
 def engine_settings(relay: RelaySettings) -> Settings:
-    """Return the part of a relay's settings that the engine decides by."""
+    """Return the engine settings that a relay's settings contain."""
     limits = relay.limits
     return Settings(
         classes=tuple(_message_class(name, section) for name, section in relay.classes.items()),
@@ -52,14 +52,14 @@
 
 
 def routing_rules(relay: RelaySettings) -> tuple[Rule, ...]:
-    """Return the rules by which messages are given a class and a tenant, in the order of the file."""
+    """Return the rules that assign a class and a tenant to messages, in the order of the file."""
     class_names = list(relay.classes)
     tenant_names = list(relay.tenants)
     return tuple(_routing_rule(section, class_names, tenant_names) for section in relay.rules)
 
 
 def _routing_rule(section: RuleSettings, class_names: list[str], tenant_names: list[str]) -> Rule:
-    # A message without a tenant has the number after the last one, for which there is no quota.
+    # A message without a tenant has the index after the last tenant, for which there is no quota.
     tenant = len(tenant_names) if section.tenant is None else tenant_names.index(section.tenant)
     return Rule(
         class_index=class_names.index(section.class_),
--- a/linnetstile/config/files.py
+++ b/linnetstile/config/files.py
@@ -1,4 +1,4 @@
-"""Reads a YAML file into a model and reports all faults at once: file, path in it, value, what was expected."""
+"""Reads a YAML file into a model; reports all faults together, each with file, key path, value and expectation."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 
 from ..errors import ConfigError
 
-MAX_FILE_BYTES = 4 * 1024 * 1024  # bytes of a settings file
-MAX_SHOWN_VALUE_LENGTH = 80  # characters of a value in a message
+MAX_FILE_BYTES = 4 * 1024 * 1024  # size of a settings file
+MAX_SHOWN_VALUE_LENGTH = 80  # characters of a value in an error message
 ELLIPSIS = "..."
 WHOLE_FILE = "(whole file)"
 
 
 class StrictModel(BaseModel):
-    """A part of a settings file: unknown keys are faults, as a misspelt bound is no bound."""
+    """A part of a settings file; unknown keys are faults, because a limit with a misspelt key would not take effect."""
 
     model_config = ConfigDict(extra="forbid", frozen=True)
 
@@ -34,7 +34,7 @@
     Attributes:
         field: Path of the key in the file, joined by dots.
         expected: What would have been valid.
-        found: The value as it is shown; empty if there is none, or it is a mapping.
+        found: The value, shortened if it is long; empty if the key is missing or the value is a mapping.
     """
 
     field: str
@@ -42,7 +42,7 @@
     found: str = ""
 
     def line(self, file: str) -> str:
-        """Return the line that reports the fault."""
+        """Return the fault as a line of an error message."""
         value = f" = {self.found}" if self.found else ""
         return f"{file}: {self.field}{value}: {self.expected}"
 
@@ -51,7 +51,7 @@
     """A settings file can't be used.
 
     Attributes:
-        lines: A line for each fault. `field`, `expected` and `found` are those of the first one, where they are known.
+        lines: A line for each fault. `field`, `expected` and `found` are those of the first fault, if known.
     """
 
     def __init__(self, lines: list[str], *, field: str = "", expected: str = "", found: str = "") -> None:
@@ -60,7 +60,7 @@
 
     @classmethod
     def from_faults(cls, faults: Iterable[SettingsFault], file: str) -> SettingsError:
-        """Make the error of a file that has these faults, at least one."""
+        """Return the error for a file with these faults, of which there must be at least one."""
         first, *others = faults
         lines = [fault.line(file) for fault in (first, *others)]
         return cls(lines, field=first.field, expected=first.expected, found=first.found)
@@ -72,16 +72,16 @@
 
 
 def _fault(details: Any) -> SettingsFault:
-    # A missing key has no value, and the value of a mapping with a fault is too long to be of help.
+    # A missing key has no value, and a mapping that contains a fault is too long to be helpful.
     shows_value = details["type"] != "missing" and not isinstance(details["input"], dict)
     return SettingsFault(
         field=".".join(str(step) for step in details["loc"]) or WHOLE_FILE,
         expected=details["msg"].removeprefix("Value error, "),
-        found=_shown(details["input"]) if shows_value else "",
+        found=_shortened(details["input"]) if shows_value else "",
     )
 
 
-def _shown(value: Any) -> str:
+def _shortened(value: Any) -> str:
     text = repr(value)
     return text if len(text) <= MAX_SHOWN_VALUE_LENGTH else text[: MAX_SHOWN_VALUE_LENGTH - len(ELLIPSIS)] + ELLIPSIS
 
@@ -113,8 +113,8 @@
         message = f"{path}: can't be read: {error.strerror}"
         raise SettingsError([message], expected="a file that can be read", found=error.strerror or "") from error
     except UnicodeDecodeError as error:
-        message = f"{path}: expected text in UTF-8, byte {error.start} is not"
-        found = f"byte {error.start} of another encoding"
+        message = f"{path}: expected text in UTF-8, found an invalid byte at position {error.start}"
+        found = f"an invalid byte at position {error.start}"
         raise SettingsError([message], expected="text in UTF-8", found=found) from error
     except yaml.YAMLError as error:
         problem = getattr(error, "problem", error)
--- a/linnetstile/config/platform.py
+++ b/linnetstile/config/platform.py
@@ -1,7 +1,8 @@
 """Translates the settings object of the users' platform into engine settings.
 
 The simulator sends this object on its wire, and the configuration file of a platform relay holds it under `settings`.
-The keys of the object are known here alone. Standard library only, as the platform relay runs without other packages.
+No other module uses the keys of the object. This one uses the standard library only, because the platform relay runs
+without other packages.
 """
 
 from __future__ import annotations
@@ -23,7 +24,7 @@
 )
 from ..errors import ConfigError
 
-# The values of the object's enumerations, by key: "effect", "dedup-scope" and "weight-kind".
+# Values of the keys "effect", "dedup-scope" and "weight-kind" of the settings object, in this order.
 EFFECTS = {"repeatable": Effect.IDEMPOTENT, "by_key": Effect.DEDUPLICATED, "once": Effect.NON_IDEMPOTENT}
 DEDUPLICATION_SCOPES = {
     "all": DeduplicationScope.ALL,
@@ -49,7 +50,7 @@
 
 
 def _settings(raw: dict[str, Any]) -> Settings:
-    # The order of the reads matters: of several faults, the first one found is reported.
+    # The order in which keys are read matters: the first fault found is the one that is reported.
     extra = raw["extra"]
     limits = raw["limits"]
     safety = raw["safety"]
@@ -92,7 +93,7 @@
 def _destination_kinds(
     names: list[str], batch_sizes: list[int], separate_routes: list[Any]
 ) -> tuple[DestinationKind, ...]:
-    """Return the kinds of destinations; the lists of their properties may be shorter than that of their names."""
+    """Return the kinds of destinations; the lists of properties may be shorter than the list of names."""
     return tuple(
         DestinationKind(
             name=name,
--- a/linnetstile/config/relay.py
+++ b/linnetstile/config/relay.py
@@ -1,4 +1,7 @@
-"""The settings file of one relay. Times are in ms unless the name ends in `_s`; docs/operate/relay.md has each key."""
+"""The settings file of a relay; docs/operate/relay.md explains each key.
+
+Times are in ms unless the name ends in `_s`.
+"""
 
 from __future__ import annotations
 
@@ -12,7 +15,7 @@
 from . import engine_mapping
 from .addresses import LoopbackAddress, LoopbackUrl, PartnerUrl, require_loopback, require_loopback_url, split_address
 from .files import StrictModel
-from .numbers import Count, Fraction, NotNegative
+from .numbers import Count, Fraction, NonNegative
 from .sections import (
     ClassSettings,
     GoalSettings,
@@ -41,23 +44,23 @@
     "split_address",
 ]
 
-# Terms of the bound on memory, in bytes; docs/design/slow-peers.md derives each of them.
+# Terms of the memory bound, in bytes; docs/design/slow-peers.md derives each of them.
 PROCESS_BYTES = 96 << 20
 TLS_CONNECTION_BYTES = 112 << 10
 PLAIN_CONNECTION_BYTES = 48 << 10
-BODIES_IN_PROGRESS = 2  # besides those in `hold_bytes`: one being joined, one being digested for its receipt
-CALL_BYTES = 256 << 10  # of one call to a partner besides its receipt
-REMEMBERED_MESSAGE_BYTES = 1024  # of the stored answer to a message, besides `remember_bytes`
+BODIES_IN_PROGRESS = 2  # bodies in addition to `hold_bytes`: one being joined, one being digested for its receipt
+CALL_BYTES = 256 << 10  # memory of one call to a partner in addition to its receipt
+REMEMBERED_MESSAGE_BYTES = 1024  # memory of the stored answer to one message in addition to `remember_bytes`
 
 # Terms of the bound on open files.
-NEW_CONNECTIONS = 64  # accepted, and not yet counted
-FILES_PER_SLOT = 3  # a call, an idle connection, a receipt delivery
+NEW_CONNECTIONS = 64  # connections that are accepted and not counted yet
+FILES_PER_SLOT = 3  # files of a call, an idle connection and a receipt delivery
 REGISTRY_AND_ADMIN_FILES = 16
 PROCESS_FILES = 32  # open files of the program itself
 
 
 class RelaySettings(StrictModel):
-    """The whole file."""
+    """The settings file of a relay."""
 
     name: str = Field(pattern=r"^[A-Za-z0-9._-]{1,64}$")
     listen: LoopbackAddress = "127.0.0.1:0"
@@ -75,14 +78,14 @@
     rates: Literal["none", "nominal", "rough"] = "nominal"
     decay: Literal["line", "halves"] = "line"
     over_share_worth: Fraction = 1.0
-    cross_zone_price: NotNegative = 0.0
-    receipts_sha1: bool = False  # accept signatures over SHA-1, for partners that can do no better
+    cross_zone_price: NonNegative = 0.0
+    receipts_sha1: bool = False  # accept signatures over SHA-1, for partners that support no stronger digest
     safety: SafetySettings = SafetySettings()
     goal: GoalSettings = GoalSettings()
     knowledge: KnowledgeSettings = KnowledgeSettings()
     tls: TlsSettings | None = None
     admin: Path | None = None  # local socket for `linnetstile show`
-    metrics: LoopbackAddress | None = None  # where scrapers read /metrics
+    metrics: LoopbackAddress | None = None  # address that serves /metrics
     seed: int = 0
 
     @model_validator(mode="after")
@@ -98,7 +101,7 @@
         return self
 
     def max_memory_bytes(self) -> int:
-        """Return the bytes that the process stays under, whatever peers do."""
+        """Return the upper bound on the memory of the process, which holds regardless of what peers do."""
         limits = self.limits
         connection_bytes = TLS_CONNECTION_BYTES if self.tls else PLAIN_CONNECTION_BYTES
         return (
@@ -112,7 +115,7 @@
         )
 
     def max_open_files(self) -> int:
-        """Return the number of open files that the process stays under."""
+        """Return the upper bound on the number of open files of the process."""
         limits = self.limits
         return (
             limits.connections
@@ -124,7 +127,7 @@
         )
 
     def routing_rules(self) -> tuple[Rule, ...]:
-        """Return the rules by which messages are given a class and a tenant."""
+        """Return the rules that assign a class and a tenant to messages."""
         return engine_mapping.routing_rules(self)
 
     def engine_settings(self) -> Settings:
--- a/tests/codec/test_as2.py
+++ b/tests/codec/test_as2.py
@@ -1,4 +1,4 @@
-"""MIME, AS2 headers, receipts and signatures: round trips, and no exception but the errors of the codec."""
+"""MIME, AS2 headers, receipts and signatures: round trips, and only the codecs' own errors for invalid input."""
 
 from __future__ import annotations
 
@@ -102,7 +102,7 @@
 
 @pytest.mark.parametrize("signer", [SIGNER, RECIPIENT], ids=["elliptic curve", "rsa"])
 @pytest.mark.parametrize("micalg", ["sha-256", "sha-384", "sha-512"])
-def test_signature_is_valid_for_its_content_and_its_signer_only(micalg: str, signer: cms.Identity) -> None:
+def test_signature_is_valid_only_for_its_content_and_signer(micalg: str, signer: cms.Identity) -> None:
     content = b"Content-Type: text/plain\r\n\r\nhello\r\n"
     content_type, body = cms.sign(content, signer, micalg)
     signed_content, signature = cms.split_signed(content_type, body)
@@ -121,14 +121,16 @@
     with_sha1 = info.dump(force=True)
     with pytest.raises(cms.CmsError, match="sha1 is not allowed"):
         cms.verify(b"x", with_sha1, RECIPIENT.certificate)
-    with pytest.raises(cms.CmsError, match="not what was signed"):  # allowed, and then judged by its digest
+    with pytest.raises(cms.CmsError, match="not what was signed"):  # SHA-1 is allowed, its digest is wrong
         cms.verify(b"x", with_sha1, RECIPIENT.certificate, allow_sha1=True)
 
 
 @pytest.mark.parametrize("sign", [False, True])
 @pytest.mark.parametrize("compress", [False, True])
 @pytest.mark.parametrize("encrypt", [False, True])
-def test_layers_in_any_combination_open_to_the_digested_content(sign: bool, compress: bool, encrypt: bool) -> None:
+def test_opening_any_combination_of_layers_returns_the_digested_content(
+    sign: bool, compress: bool, encrypt: bool
+) -> None:
     message = messages.build_message(
         "a",
         "b",
@@ -162,7 +164,7 @@
 
 
 def encode_receipt(receipt: mdn.Mdn, signer: cms.Identity | None) -> tuple[Headers, bytes]:
-    """Return the headers and the body of a receipt; unsigned without a signer."""
+    """Return the headers and the body of a receipt, which is signed if there is a signer."""
     content_type, body = receipt.encode()
     if signer is not None:
         content_type, body = cms.sign(f"Content-Type: {content_type}\r\n\r\n".encode() + body, signer)
@@ -184,14 +186,14 @@
         (mdn.Mdn("<1@a>", "b", "failed", "failure"), SIGNER, ReceiptStatus.NEGATIVE),
     ],
 )
-def test_client_gives_a_receipt_its_status(
+def test_client_determines_the_status_of_a_receipt(
     receipt: mdn.Mdn, signer: cms.Identity | None, status: ReceiptStatus
 ) -> None:
     headers, body = encode_receipt(receipt, signer)
     assert messages.check_receipt(MESSAGE, headers, body, SIGNER.certificate)[0] is status
 
 
-def test_answer_without_a_receipt_has_the_status_missing() -> None:
+def test_response_without_a_receipt_has_the_status_missing() -> None:
     headers = Headers([("Content-Type", "text/plain")])
     assert messages.check_receipt(MESSAGE, headers, b"ok", None)[0] is ReceiptStatus.MISSING
 
@@ -201,7 +203,7 @@
 
 @settings(max_examples=200)
 @given(st.data())
-def test_mutated_receipt_raises_only_errors_of_the_codec(data: st.DataObject) -> None:
+def test_mutated_receipt_raises_only_codec_errors(data: st.DataObject) -> None:
     headers, body = ENCODED_RECEIPT
     mutated = bytearray(body)
     for _ in range(data.draw(st.integers(1, 6))):
--- a/tests/codec/test_errors.py
+++ b/tests/codec/test_errors.py
@@ -1,4 +1,4 @@
-"""Errors of the codecs: their common base, and the field, expected and found values that they carry."""
+"""Errors of the codecs: their common base class, and their attributes `field`, `expected` and `found`."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
     assert issubclass(error_type, ValueError)
 
 
-def test_unsendable_message_is_no_protocol_error_of_the_peer() -> None:
+def test_unsendable_message_error_is_not_a_protocol_error() -> None:
     assert issubclass(http1.UnsendableMessageError, errors.LinnetstileError)
     assert issubclass(http1.UnsendableMessageError, ValueError)
     assert not issubclass(http1.UnsendableMessageError, errors.ProtocolError)
--- a/tests/codec/test_http1.py
+++ b/tests/codec/test_http1.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 parser: valid and invalid requests and responses, the same events for any split of the bytes."""
+"""HTTP/1.1 codec: valid and invalid messages, and the same events for any split of the bytes."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 def read_all(
     data: bytes, split_at: list[int] | None = None, client: bool = False, methods: tuple[str, ...] = ()
 ) -> tuple[list[http1.Event], int]:
-    """Return the events, with adjacent data joined, and the status of the error (0 = none)."""
+    """Return the events, with adjacent `Data` events joined, and the status of the error (0 = none)."""
     parser = http1.Parser(client, LIMITS)
     for method in methods:
         parser.expect_response(method)
@@ -40,7 +40,7 @@
 
 
 def every_position(data: bytes) -> list[int]:
-    """Return the split of some bytes into single ones."""
+    """Return the positions that split the data into single bytes."""
     return list(range(len(data)))
 
 
@@ -130,14 +130,14 @@
     ("status", "data"),
     [
         *((status, b"POST / HTTP/1.1\r\n" + lines + b"\r\n") for status, lines in INVALID_HEADERS),
-        *((status, first + b"\r\n" + HOST + b"\r\n") for status, first in INVALID_REQUEST_LINES),
+        *((status, request_line + b"\r\n" + HOST + b"\r\n") for status, request_line in INVALID_REQUEST_LINES),
         *(
             (status, b"POST / HTTP/1.1\r\n" + HOST + b"Transfer-Encoding: chunked\r\n\r\n" + rest)
             for status, rest in INVALID_CHUNKS
         ),
     ],
 )
-def test_ambiguous_or_too_large_request_is_rejected_with_its_status(status: int, data: bytes) -> None:
+def test_invalid_request_is_rejected_with_its_status(status: int, data: bytes) -> None:
     assert read_all(data)[1] == status
     assert read_all(data, every_position(data))[1] == status
 
@@ -146,7 +146,7 @@
     assert read_all(b"POST / HTTP/1.0\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n")[1] == 400
 
 
-def test_head_without_end_is_rejected_at_its_limit() -> None:
+def test_head_without_end_is_rejected_at_the_limit() -> None:
     parser = http1.Parser(limits=LIMITS)
 
     def feed_without_end() -> None:
@@ -192,7 +192,7 @@
         assert body_of(events) == body
 
 
-def test_response_without_a_length_lasts_until_the_end_of_the_stream() -> None:
+def test_response_without_a_length_ends_with_the_stream() -> None:
     parser = http1.Parser(True, LIMITS)
     parser.expect_response("POST")
     events = parser.feed(b"HTTP/1.1 200 OK\r\n\r\nabc")
--- a/tests/codec/test_json_stream.py
+++ b/tests/codec/test_json_stream.py
@@ -1,4 +1,4 @@
-"""JSON values from a stream: the same for any split, long objects in parts, bounded memory, one lasting error."""
+"""JSON stream reader: the same values for any split, long objects in parts, bounded memory, errors that persist."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 def chunks(stream: bytes, split_at: Iterable[int]) -> Iterator[bytes]:
-    """Return the parts of a stream that is split at these positions."""
+    """Yield the chunks of a stream that is split at these positions."""
     for start, end in itertools.pairwise([0, *split_at, len(stream)]):
         yield stream[start:end]
 
@@ -66,7 +66,7 @@
     ],
 )
 @pytest.mark.parametrize("step", [1, 1 << 20])
-def test_invalid_stream_raises_now_and_at_each_later_feed(stream: bytes, step: int) -> None:
+def test_invalid_stream_raises_an_error_at_this_and_each_later_feed(stream: bytes, step: int) -> None:
     reader = JsonStreamReader(1000)
     values: list[Any] = []
 
@@ -92,14 +92,14 @@
 
 # -- long objects in parts -----------------------------------------------------------------------------------------
 
-NAMES = ("version", "full")
+REQUIRED_KEYS = ("version", "full")
 MAX_VALUE_BYTES = 2000
 ERROR_MARK = "error"
 
 
 def read_all(stream: bytes, split_at: Iterable[int], step_bytes: int = 64) -> list[Any]:
-    """Return the values, the parts of each object joined, and then the type of the error or `is_mid_value`."""
-    reader = JsonStreamReader(MAX_VALUE_BYTES, "servers", NAMES, step_bytes)
+    """Return the values, with the parts of each object joined, followed by the type of the error or `is_mid_value`."""
+    reader = JsonStreamReader(MAX_VALUE_BYTES, "servers", REQUIRED_KEYS, step_bytes)
     values: list[Any] = []
     try:
         for chunk in chunks(stream, split_at):
@@ -126,7 +126,7 @@
 
 @pytest.mark.parametrize("indent", [None, 0, 3])
 @pytest.mark.parametrize("elements", [ELEMENTS * 2, [{"id": number} for number in range(20)], ["y" * 140, {}, 3]])
-def test_long_object_comes_in_parts_that_are_the_same_for_any_split(
+def test_long_object_is_returned_in_parts_with_the_same_content_for_any_split(
     indent: int | None, elements: list[Any], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(json_object_parts, "BATCH_PARSE_BYTES", 24)
@@ -156,16 +156,16 @@
         b' {"full":0 , "version":{"servers":[[]]},"servers" : [ %s ] } ',
     ],
 )
-def test_object_comes_in_parts_only_if_the_named_members_precede_the_array(text: bytes) -> None:
+def test_object_is_returned_in_parts_only_if_the_required_members_precede_the_array(text: bytes) -> None:
     stream = text % (b'{"id":1},' * 20 + b"{}")
     value = json.loads(stream)
-    comes_in_parts = (
+    is_returned_in_parts = (
         isinstance(value, dict)
-        and {*[*value][:2]} == {*NAMES}
+        and {*[*value][:2]} == {*REQUIRED_KEYS}
         and "servers" in value
         and isinstance(value["servers"], list)
     )
-    joined = [{name: value[name] for name in NAMES}, value["servers"], True] if comes_in_parts else value
+    joined = [{key: value[key] for key in REQUIRED_KEYS}, value["servers"], True] if is_returned_in_parts else value
     expected = [joined, False]
     for position in range(len(stream) + 1):
         assert read_all(stream, [position]) == expected, position
@@ -219,9 +219,9 @@
 
 
 def test_long_object_counts_as_incomplete_until_its_end() -> None:
-    reader = JsonStreamReader(1000, "servers", NAMES, 64)
+    reader = JsonStreamReader(1000, "servers", REQUIRED_KEYS, 64)
     assert reader.feed(VALID_START)[0].elements == [{"id": 1}] * 20
-    assert reader.is_mid_value  # though no byte of it is buffered
+    assert reader.is_mid_value  # although none of its bytes are buffered
     last_part = reader.feed(b"{}]}")[-1]
     assert isinstance(last_part, ObjectPart)
     assert last_part.is_last
@@ -229,10 +229,13 @@
 
 
 def test_long_object_is_read_in_bounded_memory_and_linear_time() -> None:
-    """In small and in large chunks: the buffered bytes, and the time against that of a quarter of the length."""
+    """Guards against unbounded buffering, and against repeated parsing, which takes more than linear time.
+
+    The time is compared with that for a quarter of the elements, for small and for large chunks.
+    """
 
     def seconds_to_read(element_count: int, chunk_bytes: int) -> float:
-        reader, max_buffered, elements_read = JsonStreamReader(1 << 20, "servers", NAMES), 0, 0
+        reader, max_buffered, elements_read = JsonStreamReader(1 << 20, "servers", REQUIRED_KEYS), 0, 0
         stream = (
             b'{"version":1,"full":true,"servers":['
             + b",".join(
@@ -254,7 +257,7 @@
         short, long = (
             min(seconds_to_read(element_count, chunk_bytes) for _ in range(3)) for element_count in (4000, 16_000)
         )
-        assert long < 10 * short, chunk_bytes  # 4 times where it is linear, 16 where it parses bytes again
+        assert long < 10 * short, chunk_bytes  # 4 times if linear, 16 times if bytes are parsed repeatedly
 
 
 def test_long_element_in_small_chunks_is_not_parsed_repeatedly(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -271,7 +274,7 @@
     stream = b'{"version":1,"full":true,"servers":[' + b",".join([b"{}"] * 30_000) + b"," + element + b",{}]}"
     for chunk_bytes in (16, 1024):
         parsed_bytes = 0
-        reader = JsonStreamReader(1 << 20, "servers", NAMES)
+        reader = JsonStreamReader(1 << 20, "servers", REQUIRED_KEYS)
         for position in range(0, len(stream), chunk_bytes):
             reader.feed(stream[position : position + chunk_bytes])
         assert not reader.is_mid_value
--- a/tests/config/test_files.py
+++ b/tests/config/test_files.py
@@ -1,4 +1,4 @@
-"""Settings files: every fault with file, path, value and what was expected; exit codes; a quick --help."""
+"""Settings files: errors with file, path, value and expectation; exit codes; imports that `--help` needs."""
 
 from __future__ import annotations
 
@@ -25,14 +25,14 @@
 }
 
 
-def write(folder: Path, data: Any) -> Path:
+def write_settings(folder: Path, data: Any) -> Path:
     path = folder / "relay.yaml"
     path.write_text(data if isinstance(data, str) else yaml.safe_dump(data))
     return path
 
 
-def test_valid_file_becomes_the_settings_of_the_engine(tmp_path: Path) -> None:
-    relay = load(write(tmp_path, VALID_SETTINGS), RelaySettings)
+def test_valid_file_gives_the_settings_of_the_engine(tmp_path: Path) -> None:
+    relay = load(write_settings(tmp_path, VALID_SETTINGS), RelaySettings)
     engine = relay.engine_settings()
     assert engine.classes[0].name == "a"
     assert engine.max_in_flight == 8
@@ -65,7 +65,7 @@
     tmp_path: Path, change: dict[str, Any], path: str, expected: str
 ) -> None:
     with pytest.raises(SettingsError) as caught:
-        load(write(tmp_path, VALID_SETTINGS | change), RelaySettings)
+        load(write_settings(tmp_path, VALID_SETTINGS | change), RelaySettings)
     (line,) = caught.value.lines
     assert line.startswith(f"{tmp_path / 'relay.yaml'}: {path}")
     assert expected in line
@@ -82,16 +82,16 @@
         ("key_rest_ms", "ordering_pause_ms"),
     ],
 )
-def test_a_safety_key_sets_its_attribute_and_the_attribute_is_no_key(tmp_path: Path, key: str, attribute: str) -> None:
-    relay = load(write(tmp_path, VALID_SETTINGS | {"safety": {key: 0.5}}), RelaySettings)
+def test_safety_key_sets_its_attribute_and_the_attribute_is_not_a_key(tmp_path: Path, key: str, attribute: str) -> None:
+    relay = load(write_settings(tmp_path, VALID_SETTINGS | {"safety": {key: 0.5}}), RelaySettings)
     assert getattr(relay.safety, attribute) == 0.5
     with pytest.raises(SettingsError, match=rf"safety.{attribute} = 0.5: Extra inputs are not permitted"):
-        load(write(tmp_path, VALID_SETTINGS | {"safety": {attribute: 0.5}}), RelaySettings)
+        load(write_settings(tmp_path, VALID_SETTINGS | {"safety": {attribute: 0.5}}), RelaySettings)
 
 
 def test_all_faults_are_reported_at_once(tmp_path: Path) -> None:
     with pytest.raises(SettingsError) as caught:
-        load(write(tmp_path, VALID_SETTINGS | {"listen": "x", "relays": 0, "rates": "some"}), RelaySettings)
+        load(write_settings(tmp_path, VALID_SETTINGS | {"listen": "x", "relays": 0, "rates": "some"}), RelaySettings)
     assert len(caught.value.lines) == 3
 
 
@@ -106,15 +106,15 @@
 )
 def test_file_without_settings_is_rejected(tmp_path: Path, text: str, expected: str) -> None:
     with pytest.raises(SettingsError, match=expected):
-        load(write(tmp_path, text), RelaySettings)
+        load(write_settings(tmp_path, text), RelaySettings)
     (tmp_path / "relay.yaml").write_bytes(b"\xff\xfe")
     with pytest.raises(SettingsError, match="UTF-8"):
         load(tmp_path / "relay.yaml", RelaySettings)
 
 
-def test_error_is_a_config_error_with_the_first_fault(tmp_path: Path) -> None:
+def test_error_is_a_config_error_with_the_values_of_the_first_fault(tmp_path: Path) -> None:
     with pytest.raises(ConfigError) as caught:
-        load(write(tmp_path, VALID_SETTINGS | {"relays": 0, "rates": "some"}), RelaySettings)
+        load(write_settings(tmp_path, VALID_SETTINGS | {"relays": 0, "rates": "some"}), RelaySettings)
     error = caught.value
     assert isinstance(error, SettingsError)
     assert str(error) == "\n".join(error.lines)
@@ -127,11 +127,11 @@
     assert load(day, Day).relays >= 1
 
 
-def test_day_with_a_fault_at_no_partner_is_rejected(tmp_path: Path) -> None:
+def test_day_with_a_fault_at_an_unknown_partner_is_rejected(tmp_path: Path) -> None:
     data = yaml.safe_load((ROOT / "days" / "two-troubles.yaml").read_text())
     data["faults"][0]["partners"] = ["nobody"]
     with pytest.raises(SettingsError, match="faults.0.partners: 'nobody' fits no partner"):
-        load(write(tmp_path, data), Day)
+        load(write_settings(tmp_path, data), Day)
 
 
 def run_command(*args: str) -> subprocess.CompletedProcess[str]:
@@ -141,18 +141,18 @@
 
 
 def test_exit_code_and_message_of_the_command_line(tmp_path: Path) -> None:
-    invalid = run_command("relay", str(write(tmp_path, VALID_SETTINGS | {"relays": 0})))
+    invalid = run_command("relay", str(write_settings(tmp_path, VALID_SETTINGS | {"relays": 0})))
     assert invalid.returncode == 2
     assert invalid.stderr.count("\n") == 1
     assert "relays = 0" in invalid.stderr
-    assert run_command("relay", str(write(tmp_path, VALID_SETTINGS)), "--check").returncode == 0
+    assert run_command("relay", str(write_settings(tmp_path, VALID_SETTINGS)), "--check").returncode == 0
     assert run_command("relay", str(tmp_path / "none.yaml")).returncode == 2
     assert run_command("check", str(tmp_path)).returncode == 2
     missing = VALID_SETTINGS | {"identity": {"pem": str(tmp_path / "none.pem")}}
-    gone = run_command("relay", str(write(tmp_path, missing)))
-    assert gone.returncode == 3
-    assert "can't start" in gone.stderr
-    assert "none.pem" in gone.stderr
+    without_key_file = run_command("relay", str(write_settings(tmp_path, missing)))
+    assert without_key_file.returncode == 3
+    assert "can't start" in without_key_file.stderr
+    assert "none.pem" in without_key_file.stderr
     (tmp_path / "m").write_text("x")
     sent = run_command("send", str(tmp_path / "m"), "--to", "127.0.0.1:1", "--from", "a", "--partner", "b")
     assert sent.returncode == 3
@@ -162,12 +162,12 @@
     assert "loopback" in sent.stderr
 
 
-def test_help_imports_nothing_heavy() -> None:
+def test_help_imports_no_large_packages() -> None:
     code = (
         "import sys, linnetstile.cli.main as m\ntry: m.main(['--help'])\nexcept SystemExit: pass\n"
         "heavy = {'pydantic', 'yaml', 'cryptography', 'asn1crypto', 'structlog', 'asyncio'} & set(sys.modules)\n"
         "sys.exit(str(heavy) if heavy else 0)"
     )
-    done = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, timeout=60)
-    assert done.returncode == 0, done.stderr
-    assert "Play a day" in done.stdout, done.stderr
+    result = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, timeout=60)
+    assert result.returncode == 0, result.stderr
+    assert "Play a day" in result.stdout, result.stderr
