--- a/linnetstile/codec/http1/head_parser.py
+++ b/linnetstile/codec/http1/head_parser.py
@@ -91,7 +91,7 @@
                 400, "a header line without a proper name before its colon", expected="name: value", found=name
             )
         value = value.strip(" \t")
-        if not value.isprintable() and FORBIDDEN_IN_VALUE.search(value):  # fast check, then exact
+        if not value.isprintable() and FORBIDDEN_IN_VALUE.search(value):  # a fast check, then the exact one
             text = f"a control character in the value of {name}"
             raise Http1Error(400, text, field=name, expected="no control character", found=value)
         fields.append((name, value))
--- a/linnetstile/config/sections.py
+++ b/linnetstile/config/sections.py
@@ -106,7 +106,7 @@
     """A tenant whose messages share the relay."""
 
     quota_per_s: Positive
-    weight: Annotated[float, Field(gt=0, le=1000)] = 1.0  # share of the capacity, relative to other tenants
+    weight: Annotated[float, Field(gt=0, le=1000)] = 1.0  # weight of its share of the capacity among tenants
 
 
 class LimitSettings(StrictModel):
@@ -139,7 +139,7 @@
     @model_validator(mode="after")
     def _check_capacity(self) -> LimitSettings:
         if self.hold_bytes * (1 - RESERVE_FRACTION) < self.body_bytes + HEAD_ALLOWANCE_BYTES:
-            raise ValueError("expected hold_bytes to be at least 16/15 of body_bytes plus 17476, to hold one body")
+            raise ValueError("expected hold_bytes to be at least 16/15 of body_bytes plus 17476, to fit one message")
         return self
 
 
