--- a/linnetstile/codec/cms/envelope.py
+++ b/linnetstile/codec/cms/envelope.py
@@ -13,7 +13,7 @@
 if TYPE_CHECKING:
     from cryptography.x509 import Certificate
 
-MAX_DECOMPRESSED_BYTES = 256 * 1024 * 1024  # bytes of decompressed data
+MAX_DECOMPRESSED_BYTES = 256 * 1024 * 1024
 
 
 def encrypt(content: bytes, recipient: Certificate) -> EncodedEntity:
@@ -36,7 +36,7 @@
     """Decrypt an enveloped entity.
 
     Raises:
-        CmsError: It is not for this key, or can't be read.
+        CmsError: The entity is not encrypted for this key, or can't be read.
     """
     from cryptography.hazmat.primitives.serialization import pkcs7
 
@@ -67,10 +67,10 @@
 
 
 def decompress(der: bytes, max_bytes: int = MAX_DECOMPRESSED_BYTES) -> bytes:
-    """Decompress an entity; bounded by `max_bytes`, as a few bytes can swell to gigabytes.
+    """Decompress an entity to `max_bytes` at most, because a few bytes can expand to gigabytes.
 
     Raises:
-        CmsError: It is not compressed data, is cut short, can't be read or has more than `max_bytes`.
+        CmsError: The input is not compressed data, is truncated, can't be read or expands to more than `max_bytes`.
     """
     try:
         compressed_data = load_content(der, "compressed_data", "not compressed data")
