--- a/tests/platform_relay/discovery_emulator.py
+++ b/tests/platform_relay/discovery_emulator.py
@@ -1,4 +1,4 @@
-"""Discovery emulated on loopback: it knows entries, sends them to each watch, and follows a script of faults."""
+"""Emulates discovery on loopback: sends its entries, or scripted faulty responses, to each watch."""
 
 from __future__ import annotations
 
@@ -19,18 +19,18 @@
 
 
 class DiscoveryEmulator:
-    """Discovery, with a server of its own.
+    """Discovery with its own server.
 
     Attributes:
-        entries: The endpoints that it knows, by name.
-        version: Version of its list.
-        scripted_responses: For each watch to come, the bytes before its list, or in place of it, and whether the list
-            follows. Without one left: an ordinary response.
+        entries: The list entries of all endpoints, by name.
+        version: Version of the list.
+        scripted_responses: For each of the next watches, the first bytes of the response and whether the list follows
+            them. Later watches get the usual head and the list.
         requested_paths: The path of each watch that was opened.
         watch_writers: The connection of each watch.
-        indent: Indentation of its JSON; None for one line.
-        resumed_changes: Entries for a watch that resumes from an older version.
-        sends_full_list_on_resume: Whether such a watch gets the full list instead.
+        indent: Indentation of the JSON; None for one line.
+        resumed_changes: Entries that are sent to a watch that resumes from an older version.
+        sends_full_list_on_resume: Whether each resumed watch gets the full list instead.
     """
 
     def __init__(self) -> None:
@@ -45,7 +45,7 @@
         self.server: asyncio.Server | None = None
 
     async def start(self) -> tuple[str, int]:
-        """Listen on a new port; return the address."""
+        """Listen on a free port and return the address."""
         self.server = await asyncio.start_server(self._serve_watch, "127.0.0.1", 0)
         return "127.0.0.1", int(self.server.sockets[0].getsockname()[1])
 
@@ -53,10 +53,10 @@
         path = (await reader.readuntil(b"\r\n\r\n")).decode().split()[1]
         self.requested_paths.append(path)
         self.watch_writers.append(writer)
-        beginning, list_follows = (
+        first_bytes, list_follows = (
             self.scripted_responses.pop(0) if self.scripted_responses else (WATCH_RESPONSE_HEAD, True)
         )
-        writer.write(beginning)
+        writer.write(first_bytes)
         if list_follows:
             writer.write(self._first_list(resumed_from=path.partition(RESUME_PARAMETER)[2]))
         await reader.read()
@@ -79,7 +79,7 @@
         return json.dumps(value, indent=self.indent).encode() + b"\n"
 
     def change(self, *entries: dict[str, Any]) -> bytes:
-        """Change what discovery knows; return the list that a watch is to get."""
+        """Change entries under a new version, and return the list of changes to send to a watch."""
         self.version += 1
         for entry in entries:
             if entry["state"] == "DELETED":
--- a/tests/platform_relay/list_factories.py
+++ b/tests/platform_relay/list_factories.py
@@ -1,4 +1,4 @@
-"""Endpoint lists in discovery's JSON form, and what a directory made of them."""
+"""Builds endpoint lists in discovery's JSON format, and applies them to a directory."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 from linnetstile.platform_relay.list_update import ListUpdate
 
 LONG_LIST_SIZE = 5000
-"""Endpoints: some 600 KB, which are read in parts."""
+"""Number of endpoints of a long list, which has some 600 KB and is read in parts."""
 
 
 def list_entry(name: str, state: str = "SERVING", destination: Any = 1, **fields: Any) -> dict[str, Any]:
-    """Return an entry of a list; `fields` replace or extend the usual ones."""
+    """Return an entry of a list; `fields` override or extend the default ones."""
     return {
         "id": name,
         "addr": "127.0.0.1:9",
@@ -31,7 +31,7 @@
 
 
 def listed_addresses(directory: Directory) -> list[EndpointAddress]:
-    """Return the addresses of all endpoints of a directory, in the order of their ids."""
+    """Return the addresses of all endpoints, in the order in which the directory iterates over their ids."""
     return [address for address in map(directory.address_of, directory) if address]
 
 
@@ -43,10 +43,10 @@
     full: bool = True,
     entry_limit: int | None = None,
 ) -> tuple[ListUpdate, list[list[Endpoint]]]:
-    """Apply a list in steps; with `entry_limit` only so many of its entries, and then the list is cut off.
+    """Apply a list in steps. With `entry_limit`, the list is truncated after that number of entries.
 
     Returns:
-        The update, and what each step has changed.
+        The update, and the endpoints that each step changed.
     """
     update = directory.begin_update({"version": version, "full": full})
     received = entries[:entry_limit]
--- a/tests/platform_relay/test_directory.py
+++ b/tests/platform_relay/test_directory.py
@@ -1,4 +1,4 @@
-"""The directory with lists that come in steps, and what it publishes: only what has changed."""
+"""The directory with lists that are applied in steps: it publishes only the endpoints that changed."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 
 
 @pytest.mark.parametrize("batch_size", [1, 100, 5000])
-def test_full_list_read_again_changes_nothing_and_a_change_is_published_alone(
+def test_unchanged_full_list_publishes_nothing_and_a_changed_one_only_its_changes(
     directory: Directory, batch_size: int
 ) -> None:
     entries = long_list()
@@ -50,7 +50,7 @@
     assert list(directory) == ids
     entries[77] = list_entry("s-77", "DRAINING", 77)
     entries[78] = list_entry("s-78", destination=78, weight=6.0)
-    entries[79] = list_entry("s-79", destination=79, addr="10.0.0.9:9")  # the engine knows no addresses
+    entries[79] = list_entry("s-79", destination=79, addr="10.0.0.9:9")  # addresses are not published
     removed_entry = entries.pop()
     _, steps = apply_in_batches(directory, entries, batch_size, version=3)
     assert [(endpoint.id, endpoint.status, endpoint.destination) for endpoint in flatten(steps)] == [
@@ -63,7 +63,7 @@
     assert moved_address.host == "10.0.0.9"
 
 
-def test_change_reads_only_the_records_that_it_names(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_list_of_changes_reads_only_the_records_of_its_endpoints(monkeypatch: pytest.MonkeyPatch) -> None:
     record_name = endpoint_record.record_name
     read_count = 0
 
@@ -103,7 +103,7 @@
 
 
 @pytest.mark.parametrize("entry_limit", [0, 1, 2500, 5000])
-def test_truncated_list_removes_nothing_and_the_next_full_one_makes_up_for_it(
+def test_truncated_list_removes_nothing_and_the_next_full_list_is_applied_completely(
     directory: Directory, entry_limit: int
 ) -> None:
     apply_in_batches(directory, long_list(), DEFAULT_BATCH, version=5)
@@ -122,21 +122,22 @@
     assert directory.version_guard.newest_version == 6
 
 
-def test_older_list_is_rejected_at_its_head_before_any_entry(directory: Directory) -> None:
+def test_older_list_is_rejected_before_any_entry_is_read(directory: Directory) -> None:
     apply_in_batches(directory, long_list(3), DEFAULT_BATCH, version=5)
     for full in (False, True):
         with pytest.raises(InvalidListError, match="version: expected 5 or later, found 4"):
             directory.begin_update({"version": 4, "full": full})
 
 
-def test_older_list_sent_twice_applies_as_it_is_read_and_its_version_counts_once_it_has_been(
+def test_older_list_sent_twice_is_applied_and_its_version_is_recorded_at_its_end(
     directory: Directory,
 ) -> None:
     apply_in_batches(directory, long_list(3), DEFAULT_BATCH, version=5)
     with pytest.raises(InvalidListError, match="version: expected 5 or later, found 4"):
         directory.begin_update({"version": 4, "full": True})
     entries = [list_entry("n")]
-    update, _ = apply_in_batches(directory, entries, 1, version=3, entry_limit=1)  # discovery has restarted
+    # Discovery has restarted at a lower version.
+    update, _ = apply_in_batches(directory, entries, 1, version=3, entry_limit=1)
     assert not update.is_complete
     assert directory.version_guard.newest_version == 5
     assert len(directory) == 4
@@ -145,7 +146,7 @@
     assert names_in(directory) == ["n"]
 
 
-def test_malformed_entries_of_a_long_list_change_no_endpoint_and_the_first_is_reported(directory: Directory) -> None:
+def test_malformed_entries_of_a_long_list_are_skipped_and_the_first_fault_is_reported(directory: Directory) -> None:
     apply_in_batches(directory, long_list(), DEFAULT_BATCH)
     entries = long_list()
     entries[1234] = list_entry("s-1234", "SERVING", "x" * 1000)
@@ -157,7 +158,7 @@
     assert directory.skipped_entries == 3
     assert update.first_fault.startswith("servers[1234]: cell: expected a whole number from 0")
     assert len(update.first_fault) < 200
-    assert [endpoint.destination for endpoint in flatten(steps)] == [235]  # s-1235, which the list does not name
+    assert [endpoint.destination for endpoint in flatten(steps)] == [235]  # s-1235 is removed: its entry has no name
     assert len(directory) == 4999
 
 
@@ -207,7 +208,7 @@
 
 def test_draining_endpoint_is_published_once_keeps_its_id_and_may_return(directory: Directory) -> None:
     directory.apply_list(raw_list(list_entry("a")))
-    draining = raw_list(list_entry("a", "DRAINING", 9), full=False)  # only its state is read
+    draining = raw_list(list_entry("a", "DRAINING", 9), full=False)  # the destination is ignored
     event = directory.apply_list(draining)
     assert [(endpoint.id, endpoint.status, endpoint.destination) for endpoint in event.endpoints] == [
         (1, EndpointStatus.DRAINING, 1)
@@ -229,7 +230,7 @@
     assert not directory.apply_list(raw_list(*long_list(600), version=3)).endpoints
 
 
-def test_more_kinds_and_longer_names_than_usual() -> None:
+def test_many_kinds_and_long_names_and_hosts_are_stored() -> None:
     directory = Directory(tuple(f"k{number}" for number in range(70_000)), ("z",))
     long_name, long_host = "n" * 250 + "ü", "h" * 200 + ".example"
     directory.apply_list(
--- a/tests/platform_relay/test_directory_model.py
+++ b/tests/platform_relay/test_directory_model.py
@@ -1,4 +1,4 @@
-"""The directory against a reference model of plain dicts, with random lists."""
+"""Compares the directory with a reference model of plain dicts, using random lists."""
 
 from __future__ import annotations
 
@@ -23,11 +23,11 @@
 
 
 class ReferenceModel:
-    """What a directory should know after the lists that it got.
+    """The endpoints that a directory must contain after the same lists.
 
     Attributes:
-        entries: The entry that counts for each endpoint, by name.
-        known_destinations: Destinations that were listed at any time.
+        entries: The latest valid entry of each endpoint, by name.
+        known_destinations: Destinations that have been listed at any time.
     """
 
     def __init__(self) -> None:
@@ -40,7 +40,7 @@
             self.entries = {name: entry for name, entry in self.entries.items() if name in listed_names}
 
     def _apply_entries(self, entries: list[dict[str, Any]]) -> list[dict[str, Any]]:
-        """Apply entries in their order; return those that do not delete their endpoint."""
+        """Apply entries in order; return those that do not delete their endpoint."""
         listed = []
         for entry in entries:
             if entry["state"] == "DELETED":
@@ -61,23 +61,23 @@
 
 
 class EngineView:
-    """The endpoints as the engine knows them from what the directory published.
+    """The endpoints that result from the changes that the directory published.
 
     Attributes:
-        endpoints: By id.
+        endpoints: The endpoints by id.
     """
 
     def __init__(self) -> None:
         self.endpoints: dict[int, Endpoint] = {}
 
     def apply_list(self, steps: list[list[Endpoint]]) -> None:
-        """Apply what the steps of one list have changed, and check that each change is one."""
+        """Apply the changes from the steps of one list, and check that each published endpoint has changed."""
         endpoints_before = dict(self.endpoints)
         for step in steps:
             assert len({endpoint.id for endpoint in step}) == len(step)
             for endpoint in step:
                 is_gone = endpoint.status is EndpointStatus.GONE
-                assert is_gone or endpoint != self.endpoints.get(endpoint.id), "published without a change"
+                assert is_gone or endpoint != self.endpoints.get(endpoint.id), "an unchanged endpoint was published"
                 self.endpoints[endpoint.id] = endpoint
                 if is_gone:
                     known = endpoints_before.get(endpoint.id)
@@ -86,7 +86,7 @@
 
 
 def random_list(rng: random.Random) -> list[dict[str, Any]]:
-    """Return entries with few names, so that endpoints change, drain, go and return."""
+    """Return random entries with few names, so that endpoints change, drain, are removed and return."""
     return [
         list_entry(
             f"s{'x' * rng.randrange(3)}{rng.randrange(12)}ü",
@@ -102,7 +102,7 @@
 
 
 def check_agreement(directory: Directory, model: ReferenceModel, view: EngineView) -> None:
-    """Check that directory, model and engine know the same endpoints."""
+    """Check that directory, model and engine view contain the same endpoints."""
     addresses = {address.name: address for address in listed_addresses(directory)}
     assert addresses.keys() == model.entries.keys()
     assert len(directory) == len(addresses)
@@ -118,7 +118,7 @@
         assert address.zone == endpoint.zone
         assert directory.id_of(name) == address.id
         assert (endpoint.status is EndpointStatus.DRAINING) == (entry["state"] == "DRAINING")
-    destinations = range(DESTINATION_COUNT + 1)  # one of which is never listed
+    destinations = range(DESTINATION_COUNT + 1)  # the last one is never listed
     known_destinations = {number for number in destinations if directory.knows_destination(number)}
     assert known_destinations == model.known_destinations
 
@@ -137,5 +137,5 @@
         view.apply_list(steps)
         check_agreement(directory, model, view)
         for address in listed_addresses(directory):
-            assert name_by_id.setdefault(address.id, address.name) == address.name, "an id was used twice"
+            assert name_by_id.setdefault(address.id, address.name) == address.name, "an id was reused"
         assert all(directory.address_of(former_id) is None for former_id in name_by_id.keys() - set(directory))
--- a/tests/platform_relay/test_list_entries.py
+++ b/tests/platform_relay/test_list_entries.py
@@ -1,4 +1,4 @@
-"""Entries of a list: malformed ones are skipped alone, and each state has its effect."""
+"""Entries of a list: a malformed entry is skipped without affecting the others, and each state is applied."""
 
 from __future__ import annotations
 
@@ -47,7 +47,9 @@
 
 @pytest.mark.parametrize("malformed_entry", MALFORMED_ENTRIES, ids=repr)
 @pytest.mark.parametrize("is_full", [True, False])
-def test_malformed_entry_is_skipped_alone(directory: Directory, malformed_entry: Any, is_full: bool) -> None:
+def test_malformed_entry_is_skipped_without_affecting_the_others(
+    directory: Directory, malformed_entry: Any, is_full: bool
+) -> None:
     event = directory.apply_list(
         {"version": 1, "full": is_full, "servers": [list_entry("a"), malformed_entry, list_entry("b")]}
     )
--- a/tests/platform_relay/test_list_updates.py
+++ b/tests/platform_relay/test_list_updates.py
@@ -1,4 +1,4 @@
-"""Lists as the running relay applies them: changes, interrupted watches, long lists, moves of discovery."""
+"""Lists applied by a running relay: changes, interrupted watches, long lists and moves of discovery."""
 
 from __future__ import annotations
 
@@ -56,7 +56,7 @@
         await wait_until(lambda: len(relay.directory), 3.0)
         testbed.entries = with_state(testbed.entries, "DRAINING")
         line = json.dumps({"version": 50, "full": False, "servers": testbed.entries}).encode()
-        testbed.watch_writers[-1].write(b"%x\r\n%s" % (len(line) + 1, line[:-9]))  # the rest never comes
+        testbed.watch_writers[-1].write(b"%x\r\n%s" % (len(line) + 1, line[:-9]))  # the end is never sent
         await wait_until(lambda: not len(relay.engine.routing_table.index), 2.0)
 
     run_scenario(tmp_path, scenario)
@@ -76,7 +76,7 @@
         ]
         testbed.entries += other_entries
         relay = await testbed.start_relay()
-        await asyncio.sleep(0)  # the engine takes the list in its next turn, at the latest one pass of the loop later
+        await asyncio.sleep(0)  # the engine applies the list in its next turn, within one pass of the event loop
         assert len(relay.directory) == len(relay.engine.routing_table.index) == 1024
         assert await request_status(relay, submission("a")) == 202
         await wait_until(lambda: delivered_ids(testbed) == ["a"])
@@ -132,13 +132,16 @@
 
 
 def long_list(entry: dict[str, Any]) -> bytes:
-    """Return a list of 4,000 endpoints that are like `entry`."""
+    """Return a full list of 4,000 copies of `entry`, each with its own id and destination."""
     entries = [{**entry, "id": f"o-{number}", "cell": number} for number in range(1, 4001)]
     return json.dumps({"version": 5, "full": True, "servers": entries}).encode() + b"\n"
 
 
 def test_start_waits_for_a_list_that_is_being_read(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Messages for endpoints that were not read yet would be rejected: the wait is longer than for no list at all."""
+    """Guards against a start before a long list has been read, as messages for unread endpoints would be rejected.
+
+    The start therefore waits longer for a list that is being read than for discovery to answer.
+    """
     monkeypatch.setattr("linnetstile.platform_relay.recovery.DISCOVERY_GRACE_S", 0.3)
     monkeypatch.setattr("linnetstile.platform_relay.recovery.LONG_LIST_GRACE_S", 4.0)
 
--- a/tests/platform_relay/test_long_lists.py
+++ b/tests/platform_relay/test_long_lists.py
@@ -1,4 +1,4 @@
-"""Long lists, which are read in parts: bounded events, resumed watches, lists that end too early."""
+"""Long lists, which are read in parts: bounded events, resumed watches and truncated lists."""
 
 from __future__ import annotations
 
@@ -46,7 +46,7 @@
         )
         await testbed.wait_for_match()
         emulator.watch_writers[0].close()
-        await testbed.wait_for_watches(2)  # there is no change for the second one
+        await testbed.wait_for_watches(2)  # nothing has changed, so the second watch gets no list
         emulator.watch_writers[1].write(chunk(b"\n"))
         await testbed.wait_until(lambda: testbed.is_watch_useful() and testbed.watch.watches_opened == 2)
         emulator.resumed_changes = [list_entry("b", "DELETED"), list_entry("new", destination=9)]
@@ -60,7 +60,7 @@
     run_watch_scenario(scenario, indent=indent, extra_endpoints=LONG_LIST_SIZE)
 
 
-def test_resumed_watch_may_receive_a_full_list_and_an_unchanged_one_publishes_nothing() -> None:
+def test_resumed_watch_accepts_a_full_list_and_publishes_only_its_changes() -> None:
     async def scenario(emulator: DiscoveryEmulator, testbed: WatchTestbed) -> None:
         await testbed.wait_for_first_list()
         emulator.sends_full_list_on_resume = True
@@ -111,7 +111,7 @@
 def test_truncated_long_list_removes_nothing_and_its_version_is_not_recorded(
     truncate: Callable[[bytes], bytes], closes_connection: bool, log_event: str, is_resumed: bool
 ) -> None:
-    """Each truncated list is logged in one line, and the full list is requested again with a growing backoff."""
+    """Each truncated list causes one log event, and the full list is requested again after a growing backoff."""
     has_entries = truncate is not list_that_stops_in_its_first_entry
 
     async def scenario(emulator: DiscoveryEmulator, testbed: WatchTestbed) -> None:
@@ -129,7 +129,7 @@
         for truncated_count in (1, 2, 3):
             await testbed.wait_for_watches(1 + truncated_count)
             if closes_connection:
-                await asyncio.sleep(0.2)  # until the kernel has the bytes
+                await asyncio.sleep(0.2)  # lets the bytes reach the watch before the connection closes
                 emulator.watch_writers[-1].close()
             if truncated_count < 3:
                 await testbed.wait_for_watches(2 + truncated_count)
@@ -150,7 +150,7 @@
     run_watch_scenario(scenario, extra_endpoints=LONG_LIST_SIZE)
 
 
-def test_older_long_list_is_rejected_before_any_entry_and_requested_again() -> None:
+def test_older_long_list_is_rejected_before_any_entry_is_read_and_requested_again() -> None:
     async def scenario(emulator: DiscoveryEmulator, testbed: WatchTestbed) -> None:
         await testbed.wait_for_first_list()
         testbed.events.clear()
@@ -171,7 +171,7 @@
     run_watch_scenario(scenario, extra_endpoints=LONG_LIST_SIZE)
 
 
-def test_malformed_entries_of_a_long_list_are_logged_in_one_line() -> None:
+def test_malformed_entries_of_a_long_list_cause_one_log_event() -> None:
     async def scenario(emulator: DiscoveryEmulator, testbed: WatchTestbed) -> None:
         await testbed.wait_for_first_list()
         valid_entries = dict(emulator.entries)
@@ -200,7 +200,7 @@
 def test_long_list_that_cannot_be_read_in_parts_is_limited_in_bytes() -> None:
     async def scenario(emulator: DiscoveryEmulator, testbed: WatchTestbed) -> None:
         await testbed.wait_for_first_list()
-        # Its version comes after its entries, which therefore have to be buffered.
+        # The version comes after the entries, so the whole list has to be buffered.
         list_with_late_version = {"servers": list(emulator.entries.values()), "version": 50, "full": True}
         emulator.watch_writers[0].write(chunk(json.dumps(list_with_late_version).encode()))
         await testbed.wait_until(lambda: testbed.log_events)
@@ -212,9 +212,9 @@
 
 
 def test_changes_after_a_long_list_wait_until_missing_endpoints_are_removed() -> None:
-    """All but two endpoints go, and one returns under its name in the changes after the list.
+    """A full list removes all but two endpoints, and the changes after it add one of them again under its old name.
 
-    Were the changes applied before the removal has ended, it would remove the endpoint that has returned.
+    If the changes were applied before the removal is complete, the removal would delete the new endpoint.
     """
 
     async def scenario(emulator: DiscoveryEmulator, testbed: WatchTestbed) -> None:
--- a/tests/platform_relay/test_watch_faults.py
+++ b/tests/platform_relay/test_watch_faults.py
@@ -1,4 +1,4 @@
-"""Watches that stall, are malformed, resume or move: the endpoints end up as discovery knows them."""
+"""Watches that stall, deliver malformed data, resume or move: the endpoints match those of discovery afterwards."""
 
 from __future__ import annotations
 
@@ -49,7 +49,7 @@
         first_change = emulator.change(list_entry("a", "DRAINING"))
         second_change = emulator.change(list_entry("c", destination=3), list_entry("b", "DELETED"))
         stream = first_change + b"\n" + second_change
-        for start in range(0, len(stream), chunk_bytes):  # chunks begin and end anywhere, with several lists in one
+        for start in range(0, len(stream), chunk_bytes):  # a chunk may end inside a list or hold several
             emulator.watch_writers[0].write(chunk(stream[start : start + chunk_bytes]))
         await testbed.wait_for_match()
         assert len(emulator.watch_writers) == 1
@@ -79,7 +79,7 @@
     async def scenario(emulator: DiscoveryEmulator, testbed: WatchTestbed) -> None:
         await testbed.wait_for_match()
         emulator.watch_writers[0].write(last_bytes)
-        # Not sent on this watch.
+        # These changes are not sent on the stalled watch, so the next one has to deliver them.
         emulator.change(list_entry("a", "DRAINING"), list_entry("b", "DELETED"), list_entry("c", destination=3))
         await testbed.wait_for_match(2.0)
 
@@ -105,7 +105,7 @@
         await testbed.wait_for_match()
         previous_writer, emulator.watch_writers = emulator.watch_writers[0], []
         testbed.watch.move(await emulator.start())
-        # This list is on its way as the move begins.
+        # A list from the previous address that arrives after the move.
         previous_writer.write(chunk(b'{"version":99,"full":true,"servers":[]}\n'))
         await wait_until(lambda: emulator.watch_writers and testbed.matches_discovery())
         emulator.watch_writers[-1].write(chunk(emulator.change(list_entry("c", destination=3))))
@@ -124,9 +124,10 @@
         emulator.scripted_responses = [(WATCH_RESPONSE_HEAD + chunk(older_list), False)]
         emulator.watch_writers[0].close()
         await testbed.wait_for_watches(3)
-        assert not testbed.directory.id_of("b")  # also between the two
+        assert not testbed.directory.id_of("b")  # the older list was rejected
         await testbed.wait_for_match()
-        emulator.version, emulator.entries = 3, {"d": list_entry("d", destination=4)}  # discovery has restarted
+        # Discovery restarts at a lower version.
+        emulator.version, emulator.entries = 3, {"d": list_entry("d", destination=4)}
         emulator.watch_writers[-1].close()
         await testbed.wait_for_match()
         assert len(emulator.watch_writers) == 5
--- a/tests/platform_relay/test_watch_timing.py
+++ b/tests/platform_relay/test_watch_timing.py
@@ -1,4 +1,4 @@
-"""How long a watch is waited for, in virtual time and with the longest backoff."""
+"""Timeouts of watches, in virtual time and with the longest backoff."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 from .virtual_time import NO_RESPONSE, TimedResponse, VirtualTimeLoop
 
 CHANGE_DUE_S = 6.0
-"""A change that comes later is too late for discovery."""
+"""Discovery treats a change as known to the relay after this time, whether it has arrived or not."""
 
 
 def full_list_chunk(entries: list[dict[str, Any]], version: int = 41) -> bytes:
@@ -45,11 +45,11 @@
 def test_change_arrives_before_it_is_due_after_the_worst_sequence_of_stalled_watches(
     stalled_responses: list[TimedResponse], resumes: list[bool]
 ) -> None:
-    """The first watch delivers a long list and stalls, and then a change is made.
+    """The first watch delivers a long list and stalls. The change that follows must arrive on a later watch in time.
 
     Args:
-        stalled_responses: All that the next watches receive.
-        resumes: For each watch after the first one, whether it resumes from the version.
+        stalled_responses: The incomplete responses of the next watches.
+        resumes: For each watch after the first one, whether it resumes from the known version.
     """
     first_response = [(0.0, WATCH_RESPONSE_HEAD + full_list_chunk(ENTRIES))]
     last_response = [(0.0, WATCH_RESPONSE_HEAD + full_list_chunk(CHANGED_ENTRIES, version=42))]
@@ -64,7 +64,7 @@
         rng.uniform = lambda low, high: high  # type: ignore[method-assign, assignment]  # the longest backoff
         watch = Watch(Directory(("k",), ("z",)), ("h", 1), record_change, rng)
         watch.start()
-        while not change_times:  # noqa: ASYNC110  the loop's time is simulated and moves by sleeps
+        while not change_times:  # noqa: ASYNC110  virtual time advances by timers, such as those of sleeps
             await asyncio.sleep(0.01)
         watch.close()
 
--- a/tests/platform_relay/virtual_time.py
+++ b/tests/platform_relay/virtual_time.py
@@ -1,4 +1,4 @@
-"""An event loop with virtual time, whose connections replay scripted responses."""
+"""An event loop with virtual time whose connections replay scripted responses."""
 
 from __future__ import annotations
 
@@ -6,17 +6,17 @@
 from typing import Any
 
 TimedResponse = list[tuple[float, bytes]]
-"""Pieces of a response, each with its time (s) after the request."""
+"""Pieces of a response, each with its delay (s) after the request."""
 NO_RESPONSE: TimedResponse = []
 
 MAX_READ_BYTES = 16_000
 READ_INTERVAL_S_PER_BYTE = 1e-9
-"""Keeps the reads of one piece in order: callbacks of the same time have none."""
+"""Gives each read of a piece its own time: callbacks that are due at the same time may run in any order."""
 MAX_RUN_S = 60.0
 
 
 class ScriptedTransport(asyncio.Transport):
-    """A connection to a server that answers each request with the next response of the loop's script."""
+    """A connection to a server that answers each request with the next scripted response of the loop."""
 
     def __init__(self, loop: VirtualTimeLoop, protocol: asyncio.BufferedProtocol) -> None:
         super().__init__()
@@ -58,11 +58,11 @@
 
 
 class VirtualTimeLoop(asyncio.SelectorEventLoop):
-    """A loop whose time advances to the next timer as soon as nothing else is to be done.
+    """A loop whose time advances to the next timer as soon as no callback is ready to run.
 
     Attributes:
         now: Virtual time, s.
-        responses: The responses still to be given, one for each request.
+        responses: The responses to the next requests, one each.
         requests: Time and path of each request.
     """
 
@@ -75,8 +75,8 @@
 
         def advance_time(timeout: float | None) -> Any:
             self.now += timeout or 0.0
-            assert timeout is not None, "no timer is pending"
-            assert self.now < MAX_RUN_S, "the scenario makes no progress"
+            assert timeout is not None, "no timer is pending: the loop would wait forever"
+            assert self.now < MAX_RUN_S, "the scenario took longer than MAX_RUN_S of virtual time"
             return select(0)
 
         self._selector.select = advance_time  # type: ignore[attr-defined]
--- a/tests/platform_relay/watch_testbed.py
+++ b/tests/platform_relay/watch_testbed.py
@@ -1,4 +1,4 @@
-"""A watch beside the discovery emulator, and the endpoints as the engine knows them from its events."""
+"""Runs a watch against the discovery emulator, and tracks the endpoints that its events publish."""
 
 from __future__ import annotations
 
@@ -19,18 +19,18 @@
 
 SHORT_LIST_WAIT_S = 5.0
 LONG_LIST_WAIT_S = 30.0
-"""Emulator, watch and checks share one thread: on a busy machine each reading of a long list takes some seconds."""
+"""Emulator, watch and checks share one thread, so reading a long list takes some seconds on a busy machine."""
 STATE_NAMES = {EndpointStatus.READY: "SERVING", EndpointStatus.DRAINING: "DRAINING"}
 
 
 class WatchTestbed:
-    """A watch that is started, and what it published.
+    """A started watch, and the events that it published and logged.
 
     Attributes:
-        engine_view: The endpoints as the events made them, by id.
-        events: All events.
-        log_events: Names and fields of what was logged.
-        wait_s: How long its waits last at most.
+        engine_view: The endpoints that result from the published events, by id.
+        events: All published events.
+        log_events: Name and fields of each log event.
+        wait_s: Default time limit (s) of the waits.
     """
 
     def __init__(
@@ -65,9 +65,9 @@
                 del self.engine_view[endpoint.id]
 
     def matches_discovery(self) -> bool:
-        """Return whether directory and engine know what discovery knows."""
+        """Return whether the directory and the engine view match the endpoints of discovery."""
         if len(self.directory) != len(self.emulator.entries):
-            return False  # known without a look at each of them, which would keep the watch from reading
+            return False  # avoids a comparison of all endpoints, which would block the watch from reading
         directory_entries = {
             address.name: (self._state_name(address.id), address.destination)
             for address in listed_addresses(self.directory)
@@ -84,7 +84,7 @@
         return self.watch.connection is not None and self.watch.connection.is_useful
 
     async def wait_until(self, condition: Callable[[], object], seconds: float | None = None) -> None:
-        """Wait until a condition holds; raises TimeoutError after `seconds`, or after `wait_s` if not given."""
+        """Wait until a condition holds; raise TimeoutError after `seconds`, or after `wait_s` if it is None."""
         await wait_until(condition, self.wait_s if seconds is None else seconds)
 
     async def wait_for_match(self, seconds: float | None = None) -> None:
@@ -95,7 +95,7 @@
         await self.wait_until(lambda: self.watch.first_list_read.is_set() and self.matches_discovery())
 
     async def wait_for_watches(self, count: int) -> None:
-        """Wait until exactly so many watches have been opened."""
+        """Wait until exactly `count` watches have been opened."""
         await self.wait_until(lambda: len(self.emulator.watch_writers) == count)
 
     async def wait_for_version(self, version: int) -> None:
@@ -112,7 +112,7 @@
     extra_endpoints: int = 0,
     max_list_bytes: int = discovery.MAX_LIST_BYTES,
 ) -> None:
-    """Run a scenario with a discovery that knows the endpoints a and b, and `extra_endpoints` named s-0, s-1, ..."""
+    """Run a scenario in which discovery lists the endpoints a and b, and `extra_endpoints` more named s-0, s-1, ..."""
 
     async def run() -> None:
         emulator = DiscoveryEmulator()
