--- a/linnetstile/as2_relay/gossip_document.py
+++ b/linnetstile/as2_relay/gossip_document.py
@@ -1,7 +1,7 @@
-"""The gossip document: what one relay knows, as it travels between relays and lies in a snapshot.
+"""The gossip document: what one relay knows, as it is sent between relays and stored in a snapshot.
 
-The JSON names are part of the format and do not change; this module is the one place that maps them to the names of
-the program. Times are in ms; ages travel, and not times of day.
+The JSON names are part of the format and do not change; only this module maps them to the names of the program.
+Times are in ms. Past events are sent by their age, not by their time of day.
 """
 
 from __future__ import annotations
@@ -45,7 +45,7 @@
     pace: float = Field(0.0, ge=0, le=1e9)
 
     def to_claim(self) -> RouteClaim:
-        """Return the claim as the engine knows it; the inverse of `claim_to_json`."""
+        """Return the claim as the type that the engine uses; the inverse of `claim_to_json`."""
         return RouteClaim(
             partner=self.partner,
             route=self.route,
@@ -88,13 +88,13 @@
     Attributes:
         format: Version of the format.
         relay: Name of the relay that wrote it.
-        run: Incarnation of that relay: another one means that it knows nothing of before.
-        version: Version of what it knows.
-        since: 0 if the document holds all of it; else it holds what changed after that version.
-        relays: How many relays that relay believes there are.
-        peers: Addresses of the relays that it has heard itself.
+        run: Incarnation of that relay; a new one means that it has restarted and lost what it knew.
+        version: Version of its knowledge.
+        since: 0 if the document is complete; otherwise the version after which its claims have changed.
+        relays: Number of relays in the fleet, as that relay believes.
+        peers: Addresses of the relays that have answered that relay itself.
         claims: What it knows of each route.
-        few_connections: By kind of destination, the part of late answers that followed a missed connection.
+        few_connections: By kind of destination, the fraction of its recent answers that followed a failed connect.
     """
 
     format: int
@@ -110,7 +110,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OwnDocument:
-    """What this relay knows, before it is written; `GossipDocument` explains the fields."""
+    """The document of this relay before it is encoded; `GossipDocument` explains the fields."""
 
     relay: str
     incarnation: str
@@ -137,13 +137,13 @@
 
 
 def parse(data: bytes | str | dict[str, Any]) -> GossipDocument:
-    """Read a document; raises GossipDocumentError with one line that says what is wrong."""
+    """Parse a document; raises GossipDocumentError with a message of one line."""
     try:
         raw = data if isinstance(data, dict) else json.loads(data)
         if isinstance(raw, dict) and raw.get("format") != DOCUMENT_FORMAT:
             found = raw.get("format")
             raise GossipDocumentError(
-                f"format {found!r}, expected {DOCUMENT_FORMAT}: another version of the program",
+                f"format {found!r}, expected {DOCUMENT_FORMAT}: written by another version of the program",
                 field="format",
                 expected=str(DOCUMENT_FORMAT),
                 found=repr(found),
@@ -154,4 +154,4 @@
         field = ".".join(map(str, fault["loc"]))
         raise GossipDocumentError(f"{field}: {fault['msg']}", field=field) from error
     except (RecursionError, UnicodeDecodeError, json.JSONDecodeError) as error:
-        raise GossipDocumentError("not JSON", expected="a JSON document") from error
+        raise GossipDocumentError("not JSON in UTF-8, or nested too deeply", expected="a JSON document") from error
--- a/linnetstile/as2_relay/gossip_merger.py
+++ b/linnetstile/as2_relay/gossip_merger.py
@@ -1,6 +1,6 @@
-"""What this relay learns by gossip: the claims of peers and of the snapshot, merged and posted to the engine.
+"""Merges the claims of peers and of the snapshot, and posts the result to the engine.
 
-`engine/gossip.py` decides what is believed.
+`engine/gossip.py` decides which claims are believed.
 """
 
 from __future__ import annotations
@@ -24,9 +24,9 @@
 from ..telemetry.log import Logger
 from .gossip_polling import PeerKnowledge
 from .gossip_snapshot import LoadedSnapshot
-from .gossip_state import MergeRecord, caution_fields
+from .gossip_state import MergeRecord, restriction_fields
 
-MAX_RECORDS = 200  # merged routes and rejected claims that are kept for operators
+MAX_RECORDS = 200  # limit of the merged routes, and of the rejected claims, that are kept for operators
 MAX_LOGGED_ROUTES = 20
 SNAPSHOT_SOURCE = "snapshot"
 
@@ -49,12 +49,12 @@
         counts: dict[str, int],
         log: Logger,
     ) -> None:
-        """Take the parts that merges need.
+        """Create a merger that has merged nothing yet.
 
         Args:
             engine: The delivery engine, which knows the routes.
             partner_numbers: Number of each partner in the engine; kept by the registry client.
-            peers: What each peer said, by address; kept by the peer poller.
+            peers: What each peer reported, by address; kept by the peer poller.
             post_event: Takes events for the delivery engine.
             counts: Counters of the gossip service.
             log: Logger of the relay.
@@ -76,7 +76,7 @@
         return self.loop.time() * 1000
 
     def merge(self) -> None:
-        """Merge all sources anew and post what is believed; called with each answer and each endpoint list."""
+        """Merge all sources again and post the result; called after each answer and each endpoint list."""
         sources = self._sources()
         partner_names = {number: name for name, number in self.partner_numbers.items()}
         inventory = gossip_export.known_routes(self.engine, partner_names)
@@ -103,14 +103,14 @@
     def _relay_count(self) -> int:
         """Return how many relays share a partner in slow start.
 
-        A relay that believes in too few relays would take too large a part: the larger number counts, of the others
-        that of the one in the middle.
+        A relay that assumes too few relays would take too large a share. The result is therefore the larger one of its
+        own count and the lower median of the peers' counts.
         """
         relay_counts = [float(peer.relay_count) for peer in self.peers.values()]
         return max(self.engine.settings.relay_count, int(lower_median(relay_counts)))
 
     def _merged_connection_limits(self) -> tuple[ConnectionLimit, ...]:
-        """Return by number of the kind how far connections are limited, of the kinds that the settings name."""
+        """Return the merged connection limits by number of the kind, for the kinds that the settings name."""
         by_source = {address: peer.connection_limits for address, peer in self.peers.items()}
         if self.snapshot is not None:
             by_source[SNAPSHOT_SOURCE] = self.snapshot.connection_limits
@@ -136,20 +136,20 @@
         for claim in rejected:
             if claim not in self.rejected and len(self.rejected) < MAX_RECORDS:
                 self.counts["doubted"] += 1
-                # That this relay has seen the route itself is no fault of the peer.
+                # A claim that yields to this relay's own observation is no fault of the peer: debug level is enough.
                 log = self.log.debug if claim.reason == OWN_OBSERVATION_WINS else self.log.info
                 log(log_events.GOSSIP_CLAIM_REJECTED, source=claim.source, partner=claim.partner, why=claim.reason)
             self.rejected[claim] = self.rejected.get(claim, 0) + 1
 
     def _record_merged(self, sources: Sequence[ClaimSource], routes: Sequence[MergedRoute]) -> None:
         self.counts["taken"] += len(routes)
-        cautions = [route for route in routes if _calls_for_caution(route)]
-        if cautions:
+        restricted_routes = [route for route in routes if _is_restricted(route)]
+        if restricted_routes:
             self.log.info(
                 log_events.GOSSIP_MERGED,
                 sources=[source.name for source in sources],
                 routes=len(routes),
-                cautions=[caution_fields(route) for route in cautions[:MAX_LOGGED_ROUTES]],
+                cautions=[restriction_fields(route) for route in restricted_routes[:MAX_LOGGED_ROUTES]],
             )
         now_ms = self.now_ms
         for route in routes:
@@ -158,6 +158,6 @@
                 self.merged[key] = MergeRecord(route, now_ms)
 
 
-def _calls_for_caution(route: MergedRoute) -> bool:
+def _is_restricted(route: MergedRoute) -> bool:
     """Return whether a route is down, in slow start, or has a Retry-After."""
     return route.outage_age_ms is not None or route.slow_start_age_ms is not None or bool(route.retry_after_ms)
--- a/linnetstile/as2_relay/gossip_polling.py
+++ b/linnetstile/as2_relay/gossip_polling.py
@@ -1,4 +1,4 @@
-"""Polls other relays for what they know; `engine/membership.py` decides whom and when."""
+"""Polls other relays for what they know; `engine/membership.py` decides which one to poll and when."""
 
 from __future__ import annotations
 
@@ -15,22 +15,22 @@
 from ..telemetry.log import Logger
 from .gossip_document import MAX_DOCUMENT_BYTES, GossipDocument, parse
 
-# A peer that takes longer has not answered: its ages could not be trusted, and traffic must not wait.
+# A peer that takes longer counts as unanswered: the ages in its answer could not be trusted, and traffic must not wait.
 POLL_TIMEOUT_S = 1.0
 CONNECT_TIMEOUT_S = 0.5
-BOOTSTRAP_TICK_S = 0.05  # how often membership is asked whom to poll, while the first peers are polled
-TICK_S = 0.5  # and later
+BOOTSTRAP_TICK_S = 0.05  # interval of the checks for a peer to poll, while the first peers are polled
+TICK_S = 0.5  # interval of the checks for a peer to poll, after the first peers were polled
 
 
 @dataclass(slots=True)
 class PeerKnowledge:
-    """What one peer said.
+    """What one peer has reported.
 
     Attributes:
         heard_at_ms: Loop time of its latest answer.
-        claims: Its claims by route, at their age when that answer came.
+        claims: Its claims by route, with their ages when that answer came.
         connection_limits: Its connection limits by kind of destination.
-        relay_count: How many relays it believes there are.
+        relay_count: Number of relays in the fleet, as the peer believes.
         version: Version of its latest document.
     """
 
@@ -41,16 +41,16 @@
     version: int = 0
 
     def claims_at(self, now_ms: float) -> dict[tuple[str, int], RouteClaim]:
-        """Return the claims at their age by now."""
+        """Return the claims with their ages at a time."""
         return {route: claim.aged(now_ms - self.heard_at_ms) for route, claim in self.claims.items()}
 
 
 class PeerPoller:
-    """Polls one peer at a time, and keeps what each of them said.
+    """Polls one peer at a time, and keeps what each of them reported.
 
     Attributes:
-        membership: Which peers there are; None before `start`.
-        peers: What each peer that has answered said, by address.
+        membership: The known peers and their status; None before `start`.
+        peers: What each peer that has answered reported, by address.
     """
 
     def __init__(
@@ -62,13 +62,13 @@
         counts: dict[str, int],
         log: Logger,
     ) -> None:
-        """Take what polls need; none is made before `start`.
+        """Create a poller; it polls no peer before `start`.
 
         Args:
             relay_name: Name of this relay, for the Via field.
-            token: Bearer token of the relays.
-            relay_count: How many relays this one believes there are.
-            on_answer: Called after each document that was read.
+            token: Bearer token that the relays share.
+            relay_count: Number of relays in the fleet, as this relay believes.
+            on_answer: Called after each valid document.
             counts: Counters of the gossip service.
             log: Logger of the relay.
         """
@@ -92,13 +92,13 @@
         return self.loop.time() * 1000
 
     def start(self, own_address: str, peers: list[str], seed: int) -> None:
-        """Poll from now on, if any peers are configured."""
+        """Start polling, if any peers are configured."""
         self.membership = Membership(own_address, peers, self.now_ms, seed)
         if peers:
             self._poll()
 
     def _poll(self) -> None:
-        """Poll a peer if one is due, and come back later."""
+        """Poll a peer if one is due, and schedule the next check."""
         assert self.membership is not None
         peer = self.membership.next_peer(self.now_ms)
         if peer is not None:
@@ -149,7 +149,7 @@
                 peer=peer,
                 peer_relay_count=document.relays,
                 own_relay_count=self.relay_count,
-                used="the own number for limits, the larger for learned outages",
+                used="own_relay_count for limits, the larger count for learned outages",
             )
         self.on_answer()
 
@@ -159,7 +159,7 @@
         known = self.peers.get(peer)
         is_complete = is_new_incarnation or not document.since
         claims = {} if known is None or is_complete else known.claims_at(now_ms)
-        # Its ages were true when it wrote them: at the latest since the poll, so the whole way counts as age.
+        # The peer wrote the ages after the poll was sent, so with the whole round trip added they are never too low.
         claims |= {
             (claim.partner, claim.route): claim.to_claim().aged(now_ms - asked_at_ms) for claim in document.claims
         }
@@ -176,7 +176,7 @@
         return found.status.value if found else "left"
 
     def close(self) -> None:
-        """End all polls."""
+        """Stop polling and close all connections."""
         if self.timer is not None:
             self.timer.cancel()
         self.pool.close()
--- a/linnetstile/as2_relay/gossip_service.py
+++ b/linnetstile/as2_relay/gossip_service.py
@@ -1,6 +1,6 @@
-"""This relay's part in the gossip: it serves its own knowledge, polls its peers and keeps a snapshot.
+"""The gossip of one relay: serves its own knowledge, polls its peers and writes snapshots.
 
-`engine/gossip_export.py` decides what is sent; `gossip_merger.py` merges what others know.
+`engine/gossip_export.py` decides what is sent; `gossip_merger.py` merges what other relays know.
 """
 
 from __future__ import annotations
@@ -47,7 +47,7 @@
     """Serves the gossip document, and runs the parts that poll, merge and write snapshots.
 
     Attributes:
-        poller: Polls the peers, and keeps what they said.
+        poller: Polls the peers, and keeps what they reported.
         merger: Merges what the peers and the snapshot claim.
         snapshot_store: Reads and writes the snapshot; None if the settings name none.
         counts: Counters under the names of the operators' document.
@@ -63,7 +63,7 @@
         post_event: Callable[[Event], None],
         log: Logger,
     ) -> None:
-        """Take the parts that the service needs; nothing is read or asked before `start`.
+        """Create the service; it polls no peer and reads no snapshot before `start`.
 
         Args:
             settings: Settings of the gossip.
@@ -121,7 +121,7 @@
         return self.versions.current
 
     def start(self, address: str) -> None:
-        """Read the snapshot, then poll peers and write snapshots from time to time."""
+        """Read the snapshot, then poll peers and write snapshots periodically."""
         if self.snapshot_store is not None:
             self.merger.snapshot = self.snapshot_store.read()
             self.snapshot_store.start_writing()
@@ -129,19 +129,19 @@
         self.poller.start(self.settings.address or address, list(self.settings.peers), seed)
 
     def close(self) -> None:
-        """End all polls and snapshots."""
+        """Stop polling and writing snapshots."""
         if self.snapshot_store is not None:
             self.snapshot_store.close()
         self.poller.close()
 
     def merge(self) -> None:
-        """Merge all that peers and the snapshot claim; called with each answer and each endpoint list."""
+        """Merge the claims of peers and of the snapshot; called after each answer and each endpoint list."""
         self.merger.merge()
 
     # -- what this relay sends -------------------------------------------------------------------------------
 
     def own_document(self, since: int = 0) -> OwnDocument:
-        """Return what this relay knows itself and what changed after version `since` (0: all of it)."""
+        """Return the part of this relay's own knowledge that changed after version `since` (0: all of it)."""
         partner_names = {number: name for name, number in self.partner_numbers.items()}
         claims = gossip_export.export_claims(self.engine, self.now_ms, partner_names)
         self.versions.update(self.now_ms, claims)
@@ -159,13 +159,13 @@
         )
 
     def document(self, since: int = 0) -> dict[str, Any]:
-        """Return `own_document` as it travels."""
+        """Return `own_document` under its JSON names."""
         return self.own_document(since).to_json()
 
     def serve(self, request: server.RequestContext) -> None:
-        """Answer GET /knowledge?since=VERSION with the token as bearer; /knowledge/state is for operators."""
-        given = request.head.headers.get("authorization").removeprefix("Bearer ")
-        if not self.token or not hmac.compare_digest(given.encode(), self.token.encode()):
+        """Answer GET /knowledge?since=VERSION, and /knowledge/state for operators; both need the bearer token."""
+        given_token = request.head.headers.get("authorization").removeprefix("Bearer ")
+        if not self.token or not hmac.compare_digest(given_token.encode(), self.token.encode()):
             self.counts["denied"] += 1
             request.reply(403 if self.token else 404, [("Content-Type", "text/plain")], b"not for you\n")
             return
@@ -175,12 +175,12 @@
         query = dict(urllib.parse.parse_qsl(urllib.parse.urlsplit(request.head.target).query))
         document = self.own_document(self._requested_version(query.get("since", "")))
         self.counts["handed_out"] += 1
-        if query.get("look") != "1":  # an operator's look is no relay that knows of these outages now
+        if query.get("look") != "1":  # a request of an operator tells no relay of these outages
             self._record_sent(document)
         _reply_json(request, document.to_json())
 
     def _requested_version(self, text: str) -> int:
-        """Return the version that a peer has, given as INCARNATION.VERSION; 0 unless it is of this process."""
+        """Return the version that a peer has, from INCARNATION.VERSION; 0 if it is invalid or of another process."""
         incarnation, _, version = text.rpartition(".")
         is_usable = incarnation == self.incarnation and version.isdigit() and len(version) <= MAX_VERSION_DIGITS
         return int(version) if is_usable else 0
--- a/linnetstile/as2_relay/gossip_snapshot.py
+++ b/linnetstile/as2_relay/gossip_snapshot.py
@@ -1,4 +1,4 @@
-"""Snapshots of what this relay knows: read at the start, written from time to time."""
+"""Snapshots of what this relay knows: read at the start, written periodically."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 from .gossip_document import GossipDocument, GossipDocumentError, parse
 
 SNAPSHOT_MAGIC = b'{"linnetstile"'
-LOGGED_FAILURE_COUNTS = (1, 10, 100, 1000)  # of repeated failures so many are logged
+LOGGED_FAILURE_COUNTS = (1, 10, 100, 1000)  # only the failed writes with these numbers are logged
 
 
 def load(path: Path) -> GossipDocument:
-    """Read a document, or the one in a snapshot, from a file; raises ValueError or OSError."""
+    """Read a file that holds a document or a snapshot of one; raises ValueError or OSError."""
     data = path.read_bytes()
     if not data.startswith(SNAPSHOT_MAGIC):
         return parse(data)
@@ -34,7 +34,7 @@
     """What an earlier process of this relay knew.
 
     Attributes:
-        claims: Its claims, at their age when the snapshot was read.
+        claims: Its claims, with their ages when the snapshot was read.
         connection_limits: Its connection limits by kind of destination.
         loaded_at_ms: Loop time at which the snapshot was read.
     """
@@ -44,7 +44,7 @@
     loaded_at_ms: float
 
     def claims_at(self, now_ms: float) -> tuple[RouteClaim, ...]:
-        """Return the claims at their age by now."""
+        """Return the claims with their ages at a time."""
         age_ms = now_ms - self.loaded_at_ms
         return tuple(claim.aged(age_ms) for claim in self.claims)
 
@@ -60,7 +60,7 @@
         counts: dict[str, int],
         log: Logger,
     ) -> None:
-        """Take what is needed to write; nothing is read or written yet.
+        """Create the store; nothing is read or written yet.
 
         Args:
             path: File of the snapshot.
@@ -94,7 +94,7 @@
             self.log.warning(
                 log_events.GOSSIP_SNAPSHOT_AGE_UNKNOWN,
                 file=str(self.path),
-                why="the clock has gone back: not taken",
+                why="the clock was set back after the snapshot was written; snapshot not used",
             )
             return None
         self.log.info(
@@ -107,11 +107,11 @@
         return LoadedSnapshot(claims, document.few_connections, loaded_at_ms=self.loop.time() * 1000)
 
     def start_writing(self) -> None:
-        """Write snapshots from now on, the first one after the interval."""
+        """Write snapshots periodically, the first one after the interval."""
         self.timer = self.loop.call_later(self.interval_s, self._write)
 
     def _write(self) -> None:
-        """Write in a thread, one snapshot at a time: a slow disk holds up no message."""
+        """Write a snapshot in a thread, one at a time, so that a slow disk does not delay messages."""
         self.start_writing()
         if self.is_writing:
             return
@@ -132,6 +132,6 @@
             self.log.error(log_events.GOSSIP_SNAPSHOT_WRITE_FAILED, file=str(self.path), why=str(error))
 
     def close(self) -> None:
-        """Write no more snapshots."""
+        """Stop writing snapshots."""
         if self.timer is not None:
             self.timer.cancel()
--- a/linnetstile/as2_relay/gossip_state.py
+++ b/linnetstile/as2_relay/gossip_state.py
@@ -11,7 +11,7 @@
 from ..engine.gossip import MergedRoute, RejectedClaim
 from ..engine.membership import Peer
 
-MAX_SHOWN_AGE_MS = 1e12  # ages are finite in JSON
+MAX_SHOWN_AGE_MS = 1e12  # shown for longer and infinite ages, because JSON has no infinity
 
 
 @dataclass(frozen=True, slots=True)
@@ -57,7 +57,7 @@
     }
 
 
-def caution_fields(route: MergedRoute) -> dict[str, Any]:
+def restriction_fields(route: MergedRoute) -> dict[str, Any]:
     """Return the log fields of a merged route that is down, in slow start or has a Retry-After."""
     return {
         "partner": route.partner,
--- a/linnetstile/as2_relay/gossip_versions.py
+++ b/linnetstile/as2_relay/gossip_versions.py
@@ -1,4 +1,4 @@
-"""Versions of this relay's claims: which of them changed since a peer asked the last time."""
+"""Versions of this relay's claims: which of them changed since the last poll of a peer."""
 
 from __future__ import annotations
 
@@ -12,15 +12,15 @@
 
 
 class ClaimFingerprint(NamedTuple):
-    """What has to change in a claim for peers to get it again.
+    """The parts of a claim that are compared: when one changes, peers get the claim again.
 
     Attributes:
-        endpoints: The endpoints that it was learned from.
-        is_available: Whether no outage lasts.
-        is_warm: Whether it is not in slow start.
-        is_waiting: Whether a Retry-After lasts.
+        endpoints: The endpoints that the claim was learned from.
+        is_available: Whether the route is not in an outage.
+        is_warm: Whether the route is not in slow start.
+        is_waiting: Whether a Retry-After is in force.
         answered_step: Time of the latest answer, in steps of `EVIDENCE_STEP_MS`.
-        failed_step: Time of the latest failure, in the same steps.
+        failed_step: Time of the latest failure, in steps of `EVIDENCE_STEP_MS`.
     """
 
     endpoints: tuple[int, ...]
@@ -39,7 +39,7 @@
 
 
 class ClaimVersions:
-    """Counts up with each claim that changes.
+    """Records the version in which each claim changed last.
 
     Attributes:
         current: The version of the latest change; 0 before the first one.
@@ -50,7 +50,7 @@
         self._latest: dict[tuple[str, int], VersionedFingerprint] = {}
 
     def update(self, now_ms: float, claims: Iterable[RouteClaim]) -> None:
-        """Give each claim that has changed a version of its own."""
+        """Assign a new version to each claim that has changed."""
         for claim in claims:
             route = (claim.partner, claim.route)
             fingerprint = _fingerprint(now_ms, claim)
--- a/tests/faults/test_gossip.py
+++ b/tests/faults/test_gossip.py
@@ -30,8 +30,8 @@
     return {"token_file": folder / "token"}
 
 
-def claim_json(**more: Any) -> dict[str, Any]:
-    """Return a claim that the partner is down; `more` has fields that are added or replaced."""
+def claim_json(**overrides: Any) -> dict[str, Any]:
+    """Return a claim that the partner is down; `overrides` adds or replaces fields."""
     return {
         "partner": "firma",
         "route": -1,
@@ -43,12 +43,12 @@
         "dev_ms": 10,
         "answers": 9,
         "knowers": 2,
-        **more,
+        **overrides,
     }
 
 
-def document_json(*claims: dict[str, Any], **more: Any) -> dict[str, Any]:
-    """Return a complete document with these claims; `more` has fields that are added or replaced."""
+def document_json(*claims: dict[str, Any], **overrides: Any) -> dict[str, Any]:
+    """Return a complete document with these claims; `overrides` adds or replaces fields."""
     return {
         "format": DOCUMENT_FORMAT,
         "relay": "peer",
@@ -58,7 +58,7 @@
         "relays": 3,
         "peers": [],
         "claims": list(claims),
-        **more,
+        **overrides,
     }
 
 
@@ -95,7 +95,7 @@
 
 
 async def run_knowledge_command(*arguments: str) -> subprocess.CompletedProcess[str]:
-    """Run `linnetstile knowledge` and return how it ended."""
+    """Run `linnetstile knowledge` and return the completed process."""
     return await asyncio.to_thread(
         subprocess.run,
         [sys.executable, "-m", "linnetstile.cli.main", "knowledge", *arguments],
@@ -110,18 +110,18 @@
     return relay.engine.routes[0][-1].health.ejected
 
 
-async def wait_for_polls(relay: As2Relay, count: int = 1, seconds: float = 4.0) -> None:
-    """Wait until so many polls of a relay have ended, with or without an answer."""
-    for _ in range(int(seconds / 0.02)):
+async def wait_for_polls(relay: As2Relay, count: int = 1, timeout_s: float = 4.0) -> None:
+    """Wait until at least `count` polls of a relay have ended, with or without an answer."""
+    for _ in range(int(timeout_s / 0.02)):
         counts = relay.gossip.counts
         if counts["answered"] + counts["no_answer"] + counts["unreadable"] >= count:
             return
         await asyncio.sleep(0.02)
-    raise AssertionError(f"no peer was asked: {relay.gossip.counts}")
+    raise AssertionError(f"too few polls ended before the timeout: {relay.gossip.counts}")
 
 
 @async_test
-async def test_a_new_relay_spares_a_partner_whose_outage_peers_report(tmp_path: Path) -> None:
+async def test_a_new_relay_limits_attempts_to_a_partner_whose_outage_peers_report(tmp_path: Path) -> None:
     faults = [partner_fault("fast_errors", for_s=4)]
     async with RelayTestbed(
         tmp_path, relays=2, fleet=3, faults=faults, partner={"rate": 15.0}, knowledge=token_settings(tmp_path)
@@ -139,8 +139,9 @@
         outage_age_ms = new_relay.gossip.merger.merged["firma", -1].route.outage_age_ms
         assert outage_age_ms is not None
         assert outage_age_ms > 1000
-        assert old_relay.engine.routes[0][-1].health.notified_relays >= 1  # the new relay knows of the outage now
-        assert new_relay.gossip.document()["claims"] == []  # it has no evidence of its own
+        # The old relay counts the new one as a relay that knows of the outage.
+        assert old_relay.engine.routes[0][-1].health.notified_relays >= 1
+        assert new_relay.gossip.document()["claims"] == []  # the new relay has observed nothing itself
         earlier_attempts = len(testbed.partner_records("began"))
         later_load = asyncio.create_task(testbed.submit_evenly("safe", 20, 1.0, 3))
         await asyncio.sleep(0.9)
@@ -156,14 +157,14 @@
     snapshot_settings = {"snapshot": tmp_path / "know", "snapshot_every_ms": 200}
     faults = [partner_fault("shut", for_s=6)]
     async with RelayTestbed(tmp_path, faults=faults, knowledge=snapshot_settings) as testbed:
-        waiting = asyncio.create_task(testbed.submit(testbed.make_message("safe")))
+        submission = asyncio.create_task(testbed.submit(testbed.make_message("safe")))
         await asyncio.sleep(0.8)
         testbed.kill_relay(0)
-        await waiting
+        await submission
         restarted = await testbed.start_relay(knowledge=snapshot_settings)
         await asyncio.sleep(0.05)
-        left = restarted.engine.routes[0][-1].retry_after_until - restarted.context.now_ms
-        assert 3000 < left < 6000  # it was sent to this relay before it was killed, so it still binds
+        remaining_ms = restarted.engine.routes[0][-1].retry_after_until - restarted.context.now_ms
+        assert 3000 < remaining_ms < 6000  # the partner sent it to this relay before the kill, so it stays in force
         answer = await testbed.submit(testbed.make_message("safe"), 1)
         assert answer_kind(answer) == "delivered"
         assert testbed.elapsed_s() > 5.9
@@ -175,7 +176,7 @@
     [(b"garbage", "not a snapshot"), (None, "checksum"), (b'{"linnetstile":"snapshot","format":9}\n', "format 9")],
 )
 @async_test
-async def test_a_damaged_or_foreign_snapshot_is_set_aside_and_the_relay_starts(
+async def test_a_damaged_or_foreign_snapshot_is_quarantined_and_the_relay_starts(
     tmp_path: Path, data: bytes | None, text: str
 ) -> None:
     path = tmp_path / "know"
@@ -190,7 +191,7 @@
 
 
 @async_test
-async def test_a_failed_snapshot_write_is_counted_and_costs_no_message(tmp_path: Path) -> None:
+async def test_a_failed_snapshot_write_is_counted_and_loses_no_message(tmp_path: Path) -> None:
     snapshot_settings = {"snapshot": tmp_path / "none" / "know", "snapshot_every_ms": 200}
     async with RelayTestbed(tmp_path, knowledge=snapshot_settings) as testbed:
         await asyncio.sleep(0.5)
@@ -207,7 +208,7 @@
     request.reply(500)
 
 
-def reply_with_half(request: server.RequestContext) -> None:
+def reply_with_truncated_document(request: server.RequestContext) -> None:
     """Close the connection in the middle of a document."""
     request.connection.transport.write(b"HTTP/1.1 200 OK\r\nContent-Length: 5000\r\n\r\n{")
     asyncio.get_running_loop().call_later(0.05, request.connection.transport.abort)
@@ -217,7 +218,7 @@
     ("reply", "counted"),
     [
         (never_reply, "no_answer"),
-        (reply_with_half, "no_answer"),
+        (reply_with_truncated_document, "no_answer"),
         (reply_with(b"{not json"), "unreadable"),
         (reply_with(b"[" * 10_000), "unreadable"),
         (reply_with(document_json(claim_json(), format=2)), "unreadable"),
@@ -235,7 +236,7 @@
     peer = await StubPeer.start(reply)
     async with RelayTestbed(tmp_path, warm=False) as testbed:
         new_relay = await testbed.start_relay(knowledge={"peers": [peer.address]})
-        for _ in range(3):  # traffic goes on meanwhile
+        for _ in range(3):  # messages are delivered at the same time
             assert answer_kind(await testbed.submit(testbed.make_message("safe"), 1)) == "delivered"
         await wait_for_polls(new_relay)
         assert new_relay.gossip.counts[counted] == 1
@@ -245,8 +246,8 @@
 
 
 @async_test
-async def test_a_wrong_outage_report_costs_some_time_and_no_message(tmp_path: Path) -> None:
-    """It reports an outage of a partner that is up: the first own answer ends that."""
+async def test_a_false_outage_report_delays_but_loses_no_message(tmp_path: Path) -> None:
+    """A peer reports an outage of a partner that is up; the first answer to this relay ends the ejection."""
     peer = await StubPeer.start(reply_with(document_json(claim_json(out_age=8_000, wait_ms=700))))
     async with RelayTestbed(tmp_path, warm=False, partner={"rate": 200.0}) as testbed:
         new_relay = await testbed.start_relay(knowledge={"peers": [peer.address]})
@@ -269,7 +270,7 @@
         second = await testbed.start_relay(knowledge=gossip_settings | {"peers": [first.address]})
         await wait_for_polls(second)
         third = await testbed.start_relay(knowledge=gossip_settings | {"peers": [second.address]})
-        await wait_for_polls(third, 2)  # the second named the first
+        await wait_for_polls(third, 2)  # the second relay advertises the first
         assert first.address in third.gossip.poller.membership.peers  # type: ignore[union-attr]
         for relay_index in range(3):
             assert answer_kind(await testbed.submit(testbed.make_message("safe"), relay_index)) == "delivered"
@@ -335,7 +336,7 @@
         assert {row["why"] for row in state["doubted"]} >= {"no such partner or route now"}
         assert state["peers"][0]["standing"] == "alive"
         assert state["counts"]["answered"] == 1
-        (merged,) = state["taken"]  # the peer reports nine relays: the larger number counts
+        (merged,) = state["taken"]  # the peer reports nine relays, and the larger count is used
         assert merged["knowers"] == 9
         assert merged["sources"] == [peer.address]
         assert merged["out_ms"] >= 8000
