--- a/linnetstile/as2_relay/admin.py
+++ b/linnetstile/as2_relay/admin.py
@@ -1,6 +1,6 @@
-"""The local admin socket: what a live relay holds, for people (`linnetstile show`) and for scrapers (/metrics).
+"""The local admin socket: the state of a running relay for operators (`linnetstile show`) and metrics scrapers.
 
-It listens in the file system, for its owner alone, and only reads; no answer of it changes what the relay does.
+It is a Unix socket that only its owner can open, and it is read-only: no request changes what the relay does.
 """
 
 from __future__ import annotations
@@ -24,29 +24,29 @@
 
 METRICS_PATH = "/metrics"
 METRICS_CONTENT_TYPE = "text/plain; version=0.0.4; charset=utf-8"
-LISTENER_BOUNDS = server.ServerLimits(max_connections=16, idle_timeout_s=5.0, min_response_rate=1024.0)
+LISTENER_LIMITS = server.ServerLimits(max_connections=16, idle_timeout_s=5.0, min_response_rate=1024.0)
 
 
 class View(Protocol):
-    """What an operator sees at one moment."""
+    """The state of a relay at one moment, as an operator sees it."""
 
     def to_json(self) -> dict[str, Any]:
         """Return the view under its JSON names."""
 
 
 class AdminServer:
-    """Serves the views on a local socket, and the metrics there and on a port of their own.
+    """Serves the views and the metrics on a local socket, and the metrics on a TCP port as well.
 
     Attributes:
         metrics_address: Where scrapers read the metrics; None if the settings name no such address.
     """
 
     def __init__(self, relay: RelayView, socket_path: Path | None, metrics_address: str | None) -> None:
-        """Listen nowhere yet; see `start`.
+        """Create the server without listening; `start` makes it listen.
 
         Args:
             relay: The relay whose state is shown.
-            socket_path: Where the socket is made; None for no socket.
+            socket_path: Path of the socket; None for no socket.
             metrics_address: Host and port for the metrics; None for no such listener.
         """
         self.relay = relay
@@ -57,12 +57,12 @@
             "queues": queues_view,
             "slow": slow_partners_view,
         }
-        self.inode: int | None = None  # of the socket
-        self.socket_listener = server.Server(self._serve, limits=LISTENER_BOUNDS)
-        self.metrics_listener = server.Server(self._serve_metrics, limits=LISTENER_BOUNDS)
+        self.inode: int | None = None  # inode of the socket file; None before `start`
+        self.socket_listener = server.Server(self._serve, limits=LISTENER_LIMITS)
+        self.metrics_listener = server.Server(self._serve_metrics, limits=LISTENER_LIMITS)
 
     async def start(self) -> None:
-        """Listen; a socket that an earlier relay left is replaced, anything else at the path is an OSError."""
+        """Listen; replaces a socket that an earlier relay left, and raises OSError for anything else at the path."""
         if self.metrics_address is not None:
             host, port = split_address(self.metrics_address)
             self.metrics_address = f"{host}:{await self.metrics_listener.start(host, port)}"
@@ -73,7 +73,7 @@
         self.inode = os.lstat(self.socket_path).st_ino
 
     def close(self) -> None:
-        """Stop listening and remove the socket, unless it is that of a relay started since."""
+        """Stop listening and remove the socket, unless a relay that started later has replaced it."""
         self.socket_listener.close()
         self.metrics_listener.close()
         with contextlib.suppress(OSError):
@@ -102,10 +102,10 @@
 
 
 def _remove_stale_socket(path: Path) -> None:
-    """Remove a socket; anything else at the path is an OSError."""
+    """Remove the socket at a path, if there is one; raises OSError for any other file."""
     try:
         if not stat.S_ISSOCK(os.lstat(path).st_mode):
-            raise OSError(f"{path}: expected a socket or nothing there")
+            raise OSError(f"{path}: expected a socket or no file, found another kind of file")
         path.unlink()
     except FileNotFoundError:
         pass
--- a/linnetstile/as2_relay/admin_metrics.py
+++ b/linnetstile/as2_relay/admin_metrics.py
@@ -12,7 +12,7 @@
 
 
 def metric_samples(relay: RelayView) -> Iterator[MetricSample]:
-    """Return all samples of a relay, read now."""
+    """Yield all samples of a relay at this moment."""
     yield from _counters("events", "What the relay did, by name.", relay.counts)
     yield from _counters("listener", "Connections refused or let go, by bound.", relay.listener.counts)
     yield from _counters("pool", "Connections to partners.", relay.pool.counts)
--- a/linnetstile/as2_relay/admission.py
+++ b/linnetstile/as2_relay/admission.py
@@ -1,4 +1,4 @@
-"""Admission control: grants memory for the bodies of requests as `engine/fair_share.py` decides, with its timers."""
+"""Admission control: grants memory for request bodies as `engine/fair_share.py` decides, and runs its timers."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 from ..telemetry import log_events
 from ..telemetry.log import Logger
 
-# Bytes that an accepted message takes beside its body (6.7 kB measured, benchmarks/results/held.json).
+# Memory of an accepted message besides its body: 6.7 kB (benchmarks/results/held.json), rounded up.
 MESSAGE_OVERHEAD_BYTES = 8 * 1024
 SLOW_PARTNER_CHECK_S = 0.25
-FULL_FRACTION = 0.99  # from this part of the memory on, `hold_bytes` is named as the limit that binds
+FULL_FRACTION = 0.99  # fraction of memory in use from which logs name `hold_bytes` as the binding limit
 MIN_TIMER_S = 0.001
 
 RejectHandler = Callable[[RequestContext, str, float], None]
@@ -24,7 +24,7 @@
 
 @dataclass(slots=True)
 class RequestOrigin:
-    """Whose memory a request takes.
+    """The parties to which the memory of a request is charged.
 
     Attributes:
         tenant: Name of the tenant; empty if it has none.
@@ -52,13 +52,13 @@
 
 
 class AdmissionController:
-    """Grants memory to requests and messages, and makes requests wait that are over their share.
+    """Grants memory to requests and messages, and makes requests over their fair share wait.
 
     Attributes:
         fair_share: Decides who may hold how much.
-        slow_partners: Partners whose attempts take long weigh less in `fair_share`.
-        waiting: Requests that wait, with the bytes that they asked for.
-        reservations: All reservations that were not released.
+        slow_partners: Detects partners whose attempts take long; these get a lower weight in `fair_share`.
+        waiting: Requests that wait for memory, with the bytes that each one asked for.
+        reservations: All reservations that have not been released.
     """
 
     def __init__(
@@ -76,7 +76,7 @@
             max_messages: Messages that may hold memory at the same time.
             tenant_weights: Weight of each tenant against the others.
             log: Logger of the relay.
-            reject: Answers a request that waited in vain; takes the request, the reason and Retry-After in ms.
+            reject: Rejects a request that was not granted memory; takes the request, the reason and Retry-After in ms.
         """
         self.limits = limits
         self.fair_share = FairShare((limits.hold_bytes, max_messages))
@@ -89,7 +89,7 @@
         self.waiting: dict[RequestContext, int] = {}
         self.reservations: set[Reservation] = set()
         self.expiry_timer: asyncio.TimerHandle | None = None
-        self.is_turn_scheduled = False
+        self.is_grant_scheduled = False
         self.slow_partner_timer = self.loop.call_later(SLOW_PARTNER_CHECK_S, self._check_slow_partners)
 
     @property
@@ -98,10 +98,10 @@
         return self.loop.time() * 1000
 
     def admit(self, request: RequestContext, size: int) -> bool:
-        """Return whether `size` more bytes of a body may be read now; if not, the request waits or was rejected."""
+        """Return whether `size` more bytes of a body may be read now; if not, it waits or was rejected."""
         origin = request.submission
         if not isinstance(origin, RequestOrigin):
-            return True  # answered at its head, or nobody's message
+            return True  # answered after its head, or not a message, so that no memory is reserved
         decision = self._decide(request, origin, size)
         if decision is AdmissionDecision.QUEUED:
             self.waiting[request] = size
@@ -132,7 +132,7 @@
         return result.decision
 
     def _binding_limit(self) -> str:
-        """Return which limit keeps requests waiting, for people."""
+        """Return the name of the limit that keeps requests waiting, for the log."""
         used_bytes = self.fair_share.used[BYTES]
         capacity_bytes = self.fair_share.capacity[BYTES]
         return "hold_bytes" if used_bytes >= FULL_FRACTION * capacity_bytes else "share"
@@ -149,7 +149,7 @@
             partner=origin.partner,
             bytes=size,
             bound=self._binding_limit(),
-            why="no room within limits.room_wait_ms",
+            why="memory not granted within limits.room_wait_ms",
             advice_ms=round(retry_after_ms),
         )
         self.reject(
@@ -160,27 +160,27 @@
         )
 
     def transfer(self, request: RequestContext) -> Reservation | None:
-        """Take the reservation from a complete request; its message holds it from now on."""
+        """Detach the reservation from a complete request and return it, for the message to hold from now on."""
         reservation = request.reservation
         request.reservation = None
         assert reservation is None or isinstance(reservation, Reservation)
         return reservation
 
     def release(self, reservation: Reservation | None) -> None:
-        """Release the memory of a reservation, and see whether waiting requests fit now."""
+        """Release the memory of a reservation, and schedule grants to the waiting requests that fit now."""
         if reservation is not None:
             self.reservations.remove(reservation)
             self.fair_share.release(self.now_ms, reservation)
-            self._schedule_turn()
+            self._schedule_grants()
 
     def request_ended(self, request: RequestContext) -> None:
         """Release the memory of a request that was answered, or that ended before it was complete."""
         self.waiting.pop(request, None)
         self.release(self.transfer(request))
 
-    def _schedule_turn(self) -> None:
-        if self.waiting and not self.is_turn_scheduled:
-            self.is_turn_scheduled = True
+    def _schedule_grants(self) -> None:
+        if self.waiting and not self.is_grant_scheduled:
+            self.is_grant_scheduled = True
             self.loop.call_soon(self._grant_waiting)
 
     def _schedule_expiry(self) -> None:
@@ -194,7 +194,7 @@
 
     def _grant_waiting(self) -> None:
         """Resume the waiting requests for which there is memory now, and reject those that waited too long."""
-        self.is_turn_scheduled = False
+        self.is_grant_scheduled = False
         result = self.fair_share.grant_waiting(self.now_ms)
         for request in result.granted:
             assert isinstance(request, RequestContext)
--- a/linnetstile/as2_relay/connection_reporter.py
+++ b/linnetstile/as2_relay/connection_reporter.py
@@ -1,4 +1,4 @@
-"""Counts and logs the connections that the relay closes before they are done, and the bytes that it cannot read."""
+"""Counts and logs the connections that the relay evicts, and logs requests of clients that are not valid HTTP."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 
 
 class ConnectionReporter:
-    """Receives what the listener and the connection pool report of single connections."""
+    """Receives the reports of the listener and of the connection pool about single connections."""
 
     def __init__(self, counts: Counter[str], log: Logger) -> None:
-        """Take where the reports go.
+        """Create a reporter that has received nothing yet.
 
         Args:
             counts: Counters of the relay.
@@ -25,11 +25,11 @@
         self.log = log
 
     def on_protocol_error(self, peer: str, error: http1.Http1Error) -> None:
-        """Log a client whose bytes are no HTTP request."""
+        """Log a client that sent bytes that are not a valid HTTP request."""
         self.log.warning(log_events.PROTOCOL_ERROR, peer=peer, status=error.status, why=error.text)
 
     def on_client_evicted(self, connection: server.ServerConnection, reason: str) -> None:
-        """Count and log a client connection that was closed for the limit `reason`."""
+        """Count and log a client connection that was closed because it exceeded the limit `reason`."""
         self.counts[f"let_go_{reason}"] += 1
         origin = origin_of(connection.current_request)
         self.log.warning(
@@ -43,7 +43,7 @@
         )
 
     def on_partner_evicted(self, connection: client.ClientConnection, reason: str) -> None:
-        """Count and log a partner connection that was closed for the limit `reason`."""
+        """Count and log a partner connection that was closed because it exceeded the limit `reason`."""
         limit_name = reason.partition(":")[0]
         self.counts[f"partner_let_go_{limit_name}"] += 1
         self.log.warning(
--- a/linnetstile/as2_relay/connections_view.py
+++ b/linnetstile/as2_relay/connections_view.py
@@ -25,9 +25,9 @@
         phase: What it is doing, for example waiting for a request or for an answer.
         age_s: Seconds since it was opened; for partners, since its call began.
         phase_s: Seconds in its phase.
-        bytes_read: Bytes that came.
-        bytes_unsent: Bytes that the peer has not read.
-        patience: Fraction of the stall that is left before it is evicted.
+        bytes_read: Bytes received from the peer.
+        bytes_unsent: Bytes that the kernel has not accepted for sending yet.
+        remaining_grace: Fraction of the allowed stall that is left before the connection is evicted.
         message_id: Message-ID of its request.
         sender: AS2 name of the sender.
         partner: AS2 name of the partner.
@@ -40,7 +40,7 @@
     phase_s: float
     bytes_read: int
     bytes_unsent: int
-    patience: float
+    remaining_grace: float
     message_id: str = ""
     sender: str = ""
     partner: str = ""
@@ -55,7 +55,7 @@
             "phase_s": self.phase_s,
             "read": self.bytes_read,
             "unsent": self.bytes_unsent,
-            "patience": self.patience,
+            "patience": self.remaining_grace,
             "message": self.message_id,
             "sender": self.sender,
             "partner": self.partner,
@@ -64,7 +64,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ConnectionsView:
-    """All connections, those first that have been longest in their phase.
+    """All connections, sorted by the time in their phase, longest first.
 
     Attributes:
         max_connections: Limit of the listener.
@@ -87,7 +87,7 @@
 
 
 def connections_view(relay: RelayView) -> ConnectionsView:
-    """Return all open connections with their phase, its duration, and the bytes read and not sent."""
+    """Return all open connections with their phase, its duration, and the bytes read and unsent."""
     now_s = asyncio.get_running_loop().time()
     rows = _client_rows(relay, now_s) + _partner_rows(relay, now_s)
     rows.sort(key=lambda row: (-row.phase_s, row.peer))
@@ -108,7 +108,7 @@
                 phase_s=round(now_s - connection.phase_started_at, 1),
                 bytes_read=connection.bytes_read,
                 bytes_unsent=connection.unsent_bytes,
-                patience=round(connection.remaining_grace, 2),
+                remaining_grace=round(connection.remaining_grace, 2),
                 message_id=origin.message_id if origin else "",
                 sender=origin.sender if origin else "",
                 partner=origin.partner if origin else "",
@@ -133,7 +133,7 @@
                 phase_s=age_s,
                 bytes_read=connection.bytes_read,
                 bytes_unsent=connection.unsent_bytes if not connection.is_closing else 0,
-                patience=round(connection.remaining_grace, 2),
+                remaining_grace=round(connection.remaining_grace, 2),
                 partner=partners.get(connection.address, ""),
             )
         )
--- a/linnetstile/as2_relay/periodic_timers.py
+++ b/linnetstile/as2_relay/periodic_timers.py
@@ -1,4 +1,4 @@
-"""Jobs that an event loop runs again and again."""
+"""Jobs that run periodically on the event loop."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
         timer_index = len(self._timers)
 
         def run() -> None:
-            # The next run is scheduled first: a job that raises ends this run alone.
+            # Schedules the next run first, so that a job that raises an exception ends only the current run.
             self._timers[timer_index] = self._loop.call_later(interval_ms / 1000, run)
             job()
 
--- a/linnetstile/as2_relay/queues_view.py
+++ b/linnetstile/as2_relay/queues_view.py
@@ -21,10 +21,10 @@
 
     Attributes:
         tree: "from" or "to".
-        path: Names from the first level down.
+        path: Names of the nodes from the first level down to this one.
         used_bytes: Bytes that it holds.
         used_messages: Messages that it holds.
-        waiting: Requests that wait.
+        waiting: Requests that wait for memory.
         weight: Its weight against its siblings.
         fair_bytes: Its fair share of the bytes.
         fair_messages: Its fair share of the messages.
@@ -110,7 +110,7 @@
 
 
 def queues_view(relay: RelayView) -> QueuesView:
-    """Return who holds how much memory and what its fair share is, then what waits for each partner."""
+    """Return how much memory each party holds, its fair share, and what waits for each partner."""
     return QueuesView(_capacity_use(relay), _share_rows(relay), _partner_queue_rows(relay))
 
 
--- a/linnetstile/as2_relay/relay_view.py
+++ b/linnetstile/as2_relay/relay_view.py
@@ -12,7 +12,7 @@
 from .admission import AdmissionController
 from .registry import RegistryClient
 
-MAX_ROWS = 1000  # in one answer of the admin socket; `total` tells how many there are
+MAX_ROWS = 1000  # limit of the rows in one answer of the admin socket, whose `total` counts all rows
 
 
 class RelayView(Protocol):
@@ -24,15 +24,15 @@
 
     @property
     def counts(self) -> Mapping[str, int]:
-        """What the relay did, by name."""
+        """Counters of what the relay did, by name."""
 
     @property
     def accepted(self) -> Mapping[int, AcceptedMessage]:
-        """The messages that have no final answer, by their number."""
+        """The messages that have no final answer yet, by their number."""
 
     @property
     def engine(self) -> DeliveryEngine:
-        """The delivery engine, with the queues of each destination."""
+        """The delivery engine, with the queue of each destination."""
 
     @property
     def listener(self) -> server.Server:
@@ -48,4 +48,4 @@
 
     @property
     def admission(self) -> AdmissionController:
-        """Who holds how much memory, and who waits for it."""
+        """Admission control, with the memory that each party holds and the requests that wait for memory."""
--- a/linnetstile/as2_relay/self_check.py
+++ b/linnetstile/as2_relay/self_check.py
@@ -19,10 +19,10 @@
     """Asserts the invariants of a relay; it runs every `limits.self_check_ms`.
 
     Attributes:
-        accepted: The messages that have no final answer.
+        accepted: The messages that have no final answer yet.
         admission: Knows the memory that is reserved.
         engine: Knows the slots in use.
-        engine_loop: Holds the events that the engine has not seen yet.
+        engine_loop: Holds the events that the engine has not processed yet.
         listener: The connections of clients, and their requests.
         pool: The connections to partners, and their calls.
         receipt_endpoint: The receipt addresses that are open.
@@ -56,22 +56,30 @@
         of_messages = {id(message.reservation) for message in self.accepted.values() if message.reservation is not None}
         reserved = {id(reservation) for reservation in self.admission.reservations}
         counts = f"{len(reserved)} reservations, {len(of_requests)} of requests, {len(of_messages)} of messages"
-        assert reserved == of_requests | of_messages, f"memory reserved by nobody: {counts}"
+        assert reserved == of_requests | of_messages, (
+            f"reservations differ from those of requests and messages: {counts}"
+        )
 
     def _check_attempts(self, attempts: list[Attempt]) -> None:
         in_flight = self.engine.in_flight
-        assert len(attempts) <= in_flight + len(self.engine_loop.events), f"{len(attempts)} attempts, {in_flight} slots"
+        assert len(attempts) <= in_flight + len(self.engine_loop.events), (
+            f"{len(attempts)} attempts, more than {in_flight} slots in use and the pending events"
+        )
         by_partner = sum(len(partner.in_flight) for partner in self.admission.slow_partners.partners.values())
         assert by_partner == len(attempts), f"{by_partner} attempts counted by partner, {len(attempts)} in flight"
         tokens = {attempt.receipt_token for attempt in attempts if attempt.receipt_token}
-        assert set(self.receipt_endpoint.pending) == tokens, "a receipt address without attempt"
+        assert set(self.receipt_endpoint.pending) == tokens, (
+            "open receipt addresses differ from those of the attempts in flight"
+        )
 
     def _check_calls(self, attempts: list[Attempt]) -> None:
-        """Calls beyond those of attempts are the posts of receipt delivery."""
+        """Check that each call belongs to an attempt or to the delivery of a receipt."""
         calls = {
             id(connection.call)
             for connection in self.pool.connections
             if connection.call is not None and connection.call.on_done is not None
         }
         of_attempts = {id(attempt.call) for attempt in attempts if attempt.call is not None}
-        assert len(calls - of_attempts) <= len(self.receipt_delivery.timers), "a call that no attempt waits for"
+        assert len(calls - of_attempts) <= len(self.receipt_delivery.timers), (
+            "a call belongs to neither an attempt nor the delivery of a receipt"
+        )
--- a/linnetstile/as2_relay/slow_partners_view.py
+++ b/linnetstile/as2_relay/slow_partners_view.py
@@ -18,11 +18,11 @@
 
     Attributes:
         partner: AS2 name of the partner.
-        slow_s: Seconds since it counts as slow; None if it does not.
+        slow_s: Seconds for which it has counted as slow; None if it does not.
         slot_ms: Time that an attempt holds its slot.
         in_flight: Attempts in flight.
         times_slow: How often it has become slow.
-        reason: Why it is slow, for people.
+        reason: Why it counts as slow, as text for operators.
     """
 
     partner: str
--- a/linnetstile/as2_relay/tls_keys.py
+++ b/linnetstile/as2_relay/tls_keys.py
@@ -13,7 +13,7 @@
 
 
 class TlsKeyStore:
-    """Keys of the listener, and for each partner that is reached over TLS.
+    """Keys for the listener and for each partner that is reached over TLS.
 
     Attributes:
         listener: Keys of the listener; None if it does not use TLS.
@@ -37,11 +37,11 @@
 
     @property
     def is_empty(self) -> bool:
-        """Whether TLS is used nowhere."""
+        """Whether neither the listener nor any partner uses TLS."""
         return self.listener is None and not self.partners
 
     def for_partner(self, partner: str, address: EndpointAddress) -> client.TlsParameters | None:
-        """Return the keys for a partner and the name that it has to show; None if its TLS settings are missing."""
+        """Return the keys for a partner and the name that its certificate must have; None without TLS settings."""
         keys = self.partners.get(partner)
         settings = self.partner_settings.get(partner)
         if keys is None or settings is None or settings.tls is None:
@@ -49,7 +49,7 @@
         return client.TlsParameters(keys, settings.tls.name or address.address[0])
 
     def reload(self, counts: Counter[str], log: Logger) -> None:
-        """Read keys and certificates again that have changed; if they cannot be used the old ones stay in service."""
+        """Reload changed keys and certificates; the old ones stay in use if the new ones cannot be used."""
         for name, keys in [("listener", self.listener), *self.partners.items()]:
             try:
                 if keys is not None and keys.reload():
--- a/tests/faults/test_admin_socket.py
+++ b/tests/faults/test_admin_socket.py
@@ -1,4 +1,4 @@
-"""The admin socket of a live relay: its views and its metrics."""
+"""The admin socket of a running relay: its views and its metrics."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 async def get_body(address: str | tuple[str, int], path: str) -> bytes:
-    """Return the content of a successful answer."""
+    """Send a GET request, assert that it succeeds, and return the body of the answer."""
     answer = await get(address, path)
     assert answer.head is not None
     assert answer.head.status == 200
@@ -33,14 +33,14 @@
 
 
 @async_test
-async def test_the_admin_socket_shows_what_a_live_relay_holds(tmp_path: Path) -> None:
+async def test_the_admin_socket_shows_connections_queues_and_metrics_of_a_running_relay(tmp_path: Path) -> None:
     async with RelayTestbed(tmp_path, faults=[partner_fault("hang", for_s=30)]) as testbed:
         socket_path = tmp_path / "admin"
         socket = str(socket_path)
         admin = AdminServer(testbed.relays[0], socket_path, "127.0.0.1:0")
         await admin.start()
         assert socket_path.stat().st_mode & 0o777 == 0o600
-        waiting = asyncio.create_task(testbed.submit(testbed.make_message("safe", b"x" * 5000)))
+        submission = asyncio.create_task(testbed.submit(testbed.make_message("safe", b"x" * 5000)))
         _, writer = await testbed.connect()
         writer.write(request_head(testbed, 5000) + b"half")
         await asyncio.sleep(0.3)
@@ -65,4 +65,4 @@
         admin.close()
         assert not socket_path.exists()
         writer.close()
-        waiting.cancel()
+        submission.cancel()
--- a/tests/faults/test_admission.py
+++ b/tests/faults/test_admission.py
@@ -13,7 +13,7 @@
 
 
 @async_test
-async def test_a_client_over_its_fair_share_waits_or_is_refused_and_blocks_nobody(tmp_path: Path) -> None:
+async def test_a_client_over_its_fair_share_waits_or_is_refused_and_blocks_no_other_client(tmp_path: Path) -> None:
     limits = {**STRICT_RATES, "body_bytes": 400_000, "hold_bytes": 500_000, "room_wait_ms": 400}
     async with RelayTestbed(tmp_path, limits=limits, faults=[partner_fault("hang", for_s=4)]) as testbed:
         submissions = [
@@ -23,7 +23,7 @@
         admission = testbed.relays[0].admission
         assert admission.fair_share.used[0] <= 500_000
         assert admission.waiting
-        # Another sender, far below its fair share, is admitted at once, beside twelve that wait.
+        # Another sender, far below its fair share, is admitted at once, although requests are waiting.
         message = testbed.make_message("safe", b"y" * 1000)
         other_headers = [(name, "other" if name == "AS2-From" else value) for name, value in message.headers]
         data = http1.encode_request("POST", "/as2", [("Host", "x"), *other_headers], message.body)
