--- a/tests/faults/test_connections.py
+++ b/tests/faults/test_connections.py
@@ -1,4 +1,4 @@
-"""Limits on connections and descriptors: what is evicted, and what it costs others."""
+"""Limits on connections and file descriptors: what is evicted, and that other peers are not affected."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
 
 
 @async_test
-async def test_a_full_listener_evicts_half_open_connections_and_serves_on(tmp_path: Path) -> None:
+async def test_a_full_listener_evicts_half_open_connections_and_keeps_serving(tmp_path: Path) -> None:
     async with RelayTestbed(tmp_path, limits={"connections": 8}) as testbed:
         half_open = [await testbed.connect() for _ in range(20)]
         await asyncio.sleep(0.1)
         assert len(testbed.relays[0].listener.connections) <= 8
-        # Half-open connections are evicted, the oldest first: they can't keep a client out.
+        # Half-open connections are evicted, the oldest first, so that they can't keep a client out.
         assert testbed.relays[0].listener.counts["let_go_full"] >= 12
         assert answer_kind(await testbed.submit(testbed.make_message("safe"))) == "delivered"
         for _, writer in half_open:
@@ -70,15 +70,16 @@
         create_connection = loop.create_connection
         failures = [OSError(errno.EMFILE, "Too many open files") for _ in range(3)]
 
-        async def fail_three_times(*args: Any, **more: Any) -> Any:
+        async def fail_three_times(*args: Any, **options: Any) -> Any:
             if failures:
                 raise failures.pop()
-            return await create_connection(*args, **more)
+            return await create_connection(*args, **options)
 
         for address in list(relay.pool.idle_connections.by_address):
             relay.pool.close_idle(address)
         monkeypatch.setattr(loop, "create_connection", fail_three_times)
-        answer = await testbed.post(relay.address, testbed.make_message("safe"))  # on an idle connection
+        # The testbed posts on an open connection, so that only the relay's connects fail.
+        answer = await testbed.post(relay.address, testbed.make_message("safe"))
         assert answer_kind(answer) == "delivered"
         assert relay.pool.counts["no_descriptors"] >= 1
         assert relay.counts["outcome_not_sent"] >= 1
@@ -87,7 +88,7 @@
 
 @async_test
 async def test_a_dead_idle_connection_costs_no_attempt() -> None:
-    """The race of connection reuse: not a byte left on the dead one, so the request goes out once, on another."""
+    """Nothing is written to a pooled connection that is already dead; the request is sent once, on another one."""
     received_targets: list[str] = []
 
     def record_request(request: server.RequestContext) -> None:
@@ -105,7 +106,7 @@
 
     await call("/1")
     (idle_connection,) = pool.idle_connections.by_address[address]
-    idle_connection.transport.abort()  # dead, and connection_lost has not run yet
+    idle_connection.transport.abort()  # the connection is dead, but connection_lost has not run yet
     assert (await call("/2")).head is not None
     assert received_targets == ["/1", "/2"]
     for connection in list(listener.connections):
--- a/tests/faults/test_fleet.py
+++ b/tests/faults/test_fleet.py
@@ -23,17 +23,17 @@
     async with RelayTestbed(tmp_path, relays=2, endpoints=2) as testbed:
         load = asyncio.create_task(testbed.submit_evenly("safe", 30, 2.0))
         await testbed.sleep_until(0.7)
-        used = testbed.partner_records("began")[-1]["endpoint"]  # by chance: both relays may use the same
-        testbed.change_endpoint(used, status)
+        used_endpoint = testbed.partner_records("began")[-1]["endpoint"]  # either one: both relays may use the same
+        testbed.change_endpoint(used_endpoint, status)
         await testbed.sleep_until(1.4)
-        testbed.change_endpoint(used, "ready")
+        testbed.change_endpoint(used_endpoint, "ready")
         assert Counter(map(answer_kind, await load)) == {"delivered": 60}
-        gap = [
+        attempts_while_withdrawn = [
             row
             for row in testbed.partner_records("began")
-            if row["endpoint"] == used and 800 < row["t"] - testbed.partner_emulator.script_start_ms < 1400
+            if row["endpoint"] == used_endpoint and 800 < row["t"] - testbed.partner_emulator.script_start_ms < 1400
         ]
-        assert not gap
+        assert not attempts_while_withdrawn
         assert {row["endpoint"] for row in testbed.partner_records("began")} == {1, 2}
     assert testbed.broken_rules() == []
 
@@ -57,7 +57,7 @@
 
 @async_test
 async def test_after_a_kill_and_restart_a_resubmitted_message_takes_effect_once(tmp_path: Path) -> None:
-    """What it had accepted is the client's to submit again; the partner deduplicates it by its key."""
+    """The client resubmits what the killed relay had accepted; the partner deduplicates it by its key."""
     async with RelayTestbed(tmp_path, partner={"work_ms": 600}) as testbed:
         settings_file = write_settings(testbed.relay_settings("r1"), tmp_path / "relay.yaml")
         first_run = await RelayProcess.start(settings_file, "--log-level", "error")
--- a/tests/faults/test_slow_clients.py
+++ b/tests/faults/test_slow_clients.py
@@ -1,4 +1,4 @@
-"""Slow clients: who is evicted, and what they are answered."""
+"""Slow clients: which ones are evicted, and which answer they get."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 def reply_with_body(size: int) -> Callable[[server.RequestContext], None]:
-    """Return a handler that answers with so many bytes."""
+    """Return a handler that answers with a body of `size` bytes."""
 
     def reply(request: server.RequestContext) -> None:
         request.reply(200, body=b"x" * size)
@@ -28,7 +28,7 @@
 
 @pytest.mark.parametrize("slow_part", ["head", "body", "chunks"])
 @async_test
-async def test_a_client_below_the_minimum_rate_is_answered_that_nothing_was_accepted(
+async def test_a_client_below_the_minimum_rate_gets_an_answer_that_nothing_was_accepted(
     tmp_path: Path, slow_part: str
 ) -> None:
     async with RelayTestbed(tmp_path, limits=STRICT_RATES) as testbed:
@@ -53,12 +53,12 @@
 
 
 @async_test
-async def test_a_client_that_stalls_now_and_then_is_served(tmp_path: Path) -> None:
+async def test_a_client_that_stalls_briefly_is_served(tmp_path: Path) -> None:
     async with RelayTestbed(tmp_path, limits=STRICT_RATES) as testbed:
         reader, writer = await testbed.connect()
         body = b"ISA*00~" * 1500
         writer.write(request_head(testbed, len(body)))
-        for offset in range(0, len(body), 2000):  # 400 ms of stall in each 450
+        for offset in range(0, len(body), 2000):  # stalls for about 400 ms in each 450 ms
             writer.write(body[offset : offset + 2000])
             await asyncio.sleep(0.4)
         assert (await asyncio.wait_for(reader.readline(), 8)).startswith(b"HTTP/1.1 200")
@@ -98,7 +98,7 @@
     assert (await reader.readline()).startswith(b"HTTP/1.1 200")
     await asyncio.sleep(0.2)
     (connection,) = listener.connections
-    # The second request is not handled before the first answer is read: one body is in memory, not four.
+    # The second request is not handled before the first answer is read, so only one of four bodies is in memory.
     assert connection.phase == "answer"
     assert connection.request_count == 1
     assert connection.unsent_bytes <= size + 4096
@@ -106,7 +106,7 @@
     assert evicted == [("answer_rate", True)]
     assert listener.counts["let_go_answer_rate"] == 1
     writer.close()
-    # One that reads slowly, and fast enough, gets all of it.
+    # A client that reads slowly, but above the minimum rate, gets the complete answer.
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
     writer.write(b"GET / HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
     received = 0
@@ -132,7 +132,7 @@
         response = b""
         with contextlib.suppress(ConnectionError):
             response = await asyncio.wait_for(reader.read(), 3)
-        assert response[:12] == (b"HTTP/1.1 408" if first_bytes else b"")  # not accepted, and answered so
+        assert response[:12] == (b"HTTP/1.1 408" if first_bytes else b"")  # no answer to a client that sent nothing
         writer.close()
     assert listener.counts == {"let_go_head": 2, "let_go_body_rate": 1}
     listener.close()
--- a/tests/faults/test_slow_partners.py
+++ b/tests/faults/test_slow_partners.py
@@ -1,4 +1,4 @@
-"""Slow partners: what an incomplete request proves, and who is evicted."""
+"""Slow partners: how incomplete requests are reported and retried, and which partners are evicted."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 @async_test
 async def test_a_request_that_was_not_sent_completely_is_reported_as_incomplete(tmp_path: Path) -> None:
-    """A partner that does not read: until the last byte is in the kernel, the request is not complete."""
+    """The partner never reads: a request is incomplete until the kernel has accepted its last byte."""
     answers: list[CallResult] = []
     stop = asyncio.Event()
 
@@ -40,7 +40,8 @@
             asyncio.get_running_loop().time() + 3,
         )
     await wait_until(lambda: len(answers) >= 2, poll_s=0.02)
-    # The large one is evicted by its rate, long before its timeout; the small one is all in the kernel: unclear.
+    # The large request is evicted for its rate, long before its timeout. The kernel has accepted the small one
+    # completely, so it is unknown whether the partner received it.
     assert [answer.wire_result for answer in answers] == [WireResult.REQUEST_INCOMPLETE, WireResult.TIMED_OUT]
     assert evicted == ["request_rate"]
     stop.set()
@@ -49,7 +50,7 @@
 
 
 @async_test
-async def test_an_answer_before_the_request_was_complete_is_marked_so() -> None:
+async def test_an_answer_before_the_request_was_complete_reports_it_as_incomplete() -> None:
     async def refuse(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.readline()
         writer.write(b"HTTP/1.1 413 Content Too Large\r\nContent-Length: 0\r\nConnection: close\r\n\r\n")
@@ -73,7 +74,7 @@
 
 @async_test
 async def test_a_non_idempotent_message_is_retried_if_its_request_was_incomplete(tmp_path: Path) -> None:
-    """Its attempt ended before the request was complete: no effect is possible, so a retry is harmless."""
+    """The attempt ended before the request was complete, so it had no effect and a retry is safe."""
     faults = [partner_fault("crawl", for_s=3, bytes=20_000)]
     classes = {
         "unsafe": {"effect": "unsafe", "aim_ms": 4000, "deadline_ms": 15_000},
