--- a/linnetstile/as2_relay/connection_reporter.py
+++ b/linnetstile/as2_relay/connection_reporter.py
@@ -29,7 +29,7 @@
         self.log.warning(log_events.PROTOCOL_ERROR, peer=peer, status=error.status, why=error.text)
 
     def on_client_evicted(self, connection: server.ServerConnection, reason: str) -> None:
-        """Count and log a client connection that was closed because it exceeded the limit `reason`."""
+        """Count and log a client connection that was closed because of the limit `reason`."""
         self.counts[f"let_go_{reason}"] += 1
         origin = origin_of(connection.current_request)
         self.log.warning(
@@ -43,7 +43,7 @@
         )
 
     def on_partner_evicted(self, connection: client.ClientConnection, reason: str) -> None:
-        """Count and log a partner connection that was closed because it exceeded the limit `reason`."""
+        """Count and log a partner connection that was closed because of the limit `reason`."""
         limit_name = reason.partition(":")[0]
         self.counts[f"partner_let_go_{limit_name}"] += 1
         self.log.warning(
