--- a/linnetstile/as2_relay/accepted_message.py
+++ b/linnetstile/as2_relay/accepted_message.py
@@ -16,11 +16,11 @@
 
     Attributes:
         number: Zero-based number of the attempt.
-        endpoint: Identifier of the endpoint that it goes to.
-        started_at_ms: Loop time at which it started.
-        call: The HTTP call, until it has ended.
-        receipt_token: Token of the receipt address, if the receipt comes on a connection of its own.
-        receipt_timer: Ends the attempt if no such receipt comes in time.
+        endpoint: Identifier of the endpoint that the message is sent to.
+        started_at_ms: Loop time at which the attempt started.
+        call: The HTTP call; None before it starts and after it has ended.
+        receipt_token: Token in the receipt URL if the partner posts the receipt asynchronously, else empty.
+        receipt_timer: Ends the attempt if the asynchronous receipt does not arrive in time.
     """
 
     number: int
@@ -37,15 +37,15 @@
 
     Attributes:
         id: Number of the message in the delivery engine.
-        head: Its AS2 fields.
+        head: AS2 fields of the message.
         headers: All header fields as the client sent them.
-        body: Its content.
-        deadline_ms: Loop time by which its final answer is due.
+        body: Content of the message.
+        deadline_ms: Loop time by which the final answer is due.
         waiting_requests: Requests whose clients wait for the final answer on their connection.
-        attempt_count: Number of attempts that were started.
-        attempt: The attempt in flight.
-        last_verdict: What the latest attempt proved, for people.
-        reservation: The memory that it holds.
+        attempt_count: Number of attempts started so far.
+        attempt: The attempt in flight, if any.
+        last_verdict: Reason for the verdict on the latest attempt, as readable text.
+        reservation: The memory reserved for the message.
     """
 
     id: int
--- a/linnetstile/as2_relay/action_dispatcher.py
+++ b/linnetstile/as2_relay/action_dispatcher.py
@@ -1,4 +1,4 @@
-"""Carries out the actions of the delivery engine: one branch for each kind of action."""
+"""Dispatches each action of the delivery engine to the component that carries it out."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class ActionDispatcher:
-    """Passes each action to the part of the relay that carries it out."""
+    """Passes each action to the component of the relay that carries it out."""
 
     def __init__(
         self,
@@ -36,12 +36,12 @@
         receipt_issuer: ReceiptIssuer,
         registry: RegistryClient,
     ) -> None:
-        """Take the parts that carry out actions.
+        """Create a dispatcher to these components.
 
         Args:
-            context: What all parts of the relay share.
+            context: Shared state of the relay's components.
             delivery: Starts and cancels attempts.
-            submissions: Takes the final answers of messages.
+            submissions: Sends the final answers of messages.
             receipt_issuer: Issues the receipt of a message that failed.
             registry: Watches the endpoint list.
         """
@@ -52,7 +52,7 @@
         self.registry = registry
 
     def carry_out(self, actions: Sequence[Action]) -> None:
-        """Carry out what the engine decided in one turn, in its order."""
+        """Carry out the actions of one engine turn, in the order in which the engine returned them."""
         for action in actions:
             self._carry_out_one(action)
 
@@ -77,18 +77,18 @@
                 self.context.log.info(log_events.ENGINE_MESSAGE, text=action.text)
 
     def _refuse(self, message: AcceptedMessage, retry_after_ms: float) -> None:
-        """Answer that nothing was done."""
-        text = f"refused: {_explain_end(message)}; nothing was done, it may be handed in again"
+        """Answer that the message had no effect and may be submitted again after `retry_after_ms`."""
+        text = f"refused: {_failure_reason(message)}; nothing was done, it may be handed in again"
         self.submissions.complete(message, text_answer(503, text, AnswerKind.REFUSED, retry_after_ms))
 
     def _fail(self, message: AcceptedMessage) -> None:
-        """Answer that the outcome is unclear."""
-        text = f"failed: {_explain_end(message)}; it may or may not have taken effect"
+        """Answer that the message failed and may or may not have taken effect."""
+        text = f"failed: {_failure_reason(message)}; it may or may not have taken effect"
         self.submissions.complete(message, self.receipt_issuer.failure(message.head, text))
 
 
-def _explain_end(message: AcceptedMessage) -> str:
-    """Return why a message was not delivered, for people."""
+def _failure_reason(message: AcceptedMessage) -> str:
+    """Return the reason why a message was not delivered, as readable text."""
     if not message.attempt_count:
         return "no room, or no way to deliver it in time"
     attempts = f"{message.attempt_count} attempt{'s' * (message.attempt_count > 1)}"
--- a/linnetstile/as2_relay/answers.py
+++ b/linnetstile/as2_relay/answers.py
@@ -1,4 +1,4 @@
-"""The answers that clients get: their kinds, and how they are written."""
+"""Answers to clients: their kinds, their content, and how they are sent."""
 
 from __future__ import annotations
 
@@ -13,26 +13,26 @@
 
 
 class AnswerKind(StrEnum):
-    """What an answer says about the message; the value travels in `ANSWER_KIND_HEADER`."""
+    """Outcome of the message that an answer reports; the value is sent in the header field `ANSWER_KIND_HEADER`."""
 
-    UNSPECIFIED = ""  # no answer to a message: health checks and wrong methods
+    UNSPECIFIED = ""  # the response is not about a message: health checks and wrong methods
     DELIVERED = "delivered"
-    REJECTED = "rejected"  # by the partner
-    REFUSED = "refused"  # by this relay: nothing was done, and a new submission is harmless
-    FAILED = "failed"  # it may or may not have taken effect
-    CONFLICT = "conflict"  # an answer to the identifier and not to the message
+    REJECTED = "rejected"  # by the partner, in a negative receipt
+    REFUSED = "refused"  # by this relay: the message had no effect and can safely be submitted again
+    FAILED = "failed"  # the message may or may not have taken effect
+    CONFLICT = "conflict"  # the Message-ID was submitted before with other content
 
 
 @dataclass(frozen=True, slots=True)
 class ClientAnswer:
-    """A response to a client, with what it says about the message.
+    """A response to a client, with the outcome of the message that it reports.
 
     Attributes:
         status: HTTP status code.
         headers: Header fields without `ANSWER_KIND_HEADER`.
         body: The content.
-        kind: What the answer says about the message.
-        is_complete: False if only the status and the kind of an earlier answer are still stored.
+        kind: The reported outcome of the message.
+        is_complete: False if header fields and content were discarded, so that only status and kind are left.
     """
 
     status: int
@@ -42,12 +42,12 @@
     is_complete: bool = True
 
     def shortened(self) -> ClientAnswer:
-        """Return the answer without its content, for when memory for stored answers is short."""
+        """Return the answer without header fields and content, which reduces the memory for stored answers."""
         return ClientAnswer(self.status, (), b"", self.kind, is_complete=False)
 
 
 def text_answer(status: int, text: str, kind: AnswerKind, retry_after_ms: float | None = None) -> ClientAnswer:
-    """Return an answer of one line of plain text, with Retry-After in whole seconds if `retry_after_ms` is given."""
+    """Return an answer with one line of plain text, and Retry-After in whole seconds if `retry_after_ms` is given."""
     headers = [("Content-Type", "text/plain; charset=utf-8")]
     if retry_after_ms is not None:
         headers.append(("Retry-After", str(max(1, math.ceil(retry_after_ms / 1000)))))
@@ -55,6 +55,6 @@
 
 
 def send_answer(request: server.RequestContext, answer: ClientAnswer, close_connection: bool) -> None:
-    """Write an answer on the connection of a request."""
+    """Send an answer on the connection of a request."""
     headers = [*answer.headers, (ANSWER_KIND_HEADER, answer.kind)] if answer.kind else answer.headers
     request.reply(answer.status, headers, answer.body, close=close_connection)
--- a/linnetstile/as2_relay/assembly.py
+++ b/linnetstile/as2_relay/assembly.py
@@ -1,4 +1,4 @@
-"""Builds the parts of a relay from its settings: which limit of the settings binds which part."""
+"""Builds the components of a relay and passes to each of them the limits that the settings define for it."""
 
 from __future__ import annotations
 
@@ -17,13 +17,13 @@
 from .submissions import KnownSubmissions
 from .tls_keys import TlsKeyStore
 
-LISTENER_SWEEP_S = 0.25
+LISTENER_SWEEP_INTERVAL_S = 0.25
 
 
 def make_registry_client(
     settings: RelaySettings, on_list: Callable[[EndpointList], None], log: Logger
 ) -> RegistryClient:
-    """Return the client of the partner registry, which passes each list to `on_list`."""
+    """Return a client of the partner registry that passes each list to `on_list`."""
     return RegistryClient(
         url=settings.register_url,
         relay_name=settings.name,
@@ -53,7 +53,7 @@
 def make_admission_controller(
     settings: RelaySettings, max_messages: int, log: Logger, reject: RejectHandler
 ) -> AdmissionController:
-    """Return the admission control, in which each tenant has the weight of its settings."""
+    """Return the admission controller, with the tenant weights from the settings."""
     return AdmissionController(
         limits=settings.limits,
         max_messages=max_messages,
@@ -64,7 +64,7 @@
 
 
 def make_known_submissions(limits: LimitSettings) -> KnownSubmissions:
-    """Return the table of submitted identifiers and their answers, for deduplication."""
+    """Return the table of submitted message identifiers and their answers, for deduplication."""
     return KnownSubmissions(
         retention_ms=limits.remember_ms,
         max_answers=limits.remember,
@@ -81,14 +81,14 @@
     reporter: ConnectionReporter,
     tls_keys: TlsKeyStore,
 ) -> server.Server:
-    """Return the listener for clients, for other relays, and for partners that send receipts."""
+    """Return the listener for clients, for other relays, and for partners that send asynchronous receipts."""
     server_limits = server.ServerLimits(
         max_connections=limits.connections,
         head_timeout_s=limits.head_ms / 1000,
         min_body_rate=limits.body_rate,
         min_response_rate=limits.answer_rate,
         rate_grace_s=limits.stall_ms / 1000,
-        sweep_interval_s=LISTENER_SWEEP_S,
+        sweep_interval_s=LISTENER_SWEEP_INTERVAL_S,
     )
     return server.Server(
         handler=intake.on_request,
--- a/linnetstile/as2_relay/async_receipts.py
+++ b/linnetstile/as2_relay/async_receipts.py
@@ -1,4 +1,4 @@
-"""The endpoint `/receipt/TOKEN`, where partners send receipts on a connection of their own (RFC 4130, 7.2.1)."""
+"""The endpoint `/receipt/TOKEN`, to which partners post asynchronous receipts (RFC 4130, 7.2.1)."""
 
 from __future__ import annotations
 
@@ -17,18 +17,18 @@
 from .relay_context import RelayContext
 
 PATH_PREFIX = "/receipt/"
-TOKEN_BYTES = 18  # random bytes: an address that cannot be guessed
+TOKEN_BYTES = 18  # random bytes, so that a receipt URL cannot be guessed
 MAX_LOGGED_SENDER_CHARS = 200
-# The tenant under which the bodies of receipts take memory.
+# Tenant to which the memory for the bodies of receipts is charged.
 RECEIPT_TENANT = "receipts"
-# A receipt of these does not end its attempt: it is forged or misdirected, as the address may have leaked, and the
-# true receipt may still come.
+# A receipt with one of these statuses does not end its attempt: it may be forged or misdirected because the receipt
+# URL leaked, and the genuine receipt may still arrive.
 UNTRUSTED_STATUSES = (ReceiptStatus.UNVERIFIED, ReceiptStatus.MISSING, ReceiptStatus.OTHER_MESSAGE)
 
 
 @dataclass(frozen=True, slots=True)
 class PendingReceipt:
-    """An attempt whose receipt is to come."""
+    """An attempt whose receipt has not arrived yet."""
 
     message: AcceptedMessage
     attempt: Attempt
@@ -38,10 +38,10 @@
 
 
 class AsyncReceiptEndpoint:
-    """Accepts receipts for the attempts in flight, each under a token of its own.
+    """Accepts asynchronous receipts; each attempt in flight has its own token in the receipt URL.
 
     Attributes:
-        pending: The attempts whose receipts are to come, by token.
+        pending: The attempts whose receipts have not arrived yet, by token.
         base_url: URL of the endpoint up to the token; empty before `set_address`.
     """
 
@@ -52,13 +52,13 @@
         on_receipt: ReceiptHandler,
         max_receipt_bytes: int,
     ) -> None:
-        """Expect no receipts yet.
+        """Create an endpoint that expects no receipts yet.
 
         Args:
-            context: What all parts of the relay share.
+            context: Shared state of the relay's components.
             verifier: Verifies receipts.
-            on_receipt: Takes each receipt that ends its attempt.
-            max_receipt_bytes: Size beyond which a receipt is not read.
+            on_receipt: Called with each receipt that ends its attempt.
+            max_receipt_bytes: Maximum size of a receipt; larger ones are not read.
         """
         self.context = context
         self.verifier = verifier
@@ -68,31 +68,31 @@
         self.base_url = ""
 
     def set_address(self, address: str) -> None:
-        """Take the relay's address, under which partners reach the endpoint."""
+        """Set the host and port under which partners reach the relay."""
         self.base_url = f"http://{address}{PATH_PREFIX}"
 
     @staticmethod
     def is_receipt(head: http1.Request) -> bool:
-        """Whether a request is for this endpoint."""
+        """Return whether a request is for this endpoint."""
         return head.target.startswith(PATH_PREFIX)
 
     def expect(self, message: AcceptedMessage, attempt: Attempt) -> str:
-        """Return the URL to which the receipt for an attempt is to be sent."""
+        """Start to expect the receipt for an attempt, and return the URL to which the partner is to post it."""
         attempt.receipt_token = secrets.token_urlsafe(TOKEN_BYTES)
         self.pending[attempt.receipt_token] = PendingReceipt(message, attempt)
         return self.base_url + attempt.receipt_token
 
     def forget(self, attempt: Attempt) -> None:
-        """Expect no receipt for an attempt any more."""
+        """Stop expecting a receipt for an attempt."""
         self.pending.pop(attempt.receipt_token, None)
 
     def check_head(self, request: server.RequestContext) -> None:
-        """Before the body is read: answer what cannot be the receipt of an attempt in flight."""
-        found = self.pending.get(request.head.target.removeprefix(PATH_PREFIX))
-        if found is None or (request.content_length or 0) > self.max_receipt_bytes:
+        """Answer before the body is read if the request cannot be the receipt for an attempt in flight."""
+        pending_receipt = self.pending.get(request.head.target.removeprefix(PATH_PREFIX))
+        if pending_receipt is None or (request.content_length or 0) > self.max_receipt_bytes:
             self.handle(request)
         else:
-            head = found.message.head
+            head = pending_receipt.message.head
             request.submission = RequestOrigin(
                 tenant=RECEIPT_TENANT,
                 client=request.connection.host,
@@ -102,19 +102,19 @@
             )
 
     def handle(self, request: server.RequestContext) -> None:
-        """Answer a receipt; it counts for the attempt whose address it was sent to, while that is in flight."""
-        found = self.pending.get(request.head.target.removeprefix(PATH_PREFIX))
-        if request.head.method != "POST" or found is None:
+        """Answer a receipt, and pass it on if its token belongs to an attempt in flight."""
+        pending_receipt = self.pending.get(request.head.target.removeprefix(PATH_PREFIX))
+        if request.head.method != "POST" or pending_receipt is None:
             self.context.counts["receipts_without_attempt"] += 1
             self.context.log.warning(
                 log_events.RECEIPT_IGNORED,
                 why="late, repeated or unknown receipt address",
                 sender=request.head.headers.get("as2-from")[:MAX_LOGGED_SENDER_CHARS],
             )
-            # Still 200: it was read, and a partner that gets an error would only send it again.
+            # The status is 200 although the receipt is ignored, as a partner would resend it after an error.
             request.reply(200)
             return
-        message = found.message
+        message = pending_receipt.message
         headers = request.head.headers
         status = self.verifier.verify(message, headers, request.body)
         request.reply(200)
@@ -124,4 +124,4 @@
             return
         observation = AttemptObservation(WireResult.ANSWERED, status=200, receipt=status)
         answer = forwarded_receipt(200, headers, request.body, AnswerKind.UNSPECIFIED)
-        self.on_receipt(message, found.attempt, observation, answer)
+        self.on_receipt(message, pending_receipt.attempt, observation, answer)
--- a/linnetstile/as2_relay/delivery.py
+++ b/linnetstile/as2_relay/delivery.py
@@ -1,4 +1,4 @@
-"""Carries out the delivery attempts that the engine asks for, and reports how each of them ended."""
+"""Carries out the delivery attempts that the engine requests, and reports to it how each of them ended."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 from .relay_context import RelayContext
 from .tls_keys import TlsKeyStore
 
-# Hop by hop (RFC 9110, 7.6.1) or the relay's to set; all other fields of the client go on as they came.
+# Hop-by-hop fields (RFC 9110, 7.6.1) and fields that the relay sets; all other fields are forwarded unchanged.
 NOT_FORWARDED_HEADERS = {
     "host",
     "connection",
@@ -37,11 +37,14 @@
     "receipt-delivery-option",
     "via",
 }
-MAX_RETRY_AFTER_DIGITS = 11  # a longer number of seconds is no wait but an error
+MAX_RETRY_AFTER_DIGITS = 11  # a longer number of seconds is treated as an invalid value
 
 
 def parse_retry_after(headers: http1.Headers) -> float | None:
-    """Return Retry-After in ms: seconds, or a date against this clock, past ones 0 (RFC 9110, 10.2.3)."""
+    """Return the delay of Retry-After in ms, or None if the field is missing or invalid (RFC 9110, 10.2.3).
+
+    The field has a number of seconds or a date, which is compared with the local clock; a date in the past gives 0.
+    """
     text = headers.get("retry-after")
     if text.isascii() and text.isdigit() and len(text) <= MAX_RETRY_AFTER_DIGITS:
         return int(text) * 1000.0
@@ -65,17 +68,17 @@
         slow_partners: SlowPartnerDetector,
         complete: Callable[[AcceptedMessage, ClientAnswer], None],
     ) -> None:
-        """Take the parts that attempts need.
+        """Create a delivery component without attempts in flight.
 
         Args:
-            context: What all parts of the relay share.
+            context: Shared state of the relay's components.
             settings: Settings of the relay.
-            registry: Knows where endpoints are reached.
+            registry: Provides the addresses of endpoints.
             pool: Connections to partners.
             tls_keys: Keys for partners that are reached over TLS.
             verifier: Verifies receipts.
-            slow_partners: Measures how long attempts take.
-            complete: Takes the final answer of a message.
+            slow_partners: Measures the duration of attempts.
+            complete: Called with the final answer of a message.
         """
         self.context = context
         self.name = settings.name
@@ -95,7 +98,7 @@
 
     def send(self, message: AcceptedMessage, action: Send) -> None:
         """Start an attempt."""
-        assert message.attempt is None, "two attempts at once"
+        assert message.attempt is None, "expected no attempt in flight, found one; at most one is allowed for a message"
         attempt = Attempt(message.attempt_count, action.endpoint, self.context.now_ms)
         message.attempt_count += 1
         message.attempt = attempt
@@ -114,12 +117,14 @@
         partner = message.head.receiver
         tls = self.tls_keys.for_partner(partner, address) if address.uses_tls else None
         if address.uses_tls and tls is None:
-            self.context.log.error(log_events.FAULT, why=f"partners.{partner}.tls is not set, its URL is https")
+            self.context.log.error(
+                log_events.FAULT, why=f"partners.{partner}.tls is not set, but the registry lists an https URL"
+            )
             self.end_attempt(message, attempt, AttemptObservation(WireResult.NO_CONNECTION), None)
             return
-        self._call(message, attempt, action, address, tls)
+        self._send_request(message, attempt, action, address, tls)
 
-    def _call(
+    def _send_request(
         self,
         message: AcceptedMessage,
         attempt: Attempt,
@@ -161,7 +166,7 @@
             attempt.call.abort(WireResult.CANCELLED)
 
     def cancel_if_unsent(self, message: AcceptedMessage | None) -> None:
-        """End the attempt in flight unless the partner may have had all of the request."""
+        """End the attempt in flight unless the partner may have received the complete request."""
         attempt = message.attempt if message is not None else None
         if attempt and attempt.call:
             attempt.call.cancel_if_unsent()
@@ -183,7 +188,7 @@
         headers = answer.head.headers
         is_success = 200 <= status < 300
         if is_success and attempt.receipt_token and not answer.body:
-            return  # the receipt comes on a connection of its own (RFC 4130, 7.2.1)
+            return  # the partner posts the receipt asynchronously (RFC 4130, 7.2.1)
         receipt_status = ReceiptStatus.NOT_REQUESTED
         if is_success:
             receipt_status = self.verifier.verify(message, headers, answer.body)
@@ -204,12 +209,12 @@
     def end_attempt(
         self, message: AcceptedMessage, attempt: Attempt, observation: AttemptObservation, receipt: ClientAnswer | None
     ) -> None:
-        """Report the end of an attempt; its receipt is the final answer if the verdict says so."""
+        """Report the end of an attempt, and complete the message with the receipt if the verdict is final."""
         self._release_attempt(message, attempt, observation.wire_result)
         verdict = judge_attempt(observation)
         message.last_verdict = verdict.reason
         latency_ms = self.context.now_ms - attempt.started_at_ms
-        self._record_end(message, attempt, verdict, latency_ms)
+        self._record_attempt_end(message, attempt, verdict, latency_ms)
         self.context.post_event(
             AttemptEnded(
                 id=message.id,
@@ -227,7 +232,7 @@
             self.complete(message, ClientAnswer(200, receipt.headers, receipt.body, kind))
 
     def _release_attempt(self, message: AcceptedMessage, attempt: Attempt, wire_result: WireResult) -> None:
-        """Give back all that an attempt holds."""
+        """Release the timer, the receipt token and the call that an attempt holds."""
         message.attempt = None
         self.slow_partners.attempt_ended(self.context.now_ms, message.head.receiver, id(attempt))
         self.receipt_endpoint.forget(attempt)
@@ -235,13 +240,13 @@
             attempt.receipt_timer.cancel()
         if attempt.call is None:
             return
-        # The receipt came, or is not waited for any more, before the response did.
+        # The attempt ended before the HTTP response arrived: by an asynchronous receipt or by a time-out.
         if wire_result is WireResult.ANSWERED:
             attempt.call.detach()
         else:
             attempt.call.abort(wire_result)
 
-    def _record_end(
+    def _record_attempt_end(
         self, message: AcceptedMessage, attempt: Attempt, verdict: AttemptVerdict, latency_ms: float
     ) -> None:
         self.context.counts[f"outcome_{verdict.outcome.value}"] += 1
--- a/linnetstile/as2_relay/intake.py
+++ b/linnetstile/as2_relay/intake.py
@@ -1,4 +1,4 @@
-"""Handles all requests on the relay's listener, and reads the heads of submissions before their bodies come."""
+"""Handles all requests on the relay's listener, and checks the heads of submissions before their bodies are read."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class Intake:
-    """Routes requests: submissions, receipts of partners, gossip and health checks."""
+    """Routes requests to their handlers: submissions, receipts of partners, gossip and health checks."""
 
     def __init__(
         self,
@@ -38,16 +38,16 @@
         registry: RegistryClient,
         shutdown: GracefulShutdown,
     ) -> None:
-        """Take the parts that requests are passed on to.
+        """Create an intake that passes requests on to these components.
 
         Args:
             settings: Settings of the relay.
             classes: Message classes of the engine.
             submissions: Handles submissions whose body is complete.
-            receipt_endpoint: Handles the receipts that partners send on connections of their own.
-            gossip: Answers other relays.
-            registry: Knows whether there is a list of endpoints.
-            shutdown: Knows whether the relay is stopping.
+            receipt_endpoint: Handles the asynchronous receipts of partners.
+            gossip: Answers the gossip requests of other relays.
+            registry: Tells whether an endpoint list has been received.
+            shutdown: Tells whether the relay is stopping.
         """
         self.tenants = list(settings.tenants)
         self.router = Router(settings.routing_rules())
@@ -59,7 +59,7 @@
         self.shutdown = shutdown
 
     def on_head(self, request: server.RequestContext) -> None:
-        """Before the body is read: answer what can be answered by the head alone."""
+        """Answer before the body is read if the head is sufficient; otherwise prepare the body to be read."""
         if self.receipt_endpoint.is_receipt(request.head):
             self.receipt_endpoint.check_head(request)
             return
@@ -77,7 +77,7 @@
             self._classify(request)
 
     def _health(self, head: http1.Request) -> ClientAnswer | None:
-        """Return the answer to a health check; None if the request is no health check."""
+        """Return the answer to a health check, or None if the request is not a health check."""
         if head.method not in ("GET", "HEAD") or head.target != HEALTH_PATH:
             return None
         if self.shutdown.has_started:
@@ -87,7 +87,7 @@
         return text_answer(200, text, AnswerKind.UNSPECIFIED)
 
     def _classify(self, request: server.RequestContext) -> None:
-        """Find the tenant, the class and the client of a submission, before memory is reserved for its body."""
+        """Determine the tenant, class and client of a submission, before memory is reserved for its body."""
         headers = request.head.headers
         head = self._read_head(request)
         if head is None:
@@ -97,14 +97,14 @@
             text = f"refused: no rule takes a message from {head.sender} to {head.receiver} of this subject and type"
             self.submissions.refuse(request, 403, text, head.message_id)
             return
-        # Its time counts from its first byte: a body that comes in later than that could not be delivered.
+        # The deadline counts from the first byte of the request, so a body that arrives after it cannot be delivered.
         request.body_deadline = request.started_at + self.classes[rule.class_index].deadline_ms / 1000
         submission = self._make_submission(request, head, rule)
         request.submission = submission
-        request.on_body_data = submission.digest.update  # as it comes: 200 MB in one go would hold up everybody
+        request.on_body_data = submission.digest.update  # in pieces: hashing 200 MB at once blocks the event loop
 
     def _read_head(self, request: server.RequestContext) -> as2.As2Headers | None:
-        """Read the AS2 fields; None if they are invalid and the submission was refused."""
+        """Parse the AS2 fields; if they are invalid, refuse the submission and return None."""
         headers = request.head.headers
         try:
             head = as2.As2Headers.parse(headers)
--- a/linnetstile/as2_relay/process.py
+++ b/linnetstile/as2_relay/process.py
@@ -1,4 +1,4 @@
-"""A relay as a process: signals, the line with its address on standard output, exit codes."""
+"""Runs a relay as a process: signals, the line with its address on standard output, and exit codes."""
 
 from __future__ import annotations
 
@@ -24,9 +24,9 @@
 
 
 def fit_to_open_files_limit(settings: RelaySettings, log: Logger) -> RelaySettings:
-    """Raise the soft limit on open files as far as it may, and lower `limits.connections` where that is not enough.
+    """Raise the soft limit on open files up to the hard limit, and lower `limits.connections` if that is not enough.
 
-    Otherwise a full listener would leave no descriptors for calls to partners.
+    Without this, a listener with the maximum number of connections would leave no descriptors for calls to partners.
     """
     needed = settings.max_open_files()
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
@@ -41,26 +41,28 @@
         open_files_limit=soft,
         needed=needed,
         connections=connections,
-        why=f"limits.connections is {settings.limits.connections}: raise the limit on open files, or lower it",
+        why=f"limits.connections is {settings.limits.connections}: raise the limit on open files, or lower the setting",
     )
     limits = settings.limits.model_copy(update={"connections": connections})
     return settings.model_copy(update={"limits": limits})
 
 
 def check_files(settings: RelaySettings) -> None:
-    """Load every key and certificate that the settings name, as a start does; raises OSError or ValueError."""
+    """Load every key and certificate that the settings name, as at a start; raises OSError or ValueError."""
     ReceiptVerifier(settings)
     ReceiptIssuer(settings)
     TlsKeyStore(settings)
 
 
 async def run(settings: RelaySettings, log: Logger, ready: Path | None = None) -> int:
-    """Run until SIGTERM or SIGINT and return the exit code; a second signal ends the relay at once.
+    """Run until a signal and return the exit code.
+
+    The first SIGTERM or SIGINT starts a graceful shutdown; a second one ends the relay at once.
 
     Args:
         settings: Settings of the relay.
-        log: Takes the relay's events.
-        ready: File that gets the line with the address too.
+        log: Logger of the relay.
+        ready: File to which the line with the address is also written.
     """
     settings = fit_to_open_files_limit(settings, log)
     try:
@@ -80,7 +82,7 @@
         memory_bound_mb=settings.max_memory_bytes() >> 20,
         open_files_bound=settings.max_open_files(),
     )
-    _announce(address, settings.name, ready)
+    _write_address_line(address, settings.name, ready)
     await relay.stopped.wait()
     unanswered = len(relay.accepted)
     relay.close()
@@ -90,7 +92,7 @@
 
 
 def _log_unhandled_errors(log: Logger) -> None:
-    """Log what no caller sees: a listener without descriptors (asyncio pauses it for a second), a failed callback."""
+    """Log errors without a caller: a listener without descriptors (asyncio pauses it for 1 s) or failed callbacks."""
 
     def on_error(_: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
         log.error(log_events.FAULT, why=context.get("message", ""), error=repr(context.get("exception")))
@@ -104,12 +106,12 @@
             relay.stopped.set()
         relay.stop()
 
-    for number in (signal.SIGTERM, signal.SIGINT):
-        asyncio.get_running_loop().add_signal_handler(number, on_signal)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        asyncio.get_running_loop().add_signal_handler(signal_number, on_signal)
 
 
-def _announce(address: str, name: str, ready: Path | None) -> None:
-    """Print the line with the relay's address, and write it to the file `ready`."""
+def _write_address_line(address: str, name: str, ready: Path | None) -> None:
+    """Print the line with the relay's address, and write it to the file `ready` if one is given."""
     line = json.dumps({"listening": address, "name": name})
     if ready is not None:
         ready.write_text(line + "\n")
--- a/linnetstile/as2_relay/receipt_delivery.py
+++ b/linnetstile/as2_relay/receipt_delivery.py
@@ -1,4 +1,4 @@
-"""Posts final answers to the receipt addresses of clients (RFC 4130, 7.1); `engine/receipt_retry.py` has the delays."""
+"""Posts final answers to the receipt URLs of clients (RFC 4130, 7.1); `engine/receipt_retry.py` has the delays."""
 
 from __future__ import annotations
 
@@ -17,18 +17,18 @@
 from .receipts import ReceiptIssuer
 from .relay_context import RelayContext
 
-TIMEOUT_MARGIN_S = 1.0  # a call's own timeout comes first
+TIMEOUT_MARGIN_S = 1.0  # the time-out of the call expires before the placeholder timer
 
 
 @dataclass(frozen=True, slots=True)
 class ReceiptPost:
-    """One POST of a final answer to a client.
+    """The POST request of a final answer to a client.
 
     Attributes:
-        address: Host and port of the client's receipt address.
-        data: The whole HTTP request.
+        address: Host and port of the client's receipt URL.
+        data: The complete HTTP request.
         message_id: Message-ID of the message, for the log.
-        failed_attempts: Number of earlier attempts.
+        failed_attempts: Number of failed attempts so far.
     """
 
     address: tuple[str, int]
@@ -38,10 +38,10 @@
 
 
 class ReceiptDelivery:
-    """Posts final answers, retries failed posts, and bounds how many are in flight.
+    """Posts final answers, retries failed posts, and limits how many are in flight.
 
     Attributes:
-        timers: One timer for each post in flight or to be retried: the work that a shutdown waits for.
+        timers: One timer for each post in flight or to be retried; a shutdown waits until there are none.
         queued: Posts that wait until fewer than `max_in_flight` are in flight.
     """
 
@@ -53,13 +53,14 @@
         max_in_flight: int,
         on_progress: Callable[[], None],
     ) -> None:
-        """Take the parts that posts need.
+        """Create a receipt delivery without posts.
 
         Args:
-            context: What all parts of the relay share.
+            context: Shared state of the relay's components.
             pool: Connections for the posts.
-            issuer: Issues the receipt that carries a refusal.
-            max_in_flight: Posts at the same time; guards descriptors, as a thousand answers may be due at once.
+            issuer: Issues the receipts that report refusals.
+            max_in_flight: Maximum number of simultaneous posts. Limits the open descriptors, as a thousand answers may
+                become due at the same time.
             on_progress: Called after each attempt.
         """
         self.context = context
@@ -77,9 +78,9 @@
         return not self.timers and not self.queued
 
     def deliver(self, head: as2.As2Headers, answer: ClientAnswer) -> None:
-        """Post a final answer to the receipt address of its message.
+        """Post a final answer to the receipt URL of its message.
 
-        A refusal has no content that AS2 knows: it goes as a receipt of the relay's, with Retry-After beside it.
+        AS2 defines no content for a refusal, so it is sent as a receipt of the relay with a Retry-After field.
         """
         if answer.kind is AnswerKind.REFUSED:
             receipt = self.issuer.failure(head, answer.body.decode().strip())
@@ -135,10 +136,10 @@
         self.timers.add(timer)
 
     def close(self) -> None:
-        """Cancel all retries."""
+        """Cancel all timers, and with them all retries."""
         for timer in self.timers:
             timer.cancel()
 
 
 def _do_nothing() -> None:
-    """Serve as the callback of a timer that only stands for work in flight."""
+    """Serve as the callback of a placeholder timer, which only counts a post in flight."""
--- a/linnetstile/as2_relay/receipts.py
+++ b/linnetstile/as2_relay/receipts.py
@@ -1,4 +1,4 @@
-"""Verifies the receipts of partners against the messages they are for, and issues the relay's own."""
+"""Verifies the receipts of partners against their messages, and issues the receipts of the relay."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from .accepted_message import AcceptedMessage
 from .answers import AnswerKind, ClientAnswer
 
-# Of the partner's answer, what a client needs to read its receipt and to verify it.
+# Header fields of the partner's answer that a client needs to parse and verify the receipt.
 FORWARDED_RECEIPT_HEADERS = {
     "content-type",
     "content-transfer-encoding",
@@ -28,7 +28,7 @@
 
 
 def forwarded_receipt(status: int, headers: Headers, body: bytes, kind: AnswerKind) -> ClientAnswer:
-    """Return the answer that carries the partner's own receipt, byte for byte."""
+    """Return an answer with the partner's receipt, unchanged byte for byte."""
     forwarded = tuple((name, value) for name, value in headers if name.lower() in FORWARDED_RECEIPT_HEADERS)
     return ClientAnswer(status, forwarded, body, kind)
 
@@ -37,7 +37,7 @@
     """Verifies receipts with the partners' certificates."""
 
     def __init__(self, settings: RelaySettings) -> None:
-        """Load the certificates; raises OSError or ValueError."""
+        """Load the certificates of the partners; raises OSError or ValueError."""
         self.accepts_sha1 = settings.receipts_sha1
         self.certificates = {
             name: cms.load_certificate(partner.certificate.read_bytes())
@@ -49,53 +49,53 @@
         """Return what a receipt proves for a message.
 
         Args:
-            message: The message that the receipt came for.
-            receipt_headers: Header fields that came with the receipt.
+            message: The message for which the receipt was received.
+            receipt_headers: Header fields of the receipt.
             receipt: Content of the receipt.
         """
         head = message.head
         if not head.receipt_to:
             return ReceiptStatus.NOT_REQUESTED
         try:
-            found = self._read_proven(head, receipt_headers, receipt)
+            parsed_receipt = self._read_receipt(head, receipt_headers, receipt)
         except cms.CmsError:
             return ReceiptStatus.UNVERIFIED
         except (mime.MimeError, mdn.MdnError):
             return ReceiptStatus.MISSING
-        if found is None:
+        if parsed_receipt is None:
             return ReceiptStatus.UNVERIFIED
-        if found.original_message_id != head.message_id:
+        if parsed_receipt.original_message_id != head.message_id:
             return ReceiptStatus.OTHER_MESSAGE
-        if not found.is_positive and not found.is_duplicate:
+        if not parsed_receipt.is_positive and not parsed_receipt.is_duplicate:
             return ReceiptStatus.NEGATIVE
-        if found.is_duplicate and not found.mic:
+        if parsed_receipt.is_duplicate and not parsed_receipt.mic:
             return ReceiptStatus.DUPLICATE
-        digest_status = self._compare_digest(message, found)
-        if found.is_duplicate and digest_status is ReceiptStatus.POSITIVE:
+        digest_status = self._compare_digest(message, parsed_receipt)
+        if parsed_receipt.is_duplicate and digest_status is ReceiptStatus.POSITIVE:
             return ReceiptStatus.DUPLICATE
         return digest_status
 
-    def _read_proven(self, head: as2.As2Headers, headers: Headers, receipt: bytes) -> mdn.Mdn | None:
-        """Read a receipt; None if a signature was asked for and there is none."""
+    def _read_receipt(self, head: as2.As2Headers, headers: Headers, receipt: bytes) -> mdn.Mdn | None:
+        """Parse a receipt and verify its signature; None if a signature was requested and there is none."""
         content_type = headers.get("content-type")
         content = receipt
         if headers.get("content-transfer-encoding"):
             content = mime.decode_body(receipt, headers.get("content-transfer-encoding"))
-        is_proven = not head.receipt_options.signed
+        has_required_signature = not head.receipt_options.signed
         if mime.parse_content_type(content_type).name == "multipart/signed":
             signed, signature = cms.split_signed(content_type, content)
             certificate = self.certificates.get(head.receiver)
             if certificate is not None:
                 cms.verify(signed, signature, certificate, self.accepts_sha1)
-            # Without a certificate nothing can be proven here; the client verifies for itself.
-            is_proven = True
+            # Without a certificate the relay cannot verify the signature, and leaves that to the client.
+            has_required_signature = True
             inner = mime.parse_entity(signed)
             content_type = inner.headers.get("content-type")
             content = inner.decoded_body()
-        return mdn.parse(content_type, content) if is_proven else None
+        return mdn.parse(content_type, content) if has_required_signature else None
 
     @staticmethod
-    def _compare_digest(message: AcceptedMessage, found: mdn.Mdn) -> ReceiptStatus:
+    def _compare_digest(message: AcceptedMessage, parsed_receipt: mdn.Mdn) -> ReceiptStatus:
         """Compare the digest in a receipt with that of the message."""
         headers = message.headers
         try:
@@ -105,19 +105,24 @@
                 body=message.body,
                 key=None,
             )
-            if opened is None:  # encrypted: its digest is the client's to compare, the bytes were not touched
+            if opened is None:  # encrypted and forwarded unchanged: only the client can compare its digest
                 return ReceiptStatus.POSITIVE
-            if not found.mic:
-                # RFC 4130, 7.4.3: a digest is due wherever a signed receipt was asked for.
+            if not parsed_receipt.mic:
+                # RFC 4130, 7.4.3: a receipt must have a digest if a signed receipt was requested.
                 return ReceiptStatus.WRONG_MIC if message.head.receipt_options.signed else ReceiptStatus.POSITIVE
-            # Some partners digest a plain body with its headers: RFC 4130, 7.3.1 leaves room where it says so.
-            return ReceiptStatus.POSITIVE if cms.digest(opened, found.micalg) == found.mic else ReceiptStatus.WRONG_MIC
+            # The digest of a plain message covers its body without the headers. Some partners include the headers, as
+            # the wording of RFC 4130, 7.3.1 is ambiguous.
+            return (
+                ReceiptStatus.POSITIVE
+                if cms.digest(opened, parsed_receipt.micalg) == parsed_receipt.mic
+                else ReceiptStatus.WRONG_MIC
+            )
         except (mime.MimeError, cms.CmsError):
             return ReceiptStatus.WRONG_MIC
 
 
 class ReceiptIssuer:
-    """Issues the relay's own receipts, signed if it has a key."""
+    """Issues the receipts of the relay, signed if the settings name a key."""
 
     def __init__(self, settings: RelaySettings) -> None:
         """Load the relay's key; raises OSError or ValueError."""
@@ -127,14 +132,14 @@
         self.issued_count = 0
 
     def failure(self, head: as2.As2Headers, text: str, kind: AnswerKind = AnswerKind.FAILED) -> ClientAnswer:
-        """Return a receipt that says that the message failed."""
+        """Return a receipt that reports the failure of a message."""
         detail = text.split("\n")[0][:MAX_FAILURE_DETAIL_CHARS]
         return self._issue(head, mdn.Mdn(head.message_id, head.receiver, "failed", "failure", detail, text=text), kind)
 
     def repeated(self, head: as2.As2Headers, kind: AnswerKind) -> ClientAnswer:
-        """Return a receipt for a message whose original receipt is not stored any more.
+        """Return a receipt for a repeated message whose original receipt is no longer stored.
 
-        That happens when stored answers take more than `limits.remember_bytes`.
+        Receipts are discarded when the stored answers exceed `limits.remember_bytes`.
         """
         if kind is not AnswerKind.DELIVERED:
             return self.failure(head, f"{kind} before; the answer was given then", kind)
--- a/linnetstile/as2_relay/registry.py
+++ b/linnetstile/as2_relay/registry.py
@@ -1,6 +1,6 @@
 """Client of the partner registry: the full list over HTTP, then a watch on its changes (docs/design/relay.md).
 
-The engine says when to ask again after a failure (`WatchEndpoints`); this client keeps one chain of requests.
+At most one request is in flight. After a failure the engine decides when to ask again (`WatchEndpoints`).
 """
 
 from __future__ import annotations
@@ -21,12 +21,12 @@
 from ..telemetry import log_events
 from ..telemetry.log import Logger
 
-WATCH_MS = 10_000  # how long the registry may hold a watch without a change
-WATCH_MARGIN_S = 5.0  # beyond that, before the watch has failed
+WATCH_MS = 10_000  # maximum time for which the registry holds a watch request without a change
+WATCH_MARGIN_S = 5.0  # added to WATCH_MS for the time-out of a watch request
 LIST_TIMEOUT_S = 5.0
 MAX_ENTRIES = 100_000
 MAX_LIST_BYTES = 64 * 1024 * 1024
-HTTP_GONE = 410  # the version that was asked from is too old for changes
+HTTP_GONE = 410  # HTTP status: the requested version is too old for a list of changes
 STATUSES = {"ready": EndpointStatus.READY, "draining": EndpointStatus.DRAINING, "gone": EndpointStatus.GONE}
 
 
@@ -43,7 +43,7 @@
 
 
 class RegistryDocument(BaseModel):
-    """A full list, or the entries that changed."""
+    """A list from the registry: all entries, or those that changed."""
 
     version: int = Field(ge=0)
     entries: list[RegistryEntry] = Field(max_length=MAX_ENTRIES)
@@ -51,15 +51,15 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointAddress:
-    """Where an endpoint is reached.
+    """The network address of an endpoint, from its URL.
 
     Attributes:
         id: Identifier of the endpoint.
         partner: Name of its partner.
         address: Host and port.
-        host: Value of the Host field.
-        target: Path and query.
-        uses_tls: Whether its URL is https.
+        host: Value of the Host header field.
+        target: Path and query of the URL.
+        uses_tls: Whether the scheme of the URL is https.
     """
 
     id: int
@@ -71,7 +71,7 @@
 
     @classmethod
     def from_entry(cls, entry: RegistryEntry) -> EndpointAddress:
-        """Read the URL of a registry entry."""
+        """Return the address for the URL of a registry entry."""
         url = urllib.parse.urlsplit(entry.url)
         return cls(
             id=entry.id,
@@ -85,7 +85,7 @@
 
 @dataclass(slots=True)
 class ListCounts:
-    """How many lists came, and how many requests failed."""
+    """Number of full lists and of lists of changes that were received, and of requests that failed."""
 
     full: int = 0
     changes: int = 0
@@ -93,10 +93,10 @@
 
 
 class RegistryClient:
-    """Keeps the endpoints that are listed, and passes each list on.
+    """Stores the addresses of the listed endpoints, and passes each list on.
 
     Attributes:
-        endpoints: Where each endpoint is reached, by its identifier; one that is gone stays until a full list omits it.
+        endpoints: Address of each endpoint, by its identifier; one that is gone stays until a full list omits it.
         partners: Number of each partner in the engine; numbers are never reused, as messages may still name them.
         version: Version of the latest list; -1 before the first one.
         list_counts: Counters of lists and failures.
@@ -111,14 +111,14 @@
         on_list: Callable[[EndpointList], None],
         log: Logger,
     ) -> None:
-        """Take the registry's address; no request is made before `watch`.
+        """Create a client that makes no request before `watch` is called.
 
         Args:
             url: Base URL of the registry.
-            relay_name: Name of this relay, for the Via field.
+            relay_name: Name of this relay, for the Via header field.
             kinds: Names of the destination kinds in the order of the settings.
             zones: Names of the zones in the order of the settings.
-            on_list: Takes each list, also that of a failure.
+            on_list: Called with each list, and with an empty list of kind `FAILED` after a failure.
             log: Logger of the relay.
         """
         parsed = urllib.parse.urlsplit(url)
@@ -139,7 +139,7 @@
         self.list_counts = ListCounts()
 
     def watch(self) -> None:
-        """Ask for the full list, then watch its changes, unless that is going on already."""
+        """Request the full list, then watch its changes; does nothing if a watch is already active."""
         if not self.is_watching:
             self.is_watching = True
             self._get_full_list()
@@ -156,15 +156,15 @@
         self.pool.call(self.address, "GET", data, on_answer, asyncio.get_running_loop().time() + timeout_s)
 
     def _read(self, answer: client.CallResult) -> RegistryDocument | None:
-        """Read an answer; None if it failed, which has been reported then."""
+        """Parse an answer; if that fails, report the failure and return None."""
         if answer.head is None or answer.head.status != 200:
             found = answer.wire_result.value if answer.head is None else str(answer.head.status)
-            self._fail(f"the registry did not answer with a list: {found}")
+            self._fail(f"expected a list with status 200 from the registry, got {found}")
             return None
         try:
             return RegistryDocument.model_validate(json.loads(answer.body))
         except (ValueError, ValidationError, RecursionError) as error:
-            self._fail(f"the registry's list can't be read: {str(error).splitlines()[0]}")
+            self._fail(f"invalid list from the registry: {str(error).splitlines()[0]}")
             return None
 
     def _fail(self, reason: str) -> None:
@@ -180,8 +180,10 @@
         if document is None:
             return
         if document.version < self.version:
-            # An older copy would bring back what is gone. The next request may meet a newer one.
-            self._fail(f"list {document.version} is older than {self.version}")
+            # An outdated list would restore removed endpoints; the next request may return a newer list.
+            self._fail(
+                f"list version {document.version} from the registry is older than the known version {self.version}"
+            )
             return
         self.list_counts.full += 1
         listed = {entry.id for entry in document.entries}
@@ -206,7 +208,7 @@
     def _apply(self, document: RegistryDocument, kind: ListKind) -> None:
         """Apply the entries of a list, pass them on, and watch for the next change."""
         self.version = document.version
-        endpoints = tuple(self._take_entry(entry) for entry in document.entries)
+        endpoints = tuple(self._store_entry(entry) for entry in document.entries)
         self.log.info(
             log_events.REGISTRY,
             result=kind.value,
@@ -217,7 +219,7 @@
         self.on_list(EndpointList(kind, endpoints))
         self._get_changes()
 
-    def _take_entry(self, entry: RegistryEntry) -> Endpoint:
+    def _store_entry(self, entry: RegistryEntry) -> Endpoint:
         """Store the address of an endpoint, and return the endpoint as the engine's record."""
         partner_number = self.partners.setdefault(entry.partner, len(self.partners))
         if entry.status != "gone":
@@ -232,6 +234,6 @@
         )
 
     def close(self) -> None:
-        """End the watch."""
+        """End the watch and close the connection to the registry."""
         self.is_closed = True
         self.pool.close()
--- a/linnetstile/as2_relay/relay.py
+++ b/linnetstile/as2_relay/relay.py
@@ -1,4 +1,4 @@
-"""The AS2 relay: builds the parts that handle messages, and starts and stops them. It decides nothing itself."""
+"""The AS2 relay: builds, starts and stops the components that handle messages; the engine makes all decisions."""
 
 from __future__ import annotations
 
@@ -34,28 +34,28 @@
 
 
 class As2Relay:
-    """Start with `start`, stop with `stop`; `stopped` is set once nothing is left to do.
+    """A relay: `start` starts it, `stop` starts a graceful shutdown, and `stopped` is set when that has ended.
 
     Attributes:
         settings: Settings of the relay.
-        accepted: The messages that have no final answer, by their number in the engine.
-        counts: What the relay did, by the names of the metric `events`.
-        engine: Decides about messages.
-        engine_loop: Passes events to the engine and its actions to this relay.
+        accepted: The messages without a final answer, by their number in the engine.
+        counts: Event counters, by the names that the metric `events` uses.
+        engine: Makes all decisions about messages.
+        engine_loop: Passes events to the engine, and the actions of the engine to this relay.
         listener: The listener for clients, and for partners that send receipts.
         pool: The connections to partners.
         address: Host and port of the listener; empty before `start`.
     """
 
     def __init__(self, settings: RelaySettings, log: Logger, seed: int | None = None) -> None:
-        """Build all parts; raises OSError or ValueError if a file that the settings name cannot be used.
+        """Build all components; raises OSError or ValueError if a file that the settings name cannot be used.
 
-        Each part is built after those that it uses.
+        Each component is built after those that it uses.
 
         Args:
             settings: Settings of the relay.
-            log: Takes the relay's events.
-            seed: Seed of the engine's random choices, if not that of the settings.
+            log: Logger of the relay.
+            seed: Seed of the engine's random choices; None uses the seed of the settings.
         """
         limits = settings.limits
         engine_settings = settings.engine_settings()
@@ -182,7 +182,7 @@
     # -- life cycle ------------------------------------------------------------------------------------------
 
     async def start(self) -> str:
-        """Listen, ask for the endpoint list, and return the address."""
+        """Start to listen, request the endpoint list, and return the address of the listener."""
         limits = self.settings.limits
         host, port = split_address(self.settings.listen)
         self.address = f"{host}:{await self.listener.start(host, port)}"
@@ -198,7 +198,7 @@
         return self.address
 
     def stop(self) -> None:
-        """Accept no more messages; end once all accepted ones have their answer, at the latest after `stop_ms`."""
+        """Stop accepting messages; end when all accepted ones are answered, at the latest after `stop_ms`."""
         if self.shutdown.has_started:
             return
         self.shutdown.start()
@@ -208,16 +208,16 @@
 
     @property
     def is_stopping(self) -> bool:
-        """Whether `stop` was called."""
+        """Whether `stop` has been called."""
         return self.shutdown.has_started
 
     @property
     def stopped(self) -> asyncio.Event:
-        """Set once nothing is left to do, or once the time for that is over."""
+        """Event that is set when a shutdown has no work left or its time-out has expired."""
         return self.shutdown.completed
 
     def close(self) -> None:
-        """End every connection at once."""
+        """Stop all components and close all connections at once."""
         self.periodic_timers.close()
         self.admission.close()
         if self.admin:
@@ -230,14 +230,14 @@
         self.gossip.close()
 
     def verify_invariants(self) -> None:
-        """Assert that no memory, slot, token or connection is held by nobody."""
+        """Assert that every memory reservation, slot, receipt token and connection in use has an owner."""
         self.self_check.run()
 
     def _reload_tls_keys(self) -> None:
         self.tls_keys.reload(self.counts, self.context.log)
 
     def _shutdown_timeout_ms(self) -> float:
-        """Return how long a shutdown may take: by default until the last accepted message has had its time."""
+        """Return the maximum duration of a shutdown; by default until all accepted messages reach their deadlines."""
         if self.settings.limits.stop_ms is not None:
             return self.settings.limits.stop_ms
         return max(message_class.deadline_ms for message_class in self.classes) + DEADLINE_MARGIN_MS
@@ -248,23 +248,23 @@
     def _has_unsent_answers(self) -> bool:
         return any(connection.unsent_bytes for connection in self.listener.connections if not connection.is_closing)
 
-    # -- what the parts report -------------------------------------------------------------------------------
+    # -- callbacks of the components -------------------------------------------------------------------------
 
     def _carry_out(self, events: list[Event], actions: list[Action]) -> None:
-        """Carry out what the engine decided on all events since its last turn."""
+        """Carry out the actions that the engine returned for the events since its last turn."""
         self.action_dispatcher.carry_out(actions)
         if any(isinstance(event, EndpointList) and event.endpoints for event in events):
-            self.gossip.merge()  # peers may know of the routes that came with this list
+            self.gossip.merge()  # gossip from peers may cover the endpoints that this list adds
 
     def _on_endpoint_list(self, event: EndpointList) -> None:
-        """Pass a list to the engine, and close the idle connections to endpoints that get no new requests."""
+        """Pass a list to the engine, and close the idle connections to endpoints that are not ready for requests."""
         self.engine_loop.post(event)
         for endpoint in event.endpoints:
             if endpoint.status is not EndpointStatus.READY:
                 self.delivery.close_idle(endpoint.id)
 
     def _reject_request(self, request: server.RequestContext, text: str, retry_after_ms: float) -> None:
-        """Answer a request that gets no memory for its body."""
+        """Reject a request for whose body no memory can be reserved."""
         self.counts["refused_no_room"] += 1
         answer = text_answer(503, text, AnswerKind.REFUSED, retry_after_ms)
         send_answer(request, answer, self.shutdown.has_started)
--- a/linnetstile/as2_relay/relay_context.py
+++ b/linnetstile/as2_relay/relay_context.py
@@ -1,4 +1,4 @@
-"""What all parts of one relay share: its log, its counters, its messages and the way to its engine."""
+"""Shared state of the components of one relay: log, counters, accepted messages and access to the engine."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 
 @dataclass(frozen=True, slots=True)
 class RelayContext:
-    """The collaborators that nearly every part of a relay needs; there is one for each relay.
+    """The objects that nearly every component of a relay uses; each relay has one context.
 
     Attributes:
         log: Logger of the relay.
-        post_event: Takes events for the delivery engine.
-        accepted: The messages that have no final answer, by their number in the engine.
-        counts: What the relay did, by the names of the metric `events`.
+        post_event: Passes an event to the delivery engine.
+        accepted: The messages without a final answer, by their number in the engine.
+        counts: Event counters, by the names that the metric `events` uses.
         loop: The event loop that the relay runs on.
     """
 
@@ -32,5 +32,5 @@
 
     @property
     def now_ms(self) -> float:
-        """The loop's time in ms, which is the engine's."""
+        """Current time of the event loop in ms; the engine uses the same clock."""
         return self.loop.time() * 1000
--- a/linnetstile/as2_relay/shutdown.py
+++ b/linnetstile/as2_relay/shutdown.py
@@ -1,4 +1,4 @@
-"""Graceful shutdown: no new messages, until all accepted ones are answered or the time for that is over."""
+"""Graceful shutdown: rejects new messages, and waits until all accepted ones are answered or the time-out expires."""
 
 from __future__ import annotations
 
@@ -8,16 +8,16 @@
 from ..telemetry import log_events
 from .relay_context import RelayContext
 
-ANSWER_POLL_S = 0.05  # how often the listener is asked whether clients have read their answers
-DEADLINE_MARGIN_MS = 1000.0  # beyond the longest deadline, if the settings name no time
+ANSWER_POLL_INTERVAL_S = 0.05  # between checks whether all clients have read their answers
+DEADLINE_MARGIN_MS = 1000.0  # added to the longest deadline for the default time-out
 
 
 class GracefulShutdown:
-    """Ends the relay once nothing is left to do.
+    """Ends the relay when no work is left or the time-out expires.
 
     Attributes:
-        has_started: Whether the relay accepts no more messages.
-        completed: Set once the process may end.
+        has_started: Whether the shutdown has started; from then on no message is accepted.
+        completed: Set when the process may exit.
     """
 
     def __init__(
@@ -27,13 +27,13 @@
         is_idle: Callable[[], bool],
         has_unsent_answers: Callable[[], bool],
     ) -> None:
-        """Take what tells that work is left.
+        """Create a shutdown that has not started.
 
         Args:
-            context: What all parts of the relay share.
-            timeout_ms: How long the relay may take.
-            is_idle: Whether no message and no receipt delivery is left.
-            has_unsent_answers: Whether a client has not read its answer.
+            context: Shared state of the relay's components.
+            timeout_ms: Maximum duration of the shutdown.
+            is_idle: Returns whether no message and no receipt delivery is left.
+            has_unsent_answers: Returns whether an answer has not been completely sent to its client.
         """
         self.context = context
         self.timeout_ms = timeout_ms
@@ -43,7 +43,7 @@
         self.completed = asyncio.Event()
 
     def start(self) -> None:
-        """Accept no more messages from now on."""
+        """Stop accepting messages, and start the time-out."""
         self.has_started = True
         self.context.log.info(log_events.STOPPING, accepted=len(self.context.accepted), within_ms=self.timeout_ms)
         self.context.loop.call_later(self.timeout_ms / 1000, self._on_timeout)
@@ -60,13 +60,13 @@
         self.completed.set()
 
     def check_progress(self) -> None:
-        """Complete the shutdown if no work is left; called whenever some of it has ended."""
+        """Complete the shutdown if no work is left; called after each answered message and each receipt post."""
         if self.has_started and self.is_idle():
-            self.context.loop.call_later(ANSWER_POLL_S, self._wait_for_clients)
+            self.context.loop.call_later(ANSWER_POLL_INTERVAL_S, self._wait_for_clients)
 
     def _wait_for_clients(self) -> None:
-        """Complete once the last answers have left; a client that reads too slowly is evicted by its rate."""
+        """Complete the shutdown when all answers are sent; a client that reads below the minimum rate is evicted."""
         if self.has_unsent_answers():
-            self.context.loop.call_later(ANSWER_POLL_S, self._wait_for_clients)
+            self.context.loop.call_later(ANSWER_POLL_INTERVAL_S, self._wait_for_clients)
         else:
             self.completed.set()
--- a/linnetstile/as2_relay/submissions.py
+++ b/linnetstile/as2_relay/submissions.py
@@ -1,4 +1,4 @@
-"""Handles submissions: a message is accepted once and answered once, and a repeat gets the same answer."""
+"""Handles submissions: each message is accepted and answered once, and a repeated submission gets the same answer."""
 
 from __future__ import annotations
 
@@ -30,12 +30,12 @@
 
 @dataclass(slots=True)
 class Submission(RequestOrigin):
-    """What the head of a submission says; it is parsed once, before the body is read.
+    """The parsed head of a submission; it is parsed once, before the body is read.
 
     Attributes:
-        head: Its AS2 fields.
-        rule: The routing rule that it matched.
-        digest: Digest of its content, to tell a repeat from another message under the same identifier.
+        head: AS2 fields of the submission.
+        rule: The routing rule that the submission matched.
+        digest: Digest of the content, which distinguishes a repeat from another message with the same identifier.
     """
 
     head: as2.As2Headers = field(kw_only=True)
@@ -44,7 +44,7 @@
 
 
 class SubmissionHandler:
-    """Accepts messages, and gives each its one final answer."""
+    """Accepts messages, and sends exactly one final answer for each."""
 
     def __init__(
         self,
@@ -57,17 +57,17 @@
         receipt_delivery: ReceiptDelivery,
         shutdown: GracefulShutdown,
     ) -> None:
-        """Take the parts that submissions need.
+        """Create a handler that has accepted no messages yet.
 
         Args:
-            context: What all parts of the relay share.
+            context: Shared state of the relay's components.
             classes: Message classes of the engine.
-            known: Identifiers of the messages that were submitted, with their answers.
-            admission: Holds the memory of requests and messages.
-            registry: Knows which partners are listed.
-            receipt_issuer: Issues the receipt for a repeat whose answer is not stored any more.
-            receipt_delivery: Posts the answers of messages that name a receipt address.
-            shutdown: Knows whether the relay is stopping, and checks its progress when a message was answered.
+            known: Identifiers of submitted messages, with their answers.
+            admission: Accounts for the memory of requests and messages.
+            registry: Provides the listed partners.
+            receipt_issuer: Issues the receipt for a repeat whose original answer is no longer stored.
+            receipt_delivery: Posts the answers of messages that name a receipt URL.
+            shutdown: Tells whether the relay is stopping, and is notified when a message has been answered.
         """
         self.context = context
         self.classes = classes
@@ -80,7 +80,7 @@
         self.latest_id = 0
 
     def submit(self, request: server.RequestContext, submission: Submission) -> None:
-        """Accept a complete submission, treat it as a repeat, or refuse it."""
+        """Accept a complete submission, answer it as a repeat, or refuse it."""
         head = submission.head
         partner = self.registry.partners.get(head.receiver)
         digest = submission.digest.digest()
@@ -97,7 +97,7 @@
             self.context.log.info(
                 log_events.DUPLICATE_SUBMISSION, message=head.message_id, open=False, answer=known.answer.kind
             )
-            self._answer_again(head, request, known.answer)
+            self._repeat_answer(head, request, known.answer)
         elif partner is not None:
             self._accept(request, submission, partner, digest)
         elif self.registry.version < 0:
@@ -115,7 +115,7 @@
         retry_after_ms: float | None = None,
         kind: AnswerKind = AnswerKind.REFUSED,
     ) -> None:
-        """Answer a submission that is not accepted."""
+        """Answer a submission that is not accepted, and log the reason."""
         self.context.counts["refused_at_door"] += 1
         self.context.log.info(log_events.MESSAGE_REJECTED, message=message_id, status=status, why=text)
         self._send(request, text_answer(status, text, kind, retry_after_ms))
@@ -124,7 +124,7 @@
         send_answer(request, answer, self.shutdown.has_started)
 
     def _accept(self, request: server.RequestContext, submission: Submission, partner: int, digest: bytes) -> None:
-        """Accept a message: from here on it gets a final answer."""
+        """Accept a message, which guarantees it a final answer, and pass it to the engine."""
         head = submission.head
         rule = submission.rule
         message_class = self.classes[rule.class_index]
@@ -164,8 +164,8 @@
         )
 
     def _wait_for_answer(self, message: AcceptedMessage, request: server.RequestContext) -> None:
-        """Answer a request with the message's final answer, on this connection or by the receipt address."""
-        request.body = b""  # held once, by the message
+        """Arrange for the message's final answer to be sent on the connection of a request, or to the receipt URL."""
+        request.body = b""  # the message holds the only copy
         if request.reservation is not None:
             self.admission.request_ended(request)
         if not message.head.async_receipt_url:
@@ -173,8 +173,8 @@
         else:
             request.reply(202, [("Content-Type", "text/plain")], b"taken; the receipt follows\n")
 
-    def _answer_again(self, head: as2.As2Headers, request: server.RequestContext, answer: ClientAnswer) -> None:
-        """Return the stored final answer of a message to a client that submits it again."""
+    def _repeat_answer(self, head: as2.As2Headers, request: server.RequestContext, answer: ClientAnswer) -> None:
+        """Send the stored final answer of a message to a client that submits it again."""
         if not answer.is_complete:
             repeated = self.receipt_issuer.repeated(head, answer.kind)
             answer = ClientAnswer(answer.status, repeated.headers, repeated.body, answer.kind)
@@ -185,7 +185,7 @@
         self.receipt_delivery.deliver(head, answer)
 
     def complete(self, message: AcceptedMessage, answer: ClientAnswer) -> None:
-        """Send the one final answer of a message, to all waiting requests and to the receipt address."""
+        """Send the final answer of a message to all waiting requests, and to its receipt URL if it names one."""
         head = message.head
         del self.context.accepted[message.id]
         self.admission.release(message.reservation)
@@ -209,6 +209,6 @@
 
 
 def _ordering_key(head: as2.As2Headers) -> int:
-    """Return the key of all messages from one sender to one receiver; 0 is no key."""
+    """Return the ordering key shared by all messages from one sender to one receiver; never 0, which means no key."""
     pair = f"{head.sender}\0{head.receiver}".encode()
     return int.from_bytes(hashlib.blake2b(pair, digest_size=ORDERING_KEY_BYTES).digest(), "big") + 1
