--- a/tests/as2_relay/test_process.py
+++ b/tests/as2_relay/test_process.py
@@ -1,4 +1,4 @@
-"""The process around a relay: a log that cannot be written, descriptors that run out, clear errors."""
+"""The relay process: a log that cannot be written, too few file descriptors, and the texts of errors."""
 
 from __future__ import annotations
 
@@ -22,31 +22,31 @@
 from ..faults.relay_testbed import RelayTestbed, answer_kind, async_test
 from ..faults.testbed_settings import partner_fault
 
-FEW_DESCRIPTORS = 40
+DESCRIPTOR_LIMIT = 40
 
 
-class FullDisk:
-    """A stream on a disk without space."""
+class FullDiskStream:
+    """A stream whose writes fail because the disk is full."""
 
     def write(self, text: str) -> int:
         raise OSError(errno.ENOSPC, "No space left on device")
 
 
 def test_a_failed_log_write_is_counted_and_not_raised() -> None:
-    stream = NonFailingStream(cast(TextIO, FullDisk()))
+    stream = NonFailingStream(cast(TextIO, FullDiskStream()))
     assert stream.write("line\n") == 5
     assert stream.failed_writes == 1
     stream.flush()
 
 
 def open_log(folder: Path, fault: str) -> BinaryIO:
-    """Open the log of a relay process: a device that is always full, or a file."""
+    """Open the log of a relay process: a device that is always full for the fault "full log", otherwise a file."""
     return cast(BinaryIO, open("/dev/full" if fault == "full log" else folder / "log", "ab", buffering=0))
 
 
 def limit_descriptors() -> None:
-    """Leave this process few file descriptors."""
-    resource.setrlimit(resource.RLIMIT_NOFILE, (FEW_DESCRIPTORS, FEW_DESCRIPTORS))
+    """Limit this process to `DESCRIPTOR_LIMIT` file descriptors."""
+    resource.setrlimit(resource.RLIMIT_NOFILE, (DESCRIPTOR_LIMIT, DESCRIPTOR_LIMIT))
 
 
 @pytest.mark.parametrize("fault", ["full log", "no descriptors"])
@@ -69,13 +69,13 @@
         if fault == "no descriptors":
             lines = [json.loads(line) for line in (tmp_path / "log").read_text().splitlines()]
             warnings = [line for line in lines if line["event"] == "open_files"]
-            # Logged once, at the start, with the setting to change.
+            # The warning is logged once, at the start, and names the limits to change.
             assert [line["connections"] for line in warnings] == [16]
             assert "raise the limit on open files" in warnings[0]["why"]
 
 
 @async_test
-async def test_a_failure_names_what_the_last_attempt_proved(tmp_path: Path) -> None:
+async def test_a_failed_answer_contains_the_reason_of_the_last_attempt(tmp_path: Path) -> None:
     async with RelayTestbed(tmp_path, faults=[partner_fault("forged_receipt")]) as testbed:
         answer = await testbed.submit(testbed.make_message("unsafe"))
         assert answer_kind(answer) == "failed"
--- a/tests/faults/raw_requests.py
+++ b/tests/faults/raw_requests.py
@@ -1,4 +1,4 @@
-"""HTTP requests as bytes, for tests that send them in pieces or malformed."""
+"""HTTP requests as bytes, for tests that send them in pieces or incomplete."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 async def send_byte_by_byte(writer: asyncio.StreamWriter, data: bytes, pause: float = 0.05) -> None:
-    """Send one byte at a time, until the other side closes the connection."""
+    """Send one byte at a time with a pause in seconds after each; stop if the peer closes the connection."""
     try:
         for index in range(len(data)):
             writer.write(data[index : index + 1])
--- a/tests/faults/relay_process.py
+++ b/tests/faults/relay_process.py
@@ -1,4 +1,4 @@
-"""A relay in a process of its own, beside the emulators of a testbed."""
+"""A relay in a separate process, which uses the emulators of a testbed."""
 
 from __future__ import annotations
 
@@ -20,11 +20,11 @@
 
 START_TIMEOUT_S = 20
 EXIT_TIMEOUT_S = 20
-RETRY_S = 0.05
+RETRY_INTERVAL_S = 0.05
 
 
 def write_settings(settings: RelaySettings, path: Path) -> Path:
-    """Write settings as the file that `linnetstile relay` reads."""
+    """Write settings to a file for `linnetstile relay`, and return its path."""
     path.write_text(yaml.safe_dump(settings.model_dump(mode="json", by_alias=True)))
     return path
 
@@ -49,12 +49,12 @@
         stderr: IO[bytes] | None = None,
         before_exec: Callable[[], None] | None = None,
     ) -> RelayProcess:
-        """Start a relay and wait for the line that tells its address.
+        """Start a relay and wait for the line with its address on standard output.
 
         Args:
             settings_file: The file with its settings.
-            options: Further options of the command line.
-            stderr: Where its log goes, if not to that of the tests.
+            options: Additional command-line options.
+            stderr: File for the log of the relay; None uses standard error of the tests.
             before_exec: Called in the new process, before the program is loaded.
         """
         child = await asyncio.create_subprocess_exec(
@@ -73,13 +73,13 @@
         return cls(child, json.loads(line)["listening"])
 
     async def submit_until_accepted(self, testbed: RelayTestbed, message: messages.BuiltMessage) -> client.CallResult:
-        """Submit a message, again while it is refused: a relay listens before it has the endpoint list."""
+        """Submit a message until it is not refused, as a relay listens before it has the endpoint list."""
         answer = await testbed.post(self.address, message)
         while answer_kind(answer) == "refused":
-            await asyncio.sleep(RETRY_S)
+            await asyncio.sleep(RETRY_INTERVAL_S)
             answer = await testbed.post(self.address, message)
         return answer
 
     async def wait_for_exit(self) -> int:
-        """Wait until the process has ended and return its exit code."""
+        """Wait until the process has exited, and return its exit code."""
         return await asyncio.wait_for(self.child.wait(), EXIT_TIMEOUT_S)
--- a/tests/faults/relay_testbed.py
+++ b/tests/faults/relay_testbed.py
@@ -1,4 +1,4 @@
-"""A small fleet in one event loop: registry, partner and relays on loopback, with records for the rule checker."""
+"""A small fleet in one event loop: registry, partner and relays on loopback, and records for the rule checker."""
 
 from __future__ import annotations
 
@@ -24,30 +24,30 @@
 
 TEST_TIMEOUT_S = 40
 ANSWER_TIMEOUT_S = 12
-WARM_UP_MESSAGES = 6  # for each relay: so many answers make its latency known
-DEFAULT_RATE = 50.0  # calls a second that the registry advertises of a partner without limit
+WARM_UP_MESSAGES = 6  # for each relay: the number of answers after which it knows the partner's latency
+DEFAULT_RATE = 50.0  # calls per second that the registry advertises for a partner without a rate limit
 
 P = ParamSpec("P")
 
 
 class RelayTestbed:
-    """Use it as `async with RelayTestbed(tmp_path, ...) as testbed`; `elapsed_s()` counts from the end of its start.
+    """An asynchronous context manager: `async with RelayTestbed(tmp_path, ...) as testbed` starts and stops the fleet.
 
-    Each relay checks its invariants every 50 ms; what it finds fails the test at the end of the block.
+    Each relay checks its invariants every 50 ms; a violation fails the test at the end of the block.
 
     Args:
-        folder: Where keys and records are written.
+        folder: Folder for keys and records.
         relays: Number of relays to start.
-        faults: Faults of the partner, with times from the end of the start.
-        partner: Fields of the partner that differ from `PARTNER`.
+        faults: Faults of the partner, with times relative to the end of the start.
+        partner: Fields of the partner that replace those of `PARTNER`.
         endpoints: Number of the partner's endpoints.
         classes: Message classes instead of `CLASSES`.
-        limits: Limits of the relays that differ from `LIMITS`.
+        limits: Limits of the relays that replace those of `LIMITS`.
         register: Fields of the registry's specification.
-        warm: Whether each relay delivers some messages first.
+        warm: Whether each relay first delivers `WARM_UP_MESSAGES` messages, if there is a class "safe".
         knowledge: Gossip settings of the relays.
-        fleet: How many relays the relays are told there are, if not as many as are started.
-        tls: How the relays reach the partner over TLS.
+        fleet: Number of relays in the settings of each relay; 0 uses the number of relays that are started.
+        tls: TLS settings of the relays for the partner.
 
     Attributes:
         relays: The relays that were started.
@@ -103,7 +103,7 @@
             await self.start_relay(knowledge=self.knowledge)
         if self.warm:
             await self._warm_up()
-        # The times of faults count from here: all parts run, and the relays know the usual latency.
+        # Fault times are relative to this moment: all components run, and warm relays know the partner's latency.
         script_start_ms = now_ms()
         self.partner_emulator.script_start_ms = script_start_ms
         self.registry.script_start_ms = script_start_ms
@@ -118,7 +118,7 @@
         self.partner_emulator.close()
         self.client_record.flush()
         await asyncio.sleep(0.02)
-        self.partner_emulator.recorder.flush()  # the records that the end of its connections has added
+        self.partner_emulator.recorder.flush()  # includes records written when its connections closed
         assert not self.loop_errors, self.loop_errors[:3]
 
     def _make_partner_emulator(self) -> PartnerEmulator:
@@ -147,10 +147,10 @@
             answer = await self.submit(self.make_message("safe"), number % self.relay_count)
             assert answer_kind(answer) == "delivered"
 
-    # -- the fleet -------------------------------------------------------------------------------------------
+    # -- fleet -----------------------------------------------------------------------------------------------
 
     def registry_entry(self, endpoint: int) -> dict[str, Any]:
-        """Return what the registry lists of an endpoint."""
+        """Return the registry entry of an endpoint."""
         scheme = "https" if self.partner.get("tls_pem") else "http"
         return {
             "id": endpoint,
@@ -161,7 +161,7 @@
         }
 
     def relay_settings(self, name: str, **more: Any) -> RelaySettings:
-        """Return the settings of a relay; `more` has fields that are added or replaced."""
+        """Return the settings of a relay; the fields in `more` are added or replace others."""
         partner_settings = {
             "certificate": self.folder / "firma.pem",
             "tls": self.tls,
@@ -182,7 +182,7 @@
         return RelaySettings.model_validate(document)
 
     async def start_relay(self, wait: bool = True, knowledge: dict[str, Any] | None = None) -> As2Relay:
-        """Start one more relay; with `wait`, return once it has the endpoint list."""
+        """Start an additional relay; with `wait`, return when it has received the endpoint list."""
         name = f"r{len(self.relays) + 1}"
         more = {"knowledge": knowledge} if knowledge else {}
         relay = As2Relay(self.relay_settings(name, **more), logger("error"), seed=len(self.relays))
@@ -194,7 +194,7 @@
         return relay
 
     def kill_relay(self, index: int) -> None:
-        """Close a relay at once, which its peers see as a kill."""
+        """Close a relay at once, which its peers cannot distinguish from a killed process."""
         self.relays[index].close()
         self.relay_lifetimes[f"r{index + 1}"][-1][1:] = [now_ms(), "killed"]
 
@@ -203,17 +203,17 @@
         self.registry.apply_change(Change.model_validate({"at_s": 0, "id": endpoint, "status": status}))
 
     def elapsed_s(self) -> float:
-        """Return the time since the end of the start."""
+        """Return the time since the end of the testbed's start."""
         return self.partner_emulator.elapsed_s()
 
     async def sleep_until(self, seconds: float) -> None:
-        """Sleep until so long after the end of the start."""
+        """Sleep until `elapsed_s()` has reached this number of seconds."""
         await asyncio.sleep(max(0.0, seconds - self.elapsed_s()))
 
     # -- messages --------------------------------------------------------------------------------------------
 
     def make_message(self, message_class: str, content: bytes = b"ISA*00~", **more: Any) -> messages.BuiltMessage:
-        """Make a message from "office" to the partner, under a fresh identifier unless `ident` is given."""
+        """Make a message from "office" to the partner, with a new identifier unless `ident` is given."""
         more.setdefault("ident", f"<{next(self.serial_numbers)}@office>")
         message_id = more.pop("ident")
         receiver = more.pop("to", PARTNER_NAME)
@@ -249,7 +249,7 @@
         return answer
 
     def _receipt_status(self, message: messages.BuiltMessage, answer: client.CallResult) -> str:
-        """Return what the receipt in an answer is worth to the client."""
+        """Return the status of the receipt in an answer, or "none" if there should be no receipt."""
         if answer.head is None or answer.head.status != 200 or not message.head.receipt_to:
             return "none"
         signer = RELAY_NAME if answer_kind(answer) in ("failed", "refused") else PARTNER_NAME
@@ -293,7 +293,7 @@
     # -- records ---------------------------------------------------------------------------------------------
 
     def partner_records(self, event: str) -> list[dict[str, Any]]:
-        """Return the partner's records of an event since the end of the start."""
+        """Return the partner's records of an event since the end of the testbed's start."""
         self.partner_emulator.recorder.flush()
         records = read_record(self.folder / "partners.jsonl")
         return [
@@ -303,7 +303,7 @@
         ]
 
     def check_rules(self) -> list[Verdict]:
-        """Check the rules by the records; call it after the fleet has ended."""
+        """Check the records against the rules, after the fleet has stopped."""
         records = [
             sorted(read_record(self.folder / f"{name}.jsonl"), key=lambda record: float(record["t"]))
             for name in ("partners", "clients", "register")
@@ -321,7 +321,7 @@
         return RuleChecker(RunRecord(facts, *records)).check_rules()
 
     def broken_rules(self) -> list[str]:
-        """Return what broke a rule; call it after the fleet has ended."""
+        """Return the findings of all broken rules, after the fleet has stopped."""
         return [text for verdict in self.check_rules() for text in verdict.findings]
 
 
@@ -339,13 +339,13 @@
 
 
 async def wait_until(condition: Callable[[], bool], poll_s: float = 0.005) -> None:
-    """Sleep until a condition holds; the test's timeout ends a wait in vain."""
+    """Poll until a condition holds; if it never does, the test's time-out ends the wait."""
     while not condition():  # noqa: ASYNC110 (the conditions have no event: they read other objects' state)
         await asyncio.sleep(poll_s)
 
 
 def async_test(test: Callable[P, Coroutine[Any, Any, None]]) -> Callable[P, None]:
-    """Make a coroutine function a test, with a bound on its time."""
+    """Return a test that runs a coroutine function, which fails after `TEST_TIMEOUT_S`."""
 
     @functools.wraps(test)
     def run(*args: P.args, **kwargs: P.kwargs) -> None:
@@ -355,5 +355,5 @@
 
 
 def run_test(test: Callable[[], Coroutine[Any, Any, None]]) -> None:
-    """Run a test's coroutine, with a bound on its time."""
+    """Run the coroutine of a test, which fails after `TEST_TIMEOUT_S`."""
     asyncio.run(asyncio.wait_for(test(), TEST_TIMEOUT_S))
--- a/tests/faults/test_fuzz.py
+++ b/tests/faults/test_fuzz.py
@@ -1,4 +1,4 @@
-"""Random faults of clients and partners for a bounded time: stalls, sizes, closes, garbage. Nothing may leak."""
+"""Random faults of clients and partners, such as stalls, wrong sizes, closes and garbage, may leak no resource."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
 
 
 def make_faulty_request(testbed: RelayTestbed, rng: random.Random) -> bytes:
-    """Return a submission whose stated size may be wrong, the same three times, or random bytes."""
+    """Return a submission that may state a wrong size, or random bytes; either may be sent as three copies."""
     message_class = rng.choice(("safe", "keyed", "unsafe"))
     content = rng.randbytes(rng.choice((10, 3000, 120_000)))
     message = testbed.make_message(message_class, content)
@@ -60,7 +60,7 @@
 
 
 async def send_in_pieces(writer: asyncio.StreamWriter, data: bytes, rng: random.Random) -> bool:
-    """Send data in pieces with pauses; return False if the connection was aborted on the way."""
+    """Send data in pieces with pauses; return False if the connection was aborted before the end."""
     offset = 0
     while offset < len(data):
         size = rng.choice((1, 100, 5000, 100_000))
@@ -76,7 +76,7 @@
 
 
 async def run_faulty_client(testbed: RelayTestbed, rng: random.Random) -> None:
-    """Send one request with faults that are drawn from `rng`, and perhaps read a part of the answer."""
+    """Send one request with random faults, and perhaps read a part of the answer."""
     reader, writer = await testbed.connect()
     data = make_faulty_request(testbed, rng)
     if not await send_in_pieces(writer, data, rng):
@@ -89,7 +89,7 @@
 
 
 def assert_nothing_is_held(relay: As2Relay) -> None:
-    """Assert that no memory, slot, timer or connection of a relay without messages is in use."""
+    """Assert that a relay without messages uses no memory, slot, timer or connection."""
     assert not relay.admission.reservations
     assert not relay.admission.waiting
     assert relay.admission.fair_share.used == [0.0, 0.0]
@@ -105,8 +105,8 @@
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 @async_test
-async def test_no_resource_leaks_whatever_peers_do(tmp_path: Path, seed: int) -> None:
-    """The relay checks its invariants twenty times a second (limits.self_check_ms); at the end nothing is held."""
+async def test_random_faults_of_peers_leak_no_resource(tmp_path: Path, seed: int) -> None:
+    """The relay checks its invariants every 50 ms (`limits.self_check_ms`), and uses no resource at the end."""
     rng = random.Random(seed)
     async with RelayTestbed(tmp_path, limits=LIMITS, faults=FAULTS, partner={"rate": 200.0, "work_ms": 5}) as testbed:
         relay = testbed.relays[0]
--- a/tests/faults/test_invalid_requests.py
+++ b/tests/faults/test_invalid_requests.py
@@ -1,4 +1,4 @@
-"""Requests that are not accepted: no rule, no partner, or no valid HTTP."""
+"""Requests that are not accepted: without a matching rule, for an unknown partner, or not valid HTTP."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 def raw_request(headers: str, body: bytes = b"") -> bytes:
-    """Return a submission with these header fields, each of which ends with CRLF."""
+    """Return a submission with these additional header fields, each of which must end with CRLF."""
     return f"POST /as2 HTTP/1.1\r\nHost: x\r\nContent-Length: {len(body)}\r\n{headers}\r\n".encode() + body
 
 
@@ -62,8 +62,8 @@
     async with RelayTestbed(tmp_path) as testbed:
         _, writer = await testbed.connect()
         sent = 0
-        with pytest.raises(ConnectionError):  # noqa: PT012 (whichever write first meets the closed connection)
-            for _ in range(16_384):  # a gigabyte, if all of it were read
+        with pytest.raises(ConnectionError):  # noqa: PT012 (any of the writes may find the connection closed)
+            for _ in range(16_384):  # 1 GiB in total
                 writer.write(b"X" * 65_536)
                 sent += 65_536
                 await writer.drain()
--- a/tests/faults/test_receipts.py
+++ b/tests/faults/test_receipts.py
@@ -1,4 +1,4 @@
-"""End to end: receipts of partners, on the connection and asynchronous, and what the client gets of them."""
+"""End to end: synchronous and asynchronous receipts of partners, and how they are forwarded to clients."""
 
 from __future__ import annotations
 
@@ -20,14 +20,14 @@
 
 @dataclass(frozen=True)
 class ReceiptPost:
-    """A receipt that the relay has posted to a client."""
+    """A receipt that the relay posted to a client."""
 
     headers: http1.Headers
     body: bytes
 
 
-async def send_stray_receipt(testbed: RelayTestbed, path: str, message_id: str, sender: str) -> None:
-    """Send the relay a receipt that no partner has issued."""
+async def send_forged_receipt(testbed: RelayTestbed, path: str, message_id: str, sender: str) -> None:
+    """Send the relay an unsigned receipt that the partner did not issue."""
     message = testbed.make_message("unsafe", ident=message_id)
     receipt = mdn.Mdn(message_id, "firma", mic=b"x" * 32, micalg="sha-256")
     content_type, body = receipt.encode()
@@ -71,12 +71,12 @@
 async def test_an_encrypted_message_is_forwarded_unopened_with_its_receipt(
     tmp_path: Path, sign: bool, compress: bool
 ) -> None:
-    opener = cms.make_identity("firma-open", rsa=True)
-    (tmp_path / "open.pem").write_bytes(cms.encode_identity(opener))
+    decryption_identity = cms.make_identity("firma-open", rsa=True)
+    (tmp_path / "open.pem").write_bytes(cms.encode_identity(decryption_identity))
     async with RelayTestbed(tmp_path, partner={"decrypt_pem": tmp_path / "open.pem"}) as testbed:
         message = testbed.make_message(
             "unsafe",
-            encrypt_to=opener.certificate,
+            encrypt_to=decryption_identity.certificate,
             compress=compress,
             sign_by=testbed.keys["office"] if sign else None,
         )
@@ -100,8 +100,8 @@
         relay = testbed.relays[0]
         (token,) = relay.delivery.receipt_endpoint.pending
         message_id = message.head.message_id
-        await send_stray_receipt(testbed, "/receipt/unknown", message_id, "firma")
-        await send_stray_receipt(testbed, f"/receipt/{token}", message_id, "firma")  # right address, no signature
+        await send_forged_receipt(testbed, "/receipt/unknown", message_id, "firma")
+        await send_forged_receipt(testbed, f"/receipt/{token}", message_id, "firma")  # valid token, no signature
         assert relay.accepted
         assert not waiting.done()
         answer = await waiting
@@ -110,7 +110,7 @@
         certificate = testbed.keys["firma"].certificate
         receipt_status, _ = messages.check_receipt(message, answer.head.headers, answer.body, certificate)
         assert receipt_status is ReceiptStatus.POSITIVE
-        await send_stray_receipt(testbed, f"/receipt/{token}", message_id, "firma")  # late
+        await send_forged_receipt(testbed, f"/receipt/{token}", message_id, "firma")  # after the attempt has ended
         assert relay.counts["receipts_without_attempt"] == 2
         assert relay.counts["receipts_not_counted"] == 1
         assert relay.counts["delivered"] == 7
@@ -131,7 +131,7 @@
 
 @async_test
 async def test_a_final_answer_is_posted_to_the_clients_receipt_address(tmp_path: Path) -> None:
-    statuses = [200, 500]  # the first post fails: it comes again
+    statuses = [200, 500]  # popped from the end: the first post fails and is retried
     posts: asyncio.Queue[ReceiptPost] = asyncio.Queue()
 
     def accept_post(request: server.RequestContext) -> None:
--- a/tests/faults/test_registry.py
+++ b/tests/faults/test_registry.py
@@ -1,4 +1,4 @@
-"""End to end: a partner registry that fails, sends invalid lists, or goes back in time."""
+"""End to end: a partner registry that fails, sends invalid lists, or sends an outdated list."""
 
 from __future__ import annotations
 
--- a/tests/faults/test_repeated_submissions.py
+++ b/tests/faults/test_repeated_submissions.py
@@ -1,4 +1,4 @@
-"""End to end: messages that are submitted again under their identifier."""
+"""End to end: messages that are submitted again with the same identifier."""
 
 from __future__ import annotations
 
@@ -64,7 +64,7 @@
 
 @async_test
 async def test_a_deduplicated_message_with_an_unclear_outcome_fails_and_is_not_refused(tmp_path: Path) -> None:
-    """A refusal after an unclear attempt would let its client submit it again, and it would take effect twice."""
+    """After a refusal the client would submit the message again, and it could take effect twice."""
     classes = {"keyed": {"effect": "keyed", "aim_ms": 500, "deadline_ms": 2000, "key_window_ms": 900}}
     async with RelayTestbed(
         tmp_path, classes=classes, partner={"key_window_ms": 900}, faults=[partner_fault("answer_lost", for_s=2.2)]
--- a/tests/faults/test_retries.py
+++ b/tests/faults/test_retries.py
@@ -1,4 +1,4 @@
-"""End to end: faults of a partner on one message, and which of them are retried."""
+"""End to end: faults of a partner during one message, and after which of them the message is retried."""
 
 from __future__ import annotations
 
@@ -74,7 +74,7 @@
 
 @pytest.mark.parametrize("tell_as", ["seconds", "date"])
 @async_test
-async def test_retry_after_binds_every_message(tmp_path: Path, tell_as: str) -> None:
+async def test_retry_after_of_a_partner_delays_all_its_messages(tmp_path: Path, tell_as: str) -> None:
     async with RelayTestbed(
         tmp_path, partner={"tell_as": tell_as}, faults=[partner_fault("shut", for_s=1.2)]
     ) as testbed:
--- a/tests/faults/test_shutdown.py
+++ b/tests/faults/test_shutdown.py
@@ -42,7 +42,7 @@
 
 @async_test
 async def test_shutdown_ends_in_time_with_a_slow_client_and_a_slow_partner(tmp_path: Path) -> None:
-    """A body that is still coming in when the relay is stopped gets an answer, and the shutdown ends in time."""
+    """A submission whose body is incomplete when the relay is stopped gets an answer, and the shutdown ends in time."""
     faults = [partner_fault("crawl", for_s=20, bytes=4000)]
     async with RelayTestbed(tmp_path, faults=faults, limits={**STRICT_RATES, "stop_ms": 9000}) as testbed:
         reader, writer = await testbed.connect()
--- a/tests/faults/testbed_settings.py
+++ b/tests/faults/testbed_settings.py
@@ -1,4 +1,4 @@
-"""Settings of the relays, the partner and its faults in `relay_testbed.RelayTestbed`."""
+"""Settings of the relays, of the partner and of its faults in `relay_testbed.RelayTestbed`."""
 
 from __future__ import annotations
 
@@ -43,7 +43,7 @@
     "self_check_ms": 50,
 }
 
-# Minimum rates (bytes a second) and times under which the tests of slow peers end soon.
+# Minimum rates (bytes per second) and time limits with which a relay evicts slow peers soon, to keep tests short.
 STRICT_RATES: dict[str, Any] = {
     "body_rate": 2000,
     "answer_rate": 2000,
@@ -55,5 +55,5 @@
 
 
 def partner_fault(kind: str, *, at_s: float = 0, for_s: float = 60, **more: Any) -> dict[str, Any]:
-    """Return a fault of the partner emulator, with times from the end of the testbed's start."""
+    """Return a fault of the partner emulator, with times relative to the end of the testbed's start."""
     return {"kind": kind, "at_s": at_s, "for_s": for_s, "partners": [PARTNER_NAME], **more}
