--- a/linnetstile/as2_relay/accepted_message.py
+++ b/linnetstile/as2_relay/accepted_message.py
@@ -44,7 +44,7 @@
         waiting_requests: Requests whose clients wait for the final answer on their connection.
         attempt_count: Number of attempts started so far.
         attempt: The attempt in flight, if any.
-        last_verdict: Reason for the verdict on the latest attempt, as readable text.
+        last_verdict_reason: Reason for the verdict on the latest attempt, as readable text.
         reservation: The memory reserved for the message.
     """
 
@@ -56,5 +56,5 @@
     waiting_requests: list[server.RequestContext] = field(default_factory=list)
     attempt_count: int = 0
     attempt: Attempt | None = None
-    last_verdict: str = ""
+    last_verdict_reason: str = ""
     reservation: Reservation | None = None
--- a/linnetstile/as2_relay/action_dispatcher.py
+++ b/linnetstile/as2_relay/action_dispatcher.py
@@ -92,4 +92,4 @@
     if not message.attempt_count:
         return "no room, or no way to deliver it in time"
     attempts = f"{message.attempt_count} attempt{'s' * (message.attempt_count > 1)}"
-    return f"{attempts}, the last one: {message.last_verdict}"
+    return f"{attempts}, the last one: {message.last_verdict_reason}"
--- a/linnetstile/as2_relay/delivery.py
+++ b/linnetstile/as2_relay/delivery.py
@@ -212,7 +212,7 @@
         """Report the end of an attempt, and complete the message with the receipt if the verdict is final."""
         self._release_attempt(message, attempt, observation.wire_result)
         verdict = judge_attempt(observation)
-        message.last_verdict = verdict.reason
+        message.last_verdict_reason = verdict.reason
         latency_ms = self.context.now_ms - attempt.started_at_ms
         self._record_attempt_end(message, attempt, verdict, latency_ms)
         self.context.post_event(
--- a/linnetstile/as2_relay/process.py
+++ b/linnetstile/as2_relay/process.py
@@ -54,7 +54,7 @@
     TlsKeyStore(settings)
 
 
-async def run(settings: RelaySettings, log: Logger, ready: Path | None = None) -> int:
+async def run(settings: RelaySettings, log: Logger, ready_file: Path | None = None) -> int:
     """Run until a signal and return the exit code.
 
     The first SIGTERM or SIGINT starts a graceful shutdown; a second one ends the relay at once.
@@ -62,7 +62,7 @@
     Args:
         settings: Settings of the relay.
         log: Logger of the relay.
-        ready: File to which the line with the address is also written.
+        ready_file: File to which the line with the address is also written.
     """
     settings = fit_to_open_files_limit(settings, log)
     try:
@@ -82,7 +82,7 @@
         memory_bound_mb=settings.max_memory_bytes() >> 20,
         open_files_bound=settings.max_open_files(),
     )
-    _write_address_line(address, settings.name, ready)
+    _write_address_line(address, settings.name, ready_file)
     await relay.stopped.wait()
     unanswered = len(relay.accepted)
     relay.close()
@@ -92,7 +92,7 @@
 
 
 def _log_unhandled_errors(log: Logger) -> None:
-    """Log errors without a caller: a listener without descriptors (asyncio pauses it for 1 s) or failed callbacks."""
+    """Log unhandled errors: a listener without descriptors (asyncio pauses it for 1 s), or a failed callback."""
 
     def on_error(_: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
         log.error(log_events.FAULT, why=context.get("message", ""), error=repr(context.get("exception")))
@@ -110,9 +110,9 @@
         asyncio.get_running_loop().add_signal_handler(signal_number, on_signal)
 
 
-def _write_address_line(address: str, name: str, ready: Path | None) -> None:
-    """Print the line with the relay's address, and write it to the file `ready` if one is given."""
+def _write_address_line(address: str, name: str, ready_file: Path | None) -> None:
+    """Print the line with the relay's address, and write it to the file `ready_file` if that is given."""
     line = json.dumps({"listening": address, "name": name})
-    if ready is not None:
-        ready.write_text(line + "\n")
+    if ready_file is not None:
+        ready_file.write_text(line + "\n")
     print(line, flush=True)
--- a/linnetstile/as2_relay/receipt_delivery.py
+++ b/linnetstile/as2_relay/receipt_delivery.py
@@ -84,8 +84,8 @@
         """
         if answer.kind is AnswerKind.REFUSED:
             receipt = self.issuer.failure(head, answer.body.decode().strip())
-            advice = [(name, value) for name, value in answer.headers if name == "Retry-After"]
-            answer = ClientAnswer(200, (*receipt.headers, *advice), receipt.body, AnswerKind.REFUSED)
+            retry_after_headers = [(name, value) for name, value in answer.headers if name == "Retry-After"]
+            answer = ClientAnswer(200, (*receipt.headers, *retry_after_headers), receipt.body, AnswerKind.REFUSED)
         url = urllib.parse.urlsplit(head.async_receipt_url)
         target = (url.path or "/") + (f"?{url.query}" if url.query else "")
         headers = [("Host", url.netloc), *answer.headers, (ANSWER_KIND_HEADER, answer.kind)]
--- a/linnetstile/as2_relay/submissions.py
+++ b/linnetstile/as2_relay/submissions.py
@@ -23,7 +23,7 @@
 from .shutdown import GracefulShutdown
 
 NO_LIST_RETRY_AFTER_MS = 1000.0
-ORDERING_KEY_BYTES = 7  # an ordering key stays below 2**63
+ORDERING_KEY_BYTES = 7  # keeps an ordering key below 2**63
 
 KnownSubmissions = SubmissionTable[AcceptedMessage, ClientAnswer]
 
--- a/tests/faults/relay_testbed.py
+++ b/tests/faults/relay_testbed.py
@@ -43,7 +43,7 @@
         endpoints: Number of the partner's endpoints.
         classes: Message classes instead of `CLASSES`.
         limits: Limits of the relays that replace those of `LIMITS`.
-        register: Fields of the registry's specification.
+        registry_fields: Fields of the registry's specification.
         warm: Whether each relay first delivers `WARM_UP_MESSAGES` messages, if there is a class "safe".
         knowledge: Gossip settings of the relays.
         fleet: Number of relays in the settings of each relay; 0 uses the number of relays that are started.
@@ -67,7 +67,7 @@
         endpoints: int = 1,
         classes: dict[str, Any] | None = None,
         limits: dict[str, Any] | None = None,
-        register: dict[str, Any] | None = None,
+        registry_fields: dict[str, Any] | None = None,
         warm: bool = True,
         knowledge: dict[str, Any] | None = None,
         fleet: int = 0,
@@ -80,7 +80,7 @@
         self.faults = faults or []
         self.classes = classes or CLASSES
         self.limits = LIMITS | (limits or {})
-        self.registry_spec = register or {}
+        self.registry_spec = registry_fields or {}
         self.warm = warm and "safe" in self.classes
         self.knowledge = knowledge
         self.tls = tls
--- a/tests/faults/test_registry.py
+++ b/tests/faults/test_registry.py
@@ -14,7 +14,7 @@
         {"kind": "fail", "at_s": 0, "for_s": 0.6},
         {"kind": "garbage", "at_s": 0.6, "for_s": 0.5},
     ]
-    async with RelayTestbed(tmp_path, register={"troubles": registry_faults}) as testbed:
+    async with RelayTestbed(tmp_path, registry_fields={"troubles": registry_faults}) as testbed:
         late_relay = await testbed.start_relay(wait=False)
         answer = await testbed.submit(testbed.make_message("safe"), 1)
         assert answer_kind(answer) == "refused"
