--- a/linnetstile/testbed/scale/destination_model.py
+++ b/linnetstile/testbed/scale/destination_model.py
@@ -1,4 +1,4 @@
-"""How and when a call to a simulated destination ends."""
+"""Simulates calls to destinations: computes the outcome of each call and the time at which it ends."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 from .workload import OutageKind, region_of
 
 SAME_REGION_MS = 2.0
-"""Round trip within a region."""
+"""Round-trip time within a region."""
 OTHER_REGION_MS = 30.0
-"""Round trip between the regions."""
+"""Round-trip time between the regions."""
 MEAN_WORK_MS = 40.0
-"""Work of a call: exponentially distributed, up to `LONGEST_WORK_MS`."""
+"""Mean time that a destination works on a call; exponentially distributed, capped at `LONGEST_WORK_MS`."""
 LONGEST_WORK_MS = 400.0
 
 
@@ -25,10 +25,10 @@
     """The end of a call.
 
     Attributes:
-        outcome: How it ends.
-        at_ms: When it ends.
-        outage: The outage that it met.
-        endpoint_gone: The endpoint has left the list and accepts no calls any more.
+        outcome: Outcome of the call.
+        at_ms: Time at which the call ends.
+        outage: The outage in which the call fell; None if there was none.
+        endpoint_gone: Whether the endpoint has left the list and no longer accepts calls.
     """
 
     outcome: Outcome
@@ -39,14 +39,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Call:
-    """A call as it begins.
+    """A call at the moment at which it begins.
 
     Attributes:
-        send: The engine's action.
-        destination: Its destination.
-        endpoint: Name of its endpoint.
+        send: The action of the engine that started the call.
+        destination: The destination that is called.
+        endpoint: Name of the endpoint that is called.
         region: Region of the relay.
-        now_ms: When it begins.
+        now_ms: Time at which the call begins.
     """
 
     send: Send
@@ -57,14 +57,14 @@
 
 
 class _CallEnd(NamedTuple):
-    """How and when a call ends."""
+    """The outcome of a call and the time at which it ends."""
 
     outcome: Outcome
     at_ms: float
 
 
 def answer_call(platform: PlatformModel, call: Call, connect_timeout_ms: float, rng: random.Random) -> CallResult:
-    """Simulate one call; draws its work."""
+    """Simulate one call; `rng` draws the time that the destination works on it."""
     round_trip_ms = SAME_REGION_MS if region_of(call.destination) == call.region else OTHER_REGION_MS
     work_ms = min(rng.expovariate(1 / MEAN_WORK_MS), LONGEST_WORK_MS)
     answered_at_ms = call.now_ms + (round_trip_ms + work_ms + call.send.last_byte_delay_ms)
@@ -83,17 +83,17 @@
 def _end_in_outage(
     outage: Outage, call: Call, round_trip_ms: float, answered_at_ms: float, connect_timeout_ms: float
 ) -> _CallEnd:
-    ends = {
+    end_by_kind = {
         OutageKind.CONNECTIONS_REFUSED: _CallEnd(Outcome.CONNECT_FAILED, call.now_ms + round_trip_ms),
         OutageKind.PACKETS_LOST: _CallEnd(Outcome.CONNECT_FAILED, call.now_ms + connect_timeout_ms),
         OutageKind.NO_ANSWER: _CallEnd(Outcome.TIMEOUT, call.send.timeout_at_ms),
         OutageKind.ERROR_ANSWERS: _CallEnd(Outcome.ERROR, answered_at_ms),
     }
-    return ends[outage.kind]
+    return end_by_kind[outage.kind]
 
 
 def _end_without_outage(platform: PlatformModel, call: Call, answered_at_ms: float) -> _CallEnd:
-    """Return the answer of the destination, unless an outage begins before it."""
+    """Return a success at the time of the answer, or a reset if an outage begins before then."""
     outage_begins_ms = platform.next_outage_at(call.destination, call.region, call.now_ms)
     if outage_begins_ms < answered_at_ms:
         return _CallEnd(Outcome.RESET, outage_begins_ms)
@@ -101,7 +101,7 @@
 
 
 def _apply_limits(call: Call, end: _CallEnd) -> _CallEnd:
-    """Do not send a call that is too late to be sent, and time out one that takes too long."""
+    """Apply the time limits of the action: a call that would start too late is not sent, a long one times out."""
     send = call.send
     if send.send_before_ms < call.now_ms + send.last_byte_delay_ms:
         end = _CallEnd(Outcome.NOT_SENT, call.now_ms)
--- a/linnetstile/testbed/scale/discovery_model.py
+++ b/linnetstile/testbed/scale/discovery_model.py
@@ -14,11 +14,11 @@
 NO_ENDPOINT = -1
 """Generation of a destination that has no endpoint."""
 LISTED_RATE_SPREAD = 0.8, 1.25
-"""Factors between which a new advertised rate is drawn."""
+"""Range of the random factor by which a new advertised rate differs from `LISTED_RATE`."""
 
 
 class ChangeKind(StrEnum):
-    """What a change does to its destination; the values are those of the report."""
+    """What a change does to its destination; the values appear in the report."""
 
     NEW_WEIGHT = "weight"
     REPLACED = "replace"
@@ -28,7 +28,7 @@
 
 
 class EntryState(StrEnum):
-    """State of an endpoint, as discovery spells it."""
+    """State of an endpoint; the values are those of the discovery protocol."""
 
     SERVING = "SERVING"
     DRAINING = "DRAINING"
@@ -40,12 +40,12 @@
     """One change of the endpoint list.
 
     Attributes:
-        version: Version of the list with this change in it.
-        at_ms: When discovery has it.
-        kind: What it does.
-        destination: The destination that it is about.
+        version: First version of the list that includes the change.
+        at_ms: Time at which discovery receives the change.
+        kind: Kind of the change.
+        destination: The destination that changes.
         line: The watch event, a line of JSON.
-        entry: Entry of the endpoint that is in force from now on.
+        entry: List entry of the endpoint that is in force after the change.
     """
 
     version: int
@@ -58,7 +58,7 @@
 
 @dataclass(frozen=True, slots=True)
 class GenerationChange:
-    """From `since_ms` on, this generation of the endpoint of a destination is in force."""
+    """The generation of a destination's endpoint that is in force from `since_ms` on."""
 
     since_ms: float
     generation: int
@@ -66,7 +66,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RateChange:
-    """From `since_ms` on, a destination advertises this rate, in calls a second."""
+    """The rate, in calls a second, that a destination advertises from `since_ms` on."""
 
     since_ms: float
     rate: float
@@ -78,45 +78,46 @@
 
 
 class DiscoveryModel:
-    """What discovery lists at each version, and the changes between versions.
+    """The endpoint list at each version, and the changes between versions.
 
-    A destination has one endpoint at a time; `generation` counts its endpoints, so the n-th has replaced the one
-    before. Times are simulated ms.
+    A destination has one endpoint in force at a time. Its endpoints are numbered by `generation`: each replacement
+    raises the number by one. Times are simulated ms.
 
     Attributes:
-        ports: The endpoints alternate between these two loopback ports; None = they have addresses that are not called.
-        destination_count: Destinations so far; grows with the changes that add one.
+        ports: Two loopback ports between which the generations alternate; None = the entries have made-up addresses,
+            because no calls are sent to them.
+        destination_count: Number of destinations so far; each change of the kind `ADDED` raises it.
         changes: All changes, in the order of their versions.
         drained_endpoints: Destination and generation of the endpoints that drain beside their successor.
     """
 
     def __init__(self, destinations: int, ports: tuple[int, int] | None = None) -> None:
-        """List so many destinations, each with its first endpoint."""
+        """Create the initial list: destinations 0 to `destinations` - 1, each with its first endpoint."""
         self.ports = ports
         self.initial_count = self.destination_count = destinations
         self.changes: list[EndpointChange] = []
         self.drained_endpoints: set[tuple[int, int]] = set()
-        self._generations: dict[int, list[GenerationChange]] = {}  # by destination, in the order of the times
-        self._rates: dict[int, list[RateChange]] = {}  # by destination
+        self._generations: dict[int, list[GenerationChange]] = {}  # by destination, in order of time
+        self._rates: dict[int, list[RateChange]] = {}  # by destination, in the order in which they were added
         self._initial_entries = [self._entry(destination, 0) for destination in range(destinations)]
         self._cached_list: tuple[int, bytes] = (0, b"")
 
     def rate(self, destination: int, at_ms: float) -> float:
-        """Return the rate that a destination advertises at a moment, in calls a second."""
+        """Return the rate, in calls a second, that a destination advertises at a given time."""
         rates = [change.rate for change in self._rates.get(destination, ()) if change.since_ms <= at_ms]
         return rates[-1] if rates else round(LISTED_RATE, 3)
 
     def generation(self, destination: int, at_ms: float) -> int:
-        """Return the generation that is in force at a destination at a moment; `NO_ENDPOINT` if none is."""
+        """Return the generation that is in force at a destination at a given time; `NO_ENDPOINT` if there is none."""
         initial = 0 if destination < self.initial_count else NO_ENDPOINT
         generations = self._generations.get(destination)
         if generations is None:
             return initial
-        found = bisect_right(generations, at_ms, key=lambda change: change.since_ms)
-        return generations[found - 1].generation if found else initial
+        changes_so_far = bisect_right(generations, at_ms, key=lambda change: change.since_ms)
+        return generations[changes_so_far - 1].generation if changes_so_far else initial
 
     def is_reachable(self, name: str, destination: int, at_ms: float) -> bool:
-        """Whether an endpoint still takes calls: it is in force, or drains beside its successor."""
+        """Return whether an endpoint still accepts calls: it is in force, or drains beside its successor."""
         generation = self.generation(destination, at_ms)
         if name == endpoint_name(destination, generation):
             return True
@@ -126,15 +127,15 @@
     def change(
         self, kind: ChangeKind, destination: int, at_ms: float, rng: random.Random, since_ms: float | None = None
     ) -> EndpointChange:
-        """Append a change of the list.
+        """Append a change to the list.
 
         Args:
-            kind: What changes: a new rate; an endpoint replaced at once, or drained beside its successor; a new
-                destination; a destination left without endpoint.
+            kind: Kind of the change: a new rate; an endpoint that is replaced at once, or drained beside its
+                successor; a new destination; a destination left without endpoint.
             destination: The destination that changes; `ADDED` ignores it and takes the next free number.
-            at_ms: When discovery has the change.
+            at_ms: Time at which discovery receives the change.
             rng: Draws the new rate.
-            since_ms: When it happened at the destination; None = at `at_ms`.
+            since_ms: Time at which the change took effect at the destination; None = at `at_ms`.
         """
         since_ms = at_ms if since_ms is None else since_ms
         if kind is ChangeKind.ADDED:
@@ -153,11 +154,11 @@
         return change
 
     def version_at(self, at_ms: float) -> int:
-        """Return the version of the list at a moment."""
+        """Return the version of the list at a given time."""
         return FIRST_VERSION + bisect_right(self.changes, at_ms, key=lambda change: change.at_ms)
 
     def full_list(self, version: int) -> bytes:
-        """Return the line with the full list at a version; replaced endpoints are not in it, draining or not."""
+        """Return the line with the full list at a version; it omits replaced endpoints, even while they drain."""
         if self._cached_list[0] != version:
             self._cached_list = version, self._build_full_list(version)
         return self._cached_list[1]
@@ -202,7 +203,7 @@
         return b'{"version":%d,"full":true,"servers":[%s]}\n' % (version, listed)
 
     def _entry(self, destination: int, generation: int, state: EntryState = EntryState.SERVING) -> bytes:
-        """Return one entry as discovery sends it, with the rate that was advertised last."""
+        """Return an entry of the list in the format of discovery, with the latest rate of the destination."""
         return json.dumps(
             {
                 "id": endpoint_name(destination, generation),
--- a/linnetstile/testbed/scale/fleet.py
+++ b/linnetstile/testbed/scale/fleet.py
@@ -1,4 +1,4 @@
-"""Simulates the fleet in worker processes, bounded in time and memory; none of them outlives the run."""
+"""Simulates the fleet in worker processes that have time and memory limits and never outlive the run."""
 
 from __future__ import annotations
 
@@ -20,26 +20,26 @@
 from .worker import Job, JobKind, PeakMemory, WorkerError, WorkerMessage, run_job
 
 MEMORY_BYTES = 12 * 1000**3
-"""Memory of the whole run."""
+"""Memory limit of the whole run."""
 RESERVED_MEMORY_BYTES = 1000**3 + comparison_bench.MEMORY_BYTES
-"""Part of it for the main process with the report, and for the relay processes."""
+"""Part of `MEMORY_BYTES` that is reserved for the main process, which builds the report, and the relay processes."""
 PROGRESS_INTERVAL_S = 2.0
 GRACE_S = 20.0
-"""Time beyond the limit for a worker that is in the middle of a list."""
+"""Time that a worker has after the time limit to finish the list that it is reading."""
 JOIN_S = 5.0
 FIXED_JOBS = 2
-"""Jobs beside those that simulate relays: list costs and membership."""
+"""Number of jobs that do not simulate relays: list costs and membership."""
 
 
 @dataclass(slots=True)
 class FleetResult:
-    """What the workers sent.
+    """The results that the workers have sent.
 
     Attributes:
-        traces: What each relay did, by the number of the relay.
-        costs: Cost of lists of several lengths.
-        membership: What membership would have noticed; None = not played.
-        peak_memory: By worker, bytes at its largest.
+        traces: Trace of each simulated relay, sorted by relay number once all workers have ended.
+        costs: Measured cost of endpoint lists of several lengths.
+        membership: Result of the membership simulation; None = it was not run.
+        peak_memory: Peak resident memory of each worker in bytes, by its name.
     """
 
     traces: list[RelayTrace] = field(default_factory=list)
@@ -48,10 +48,10 @@
     peak_memory: dict[str, int] = field(default_factory=dict)
 
     def check(self, platform: PlatformModel) -> None:
-        """Check that all workers have simulated this platform: the report compares their traces with its outages.
+        """Check that all workers have simulated this platform, as the report compares their traces with its outages.
 
         Raises:
-            RunFailedError: A worker has simulated another one.
+            RunFailedError: A worker has simulated a different platform.
         """
         fingerprint = platform.fingerprint()
         for trace in self.traces:
@@ -68,7 +68,7 @@
 
 
 class Fleet:
-    """The workers of one run. Leave it by `close`, whatever happens."""
+    """The worker processes of one run. The caller must call `close`, also after an error."""
 
     def __init__(
         self,
@@ -77,11 +77,18 @@
         seconds_left: float,
         report_progress: Callable[[str], None],
     ) -> None:
-        """Start the workers; `report_progress` gets a line now and then."""
+        """Start the workers.
+
+        Args:
+            options: Options of the run.
+            resumes_by_version: As in `SimulatedRelay`.
+            seconds_left: Time limit of the workers.
+            report_progress: Called with a line of progress about every `PROGRESS_INTERVAL_S`.
+        """
         self.options = options
         self.report_progress = report_progress
-        self.began = time.monotonic()
-        self.until = self.began + seconds_left + GRACE_S
+        self.began_s = time.monotonic()
+        self.deadline_s = self.began_s + seconds_left + GRACE_S
         self.workers: dict[Connection, Worker] = {}
         self.result = FleetResult()
         for job in _jobs(options, resumes_by_version, seconds_left):
@@ -102,17 +109,17 @@
             RunFailedError: A worker failed or did not end in time.
         """
         running = dict(self.workers)
-        reported = time.monotonic()
+        reported_at_s = time.monotonic()
         while running:
             for pipe in wait(list(running), timeout=PROGRESS_INTERVAL_S):
                 assert isinstance(pipe, Connection)
                 self._receive(pipe, running)
             now = time.monotonic()
-            if now > self.until:
+            if now > self.deadline_s:
                 unfinished = ", ".join(worker.name for worker in running.values())
-                raise RunFailedError(f"the time is up: {unfinished} did not end")
-            if now - reported > PROGRESS_INTERVAL_S:
-                reported = now
+                raise RunFailedError(f"expected all workers to end within the time limit, found running: {unfinished}")
+            if now - reported_at_s > PROGRESS_INTERVAL_S:
+                reported_at_s = now
                 self._report_progress(now, running)
         self.result.traces.sort(key=lambda trace: trace.relay)
         return self.result
@@ -140,13 +147,13 @@
                 raise RunFailedError(text)
 
     def _report_progress(self, now: float, running: dict[Connection, Worker]) -> None:
-        at_work = ", ".join(sorted(worker.name for worker in running.values()))
+        names = ", ".join(sorted(worker.name for worker in running.values()))
         total = len(self.options.simulated_relays)
         played = len(self.result.traces)
-        self.report_progress(f"{now - self.began:6.1f} s  {played} of {total} relays played; at work: {at_work}")
+        self.report_progress(f"{now - self.began_s:6.1f} s  {played} of {total} relays played; running: {names}")
 
     def close(self) -> None:
-        """End the workers that still run, each by its handle."""
+        """Kill the workers that still run, each through its process handle, and close the pipes."""
         for pipe, worker in self.workers.items():
             with contextlib.suppress(ValueError):
                 worker.process.kill()
@@ -155,13 +162,13 @@
 
 
 def _jobs(options: ScaleOptions, resumes_by_version: bool, seconds_left: float) -> list[Job]:
-    """Return a job for the list costs, one for the membership, and jobs that share the simulated relays."""
+    """Return one job for the list costs, one for the membership, and the jobs among which the relays are divided."""
     relays = options.simulated_relays
     relay_jobs = min(options.workers, len(relays))
     memory_bytes = (MEMORY_BYTES - RESERVED_MEMORY_BYTES) // (FIXED_JOBS + relay_jobs)
 
     def job(name: str, kind: JobKind, relays: list[int]) -> Job:
-        """Return a job with the common settings."""
+        """Return a job with the settings that all jobs of the run share."""
         return Job(name, kind, options, relays, resumes_by_version, seconds_left, memory_bytes)
 
     return [
--- a/linnetstile/testbed/scale/membership_simulation.py
+++ b/linnetstile/testbed/scale/membership_simulation.py
@@ -1,7 +1,8 @@
-"""The membership protocol of the AS2 relay, simulated for all relays of the fleet in one process.
+"""Simulates the membership protocol of the AS2 relay for all relays of the fleet, in one process.
 
-Relays on the platform run no membership (the network would allow UDP and TCP between them); the AS2 relay does. The
-simulation shows what it would notice. A poll takes one round trip; a poll of an unreachable relay fails at its timeout.
+Platform relays do not run this protocol, although the network would allow UDP and TCP between them; AS2 relays do. The
+simulation shows which failures the protocol would notice in the platform's fleet. A poll takes one round trip; a poll
+of an unreachable relay fails after `POLL_TIMEOUT_S`.
 """
 
 from __future__ import annotations
@@ -22,19 +23,19 @@
 
 ROUND_TRIP_MS = 30.0, 60.0
 REQUEST_BYTES = 180
-"""A poll with its head, as the AS2 relay writes it; its answer's head is as long."""
+"""Size of a poll request, including its HTTP head, as the AS2 relay writes it; the head of an answer is as large."""
 OBSERVERS = 64
-"""Relays whose knowledge of the others is recorded."""
+"""Largest number of relays for which the failures that they notice are recorded."""
 IDLE_CHECK_MS = 1000.0
-"""A relay without a peer to poll checks again after this time at the earliest."""
+"""Minimum time until a relay that found no peer to poll looks for one again."""
 MAX_PEERS_SENT = 32
 EVENTS_BETWEEN_CHECKS = 512
-"""Events between two checks of the time limit."""
+"""Number of events from one check of the time limit to the next."""
 
 
 @dataclass(frozen=True, slots=True)
 class RelayStarts:
-    """A relay's process starts."""
+    """A process of a relay starts."""
 
     relay: int
     lifetime: Lifetime
@@ -42,7 +43,13 @@
 
 @dataclass(frozen=True, slots=True)
 class PollDue:
-    """A process of a relay may poll a peer."""
+    """A process of a relay is due to poll a peer.
+
+    Attributes:
+        relay: Number of the relay.
+        incarnation: Number of the process among the relay's processes; the event is ignored in a later one.
+        end_ms: End of the process.
+    """
 
     relay: int
     incarnation: int
@@ -51,7 +58,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PollEnds:
-    """A poll is answered or has failed."""
+    """A poll ends with an answer or a timeout."""
 
     poll: PollDue
     peer: int
@@ -63,14 +70,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ScenarioMembership:
-    """What the observers noticed in one scenario.
+    """The failures that the observers noticed in one scenario, and the cost of the polls.
 
     Attributes:
         scenario: Name of the scenario.
-        pairs: Pairs of an observer that stays up and a relay that fails.
-        noticed_after_ms: Of each pair in which the failure was noticed, the time from the failure; in order.
-        polls: Polls of the whole fleet.
-        bytes: Bytes of the polls that were answered.
+        pairs: Number of pairs of an observer that does not fail and a relay that fails.
+        noticed_after_ms: Times from the failure until it was noticed, one for each pair that noticed it; ascending.
+        polls: Number of polls of the whole fleet.
+        bytes: Size of the answered polls: their requests and answers.
     """
 
     scenario: str
@@ -80,7 +87,7 @@
     bytes: int
 
     def to_json(self) -> ScenarioMembershipJson:
-        """Return the row of the report."""
+        """Return the row for the report."""
         return {
             "scene": self.scenario,
             "pairs": self.pairs,
@@ -93,14 +100,14 @@
 
 @dataclass(frozen=True, slots=True)
 class MembershipResult:
-    """What the membership of the whole fleet did.
+    """The result of the membership simulation for the whole fleet.
 
     Attributes:
-        scenarios: By scenario, in their order.
-        polls: Polls of the whole fleet in the run.
-        polls_in_largest_second: Most polls in one second.
-        empty_document_bytes: Bytes of an answer without claims.
-        cut_at_ms: When the simulation was cut short at the time limit; None = it was complete.
+        scenarios: One result per scenario, in the order of the scenarios.
+        polls: Number of polls of the whole fleet in the run.
+        polls_in_largest_second: Largest number of polls in one second.
+        empty_document_bytes: Size of an answer without claims.
+        cut_at_ms: Simulated time at which the time limit cut the simulation short; None = it ran to the end.
     """
 
     scenarios: list[ScenarioMembership]
@@ -110,7 +117,7 @@
     cut_at_ms: float | None
 
     def to_json(self) -> MembershipJson:
-        """Return the section of the report, without the rows of the scenarios."""
+        """Return the section for the report, without the rows of the scenarios."""
         return {
             "asks": self.polls,
             "largest_second": self.polls_in_largest_second,
@@ -121,7 +128,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NoticedFailure:
-    """A failure that one relay has noticed: number of the scenario, the observer and the failed relay."""
+    """A failure that an observer has noticed: numbers of the scenario, the observer and the failed relay."""
 
     scenario: int
     observer: int
@@ -130,7 +137,7 @@
 
 @dataclass(slots=True)
 class PollCounts:
-    """Polls and bytes so far, by scenario and second."""
+    """Polls by scenario and by second, and bytes of the answered polls by scenario."""
 
     by_scenario: Counter[int] = field(default_factory=Counter)
     by_second: Counter[int] = field(default_factory=Counter)
@@ -159,10 +166,10 @@
 
 
 class MembershipSimulation:
-    """The memberships of all relays on one clock."""
+    """The memberships of all relays on one simulated clock."""
 
     def __init__(self, platform: PlatformModel, is_overdue: Callable[[], bool]) -> None:
-        """Prepare the simulation; it is cut short once `is_overdue` says so."""
+        """Prepare the simulation; it is cut short once `is_overdue` returns True."""
         self.platform = platform
         self.is_overdue = is_overdue
         self.rng = random.Random(f"{platform.options.seed}:members")
@@ -177,14 +184,14 @@
         self.queue: EventQueue[MembershipEvent] = EventQueue()
 
     def play(self) -> MembershipResult:
-        """Play all scenarios."""
+        """Simulate all scenarios and return the result."""
         for relay in range(self.platform.options.relays):
             for lifetime in self.platform.lifetimes[relay]:
                 self.queue.add(lifetime.begin_ms + WATCH_START_DELAY_MS, RelayStarts(relay, lifetime))
         return self._result(cut_at_ms=self._run())
 
     def _run(self) -> float | None:
-        """Play all events; return when the simulation was cut short, if it was."""
+        """Process all events; return the simulated time at which the time limit cut them short, or None."""
         while (due := self.queue.pop_before(self.platform.end_ms)) is not None:
             now_ms = due.at_ms
             event = due.event
@@ -256,24 +263,24 @@
         )
 
     def _scenario_result(self, number: int, scenario: Scenario) -> ScenarioMembership:
-        staying = [relay for relay in self.observers if relay not in scenario.failed_relays]
+        surviving = [relay for relay in self.observers if relay not in scenario.failed_relays]
         noticed = sorted(ms for failure, ms in self.noticed_after_ms.items() if failure.scenario == number)
         return ScenarioMembership(
             scenario=scenario.name,
-            pairs=len(staying) * len(scenario.failed_relays),
+            pairs=len(surviving) * len(scenario.failed_relays),
             noticed_after_ms=[round(ms, 1) for ms in noticed],
             polls=self.counts.by_scenario[number],
             bytes=self.counts.bytes_by_scenario[number],
         )
 
     def check_invariants(self) -> None:
-        """Check that each peer of each relay has one of the statuses of the membership."""
+        """Assert that the status of each peer of each relay is a `PeerStatus`."""
         statuses = {peer.status for member in self.members.values() for peer in member.peers.values()}
         assert statuses <= set(PeerStatus)
 
 
 def play(platform: PlatformModel, is_overdue: Callable[[], bool]) -> MembershipResult:
-    """Simulate the membership of all relays; cut short once `is_overdue` says so."""
+    """Simulate the membership of all relays; cut short once `is_overdue` returns True."""
     simulation = MembershipSimulation(platform, is_overdue)
     result = simulation.play()
     simulation.check_invariants()
