--- a/linnetstile/testbed/scale/outage_observer.py
+++ b/linnetstile/testbed/scale/outage_observer.py
@@ -1,4 +1,4 @@
-"""Records which outages a simulated relay meets and when its engine learns of their begin and end."""
+"""Records which outages a simulated relay meets, and when its engine detects that they have begun and ended."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class OutageObserver:
-    """Compares the calls of one relay with the outages of the platform model."""
+    """Compares the calls of one relay with the outages of the platform model and records the result in its trace."""
 
     def __init__(self, runtime: RelayRuntime) -> None:
         self.runtime = runtime
@@ -17,7 +17,7 @@
     # -- begin of a call --
 
     def count_call(self, result: CallResult) -> None:
-        """Count a call, and whether it met an outage."""
+        """Count a call, and whether it was made in an outage or to an endpoint that has left the list."""
         runtime = self.runtime
         runtime.count(Count.CALLS)
         if result.outage:
@@ -28,7 +28,7 @@
             runtime.count(Count.CALLS_GONE)
 
     def record_slow_start_call(self, destination: int, now_ms: float) -> None:
-        """Record a call to a destination in slow start."""
+        """Record a call if its destination is in slow start after an outage."""
         trace = self.runtime.trace
         slow_start_ms = self.runtime.engine.settings.safety.slow_start_ms
         for outage in self.runtime.platform.outages_of(destination):
@@ -39,19 +39,19 @@
     # -- end of a call --
 
     def record_failure(self, destination: int, began_ms: float, now_ms: float) -> None:
-        """Record a failed call in an outage, and whether the engine now believes the destination down."""
+        """Record a failed call that began in an outage, and whether the engine now believes the destination down."""
         runtime = self.runtime
         trace = runtime.trace
         outage = runtime.platform.current_outage(destination, runtime.region, began_ms)
         if outage is None:
             return
         trace.outages_met.add(outage.number)
-        is_new = now_ms < outage.end_ms and outage.number not in trace.believed_down_ms
-        if is_new and believes_down(runtime.engine, destination, now_ms):
+        is_undetected = now_ms < outage.end_ms and outage.number not in trace.believed_down_ms
+        if is_undetected and believes_down(runtime.engine, destination, now_ms):
             trace.believed_down_ms[outage.number] = now_ms
 
     def outage_still_believed(self, destination: int, now_ms: float) -> int | None:
-        """Return the latest outage that has ended, if this relay still believes the destination down."""
+        """Return the latest outage that has ended if this relay still believes the destination down, else None."""
         runtime = self.runtime
         ended = [
             outage
@@ -63,6 +63,12 @@
         return ended[-1].number if believes_down(runtime.engine, destination, now_ms) else None
 
     def record_recovery(self, outage: int | None, now_ms: float) -> None:
-        """Record the first success after an outage that the relay had believed to last; None = there was none."""
+        """Record the first success after an outage.
+
+        Args:
+            outage: Number of the ended outage in which the relay still believed the destination down; None = there is
+                nothing to record.
+            now_ms: Time of the success.
+        """
         if outage is not None:
             self.runtime.trace.believed_up_ms.setdefault(outage, now_ms)
--- a/linnetstile/testbed/scale/platform_model.py
+++ b/linnetstile/testbed/scale/platform_model.py
@@ -1,7 +1,7 @@
-"""The state of the simulated platform at each moment: destinations, outages, changes, relay lifetimes, partitions.
+"""The simulated platform over time: destinations, outages, list changes, relay lifetimes and partitions.
 
-It does not depend on the decisions of the relays. Times are simulated ms since the run began; the same seed and options
-draw the same platform on any machine.
+The model does not depend on the decisions of the relays. Times are simulated ms since the start of the run. The same
+seed and options draw the same platform on any machine.
 """
 
 from __future__ import annotations
@@ -28,22 +28,22 @@
     end_ms: float
 
     def contains(self, at_ms: float) -> bool:
-        """Whether a moment lies in it."""
+        """Whether a point in time lies in the span."""
         return self.begin_ms <= at_ms < self.end_ms
 
 
 @dataclass(frozen=True, slots=True)
 class Outage:
-    """A time in which calls to a destination fail.
+    """A span of time in which calls to a destination fail.
 
     Attributes:
         number: Number of the outage, unique in the model.
-        destination: The destination that is down.
-        begin_ms: When it begins.
-        end_ms: When it is over.
+        destination: The destination that is down or cannot be reached.
+        begin_ms: Begin of the outage.
+        end_ms: End of the outage.
         kind: How calls fail.
-        region: Only calls from this region fail; None = all calls do.
-        has_slow_start: The destination itself was down, and begins a slow start when it is back.
+        region: The only region whose calls fail; None = calls from all regions fail.
+        has_slow_start: Whether the destination itself is down, so that a slow start follows the outage.
     """
 
     number: int
@@ -55,13 +55,13 @@
     has_slow_start: bool = True
 
     def affects_calls_from(self, region: int) -> bool:
-        """Whether calls of the relays of a region fail."""
+        """Whether calls of relays in a region fail."""
         return self.region in (None, region)
 
 
 @dataclass(frozen=True, slots=True)
 class PlannedOutage:
-    """An outage of the day scenario, in ms since that scenario begins."""
+    """An outage of the day scenario; times are in ms since the start of that scenario."""
 
     begin_ms: float
     end_ms: float
@@ -70,13 +70,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Lifetime:
-    """One process of a relay, from its start to its end.
+    """The lifetime of one process of a relay.
 
     Attributes:
         begin_ms: Start of the process.
         end_ms: End of the process.
-        keeps_state: It finds the journal of the process before it.
-        backlog: Messages for each destination in use that are added to its journal.
+        keeps_state: Whether the process finds the journal of the previous process.
+        backlog: Number of messages, for each destination in use, that are added to the journal before the start.
     """
 
     begin_ms: float
@@ -85,7 +85,7 @@
     backlog: int = 0
 
     def contains(self, at_ms: float) -> bool:
-        """Whether the process runs at a moment."""
+        """Whether the process runs at a given time."""
         return self.begin_ms <= at_ms < self.end_ms
 
 
@@ -94,11 +94,11 @@
     """One scenario on the time line of the run.
 
     Attributes:
-        name: Name as the option `--scenes` and the report have it.
-        begin_ms: When it begins.
-        end_ms: When it is over.
-        failed_relays: Relays that fail or restart together in it.
-        failed_at_ms: When they fail.
+        name: Name of the scenario in the option `--scenes` and in the report.
+        begin_ms: Start of the scenario.
+        end_ms: End of the scenario.
+        failed_relays: Relays that fail or restart together in the scenario.
+        failed_at_ms: Time at which they fail.
     """
 
     name: str
@@ -108,7 +108,7 @@
     failed_at_ms: float = 0.0
 
     def contains(self, at_ms: float) -> bool:
-        """Whether a moment lies in it."""
+        """Whether a point in time lies in the scenario."""
         return self.begin_ms <= at_ms < self.end_ms
 
 
@@ -117,20 +117,20 @@
 
     Attributes:
         options: Options of the run.
-        settings_document: Settings of a relay as the platform writes them, without its zone.
+        settings_document: Settings document that the platform gives each relay, without the zone of the relay.
         discovery: The endpoint list and its changes.
-        outages: All outages, by their number.
-        lifetimes: Processes of each relay, in their order.
-        discovery_outages: By region, when discovery cannot be reached from it.
-        partitions: When the regions are cut off from each other.
-        scenarios: Scenarios of the run, one after the other.
-        destinations_in_use: Destinations that get traffic.
-        planned_outages: By destination, its outage in the day scenario.
+        outages: All outages; the index is the number of the outage.
+        lifetimes: Lifetimes of the processes of each relay in order of time, by relay number.
+        discovery_outages: Spans in which discovery is unreachable from a region, by region.
+        partitions: Spans in which the regions are cut off from each other.
+        scenarios: Scenarios of the run in order of time.
+        destinations_in_use: Destinations that receive traffic, in ascending order.
+        planned_outages: Outage of each destination that has one in the day scenario, by destination.
         end_ms: End of the run.
     """
 
     def __init__(self, options: ScaleOptions, ports: tuple[int, int] | None = None) -> None:
-        """Make a platform without events; `scenarios.build` adds them. `ports` as in `DiscoveryModel`."""
+        """Create a platform without events, which `scenarios.build` adds; see `DiscoveryModel` for `ports`."""
         self.options = options
         self.settings_document: dict[str, Any] = {**SETTINGS_DOCUMENT, "balancers": options.relays}
         self.discovery = DiscoveryModel(options.destinations, ports)
@@ -145,7 +145,7 @@
         self._outages_by_destination: dict[int, list[Outage]] = {}
 
     def fingerprint(self) -> int:
-        """Return a number that two processes share if they have drawn the same platform."""
+        """Return a checksum that is the same in all processes that have drawn the same platform."""
         changes = zlib.crc32(b"".join(change.line for change in self.discovery.changes))
         events = (self.outages, self.lifetimes, self.destinations_in_use, self.end_ms)
         return zlib.crc32(repr(events).encode(), changes)
@@ -155,7 +155,7 @@
         return without_batches(settings_from({**self.settings_document, "az": zone_of(relay)}))
 
     def scenario_at(self, at_ms: float) -> int:
-        """Return the number of the scenario at a moment; -1 before the first."""
+        """Return the number of the latest scenario that has begun by a given time; -1 before the first."""
         return bisect_right(self.scenarios, at_ms, key=lambda scenario: scenario.begin_ms) - 1
 
     # -- discovery --
@@ -165,12 +165,12 @@
         return not any(outage.contains(at_ms) for outage in self._discovery_outages_of(relay))
 
     def discovery_reachable_at(self, relay: int, at_ms: float) -> float:
-        """Return when a relay can first be notified of a change: at once, or at the end of a discovery outage."""
+        """Return the earliest time at which a relay reaches discovery: `at_ms` or the end of a discovery outage."""
         outages = self._discovery_outages_of(relay)
         return next((outage.end_ms for outage in outages if outage.contains(at_ms)), at_ms)
 
     def next_discovery_outage(self, relay: int, at_ms: float) -> float | None:
-        """Return when discovery next becomes unreachable for a relay; None if it does not."""
+        """Return the time at which discovery next becomes unreachable for a relay; None if it stays reachable."""
         outages = self._discovery_outages_of(relay)
         return next((outage.begin_ms for outage in outages if outage.begin_ms > at_ms), None)
 
@@ -178,7 +178,10 @@
         return self.discovery_outages.get(region_of(relay), [])
 
     def notified_at(self, relay: int, at_ms: float) -> float:
-        """Return when a relay that reaches discovery is notified of a change that was made at a moment."""
+        """Return the time at which a relay that can reach discovery is notified of a change made at `at_ms`.
+
+        The seed, the relay and the time determine the random delay.
+        """
         return at_ms + random.Random(f"{self.options.seed}:{relay}:{at_ms}").uniform(*NOTIFICATION_DELAY_MS)
 
     # -- outages --
@@ -192,7 +195,7 @@
         region: int | None = None,
         has_slow_start: bool = True,
     ) -> None:
-        """Add an outage; see `Outage` for the arguments."""
+        """Add an outage and assign its number; see `Outage` for the arguments."""
         outage = Outage(len(self.outages), destination, begin_ms, end_ms, kind, region, has_slow_start)
         self.outages.append(outage)
         self._outages_by_destination.setdefault(destination, []).append(outage)
@@ -202,14 +205,14 @@
         return self._outages_by_destination.get(destination, [])
 
     def current_outage(self, destination: int, region: int, at_ms: float) -> Outage | None:
-        """Return the outage that calls from a region meet at a moment; None if there is none."""
+        """Return the outage in which calls from a region fail at a given time; None if there is none."""
         for outage in self.outages_of(destination):
             if outage.begin_ms <= at_ms < outage.end_ms and outage.affects_calls_from(region):
                 return outage
         return None
 
     def next_outage_at(self, destination: int, region: int, at_ms: float) -> float:
-        """Return the begin of the next outage that calls from a region meet; infinite if there is none."""
+        """Return the begin of the next outage in which calls from a region fail; infinity if there is none."""
         return min(
             (
                 outage.begin_ms
@@ -222,16 +225,16 @@
     # -- relays --
 
     def can_reach_relay(self, relay: int, other: int, at_ms: float) -> bool:
-        """Whether the other relay is up and in a region that is not cut off."""
+        """Whether the other relay is up and no partition separates the regions of the two relays."""
         is_partitioned = region_of(relay) != region_of(other) and any(span.contains(at_ms) for span in self.partitions)
         return not is_partitioned and any(lifetime.contains(at_ms) for lifetime in self.lifetimes[other])
 
     def is_up_throughout(self, relay: int, begin_ms: float, end_ms: float) -> bool:
-        """Whether one process of a relay runs from begin to end."""
+        """Whether one process of a relay runs without interruption from `begin_ms` to `end_ms`."""
         return any(lifetime.begin_ms <= begin_ms and end_ms <= lifetime.end_ms for lifetime in self.lifetimes[relay])
 
     def seconds_up(self, relay: int, begin_ms: float, end_ms: float) -> float:
-        """Return the seconds between begin and end in which a relay is up."""
+        """Return for how many seconds between `begin_ms` and `end_ms` a relay is up."""
         milliseconds_up = sum(
             max(0.0, min(end_ms, lifetime.end_ms) - max(begin_ms, lifetime.begin_ms))
             for lifetime in self.lifetimes[relay]
