--- a/linnetstile/testbed/scale/reference_model.py
+++ b/linnetstile/testbed/scale/reference_model.py
@@ -1,4 +1,4 @@
-"""A simulated relay that a relay process is compared with: the same list and changes, the same messages."""
+"""Reference model of a relay process: it gets the same list, changes and messages, and their results are compared."""
 
 from __future__ import annotations
 
@@ -11,22 +11,22 @@
 from .watch_reader import WatchReader
 
 MESSAGE_DEADLINE_MS = 1500.0
-"""Deadline of a message that looks for the endpoint in force; the relay process gets the same."""
+"""Deadline of the messages that show to which endpoint a relay delivers; the same for model and relay process."""
 ANSWER_MS = 1.0
 NO_ENDPOINT = "none"
-"""Stands for the endpoint of a message that is rejected or fails."""
+"""Result in place of an endpoint for a message that is rejected or fails."""
 
 
 @dataclass(frozen=True, slots=True)
 class Delivery:
-    """Where a message was delivered to, and how long after its submission, in ms."""
+    """Endpoint to which a message was delivered, and the time in ms from its submission to its delivery."""
 
     endpoint: str
     after_ms: float
 
 
 class ReferenceModel:
-    """Directory and engine with the settings and seed of a relay process, on a simulated clock."""
+    """Endpoint directory and engine with the settings and seed of a relay process, on a simulated clock."""
 
     def __init__(self, platform: PlatformModel, relay: int, seed: int) -> None:
         self.reader = WatchReader()
@@ -34,7 +34,7 @@
         self.last_message = 0
 
     def read(self, line: bytes, now_ms: float) -> bool:
-        """Read a line of discovery; False if it is refused."""
+        """Read a line of discovery and pass its events to the engine; return False if the line is refused."""
         try:
             events = self.reader.read(line)
         except ValueError:
@@ -44,23 +44,26 @@
         return bool(events)
 
     def find_endpoint(self, destination: int, now_ms: float) -> Delivery:
-        """Submit a message; return the port that it is delivered to, or `NO_ENDPOINT`."""
+        """Submit a message and return its delivery, with the port of the endpoint or `NO_ENDPOINT`."""
         if not self.reader.is_listed(destination):
             return Delivery(NO_ENDPOINT, 0.0)
         self.last_message += 1
-        began_ms = now_ms
+        submitted_ms = now_ms
         actions = self.engine.handle(now_ms, [Message(self.last_message, destination, 0, MESSAGE_DEADLINE_MS)])
-        while now_ms < began_ms + 2 * MESSAGE_DEADLINE_MS:
+        while now_ms < submitted_ms + 2 * MESSAGE_DEADLINE_MS:
             for action in actions:
                 if (port := self._endpoint_of(action, now_ms)) is not None:
-                    return Delivery(port, now_ms - began_ms)
+                    return Delivery(port, now_ms - submitted_ms)
             delays_ms = [action.delay_ms for action in actions if isinstance(action, SetTimer)]
             now_ms += delays_ms[-1] if delays_ms else MESSAGE_DEADLINE_MS
             actions = self.engine.handle(now_ms, [TimerFired(0)])
-        return Delivery(NO_ENDPOINT, now_ms - began_ms)
+        return Delivery(NO_ENDPOINT, now_ms - submitted_ms)
 
     def _endpoint_of(self, action: Action, now_ms: float) -> str | None:
-        """Return the endpoint at which an action ends the last message, or None; a call is answered at once."""
+        """Return the port to which an action delivers the last message, or `NO_ENDPOINT` if the action ends it.
+
+        None means that the action does not end the message. A call is answered after `ANSWER_MS`.
+        """
         match action:
             case Send(message_id, endpoint) if message_id == self.last_message:
                 port = str(self.reader.endpoint_port(endpoint))
--- a/linnetstile/testbed/scale/relay_engine.py
+++ b/linnetstile/testbed/scale/relay_engine.py
@@ -1,4 +1,4 @@
-"""The delivery engine of a simulated relay: how it is made, and what is read from its state."""
+"""Creates the delivery engine of a simulated relay and evaluates its state."""
 
 from __future__ import annotations
 
@@ -15,19 +15,19 @@
 
 
 def create_engine(platform: PlatformModel, relay: int, seed: int) -> DeliveryEngine:
-    """Create the engine of a relay as the platform relay does."""
+    """Create the engine of a relay in the same way as the platform relay does."""
     settings = platform.settings(relay)
     return DeliveryEngine(replace(settings, classes=(*settings.classes, unknown_class(settings.classes))), seed)
 
 
 def believes_down(engine: DeliveryEngine, destination: int, now_ms: float) -> bool:
-    """Whether the engine believes a destination down, whether its routes are resident or evicted."""
+    """Whether the engine suspects a route of a destination; both resident and evicted routes count."""
     routes = engine.routing_table.known_routes(destination).values()
     return any(is_suspected(route, now_ms) for route, _ in routes)
 
 
 def gossip_size(engine: DeliveryEngine, now_ms: float, destinations: list[int]) -> GossipSize:
-    """Return the size of what a relay could advertise of these destinations, in the format of the AS2 relay."""
+    """Return the number and size of the gossip claims about these destinations, in the format of the AS2 relay."""
     claims = gossip_export.export_claims(engine, now_ms, {number: f"d-{number}" for number in destinations})
     size = sum(len(json.dumps(claim_to_json(claim))) for claim in claims)
     return GossipSize(len(claims), size)
--- a/linnetstile/testbed/scale/relay_process.py
+++ b/linnetstile/testbed/scale/relay_process.py
@@ -1,4 +1,4 @@
-"""A relay process (`python -m linnetstile.platform_relay`), and what the operating system reports of it."""
+"""Starts a relay process (`python -m linnetstile.platform_relay`) and reads its CPU time, memory use and log."""
 
 from __future__ import annotations
 
@@ -17,33 +17,33 @@
 from .workload import zone_of
 
 CPU_FIELDS = 11, 12
-"""User and system time in /proc/PID/stat, counted behind the name of the program."""
+"""Indexes of user and system time in /proc/PID/stat; index 0 is the first field after the program name."""
 KIB = 1024
 LIMITS = {"memory_mb": 2048, "sockets": 1024, "disk_mb": 64}
 
 
 @dataclass(frozen=True, slots=True)
 class ProcessMemory:
-    """Resident memory in bytes: now, and at its largest."""
+    """Current and peak resident memory in bytes."""
 
     current: int
     peak: int
 
     def to_json(self) -> ProcessMemoryJson:
-        """Return the entry of the report."""
+        """Return the entry for the report."""
         return {"now": self.current, "largest": self.peak}
 
 
 @dataclass(frozen=True, slots=True)
 class RelayConfig:
-    """What a relay process is started with.
+    """Configuration with which a relay process is started.
 
     Attributes:
         name: Name of the relay, and of its files in the folder.
-        relay: Number of the relay, which gives its zone.
+        relay: Number of the relay, which determines its zone.
         discovery_port: Loopback port of discovery.
-        seed: Seed of its engine.
-        memory_bytes: Address space that it may use.
+        seed: Seed of the engine.
+        memory_bytes: Limit of the address space of the process.
     """
 
     name: str
@@ -53,7 +53,7 @@
     memory_bytes: int
 
     def document(self, platform: PlatformModel, port: int) -> str:
-        """Return the JSON file that the platform gives a relay."""
+        """Return the content of the JSON configuration file that the platform gives a relay."""
         return json.dumps(
             {
                 "name": self.name,
@@ -68,10 +68,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ReadyEvent:
-    """The log event that a relay writes once it serves.
+    """The log event `ready`, which a relay writes when it begins to serve.
 
     Attributes:
-        endpoints: Endpoints that it knows then.
+        endpoints: Number of endpoints that the relay knows at that time.
     """
 
     endpoints: int
@@ -79,14 +79,14 @@
 
 @dataclass(slots=True)
 class RelayProcess:
-    """One relay process.
+    """A running relay process.
 
     Attributes:
         name: Name of the relay.
         process: Handle of the process.
-        port: Loopback port where it listens.
-        log: File with its output.
-        ready: Its log event `ready`; None until it has written it.
+        port: Loopback port on which the relay listens.
+        log: File with the output of the process.
+        ready: The log event `ready`; None until the relay has written it.
     """
 
     name: str
@@ -97,21 +97,21 @@
 
     @classmethod
     def start(cls, config: RelayConfig, platform: PlatformModel, folder: Path) -> RelayProcess:
-        """Start a relay with its files in a folder."""
+        """Start a relay process whose configuration, state and log are in a folder."""
         state = folder / config.name
         state.mkdir(parents=True)
         port = free_port()
         config_file = folder / f"{config.name}.json"
         config_file.write_text(config.document(platform, port))
         log = folder / f"{config.name}.log"
-        paths = {"GW_CONFIG": str(config_file), "GW_STATE": str(state), "GW_NAME": config.name}
+        relay_variables = {"GW_CONFIG": str(config_file), "GW_STATE": str(state), "GW_NAME": config.name}
         with log.open("wb") as file:
             process = subprocess.Popen(
                 [sys.executable, "-m", "linnetstile.platform_relay"],
                 stdin=subprocess.DEVNULL,
                 stdout=file,
                 stderr=file,
-                env={**os.environ, **paths},
+                env={**os.environ, **relay_variables},
             )
         relay = cls(config.name, process, port, log)
         resource.prlimit(process.pid, resource.RLIMIT_AS, (config.memory_bytes, config.memory_bytes))
@@ -119,24 +119,24 @@
 
     @property
     def endpoint_count(self) -> int:
-        """Endpoints that it knew when it became ready."""
+        """Number of endpoints that the relay knew when it became ready."""
         assert self.ready is not None
         return self.ready.endpoints
 
     def cpu_s(self) -> float:
-        """Return the processor time so far in seconds."""
+        """Return the CPU time that the process has used so far, in seconds."""
         text = Path(f"/proc/{self.process.pid}/stat").read_text(encoding="ascii")
         fields = text.rpartition(")")[2].split()
         return sum(int(fields[number]) for number in CPU_FIELDS) / os.sysconf("SC_CLK_TCK")
 
     def memory(self) -> ProcessMemory:
-        """Return its resident memory."""
+        """Return the current and peak resident memory of the process."""
         rows = Path(f"/proc/{self.process.pid}/status").read_text(encoding="ascii").splitlines()
         values = {row.split(":")[0]: int(row.split()[1]) for row in rows if row.startswith(("VmRSS", "VmHWM"))}
         return ProcessMemory(values["VmRSS"] * KIB, values["VmHWM"] * KIB)
 
     def find_ready_event(self) -> ReadyEvent | None:
-        """Return its log event `ready`; None if it has not written it yet."""
+        """Return the log event `ready`; None if the relay has not written it yet."""
         for line in self.log.read_text(encoding="utf-8").splitlines():
             with contextlib.suppress(ValueError):
                 event = json.loads(line)
--- a/linnetstile/testbed/scale/relay_runtime.py
+++ b/linnetstile/testbed/scale/relay_runtime.py
@@ -1,4 +1,4 @@
-"""What the parts of a simulated relay share: its clock, its queue of events, its engine and its trace."""
+"""State that the parts of a simulated relay share (event queue, engine, trace), and the events of the simulation."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CallEnds:
-    """A call comes back, fails or times out."""
+    """A call ends with an answer, a failure or a timeout."""
 
     send: Send
     began_ms: float
@@ -34,7 +34,12 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineTimerDue:
-    """The timer that the engine has asked for; `serial` tells whether it has set another one since."""
+    """The timer that the engine has set is due.
+
+    Attributes:
+        serial: Serial number of the timer; the event is ignored if the engine has set another timer since.
+        token: Token that the engine gave the timer.
+    """
 
     serial: int
     token: int
@@ -42,14 +47,23 @@
 
 @dataclass(frozen=True, slots=True)
 class WatchOpens:
-    """The relay opens a watch, after so many failures in a row."""
+    """The relay opens a watch.
+
+    Attributes:
+        failures: Number of failures in a row before this attempt.
+    """
 
     failures: int
 
 
 @dataclass(frozen=True, slots=True)
 class WatchNotified:
-    """A watch brings a change, or (None) what its opening asks for."""
+    """A watch delivers data.
+
+    Attributes:
+        watch: Number of the watch.
+        change: The change that is delivered; None = the first answer of the watch.
+    """
 
     watch: int
     change: EndpointChange | None
@@ -66,17 +80,17 @@
 
 
 class RelayRuntime:
-    """State of one simulated relay that outlives its processes, and the engine of the process that runs.
+    """State of one simulated relay that outlives its processes, and the reader and engine of the current process.
 
     Attributes:
         platform: The simulated platform.
-        relay: Its number.
-        region: Its region.
-        rng: Source of all its random numbers.
-        queue: Its events to come.
-        trace: What it did.
-        scenario: Number of the scenario of the current moment.
-        reader: Reader of the watch, with the directory, of the current process.
+        relay: Number of the relay.
+        region: Region of the relay.
+        rng: Source of all random numbers of the relay.
+        queue: Events that are still to be processed.
+        trace: Record of what the relay did.
+        scenario: Number of the current scenario; -1 before the first.
+        reader: Watch reader of the current process, with its endpoint directory.
         engine: Engine of the current process.
     """
 
@@ -84,7 +98,7 @@
         self.platform = platform
         self.relay = relay
         self.region = region_of(relay)
-        # The label is part of the seed: another one would draw another run.
+        # The label "hollow" is part of the seed: a different label would draw different random numbers.
         self.rng = random.Random(f"{platform.options.seed}:hollow:{relay}")
         self.queue: EventQueue[SimulatedEvent] = EventQueue()
         self.trace = RelayTrace(relay, platform.fingerprint())
@@ -93,11 +107,11 @@
         self.engine = create_engine(platform, relay, 0)
 
     def start_process(self) -> None:
-        """Begin another process: a new directory and a new engine."""
+        """Start a new process of the relay, with an empty directory and a new engine."""
         self.reader = WatchReader()
         self.engine = create_engine(self.platform, self.relay, self.rng.getrandbits(32))
 
     def count(self, name: str, number: int = 1) -> None:
-        """Count something in the current scenario."""
+        """Add to a counter of the current scenario."""
         if number:
             self.trace.counts[ScenarioCount(self.scenario, name)] += number
