--- a/linnetstile/testbed/scale/scenarios.py
+++ b/linnetstile/testbed/scale/scenarios.py
@@ -1,4 +1,4 @@
-"""The scenarios of a scale run, one after the other on one time line; each has a random generator of its own."""
+"""Builds the scenarios of a scale run in sequence on one time line; each has its own random number generator."""
 
 from __future__ import annotations
 
@@ -21,31 +21,31 @@
 from .workload import OUTAGE_KIND_MIX, ZONES, OutageKind, region_of, zone_of
 
 SETTLE_MS = 12_000.0
-"""Before the first scenario: relays read the list, destinations in use get their first calls."""
+"""Time before the first scenario, in which relays read the list and destinations in use get their first calls."""
 GAP_MS = 20_000.0
-"""Between scenarios: twice the time for which the engine trusts its evidence."""
+"""Time between two scenarios: twice the time for which the engine trusts its evidence."""
 FAILURE_DELAY_MS = 5_000.0
-"""From the start of a scenario to its failure."""
+"""Time from the start of a scenario to its failure."""
 RECOVERY_MS = 40_000.0
-"""Length of a scenario after the end of its failure."""
+"""Time from the end of a failure to the end of its scenario."""
 RACK_FAILURE_MS = 90_000.0
 BACKLOG_RESTART_MS = 90_000.0
 
 UNAVAILABLE_SHARE = 0.019
 """Share of the destinations that are down at any time of an ordinary day."""
 MEAN_OUTAGE_MS = 60_000.0
-"""Outages of an ordinary day last an exponentially distributed time, at most an hour."""
+"""Mean length of the outages of an ordinary day; exponentially distributed, at most `LONGEST_OUTAGE_MS` (an hour)."""
 LONGEST_OUTAGE_MS = 3.6e6
 RESTART_MS = 700.0, 4_000.0
 """Range of the time between the end of a process and its restart."""
 
 DAY_FAILURE_DELAY_MS = 10_000.0
 DAY_LAST_CHANGE_MS = 5_000.0
-"""Before the end of the day scenario, changes stop: the last ones are to be in force within it."""
+"""Time before the end of the day scenario without changes, so that the last ones come into force within it."""
 DAY_LAST_RESTART_MS = 10_000.0
 SECONDS_A_DAY = 86_400
 REJOIN_MS = 1_000.0
-"""After the end of a partition, discovery gets the changes of the other region within this time."""
+"""Time after the end of a partition within which discovery receives the changes made in the other region."""
 
 CHANGE_MIX = (
     ChangeKind.NEW_WEIGHT,
@@ -55,7 +55,7 @@
     ChangeKind.DRAINED,
     ChangeKind.ADDED,
 )
-"""Kinds of change, in the proportion in which they are drawn."""
+"""Kinds of the random changes, in the proportion in which they are drawn."""
 
 
 ScenarioBuilder = Callable[[PlatformModel, Scenario, random.Random, Downtimes], None]
@@ -66,7 +66,7 @@
 
     Args:
         options: Options of the run.
-        ports: Loopback ports of all endpoints; None = at addresses that nobody calls.
+        ports: Loopback ports of all endpoints; None = the endpoints have made-up addresses that are never called.
     """
     platform = PlatformModel(options, ports)
     lengths = _scenario_lengths(options)
@@ -98,7 +98,8 @@
 def _choose_destinations(platform: PlatformModel, day_ms: float) -> None:
     """Draw the outages of an ordinary day for all destinations, then the destinations that are in use.
 
-    Half of those in use have such an outage, as far as there are so many; the others are spread over the zones.
+    Half of the destinations in use have such an outage, or fewer if there are not enough outages; the others are chosen
+    so that the zones have about equal numbers of destinations in use.
     """
     options = platform.options
     rng = random.Random(f"{options.seed}:use")
@@ -119,7 +120,7 @@
 
 
 def _draw_outages(options: ScaleOptions, day_ms: float, rng: random.Random) -> dict[int, PlannedOutage]:
-    """Draw the first outage of each destination that has one within the day, in ms since the begin of the day."""
+    """Draw the first outage of each destination that has one within the day; return these outages by destination."""
     outages: dict[int, PlannedOutage] = {}
     mean_time_between_ms = MEAN_OUTAGE_MS * (1 / UNAVAILABLE_SHARE - 1)
     for destination in range(options.destinations if day_ms else 0):
@@ -133,7 +134,13 @@
 
 @dataclass(frozen=True, slots=True, order=True)
 class _DrawnChange:
-    """A change before its kind is drawn: when discovery has it, when it happened, and at which destination."""
+    """A change whose kind has not been drawn yet.
+
+    Attributes:
+        at_ms: Time at which discovery receives the change.
+        since_ms: Time at which the change takes effect at the destination.
+        destination: The destination that changes.
+    """
 
     at_ms: float
     since_ms: float
@@ -143,16 +150,16 @@
 def _add_changes(
     platform: PlatformModel, count: int, begin_ms: float, end_ms: float, rng: random.Random, partitioned: bool = False
 ) -> None:
-    """Change the list at random moments.
+    """Add changes to the list at random times.
 
-    While the regions are partitioned, discovery gets the changes of region 1 only after the end of the partition.
+    If the regions are partitioned, discovery receives the changes of region 1 only after the end of the partition.
     """
     drawn: list[_DrawnChange] = []
     for _ in range(count):
         destination = rng.randrange(platform.options.destinations)
         since_ms = rng.uniform(begin_ms, end_ms)
-        is_late = partitioned and region_of(destination) == 1
-        at_ms = end_ms + rng.uniform(0.0, REJOIN_MS) if is_late else since_ms
+        is_delayed = partitioned and region_of(destination) == 1
+        at_ms = end_ms + rng.uniform(0.0, REJOIN_MS) if is_delayed else since_ms
         drawn.append(_DrawnChange(at_ms, since_ms, destination))
     for change in sorted(drawn):
         kind = rng.choice(CHANGE_MIX)
@@ -164,7 +171,10 @@
 
 
 def _build_day(platform: PlatformModel, scenario: Scenario, rng: random.Random, downtimes: Downtimes) -> None:
-    """Add the planned outages; some relays fail for good, others are restarted with their journal or replaced."""
+    """Add the planned outages and the list changes; some relays fail until after the day, others restart.
+
+    Every second restart keeps the journal; the others stand for a replaced machine, which starts without one.
+    """
     options = platform.options
     for destination, outage in sorted(platform.planned_outages.items()):
         begin_ms = scenario.begin_ms + outage.begin_ms
@@ -182,7 +192,10 @@
 
 
 def _build_rack_failure(platform: PlatformModel, scenario: Scenario, rng: random.Random, downtimes: Downtimes) -> None:
-    """Let the relays of one rack fail at once for good; they are of one zone as far as it has so many."""
+    """Let the relays of one rack fail at the same time until the end of the scenario.
+
+    The rack takes relays of one zone, and of the next zones if it has more relays than the zone.
+    """
     order = sorted(range(platform.options.relays), key=lambda relay: (zone_of(relay), relay))
     scenario.failed_relays = order[: platform.options.rack]
     scenario.failed_at_ms = scenario.begin_ms + FAILURE_DELAY_MS
@@ -191,7 +204,7 @@
 
 
 def _build_zone_failure(platform: PlatformModel, scenario: Scenario, rng: random.Random, downtimes: Downtimes) -> None:
-    """Let all relays and destinations of a zone fail and return at once, the destinations in slow start."""
+    """Let all relays and destinations of a zone fail and return together; the destinations return in slow start."""
     zone = rng.randrange(ZONES)
     begin_ms = scenario.begin_ms + FAILURE_DELAY_MS
     end_ms = scenario.begin_ms + FAILURE_DELAY_MS + platform.options.zone_s * 1e3
@@ -205,10 +218,10 @@
 
 
 def _build_partition(platform: PlatformModel, scenario: Scenario, rng: random.Random, downtimes: Downtimes) -> None:
-    """Partition the regions: calls, polls and watches do not pass between them.
+    """Partition the regions, so that calls, polls and watches between them fail.
 
-    Discovery is in region 0: it does not notify relays of region 1 meanwhile, and gets the changes in region 1 after
-    the end of the partition.
+    Discovery is in region 0. Until the end of the partition it does not notify the relays of region 1, and receives no
+    changes made in region 1.
     """
     options = platform.options
     begin_ms = scenario.begin_ms + FAILURE_DELAY_MS
@@ -229,7 +242,7 @@
 def _build_backlog_restart(
     platform: PlatformModel, scenario: Scenario, rng: random.Random, downtimes: Downtimes
 ) -> None:
-    """Let all relays of a zone end at once and restart, each with a backlog in its journal."""
+    """Let all relays of a zone end at the same time and restart, each with a backlog in its journal."""
     zone = rng.randrange(ZONES)
     scenario.failed_at_ms = scenario.begin_ms + FAILURE_DELAY_MS
     scenario.failed_relays = _relays_of_zone(platform, zone)
@@ -247,4 +260,4 @@
     PARTITION_SCENARIO: _build_partition,
     BACKLOG_RESTART_SCENARIO: _build_backlog_restart,
 }
-"""The function that adds the events of each scenario to the platform."""
+"""Functions that add the events of a scenario to the platform, by the name of the scenario."""
--- a/linnetstile/testbed/scale/simulated_relay.py
+++ b/linnetstile/testbed/scale/simulated_relay.py
@@ -1,8 +1,9 @@
 """A simulated relay: the shipped engine, directory and watch rules on a simulated clock, without sockets.
 
-The relays affect each other only by the load on destinations, which the report adds up afterwards. So each relay is
-simulated alone, and a worker process simulates one at a time. What a destination answers follows from the platform
-model: it does not slow down or reject calls under load, and an overload in slow start is counted, but has no effect.
+Relays affect each other only through the load on destinations, which the report adds up afterwards. Each relay is
+therefore simulated alone, and a worker process simulates one relay at a time. The platform model determines how a
+destination answers: it does not slow down or reject calls under load, and an overload in slow start is counted, but has
+no effect.
 """
 
 from __future__ import annotations
@@ -27,32 +28,32 @@
 from .workload import WATCH_START_DELAY_MS
 
 EVENTS_BETWEEN_CHECKS = 256
-"""Events between two checks of the time limit."""
+"""Number of events from one check of the time limit to the next."""
 
 
 class SimulatedRelay:
-    """One relay through all lifetimes that the platform model gives it."""
+    """One relay, simulated through all lifetimes that the platform model gives it."""
 
     def __init__(
         self, platform: PlatformModel, relay: int, resumes_by_version: bool, is_overdue: Callable[[], bool]
     ) -> None:
-        """Make a relay.
+        """Create a relay.
 
         Args:
             platform: The simulated platform.
-            relay: Its number.
-            resumes_by_version: A watch that is opened anew asks for the changes since its version, not for the list.
-            is_overdue: Whether the time of the run is up; the play is cut then.
+            relay: Number of the relay.
+            resumes_by_version: Whether a reopened watch requests the changes since its version, not the full list.
+            is_overdue: Returns whether the time limit of the run has passed; the simulation is then cut short.
         """
         self.runtime = RelayRuntime(platform, relay)
         self.traffic = TrafficSimulation(self.runtime)
         self.watch = WatchSimulation(self.runtime, resumes_by_version, self.traffic.engine_turn)
         self.is_overdue = is_overdue
         self.lifetime = Lifetime(0.0, 0.0)
-        self.is_recovered = False
+        self.has_recovered = False
 
     def play(self) -> RelayTrace:
-        """Play all lifetimes; return what the relay did."""
+        """Simulate all lifetimes; return the trace of the relay."""
         runtime = self.runtime
         platform = runtime.platform
         for lifetime in platform.lifetimes[runtime.relay]:
@@ -80,7 +81,7 @@
         runtime.queue.clear()
         runtime.scenario = runtime.platform.scenario_at(lifetime.begin_ms)
         self.lifetime = lifetime
-        self.is_recovered = False
+        self.has_recovered = False
         if not lifetime.keeps_state:
             self.traffic.lose_state()
         runtime.start_process()
@@ -97,16 +98,16 @@
             case EngineTimerDue():
                 self.traffic.timer_due(now_ms, event)
             case WatchNotified(watch, change):
-                if self.watch.receive(now_ms, watch, change) and not self.is_recovered:
+                if self.watch.receive(now_ms, watch, change) and not self.has_recovered:
                     self._recover(now_ms)
             case WatchOpens(failures):
                 self.watch.open(now_ms, failures)
             case DiscoverySilent(watch):
-                self.watch.become_silent(now_ms, watch)
+                self.watch.discovery_silent(now_ms, watch)
 
     def _recover(self, now_ms: float) -> None:
-        """Recover what the journal holds, once the first list is there."""
-        self.is_recovered = True
+        """Recover the messages of the journal, once the first list has been received."""
+        self.has_recovered = True
         events = self.traffic.recover(now_ms, self.lifetime)
         self.runtime.trace.starts.append(RelayStart(self.lifetime.begin_ms, now_ms, len(events)))
         if events:
--- a/linnetstile/testbed/scale/slow_start_returns.py
+++ b/linnetstile/testbed/scale/slow_start_returns.py
@@ -1,9 +1,9 @@
-"""Check that the fleet does not overload destinations in slow start, right after their outages.
+"""Checks that the fleet does not overload destinations in slow start, right after their outages.
 
-A destination that returns from an outage has less capacity until its slow start is over. Calls beyond its budget within
-one window of the safety settings overload it. The rule is broken if over two thirds of the calls of the first such
-window came from relays that had met the outage. The calls of all relays count, so that a part of the fleet is not
-judged.
+A destination that returns from an outage has less capacity until its slow start ends. It is overloaded if the calls
+within one window of the safety settings exceed its budget and an allowance for random variation. The rule is broken if
+more than two thirds of the calls in the first such window came from relays that had met the outage: a call of theirs
+had failed in it. The calls of all relays count, so the rule is judged only if the whole fleet was simulated.
 """
 
 from __future__ import annotations
@@ -25,10 +25,10 @@
     """Calls to one destination within one window of the safety settings.
 
     Attributes:
-        ratio: Calls divided by what is allowed: the budget and an allowance for random variation.
-        calls: Calls within the window.
-        budget: Calls that the destination takes, without the allowance.
-        informed_calls: Calls of relays that had met the outage.
+        ratio: Calls divided by the allowed number of calls: the budget and an allowance for random variation.
+        calls: Number of calls within the window.
+        budget: Number of calls that the destination can take, without the allowance.
+        informed_calls: Number of calls from relays that had met the outage.
     """
 
     ratio: float = 0.0
@@ -38,14 +38,14 @@
 
     @property
     def breaks_rule(self) -> bool:
-        """Whether over two thirds of the calls came from relays that had met the outage."""
+        """Whether more than two thirds of the calls came from relays that had met the outage."""
         return self.informed_calls > self.calls * 2 / 3
 
 
 def judge_slow_starts(
     platform: PlatformModel, outages: list[Outage], traces: list[RelayTrace], is_whole_fleet: bool
 ) -> SlowStartsJson:
-    """Return the report on the slow starts after some outages; judged only if the whole fleet was played."""
+    """Return the report on the slow starts after these outages; the rule is judged only for the whole fleet."""
     safety = platform.settings(0).safety
     calls: defaultdict[int, list[SlowStartCall]] = defaultdict(list)
     for trace in traces:
@@ -94,7 +94,7 @@
 def _windows(
     platform: PlatformModel, outage: Outage, calls: list[SlowStartCall], safety: SafetyLimits
 ) -> list[CallWindow]:
-    """Return the window that ends with each call."""
+    """Return one window for each call: the window that ends with that call."""
     ordered = sorted(calls, key=lambda call: (call.at_ms, call.had_met_outage))
     windows = []
     first = 0
--- a/linnetstile/testbed/scale/traffic_simulation.py
+++ b/linnetstile/testbed/scale/traffic_simulation.py
@@ -1,4 +1,4 @@
-"""Messages and calls of a simulated relay, from submission to the end."""
+"""Simulates the messages and calls of a simulated relay, from the submission of a message to its end."""
 
 from __future__ import annotations
 
@@ -24,14 +24,14 @@
 from .workload import EVENTS_PER_DESTINATION_S, zone_of
 
 MEAN_BACKLOG_AGE_MS = 30_000.0
-"""Mean age of the messages of a backlog."""
+"""Mean age of the messages of a backlog at the restart; exponentially distributed."""
 CLASS_MIX = (0, 0, 0, 1, 1, 2)
-"""Classes of the messages, in the proportion in which they are drawn."""
+"""Class indexes of the messages, in the proportion in which they are drawn."""
 
 
 @dataclass(frozen=True, slots=True)
 class Attempt:
-    """A call in flight: when it began, and the name of its endpoint."""
+    """A started call: the time at which it began and the name of its endpoint."""
 
     began_ms: float
     endpoint: str
@@ -39,15 +39,15 @@
 
 @dataclass(slots=True)
 class AcceptedMessage:
-    """A message from its submission to its end, as the platform relay keeps it.
+    """State of a message from its submission to its end, as the platform relay keeps it in its journal.
 
     Attributes:
         message: The message.
-        accepted_ms: When it was submitted.
-        deadline_ms: When it expires.
-        attempts: Calls so far.
-        in_flight: The call that has not ended yet.
-        first_unclear: The first call whose end does not show whether it took effect.
+        accepted_ms: Time at which it was submitted.
+        deadline_ms: Time at which it expires.
+        attempts: Number of calls so far.
+        in_flight: The call that has not ended yet; None if there is none.
+        first_unclear: The first call whose end does not show whether it took effect; None if there is none.
     """
 
     message: Message
@@ -59,7 +59,7 @@
 
 
 class TrafficSimulation:
-    """Submits messages to the engine and plays its actions."""
+    """Submits messages to the engine and carries out its actions."""
 
     def __init__(self, runtime: RelayRuntime) -> None:
         self.runtime = runtime
@@ -77,13 +77,13 @@
             self._schedule_message(destination, now_ms)
 
     def lose_state(self) -> None:
-        """Drop all accepted messages: the journal is lost with its machine."""
+        """Drop all accepted messages, as the journal is lost together with the machine of the relay."""
         self.runtime.count(Count.LOST_WITH_STATE, len(self.accepted))
         self.accepted = {}
         self.backlog = set()
 
     def recover(self, now_ms: float, lifetime: Lifetime) -> list[Event]:
-        """Return the events of recovery for all messages of the journal; the caller hands them to the engine."""
+        """Return the recovery events of all messages in the journal; the caller passes them to the engine."""
         if lifetime.backlog:
             self._add_backlog(now_ms, lifetime.backlog)
         return [self._recover_message(now_ms, accepted) for accepted in self.accepted.values()]
@@ -120,7 +120,7 @@
     # -- messages --
 
     def submit(self, now_ms: float, destination: int) -> None:
-        """Submit a message of a client, and schedule the next one for the destination."""
+        """Submit a message for a destination, and schedule the next message for the same destination."""
         runtime = self.runtime
         self._schedule_message(destination, now_ms)
         if not runtime.reader.is_listed(destination):
@@ -154,7 +154,7 @@
     # -- the engine --
 
     def engine_turn(self, now_ms: float, events: list[Event], kind: TurnKind) -> int:
-        """Let the engine handle events and play its actions; return its processor time in ns."""
+        """Let the engine handle events and carry out its actions; return the CPU time of the engine in ns."""
         began_ns = time.thread_time_ns()
         actions = self.runtime.engine.handle(now_ms, events)
         spent_ns = time.thread_time_ns() - began_ns
@@ -169,7 +169,7 @@
             case Send():
                 self._send(now_ms, action)
             case SetTimer(delay_ms, token):
-                self.timer_serial += 1  # as in the platform relay: the timer that was set before fires no more
+                self.timer_serial += 1  # a new timer replaces the previous one, as in the platform relay
                 self.runtime.queue.add(now_ms + delay_ms, EngineTimerDue(self.timer_serial, token))
             case Reject(message_id):
                 self.runtime.count(Count.REJECTED)
@@ -179,7 +179,7 @@
                 self._finish(now_ms, message_id)
 
     def timer_due(self, now_ms: float, event: EngineTimerDue) -> None:
-        """Fire the timer of the engine, unless it has set another one since."""
+        """Fire the timer of the engine, unless the engine has set another timer since."""
         if event.serial == self.timer_serial:
             self.engine_turn(now_ms, [TimerFired(event.token)], TurnKind.TIMER)
 
@@ -201,7 +201,7 @@
         runtime.queue.add(max(now_ms, result.at_ms), CallEnds(send, now_ms, result.outcome))
 
     def call_ended(self, now_ms: float, event: CallEnds) -> None:
-        """Notify the engine of the end of a call, and record what the relay learns from it."""
+        """Notify the engine of the end of a call, and record what the engine then believes about the destination."""
         send = event.send
         outcome = event.outcome
         accepted = self.accepted.get(send.id)
--- a/linnetstile/testbed/scale/watch_reader.py
+++ b/linnetstile/testbed/scale/watch_reader.py
@@ -1,6 +1,6 @@
-"""Reads the bytes of a discovery watch with the shipped parser and directory.
+"""Reads the bytes of a discovery watch with the parser and the endpoint directory of the platform relay.
 
-It is the only module of this package that depends on the inside of the platform relay's endpoint directory.
+This is the only module of the package that depends on the internals of the platform relay's endpoint directory.
 """
 
 from __future__ import annotations
@@ -13,26 +13,26 @@
 from .workload import DESTINATION_KINDS, ZONES
 
 READ_BYTES = 64 * 1024
-"""Largest piece that is read from a socket at a time."""
+"""Largest piece that is passed to the parser at a time, as in a read from a socket."""
 
 
 class WatchReader:
-    """Turns the bytes of a watch into events for the engine; owns the endpoint directory of one relay."""
+    """Converts the bytes of a watch into events for the engine; owns the endpoint directory of one relay."""
 
     def __init__(self) -> None:
         self.directory = Directory(DESTINATION_KINDS, tuple(f"z{n}" for n in range(ZONES)))
         self.reopen()
 
     def reopen(self) -> None:
-        """Begin another watch: its stream starts anew, and a list that was coming in is dropped."""
+        """Begin a new watch with a new stream; an incomplete list of the previous watch is discarded."""
         self._objects = JsonStreamReader(discovery.MAX_LIST_BYTES, "servers", ("version", "full"))
         self._update: ListUpdate | None = None
 
     def read(self, data: bytes) -> list[EndpointList]:
-        """Read bytes of the watch.
+        """Read bytes of the watch and return the events for the engine.
 
         Raises:
-            ValueError: The relay would refuse what came.
+            ValueError: The data is invalid, so that the relay would refuse it.
         """
         events: list[EndpointList] = []
         for start in range(0, len(data), READ_BYTES):
@@ -51,17 +51,17 @@
         events = list(discovery.change_events(self._update.add_entries(part.elements)))
         while part.is_last and not self._update.is_complete:
             events += discovery.change_events(self._update.remove_missing())
-        if part.is_last:  # the list was read, whatever it changed
+        if part.is_last:  # an empty event marks the end of the list, even if the list changed nothing
             events.append(EndpointList(ListKind.CHANGES))
         return events
 
     @property
     def endpoint_count(self) -> int:
-        """Endpoints that the directory knows."""
+        """Number of endpoints that the directory knows."""
         return len(self.directory)
 
     def endpoint_name(self, endpoint: int) -> str:
-        """Return the name of an endpoint by its number; empty if it is not known."""
+        """Return the name of an endpoint by its number; an empty string if the number is unknown."""
         address = self.directory.address_of(endpoint)
         return address.name if address else ""
 
@@ -70,7 +70,7 @@
         return self.directory.id_of(name)
 
     def endpoint_port(self, endpoint: int) -> int:
-        """Return the port of an endpoint by its number; 0 if it is not known."""
+        """Return the port of an endpoint by its number; 0 if the number is unknown."""
         address = self.directory.address_of(endpoint)
         return address.port if address else 0
 
--- a/linnetstile/testbed/scale/watch_simulation.py
+++ b/linnetstile/testbed/scale/watch_simulation.py
@@ -1,4 +1,4 @@
-"""The discovery watch of a simulated relay, by the shipped rules for opening, deadlines and backoff."""
+"""Simulates the discovery watch of a relay, with the platform relay's rules for deadlines, backoff and reading."""
 
 from __future__ import annotations
 
@@ -16,9 +16,9 @@
 from .workload import KEEPALIVE_INTERVAL_MS
 
 MAX_LISTS_REFUSED = 3
-"""Lists that a process refuses before the simulation stops offering them: each would be the same full list again."""
-FULL_LIST_MARK = b'"full":true'
-FULL_LIST_MARK_WITHIN = 40
+"""Number of refused lists after which a process does not reopen its watch: it would get the same full list again."""
+FULL_LIST_MARKER = b'"full":true'
+FULL_LIST_MARKER_SEARCH_BYTES = 40
 NO_VERSION = 0
 
 EngineTurn = Callable[[float, list[Event], TurnKind], int]
@@ -26,26 +26,26 @@
 
 @dataclass(frozen=True, slots=True)
 class _WatchLine:
-    """A line that discovery sends, and the version of the list that it leads to."""
+    """A line that discovery sends, and the version of the list after it has been read."""
 
     data: bytes
     version: int
 
 
 class WatchSimulation:
-    """Opens watches, reads the lists and changes, and hands their events to the engine.
+    """Opens watches, reads lists and changes, and passes their events to the engine.
 
     Attributes:
-        version: Version of the list in force; `NO_VERSION` before the first.
+        version: Version of the list in force; `NO_VERSION` before the first list.
     """
 
     def __init__(self, runtime: RelayRuntime, resumes_by_version: bool, engine_turn: EngineTurn) -> None:
-        """Make the watch of a relay.
+        """Create the simulation of a relay's watches.
 
         Args:
-            runtime: State of the relay.
-            resumes_by_version: A watch that is opened anew asks for the changes since its version, not for the list.
-            engine_turn: Lets the engine handle events; returns its processor time in ns.
+            runtime: Shared state of the relay.
+            resumes_by_version: Whether a reopened watch requests the changes since its version, not the full list.
+            engine_turn: Lets the engine handle events; returns the CPU time of the engine in ns.
         """
         self.runtime = runtime
         self.resumes_by_version = resumes_by_version
@@ -56,12 +56,12 @@
         self.lists_refused = 0
 
     def start_process(self) -> None:
-        """Forget what the previous process knew."""
+        """Reset the state that a new process does not inherit."""
         self.version = NO_VERSION
         self.lists_refused = 0
 
     def open(self, now_ms: float, failures: int) -> None:
-        """Open a watch; without an answer before its deadline, it is opened again after a backoff."""
+        """Open a watch; if no answer comes before the deadline, open the next one after a backoff."""
         runtime = self.runtime
         platform = runtime.platform
         self.watch += 1
@@ -74,12 +74,12 @@
             self._reopen_later(deadline_ms)
             return
         runtime.queue.add(first_answer_ms, WatchNotified(self.watch, None))
-        silent_from_ms = platform.next_discovery_outage(runtime.relay, first_answer_ms)
-        if silent_from_ms is not None:
-            runtime.queue.add(silent_from_ms, DiscoverySilent(self.watch))
+        unreachable_from_ms = platform.next_discovery_outage(runtime.relay, first_answer_ms)
+        if unreachable_from_ms is not None:
+            runtime.queue.add(unreachable_from_ms, DiscoverySilent(self.watch))
 
-    def become_silent(self, now_ms: float, watch: int) -> None:
-        """Make discovery unreachable: the relay notices at the deadline of a silent watch."""
+    def discovery_silent(self, now_ms: float, watch: int) -> None:
+        """Handle discovery becoming unreachable: the relay opens a new watch when the silent one times out."""
         if watch != self.watch:
             return
         last_heard_ms = now_ms - self.runtime.rng.uniform(0.0, KEEPALIVE_INTERVAL_MS)
@@ -87,10 +87,11 @@
         self.runtime.queue.add(max(now_ms, noticed_ms), WatchOpens(0))
 
     def receive(self, now_ms: float, watch: int, change: EndpointChange | None) -> bool:
-        """Read a change, or (None) the first answer of a watch.
+        """Receive a change, or the first answer of a watch if `change` is None.
 
         Returns:
-            False if the watch has ended or discovery is unreachable.
+            True if data was received, even if the relay refused it; False if the watch has ended or discovery is
+            unreachable.
         """
         runtime = self.runtime
         platform = runtime.platform
@@ -105,7 +106,7 @@
         return True
 
     def _lines(self, now_ms: float, change: EndpointChange | None) -> list[_WatchLine]:
-        """Return the lines that discovery sends."""
+        """Return the lines that discovery sends for a change, or as the first answer if `change` is None."""
         discovery = self.runtime.platform.discovery
         until = discovery.version_at(now_ms) if change is None else change.version
         if change is None:
@@ -118,9 +119,9 @@
         runtime = self.runtime
         changes = runtime.platform.discovery.changes
         if self.version <= len(changes):
-            following = changes[self.version - FIRST_VERSION]
-            notified_ms = runtime.platform.notified_at(runtime.relay, following.at_ms)
-            runtime.queue.add(max(now_ms, notified_ms), WatchNotified(self.watch, following))
+            next_change = changes[self.version - FIRST_VERSION]
+            notified_ms = runtime.platform.notified_at(runtime.relay, next_change.at_ms)
+            runtime.queue.add(max(now_ms, notified_ms), WatchNotified(self.watch, next_change))
 
     def _reopen_later(self, now_ms: float) -> None:
         failures = self.failures + 1
@@ -128,10 +129,10 @@
         self.runtime.queue.add(now_ms + pause_ms, WatchOpens(failures))
 
     def _read_line(self, now_ms: float, watch_line: _WatchLine) -> bool:
-        """Read one line of discovery, as a chunk of its watch; False if the relay refuses it."""
+        """Read one line of discovery, sent as one HTTP chunk; return False if the relay refuses the line."""
         line = watch_line.data
         trace = self.runtime.trace
-        is_full = FULL_LIST_MARK in line[:FULL_LIST_MARK_WITHIN]
+        is_full = FULL_LIST_MARKER in line[:FULL_LIST_MARKER_SEARCH_BYTES]
         kind = TurnKind.FULL_LIST if is_full else TurnKind.CHANGE
         self._count_bytes(now_ms, line, is_full)
         began_ns = time.thread_time_ns()
