--- a/linnetstile/testbed/scale/worker.py
+++ b/linnetstile/testbed/scale/worker.py
@@ -1,4 +1,4 @@
-"""A worker process of a scale run: it does its job and sends the results through a pipe."""
+"""Main function of the worker processes of a scale run: each does one job and sends the results through a pipe."""
 
 from __future__ import annotations
 
@@ -21,12 +21,12 @@
 from .trace import RelayTrace
 
 LIST_SIZE_DIVISORS = (4, 2, 1)
-"""The cost of a list is measured at these parts of the longest one."""
+"""The cost of a list is measured for the longest list divided by each of these numbers."""
 KIB = 1024
 
 
 class JobKind(StrEnum):
-    """What a worker does; the values are part of its name."""
+    """Kind of the job of a worker; the value is part of the worker's name."""
 
     LIST_COSTS = "costs"
     MEMBERSHIP = "members"
@@ -35,14 +35,14 @@
 
 @dataclass(frozen=True, slots=True)
 class PeakMemory:
-    """The last message of a worker: its resident memory in bytes at its largest."""
+    """The last message of a worker: its peak resident memory in bytes."""
 
     bytes: int
 
 
 @dataclass(frozen=True, slots=True)
 class WorkerError:
-    """A worker cannot do its job; the message is one line."""
+    """A worker failed to do its job; the message is one line."""
 
     message: str
 
@@ -52,16 +52,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Job:
-    """What one worker does.
+    """The job of one worker.
 
     Attributes:
-        name: Name of the worker, for progress and errors.
-        kind: What the worker does.
+        name: Name of the worker, for progress lines and errors.
+        kind: Kind of the job.
         options: Options of the run.
-        relays: Relays to play.
-        resumes_by_version: As in `SimulatedRelay`.
-        seconds_left: Time that it has.
-        memory_bytes: Address space that it may use.
+        relays: Numbers of the relays to simulate; empty for the other kinds.
+        resumes_by_version: See `SimulatedRelay`.
+        seconds_left: Time limit of the worker.
+        memory_bytes: Limit of the address space of the worker.
     """
 
     name: str
@@ -74,12 +74,12 @@
 
 
 def run_job(pipe: Connection, job: Job) -> None:
-    """Do a job and send its messages; the main function of a worker process."""
+    """Do a job and send its results; this is the main function of a worker process."""
     _end_with_parent()
     resource.setrlimit(resource.RLIMIT_AS, (job.memory_bytes, job.memory_bytes))
-    until = time.monotonic() + job.seconds_left
+    deadline_s = time.monotonic() + job.seconds_left
     try:
-        for message in _play(job, lambda: time.monotonic() > until):
+        for message in _play(job, lambda: time.monotonic() > deadline_s):
             pipe.send(message)
         pipe.send(PeakMemory(resource.getrusage(resource.RUSAGE_SELF).ru_maxrss * KIB))
     except MemoryError:
@@ -103,13 +103,13 @@
 
 
 def _end_with_parent() -> None:
-    """Leave SIGINT to the main process, and exit when that has ended."""
+    """Ignore SIGINT, which the main process handles, and exit when the main process has ended."""
     signal.signal(signal.SIGINT, signal.SIG_IGN)
     parent = multiprocessing.parent_process()
     assert parent is not None
 
-    def watch() -> None:
+    def exit_after_parent() -> None:
         parent.join()
         os._exit(1)
 
-    threading.Thread(target=watch, daemon=True).start()
+    threading.Thread(target=exit_after_parent, daemon=True).start()
--- a/linnetstile/testbed/scale/workload.py
+++ b/linnetstile/testbed/scale/workload.py
@@ -1,6 +1,6 @@
-"""The platform that the fleet is designed for: its size, load, timing and settings.
+"""Size, load, timing and settings of the platform for which the fleet is designed.
 
-The target figures are those that the users of the platform state; docs/CAPACITY.md compares the program with them.
+The users of the platform state the target figures; docs/CAPACITY.md compares the program with them.
 """
 
 from __future__ import annotations
@@ -14,25 +14,25 @@
 TARGET_RELAYS = 460
 TARGET_DESTINATIONS = 120_000
 TARGET_EVENTS_PER_S = 1_100_000.0
-"""Messages a second of the whole fleet."""
+"""Messages a second that the whole fleet receives."""
 CHANGES_A_DAY = 1_900
 """Changes of the endpoint list on an ordinary day."""
 DISCOVERY_MACHINES = 5
-"""Machines that serve the watches of all relays."""
+"""Machines of discovery, which share the watches of all relays."""
 
 EVENTS_PER_DESTINATION_S = TARGET_EVENTS_PER_S / TARGET_DESTINATIONS
-"""Messages a second that one destination gets from all relays."""
+"""Messages a second for one destination, from all relays together."""
 LISTED_RATE = 1.6 * EVENTS_PER_DESTINATION_S
 """Calls a second that a destination advertises."""
 
 WATCH_START_DELAY_MS = 300.0
-"""From the start of a relay process to its first watch."""
+"""Time from the start of a relay process to its first watch."""
 NOTIFICATION_DELAY_MS = 5.0, 50.0
-"""Range of the delay from a change in discovery to a relay; drawn for each relay and change."""
+"""Range of the delay until discovery notifies a relay of a change; drawn for each relay and change."""
 KEEPALIVE_INTERVAL_MS = 2_000.0
-"""Between two empty lines of a watch."""
+"""Time between two empty lines that discovery sends on a watch to keep it alive."""
 KEEPALIVE_BYTES = 6
-"""An empty line of a watch as an HTTP chunk."""
+"""Size of an empty line of a watch as an HTTP chunk."""
 KEEPALIVE_BYTES_PER_S = KEEPALIVE_BYTES * 1000 / KEEPALIVE_INTERVAL_MS
 
 DESTINATION_KINDS = ("office",)
@@ -82,7 +82,7 @@
         "fall-ms": 1_500.0,
     },
 }
-"""The settings of every relay as the platform writes them; the zone and the number of relays are added to it."""
+"""Settings document that the platform gives every relay; the relay's zone and the number of relays are added to it."""
 
 
 def zone_of(number: int) -> int:
