--- a/linnetstile/testbed/scale/destination_model.py
+++ b/linnetstile/testbed/scale/destination_model.py
@@ -27,7 +27,7 @@
     Attributes:
         outcome: Outcome of the call.
         at_ms: Time at which the call ends.
-        outage: The outage in which the call fell; None if there was none.
+        outage: The outage in which the call was made; None if there was none.
         endpoint_gone: Whether the endpoint has left the list and no longer accepts calls.
     """
 
--- a/linnetstile/testbed/scale/simulated_relay.py
+++ b/linnetstile/testbed/scale/simulated_relay.py
@@ -1,4 +1,4 @@
-"""A simulated relay: the shipped engine, directory and watch rules on a simulated clock, without sockets.
+"""A simulated relay: engine, endpoint directory and watch rules of the platform relay on a simulated clock, no sockets.
 
 Relays affect each other only through the load on destinations, which the report adds up afterwards. Each relay is
 therefore simulated alone, and a worker process simulates one relay at a time. The platform model determines how a
