--- a/linnetstile/testbed/scale/__init__.py
+++ b/linnetstile/testbed/scale/__init__.py
@@ -1,4 +1,5 @@
-"""A fleet at target size: simulated relays (shipped code, simulated clock) beside real processes.
+"""Scale runs: a fleet of the target size in simulated relays, and a comparison with a few relay processes.
 
-docs/operate/scale.md describes the command `linnetstile scale`, which runs it.
+The simulated relays run the shipped code on a simulated clock. docs/operate/scale.md describes the command
+`linnetstile scale`, which starts a scale run.
 """
--- a/linnetstile/testbed/scale/downtime.py
+++ b/linnetstile/testbed/scale/downtime.py
@@ -12,10 +12,10 @@
     """A time in which a relay has no process, and what the next process finds.
 
     Attributes:
-        begin_ms: End of the process before.
-        end_ms: Start of the process after.
-        keeps_state: The next process finds the journal.
-        backlog: Messages for each destination in use that are added to the journal.
+        begin_ms: End of the previous process.
+        end_ms: Start of the next process.
+        keeps_state: Whether the next process finds the journal of the previous one.
+        backlog: Messages for each destination in use that are added to the journal of the next process.
     """
 
     begin_ms: float
@@ -29,7 +29,7 @@
 
 
 def lifetimes_between(downtimes: list[Downtime], end_ms: float) -> list[Lifetime]:
-    """Return the processes of one relay between its downtimes, up to the end of the run."""
+    """Return the lifetimes of the processes of one relay, up to the end of the run."""
     lifetimes: list[Lifetime] = []
     previous = Downtime(begin_ms=0.0, end_ms=0.0)
     for downtime in sorted(downtimes):
@@ -41,5 +41,5 @@
 
 
 def _lifetime_between(previous: Downtime, end_ms: float) -> Lifetime:
-    """Return the process that starts at the end of a downtime."""
+    """Return the lifetime of the process that starts at the end of a downtime and ends at `end_ms`."""
     return Lifetime(previous.end_ms, end_ms, previous.keeps_state, previous.backlog)
--- a/linnetstile/testbed/scale/list_cost.py
+++ b/linnetstile/testbed/scale/list_cost.py
@@ -1,4 +1,4 @@
-"""What a list of destinations costs one simulated relay in processor time and memory."""
+"""Measures the processor time and memory that a list of destinations costs one simulated relay."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from .watch_reader import WatchReader
 
 CHANGES_PER_KIND = 24
-"""Changes of each kind that are measured; their mean counts."""
+"""Changes of each kind that are measured; the cost of the kind is their mean."""
 MEASURED_KINDS = (ChangeKind.NEW_WEIGHT, ChangeKind.REPLACED, ChangeKind.DRAINED, ChangeKind.ADDED)
 CHANGE_SEED = 1
 ENGINE_SEED = 1
@@ -26,17 +26,17 @@
 
 @dataclass(slots=True)
 class ListCost:
-    """Cost of a list of so many destinations.
+    """Cost of one list of destinations in one simulated relay.
 
     Attributes:
         destinations: Destinations on the list.
-        list_bytes: Bytes of the list as it travels.
-        endpoint_count: Endpoints that the relay knows then; 0 if it refused the list.
+        list_bytes: Size of the list on the wire.
+        endpoint_count: Endpoints that the relay knows after reading the list; 0 if it refused the list.
         list_ms: Processor time of reading the list.
-        change_ms: By kind of change, processor time of one.
-        change_bytes: Mean bytes of a change as it travels.
+        change_ms: By kind of change, mean processor time of one change.
+        change_bytes: Mean size of a change on the wire.
         memory_bytes: Bytes that the interpreter has allocated for directory and engine.
-        peak_memory_bytes: The same at its largest, while the list was read.
+        peak_memory_bytes: Largest value of `memory_bytes` while the list was read.
     """
 
     destinations: int
@@ -65,7 +65,7 @@
 
 
 def measure_list_cost(options: ScaleOptions, destinations: int) -> ListCost:
-    """Measure what the list of so many destinations costs: reading it, one change of each kind, and its memory."""
+    """Measure a list with this number of destinations: reading it, one change of each kind, and its memory."""
     platform = scenarios.build(replace(options, destinations=destinations, in_use=2, scenes=(RACK_FAILURE_SCENARIO,)))
     line = platform.discovery.full_list(FIRST_VERSION)
     began = time.thread_time()
@@ -104,7 +104,7 @@
     cost.memory_bytes = current - before
     cost.peak_memory_bytes = peak - before
     assert reader.endpoint_count == cost.endpoint_count
-    del engine  # it had to live until the memory was read
+    del engine  # kept alive until here so that the measured memory includes it
 
 
 def _read_list(platform: PlatformModel, line: bytes) -> tuple[WatchReader, DeliveryEngine]:
--- a/linnetstile/testbed/scale/options.py
+++ b/linnetstile/testbed/scale/options.py
@@ -1,7 +1,7 @@
 """The options of `linnetstile scale`: their names, ranges and defaults.
 
 The fields of `ScaleOptions` have the names of the command-line options (`in_use` is `--in-use`) and are written to the
-report under these names. The rest of this package uses its own terms.
+report under these names. The rest of this package uses other terms, such as "simulated" for `played`.
 """
 
 from __future__ import annotations
@@ -57,17 +57,17 @@
         destinations: Destinations on the endpoint list.
         real: Relay processes in the comparison with the reference model.
         played: Relays that are simulated; 0 = all of the fleet.
-        in_use: Destinations that get traffic, each of them all of its traffic.
+        in_use: Destinations that get traffic, each at the full rate of a destination of the target platform.
         workers: Processes that simulate relays.
         minutes: Time limit of the whole run.
         changes: Changes of the endpoint list in the day scenario.
-        failing: Relays that fail for good in the day scenario.
+        failing: Relays that fail in the day scenario and stay down for the rest of it.
         restarts: Relays that are restarted or replaced in the day scenario.
         rack: Relays of the rack that fails.
         day_s: Simulated length of the day scenario.
         zone_s: Simulated time for which a zone is down.
         parted_s: Simulated time for which the regions are partitioned.
-        held: Messages for each destination in use that a restarted relay recovers in the backlog scenario.
+        held: Messages for each destination in use that a restarted relay recovers in the backlog restart scenario.
         cost_most: Destinations of the longest list whose cost is measured.
         scenes: Scenarios to run, in this order.
     """
@@ -115,10 +115,10 @@
             ("rack", self.relays - 1, "--relays less one"),
             ("restarts", self.relays - self.failing, "--relays less --failing"),
         )
-        for name, maximum, reason in upper_limits:
+        for name, maximum, limit in upper_limits:
             value = getattr(self, name)
             if value > maximum:
-                raise OptionError(option_name(name), f"no more than {reason} ({maximum})", value)
+                raise OptionError(option_name(name), f"no more than {limit} ({maximum})", value)
 
     @property
     def simulated_relays(self) -> list[int]:
--- a/linnetstile/testbed/scale/trace.py
+++ b/linnetstile/testbed/scale/trace.py
@@ -9,7 +9,10 @@
 
 
 class Count(StrEnum):
-    """What is counted by scenario; the values are those of the report. Outcomes of attempts are counted beside them."""
+    """Counters of each scenario; the values are their names in the report.
+
+    Outcomes of attempts are counted as well, under the values of `Outcome`.
+    """
 
     WATCHES = "watches"
     FULL_LISTS = "wholes"
@@ -42,7 +45,7 @@
 
 
 class TurnKind(StrEnum):
-    """What a turn of the engine was for; the values are those of the report."""
+    """What a turn of the engine was for; the values are the names in the report."""
 
     FULL_LIST = "whole"
     CHANGE = "change"
@@ -59,7 +62,7 @@
     Attributes:
         outage: Number of the outage.
         at_ms: When the call began.
-        had_met_outage: A call of the same relay had failed in the outage.
+        had_met_outage: Whether an earlier call of the same relay had failed in the outage.
     """
 
     outage: int
@@ -69,11 +72,11 @@
 
 @dataclass(frozen=True, slots=True)
 class RelayStart:
-    """A start of the relay that got as far as its first list.
+    """A start of a relay process that received its first list.
 
     Attributes:
         begin_ms: Start of the process.
-        ready_ms: When it had the list.
+        ready_ms: When it had read its first list.
         recovered: Messages that it recovered from its journal.
     """
 
@@ -84,7 +87,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BacklogEnd:
-    """The end of a message of the backlog: number of the scenario, and when."""
+    """The end of a message of the backlog: the number of the scenario in which it ended, and the time."""
 
     scenario: int
     at_ms: float
@@ -92,7 +95,7 @@
 
 @dataclass(frozen=True, slots=True)
 class GossipSize:
-    """What a relay could advertise to its peers."""
+    """Number and size of the claims that a relay could advertise to its peers."""
 
     claims: int = 0
     bytes: int = 0
@@ -100,29 +103,29 @@
 
 @dataclass(slots=True)
 class RelayTrace:
-    """What one relay did. Times in simulated ms.
+    """What one relay did; times are simulated ms since the run began.
 
     Attributes:
         relay: Number of the relay.
-        platform_fingerprint: Fingerprint of the platform that it was simulated on.
+        platform_fingerprint: Fingerprint of the platform model that it was simulated with.
         in_force_ms: By version of the list, when it was in force.
         believed_down_ms: By outage, when the engine took the destination to be down.
-        believed_up_ms: By outage, the first success after it, where the relay had believed it down.
+        believed_up_ms: By outage, the first success after it, if the relay had believed the destination down.
         outages_with_message: Outages in which it had a message for the destination.
-        outages_met: Outages in which a call of its own failed.
+        outages_met: Outages in which a call of this relay failed.
         slow_start_calls: Calls to destinations in slow start.
         starts: Starts of its process.
         backlog_ends: Ends of the messages of the backlog.
         backlog_calls: Calls for the backlog by destination and second.
         counts: What was counted, by scenario.
         control_bytes: Bytes of the watches by second.
-        lists_refused: Lists that it could not take.
+        lists_refused: Lists that it refused.
         endpoint_count: Endpoints that it knew at the end.
-        gossip: What it could advertise to peers at the end.
+        gossip: Claims that it could advertise to peers at the end.
         cpu_ns: Measured processor time by kind of turn.
         turns: Number of turns by kind.
         longest_list_ns: Measured processor time of the longest turn with a list, by kind.
-        cut: The time of the run was up before the end.
+        cut: Whether the time limit of the run was reached before the end of the simulation.
     """
 
     relay: int
