--- a/linnetstile/testbed/scale/report.py
+++ b/linnetstile/testbed/scale/report.py
@@ -1,7 +1,7 @@
 """The report of a scale run: scale.json, scale.txt and plots.
 
-`simulated` follows from options and program alone. `measured` (processor time, memory) differs from run to run.
-`forecast` is extrapolated from both and was not simulated.
+The section `simulated` depends on the options and the program alone. The section `measured` (processor time, memory)
+differs from run to run. The section `forecast` is extrapolated from both and was not simulated.
 """
 
 from __future__ import annotations
@@ -25,20 +25,22 @@
 Samples = dict[str, ScenarioSamples]
 
 
-def build(platform: PlatformModel, played: FleetResult, comparison: Comparison | None) -> tuple[ReportJson, Samples]:
-    """Return the whole report, and samples for the plots by scenario."""
-    simulated, samples = build_simulated(platform, played)
-    measured = build_measured(platform, played)
+def build(
+    platform: PlatformModel, fleet_result: FleetResult, comparison: Comparison | None
+) -> tuple[ReportJson, Samples]:
+    """Return the whole report, and the samples for the plots by scenario."""
+    simulated, samples = build_simulated(platform, fleet_result)
+    measured = build_measured(platform, fleet_result)
     resumes_by_version = bool(comparison and comparison.resumes_by_version)
     report: ReportJson = {
         "sizes": asdict(platform.options),
         "target": {"relays": TARGET_RELAYS, "destinations": TARGET_DESTINATIONS},
         "simulated": simulated,
         "measured": measured,
-        "telling": forecast_gossip(played.traces),
+        "telling": forecast_gossip(fleet_result.traces),
         "compared": comparison.to_json() if comparison else None,
         "left_out": {"relays": len(platform.options.simulated_relays) - simulated["relays_played"]},
-        "forecast": forecast_control(played.costs, measured["resume_us_a_message"], resumes_by_version),
+        "forecast": forecast_control(fleet_result.costs, measured["resume_us_a_message"], resumes_by_version),
         "bounds": [],
     }
     report["bounds"] = build_bounds(report)
@@ -46,7 +48,7 @@
 
 
 def write(report: ReportJson, samples: Samples, folder: Path, report_progress: Callable[[str], None]) -> None:
-    """Write the report into the folder; without matplotlib there are no plots, and a line says so."""
+    """Write the report into the folder; without matplotlib, plots are left out and a progress line reports it."""
     (folder / "scale.json").write_text(json.dumps(report, indent=1) + "\n", encoding="utf-8")
     (folder / "scale.txt").write_text(format_report(report), encoding="utf-8")
     try:
--- a/linnetstile/testbed/scale/report_bounds.py
+++ b/linnetstile/testbed/scale/report_bounds.py
@@ -1,4 +1,4 @@
-"""The users' bounds, beside the values that were simulated, measured or forecast."""
+"""Compares the values that were simulated, measured or forecast with the bounds that the users state."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 from .report_schema import BoundJson, ReportJson, ScenarioJson
 
 MEMORY_BOUND_BYTES = 32e6
-"""The users' bound on the memory of control in one relay."""
+"""The users' bound on the memory of the control plane in one relay."""
 CORE_SHARE_BOUND = 0.021
-"""The users' bound on the processor time of control in one relay, as a share of a core."""
+"""The users' bound on the processor time of the control plane in one relay, as a share of a core."""
 
 
 def build_bounds(report: ReportJson) -> list[BoundJson]:
-    """Return all bounds that the report has a value for."""
+    """Return all bounds for which the report has a value."""
     bounds = [bound for scenario in report["simulated"]["scenes"] for bound in _scenario_bounds(scenario)]
     bounds += [
         *_control_bound(report),
@@ -44,7 +44,8 @@
         subject = f"{name}: change in force at the last relay, since it could be told"
         bounds.append(_bound(subject, in_force_ms, CHANGE_IN_FORCE_BOUND_MS, "ms", "simulated"))
     largest_bytes = scenario["control"]["bytes_a_second"].get("last")
-    if name != DAY_SCENARIO and largest_bytes is not None:  # changes of the day come within minutes: see the forecast
+    # The day scenario has the changes of a whole day within minutes; the forecast has the rate of an ordinary day.
+    if name != DAY_SCENARIO and largest_bytes is not None:
         subject = f"{name}: control bytes of the relay that got most"
         source = "simulated, over the scene, at the size played"
         bounds.append(_bound(subject, largest_bytes, CONTROL_BYTES_BOUND, "bytes/s", source))
--- a/linnetstile/testbed/scale/report_costs.py
+++ b/linnetstile/testbed/scale/report_costs.py
@@ -28,19 +28,19 @@
 )
 
 CONTROL_BYTES_BOUND = 3_000.0
-"""The users' bound on the control bytes of one relay a second."""
+"""The users' bound on the bytes a second that the control plane sends to one relay."""
 RESTARTS_A_DAY = 84
 """Restarts in the whole fleet on an ordinary day."""
 MAX_RECOVERED_MESSAGES = 1.1e9 / TARGET_RELAYS
-"""Messages that one relay recovers at the most."""
-ROUNDS_JITTER = 1.25
-"""Mean time between two polls of the AS2 relay, in poll intervals."""
+"""Largest number of messages that one relay recovers after a restart."""
+POLL_JITTER_FACTOR = 1.25
+"""Mean time between two polls of an AS2 relay, as a multiple of `POLL_INTERVAL_MS`."""
 NS_PER_MS = 1e6
 
 
-def build_measured(platform: PlatformModel, played: FleetResult) -> MeasuredJson:
-    """Return the processor time and memory of this run."""
-    traces = played.traces
+def build_measured(platform: PlatformModel, fleet_result: FleetResult) -> MeasuredJson:
+    """Return the measured section: processor time and memory of this run."""
+    traces = fleet_result.traces
     cpu_ns: Counter[TurnKind] = sum((trace.cpu_ns for trace in traces), Counter())
     turns: Counter[TurnKind] = sum((trace.turns for trace in traces), Counter())
     seconds_up = sum(platform.seconds_up(trace.relay, 0.0, platform.end_ms) for trace in traces)
@@ -55,9 +55,9 @@
             kind.value: round(_longest_ns(traces, kind) / NS_PER_MS, 2)
             for kind in (TurnKind.FULL_LIST, TurnKind.CHANGE)
         },
-        "costs": [cost.to_json() for cost in sorted(played.costs, key=lambda cost: cost.destinations)],
-        "peak_bytes": played.peak_memory,
-        "peak_bytes_of_all": sum(played.peak_memory.values()),
+        "costs": [cost.to_json() for cost in sorted(fleet_result.costs, key=lambda cost: cost.destinations)],
+        "peak_bytes": fleet_result.peak_memory,
+        "peak_bytes_of_all": sum(fleet_result.peak_memory.values()),
     }
 
 
@@ -68,29 +68,31 @@
 def forecast_gossip(traces: list[RelayTrace]) -> GossipForecastJson:
     """Forecast the cost of gossip in one relay at the target size, with the protocol of the AS2 relay.
 
-    In each round a relay polls one peer for its new claims, one for each destination that the peer has called since.
+    In each round, a relay polls one peer for its new claims: one for each destination that the peer has called
+    within the length of a round.
     """
     claims = sum(trace.gossip.claims for trace in traces)
     if not claims:
         return {}
     claim_bytes = sum(trace.gossip.bytes for trace in traces) / claims
-    round_s = ROUNDS_JITTER * POLL_INTERVAL_MS / 1000
-    called = TARGET_DESTINATIONS * (1 - math.exp(-EVENTS_PER_DESTINATION_S / TARGET_RELAYS * round_s))
+    round_s = POLL_JITTER_FACTOR * POLL_INTERVAL_MS / 1000
+    called_destinations = TARGET_DESTINATIONS * (1 - math.exp(-EVENTS_PER_DESTINATION_S / TARGET_RELAYS * round_s))
     return {
         "claim_bytes": round(claim_bytes, 1),
-        "claims_a_round": round(called),
+        "claims_a_round": round(called_destinations),
         "claims_most": MAX_CLAIMS,
-        "bytes_a_second": round(called * claim_bytes / round_s),
+        "bytes_a_second": round(called_destinations * claim_bytes / round_s),
     }
 
 
 def forecast_control(costs: list[ListCost], recovery_us: float | None, resumes_by_version: bool) -> ControlForecastJson:
-    """Forecast the cost of control in one relay at the target size, by a straight line through the costs of this run.
+    """Forecast the cost of the control plane in one relay at the target size, by a straight line through these costs.
 
     Args:
-        costs: Cost of the lists of several sizes.
-        recovery_us: Processor time of recovering one message; of a backlog, only the engine's part is forecast.
-        resumes_by_version: Watches that are opened again ask for the changes since a version.
+        costs: Costs of lists of several sizes.
+        recovery_us: Processor time that the engine needs to recover one message; the forecast for a backlog covers
+            this part alone. None if no message was recovered.
+        resumes_by_version: Whether reopened watches ask for the changes since a version instead of the full list.
     """
     accepted = [cost for cost in costs if cost.endpoint_count]
     if not accepted:
@@ -120,7 +122,7 @@
 
 
 def _at_target(costs: list[ListCost], value: Callable[[ListCost], float]) -> float:
-    """Extrapolate one value of the costs to the target's number of destinations."""
+    """Extrapolate one value of the costs to `TARGET_DESTINATIONS`."""
     return extrapolate([(cost.destinations, value(cost)) for cost in costs], TARGET_DESTINATIONS)
 
 
--- a/linnetstile/testbed/scale/report_scenarios.py
+++ b/linnetstile/testbed/scale/report_scenarios.py
@@ -1,4 +1,4 @@
-"""The simulated part of the report: what happened in each scenario. The same seed gives the same values."""
+"""The simulated section of the report: what happened in each scenario. The same seed gives the same values."""
 
 from __future__ import annotations
 
@@ -22,13 +22,13 @@
 from .workload import DISCOVERY_MACHINES, KEEPALIVE_BYTES_PER_S, LISTED_RATE, region_of
 
 CHANGE_IN_FORCE_BOUND_MS = 4_000.0
-"""The users' bound from a change until it is in force."""
+"""The users' bound on the time from a change until it is in force at a relay."""
 WHOLE_FLEET_SHARE = 0.95
-"""Share of the relays that has to be simulated before the load of the whole fleet is judged."""
+"""Share of the relays that has to be simulated for the load of the whole fleet to be judged."""
 CHANGE_GRACE_MS = 6_000.0
-"""A relay that ends within this time after a change may not have received it."""
+"""Relays that end within this time after a change are not counted for it: they may not have received it."""
 BACKLOG_TAIL_MS = 60_000
-"""Calls for a backlog are still counted for this time after their scenario."""
+"""Time after the end of a scenario for which calls for its backlog are still counted."""
 
 
 @dataclass(slots=True)
@@ -45,8 +45,8 @@
 
     Attributes:
         platform: The simulated platform.
-        traces: The relays that were simulated to the end.
-        scale: Relays of the fleet for each simulated one.
+        traces: Traces of the relays that were simulated to the end.
+        scale: Number of relays of the fleet per simulated relay.
     """
 
     platform: PlatformModel
@@ -54,9 +54,9 @@
     scale: float
 
     @classmethod
-    def of(cls, platform: PlatformModel, played: FleetResult) -> FleetView:
+    def of(cls, platform: PlatformModel, fleet_result: FleetResult) -> FleetView:
         """Return the view of a simulated fleet."""
-        traces = [trace for trace in played.traces if not trace.cut]
+        traces = [trace for trace in fleet_result.traces if not trace.cut]
         return cls(platform, traces, platform.options.relays / max(1, len(traces)))
 
     @property
@@ -65,13 +65,16 @@
         return len(self.traces) >= WHOLE_FLEET_SHARE * self.platform.options.relays
 
 
-def build_simulated(platform: PlatformModel, played: FleetResult) -> tuple[SimulatedJson, dict[str, ScenarioSamples]]:
+def build_simulated(
+    platform: PlatformModel, fleet_result: FleetResult
+) -> tuple[SimulatedJson, dict[str, ScenarioSamples]]:
     """Return the simulated section, and samples for the plots by scenario."""
-    view = FleetView.of(platform, played)
+    view = FleetView.of(platform, fleet_result)
     samples = {scenario.name: ScenarioSamples() for scenario in platform.scenarios}
-    membership = played.membership
+    membership = fleet_result.membership
     rows = [
-        _scenario(view, played, number, samples[scenario.name]) for number, scenario in enumerate(platform.scenarios)
+        _scenario(view, fleet_result, number, samples[scenario.name])
+        for number, scenario in enumerate(platform.scenarios)
     ]
     return {
         "relays_played": len(view.traces),
@@ -84,7 +87,7 @@
     }, samples
 
 
-def _scenario(view: FleetView, played: FleetResult, number: int, samples: ScenarioSamples) -> ScenarioJson:
+def _scenario(view: FleetView, fleet_result: FleetResult, number: int, samples: ScenarioSamples) -> ScenarioJson:
     scenario = view.platform.scenarios[number]
     outages = _outages(view, scenario, samples)
     counts = _counts(view.traces, number)
@@ -103,7 +106,7 @@
         "starts": _starts(view, scenario),
         "control": _control(view, scenario),
         "counts": counts,
-        "members": _membership(played, scenario),
+        "members": _membership(fleet_result, scenario),
     }
 
 
@@ -117,15 +120,16 @@
     return dict(sorted(counts.items()))
 
 
-def _membership(played: FleetResult, scenario: Scenario) -> ScenarioMembershipJson | None:
-    rows = played.membership.scenarios if played.membership else []
+def _membership(fleet_result: FleetResult, scenario: Scenario) -> ScenarioMembershipJson | None:
+    rows = fleet_result.membership.scenarios if fleet_result.membership else []
     return next((row.to_json() for row in rows if row.scenario == scenario.name), None)
 
 
 def _changes(view: FleetView, scenario: Scenario, samples: ScenarioSamples) -> ChangesJson:
     """Report the time from each change until it is in force at each relay that was up.
 
-    The samples count from when discovery could be reached, where that was later.
+    `since_told_ms` and the samples for the plot count from the moment at which the relay could reach discovery, if that
+    is later than the change.
     """
     platform = view.platform
     changes = [change for change in platform.discovery.changes if scenario.contains(change.at_ms)]
@@ -158,9 +162,9 @@
 
 
 def _outages(view: FleetView, scenario: Scenario, samples: ScenarioSamples) -> OutagesJson:
-    """Report how relays learned of outages, each alone.
+    """Report when the relays learned of outages, each relay from its own calls.
 
-    A pair is an outage and a relay that was up all along and whose calls could meet it.
+    A pair is an outage and a relay that was up throughout it and whose calls could meet it.
     """
     believed_up_ms: list[float] = []
     pairs = 0
@@ -234,7 +238,8 @@
 def _control(view: FleetView, scenario: Scenario) -> ControlJson:
     """Report the bytes of the watches.
 
-    The rate of a relay is over the seconds that it was up; the machines of discovery serve the whole fleet.
+    The rate of a relay is its mean over the seconds in which it was up. The rates of a machine of discovery are scaled
+    up to the whole fleet.
     """
     rates: list[float] = []
     by_second: Counter[int] = Counter()
@@ -248,7 +253,8 @@
             rates.append(received / seconds_up + KEEPALIVE_BYTES_PER_S)
     largest = max(by_second.values(), default=0)
     mean = sum(by_second.values()) * 1000 / (scenario.end_ms - scenario.begin_ms)
-    # The largest second can't be scaled up from a part: the start of one relay would count as several at once.
+    # The largest second of a part of the fleet can't be scaled up: the start of one relay would count as several starts
+    # at once.
     is_whole_fleet = view.scale * WHOLE_FLEET_SHARE <= 1
     return {
         "bytes_a_second": spread(rates),
--- a/linnetstile/testbed/scale/report_schema.py
+++ b/linnetstile/testbed/scale/report_schema.py
@@ -1,4 +1,4 @@
-"""The structure of scale.json: its names are stable, as docs/CAPACITY.md and earlier results use them.
+"""The structure of scale.json. Its names are stable, as docs/CAPACITY.md and earlier results use them.
 
 Names that differ from the terms of the code:
 
@@ -10,7 +10,7 @@
 - `telling`: gossip; `since_told_ms`: time since a relay could be notified
 - `starts`: the restarts of a scenario
 - `what`: the subject of a bound, or the kind of a change; `how`: the source of the value
-- `each`: the results of the single slow starts
+- `each`: the results of all slow starts, one by one
 """
 
 from __future__ import annotations
@@ -65,7 +65,7 @@
 
 
 class SlowStartsJson(TypedDict):
-    """All slow starts of one scenario; the fields that are not required are there only if they are judged."""
+    """All slow starts of one scenario; optional fields are present only if they were judged."""
 
     returns: int
     judged: bool
@@ -193,7 +193,7 @@
 
 
 class BurstEntryJson(TypedDict, total=False):
-    """The entry of a burst in a comparison; it is not there if the list was not accepted."""
+    """The entry of a burst in a comparison; absent if the list was not accepted."""
 
     burst: BurstJson
 
@@ -227,7 +227,7 @@
 
 
 class ControlForecastJson(TypedDict, total=False):
-    """Cost of control in one relay at the target size; empty if no list was accepted."""
+    """Cost of the control plane in one relay at the target size; empty if no list was accepted."""
 
     memory_bytes: int
     list_bytes: int
@@ -244,7 +244,7 @@
 
 
 class BoundJson(TypedDict):
-    """A bound that the users state, beside the value that was found."""
+    """A bound that the users state, and the value that is compared with it."""
 
     what: str
     value: float
--- a/linnetstile/testbed/scale/report_statistics.py
+++ b/linnetstile/testbed/scale/report_statistics.py
@@ -28,7 +28,7 @@
 
 
 def extrapolate(points: list[tuple[float, float]], target_x: float) -> float:
-    """Return the value of the least-squares line through points at an x coordinate; never below 0."""
+    """Return the value at `target_x` of the least-squares line through the points, or 0 if it is negative."""
     count = len(points)
     mean_x = sum(x for x, _ in points) / count
     mean_y = sum(y for _, y in points) / count
--- a/linnetstile/testbed/scale/report_text.py
+++ b/linnetstile/testbed/scale/report_text.py
@@ -1,4 +1,4 @@
-"""The report as text. Times are median / 99th percentile / largest."""
+"""Formats the report as text. Times are given as median / 99th percentile / largest."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
     return "\n".join(rows) + "\n"
 
 
-def _ms(values: SpreadJson) -> str:
+def _format_times(values: SpreadJson) -> str:
     if not values.get("n"):
         return "none"
     return f"{values['median']:.0f} / {values['p99']:.0f} / {values['last']:.0f} ms"
@@ -65,7 +65,7 @@
         return []
     return [
         f"  {changes['changes']} changes in force, since they could be told: "
-        f"{_ms(changes['since_told_ms'])}; since they were made: {_ms(changes['in_force_ms'])}; "
+        f"{_format_times(changes['since_told_ms'])}; since they were made: {_format_times(changes['in_force_ms'])}; "
         f"over the bound {changes['later_than_bound']}, never {changes['never']}"
     ]
 
@@ -77,9 +77,9 @@
         return []
     return [
         f"  {outages['outages']} outages of destinations in use: {outages['learned']} of "
-        f"{outages['pairs']} pairs of relay and outage learned it, after {_ms(outages['learned_ms'])}; "
+        f"{outages['pairs']} pairs of relay and outage learned it, after {_format_times(outages['learned_ms'])}; "
         f"{outages['without_a_message']} had no message for it; back, seen by those that knew: "
-        f"{_ms(outages['back_known_ms'])}",
+        f"{_format_times(outages['back_known_ms'])}",
         f"  calls to what was down: {counts.get('calls_down', 0)} of {counts.get('calls', 0)}, "
         f"{counts.get('calls_down_known', 0)} of them by relays that knew; "
         f"{scenario['calls_down_a_second']} a second at each, of the whole fleet",
@@ -105,11 +105,11 @@
     if starts["starts"]:
         rows.append(
             f"  {starts['starts']} starts, {starts['found']} messages found; ready after "
-            f"{_ms(starts['ready_ms'])}, as the clock of the play has it"
+            f"{_format_times(starts['ready_ms'])}, as the clock of the play has it"
         )
     if starts["ended_ms"]["n"]:
         rows.append(
-            f"  the backlogs among them ended after {_ms(starts['ended_ms'])}; most calls for them in one "
+            f"  the backlogs among them ended after {_format_times(starts['ended_ms'])}; most calls for them in one "
             f"second at one destination: {starts['largest_second_at_one']:.0f} (it lists "
             f"{starts['listed_rate']} a second)"
         )
@@ -134,7 +134,7 @@
         return []
     return [
         f"  membership, were it used: {members['noticed']} of {members['pairs']} pairs noticed within "
-        f"the scene, after {_ms(spread(members['after_ms']))}; {members['asks']} asks of the fleet"
+        f"the scene, after {_format_times(spread(members['after_ms']))}; {members['asks']} asks of the fleet"
     ]
 
 
