--- a/linnetstile/testbed/scale/comparison.py
+++ b/linnetstile/testbed/scale/comparison.py
@@ -22,16 +22,16 @@
 from .relay_process import RelayProcess
 
 BASELINE_DESTINATIONS = 20
-"""Destinations of the relay process that memory is compared with."""
+"""Destinations of the baseline: the relay process whose memory and start the others are compared with."""
 BASELINE_SEED = 1
-CLOSE_S = 0.01
+CLOSE_DELAY_S = 0.01
 
 
 async def compare(options: ScaleOptions, folder: Path, report_progress: Callable[[str], None]) -> Comparison:
-    """Run the comparison; files go to the folder.
+    """Run the comparison; the files of its processes go to `folder`.
 
     Raises:
-        RelayStartError: A relay process did not start, or ended by itself.
+        RelayStartError: A relay process did not become ready in time, or exited before the comparison ended.
         OSError: Files or sockets cannot be used.
     """
     bench = ComparisonBench(folder, MEMORY_BYTES // (options.real + 1))
@@ -48,23 +48,23 @@
         return run.result
     finally:
         bench.close()
-        await asyncio.sleep(CLOSE_S)  # the emulators see that their connections are gone
+        await asyncio.sleep(CLOSE_DELAY_S)  # lets the emulators handle the closed connections
 
 
 async def _start(
     bench: ComparisonBench, options: ScaleOptions, report_progress: Callable[[str], None]
 ) -> ComparisonRun:
-    """Start emulators, relay processes and reference models, and let all read the list."""
+    """Start emulators, relay processes and reference models, and wait until all have read the list."""
     ports = await bench.start_endpoint(), await bench.start_endpoint()
-    # The settings name the relays of this comparison alone, so that rate limits do not delay its few messages.
+    # The settings count the relays of this comparison alone, so that rate limits do not delay its few messages.
     platform = PlatformModel(replace(options, relays=max(1, options.real), played=0), ports)
     source = PlatformSource(platform)
     discovery, discovery_port = await bench.start_discovery(source)
     rng = random.Random(f"{options.seed}:real")
     seeds = [rng.getrandbits(32) for _ in range(options.real)]
     report_progress(
-        f"{options.real} real relays start, and one with {BASELINE_DESTINATIONS} destinations to hold their memory"
-        " against"
+        f"starting {options.real} relay processes, and one with {BASELINE_DESTINATIONS} destinations as a baseline for"
+        " their memory"
     )
     baseline = await _start_baseline(bench, options, ports)
     processes = [
@@ -75,14 +75,14 @@
     models = [ReferenceModel(platform, number, seed) for number, seed in enumerate(seeds)]
     result = _compare_start(source, baseline, processes, models)
     report_progress(
-        f"ready with {[process.endpoint_count for process in processes]} endpoints; hollow twins "
+        f"ready with {[process.endpoint_count for process in processes]} endpoints; endpoints of the reference models: "
         f"{[model.reader.endpoint_count for model in models]}"
     )
     return ComparisonRun(bench, discovery, source, processes, models, rng, result)
 
 
 async def _start_baseline(bench: ComparisonBench, options: ScaleOptions, ports: tuple[int, int]) -> RelayProcess:
-    """Start the relay process with few destinations, and its discovery."""
+    """Start the baseline relay process, which has few destinations, and its discovery."""
     platform = PlatformModel(replace(options, destinations=BASELINE_DESTINATIONS), ports)
     _, discovery_port = await bench.start_discovery(PlatformSource(platform))
     return bench.start_relay(platform, 0, "small", discovery_port, BASELINE_SEED)
@@ -91,7 +91,7 @@
 def _compare_start(
     source: PlatformSource, baseline: RelayProcess, processes: list[RelayProcess], models: list[ReferenceModel]
 ) -> Comparison:
-    """Let the models read the list that the processes have read, and compare what they know then."""
+    """Let the models read the list that the processes have read, and record the state of both."""
     line = source.full_list()
     accepted = [model.read(line, 0.0) for model in models]
     return Comparison(
--- a/linnetstile/testbed/scale/comparison_bench.py
+++ b/linnetstile/testbed/scale/comparison_bench.py
@@ -1,4 +1,4 @@
-"""The emulators and relay processes of one comparison, and messages to the relays."""
+"""The emulators and relay processes of one comparison, and the messages that are submitted to the relays."""
 
 from __future__ import annotations
 
@@ -17,24 +17,24 @@
 from .relay_process import RelayConfig, RelayProcess
 
 MEMORY_BYTES = 3 * 1000**3
-"""Memory of all relay processes together."""
+"""Address space of all relay processes together."""
 START_TIMEOUT_S = 20.0
 START_POLL_S = 0.02
 CHANGE_TIMEOUT_S = 6.0
 """Time limit for a relay to act on a change."""
 MESSAGE_INTERVAL_S = 0.06
-"""Between two messages that look for the endpoint in force."""
+"""Pause between two messages that find out which endpoint is in force."""
 HTTP_TIMEOUT_S = 2.0
-LOG_TAIL = 300
-"""Characters of the log in the error of a relay that did not start."""
+LOG_TAIL_CHARS = 300
+"""Characters from the end of the log that go into the error of a relay that did not start."""
 LOST = "lost"
-"""Stands for the endpoint of a message without a result."""
+"""Used in place of an endpoint for a message without a result in time."""
 ACCEPTED_STATUSES = (200, 202)
 
 
 @dataclass(slots=True)
 class PlatformSource(Source):
-    """The list of a platform, as the discovery emulator asks for it."""
+    """The endpoint list of a platform model, which the discovery emulator serves."""
 
     platform: PlatformModel
     version: int = FIRST_VERSION
@@ -44,7 +44,7 @@
         return self.platform.discovery.full_list(self.version)
 
     def changes_since(self, version: int) -> bytes | None:
-        """Return the changes after a version."""
+        """Return the changes after a version, up to the current one."""
         return b"".join(change.line for change in self.platform.discovery.changes_between(version, self.version))
 
 
@@ -52,11 +52,11 @@
     """Owns the emulators and processes of one comparison; `close` ends them."""
 
     def __init__(self, folder: Path, memory_bytes: int) -> None:
-        """Make an empty bench.
+        """Make a bench without emulators and processes.
 
         Args:
             folder: Where the files of the processes go.
-            memory_bytes: Address space of each process.
+            memory_bytes: Address space that each process may use.
         """
         self.folder = folder
         self.memory_bytes = memory_bytes
@@ -64,7 +64,7 @@
         self.discoveries: list[DiscoveryEmulator] = []
         self.endpoints: list[server.Server] = []
         self.pool = client.ConnectionPool()
-        self._arrivals: dict[str, asyncio.Future[str]] = {}  # by message: the port that it was delivered to
+        self._arrivals: dict[str, asyncio.Future[str]] = {}  # by message: its port or `NO_ENDPOINT`
         self._sent = 0
 
     async def start_endpoint(self) -> int:
@@ -104,12 +104,12 @@
         """Wait until a relay is ready.
 
         Raises:
-            RelayStartError: It ended, or took too long.
+            RelayStartError: The relay exited, or was not ready in time.
         """
         until = time.monotonic() + START_TIMEOUT_S
         while (event := relay.find_ready_event()) is None:
             if relay.process.poll() is not None or time.monotonic() > until:
-                tail = relay.log.read_text(errors="replace")[-LOG_TAIL:].strip()
+                tail = relay.log.read_text(errors="replace")[-LOG_TAIL_CHARS:].strip()
                 raise RelayStartError(f"{relay.name} did not start: {tail or 'it wrote nothing'}")
             await asyncio.sleep(START_POLL_S)
         relay.ready = event
@@ -159,14 +159,17 @@
             await asyncio.sleep(MESSAGE_INTERVAL_S)
 
     def check_running(self) -> None:
-        """Check that all relays still run.
+        """Check that all relay processes still run.
 
         Raises:
-            RelayStartError: One of them has ended.
+            RelayStartError: A relay process has exited.
         """
         for relay in self.relays:
             if relay.process.poll() is not None:
-                raise RelayStartError(f"{relay.name} ended by itself with {relay.process.returncode}")
+                raise RelayStartError(
+                    f"{relay.name}: expected to run until the end of the comparison, ended by itself with return code "
+                    f"{relay.process.returncode}"
+                )
 
     def close(self) -> None:
         """Kill the processes, each by its handle, and close all connections; open messages are dropped."""
--- a/linnetstile/testbed/scale/comparison_result.py
+++ b/linnetstile/testbed/scale/comparison_result.py
@@ -27,12 +27,12 @@
 
     Attributes:
         version: Version of the list with the change.
-        kind: What it changed.
-        expected: The endpoint that is now in force.
-        models: The endpoint of a message at each reference model.
-        model_ms: Simulated ms until it was delivered there.
-        processes: The endpoint of a message at each relay process.
-        process_ms: Time in ms until a message was delivered as expected.
+        kind: Kind of the change.
+        expected: The endpoint that is in force after the change.
+        models: The endpoint to which each reference model delivered a message.
+        model_ms: Simulated ms until each reference model delivered its message.
+        processes: The endpoint to which each relay process delivered its last message.
+        process_ms: Time in ms until each relay process delivered a message as expected, or the time limit was reached.
     """
 
     version: int
@@ -63,12 +63,12 @@
 
 @dataclass(frozen=True, slots=True)
 class BurstResult:
-    """Many changes at once.
+    """How relay processes handled many changes at once.
 
     Attributes:
-        changes: Number of the changes.
+        changes: Number of changes.
         until_next_shows_ms: Time in ms until a further change is in force.
-        cpu_s: Processor time of each relay process in seconds.
+        cpu_s: Processor time that each relay process spent on the changes, in seconds.
     """
 
     changes: int
@@ -85,19 +85,19 @@
     """What a comparison found.
 
     Attributes:
-        relays: Relay processes.
+        relays: Number of relay processes, without the baseline.
         list_bytes: Bytes of the list.
         is_list_accepted: All reference models accepted the list.
         endpoints: Endpoints known at the start, for each relay.
-        start_cpu_s: Processor time of the start of each relay process, beyond that of the baseline.
-        memory: Memory of each relay process.
-        baseline_memory: Memory of the relay process with few destinations.
+        start_cpu_s: Processor time that each relay process needed to start, less that of the baseline.
+        memory: Memory of each relay process after its start.
+        baseline_memory: Memory of the baseline, the relay process with few destinations.
         changes: Where messages went after each change that was compared.
-        burst: Many changes at once; None if the list was not accepted.
-        reopened_watches: Targets of the watches that were opened after all had been broken.
-        resumes_by_version: They asked for the changes since a version, not for the list.
+        burst: Result of many changes at once; None if the list was not accepted.
+        reopened_watches: Request targets of the watches that were opened after all watches had been broken.
+        resumes_by_version: Whether reopened watches asked for the changes since a version instead of the full list.
         sent_bytes: Bytes that discovery sent to the relay processes.
-        watches: Watches that they opened.
+        watches: Number of watches that the relay processes opened.
         seconds: Length of the comparison.
     """
 
--- a/linnetstile/testbed/scale/comparison_run.py
+++ b/linnetstile/testbed/scale/comparison_run.py
@@ -1,4 +1,4 @@
-"""The changes of a comparison: what is sent to relay processes and reference models, and what they then do."""
+"""Sends changes of the list to relay processes and reference models, and compares their deliveries."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 """Changes that are sent at once."""
 START_MS = 1000.0
 CHANGE_INTERVAL_MS = 5_000.0
-"""Between two changes on the simulated clock."""
+"""Time between two changes on the simulated clock."""
 REOPEN_POLL_S = 0.02
 
 
@@ -33,12 +33,13 @@
     Attributes:
         bench: Emulators and processes.
         discovery: Discovery of the relay processes.
-        source: The list that it sends.
+        source: The endpoint list that discovery sends.
         processes: Relay processes, without the baseline.
         models: Their reference models, in the same order.
-        rng: Draws destinations and changes.
+        rng: Random generator for destinations and changes.
         result: Collects the results.
-        now_ms: Time of the reference models.
+        now_ms: Current time on the simulated clock of the reference models.
+        destinations: Destinations of the changes that are compared.
     """
 
     bench: ComparisonBench
@@ -52,7 +53,7 @@
     destinations: list[int] = field(default_factory=list)
 
     async def play_changes(self) -> None:
-        """Send some changes one by one, then many at once."""
+        """Send some changes one by one, then many at once and a last one that shows when those have been handled."""
         platform = self.source.platform
         self.destinations = self.rng.sample(range(platform.options.destinations), len(SINGLE_CHANGES) + 2)
         for kind, destination in zip(SINGLE_CHANGES, self.destinations, strict=False):
@@ -91,7 +92,7 @@
     async def _wait_reopened(self, watches: int) -> None:
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(CHANGE_TIMEOUT_S):
-                # The emulator only lists the requests: there is no event to wait for.
+                # The emulator records the requests, but has no event to wait for.
                 while len(self.discovery.requested_targets) < watches:  # noqa: ASYNC110 (see above)
                     await asyncio.sleep(REOPEN_POLL_S)
 
--- a/linnetstile/testbed/scale/report_plots.py
+++ b/linnetstile/testbed/scale/report_plots.py
@@ -9,7 +9,7 @@
 
 DOTS_PER_INCH = 100
 SMALLEST_RATIO = 1e-4
-"""Smaller ratios are drawn as this one, because a logarithmic scale has no zero."""
+"""Ratios below this value are drawn with this value, because a logarithmic scale has no zero."""
 
 
 def write_plots(bounds: list[BoundJson], samples: dict[str, ScenarioSamples], folder: Path) -> None:
--- a/tests/testbed/test_scale.py
+++ b/tests/testbed/test_scale.py
@@ -1,4 +1,4 @@
-"""A tiny scale run, its parts, invalid options and exit codes: counts and rules, no timing."""
+"""Tests of a tiny scale run, its parts, invalid options and exit codes: of counts and rules, but not of times."""
 
 from __future__ import annotations
 
@@ -48,7 +48,7 @@
     held=5,
     cost_most=400,
 )
-MEASURED_FIELDS = {"cpu_ns", "longest_list_ns"}  # of a trace; they differ from run to run
+MEASURED_FIELDS = {"cpu_ns", "longest_list_ns"}  # fields of a trace that differ from run to run
 
 
 def arguments(options: ScaleOptions) -> list[str]:
@@ -63,7 +63,7 @@
 
 
 def start_run(folder: Path, options: ScaleOptions) -> subprocess.Popen[str]:
-    """Start a run as a process of its own."""
+    """Start a run in a child process."""
     return subprocess.Popen(
         [sys.executable, "-m", "linnetstile.cli.main", "scale", *arguments(options), "--out", str(folder)],
         stdout=subprocess.PIPE,
@@ -80,7 +80,7 @@
 
 
 def repeatable_fields(trace: RelayTrace) -> dict[str, Any]:
-    """Return the fields of a trace that a seed repeats."""
+    """Return the fields of a trace that are the same in each run with the same seed."""
     return {field.name: getattr(trace, field.name) for field in fields(trace) if field.name not in MEASURED_FIELDS}
 
 
@@ -185,20 +185,20 @@
     assert trace.endpoint_count == 0
     assert not trace.in_force_ms
     assert not any(name == "calls" for _, name in trace.counts)
-    found, _ = report.build(scenarios.build(options), FleetResult([trace]), None)
-    assert found["simulated"]["lists_refused"] == limit
-    assert "lists refused 3" in format_report(found)
-    assert "NO LIST" in format_report(found)
-    assert found["telling"] == {}
+    built_report, _ = report.build(scenarios.build(options), FleetResult([trace]), None)
+    assert built_report["simulated"]["lists_refused"] == limit
+    assert "lists refused 3" in format_report(built_report)
+    assert "NO LIST" in format_report(built_report)
+    assert built_report["telling"] == {}
 
 
 def test_relays_beyond_the_time_limit_are_left_out_and_reported() -> None:
     platform = scenarios.build(TINY)
     trace = SimulatedRelay(platform, 0, False, lambda: True).play()
     assert trace.cut
-    found, _ = report.build(platform, FleetResult([trace, play_relay(TINY, 1, platform=platform)]), None)
-    assert found["left_out"] == {"relays": 9}
-    assert "LEFT OUT: 9 relays" in format_report(found)
+    built_report, _ = report.build(platform, FleetResult([trace, play_relay(TINY, 1, platform=platform)]), None)
+    assert built_report["left_out"] == {"relays": 9}
+    assert "LEFT OUT: 9 relays" in format_report(built_report)
 
 
 def test_membership_notices_relays_that_failed() -> None:
@@ -211,7 +211,9 @@
     assert membership_simulation.play(platform, lambda: False) == found
 
 
-@pytest.mark.parametrize(("met", "breaks"), [(12, 1), (11, 0)])  # of the 17 calls that overload it: 16.8 are allowed
+# 16.8 calls are allowed, so the first window that overloads the destination has 17 calls. The rule is broken if over
+# two thirds of these, at least 12, came from relays that had met the outage.
+@pytest.mark.parametrize(("met", "breaks"), [(12, 1), (11, 0)])
 def test_an_overload_during_a_slow_start_is_counted(met: int, breaks: int) -> None:
     platform = scenarios.build(replace(TINY, played=1, relays=2, rack=1, restarts=0, scenes=("zone",)))
     in_use = [outage for outage in platform.outages if outage.destination in platform.destinations_in_use]
@@ -230,9 +232,8 @@
     spread_calls = [SlowStartCall(outage.number, outage.end_ms + n * safety.overload_window_ms, True) for n in range(6)]
     spread_trace = RelayTrace(0, 0, slow_start_calls=spread_calls)
     assert judge_slow_starts(platform, in_use, [spread_trace], is_whole_fleet=True)["falls"] == 0
-    partial_report, _ = report.build(
-        platform, FleetResult([trace]), None
-    )  # one relay of two: no statement on the fleet
+    # One simulated relay of two is too small a part for a judgement on the whole fleet.
+    partial_report, _ = report.build(platform, FleetResult([trace]), None)
     (scenario,) = partial_report["simulated"]["scenes"]
     assert not scenario["cold"]["judged"]
     assert "not judged" in format_report(partial_report)
@@ -266,7 +267,7 @@
     assert result.output == f"linnetstile scale: {expected}\n"
 
 
-def test_a_folder_that_is_not_empty_is_left_alone(tmp_path: Path) -> None:
+def test_a_folder_that_is_not_empty_is_rejected_and_not_changed(tmp_path: Path) -> None:
     (tmp_path / "existing").write_text("x")
     result = CliRunner().invoke(main, ["scale", "--out", str(tmp_path)])
     assert result.exit_code == 2
@@ -295,35 +296,37 @@
     assert last_line == "linnetstile scale: small did not start: it wrote nothing"
 
 
-def test_a_worker_that_has_drawn_another_platform_ends_the_run() -> None:
+def test_a_worker_that_simulated_a_different_platform_ends_the_run() -> None:
     platform = scenarios.build(TINY)
     other = scenarios.build(replace(TINY, seed=2))
-    played = FleetResult([RelayTrace(0, platform.fingerprint()), RelayTrace(3, other.fingerprint())])
+    fleet_result = FleetResult([RelayTrace(0, platform.fingerprint()), RelayTrace(3, other.fingerprint())])
     with pytest.raises(RunFailedError, match="relay 3 played another world"):
-        played.check(platform)
-    played.traces.pop()
-    played.check(scenarios.build(TINY))
+        fleet_result.check(platform)
+    fleet_result.traces.pop()
+    fleet_result.check(scenarios.build(TINY))
 
 
 @pytest.mark.parametrize("killed", [True, False])
-def test_a_worker_that_ends_by_itself_ends_the_run(monkeypatch: pytest.MonkeyPatch, killed: bool) -> None:
+def test_a_worker_that_is_killed_or_exceeds_its_memory_limit_ends_the_run(
+    monkeypatch: pytest.MonkeyPatch, killed: bool
+) -> None:
     if not killed:
-        monkeypatch.setattr(fleet, "MEMORY_BYTES", fleet.RESERVED_MEMORY_BYTES + 4)  # for four processes
-    played = Fleet(replace(TINY, destinations=20_000), False, 60.0, lambda line: None)
-    processes = [worker.process for worker in played.workers.values()]
+        monkeypatch.setattr(fleet, "MEMORY_BYTES", fleet.RESERVED_MEMORY_BYTES + 4)  # 1 byte for each of four workers
+    running_fleet = Fleet(replace(TINY, destinations=20_000), False, 60.0, lambda line: None)
+    processes = [worker.process for worker in running_fleet.workers.values()]
     try:
         if killed:
             processes[-1].kill()
         with pytest.raises(RunFailedError, match="ended by itself|more than"):
-            played.play()
+            running_fleet.play()
     finally:
-        played.close()
+        running_fleet.close()
     assert len(processes) == 4
     assert not any(process.is_alive() for process in processes)
 
 
 def descendants(pid: int) -> set[int]:
-    """Return the identifiers of all child processes of a process, and of their children."""
+    """Return the process identifiers of all children of a process, and of their descendants."""
     found: set[int] = set()
     for path in Path("/proc").glob("[0-9]*/stat"):
         try:
@@ -339,7 +342,7 @@
 
 
 def running_processes(pids: set[int]) -> set[int]:
-    """Return those of the processes that still exist."""
+    """Return the identifiers of the processes that still exist."""
     return {pid for pid in pids if os.path.exists(f"/proc/{pid}")}
 
 
@@ -347,10 +350,11 @@
     ("real", "expected_progress", "signal_number"),
     [(1, "ready with", signal.SIGTERM), (0, "relays played", signal.SIGINT)],
 )
-def test_a_run_that_is_ended_leaves_no_process_running(
+def test_a_run_that_is_ended_by_a_signal_leaves_no_process_running(
     tmp_path: Path, real: int, expected_progress: str, signal_number: signal.Signals
 ) -> None:
-    process = start_run(tmp_path, replace(TINY, real=real, day_s=3_600, in_use=100))  # it would go on for long
+    # This run is so long that the signal arrives before its end.
+    process = start_run(tmp_path, replace(TINY, real=real, day_s=3_600, in_use=100))
     assert process.stderr is not None
     for line in process.stderr:
         if expected_progress in line:
@@ -361,7 +365,7 @@
     assert process.returncode == 128 + signal_number
     assert errors.endswith("linnetstile scale: ended; no report\n")
     assert len(children) >= 2
-    give_up_at = time.monotonic() + 10.0
-    while running_processes(children) and time.monotonic() < give_up_at:
+    deadline = time.monotonic() + 10.0
+    while running_processes(children) and time.monotonic() < deadline:
         time.sleep(0.02)
     assert not running_processes(children)
