--- a/linnetstile/testbed/scale/report_schema.py
+++ b/linnetstile/testbed/scale/report_schema.py
@@ -65,7 +65,7 @@
 
 
 class SlowStartsJson(TypedDict):
-    """All slow starts of one scenario; optional fields are present only if they were judged."""
+    """All slow starts of one scenario; optional fields are present only if the slow starts were judged."""
 
     returns: int
     judged: bool
@@ -118,7 +118,7 @@
 
 
 class ScenarioJson(TypedDict):
-    """One scenario."""
+    """What happened in one scenario."""
 
     scene: str
     seconds: float
@@ -134,7 +134,7 @@
 
 
 class SimulatedJson(TypedDict):
-    """The figures that follow from options and program alone."""
+    """The figures that depend on the options and the program alone."""
 
     relays_played: int
     relays: int
@@ -185,7 +185,7 @@
 
 
 class BurstJson(TypedDict):
-    """Many changes at once."""
+    """How relay processes handled many changes at once."""
 
     changes: int
     until_next_shows_ms: float
@@ -199,7 +199,7 @@
 
 
 class ComparisonJson(BurstEntryJson):
-    """Relay processes beside their reference models."""
+    """Comparison of relay processes with their reference models."""
 
     relays: int
     list_bytes: int
