--- a/linnetstile/cli/__init__.py
+++ b/linnetstile/cli/__init__.py
@@ -1,1 +1,1 @@
-"""Floor 5: sub-commands, a file each; no logic beyond arguments and printing."""
+"""Layer 5: the sub-commands, one module each; they parse arguments and print results, and hold no other logic."""
--- a/linnetstile/cli/check.py
+++ b/linnetstile/cli/check.py
@@ -13,20 +13,21 @@
 from ..testbed.run_figures import RunFigures
 from .common import ExitCode, die
 
-MAX_FINDINGS_SHOWN = 5  # of each rule
+MAX_FINDINGS_SHOWN = 5  # for each rule
 
-HELP = """Check the RECORD of a run (a folder that `play` wrote) by the six rules and by one attempt at a time.
+HELP = """Check the RECORD of a run (a folder that `play` wrote) against the six rules, and that each message has at
+most one attempt in flight.
 
-Only what the emulators saw on their sockets and wrote into their ledgers counts, never a relay's own log.
-Exit code 0: every rule kept; 1: one broken; 2: the record can't be read.
+The evidence is what the emulators saw on their sockets and wrote into their ledgers; a relay's own log is not used.
+Exit code 0: every rule kept; 1: at least one broken; 2: the record can't be read.
 """
 
 
 def _verdict_lines(verdicts: list[Verdict]) -> list[str]:
     lines = [f"{'rule':<9} {'verdict':<8} {'looked at':>9}  {'broken':>6}  what it asks"]
     for verdict in verdicts:
-        word = "BROKEN" if verdict.broken else "kept"
-        lines.append(f"{verdict.rule:<9} {word:<8} {verdict.looked_at:>9}  {verdict.broken:>6}  {verdict.text}")
+        outcome = "BROKEN" if verdict.broken else "kept"
+        lines.append(f"{verdict.rule:<9} {outcome:<8} {verdict.looked_at:>9}  {verdict.broken:>6}  {verdict.text}")
         lines += [f"{'':<9} - {text}" for text in verdict.findings[:MAX_FINDINGS_SHOWN]]
     return lines
 
@@ -43,7 +44,7 @@
 
 
 def format_text(checked: CheckedRun) -> str:
-    """Return the verdicts and figures for people."""
+    """Return the verdicts and figures as text for people."""
     broken = sum(bool(verdict.broken) for verdict in checked.verdicts)
     conclusion = "Every rule was kept." if not broken else f"{broken} rule(s) broken."
     lines = [*_verdict_lines(checked.verdicts), "", *_figure_lines(checked.figures), "", conclusion]
@@ -51,7 +52,7 @@
 
 
 def format_json(checked: CheckedRun) -> str:
-    """Return the verdicts and figures for scripts."""
+    """Return the verdicts and figures as JSON for scripts."""
     rules = [
         {
             "rule": verdict.rule,
@@ -66,7 +67,7 @@
 
 
 def check_and_show(folder: Path, as_json: bool) -> ExitCode:
-    """Check the run in a folder and print what was found; return the exit code."""
+    """Check the run in a folder and print its verdicts and figures; return the exit code."""
     try:
         checked = check(folder)
     except RecordError as error:
@@ -77,7 +78,7 @@
 
 @click.command(help=HELP)
 @click.argument("record", type=click.Path(exists=True, file_okay=False, path_type=Path))
-@click.option("--json", "as_json", is_flag=True, help="For scripts.")
+@click.option("--json", "as_json", is_flag=True, help="Print JSON for scripts.")
 def command(record: Path, as_json: bool) -> None:
-    """Check the record of a run by the rules."""
+    """Check the record of a run against the rules."""
     sys.exit(check_and_show(record, as_json))
--- a/linnetstile/cli/common.py
+++ b/linnetstile/cli/common.py
@@ -1,4 +1,4 @@
-"""What the sub-commands share: exit codes, settings files, errors."""
+"""Helpers that the sub-commands share: exit codes, settings files, errors."""
 
 from __future__ import annotations
 
@@ -16,26 +16,27 @@
 
 
 class ExitCode(IntEnum):
-    """How a command ends.
+    """Exit codes of the sub-commands.
 
-    A relay that stops with messages unanswered ends with 4, and a command that a signal ended with 128 and its number.
+    Two more codes are defined elsewhere: 4 for a relay that stops with messages unanswered, and 128 plus the signal's
+    number for a command that a signal ended.
     """
 
     OK = 0
-    NO = 1  # the answer is no: a rule broken, a message not delivered
-    BAD_INPUT = 2  # arguments, settings or records
-    NOT_STARTED = 3  # something could not start or was not reached
+    NO = 1  # negative result: a rule is broken, or a message was not delivered
+    BAD_INPUT = 2  # invalid arguments, settings or records
+    NOT_STARTED = 3  # a process did not start, or a relay could not be reached
 
 
 def die(code: int, *lines: str) -> NoReturn:
-    """Write lines to standard error and end with a code."""
+    """Write lines to standard error and exit with a code."""
     for line in lines:
         click.echo(line, err=True)
     sys.exit(code)
 
 
 def load_settings(path: Path, model: type[Model]) -> Model:
-    """Return the validated file, or end with every error in it on standard error."""
+    """Return the validated settings of a file, or exit with all of its errors on standard error."""
     try:
         return load(path, model)
     except SettingsError as error:
@@ -43,5 +44,5 @@
 
 
 def is_new_or_empty(folder: Path) -> bool:
-    """Whether a folder can take the files of a run."""
+    """Whether a folder is missing or empty, so that a run can write its files there."""
     return not folder.exists() or (folder.is_dir() and not any(folder.iterdir()))
--- a/linnetstile/cli/knowledge.py
+++ b/linnetstile/cli/knowledge.py
@@ -1,4 +1,4 @@
-"""The sub-command `linnetstile knowledge`: what a relay knows of its partners, by gossip and from its own calls."""
+"""The sub-command `linnetstile knowledge`: what relays know about partners, by gossip and from their own calls."""
 
 from __future__ import annotations
 
@@ -17,24 +17,26 @@
 
 TIMEOUT_S = 5.0
 OK_STATUS = 200
-WHY_NO_DOCUMENT = {403: "the token is not the relay's", 404: "the relay has no knowledge.token_file"}
+WHY_NO_DOCUMENT = {403: "the token does not match the relay's", 404: "the relay has no knowledge.token_file"}
 TABLE_HEAD = (
     f"{'partner':<24} {'is':<16} {'answered':>9} {'failed':>9} {'wait':>7} {'mean ms':>7} {'dev':>6} {'knowers':>7}"
 )
-IMPORT_HELP = """Give FILE (from `export`) to a relay that is stopped, as its knowledge.snapshot at SNAPSHOT_FILE. Its
-age counts from when it was written; what is too old is distrusted at the start.
+IMPORT_HELP = """Copy FILE (from `export`) to SNAPSHOT_FILE, the knowledge.snapshot of a stopped relay. The age of a
+snapshot counts from when it was written; a relay distrusts what is too old when it starts.
 """
 
-TOKEN = click.option("--token-file", type=FILE, help="The relays' knowledge.token_file.")
+TOKEN = click.option("--token-file", type=FILE, help="File with the relays' token (their knowledge.token_file).")
 
 
-@click.group(help="What a relay knows of its partners: show it, compare two relays, export it, import it into another.")
+@click.group(
+    help="What a relay knows about its partners: show it, compare two relays, export it, import it into another."
+)
 def command() -> None:
     """Show, compare, export and import what a relay knows."""
 
 
 def fetch(address: str, token_file: Path | None, target: str = "/knowledge?look=1") -> bytes:
-    """Return the body that a running relay answers, or end with an error."""
+    """Return the body of a running relay's answer, or exit with an error."""
     from ..as2_relay.gossip_document import MAX_DOCUMENT_BYTES
     from ..codec import http1
     from ..config.relay import require_loopback, split_address
@@ -56,12 +58,12 @@
         die(ExitCode.NOT_STARTED, f"{address}: no answer: {answer.wire_result.value}")
     status = answer.head.status
     if status != OK_STATUS:
-        die(ExitCode.NO, f"{address}: {status}: {WHY_NO_DOCUMENT.get(status, 'no document')}")
+        die(ExitCode.NO, f"{address}: status {status}: {WHY_NO_DOCUMENT.get(status, 'no document')}")
     return answer.body
 
 
 def load_document(source: str, token_file: Path | None) -> GossipDocument:
-    """Return the document of a file or of the relay at an address, or end with an error."""
+    """Return the document of a file or of the relay at an address, or exit with an error."""
     from ..as2_relay.gossip_document import parse
     from ..as2_relay.gossip_snapshot import load
 
@@ -76,7 +78,7 @@
 
 
 def _health(claim: ClaimModel) -> str:
-    """Return the word for a partner that is ejected, warming up or healthy."""
+    """Return how the table shows a partner: "out" (ejected), "cold" (warming up) or "well" (healthy)."""
     if claim.out_age is not None:
         return "out"
     return "cold" if claim.cold_age is not None else "well"
@@ -105,7 +107,7 @@
     return claim.out_age is None, claim.cold_age is None, claim.partner, claim.route
 
 
-@command.command(help="What RELAY (an address, or a file) knows: by partner, ages as of now.")
+@command.command(help="Show what RELAY (an address or a file) knows about each partner, with ages as of now.")
 @click.argument("relay")
 @TOKEN
 @click.option("--json", "as_json", is_flag=True)
@@ -125,7 +127,7 @@
 
 
 @command.command(
-    help="What RELAY (an address) learned by gossip: from whom, how old, and what it distrusted and why. JSON."
+    help="Show as JSON what RELAY (an address) learned by gossip: its source and age, what was distrusted and why."
 )
 @click.argument("relay")
 @TOKEN
@@ -135,8 +137,8 @@
 
 
 DIFF_HELP = (
-    "Where two relays (addresses or files) do not know the same. Exit code 1 if they differ in which partners are "
-    "ejected (out) or warming up (cold)."
+    "Show where the knowledge of two relays (addresses or files) differs. Exit code 1 if they differ in which "
+    "partners are ejected (out) or warming up (cold)."
 )
 
 
@@ -145,18 +147,18 @@
 @click.argument("other")
 @TOKEN
 def diff(one: str, other: str, token_file: Path | None) -> None:
-    """Show where two relays do not know the same."""
+    """Show where the knowledge of two relays differs."""
     health = [
         {(claim.partner, claim.route): _health(claim) for claim in load_document(source, token_file).claims}
         for source in (one, other)
     ]
-    differ = False
+    health_differs = False
     for partner, route in sorted(health[0].keys() | health[1].keys()):
         left, right = (side.get((partner, route), "unknown") for side in health)
         if left != right:
-            differ = differ or not {"out", "cold"}.isdisjoint((left, right))
+            health_differs = health_differs or not {"out", "cold"}.isdisjoint((left, right))
             click.echo(f"{_route_name(partner, route)}: {left} | {right}")
-    sys.exit(ExitCode.NO if differ else ExitCode.OK)
+    sys.exit(ExitCode.NO if health_differs else ExitCode.OK)
 
 
 @command.command(help="Write what RELAY knows to FILE, as a snapshot that `import` and a relay's start can read.")
@@ -187,7 +189,7 @@
         payload, age_ms = snapshot.read(file)
         parse(payload)
         if age_ms is None:
-            raise ValueError("its age can't be told: the clock has gone back since it was written")
+            raise ValueError("its age is unknown: the clock was set back after it was written")
     except (snapshot.SnapshotError, ValueError) as error:
         die(ExitCode.BAD_INPUT, f"{file}: {error}")
     data = file.read_bytes()
--- a/linnetstile/cli/main.py
+++ b/linnetstile/cli/main.py
@@ -1,6 +1,6 @@
-"""The command `linnetstile`. Sub-commands are imported when called: `--help` stays quick.
+"""The command `linnetstile`. A sub-command is imported only when it is called, so that `--help` is fast.
 
-Exit codes: 0 success; 1 the answer is no (a rule broken, a message not delivered); 2 bad arguments, settings or
+Exit codes: 0 success; 1 negative result (a rule broken, a message not delivered); 2 bad arguments, settings or
 records; 3 could not start; 4 stopped with messages unanswered.
 """
 
@@ -12,35 +12,35 @@
 
 COMMANDS = {
     "relay": "Run one relay from a settings file.",
-    "scale": "Play a fleet at size, simulated relays beside real processes.",
-    "play": "Play a day through real relays and check it by the rules.",
-    "check": "Check the record of a run by the rules.",
+    "scale": "Play a large fleet: simulated relays beside a few real processes.",
+    "play": "Play a day through real relays and check it against the rules.",
+    "check": "Check the record of a run against the rules.",
     "show": "Show the state of a running relay: connections, queues, slow partners.",
-    "knowledge": "Show, compare, export and import what relays know of partners.",
+    "knowledge": "Show, compare, export and import what relays know about partners.",
     "send": "Submit one AS2 message and show its answer.",
     "standin": "Run an emulator: partners, registry or clients.",
 }
-HELP = """linnetstile accepts AS2 messages and forwards them to partners that nobody here controls.
+HELP = """linnetstile accepts AS2 messages and forwards them to partners outside its operator's control.
 
 \b
-A first look:   linnetstile play days/two-troubles.yaml
+First run:      linnetstile play days/two-troubles.yaml
 One relay:      linnetstile relay relay.yaml
-Its answers:    linnetstile send --to 127.0.0.1:4080 --from a --partner b FILE
+One message:    linnetstile send --to 127.0.0.1:4080 --from a --partner b FILE
 
-Exit codes: 0 success; 1 the answer is no; 2 bad arguments, settings or records; 3 could not start;
+Exit codes: 0 success; 1 negative result; 2 bad arguments, settings or records; 3 could not start;
 4 stopped with messages unanswered.
 """
 
 
 class LazyGroup(click.Group):
-    """A group that imports a sub-command when it is called, and shows the list without importing any."""
+    """A group that imports a sub-command when it is called, and lists all of them without importing any."""
 
     def list_commands(self, ctx: click.Context) -> list[str]:
         """Return the names in the order of the help text."""
         return list(COMMANDS)
 
     def get_command(self, ctx: click.Context, name: str) -> click.Command | None:
-        """Import a sub-command; None if there is none of this name."""
+        """Import a sub-command; return None if no sub-command has this name."""
         if name not in COMMANDS:
             return None
         command = importlib.import_module(f"linnetstile.cli.{name}").command
--- a/linnetstile/cli/play.py
+++ b/linnetstile/cli/play.py
@@ -10,10 +10,10 @@
 
 from .common import FILE, ExitCode, die, load_settings
 
-HELP = """Play DAY (YAML): registry, partners, relays and clients run as processes of their own on loopback, faults
-come by the clock, and the record of their sockets is checked by the rules. It ends by itself.
+HELP = """Play DAY (YAML): the registry, partners, relays and clients run as separate processes on loopback, faults
+begin at their scripted times, and the traffic record is checked against the rules. The command ends by itself.
 
-Exit code 0: every rule kept; 1: one broken; 2: a bad file; 3: a process did not start or ended by itself.
+Exit code 0: every rule kept; 1: at least one broken; 2: an invalid file; 3: a process did not start or ended early.
 """
 
 
@@ -22,10 +22,10 @@
 @click.option(
     "--record",
     type=click.Path(file_okay=False, path_type=Path),
-    help="Folder for the records, new or empty; else one in the temporary directory.",
+    help="Folder for the records, new or empty; default: a new one in the temporary directory.",
 )
-@click.option("--seed", type=int, help="Another draw of the same day.")
-@click.option("--json", "as_json", is_flag=True, help="The verdict for scripts.")
+@click.option("--seed", type=int, help="Seed to draw the day with, in place of the one in DAY.")
+@click.option("--json", "as_json", is_flag=True, help="Print the verdicts as JSON for scripts.")
 def command(day: Path, record: Path | None, seed: int | None, as_json: bool) -> None:
     """Play a day through real relays and check its record."""
     from ..testbed.day import Day
@@ -38,7 +38,7 @@
         script = script.model_copy(update={"seed": seed})
     folder = record or Path(tempfile.mkdtemp(prefix=f"linnetstile-{script.name}-"))
     if folder.exists() and any(folder.iterdir()):
-        die(ExitCode.BAD_INPUT, f"{folder}: expected a new or empty folder")
+        die(ExitCode.BAD_INPUT, f"{folder}: expected a new or empty folder, found one that is not empty")
     try:
         play(script, folder, lambda text: click.echo(text, err=True))
     except PlayError as error:
--- a/linnetstile/cli/relay.py
+++ b/linnetstile/cli/relay.py
@@ -13,8 +13,8 @@
 HELP = """Run one relay with the settings in FILE (YAML).
 
 Once it listens, one JSON line with its address goes to standard output; the log goes to standard error. SIGTERM
-starts a graceful shutdown: it accepts no more messages, answers the pending ones and ends (0), or ends when
-limits.stop_ms has passed (4). A second SIGTERM ends it at once.
+starts a graceful shutdown: the relay accepts no more messages, answers the pending ones and exits with 0, or exits
+with 4 when limits.stop_ms has passed. A second SIGTERM ends it at once.
 """
 
 
@@ -23,11 +23,11 @@
 @click.option(
     "--log-level", type=click.Choice(["debug", "info", "warning", "error"]), default="info", show_default=True
 )
-@click.option("--check", is_flag=True, help="Validate the file and end.")
+@click.option("--check", is_flag=True, help="Validate the file and exit.")
 @click.option(
     "--ready-file",
     type=click.Path(dir_okay=False, path_type=Path),
-    help="Write the line with the address here too, once it listens.",
+    help="Also write the line with the address to this file, once the relay listens.",
 )
 def command(file: Path, log_level: str, check: bool, ready_file: Path | None) -> None:
     """Run one relay until SIGTERM, or validate its settings."""
@@ -41,6 +41,6 @@
             check_files(relay)
         except (OSError, ValueError) as error:
             die(ExitCode.BAD_INPUT, f"{file}: {error}")
-        click.echo(f"{file}: good")
+        click.echo(f"{file}: valid")
         return
     sys.exit(asyncio.run(run(relay, logger(log_level, relay=relay.name), ready_file)))
--- a/linnetstile/cli/scale.py
+++ b/linnetstile/cli/scale.py
@@ -1,4 +1,4 @@
-"""The sub-command `linnetstile scale`: plays a fleet at size."""
+"""The sub-command `linnetstile scale`: plays a large fleet, most of its relays simulated."""
 
 from __future__ import annotations
 
@@ -20,42 +20,42 @@
 
 SIGNAL_EXIT_BASE = 128  # the exit code of a run that a signal ended is this plus the signal's number
 
-HELP = """Play a fleet at size: simulated relays (the shipped code on a simulated clock) beside a few real processes.
-Loopback only; it ends by itself. The report (scale.json, scale.txt, plots) goes to the folder, its text to standard
-output.
+HELP = """Play a large fleet: simulated relays (the shipped code on a simulated clock) beside a few real processes.
+It uses loopback alone and ends by itself. The report (scale.json, scale.txt, plots) goes to the folder, its text to
+standard output.
 
-Exit code 0: played, and simulated and real relays did the same; 1: they did not; 2: a bad option; 3: a process of
-the run did not start or ended by itself; 128 and the signal's number: ended.
+Exit code 0: played, and simulated and real relays behaved alike; 1: they did not; 2: an invalid option; 3: a process
+of the run did not start or ended early; 128 plus the signal's number: ended by a signal.
 """
 DEFAULT = ScaleOptions()
 SIZE_HELP = {
-    "seed": "Draw of world and chance.",
-    "relays": "Relays of the fleet.",
-    "destinations": "Destinations listed.",
-    "real": "Real processes beside the simulated relays.",
-    "played": "Simulated relays that are played; 0 = all.",
-    "in_use": "Destinations that get their traffic, each of them all of it.",
-    "workers": "Processes that play.",
-    "minutes": "The run ends within so many.",
-    "changes": "Changes of the list in the scenario day.",
-    "failing": "Relays that fail in it.",
-    "restarts": "Relays restarted or replaced in it.",
-    "rack": "Relays of a rack.",
-    "day_s": "Simulated seconds of the scenario day.",
-    "zone_s": "A zone is unreachable for so long.",
-    "parted_s": "The regions are partitioned for so long.",
-    "held": "Pending messages for each destination in use in a full folder.",
-    "cost_most": "Destinations of the longest list whose cost is measured.",
+    "seed": "Seed of all random numbers.",
+    "relays": "Relays in the fleet.",
+    "destinations": "Destinations on the endpoint list.",
+    "real": "Real relay processes beside the simulated relays.",
+    "played": "Relays of the fleet that are simulated; 0 = all.",
+    "in_use": "Destinations that get traffic; each of them gets its full traffic.",
+    "workers": "Processes that simulate relays.",
+    "minutes": "Time limit of the run in minutes.",
+    "changes": "Changes of the endpoint list in the scenario day.",
+    "failing": "Relays that fail permanently in the scenario day.",
+    "restarts": "Relays restarted or replaced in the scenario day.",
+    "rack": "Relays in the rack that fails.",
+    "day_s": "Length of the scenario day in simulated seconds.",
+    "zone_s": "Simulated seconds for which a zone is unreachable.",
+    "parted_s": "Simulated seconds for which the regions are partitioned.",
+    "held": "Messages for each destination in use that a restarted relay recovers from its state folder.",
+    "cost_most": "Destinations on the longest list whose cost is measured.",
 }
 
 
 def _fail(code: int, reason: object) -> NoReturn:
-    """End with an error line on standard error and an exit code."""
+    """Write an error line to standard error and exit with a code."""
     die(code, f"linnetstile scale: {reason}")
 
 
 def parse_size(context: click.Context, parameter: click.Parameter, value: str) -> int:
-    """Parse the value of a size option; end with an error line if it is not a whole number."""
+    """Parse the value of a size option; exit with an error line if it is not a whole number."""
     name = parameter.name or ""
     if not value.removeprefix("-").isdecimal():
         lowest, highest = OPTION_RANGES[name]
@@ -87,11 +87,11 @@
     "scenario_list",
     default=",".join(SCENARIOS),
     show_default=True,
-    help="Scenarios, in this order.",
+    help="Scenarios to run, separated by commas, in this order.",
 )
 @click.option("--out", type=click.Path(path_type=Path), help="Folder of the report, new or empty.")
 def command(scenario_list: str, out: Path | None, **sizes: int) -> None:
-    """Play a fleet at size and show the report."""
+    """Play a large fleet and show the report."""
     scenarios = tuple(scenario for scenario in scenario_list.split(",") if scenario)
     options = ScaleOptions(**sizes, scenes=scenarios)
     try:
@@ -110,7 +110,7 @@
 
 
 def _run(options: ScaleOptions, folder: Path) -> ReportJson:
-    """Play the fleet; return the report, or end with an error."""
+    """Play the fleet; return the report, or exit with an error."""
     from ..testbed.scale.errors import RelayStartError, RunFailedError
     from ..testbed.scale.run import RunInterrupted, run
 
--- a/linnetstile/cli/send.py
+++ b/linnetstile/cli/send.py
@@ -22,9 +22,9 @@
     from ..net.client import CallResult
 
 OK_STATUS = 200
-MAX_TEXT_CHARACTERS = 500  # of an answer's body that is shown
+MAX_TEXT_CHARACTERS = 500  # shown of the body of an answer
 FAILURE_ANSWERS = ("refused", "failed", "rejected")
-GOOD_RECEIPTS = ("positive", "duplicate")
+VALID_RECEIPTS = ("positive", "duplicate")
 
 HELP = """Submit the content of FILE as one AS2 message and show the final answer.
 
@@ -75,15 +75,15 @@
 
 
 def _describe_receipt(check: messages.ReceiptCheck, is_verified: bool) -> ShownReceipt:
-    """Return what is shown of a receipt; one that nobody could verify counts as valid without --receipt-from."""
-    word = check.status.value
-    is_valid = word in GOOD_RECEIPTS
-    if word == "unproven" and not is_verified:
-        word = "not verified (no --receipt-from)"
+    """Return what is shown of a receipt; without --receipt-from, an unverified receipt counts as valid."""
+    shown_status = check.status.value
+    is_valid = shown_status in VALID_RECEIPTS
+    if shown_status == "unproven" and not is_verified:
+        shown_status = "not verified (no --receipt-from)"
         is_valid = True
     receipt = check.receipt
     fields: dict[str, object] = {
-        "receipt": word,
+        "receipt": shown_status,
         "disposition": f"{receipt.disposition_type}/{receipt.modifier}" if receipt else "unread",
         "text": receipt.text if receipt else "",
     }
@@ -99,15 +99,15 @@
     fields: dict[str, object] = {"id": message_id, "answer": kind, "status": answer.head.status}
     if answer.head.headers.get("retry-after"):
         fields["retry_after_s"] = answer.head.headers.get("retry-after")
-    is_good = answer.head.status == OK_STATUS and kind not in FAILURE_ANSWERS
+    is_success = answer.head.status == OK_STATUS and kind not in FAILURE_ANSWERS
     if check is not None:
         receipt = _describe_receipt(check, is_verified)
         fields |= receipt.fields
-        is_good = is_good and receipt.is_valid
-    elif not is_good:
+        is_success = is_success and receipt.is_valid
+    elif not is_success:
         fields["text"] = answer.body.decode("utf-8", "replace").strip()[:MAX_TEXT_CHARACTERS]
     click.echo(_format(fields, as_json))
-    return ExitCode.OK if is_good else ExitCode.NO
+    return ExitCode.OK if is_success else ExitCode.NO
 
 
 def _format(fields: Mapping[str, object], as_json: bool) -> str:
@@ -120,14 +120,14 @@
 @click.option("--path", default="/as2", show_default=True)
 @click.option("--from", "sender", required=True, help="AS2-From.")
 @click.option("--partner", required=True, help="AS2-To.")
-@click.option("--subject", default="", help="Rules of the relay may look at it.")
-@click.option("--id", "message_id", help="Message-ID; submit the same again to ask for its answer.")
+@click.option("--subject", default="", help="Subject of the message; rules of the relay can match it.")
+@click.option("--id", "message_id", help="Message-ID; submit the same ID again to ask for the answer to that message.")
 @click.option("--sign-with", type=FILE, help="PEM with key and certificate.")
 @click.option("--encrypt-to", type=FILE, help="PEM with the partner's RSA certificate.")
 @click.option("--compress", is_flag=True)
-@click.option("--no-receipt", is_flag=True, help="Ask for none.")
+@click.option("--no-receipt", is_flag=True, help="Do not ask for a receipt.")
 @click.option("--receipt-from", type=FILE, help="PEM with the certificate that should have signed the receipt.")
-@click.option("--patience", default=60.0, show_default=True, help="Seconds to wait.")
+@click.option("--patience", default=60.0, show_default=True, help="Seconds to wait for the answer.")
 @click.option("--json", "as_json", is_flag=True)
 def command(as_json: bool, **options: Any) -> None:
     """Submit a file as one AS2 message and show the final answer."""
@@ -182,7 +182,7 @@
 
 
 def _submit(options: SendOptions, submission: Submission, message_id: str) -> CallResult:
-    """Return the answer, or end with an error if there is none."""
+    """Return the answer, or exit with an error if there is none."""
     from ..config.relay import split_address
     from ..net import client
 
@@ -194,7 +194,7 @@
 
 
 def _check_receipt(options: SendOptions, submission: Submission, answer: CallResult) -> messages.ReceiptCheck | None:
-    """Return what the receipt in an answer proves; None if there is none."""
+    """Return what the receipt in an answer proves; None if the answer has no receipt."""
     from ..emulators import messages
 
     if answer.head is None or answer.head.status != OK_STATUS or options.no_receipt:
--- a/linnetstile/cli/show.py
+++ b/linnetstile/cli/show.py
@@ -61,21 +61,21 @@
 
 
 def fetch(socket: Path, target: str) -> bytes:
-    """Return the answer of a relay's admin socket, or end with an error."""
+    """Return the answer of a relay's admin socket, or exit with an error."""
     from ..codec import http1
     from ..net import client
 
     data = http1.encode_request("GET", f"/{target}", [("Host", "admin")])
     answer = asyncio.run(client.call_once(str(socket), "GET", data, TIMEOUT_S))
     if answer.head is None:
-        die(ExitCode.NOT_STARTED, f"{socket}: no relay answers there: {answer.wire_result.value}")
+        die(ExitCode.NOT_STARTED, f"{socket}: no relay answers on this socket: {answer.wire_result.value}")
     if answer.head.status != OK_STATUS:
-        die(ExitCode.NO, f"{socket}: {answer.head.status}: {answer.body.decode(errors='replace').strip()}")
+        die(ExitCode.NO, f"{socket}: status {answer.head.status}: {answer.body.decode(errors='replace').strip()}")
     return answer.body
 
 
 def fetch_document(socket: Path, target: str, as_json: bool) -> dict[str, Any] | None:
-    """Return a JSON document of the admin socket; print it as it came and return None if `as_json`."""
+    """Return a JSON document of the admin socket; with `as_json`, print it unchanged and return None."""
     body = fetch(socket, target)
     if as_json:
         click.echo(body.decode())
@@ -85,7 +85,7 @@
 
 
 def _printable(value: object) -> str:
-    """Guard the terminal against control characters in names that peers chose."""
+    """Replace control characters, which could harm the terminal: peers choose some of the shown names."""
     return "".join(character if character.isprintable() else "?" for character in str(value))
 
 
@@ -110,15 +110,15 @@
 
 
 CONNECTIONS_HELP = (
-    "Each connection: its peer, its phase and for how long. Patience is what its minimum rate has left of "
-    "limits.stall_ms."
+    "Each connection: its peer, its phase and the time in that phase. Patience is the fraction of limits.stall_ms that "
+    "is left before a connection below its minimum rate is evicted."
 )
 
 
 @command.command(help=CONNECTIONS_HELP)
 @SOCKET
 @JSON
-@click.option("--phase", help="Only those in this phase.")
+@click.option("--phase", help="Show only the connections in this phase.")
 @ROWS
 def connections(socket: Path, as_json: bool, phase: str | None, rows: int) -> None:
     """Show the connections."""
@@ -145,7 +145,7 @@
         f"{document['relay']}: {capacity['held_bytes']} of {capacity['bytes']} bytes, "
         f"{capacity['held_messages']} of {capacity['messages']} messages, "
         f"{capacity['slots_out']} of {capacity['slots']} slots; "
-        f"{capacity['waiting']} requests wait for room"
+        f"{capacity['waiting']} requests wait for capacity"
     )
     print_table(document["parties"], TENANT_COLUMNS, rows)
     click.echo()
@@ -163,13 +163,12 @@
         return
     count = sum(row["slow_s"] is not None for row in document["rows"])
     click.echo(
-        f"{document['relay']}: {count} of {document['total']} partners slow; "
-        f"{document['usual_ms']} ms of slot time are usual"
+        f"{document['relay']}: {count} of {document['total']} partners slow; usual slot time {document['usual_ms']} ms"
     )
     print_table(document["rows"], SLOW_COLUMNS, rows)
 
 
-@command.command(help="The page that a scraper reads, in the Prometheus text format.")
+@command.command(help="The metrics of the relay in the Prometheus text format, as a scraper reads them.")
 @SOCKET
 def metrics(socket: Path) -> None:
     """Show the metrics."""
--- a/linnetstile/cli/standin.py
+++ b/linnetstile/cli/standin.py
@@ -13,7 +13,7 @@
 
 
 @click.group(
-    help="Run an emulator from a spec file (YAML). Each prints its ports in one JSON line and ends on SIGTERM."
+    help="Run an emulator from a settings file (YAML). Each prints its ports in one JSON line and ends on SIGTERM."
 )
 def command() -> None:
     """Run an emulator from its settings file."""
@@ -22,8 +22,8 @@
 async def _until_stopped() -> None:
     """Wait for SIGTERM or SIGINT."""
     stop = asyncio.Event()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        asyncio.get_running_loop().add_signal_handler(number, stop.set)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        asyncio.get_running_loop().add_signal_handler(signal_number, stop.set)
     await stop.wait()
 
 
@@ -40,7 +40,7 @@
         click.echo(json.dumps({"ports": await emulator.start()}))
         await _until_stopped()
         emulator.close()
-        await asyncio.sleep(0)  # the ends of its connections go into the record
+        await asyncio.sleep(0)  # lets the ends of its connections be recorded before the loop stops
 
     asyncio.run(run())
 
