--- a/linnetstile/emulators/client.py
+++ b/linnetstile/emulators/client.py
@@ -30,17 +30,17 @@
 # Clients wait longer than the relay may take, so that a late answer is recorded as late.
 WAIT_BEYOND_DEADLINE_S = 3.0
 RETRY_AFTER_LOSS_S = (0.36, 1.9)  # range of the backoff after a submission without an answer
-LAST_ANSWER_DELAY_S = 0.3  # further answers may arrive for so long once all messages have ended
+LAST_ANSWER_DELAY_S = 0.3  # time for further answers to arrive after all messages have ended
 REFUSED = "refused"  # kind of answer: the relay rejected the message, and it may be submitted again
 
 
 class ClientEmulator:
-    """Plays the script of one process.
+    """Submits the scripted messages of one emulator process and handles their answers.
 
     Attributes:
         spec: Its settings.
         recorder: Records its traffic.
-        script: What it submits.
+        script: The messages that it submits.
     """
 
     def __init__(self, spec: ClientSpec) -> None:
@@ -54,12 +54,12 @@
         self._builder = MessageBuilder(spec, run_tag=f"{spec.seed:x}.{int(self._start_ms):x}")
         self._server = server.Server(self._receipt_arrived)
         self._port = 0
-        self._messages: dict[int, OpenMessage] = {}  # by their numbers in the script
+        self._messages: dict[int, OpenMessage] = {}  # by number in the script
         self._unfinished = len(self.script)
         self._done = asyncio.Event()
 
     async def run(self, wait_s: float = 40.0) -> None:
-        """Play the script, then wait for open answers, `wait_s` at most."""
+        """Play the script, then wait up to `wait_s` for outstanding answers."""
         self._port = await self._server.start()
         for plan in self.script:
             self._loop.call_at(self._start_ms / 1000 + plan.at_s, self._begin, plan)
@@ -90,7 +90,7 @@
 
     def _repeat(self, message: OpenMessage, relay: int) -> None:
         """Submit the same message once more, whether it is still open or has ended."""
-        # Only to the same relay: at two relays, the client itself would cause a second effect.
+        # Only to the same relay: with two relays, the client itself would cause a second effect.
         if message.submissions == 1 and message.relay == relay:
             self._submit(message, relay, is_repeat=True)
 
@@ -152,7 +152,7 @@
         self._retry_later(submission, backoff_s, may_retry=may_retry, reached_nobody=lost.reached_nobody)
 
     def _receipt_overdue(self, submission: Submission) -> None:
-        """Treat an accepted message as lost if its receipt has not come in time."""
+        """Treat an accepted message as lost if its receipt has not arrived in time."""
         message = submission.message
         if not message.is_done and submission.identifier == message.latest_submission:
             self._record_lost(submission, WireResult.TIMED_OUT)
@@ -184,9 +184,9 @@
     def _retry_later(
         self, submission: Submission, backoff_s: float, *, may_retry: bool, reached_nobody: bool = False
     ) -> None:
-        """Submit to the next relay after a backoff, if that is allowed and within the deadline.
+        """Submit to the next relay after a backoff, if a retry is allowed and within the deadline.
 
-        A submission that reached nobody does not count.
+        A submission that reached no relay does not count towards `max_submissions`.
         """
         message = submission.message
         message.submissions -= reached_nobody
--- a/linnetstile/emulators/client_events.py
+++ b/linnetstile/emulators/client_events.py
@@ -21,7 +21,7 @@
         is_repeat: Whether the client sends the same message a second time on purpose.
         sender: AS2 name of the sender.
         receiver: AS2 name of the partner.
-        answer_by: "post" if the receipt comes in a request of its own, else empty.
+        answer_by: "post" if the receipt comes in a separate request, else empty.
     """
 
     EVENT: ClassVar[str] = "hand"
@@ -48,13 +48,13 @@
 
     @property
     def reached_nobody(self) -> bool:
-        """Whether no relay can have received any of it."""
+        """Whether no relay can have received any part of the submission."""
         return self.wire_result in (WireResult.NO_CONNECTION.value, WireResult.NOT_SENT.value)
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class SubmissionAccepted(TrafficEvent):
-    """The relay accepted the message; its final answer comes in a request of its own."""
+    """The relay accepted the message; its final answer comes in a separate request."""
 
     EVENT: ClassVar[str] = "taken"
 
@@ -87,7 +87,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class StrayReceipt(TrafficEvent):
-    """A receipt came for a message that this client has not sent."""
+    """A receipt arrived for a message that this client has not sent."""
 
     EVENT: ClassVar[str] = "stray"
 
--- a/linnetstile/emulators/client_messages.py
+++ b/linnetstile/emulators/client_messages.py
@@ -22,9 +22,9 @@
         plan: The message as drawn.
         content: The message as built.
         created_ms: When it was first submitted.
-        submissions: Submissions that may have reached a relay, without the repeats of the script.
+        submissions: Submissions that may have reached a relay, not counting scripted repeats.
         relay: Number of the relay that it was last submitted to.
-        is_done: Whether it has its final answer, or is not retried any more.
+        is_done: Whether it has its final answer or will not be retried.
     """
 
     plan: PlannedMessage
@@ -66,7 +66,7 @@
         self._relay = cms.load_certificate(spec.relay_pem.read_bytes()) if spec.relay_pem else None
 
     def build(self, plan: PlannedMessage, receipt_port: int) -> messages.BuiltMessage:
-        """Build a message; an asynchronous receipt is to come to a port of loopback."""
+        """Build a message; an asynchronous receipt is requested at `receipt_port` on loopback."""
         flow = plan.flow
         content_unit = f"ISA*{plan.number:010d}*".encode()
         return messages.build_message(
@@ -82,7 +82,7 @@
         )
 
     def receipt_status(self, message: OpenMessage, kind: str, status: int, headers: http1.Headers, body: bytes) -> str:
-        """Return what the receipt in a final answer proves, as the traffic record has it.
+        """Return what the receipt in a final answer proves, in the form that the traffic record stores.
 
         Args:
             message: The message that was answered.
--- a/linnetstile/emulators/client_script.py
+++ b/linnetstile/emulators/client_script.py
@@ -17,12 +17,12 @@
     Attributes:
         at_s: When it is submitted, from the start of the script.
         flow: The flow that it belongs to.
-        number: Its number, in the order of the times.
+        number: Its number, in the order of submission times.
         signed: Whether it is signed.
         compressed: Whether it is compressed.
         receipt: Whether it asks for a receipt.
-        asynchronous: Whether the receipt comes in a request of its own.
-        repeat_after_s: Time until it is submitted once more to the same relay; None = not.
+        asynchronous: Whether the receipt comes in a separate request.
+        repeat_after_s: Time until it is submitted once more to the same relay; None = not repeated.
         relay: Number of the relay that gets it first.
     """
 
@@ -38,7 +38,7 @@
 
 
 def draw_script(spec: ClientSpec) -> list[PlannedMessage]:
-    """Draw the script of a run: the same for the same seed."""
+    """Draw the script of a run; the same settings and seed give the same script."""
     rng = random.Random(spec.seed)
     script = [message for flow in spec.flows for message in _draw_flow(rng, spec, flow)]
     script.sort(key=lambda message: message.at_s)
@@ -48,7 +48,7 @@
 
 
 def _draw_flow(rng: random.Random, spec: ClientSpec, flow: FlowSpec) -> list[PlannedMessage]:
-    """Draw one flow; the order of the draws is part of what a seed means."""
+    """Draw one flow; another order of the draws would change the script of each seed."""
     messages: list[PlannedMessage] = []
     at_s = 0.0
     while True:
--- a/linnetstile/emulators/client_settings.py
+++ b/linnetstile/emulators/client_settings.py
@@ -35,10 +35,10 @@
     at_s: float = Field(ge=0)
     for_s: float = Field(gt=0)
     times: float = Field(gt=0)
-    receivers: list[str] = []  # none = all
+    receivers: list[str] = []  # empty = all
 
     def affects(self, flow: FlowSpec, at_s: float) -> bool:
-        """Whether a flow is multiplied at a time."""
+        """Whether the surge multiplies a flow at this time."""
         is_on = self.at_s <= at_s < self.at_s + self.for_s
         return is_on and (not self.receivers or flow.receiver in self.receivers)
 
@@ -71,9 +71,9 @@
     relay_pem: Path | None = None
     signed: float = Field(0.3, ge=0, le=1)
     compressed: float = Field(0.1, ge=0, le=1)
-    receipts: float = Field(0.9, ge=0, le=1)  # share that asks for a receipt, signed
-    asynchronous: float = Field(0.0, ge=0, le=1)  # of those, to a receipt address
-    repeats: float = Field(0.02, ge=0, le=1)  # submitted twice to the same relay
+    receipts: float = Field(0.9, ge=0, le=1)  # share of the messages that ask for a signed receipt
+    asynchronous: float = Field(0.0, ge=0, le=1)  # share of the receipts that are sent to a receipt address
+    repeats: float = Field(0.02, ge=0, le=1)  # share of the messages submitted twice to the same relay
     bytes: int = Field(600, ge=1)
-    max_submissions: int = Field(3, ge=1, alias="tries")  # of one message
+    max_submissions: int = Field(3, ge=1, alias="tries")  # of each message
     min_backoff_ms: tuple[float, float] = Field((300.0, 900.0), alias="back_ms")  # range; a longer Retry-After wins
--- a/linnetstile/emulators/clock.py
+++ b/linnetstile/emulators/clock.py
@@ -1,4 +1,4 @@
-"""The clock of a run: one for all of its processes (Linux: CLOCK_MONOTONIC)."""
+"""The clock of a run, shared by all of its processes (on Linux: CLOCK_MONOTONIC)."""
 
 from __future__ import annotations
 
--- a/linnetstile/emulators/discovery.py
+++ b/linnetstile/emulators/discovery.py
@@ -4,7 +4,7 @@
     GET /api/targets?follow=1[&since=V]  a watch: chunks of JSON lines, an empty one every two seconds
     POST /v2/finals                      notices, one JSON object a line: 204
 
-Lists and changes come from a `Source`. It can fall silent (watches stay open) and break all watches.
+Lists and changes come from a `Source`. The emulator can be made silent (watches stay open) and can break all watches.
 """
 
 from __future__ import annotations
@@ -23,14 +23,14 @@
 
 
 class Source(Protocol):
-    """Where the lists and changes come from: lines of JSON, each with its line feed."""
+    """Source of the lists and changes: JSON lines, each ending with a line feed."""
 
     def full_list(self) -> bytes:
         """Return the full list."""
         ...
 
     def changes_since(self, version: int) -> bytes | None:
-        """Return the changes after a version; None if that is not known any more."""
+        """Return the changes after a version; None if the source no longer knows that version."""
         ...
 
 
@@ -63,10 +63,10 @@
     Attributes:
         source: Where lists and changes come from.
         is_silent: Whether it sends nothing; watches stay open.
-        requested_targets: Targets of the requests for lists and watches, in their order.
-        sent_bytes: Bytes of lists and changes so far.
+        requested_targets: Targets of the requests for lists and watches, in order of arrival.
+        sent_bytes: Bytes of lists and changes sent so far.
         notices: Result of each message, by its reference.
-        on_notice: Is called with reference and result of each notice.
+        on_notice: Called with the reference and result of each notice.
         watches: Connections with an open watch.
     """
 
@@ -124,7 +124,7 @@
             writer.close()
 
     async def _answer(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, request: _Request) -> bool:
-        """Answer one request; return whether the connection can be used for another one."""
+        """Answer one request; return whether the connection can serve another request."""
         if request.method == "POST" and request.path == "/v2/finals":
             self._receive_notices(request.body)
             writer.write(b"HTTP/1.1 204 No Content\r\n\r\n")
@@ -154,7 +154,7 @@
     def _open_watch(self, writer: asyncio.StreamWriter, since: str) -> None:
         """Send the full list or the missed changes; from then on the watch gets every change.
 
-        Nothing is awaited in between, so that no change is lost.
+        Nothing is awaited between sending and registering the watch, so that no change is lost.
         """
         changes = self.source.changes_since(int(since)) if since.isdigit() else None
         writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
--- a/linnetstile/emulators/faults.py
+++ b/linnetstile/emulators/faults.py
@@ -16,8 +16,8 @@
     """What a fault does; the values are those of settings files and records."""
 
     HANG = "hang"  # no call is answered
-    VANISH = "vanish"  # the same; kept apart for records
-    RESET = "reset"  # the connection is reset within the answer
+    VANISH = "vanish"  # no call is answered, as with HANG; records show the two kinds separately
+    RESET = "reset"  # the connection is reset during the answer
     UNAVAILABLE = "shut"  # every call is rejected until the end of the fault
     FAST_ERRORS = "fast_errors"  # calls are answered with status 500 at once
     SLOW = "slow"  # the work takes a multiple of its normal time
@@ -27,14 +27,14 @@
     CLASS_FAILURE = "class_fail"  # messages of some subjects are not answered
     NO_RECEIPT = "no_receipt"
     WRONG_MIC = "wrong_mic"  # the digest in the receipt is that of other content
-    FORGED_RECEIPT = "forged_receipt"  # the receipt is signed by somebody else
+    FORGED_RECEIPT = "forged_receipt"  # the receipt is signed with a key that is not the partner's
     GARBAGE = "garbage"  # the answer is not HTTP
     DRIP_FEED = "trickle"  # the answer is written byte by byte
     SLOW_READ = "crawl"  # the request is read slowly
 
 
 OUTAGE_KINDS = (FaultKind.HANG, FaultKind.VANISH, FaultKind.UNAVAILABLE, FaultKind.CRASH)
-"""A partner returns from these in slow start."""
+"""Kinds of faults after which a partner returns in slow start."""
 OUTAGE_ERROR_SHARE = 0.5  # fast errors for more than this share of the calls are an outage too
 DEFAULT_SLOW_READ_BYTES_PER_S = 200
 
@@ -50,22 +50,22 @@
     kind: FaultKind
     at_s: float = Field(ge=0)
     for_s: float = Field(gt=0)
-    partners: list[str] = Field(min_length=1)  # patterns
-    endpoints: list[int] = []  # none = all of the partner's
-    share: float = Field(1.0, ge=0, le=1)  # of calls that it affects
+    partners: list[str] = Field(min_length=1)  # shell-style patterns of partner names
+    endpoints: list[int] = []  # empty = all endpoints of the partners
+    share: float = Field(1.0, ge=0, le=1)  # share of the calls that the fault affects
     factor: float = Field(4.0, gt=0)  # slow: multiple of the normal work
-    bytes: int = Field(0, ge=0)  # reset: bytes of the answer before it; crawl: bytes a second that are read, 0 = 200
-    subject: str = "*"  # class_fail and the receipts: pattern of the messages
-    stall_ms: float = Field(350.0, gt=0)  # pauses: length of one
-    every_ms: float = Field(2000.0, gt=0)
-    how: Literal["silence", "reset"] = "silence"  # answer_lost
+    bytes: int = Field(0, ge=0)  # reset: bytes of the answer sent before it; crawl: bytes read per second, 0 = 200
+    subject: str = "*"  # class_fail and receipt faults: pattern of the subjects affected
+    stall_ms: float = Field(350.0, gt=0)  # pauses: length of each stall
+    every_ms: float = Field(2000.0, gt=0)  # pauses: period
+    how: Literal["silence", "reset"] = "silence"  # answer_lost: whether the connection is reset
 
     def affects(self, partner: str, endpoint: int) -> bool:
         """Whether calls to this endpoint can meet the fault."""
         return matches_any(partner, self.partners) and (not self.endpoints or endpoint in self.endpoints)
 
     def is_active(self, elapsed_s: float) -> bool:
-        """Whether it is on, so long after the start of the run."""
+        """Whether the fault is active at this time after the start of the run."""
         return self.at_s <= elapsed_s < self.at_s + self.for_s
 
     @property
--- a/linnetstile/emulators/messages.py
+++ b/linnetstile/emulators/messages.py
@@ -1,4 +1,4 @@
-"""Builds AS2 messages as a client's program would, and checks the receipts for them."""
+"""Builds AS2 messages as a client does, and checks the receipts for them."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
 
 @dataclass(slots=True)
 class _Layers:
-    """The body of a message while its layers are put around the content, from the inside to the outside.
+    """The body of a message while layers are wrapped around its content, innermost first.
 
     Attributes:
         content_type: Media type of the outermost layer so far.
@@ -75,7 +75,7 @@
         self.entity = f"Content-Type: {self.content_type}\r\n\r\n".encode() + self.body
 
     def encrypt(self, certificate: object) -> None:
-        if self.is_plain:  # else the digest stays that of the signed or compressed entity
+        if self.is_plain:  # otherwise the digest stays that of the signed or compressed entity
             self.digested_content = self.entity
         self.content_type, self.body = cms.encrypt(self.entity, certificate)  # type: ignore[arg-type]
 
@@ -96,9 +96,9 @@
     reply_to: str = "",
     micalg: str = "sha-256",
 ) -> BuiltMessage:
-    """Build one message: plain, compressed, signed, encrypted, or a mix.
+    """Build one message: plain, compressed, signed, encrypted, or a combination of these.
 
-    Compression goes first, then the signature, then encryption (RFC 5402, 2; RFC 8551, 3.7).
+    Compression is applied first, then the signature, then encryption (RFC 5402, 2; RFC 8551, 3.7).
 
     Args:
         sender: AS2 name of the sender.
@@ -111,8 +111,8 @@
         encrypt_to: Certificate to encrypt for, if given.
         compress: Whether to compress.
         receipt: Whether to ask for a receipt.
-        signed_receipt: Whether it has to be signed.
-        reply_to: URL for an asynchronous receipt; empty = on the connection.
+        signed_receipt: Whether the receipt has to be signed.
+        reply_to: URL for an asynchronous receipt; empty = the receipt comes in the response.
         micalg: Digest algorithm of the signature and of the receipt.
     """
     layers = _Layers.plain(content_type, content)
@@ -138,26 +138,26 @@
     return BuiltMessage(as2.As2Headers.parse(Headers(headers)), headers, layers.body, layers.digested_content)
 
 
-def _receipt_request(sender: str, signed_with: str | None) -> list[HeaderField]:
+def _receipt_request(sender: str, receipt_micalg: str | None) -> list[HeaderField]:
     fields = [("Disposition-Notification-To", sender)]
-    if signed_with is not None:
-        options = f"signed-receipt-protocol=required, pkcs7-signature; signed-receipt-micalg=required, {signed_with}"
+    if receipt_micalg is not None:
+        options = f"signed-receipt-protocol=required, pkcs7-signature; signed-receipt-micalg=required, {receipt_micalg}"
         fields.append(("Disposition-Notification-Options", options))
     return fields
 
 
-def check_receipt(made: BuiltMessage, headers: Headers, body: bytes, signer: object | None) -> ReceiptCheck:
+def check_receipt(expected_message: BuiltMessage, headers: Headers, body: bytes, signer: object | None) -> ReceiptCheck:
     """Check what a receipt proves to the client.
 
     Args:
-        made: The message that it should be for.
+        expected_message: The message that the receipt should be for.
         headers: The header fields of the answer.
         body: The body of the answer.
-        signer: The certificate of who should have signed it.
+        signer: Certificate that should have signed the receipt; None = the signature is not verified.
     """
     content_type = headers.get("content-type")
     content = body
-    is_proven = not made.head.receipt_options.signed
+    is_proven = not expected_message.head.receipt_options.signed
     try:
         if mime.parse_content_type(content_type).name == "multipart/signed":
             signed, signature = cms.split_signed(content_type, content)
@@ -172,16 +172,16 @@
         return ReceiptCheck(ReceiptStatus.UNVERIFIED, None)
     except (mime.MimeError, mdn.MdnError):
         return ReceiptCheck(ReceiptStatus.MISSING, None)
-    return ReceiptCheck(_receipt_status(made, receipt, is_proven), receipt)
+    return ReceiptCheck(_receipt_status(expected_message, receipt, is_proven), receipt)
 
 
-def _receipt_status(made: BuiltMessage, receipt: mdn.Mdn, is_proven: bool) -> ReceiptStatus:
-    if receipt.original_message_id != made.head.message_id:
+def _receipt_status(expected_message: BuiltMessage, receipt: mdn.Mdn, is_proven: bool) -> ReceiptStatus:
+    if receipt.original_message_id != expected_message.head.message_id:
         return ReceiptStatus.OTHER_MESSAGE
     if not is_proven:
         return ReceiptStatus.UNVERIFIED
     if not receipt.is_positive:
         return ReceiptStatus.NEGATIVE
-    if receipt.mic and cms.digest(made.digested_content, receipt.micalg) != receipt.mic:
+    if receipt.mic and cms.digest(expected_message.digested_content, receipt.micalg) != receipt.mic:
         return ReceiptStatus.WRONG_MIC
     return ReceiptStatus.POSITIVE
--- a/linnetstile/emulators/partner.py
+++ b/linnetstile/emulators/partner.py
@@ -1,4 +1,4 @@
-"""Partner emulator: AS2 endpoints with work to do, limits, key memory, an effects ledger and scripted faults.
+"""Partner emulator: AS2 endpoints with simulated work, limits, key memory, an effects ledger and scripted faults.
 
 Written from RFC 4130 and the users' description of their partners, independently of the relay.
 """
@@ -29,7 +29,7 @@
         """Its AS2 name."""
         return self.behavior.spec.name
 
-    def endpoints_hit_by(self, fault: Fault) -> list[Endpoint]:
+    def endpoints_affected_by(self, fault: Fault) -> list[Endpoint]:
         """Return the endpoints that a fault affects."""
         return [endpoint for endpoint in self.endpoints if fault.affects(self.name, endpoint.spec.id)]
 
@@ -81,7 +81,7 @@
             _Outage(partner, endpoints, fault)
             for fault in self.spec.faults
             for partner in self.partners
-            if fault.is_outage and (endpoints := partner.endpoints_hit_by(fault))
+            if fault.is_outage and (endpoints := partner.endpoints_affected_by(fault))
         ]
 
     def _begin_outage(self, outage: _Outage) -> None:
@@ -107,7 +107,7 @@
         self._timers.clear()
 
     def close(self) -> None:
-        """End everything at once and flush the record."""
+        """Close all endpoints and connections immediately and flush the record."""
         self._cancel_timers()
         for endpoint in self._endpoints():
             endpoint.close()
--- a/linnetstile/emulators/partner_answers.py
+++ b/linnetstile/emulators/partner_answers.py
@@ -17,14 +17,14 @@
 
 DEFAULT_HOST = "127.0.0.1"
 DEFAULT_HTTP_PORT = 80
-RESET_DELAY_S = 0.02  # the bytes of an answer that were written leave before the connection is reset
+RESET_DELAY_S = 0.02  # lets the bytes already written be sent before the connection is reset
 DRIP_FEED_INTERVAL_S = 0.05  # between two bytes of an answer
 RECEIPT_TIMEOUT_S = 5.0
 NOT_HTTP = b"\x16\x03\x01 no http here\r\n\r\n"
 
 
 def wants_posted_receipt(call: PartnerCall) -> bool:
-    """Whether the message asks for a receipt in a request of its own."""
+    """Whether the message asks for its receipt in a separate request."""
     return "receipt-delivery-option" in call.exchange.head.headers
 
 
@@ -65,7 +65,7 @@
         call.exchange.connection.transport.write(NOT_HTTP)
 
     def lose(self, call: PartnerCall, *, with_reset: bool) -> None:
-        """Write no answer, and reset the connection if asked to."""
+        """Write no answer; with `with_reset`, reset the connection."""
         self._record_lost(call, "lost")
         if with_reset:
             call.exchange.connection.transport.abort()
@@ -100,7 +100,7 @@
         """Post a receipt to the address that the message names."""
         url = urllib.parse.urlsplit(call.exchange.head.headers.get("receipt-delivery-option"))
         data = http1.encode_request("POST", url.path or "/", [("Host", url.netloc), *receipt.headers], receipt.body)
-        identity = call.identity  # of now: the connection of the call may be gone when the post ends
+        identity = call.identity  # read now: the connection of the call may be closed when the post ends
         is_repeat_of_key = call.is_repeat_of_key
 
         def record(result: client.CallResult) -> None:
--- a/linnetstile/emulators/partner_behavior.py
+++ b/linnetstile/emulators/partner_behavior.py
@@ -17,11 +17,11 @@
 from .record import now_ms
 from .traffic_events import EffectApplied, OutageChanged, PartnerOverloaded
 
-NO_ENDPOINT = -1  # is hit by faults of the whole partner alone
+NO_ENDPOINT = -1  # matches only faults that affect all endpoints of a partner
 
 
 class PartnerBehavior:
-    """What the endpoints of one partner share: limit, key memory, ledger, health.
+    """State that the endpoints of one partner share: limit, key memory, ledger, health.
 
     Attributes:
         spec: The settings of the partner.
@@ -47,7 +47,7 @@
 
     @property
     def is_overloaded(self) -> bool:
-        """Whether it got too many calls in slow start; it answers nothing any more."""
+        """Whether it got too many calls in slow start; from then on it answers no call."""
         return self._slow_start.is_overloaded
 
     def fault_of_call(self, endpoint: int, subject: str) -> Fault | None:
@@ -60,7 +60,7 @@
             self.environment.recorder.write(PartnerOverloaded(partner=self.spec.name))
 
     def is_repeat_of_key(self, call: PartnerCall) -> bool:
-        """Whether the call's key is known as its work begins; a new one is remembered from then on."""
+        """Whether the call's key is known when its work begins; a new key is remembered from then on."""
         return self.keys.is_repeat(call.message_id, call.subject, now_ms())
 
     def work_s(self, endpoint: int) -> float:
@@ -76,7 +76,7 @@
         return work_ms / 1000
 
     def rejection_wait_ms(self, is_unavailable: bool) -> float | None:
-        """Return None if the call is accepted, else the wait to advertise in ms, 0 = none."""
+        """Return None if the call is accepted, else the wait to advertise in ms; 0 = advertise none."""
         advertises = self.environment.rng.random() < self.spec.retry_after_share
         wait_ms = self._unavailable_left_ms() if is_unavailable else self._rate_limit.try_acquire(now_ms())
         if wait_ms is None or advertises:
--- a/linnetstile/emulators/partner_call.py
+++ b/linnetstile/emulators/partner_call.py
@@ -7,7 +7,7 @@
 
 from ..net import server
 
-CONNECTION_MODULUS = 10**8  # connections are told apart in the record by so many digits
+CONNECTION_MODULUS = 10**8  # the record identifies a connection by the last 8 digits of its object id
 
 
 class CallIdentity(TypedDict):
@@ -22,13 +22,13 @@
 
 @dataclass(slots=True, eq=False)
 class PartnerCall:
-    """A request and where it came in.
+    """A request and the endpoint that received it.
 
     Attributes:
         exchange: The request and its reply.
         partner: Name of the partner.
         endpoint: Id of the endpoint.
-        is_repeat_of_key: Whether its key was known as the work began; None before that.
+        is_repeat_of_key: Whether its key was known when the work began; None before that.
     """
 
     exchange: server.RequestContext
@@ -48,7 +48,7 @@
 
     @property
     def identity(self) -> CallIdentity:
-        """What the traffic record says of the call in each of its events."""
+        """The fields that identify the call in each of its events in the traffic record."""
         return {
             "partner": self.partner,
             "endpoint": self.endpoint,
--- a/linnetstile/emulators/partner_endpoint.py
+++ b/linnetstile/emulators/partner_endpoint.py
@@ -19,8 +19,8 @@
 
 LOOPBACK = "127.0.0.1"
 MAX_BODY_BYTES = 256 << 20
-CONNECTION_TIMEOUT_S = 120.0  # for a head, and between two requests
-MAX_READ_DELAY_BYTES = 16384  # a body that came in one piece delays the work of a slow read by no more than these
+CONNECTION_TIMEOUT_S = 120.0  # to receive a request head, and between two requests
+MAX_READ_DELAY_BYTES = 16384  # a body received at once delays its work as if it had at most these bytes
 
 
 class Endpoint:
@@ -29,7 +29,7 @@
     Attributes:
         behavior: How its partner behaves.
         spec: Its settings.
-        port: Where it listens, once it does; kept over a crash.
+        port: The port that it listens on once it is open; kept across a crash.
         waiting: Calls that wait for a worker.
     """
 
@@ -67,11 +67,11 @@
         self._release_port()
 
     def crash(self) -> None:
-        """End the listener and all calls; until it opens again, connections are refused and the port is kept."""
+        """End the listener and all calls; keep the port reserved and refuse connections until it opens again."""
         self.close()
         self._reserved_port = socket.socket()
         self._reserved_port.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        self._reserved_port.bind((LOOPBACK, self.port))  # bound and not listening
+        self._reserved_port.bind((LOOPBACK, self.port))  # bound but not listening: connections are refused
 
     def _release_port(self) -> None:
         if self._reserved_port:
@@ -121,7 +121,7 @@
             self.waiting.append(call)
 
     def _passes_fault(self, call: PartnerCall, fault: Fault | None) -> bool:
-        """Apply a fault to a call on its arrival; return whether the call goes on to the limits."""
+        """Apply a fault to a call on its arrival; return whether the limits apply to it next."""
         kind = fault.kind if fault else None
         if kind in (FaultKind.HANG, FaultKind.VANISH, FaultKind.CLASS_FAILURE):
             return False  # never answered
@@ -129,7 +129,7 @@
             self._answers.write_garbage(call)
             return False
         if fault is not None and kind is FaultKind.SLOW_READ:
-            # A body that came in one piece was not slowed down: the work begins when a slow read would have ended.
+            # A body received at once was not slowed down: the work begins when a slow read would have ended.
             delay_s = min(len(call.exchange.body), MAX_READ_DELAY_BYTES) / fault.slow_read_bytes_per_s
             asyncio.get_running_loop().call_later(delay_s, self._begin_work, call)
             return False
@@ -143,7 +143,7 @@
         return len(self.waiting) >= spec.queue and self._busy >= spec.servers
 
     def _caller_closed(self, call: PartnerCall) -> None:
-        """Record that the caller closed the connection before its answer; work that has begun goes on."""
+        """Record that the caller closed the connection before its answer; work that has begun continues."""
         self._record.write(CallClosed(**call.identity))
         call.exchange.connection.transport.abort()
 
@@ -158,7 +158,7 @@
 
     def _work_done(self, call: PartnerCall, listener: server.Server | None) -> None:
         if listener is not self._server or listener is None:
-            if not call.is_repeat_of_key:  # it crashed meanwhile: nothing ran, and nothing is remembered
+            if not call.is_repeat_of_key:  # the endpoint crashed before the effect: the key is not remembered
                 self.behavior.keys.forget(call.message_id)
             return
         self._busy -= 1
@@ -171,7 +171,7 @@
         self._answer_work(call, fault)
 
     def _answer_work(self, call: PartnerCall, fault: Fault | None) -> None:
-        """Process a message and answer the call, as far as a fault allows."""
+        """Process a message and answer the call as its fault prescribes."""
         kind = fault.kind if fault else None
         response = self.behavior.process(call, fault)
         if fault is not None and kind is FaultKind.ANSWER_LOST:
--- a/linnetstile/emulators/partner_environment.py
+++ b/linnetstile/emulators/partner_environment.py
@@ -1,4 +1,4 @@
-"""What all partners of one emulator process share."""
+"""State that all partners of one emulator process share."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
     Attributes:
         spec: The settings of the process.
-        rng: Source of all random numbers of the process, drawn in the order of the calls.
+        rng: Source of all random numbers of the process; they are drawn in the order of the calls.
         recorder: Records its traffic.
         script_start_ms: Start of the script by the clock of the run.
         pool: Connections for asynchronous receipts.
@@ -39,7 +39,7 @@
         return (now_ms() - self.script_start_ms) / 1000
 
     def active_faults(self, partner: str, endpoint: int, elapsed_s: float) -> Iterator[Fault]:
-        """Yield the faults that are on for an endpoint at a time, in the order of the script."""
+        """Yield the faults that are active for an endpoint at a time, in the order of the script."""
         for fault in self.spec.faults:
             if fault.is_active(elapsed_s) and fault.affects(partner, endpoint):
                 yield fault
--- a/linnetstile/emulators/partner_events.py
+++ b/linnetstile/emulators/partner_events.py
@@ -10,7 +10,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class CallEvent(TrafficEvent):
-    """Something about one call of a relay to an endpoint.
+    """An event of one call of a relay to an endpoint.
 
     Attributes:
         partner: Name of the partner.
@@ -46,7 +46,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class CallClosed(CallEvent):
-    """The relay closed the connection before it was answered."""
+    """The relay closed the connection before its call was answered."""
 
     EVENT: ClassVar[str] = "closed"
 
@@ -58,7 +58,7 @@
     Attributes:
         status: The status; 0 if no complete answer was written.
         how: What was done instead of a complete answer.
-        is_repeat_of_key: Whether the key was known; None if the work had not begun.
+        is_repeat_of_key: Whether the key was known when the work began; None if it had not begun.
         retry_after_ms: The wait in the Retry-After field.
     """
 
--- a/linnetstile/emulators/partner_limits.py
+++ b/linnetstile/emulators/partner_limits.py
@@ -1,4 +1,4 @@
-"""What limits a partner: its rate limit, its capacity in slow start, and how long it remembers keys."""
+"""The limits of an emulated partner: its rate limit, its capacity in slow start, and how long it remembers keys."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 
 from .partner_settings import PartnerSpec
 
-MIN_BURST_CALLS = 2.0  # a token bucket holds half a second's calls, and no fewer than these
-BURST_S = 0.5
+MIN_BURST_CALLS = 2.0  # smallest capacity of a token bucket
+BURST_S = 0.5  # a token bucket holds the calls that its rate allows in this time
 QUEUED_BEYOND_BUDGET = 2  # calls beyond its budget that a partner's queue takes before it is overloaded
 
 
@@ -17,7 +17,7 @@
     """Limit on the calls of all relays together."""
 
     def try_acquire(self, now_ms: float) -> float | None:
-        """Return None if the call is within the limit, else the wait in ms until one would be."""
+        """Return None if the call is within the limit, else the wait in ms until a call would be."""
         ...
 
 
@@ -30,7 +30,7 @@
 
 
 class TokenBucket:
-    """A plain rate with a burst of half a second."""
+    """Limits calls to a rate, with a burst of half a second."""
 
     def __init__(self, rate_per_s: float, rejected_calls_count: bool, now_ms: float) -> None:
         self._rate_per_s = rate_per_s
@@ -51,7 +51,7 @@
 
 
 class FixedWindow:
-    """A count of calls in each window of time."""
+    """Limits the number of calls in each window of time."""
 
     def __init__(self, rate_per_s: float, window_ms: float, rejected_calls_count: bool) -> None:
         self._window_ms = window_ms
@@ -61,7 +61,7 @@
         self._used = 0
 
     def try_acquire(self, now_ms: float) -> float | None:
-        """Count the call if the window has not had all of its calls."""
+        """Accept the call if the window is below its maximum."""
         window = int(now_ms // self._window_ms)
         if window != self._window:
             self._window = window
@@ -82,7 +82,7 @@
 
 
 class SlowStart:
-    """Capacity of a partner that has returned from an outage, and its overload by too many calls."""
+    """The capacity of a partner after an outage, and its overload by too many calls."""
 
     def __init__(self, spec: PartnerSpec) -> None:
         self._spec = spec
@@ -95,7 +95,7 @@
         self._since_ms = now_ms
 
     def capacity_fraction(self, now_ms: float) -> float:
-        """Return the part of its capacity that the partner has now."""
+        """Return the fraction of its capacity that the partner has now."""
         progress = min(1.0, (now_ms - self._since_ms) / self._spec.slow_start_ms)
         return self._spec.slow_start_fraction + (1 - self._spec.slow_start_fraction) * progress
 
@@ -123,7 +123,7 @@
         self._remembered_at_ms: dict[str, float] = {}
 
     def is_repeat(self, message_id: str, subject: str, now_ms: float) -> bool:
-        """Whether the key is known as the work begins; a new one is remembered from then on."""
+        """Whether the key is known when the work begins; a new key is remembered from then on."""
         if not any(fnmatch.fnmatchcase(subject, pattern) for pattern in self._subjects):
             return False
         if now_ms - self._remembered_at_ms.get(message_id, float("-inf")) <= self._window_ms:
@@ -132,5 +132,5 @@
         return False
 
     def forget(self, message_id: str) -> None:
-        """Forget a key whose work was never done."""
+        """Forget a key whose work was not completed."""
         self._remembered_at_ms.pop(message_id, None)
--- a/linnetstile/emulators/partner_receipts.py
+++ b/linnetstile/emulators/partner_receipts.py
@@ -12,7 +12,7 @@
 
 DEFAULT_DIGEST = "sha-256"
 SIGNATURE_DIGESTS = ("sha-256", "sha-384", "sha-512")
-OTHER_CONTENT = b"other"  # what the digest of a wrong receipt is calculated from
+OTHER_CONTENT = b"other"  # digested in place of the message for a receipt with a wrong digest
 
 
 @dataclass(frozen=True, slots=True)
@@ -42,7 +42,7 @@
             head: The fields of the message.
             content: What the digest is calculated from; None if the message could not be decrypted.
             is_duplicate: Whether it was processed before.
-            fault: What is wrong with the receipt, if anything.
+            fault: Kind of the fault that the call meets; some kinds make the receipt invalid.
         """
         micalg = head.receipt_options.micalgs[0] if head.receipt_options.micalgs else DEFAULT_DIGEST
         digested = content if content is not None and fault is not FaultKind.WRONG_MIC else OTHER_CONTENT
--- a/linnetstile/emulators/partner_settings.py
+++ b/linnetstile/emulators/partner_settings.py
@@ -20,7 +20,7 @@
 
 
 class PartnerSpec(StrictModel):
-    """One partner: its endpoints, how fast it works, what it limits, how it answers.
+    """One partner: its endpoints, how fast it works, its limits and its answers.
 
     The aliases are the keys of the settings file.
     """
@@ -29,25 +29,25 @@
     kind: str = ""
     endpoints: list[EndpointSpec] = Field(min_length=1)
     work_ms: float = Field(100.0, ge=0)
-    spread: float = Field(0.3, ge=0)  # of the work, log-normal
-    servers: int = Field(4, ge=1)  # calls that one endpoint works on at once
-    queue: int = Field(32, ge=0)  # calls that wait at one endpoint; beyond: 503
-    rate: float = Field(0.0, ge=0)  # calls a second from all relays; 0 = no limit but capacity
-    window_ms: float = Field(0.0, ge=0)  # 0 = a token bucket, else a count in each window
-    retry_after_share: float = Field(0.5, ge=0, le=1, alias="tell")  # of the rejections, with a Retry-After field
+    spread: float = Field(0.3, ge=0)  # log-normal spread of the work: standard deviation of its logarithm
+    servers: int = Field(4, ge=1)  # calls that one endpoint processes at the same time
+    queue: int = Field(32, ge=0)  # calls that can wait at one endpoint; further ones get 503
+    rate: float = Field(0.0, ge=0)  # calls a second from all relays; 0 = limited by capacity alone
+    window_ms: float = Field(0.0, ge=0)  # 0 = the rate limit is a token bucket, else calls are counted in such windows
+    retry_after_share: float = Field(0.5, ge=0, le=1, alias="tell")  # share of the rejections with a Retry-After field
     retry_after_format: Literal["seconds", "date"] = Field("seconds", alias="tell_as")
-    rejected_calls_count: bool = Field(False, alias="refused_count")  # rejected calls use up the limit too
-    deduplicated_subjects: list[str] = Field([], alias="keyed")  # repeats of these are dropped
+    rejected_calls_count: bool = Field(False, alias="refused_count")  # rejected calls count against the limit too
+    deduplicated_subjects: list[str] = Field([], alias="keyed")  # repeats of messages with these subjects are dropped
     deduplication_window_ms: float = Field(4000.0, alias="key_window_ms")
     receipts: Literal["sync", "async"] = "sync"
     pem: Path | None = None
     decrypt_pem: Path | None = None
-    tls_pem: Path | None = None  # speaks TLS with this key and certificate
-    tls_clients: Path | None = None  # and asks for a client certificate that these authorities signed
+    tls_pem: Path | None = None  # key and certificate for TLS; None = plain HTTP
+    tls_clients: Path | None = None  # authorities of the client certificates that TLS asks for; None = asks for none
     slow_start_fraction: float = Field(0.2, gt=0, le=1, alias="cold_share")  # of its capacity, right after an outage
-    slow_start_ms: float = Field(10_000.0, alias="cold_ms")  # from an outage until it has its full capacity
-    overload_multiple: float = Field(2.0, alias="fall_multiple")  # of its capacity in slow start: more overload it
-    overload_window_ms: float = Field(1500.0, alias="fall_ms")  # window in which those calls are counted
+    slow_start_ms: float = Field(10_000.0, alias="cold_ms")  # from the end of an outage until full capacity
+    overload_multiple: float = Field(2.0, alias="fall_multiple")  # multiple of slow-start capacity that overloads it
+    overload_window_ms: float = Field(1500.0, alias="fall_ms")  # window in which calls are counted for the overload
 
 
 class PartnersSpec(StrictModel):
--- a/linnetstile/emulators/record.py
+++ b/linnetstile/emulators/record.py
@@ -28,7 +28,7 @@
         self._file = path.open("a", buffering=WRITE_BUFFER_BYTES, encoding="utf-8") if path else None
 
     def __call__(self, event: str, **fields: Any) -> None:
-        """Write one row by its JSON names; `t` is now unless given."""
+        """Write one row by its JSON names; `t` defaults to the current time."""
         if self._file:
             fields.setdefault("t", round(now_ms(), 2))
             self._file.write(json.dumps({"ev": event, **fields}, separators=(",", ":")) + "\n")
@@ -39,7 +39,7 @@
             self(event.EVENT, **event.to_row())
 
     def flush(self) -> None:
-        """Hand everything written so far to the file system."""
+        """Write all buffered rows to the file."""
         if self._file:
             self._file.flush()
 
@@ -47,17 +47,17 @@
 def _parse_row(line: str) -> dict[str, Any]:
     row = json.loads(line)
     if not isinstance(row, dict) or not isinstance(row.get("ev"), str):
-        raise ValueError("expected an object with ev")
+        raise ValueError("expected a JSON object with the string field ev")
     return row
 
 
 def read_record(path: Path) -> Iterator[dict[str, Any]]:
     """Yield the rows of one record.
 
-    A torn last line is passed over: its writer was killed.
+    An incomplete last line is skipped: its writer was killed while writing it.
 
     Raises:
-        RecordError: Any other line is not a row.
+        RecordError: A line before the last one is not a row.
     """
     lines = path.read_text(encoding="utf-8").split("\n")
     for number, line in enumerate(lines, 1):
--- a/linnetstile/emulators/registry.py
+++ b/linnetstile/emulators/registry.py
@@ -1,7 +1,7 @@
 """Registry emulator: the full list and a watch on changes over HTTP, with lag, failures and stale answers.
 
 GET /list                           {"version": 7, "entries": [...]}
-GET /changes?since=5&wait_ms=10000  the entries changed since then; 410 where it no longer knows them
+GET /changes?since=5&wait_ms=10000  the entries changed since version 5; 410 if they are no longer known
 """
 
 from __future__ import annotations
@@ -40,7 +40,7 @@
 
 
 class Change(StrictModel):
-    """At `at_s` the entry `id` gets these values; a new id is an added endpoint."""
+    """A change of the entry `id` at `at_s`; a new id adds an endpoint."""
 
     at_s: float = Field(ge=0)
     id: int
@@ -56,7 +56,7 @@
     for_s: float = Field(gt=0)
 
     def is_active(self, elapsed_s: float) -> bool:
-        """Whether it is on, so long after the start of the run."""
+        """Whether the fault is active at this time after the start of the run."""
         return self.at_s <= elapsed_s < self.at_s + self.for_s
 
 
@@ -67,7 +67,7 @@
     t0_ms: float | None = None  # start of the script by the clock of the run; None = now
     record: Path | None = None
     lag_ms: float = Field(1000.0, ge=0)
-    keep: int = Field(1000, ge=1)  # changes it remembers
+    keep: int = Field(1000, ge=1)  # number of changes that it remembers
     entries: list[Entry] = []
     changes: list[Change] = []
     faults: list[RegistryFault] = Field([], alias="troubles")
@@ -96,11 +96,11 @@
 
     Attributes:
         spec: Its settings.
-        record: Where its traffic goes.
-        t0: Start of the script, ms of the clock of the run.
+        recorder: Records its traffic.
+        script_start_ms: Start of the script by the clock of the run.
         version: Version of the list.
         entries: The list, by endpoint id.
-        port: Where it listens, once it does.
+        port: The port that it listens on once it is started.
     """
 
     def __init__(self, spec: RegistrySpec) -> None:
--- a/linnetstile/emulators/registry_events.py
+++ b/linnetstile/emulators/registry_events.py
@@ -10,7 +10,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ListSent(TrafficEvent):
-    """The registry answered a relay.
+    """The registry sent a list or changes to a relay.
 
     Attributes:
         relay: Name of the relay.
--- a/linnetstile/emulators/slow_reading.py
+++ b/linnetstile/emulators/slow_reading.py
@@ -1,4 +1,4 @@
-"""Reads the body of a request slowly, so that its sender meets back-pressure."""
+"""Reads the body of a request slowly, so that its sender experiences back-pressure."""
 
 from __future__ import annotations
 
@@ -9,9 +9,9 @@
 
 
 def read_slowly(exchange: server.RequestContext, bytes_per_s: int, is_on: Callable[[], bool]) -> None:
-    """Read the body at a limited rate for as long as `is_on`.
+    """Read the body at a limited rate while `is_on()` is true.
 
-    The socket buffers of both ends are soon full, and then the sender has to wait.
+    Once the socket buffers of both ends are full, the sender has to wait.
     """
     connection = exchange.connection
     loop = asyncio.get_running_loop()
--- a/linnetstile/emulators/traffic_event.py
+++ b/linnetstile/emulators/traffic_event.py
@@ -1,4 +1,4 @@
-"""A row of the traffic record, and the one mapping between the fields of its events and the JSON names on file."""
+"""The base class of traffic record rows, and the mapping between event fields and their JSON names in the file."""
 
 from __future__ import annotations
 
@@ -32,11 +32,11 @@
     is_required: bool
 
 
-_columns_by_event: dict[str, tuple[_Column, ...]] = {}  # derived once for each kind of event
+_columns_by_event: dict[str, tuple[_Column, ...]] = {}  # cached, by the `EVENT` of the class
 
 
 def _is_required(event_field: Field[Any]) -> bool:
-    """Whether a row without this field is not valid; the time of an event has a default for writers alone."""
+    """Whether a row must have this field; rows must have a time, since its default is only for writers."""
     has_default = event_field.default is not MISSING or event_field.default_factory is not MISSING
     return event_field.name == "at_ms" or not has_default
 
@@ -59,7 +59,7 @@
     """One row of the traffic record.
 
     Attributes:
-        EVENT: The value of `ev` on file.
+        EVENT: The value of `ev` in the file.
         at_ms: When it was observed, by the clock of the run.
     """
 
--- a/linnetstile/emulators/traffic_events.py
+++ b/linnetstile/emulators/traffic_events.py
@@ -1,4 +1,4 @@
-"""All events of the traffic record, by the emulators that record them."""
+"""All events of the traffic record, collected from the modules of the emulators that record them."""
 
 from __future__ import annotations
 
--- a/tests/emulators/test_discovery.py
+++ b/tests/emulators/test_discovery.py
@@ -1,4 +1,4 @@
-"""The emulator of discovery, with the shipped watch at its other end."""
+"""Tests of the discovery emulator with the relay's own watch as its client."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class ListSource:
-    """Three versions of a list; the full list is known at each, changes only after the first."""
+    """A list that grows by one server a version; changes are known since version 1 but not since 0."""
 
     def __init__(self) -> None:
         self.version = 1
@@ -50,7 +50,7 @@
     return data
 
 
-def test_a_watch_gets_the_list_and_changes_and_reopens_when_it_breaks() -> None:
+def test_watch_gets_the_list_and_changes_and_reopens_after_a_break() -> None:
     async def run() -> None:
         source, updates = ListSource(), list[EndpointList]()
         emulator = DiscoveryEmulator(source)
@@ -83,12 +83,12 @@
     asyncio.run(run())
 
 
-def test_changes_after_a_version_the_full_list_and_notices() -> None:
+def test_serves_changes_after_a_version_and_the_full_list_and_receives_notices() -> None:
     async def run() -> None:
-        source, ended = ListSource(), list[tuple[str, str]]()
+        source, received_notices = ListSource(), list[tuple[str, str]]()
         source.version = 3
         emulator = DiscoveryEmulator(source)
-        emulator.on_notice = lambda reference, result: ended.append((reference, result))
+        emulator.on_notice = lambda reference, result: received_notices.append((reference, result))
         port = await emulator.start()
         try:
             data = await read_response(port, "/api/targets?follow=1&since=1", 2)
@@ -101,7 +101,7 @@
             body = b'{"ref":"a","result":"dead"}\n{"ref":"b","result":"bounced"}\n'
             writer.write(b"POST /v2/finals HTTP/1.1\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body))
             assert b" 204 " in await reader.readuntil(b"\r\n")
-            assert ended == [("a", "dead"), ("b", "bounced")]
+            assert received_notices == [("a", "dead"), ("b", "bounced")]
             writer.close()
         finally:
             emulator.close()
--- a/tests/emulators/test_partner_endpoint.py
+++ b/tests/emulators/test_partner_endpoint.py
@@ -1,4 +1,4 @@
-"""The endpoint of an emulated partner over a crash."""
+"""Tests of the endpoint of an emulated partner across a crash."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from linnetstile.emulators.partner_settings import EndpointSpec
 
 
-def test_a_crashed_endpoint_refuses_connections_and_keeps_its_port_for_its_return() -> None:
+def test_crashed_endpoint_refuses_connections_and_keeps_its_port_until_it_reopens() -> None:
     async def scenario() -> None:
         behavior = Mock(tls=None)
         endpoint = Endpoint(behavior, EndpointSpec(id=1))
--- a/tests/emulators/test_stored_names.py
+++ b/tests/emulators/test_stored_names.py
@@ -1,4 +1,4 @@
-"""The keys of the emulators' settings files and the values of their faults stay as stored names."""
+"""Tests that the keys of the emulators' settings files and the values of their fault kinds do not change."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 }
 
 
-def test_the_settings_of_a_partner_keep_their_keys() -> None:
+def test_partner_settings_keep_their_keys() -> None:
     spec = PartnerSpec.model_validate(
         {
             "name": "p",
@@ -41,7 +41,7 @@
     assert (spec.overload_multiple, spec.overload_window_ms) == (3.0, 4.0)
 
 
-def test_the_settings_of_clients_and_registry_keep_their_keys() -> None:
+def test_client_and_registry_settings_keep_their_keys() -> None:
     client = ClientSpec.model_validate({**CLIENT, "tries": 7, "back_ms": [1.0, 2.0]})
     assert (client.max_submissions, client.min_backoff_ms) == (7, (1.0, 2.0))
     registry = RegistrySpec.model_validate({"troubles": [{"kind": "stale", "at_s": 1, "for_s": 2}]})
@@ -49,12 +49,12 @@
 
 
 @pytest.mark.parametrize("key", ["slow_start_ms", "retry_after_share", "overload_window_ms"])
-def test_the_name_of_an_attribute_is_no_key(key: str) -> None:
+def test_attribute_name_is_not_accepted_as_a_key(key: str) -> None:
     with pytest.raises(ValidationError, match="Extra inputs are not permitted"):
         PartnerSpec.model_validate({"name": "p", "endpoints": ENDPOINTS, key: 1.0})
 
 
-def test_the_kinds_of_faults_keep_their_values() -> None:
+def test_fault_kinds_keep_their_values() -> None:
     assert {kind.value for kind in FaultKind} == {
         "hang",
         "vanish",
