--- a/linnetstile/cli/check.py
+++ b/linnetstile/cli/check.py
@@ -73,7 +73,7 @@
     except RecordError as error:
         die(ExitCode.BAD_INPUT, str(error))
     click.echo(format_json(checked) if as_json else format_text(checked))
-    return ExitCode.NO if any(verdict.broken for verdict in checked.verdicts) else ExitCode.OK
+    return ExitCode.NEGATIVE if any(verdict.broken for verdict in checked.verdicts) else ExitCode.OK
 
 
 @click.command(help=HELP)
--- a/linnetstile/cli/common.py
+++ b/linnetstile/cli/common.py
@@ -23,7 +23,7 @@
     """
 
     OK = 0
-    NO = 1  # negative result: a rule is broken, or a message was not delivered
+    NEGATIVE = 1  # a rule is broken, or a message was not delivered
     BAD_INPUT = 2  # invalid arguments, settings or records
     NOT_STARTED = 3  # a process did not start, or a relay could not be reached
 
--- a/linnetstile/cli/knowledge.py
+++ b/linnetstile/cli/knowledge.py
@@ -58,7 +58,7 @@
         die(ExitCode.NOT_STARTED, f"{address}: no answer: {answer.wire_result.value}")
     status = answer.head.status
     if status != OK_STATUS:
-        die(ExitCode.NO, f"{address}: status {status}: {WHY_NO_DOCUMENT.get(status, 'no document')}")
+        die(ExitCode.NEGATIVE, f"{address}: status {status}: {WHY_NO_DOCUMENT.get(status, 'no document')}")
     return answer.body
 
 
@@ -158,7 +158,7 @@
         if left != right:
             health_differs = health_differs or not {"out", "cold"}.isdisjoint((left, right))
             click.echo(f"{_route_name(partner, route)}: {left} | {right}")
-    sys.exit(ExitCode.NO if health_differs else ExitCode.OK)
+    sys.exit(ExitCode.NEGATIVE if health_differs else ExitCode.OK)
 
 
 @command.command(help="Write what RELAY knows to FILE, as a snapshot that `import` and a relay's start can read.")
--- a/linnetstile/cli/scale.py
+++ b/linnetstile/cli/scale.py
@@ -106,7 +106,7 @@
     click.echo(f"report: {folder}", err=True)
     comparison = report["compared"]
     agrees = comparison is None or comparison["agrees"]
-    sys.exit(ExitCode.OK if agrees else ExitCode.NO)
+    sys.exit(ExitCode.OK if agrees else ExitCode.NEGATIVE)
 
 
 def _run(options: ScaleOptions, folder: Path) -> ReportJson:
--- a/linnetstile/cli/send.py
+++ b/linnetstile/cli/send.py
@@ -107,7 +107,7 @@
     elif not is_success:
         fields["text"] = answer.body.decode("utf-8", "replace").strip()[:MAX_TEXT_CHARACTERS]
     click.echo(_format(fields, as_json))
-    return ExitCode.OK if is_success else ExitCode.NO
+    return ExitCode.OK if is_success else ExitCode.NEGATIVE
 
 
 def _format(fields: Mapping[str, object], as_json: bool) -> str:
--- a/linnetstile/cli/show.py
+++ b/linnetstile/cli/show.py
@@ -70,7 +70,7 @@
     if answer.head is None:
         die(ExitCode.NOT_STARTED, f"{socket}: no relay answers on this socket: {answer.wire_result.value}")
     if answer.head.status != OK_STATUS:
-        die(ExitCode.NO, f"{socket}: status {answer.head.status}: {answer.body.decode(errors='replace').strip()}")
+        die(ExitCode.NEGATIVE, f"{socket}: status {answer.head.status}: {answer.body.decode(errors='replace').strip()}")
     return answer.body
 
 
--- a/linnetstile/emulators/partner_answers.py
+++ b/linnetstile/emulators/partner_answers.py
@@ -64,7 +64,7 @@
         self._recorder.write(CallAnswered(**call.identity, status=0, how="garbage"))
         call.exchange.connection.transport.write(NOT_HTTP)
 
-    def lose(self, call: PartnerCall, *, with_reset: bool) -> None:
+    def withhold(self, call: PartnerCall, *, with_reset: bool) -> None:
         """Write no answer; with `with_reset`, reset the connection."""
         self._record_lost(call, "lost")
         if with_reset:
--- a/linnetstile/emulators/partner_endpoint.py
+++ b/linnetstile/emulators/partner_endpoint.py
@@ -175,7 +175,7 @@
         kind = fault.kind if fault else None
         response = self.behavior.process(call, fault)
         if fault is not None and kind is FaultKind.ANSWER_LOST:
-            self._answers.lose(call, with_reset=fault.how == "reset")
+            self._answers.withhold(call, with_reset=fault.how == "reset")
         elif wants_posted_receipt(call) and response.status == 200 and response.body:
             self._answers.answer(call, Response(200, []))
             self._answers.post_receipt(call, response)
