--- a/linnetstile/testbed/__init__.py
+++ b/linnetstile/testbed/__init__.py
@@ -1,1 +1,1 @@
-"""Floor 4: days played through real relays, and the rule checker of their records."""
+"""Layer 4: plays days with real relays, and checks the records of the runs against the delivery rules."""
--- a/linnetstile/testbed/attempts.py
+++ b/linnetstile/testbed/attempts.py
@@ -1,4 +1,4 @@
-"""The attempts of a run, reconstructed from the traffic at the sockets of the partners."""
+"""Reconstructs the attempts of a run from the traffic at the sockets of the partners."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 from ..engine.attempt_outcome import AttemptObservation, WireResult, judge_attempt
 from .relay_lifetime import RelayProcesses
 
-TRANSIT_MS = 25.0  # delay between the two ends of a socket on a busy machine: a send may cross an answer
+TRANSIT_MS = 25.0  # delay between the ends of a socket on a busy machine, in which a request and an answer may cross
 
 
 class MessageAtProcess(NamedTuple):
-    """A message as one process of a relay knows it; the memory of a relay ends with its process."""
+    """A message at one relay process; a restarted relay does not remember the messages of its earlier processes."""
 
     message_id: str
     process: str
@@ -34,14 +34,14 @@
 
     Attributes:
         start_ms: When its first byte arrived.
-        process: The process of the relay.
+        process: Name of the relay process.
         partner: Name of the partner.
         endpoint: Id of the endpoint.
         connection: Identifies the connection within the partner; None in older records.
-        reads_slowly: The partner read it slowly, so that it observes the end only after all unread bytes.
-        is_cut: The connection ended before the request was complete.
+        reads_slowly: Whether the partner read it slowly, and so observed its end only after all unread bytes.
+        is_cut: Whether the connection ended before the request was complete.
         end_ms: When it was answered or closed; infinity if the partner observed no end.
-        status: The status of its answer; 0 = none.
+        status: HTTP status of its answer; 0 if there was none.
     """
 
     start_ms: float
@@ -56,14 +56,14 @@
 
     @property
     def proves_no_effect(self) -> bool:
-        """Whether its end proves that nothing ran."""
+        """Whether its end proves that the message took no effect."""
         if self.is_cut:
             return True
         wire_result = WireResult.ANSWERED if self.status else WireResult.CONNECTION_LOST
         return judge_attempt(AttemptObservation(wire_result, status=self.status)).outcome.proves_no_effect
 
     def is_ended_by(self, event: CallEvent) -> bool:
-        """Whether an answer or close belongs to this attempt, which has no end yet."""
+        """Whether this attempt has no end yet, and an answer or close belongs to it."""
         is_same_connection = event.connection in (None, self.connection)
         return self.endpoint == event.endpoint and is_same_connection and self.end_ms == math.inf
 
@@ -76,35 +76,35 @@
 
     Args:
         events: The call events of all partners, in the order of their times.
-        processes: Which process of a relay ran when.
+        processes: The relay processes and when each of them ran.
     """
     cut_calls = _cut_calls(events)
-    # A message of which a process got an answer alone has an empty list there, and is counted as checked.
+    # An answer without a recorded begin leaves an empty list, so that the rules count its message as checked.
     attempts: Attempts = defaultdict(list)
     for position, event in enumerate(events):
         if not event.message_id or not isinstance(event, (CallBegan, CallAnswered, CallClosed)):
             continue
         process = processes.process_at(event.relay, event.at_ms)
-        known = attempts[MessageAtProcess(event.message_id, process)]
+        message_attempts = attempts[MessageAtProcess(event.message_id, process)]
         if isinstance(event, CallBegan):
-            known.append(_begun_attempt(event, process, is_cut=position in cut_calls))
+            message_attempts.append(_begun_attempt(event, process, is_cut=position in cut_calls))
         else:
-            _end_attempt(known, event)
+            _end_attempt(message_attempts, event)
     return attempts
 
 
 def _cut_calls(events: Sequence[CallEvent]) -> set[int]:
-    """Return the positions of the begins of requests that never were complete: those are not in flight."""
+    """Return the positions of the `CallBegan` events of incomplete requests, which count as not in flight."""
     cut: set[int] = set()
-    latest: dict[_ConnectionId, int] = {}
+    last_begin: dict[_ConnectionId, int] = {}
     for position, event in enumerate(events):
         if event.connection is None:
             continue
         connection = _ConnectionId(event.partner, event.endpoint, event.connection)
         if isinstance(event, CallBegan):
-            latest[connection] = position
-        elif isinstance(event, CallCut) and connection in latest:
-            cut.add(latest.pop(connection))
+            last_begin[connection] = position
+        elif isinstance(event, CallCut) and connection in last_begin:
+            cut.add(last_begin.pop(connection))
     return cut
 
 
@@ -121,10 +121,10 @@
     )
 
 
-def _end_attempt(known: list[AttemptRecord], event: CallAnswered | CallClosed) -> None:
-    """End the first open attempt that an event belongs to; an answer that was lost does not end it."""
+def _end_attempt(message_attempts: list[AttemptRecord], event: CallAnswered | CallClosed) -> None:
+    """End the first open attempt that an event belongs to; an answer lost by a fault (status 0) does not end it."""
     status = event.status if isinstance(event, CallAnswered) else 0
-    for attempt in known:
+    for attempt in message_attempts:
         if attempt.is_ended_by(event):
             if isinstance(event, CallClosed) or status:
                 attempt.end_ms = event.at_ms
--- a/linnetstile/testbed/day.py
+++ b/linnetstile/testbed/day.py
@@ -1,4 +1,4 @@
-"""The settings file of a day: fleet, partners, traffic and faults. The aliases are the keys of the file."""
+"""The settings file of a day: fleet, partners, traffic and faults. Field aliases are the keys of the file."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class FleetFaultKind(StrEnum):
-    """What a fault that is not a partner's own does; the values are those of the file."""
+    """Kinds of faults of the traffic, the relays and the registry; the values are stored in day files."""
 
     BURST = "burst"  # more traffic for all partners
     HOT_KEY = "hot_key"  # more traffic for some partners
@@ -34,8 +34,8 @@
 class DayClass(ClassSettings):
     """A message class and its share of the traffic."""
 
-    share: float = Field(gt=0)  # of the messages
-    kinds: list[str] = []  # of partners that get it; none = all
+    share: float = Field(gt=0)  # relative share of the messages
+    kinds: list[str] = []  # names of the partner groups that receive it; empty = all
 
 
 class PartnerGroup(StrictModel):
@@ -44,12 +44,12 @@
     name: str = Field(pattern=r"^[a-z][a-z0-9-]{0,40}$")
     count: int = Field(ge=1, le=500)
     endpoints: int = Field(1, ge=1, le=8)
-    weight: float = Field(1.0, gt=0)  # of the first partner in the traffic
-    skew: float = Field(0.5, ge=0)  # the n-th partner has the weight of the first, times n**-skew
+    weight: float = Field(1.0, gt=0)  # traffic weight of the first partner
+    skew: float = Field(0.5, ge=0)  # the n-th partner has the weight of the first times n**-skew
     work_ms: float = Field(120.0, ge=0)
     spread: float = Field(0.3, ge=0)
     servers: int = Field(4, ge=1)
-    rate_limit_multiple: float = Field(1.6, ge=0, alias="limit")  # of its mean traffic; 0 = no limit but capacity
+    rate_limit_multiple: float = Field(1.6, ge=0, alias="limit")  # of its mean traffic; 0 = limited by capacity alone
     min_rate_limit_per_s: float = Field(4.0, gt=0, alias="limit_least")
     window_ms: float = Field(0.0, ge=0)
     retry_after_share: float = Field(0.6, ge=0, le=1, alias="tell")
@@ -59,28 +59,28 @@
 
 
 class TrafficSettings(StrictModel):
-    """What the clients submit."""
+    """The traffic that the clients submit."""
 
     per_s: float = Field(gt=0, le=5000)
-    senders: dict[str, float] = Field(min_length=1)  # share of the messages
+    senders: dict[str, float] = Field(min_length=1)  # relative share of the messages, by sender
     signed: float = Field(0.3, ge=0, le=1)
     compressed: float = Field(0.1, ge=0, le=1)
     asynchronous: float = Field(0.0, ge=0, le=1)
     repeats: float = Field(0.02, ge=0, le=1)
     bytes: int = Field(600, ge=1)
-    max_submissions: int = Field(3, ge=1, alias="tries")  # of one message
+    max_submissions: int = Field(3, ge=1, alias="tries")  # submissions of one message
 
 
 class FleetFault(StrictModel):
-    """A fault that is not a partner's own."""
+    """A fault of the traffic, the relays or the registry."""
 
     kind: FleetFaultKind
     at_s: float = Field(ge=0)
     for_s: float = Field(1.0, gt=0)
-    times: float = Field(2.0, gt=0)  # burst, hot_key
-    partners: list[str] = []  # hot_key; drain, gone, replace: the last endpoint of each of these leaves
-    relays: list[int] = []  # balancer_crash; none = the first
-    down_s: float = Field(0.5, gt=0)  # balancer_roll: of each relay
+    times: float = Field(2.0, gt=0)  # burst, hot_key: multiple of the normal traffic
+    partners: list[str] = []  # hot_key: get more traffic; drain, gone, replace: lose their last endpoint
+    relays: list[int] = []  # balancer_crash: numbers of the relays; empty = the first
+    down_s: float = Field(0.5, gt=0)  # balancer_roll: downtime of each relay
 
 
 class Day(StrictModel):
@@ -101,10 +101,10 @@
     traffic: TrafficSettings
     safety: SafetySettings = SafetySettings()
     faults: list[Fault] = []
-    fleet_faults: list[FleetFault] = Field([], alias="troubles")  # the faults that are not partners' own
+    fleet_faults: list[FleetFault] = Field([], alias="troubles")  # faults of the traffic, the relays and the registry
 
     @model_validator(mode="after")
-    def _check_names(self) -> Day:
+    def _check_references(self) -> Day:
         names = [f"{group.name}-{number}" for group in self.partners for number in range(1, group.count + 1)]
         for path, pattern in self._partner_patterns():
             if not any(fnmatch.fnmatchcase(name, pattern) for name in names):
@@ -115,7 +115,7 @@
         return self
 
     def _partner_patterns(self) -> Iterator[tuple[str, str]]:
-        """Yield the path in the file and the text of each pattern of partner names."""
+        """Yield each pattern of partner names, after its path in the file."""
         for index, fault in enumerate(self.faults):
             yield from ((f"faults.{index}.partners", pattern) for pattern in fault.partners)
         for index, fleet_fault in enumerate(self.fleet_faults):
--- a/linnetstile/testbed/emulator_settings.py
+++ b/linnetstile/testbed/emulator_settings.py
@@ -1,4 +1,4 @@
-"""The settings files of the emulators of a run, as the documents that are written to them."""
+"""Builds the contents of the settings files of the emulators of a run."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 from .run_keys import RunKeys
 
 RELAY_KEY = "relay"
-UNLIMITED_RATE_MULTIPLE = 2  # the list shows this multiple of the mean traffic for a partner without a limit
+UNLIMITED_RATE_MULTIPLE = 2  # the registry lists a partner without rate limit at this multiple of its traffic
 
 Document = dict[str, Any]
-"""The content of a settings file, by the keys of its format."""
+"""The content of a settings file, under the keys of its format."""
 
 REGISTRY_FAULT_KINDS = {FleetFaultKind.REGISTRY_STALE: "stale", FleetFaultKind.REGISTRY_FAILURE: "fail"}
 ENDPOINT_STATUSES = {
@@ -22,7 +22,7 @@
     FleetFaultKind.ENDPOINT_REMOVED: "gone",
     FleetFaultKind.ENDPOINT_REPLACED: "gone",
 }
-"""Status of an endpoint from the begin of a fault to its end."""
+"""The status of an endpoint during a fault, by the kind of the fault."""
 
 
 class EmulatorSettings:
@@ -99,7 +99,7 @@
         }
 
     def _registry_changes(self, fault: FleetFault) -> list[Document]:
-        """Return the changes for endpoints that leave and return; none for other faults."""
+        """Return the changes of a fault that removes and restores endpoints; empty for faults of other kinds."""
         if fault.kind not in ENDPOINT_STATUSES:
             return []
         changes: list[Document] = []
--- a/linnetstile/testbed/fleet_plan.py
+++ b/linnetstile/testbed/fleet_plan.py
@@ -18,8 +18,8 @@
         name: Its AS2 name.
         weight: Its weight in the traffic.
         endpoint_ids: Ids of its endpoints.
-        mean_per_s: Messages a second that it gets on average.
-        limit_per_s: Its rate limit in calls a second; 0 = none.
+        mean_per_s: Mean rate of its messages, per second.
+        limit_per_s: Its rate limit in calls per second; 0 = none.
     """
 
     group: PartnerGroup
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TrafficFlow:
-    """Messages of one class from one sender to one partner; the class name is the subject too."""
+    """Messages of one class from one sender to one partner; their subject is the class name."""
 
     sender: str
     receiver: str
@@ -54,7 +54,7 @@
 
     @property
     def endpoint_count(self) -> int:
-        """Endpoints of all partners."""
+        """The number of endpoints of all partners."""
         return sum(len(partner.endpoint_ids) for partner in self.partners)
 
 
@@ -69,11 +69,11 @@
     partners = []
     next_id = 1
     for group in day.partners:
-        for n in range(group.count):
+        for index in range(group.count):
             partner = PlannedPartner(
                 group=group,
-                name=f"{group.name}-{n + 1}",
-                weight=group.weight * (n + 1) ** -group.skew,
+                name=f"{group.name}-{index + 1}",
+                weight=group.weight * (index + 1) ** -group.skew,
                 endpoint_ids=tuple(range(next_id, next_id + group.endpoints)),
             )
             partners.append(partner)
--- a/linnetstile/testbed/partner_rules.py
+++ b/linnetstile/testbed/partner_rules.py
@@ -14,7 +14,8 @@
 from .slow_start_budget import slow_start_call_budget
 from .verdict import Verdict
 
-# An overload breaks the rule if at least this fraction of its calls came from relays that knew of the outage.
+# An overload breaks the rule if AWARE_NUMERATOR / AWARE_DENOMINATOR or more of its calls came from relays that knew of
+# the outage.
 AWARE_NUMERATOR = 2
 AWARE_DENOMINATOR = 3
 
@@ -23,14 +24,14 @@
 
 
 class _EndpointAtProcess(NamedTuple):
-    """An endpoint as one process of a relay knows it."""
+    """Key of the status updates that a relay process got about an endpoint."""
 
     process: str
     endpoint: int
 
 
 @dataclass(frozen=True, slots=True)
-class _Notice:
+class _StatusUpdate:
     """A status of an endpoint that the registry sent to a relay process."""
 
     at_ms: float
@@ -38,52 +39,52 @@
 
 
 class DrainRule:
-    """No new attempt goes to a draining or removed endpoint once its grace period is over."""
+    """No new attempt goes to a draining or removed endpoint after its grace period."""
 
     def __init__(self, traffic: RecordedTraffic) -> None:
         self._traffic = traffic
-        self._verdict = Verdict("drains", "nothing new to an endpoint after its grace")
+        self._verdict = Verdict("drains", "no new attempt at a draining or removed endpoint after its grace period")
         self._grace_ms = traffic.facts.safety.drain_grace_ms + TRANSIT_MS
-        self._notices = self._collect_notices()
+        self._updates = self._collect_updates()
 
-    def _collect_notices(self) -> dict[_EndpointAtProcess, list[_Notice]]:
-        """Return the notices of each relay process about each endpoint, in the order of the times."""
-        notices: dict[_EndpointAtProcess, list[_Notice]] = defaultdict(list)
-        known: dict[str, set[int]] = defaultdict(set)
+    def _collect_updates(self) -> dict[_EndpointAtProcess, list[_StatusUpdate]]:
+        """Return the status updates that each relay process got of each endpoint, in the order of the times."""
+        updates: dict[_EndpointAtProcess, list[_StatusUpdate]] = defaultdict(list)
+        known_endpoints: dict[str, set[int]] = defaultdict(set)
         for sent in self._traffic.lists:
             process = self._traffic.process_of(sent)
             statuses = {int(endpoint): status for endpoint, status in sent.statuses.items()}
             if sent.is_full:
-                statuses |= dict.fromkeys(known[process] - statuses.keys(), "gone")
-            known[process] |= statuses.keys()
+                statuses |= dict.fromkeys(known_endpoints[process] - statuses.keys(), "gone")
+            known_endpoints[process] |= statuses.keys()
             for endpoint, status in statuses.items():
-                notice = _Notice(sent.at_ms, is_ready=status == "ready")
-                notices[_EndpointAtProcess(process, endpoint)].append(notice)
-        return notices
+                update = _StatusUpdate(sent.at_ms, is_ready=status == "ready")
+                updates[_EndpointAtProcess(process, endpoint)].append(update)
+        return updates
 
     def check(self) -> Verdict:
         """Check each attempt."""
         for message, attempts in self._traffic.attempts.items():
             for attempt in attempts:
                 self._verdict.looked_at += 1
-                violated = self._violated_notice(message.process, attempt)
+                violated = self._violated_update(message.process, attempt)
                 if violated is not None:
                     late_ms = attempt.start_ms - violated.at_ms
-                    self._verdict.breach(
-                        f"{message.message_id}: {message.process} sent to {attempt.endpoint} "
-                        f"{late_ms:.0f} ms after it was told to stop"
+                    self._verdict.add_breach(
+                        f"{message.message_id}: {message.process} called endpoint {attempt.endpoint} "
+                        f"{late_ms:.0f} ms after the registry reported it as not ready"
                     )
         return self._verdict
 
-    def _violated_notice(self, process: str, attempt: AttemptRecord) -> _Notice | None:
-        """Return the notice that forbids an attempt; None if it is allowed."""
-        notices = self._notices.get(_EndpointAtProcess(process, attempt.endpoint), [])
-        times = [notice.at_ms for notice in notices]
+    def _violated_update(self, process: str, attempt: AttemptRecord) -> _StatusUpdate | None:
+        """Return the status update that forbids an attempt; None if the attempt is allowed."""
+        updates = self._updates.get(_EndpointAtProcess(process, attempt.endpoint), [])
+        times = [update.at_ms for update in updates]
         latest = bisect.bisect_right(times, attempt.start_ms - self._grace_ms) - 1
-        if latest < 0 or notices[latest].is_ready:
+        if latest < 0 or updates[latest].is_ready:
             return None
-        since = [notice for notice in notices[latest + 1 :] if notice.at_ms <= attempt.start_ms]
-        return None if any(notice.is_ready for notice in since) else notices[latest]
+        later_updates = [update for update in updates[latest + 1 :] if update.at_ms <= attempt.start_ms]
+        return None if any(update.is_ready for update in later_updates) else updates[latest]
 
 
 # -- returns -------------------------------------------------------------------------------------------------
@@ -98,11 +99,11 @@
 
 
 class ReturnRule:
-    """A partner that returns is not overloaded by relays that knew of its outage."""
+    """Relays that knew of a partner's outage do not overload the partner when it returns."""
 
     def __init__(self, traffic: RecordedTraffic) -> None:
         self._traffic = traffic
-        self._verdict = Verdict("returns", "a returning partner is not pushed over by relays that knew")
+        self._verdict = Verdict("returns", "relays that knew of an outage do not overload the returning partner")
 
     def check(self) -> Verdict:
         """Check each return."""
@@ -127,7 +128,7 @@
         return outages
 
     def _check_return(self, outage: _Outage, calls: list[AttemptRecord]) -> None:
-        """Check the window before each call of the slow start; only the first breach is reported."""
+        """Check the overload window that ends with each call of the slow start; stop at the first breach."""
         rate_per_s = self._traffic.facts.partner(outage.partner).rate_per_s
         if not rate_per_s:
             return
@@ -139,9 +140,9 @@
             window_start_ms = last.start_ms - safety.overload_window_ms
             window = [call for call in slow_start[: position + 1] if call.start_ms > window_start_ms]
             allowed = QUEUED_BEYOND_BUDGET + self._budget(rate_per_s, last.start_ms - outage.end_ms)
-            from_aware = sum(call.process in aware for call in window)
-            if len(window) > allowed and from_aware >= len(window) * AWARE_NUMERATOR / AWARE_DENOMINATOR:
-                self._verdict.breach(
+            aware_calls = sum(call.process in aware for call in window)
+            if len(window) > allowed and aware_calls >= len(window) * AWARE_NUMERATOR / AWARE_DENOMINATOR:
+                self._verdict.add_breach(
                     f"{outage.partner}: {len(window)} calls in {safety.overload_window_ms:.0f} ms, "
                     f"{last.start_ms - outage.end_ms:.0f} ms after its return; {allowed:.1f} were allowed"
                 )
@@ -160,8 +161,8 @@
 
     @staticmethod
     def _aware_processes(outage: _Outage, calls: list[AttemptRecord]) -> set[str]:
-        """Return the relay processes that met the outage."""
-        if outage.kind == FaultKind.CRASH:  # refused connections are not recorded: every relay counts as aware
+        """Return the relay processes that knew of the outage, because they called the partner during it."""
+        if outage.kind == FaultKind.CRASH:  # refused connections are not recorded, so every relay counts as aware
             return {call.process for call in calls}
         return {call.process for call in calls if outage.start_ms <= call.start_ms < outage.end_ms}
 
@@ -170,7 +171,7 @@
 
 
 class _RouteAtProcess(NamedTuple):
-    """A route (a partner, or one of its endpoints) as one process of a relay knows it."""
+    """Key of the waits that a partner asked of a relay process for a route (the partner, or one of its endpoints)."""
 
     process: str
     route: str
@@ -178,7 +179,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _RetryAfter:
-    """A wait that a partner advertised."""
+    """A Retry-After that a partner sent."""
 
     at_ms: float
     wait_ms: float
@@ -188,11 +189,11 @@
 
 
 class RetryAfterRule:
-    """A relay process waits for as long as the Retry-After of a partner, or of its endpoint, asks for."""
+    """No attempt goes to a partner, or to one of its endpoints, before the Retry-After that it sent has passed."""
 
     def __init__(self, traffic: RecordedTraffic) -> None:
         self._traffic = traffic
-        self._verdict = Verdict("waits", "told waits are heeded")
+        self._verdict = Verdict("waits", "no attempt before a Retry-After has passed")
         self._waits: dict[_RouteAtProcess, list[_RetryAfter]] = defaultdict(list)
         for answer in traffic.call_answers:
             if answer.retry_after_ms:
@@ -201,7 +202,7 @@
                 self._waits[_RouteAtProcess(traffic.process_of(answer), route)].append(wait)
 
     def _route(self, partner: str, endpoint: int) -> str:
-        """Return what a wait applies to: the partner, or one endpoint if each has limits of its own."""
+        """Return the route that a Retry-After applies to: the partner, or the endpoint if each has its own limits."""
         return f"{partner}/{endpoint}" if self._traffic.facts.partner(partner).separate_routes else partner
 
     def check(self) -> Verdict:
@@ -215,10 +216,10 @@
     def _check_attempt(self, message_id: str, process: str, attempt: AttemptRecord) -> None:
         route = self._route(attempt.partner, attempt.endpoint)
         waits = self._waits.get(_RouteAtProcess(process, route), [])
-        broken = next((wait for wait in waits if wait.forbids(attempt.start_ms)), None)
-        if broken is not None:
-            early_ms = broken.at_ms + broken.wait_ms - attempt.start_ms
-            self._verdict.breach(
+        violated = next((wait for wait in waits if wait.forbids(attempt.start_ms)), None)
+        if violated is not None:
+            early_ms = violated.at_ms + violated.wait_ms - attempt.start_ms
+            self._verdict.add_breach(
                 f"{message_id}: {process} called {attempt.partner} {early_ms:.0f} ms before "
-                f"the end of a told wait of {broken.wait_ms:.0f} ms"
+                f"the end of a Retry-After of {violated.wait_ms:.0f} ms"
             )
--- a/linnetstile/testbed/play.py
+++ b/linnetstile/testbed/play.py
@@ -1,4 +1,4 @@
-"""Plays a day: registry, partners, relays and clients as processes of their own, faults by the clock."""
+"""Plays a day: runs registry, partners, relays and clients as separate processes, and faults at their times."""
 
 from __future__ import annotations
 
@@ -14,19 +14,19 @@
 from .relay_lifetime import ProcessEnd
 from .run_folder import RunFolder
 
-# A margin for start-up: no event is scripted before the start, which is in the settings of all processes.
+# Time for the processes to start before the script does; its start is in their settings and so is fixed beforehand.
 STARTUP_MS = 4000.0
 STARTUP_MS_PER_RELAY = 700.0
-CLIENT_MARGIN_S = 60.0  # beyond the day and the last deadline, for the clients to end
+CLIENT_MARGIN_S = 60.0  # time for the clients to exit after the end of the day and the longest deadline
 
 
 class Player:
     """One run of a day in a folder.
 
     Args:
-        day: What to play.
-        folder: Where keys, settings, logs and records go.
-        report: Gets a line of progress at a time.
+        day: The day to play.
+        folder: The folder for keys, settings, logs and records.
+        report: Called with each line of progress.
     """
 
     def __init__(self, day: Day, folder: Path, report: Callable[[str], None]) -> None:
@@ -39,15 +39,15 @@
         self._relays = RelayFleet(self._processes, self._folder, report)
 
     async def play(self) -> None:
-        """Run the day to its end; the records are then in the folder.
+        """Play the day to its end, and write its records into the folder.
 
         Raises:
-            PlayError: A process did not start, or ended by itself, or not in time.
+            PlayError: A process did not start, exited unexpectedly, or did not exit in time.
         """
         try:
             await self._play()
         except TimeoutError as error:
-            raise PlayError("the clients did not end in time") from error
+            raise PlayError("the clients did not exit in time after the end of the day") from error
         finally:
             await self._processes.kill_all()
             self._folder.write_facts(self._relays.lifetimes)
@@ -58,7 +58,9 @@
         registry = await self._start_emulator("register", "register", registry_file)
         await self._relays.start(self._day.relays, f"http://127.0.0.1:{registry.ready['port']}")
         if now_ms() > self._folder.start_ms:
-            raise PlayError("the processes took too long to start; fewer relays, or a less busy machine")
+            raise PlayError(
+                "the processes were not ready at the start of the script; use fewer relays or a less busy machine"
+            )
         clients_file = self._folder.write_clients(self._relays.addresses)
         clients = await self._start_emulator("clients", "client", clients_file)
         self._report_start(clients.ready["messages"])
@@ -77,7 +79,7 @@
         )
 
     async def _play_script(self, clients: ManagedProcess) -> None:
-        """Play the faults of the relays until the clients have ended."""
+        """Play the faults of the relays, and wait until the clients have exited."""
         faults = asyncio.create_task(self._relays.play_faults(self._day.fleet_faults, self._folder.start_ms))
         self._relays.check_running()
         last_deadline_s = max(message_class.deadline_ms for message_class in self._day.classes.values()) / 1000
@@ -89,12 +91,12 @@
     """Play a day to its end.
 
     Args:
-        day: What to play.
-        folder: Where keys, settings, logs and records go.
-        report: Gets a line of progress at a time.
+        day: The day to play.
+        folder: The folder for keys, settings, logs and records.
+        report: Called with each line of progress.
 
     Raises:
-        PlayError: A process did not start or ended by itself.
+        PlayError: A process did not start, exited unexpectedly, or did not exit in time.
     """
 
     async def run() -> None:
--- a/linnetstile/testbed/processes.py
+++ b/linnetstile/testbed/processes.py
@@ -17,11 +17,11 @@
 
 READY_TIMEOUT_S = 20.0  # how long a process may take to print its ready line
 EXIT_TIMEOUT_S = 30.0  # how long a process may take to exit after its signal
-LOG_TAIL_CHARACTERS = 400  # of the log that an error message quotes
+LOG_TAIL_CHARACTERS = 400  # length of the end of the log that an error message quotes
 
 
 class PlayError(LinnetstileError):
-    """A process of the run did not start or ended by itself."""
+    """A process of the run did not start, exited unexpectedly, or did not exit in time."""
 
 
 @dataclass(slots=True, eq=False)
@@ -40,7 +40,7 @@
 
     @property
     def address(self) -> str:
-        """Where a relay listens."""
+        """The address on which a relay listens."""
         return str(self.ready["listening"])
 
     @property
@@ -50,10 +50,10 @@
 
 
 class ProcessGroup:
-    """All child processes of a run, and when each of them ran.
+    """All child processes of a run and their lifetimes.
 
     Attributes:
-        lifetimes: For each name its processes, in the order of their starts.
+        lifetimes: Lifetimes of the processes of each name, in the order of their starts.
     """
 
     def __init__(self, folder: Path) -> None:
@@ -62,14 +62,14 @@
         self.lifetimes: dict[str, list[RelayLifetime]] = {}
 
     def log_file(self, name: str) -> Path:
-        """Return where the standard error of a process goes."""
+        """Return the file to which the standard error of a process is written."""
         return self._folder / f"{name}.log"
 
     async def start(self, name: str, *arguments: str) -> ManagedProcess:
         """Start `linnetstile ARGUMENTS` and wait for its ready line.
 
         Raises:
-            PlayError: It did not print one in time.
+            PlayError: The process did not print a valid ready line in time.
         """
         process = ManagedProcess(name, await self._spawn(name, arguments))
         self._running.append(process)
@@ -100,19 +100,19 @@
         return ready
 
     def check_running(self, process: ManagedProcess) -> None:
-        """Check that a process has not exited by itself.
+        """Check that a process has not exited unexpectedly.
 
         Raises:
-            PlayError: It has.
+            PlayError: The process has exited.
         """
         if process.has_exited:
-            raise PlayError(f"{process.name} ended by itself; see {self.log_file(process.name)}")
+            raise PlayError(f"{process.name} exited unexpectedly; see {self.log_file(process.name)}")
 
     async def stop(self, process: ManagedProcess, end: ProcessEnd) -> None:
-        """Signal a process of this run by its own handle, and wait until it has exited.
+        """Signal a process through its handle, and wait until it has exited.
 
-        Its lifetime ends with its exit, not with the signal: on a busy machine a killed process may still accept
-        connections for some 100 ms.
+        The recorded lifetime ends with the exit and not with the signal, because on a busy machine a killed process
+        may accept connections for about 100 ms after the signal.
 
         Args:
             process: The process.
@@ -130,6 +130,6 @@
             self._running.remove(process)
 
     async def kill_all(self) -> None:
-        """Kill the processes that still run."""
+        """Kill the processes that are still running."""
         for process in list(self._running):
             await self.stop(process, ProcessEnd.KILLED)
--- a/linnetstile/testbed/recorded_traffic.py
+++ b/linnetstile/testbed/recorded_traffic.py
@@ -24,11 +24,11 @@
 from .attempts import MessageAtProcess, collect_attempts
 from .run_facts import RunFacts
 
-Row = dict[str, Any]  # of the record, as JSON
+Row = dict[str, Any]  # a JSON object of a record
 SubmissionEnd = SubmissionAnswered | SubmissionLost
 E = TypeVar("E", bound=TrafficEvent)
 
-# The events that the rules need; all other rows are ignored.
+# The event classes of each record that the rules need; rows with other events are ignored.
 PARTNER_EVENTS: dict[str, type[TrafficEvent]] = {
     event.EVENT: event for event in (CallBegan, CallCut, CallClosed, CallAnswered, EffectApplied, OutageChanged)
 }
@@ -38,7 +38,7 @@
 REGISTRY_EVENTS: dict[str, type[TrafficEvent]] = {ListSent.EVENT: ListSent}
 
 
-def _events(rows: Sequence[Row], kinds: dict[str, type[TrafficEvent]]) -> list[TrafficEvent]:
+def _parse_events(rows: Sequence[Row], kinds: dict[str, type[TrafficEvent]]) -> list[TrafficEvent]:
     return [kinds[row["ev"]].from_row(row) for row in rows if row["ev"] in kinds]
 
 
@@ -47,18 +47,18 @@
 
 
 class RecordedTraffic:
-    """All recorded traffic of a run, as typed events by subject.
+    """The recorded traffic of a run, as typed events.
 
     Attributes:
-        facts: What holds for the run as a whole.
+        facts: The facts about the whole run.
         submissions: Submissions by their identifiers.
         ends: Answers and losses of each submission, in the order of the times.
-        submission_counts: Submissions of each message.
+        submission_counts: Number of submissions of each message.
         attempts: Attempts by message and relay process.
-        effects: The ledgers of all partners, by message and relay process.
-        call_answers: Answers of the partners.
+        effects: Effects that the partners recorded, by message and relay process.
+        call_answers: Answers of the partners to calls.
         outages: Begins and ends of outages of whole partners.
-        lists: Lists and changes that the registry sent.
+        lists: Full lists and changes that the registry sent.
     """
 
     def __init__(self, facts: Row, partners: Sequence[Row], clients: Sequence[Row], registry: Sequence[Row]) -> None:
@@ -66,7 +66,7 @@
 
         Args:
             facts: The content of `run.json`.
-            partners: Rows of the partner emulator, in the order of the times, as all rows.
+            partners: Rows of the partner emulator; all rows are in the order of their times.
             clients: Rows of the client emulator.
             registry: Rows of the registry emulator.
 
@@ -75,7 +75,7 @@
             ValueError: A field has no valid value.
         """
         self.facts = RunFacts.from_json(facts)
-        client_events = _events(clients, CLIENT_EVENTS)
+        client_events = _parse_events(clients, CLIENT_EVENTS)
         submissions = _of_kind(client_events, MessageSubmitted)
         self.submissions = {submission.submission: submission for submission in submissions}
         self.submission_counts = Counter(submission.message_id for submission in self.submissions.values())
@@ -87,21 +87,21 @@
             if isinstance(event, (SubmissionAnswered, SubmissionLost)):
                 self.ends[event.submission].append(event)
 
-        partner_events = _events(partners, PARTNER_EVENTS)
+        partner_events = _parse_events(partners, PARTNER_EVENTS)
         self.attempts = collect_attempts(_of_kind(partner_events, CallEvent), self.facts.processes)
         self.effects: dict[MessageAtProcess, list[EffectApplied]] = defaultdict(list)
         for effect in _of_kind(partner_events, EffectApplied):
             self.effects[self.message_at_process(effect)].append(effect)
         self.call_answers = _of_kind(partner_events, CallAnswered)
         self.outages = _of_kind(partner_events, OutageChanged)
-        self.lists = _of_kind(_events(registry, REGISTRY_EVENTS), ListSent)
+        self.lists = _of_kind(_parse_events(registry, REGISTRY_EVENTS), ListSent)
 
     def process_of(self, event: CallEvent | MessageSubmitted | ListSent) -> str:
-        """Return the relay process that an event is about."""
+        """Return the process that a relay had at the time of an event."""
         return self.facts.processes.process_at(event.relay, event.at_ms)
 
     def message_at_process(self, event: CallEvent | MessageSubmitted) -> MessageAtProcess:
-        """Return the message of an event, as its relay process knows it."""
+        """Return the message of an event and its relay process."""
         return MessageAtProcess(event.message_id, self.process_of(event))
 
     def class_of(self, message_id: str) -> MessageClass | None:
--- a/linnetstile/testbed/relay_lifetime.py
+++ b/linnetstile/testbed/relay_lifetime.py
@@ -9,7 +9,7 @@
 from enum import Enum
 from typing import Any, Self
 
-KILL_DETECTION_MS = 2000  # a kill so soon after the answer was due can explain that there is none
+KILL_DETECTION_MS = 2000  # a kill this soon after an answer was due can explain why it is missing
 
 
 class ProcessEnd(Enum):
@@ -22,11 +22,11 @@
 
 @dataclass(frozen=True, slots=True)
 class RelayLifetime:
-    """One process of a relay.
+    """The lifetime of one relay process.
 
     Attributes:
         start_ms: When it printed its ready line, on the clock of the run.
-        end_ms: When it had exited; infinite while it runs.
+        end_ms: When it had exited; infinity while it runs.
         end: How it ended.
     """
 
@@ -35,7 +35,7 @@
     end: ProcessEnd = ProcessEnd.RUNNING
 
     def to_json(self) -> list[Any]:
-        """Return its row in `run.json`: start, end or null, how it ended."""
+        """Return its row in `run.json`: start, end (null while it runs), and how it ended."""
         end_ms = None if self.end_ms == math.inf else self.end_ms
         return [self.start_ms, end_ms, self.end.value]
 
@@ -58,7 +58,7 @@
         return cls({relay: [RelayLifetime.from_json(row) for row in relay_rows] for relay, relay_rows in rows.items()})
 
     def process_at(self, relay: str, at_ms: float) -> str:
-        """Return the name of the process of a relay at a time; no process has the memory of an earlier one."""
+        """Return the name of the process that a relay had at a time; a new process does not know earlier messages."""
         starts = [lifetime.start_ms for lifetime in self._lifetimes.get(relay, [])]
         return f"{relay}#{bisect.bisect_right(starts, at_ms)}"
 
--- a/linnetstile/testbed/relay_settings.py
+++ b/linnetstile/testbed/relay_settings.py
@@ -1,4 +1,4 @@
-"""The settings files of the relays of a run, as the documents that are written to them."""
+"""Builds the contents of the settings files of the relays of a run."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from .run_keys import RunKeys
 
 RELAY_AS2_NAME = "linnetstile"
-ANY_PORT = "127.0.0.1:0"
+ANY_PORT_ADDRESS = "127.0.0.1:0"
 SNAPSHOT_INTERVAL_MS = 1000
 
 
@@ -29,7 +29,7 @@
         day = self._day
         return {
             "name": name,
-            "listen": ANY_PORT,
+            "listen": ANY_PORT_ADDRESS,
             "register": registry_url,
             "relays": day.relays,
             "seed": day.seed,
@@ -51,7 +51,7 @@
         }
 
     def gossip(self, name: str, peers: list[str]) -> Document:
-        """Return the part of the settings of a relay that is about gossip; empty if the day uses none."""
+        """Return the gossip section of a relay's settings; empty if the day does not use gossip."""
         if not self._day.uses_gossip:
             return {}
         return {
--- a/linnetstile/testbed/rule_checker.py
+++ b/linnetstile/testbed/rule_checker.py
@@ -1,7 +1,8 @@
-"""Checks the delivery rules by the traffic and ledgers that the emulators recorded, never by the logs of a relay.
+"""Checks a run against the delivery rules, by the traffic and effects that the emulators recorded.
 
-A run is a folder: `run.json` (the settings that the rules need, the lifetimes of the relay processes) and one record
-each of partners, clients and registry. There are six rules, and one more: at most one attempt of a message in flight.
+Logs of relays are never used. The folder of a run contains `run.json` (the settings that the rules need, and the
+lifetimes of the relay processes) and a record for each of partners, clients and registry. Seven rules are checked: the
+six delivery rules, and that at most one attempt of a message is in flight.
 """
 
 from __future__ import annotations
@@ -19,13 +20,13 @@
 from .verdict import Verdict as Verdict
 
 FACTS_FILE = "run.json"
-RECORDS = ("partners", "clients", "register")  # a file NAME.jsonl each
+RECORDS = ("partners", "clients", "register")  # each in a file NAME.jsonl
 REQUIRED_FACTS = ("classes", "safety", "partners", "attempts", "relays")
 
 
 @dataclass(slots=True)
 class RunRecord:
-    """All records of a run, as they were read: rows in the order of their times."""
+    """All records of a run as untyped rows, in the order of their times."""
 
     facts: Row
     partners: list[Row]
@@ -51,7 +52,7 @@
 
 
 class RuleChecker:
-    """Checks one run by all rules.
+    """Checks one run against all rules.
 
     Raises:
         KeyError: A row lacks a field.
@@ -62,7 +63,7 @@
         self.traffic = RecordedTraffic(run.facts, run.partners, run.clients, run.registry)
 
     def check_rules(self) -> list[Verdict]:
-        """Return a verdict for each rule, in the order in which they are shown."""
+        """Return a verdict for each rule, in the order in which they are printed."""
         return [
             AnswerRule(self.traffic).check(),
             EffectRule(self.traffic).check(),
@@ -92,4 +93,4 @@
         checker = RuleChecker(run)
         return CheckedRun(checker.check_rules(), compute_figures(checker.traffic))
     except (KeyError, TypeError, ValueError) as error:
-        raise RecordError(f"{folder}: a row of the record lacks or garbles {error}") from error
+        raise RecordError(f"{folder}: a row of the record has a missing or invalid field: {error}") from error
--- a/linnetstile/testbed/run_facts.py
+++ b/linnetstile/testbed/run_facts.py
@@ -1,4 +1,4 @@
-"""What the rules need to know of a run besides its traffic, read from `run.json`."""
+"""The facts about a run that the rules need besides its traffic, read from `run.json`."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
     """The properties of a partner that the rules need.
 
     Attributes:
-        rate_per_s: Its rate limit; 0 = none known.
-        separate_routes: Whether each of its endpoints has limits of its own.
+        rate_per_s: Its rate limit in calls per second; 0 if none is known.
+        separate_routes: Whether each of its endpoints has its own limits.
     """
 
     rate_per_s: float = 0.0
@@ -57,9 +57,9 @@
     Attributes:
         classes: The message classes by name.
         safety: The safety limits of the delivery rules.
-        max_attempts: Attempts that a message may have.
+        max_attempts: Maximum number of attempts for each submission of a message.
         partners: The partners by name.
-        processes: Which process of a relay ran when.
+        processes: The relay processes and when each of them ran.
     """
 
     classes: dict[str, MessageClass]
@@ -85,5 +85,5 @@
         )
 
     def partner(self, name: str) -> PartnerFacts:
-        """Return the facts about a partner; the defaults if it is not known."""
+        """Return the facts about a partner; the defaults if `run.json` does not contain it."""
         return self.partners.get(name, PartnerFacts())
--- a/linnetstile/testbed/run_figures.py
+++ b/linnetstile/testbed/run_figures.py
@@ -11,7 +11,7 @@
 from .recorded_traffic import RecordedTraffic
 
 JSON_NAMES = {"value_by_class": "worth", "value_of_all": "worth_all"}
-"""Attributes whose JSON name differs; all others are written under their own name."""
+"""The JSON names of the attributes that are not written under their own name."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -20,12 +20,12 @@
 
     Attributes:
         messages: Messages that were submitted.
-        by_answer: How many of them got which answer.
+        by_answer: Number of messages by the kind of their answer.
         attempts: Attempts that reached a partner.
         refused_attempts: Attempts whose end proves that the message took no effect.
-        unsafe_effects_twice: Messages that must not be repeated and took effect more than once.
+        unsafe_effects_twice: Non-idempotent messages that took effect more than once.
         value_by_class: Value delivered as a fraction of the value submitted, by message class.
-        value_of_all: The same for all classes together.
+        value_of_all: Value delivered as a fraction of the value submitted, for all classes together.
     """
 
     messages: int
@@ -73,7 +73,7 @@
 
 
 def _first_deliveries(traffic: RecordedTraffic) -> dict[str, SubmissionAnswered]:
-    """Return the earliest answer that says delivered, by message."""
+    """Return the earliest answer of the kind "delivered" to each message."""
     first: dict[str, SubmissionAnswered] = {}
     for identifier, ends in traffic.ends.items():
         submission = traffic.submissions.get(identifier)
@@ -85,7 +85,7 @@
 
 
 def _value(message_class: MessageClass, latency_ms: float) -> float:
-    """Return the value of a delivery: it halves with each latency objective that it is late."""
+    """Return the value of a delivery: halved for each latency objective that it is late, down to the late value."""
     late_ms = latency_ms - message_class.latency_objective_ms
     if late_ms <= 0:
         return message_class.priority_weight
@@ -111,7 +111,7 @@
 
 
 def _count_repeated_effects(traffic: RecordedTraffic) -> int:
-    """Count the messages that must not be repeated and took effect more than once, at all relays together."""
+    """Count the non-idempotent messages that took effect more than once, over all relays together."""
     effects: dict[str, int] = defaultdict(int)
     for message, applied in traffic.effects.items():
         message_class = traffic.class_of(message.message_id)
--- a/linnetstile/testbed/run_folder.py
+++ b/linnetstile/testbed/run_folder.py
@@ -12,7 +12,7 @@
 from .emulator_settings import Document, EmulatorSettings
 from .fleet_plan import FleetPlan
 from .relay_lifetime import RelayLifetime
-from .relay_settings import ANY_PORT, RelaySettings
+from .relay_settings import ANY_PORT_ADDRESS, RelaySettings
 from .run_keys import RunKeys
 
 
@@ -70,14 +70,14 @@
         """Write the settings of a relay that listens on any port."""
         return self._write(self.relay_file(name).name, self._relays.relay(name, registry_url))
 
-    def keep_address(self, name: str, address: str) -> None:
-        """Make a relay listen on its present address after each restart, as clients know it by that."""
+    def pin_address(self, name: str, address: str) -> None:
+        """Make a relay listen on its current address after each restart, because the clients use that address."""
         path = self.relay_file(name)
         text = path.read_text(encoding="utf-8")
-        path.write_text(text.replace(f"listen: {ANY_PORT}", f"listen: {address}"))
+        path.write_text(text.replace(f"listen: {ANY_PORT_ADDRESS}", f"listen: {address}"))
 
-    def introduce_relays(self, addresses: Mapping[str, str]) -> None:
-        """Write the addresses of all others into the settings of each relay, which it reads at its next start.
+    def write_peer_addresses(self, addresses: Mapping[str, str]) -> None:
+        """Write the addresses of its peers into the settings of each relay, which reads them at its next start.
 
         Args:
             addresses: Address of each relay, by its name.
--- a/linnetstile/testbed/run_keys.py
+++ b/linnetstile/testbed/run_keys.py
@@ -18,7 +18,7 @@
         self._folder.mkdir(parents=True, exist_ok=True)
 
     def pem(self, name: str) -> str:
-        """Return the path of the file with the private key and certificate of a name."""
+        """Return the path of the file with the private key and the certificate for a name."""
         path = self._folder / f"{name}.pem"
         if not path.exists():
             path.write_bytes(cms.encode_identity(cms.make_identity(name)))
--- a/linnetstile/testbed/slow_start_budget.py
+++ b/linnetstile/testbed/slow_start_budget.py
@@ -1,4 +1,4 @@
-"""How many calls the rules allow a destination in slow start."""
+"""The number of calls that the rules allow to a destination in slow start."""
 
 from __future__ import annotations
 
@@ -16,8 +16,8 @@
     Args:
         rate_per_s: Rate limit of the destination.
         since_return_ms: Time since the end of its outage.
-        slow_start_fraction: Fraction of its capacity right after the outage.
-        slow_start_ms: Time until it has its full capacity again.
+        slow_start_fraction: Fraction of its capacity that it has right after the outage.
+        slow_start_ms: Time from the end of the outage until it has its full capacity.
         overload_multiple: Multiple of its capacity beyond which calls overload it.
         overload_window_ms: Window in which the calls are counted.
     """
--- a/linnetstile/testbed/verdict.py
+++ b/linnetstile/testbed/verdict.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass, field
 
-MAX_FINDINGS = 20  # texts for each rule; further breaches are only counted
+MAX_FINDINGS = 20  # findings kept for each rule; further breaches are only counted
 
 
 @dataclass(slots=True)
@@ -13,10 +13,10 @@
 
     Attributes:
         rule: Its short name.
-        text: Its requirement in words.
+        text: What it requires, in a few words.
         looked_at: Number of cases that were checked.
         broken: Number of cases that broke it.
-        findings: Descriptions of the first of those.
+        findings: Descriptions of the first `MAX_FINDINGS` of the broken cases.
     """
 
     rule: str
@@ -25,8 +25,8 @@
     broken: int = 0
     findings: list[str] = field(default_factory=list)
 
-    def breach(self, text: str) -> None:
-        """Count a case that broke the rule."""
+    def add_breach(self, finding: str) -> None:
+        """Count a case that broke the rule, and keep its description up to the limit."""
         self.broken += 1
         if len(self.findings) < MAX_FINDINGS:
-            self.findings.append(text)
+            self.findings.append(finding)
--- a/tests/testbed/run_record_builder.py
+++ b/tests/testbed/run_record_builder.py
@@ -121,7 +121,7 @@
     def incomplete_attempt(
         self, at_ms: float, message_id: str, seen_at_ms: float, endpoint: int = 1, connection: int = 7
     ) -> None:
-        """Add a request that never was complete, which the partner notices at `seen_at_ms`."""
+        """Add a request that was never completed; the partner notices this at `seen_at_ms`."""
         call = {"partner": "p", "endpoint": endpoint, "mid": message_id, "relay": "r1", "conn": connection}
         self.partners.append({"ev": "began", "t": at_ms, **call})
         self.partners.append({"ev": "cut", "t": seen_at_ms, **call})
--- a/tests/testbed/test_day.py
+++ b/tests/testbed/test_day.py
@@ -1,4 +1,4 @@
-"""The keys of a day file stay as stored names."""
+"""Day files keep their keys and values, even where attributes and enum members have other names."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
     return loaded
 
 
-def test_a_day_keeps_its_keys() -> None:
+def test_a_day_file_keeps_its_keys() -> None:
     file = load_day() | {"slots": 9, "hold": 77, "learning": True, "register_lag_ms": 5.0}
     file["traffic"]["tries"] = 4
     file["partners"][0] |= {"tell": 0.5, "tell_as": "date", "refused_count": True, "limit": 2.5, "limit_least": 3.5}
--- a/tests/testbed/test_play.py
+++ b/tests/testbed/test_play.py
@@ -1,4 +1,4 @@
-"""A short day is played by real processes: it ends by itself and its record is checked."""
+"""Plays a short day with real processes to its end and checks its record; also tests the script of the clients."""
 
 from __future__ import annotations
 
@@ -92,7 +92,7 @@
     assert len(in_surge) > 2 * len(before_surge)
 
 
-def test_the_kinds_of_faults_have_their_names_in_the_file() -> None:
+def test_the_kinds_of_faults_have_their_stored_names_in_a_day_file() -> None:
     day_file = ROOT / "days" / "every-trouble.yaml"
     day = Day.model_validate(yaml.safe_load(day_file.read_text()))
     kinds = {fault.kind for fault in day.faults} | {fault.kind for fault in day.fleet_faults}
--- a/tests/testbed/test_processes.py
+++ b/tests/testbed/test_processes.py
@@ -1,4 +1,4 @@
-"""The child processes of a run: when the lifetime of one ends."""
+"""Child processes of a run: the recorded end of a lifetime."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 from linnetstile.testbed.processes import ManagedProcess, ProcessGroup
 from linnetstile.testbed.relay_lifetime import ProcessEnd, RelayLifetime
 
-END_DELAY_MS = 300
-SLOW_TO_END = f"""
+EXIT_DELAY_MS = 300
+SLOW_EXIT_PROGRAM = f"""
 import signal, sys, time
 def on_signal(*_):
-    time.sleep({END_DELAY_MS} / 1000)
+    time.sleep({EXIT_DELAY_MS} / 1000)
     sys.exit()
 signal.signal(signal.SIGTERM, on_signal)
 print("ready", flush=True)
@@ -22,9 +22,11 @@
 """
 
 
-def test_the_lifetime_of_a_process_ends_when_it_is_gone_and_not_with_the_signal(tmp_path: Path) -> None:
-    async def end_slowly() -> tuple[float, RelayLifetime]:
-        child = await asyncio.create_subprocess_exec(sys.executable, "-c", SLOW_TO_END, stdout=asyncio.subprocess.PIPE)
+def test_the_lifetime_of_a_process_ends_at_its_exit_and_not_at_the_signal(tmp_path: Path) -> None:
+    async def stop_slow_process() -> tuple[float, RelayLifetime]:
+        child = await asyncio.create_subprocess_exec(
+            sys.executable, "-c", SLOW_EXIT_PROGRAM, stdout=asyncio.subprocess.PIPE
+        )
         assert child.stdout is not None
         await child.stdout.readline()
         group = ProcessGroup(tmp_path)
@@ -33,6 +35,6 @@
         await group.stop(ManagedProcess("r1", child), ProcessEnd.STOPPED)
         return signalled_at_ms, group.lifetimes["r1"][-1]
 
-    signalled_at_ms, lifetime = asyncio.run(end_slowly())
+    signalled_at_ms, lifetime = asyncio.run(stop_slow_process())
     assert lifetime.end is ProcessEnd.STOPPED
-    assert lifetime.end_ms >= signalled_at_ms + END_DELAY_MS
+    assert lifetime.end_ms >= signalled_at_ms + EXIT_DELAY_MS
--- a/tests/testbed/test_rule_checker.py
+++ b/tests/testbed/test_rule_checker.py
@@ -1,4 +1,4 @@
-"""The rule checker finds each breach in a changed record, and none in the record that was changed."""
+"""The rule checker finds no breach in a valid record, and each breach that is added to it."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def record_without_breach() -> RunRecordBuilder:
-    """Return a record in which every rule has cases, and none is broken."""
+    """Return a record with cases for every rule and no breach."""
     records = RunRecordBuilder()
     for number, message_class in enumerate("uk"):
         records.submit(100.0 + number, message_class, message_class)
@@ -222,7 +222,7 @@
     assert list(records.findings()) == broken_rules
 
 
-def test_relays_that_did_not_meet_the_outage_may_overload_a_partner() -> None:
+def test_relays_that_do_not_know_of_the_outage_may_overload_a_partner() -> None:
     records = record_without_breach()
     for number in range(12):
         records.submit(7210 + number, f"x{number}", "u", relay="r2")
@@ -238,7 +238,7 @@
         (folder / f"{name}.jsonl").write_text("".join(json.dumps(row) + "\n" for row in rows))
 
 
-def test_a_record_is_read_back_and_a_torn_last_line_is_skipped(tmp_path: Path) -> None:
+def test_a_record_is_read_back_and_an_incomplete_last_line_is_skipped(tmp_path: Path) -> None:
     write_run(record_without_breach(), tmp_path)
     with (tmp_path / "clients.jsonl").open("a") as file:
         file.write('{"ev": "final", "t": 99')
@@ -256,12 +256,12 @@
     with pytest.raises(RecordError, match=r"clients.jsonl: line 2"):
         list(read_record(tmp_path / "clients.jsonl"))
     (tmp_path / "clients.jsonl").write_text('{"ev": "hand", "t": 1}\n')
-    with pytest.raises(RecordError, match="lacks or garbles"):
+    with pytest.raises(RecordError, match="a row of the record has a missing or invalid field"):
         check(tmp_path)
 
 
 def test_an_incomplete_request_has_no_effect_and_is_not_in_flight() -> None:
-    """Even if the partner notices long after the response to the next attempt; without the row it breaks both rules."""
+    """The partner may notice it long after the response to the next attempt; without its `cut` row, two rules break."""
     records = record_without_breach()
     records.submit(9000.0, "big", "u")
     records.incomplete_attempt(9010.0, "big", seen_at_ms=12000.0)
@@ -272,7 +272,7 @@
     assert records.findings().keys() == {"effects", "one-out"}
 
 
-def test_a_call_to_a_slow_reader_is_not_judged_by_the_time_at_which_the_partner_saw_its_end() -> None:
+def test_the_late_observed_end_of_a_call_to_a_slow_reader_is_ignored() -> None:
     records = record_without_breach()
     records.submit(9000.0, "slow", "k")
     records.attempt(9010.0, "slow", latency_ms=2000.0, status=0)
