--- a/linnetstile/testbed/message_rules.py
+++ b/linnetstile/testbed/message_rules.py
@@ -12,8 +12,8 @@
 from .recorded_traffic import RecordedTraffic, SubmissionEnd
 from .verdict import Verdict
 
-CLIENT_SLACK_MS = 250.0  # delay of a client in reading an answer, on a machine that runs the whole fleet
-PROVISIONAL_ANSWERS = ("refused", "conflict")  # the answer to a repeat may differ from these
+CLIENT_SLACK_MS = 250.0  # allowance for a client's delay in reading an answer on a machine that runs the whole fleet
+PROVISIONAL_ANSWERS = ("refused", "conflict")  # after one of these, the answer to a repeat may differ
 VALID_RECEIPTS = (
     "none",
     ReceiptStatus.POSITIVE.value,
--- a/tests/testbed/test_rule_checker.py
+++ b/tests/testbed/test_rule_checker.py
@@ -261,7 +261,7 @@
 
 
 def test_an_incomplete_request_has_no_effect_and_is_not_in_flight() -> None:
-    """The partner may notice it long after the response to the next attempt; without its `cut` row, two rules break."""
+    """The partner may notice the cut long after its response to the next attempt; without the row, two rules break."""
     records = record_without_breach()
     records.submit(9000.0, "big", "u")
     records.incomplete_attempt(9010.0, "big", seen_at_ms=12000.0)
