--- a/benchmarks/attack.py
+++ b/benchmarks/attack.py
@@ -1,12 +1,12 @@
-"""Memory and open files of one relay under attack, against the bounds that it states; what good clients see of it.
+"""Memory and open files of one relay under attack, compared with its stated bounds, and the service of a good client.
 
     python -m benchmarks.attack [--seconds 6] [--json FILE] [--plot FILE]
 
-One relay, two partners (one answers in 20 ms, one hangs), a good client of 60 messages a second, and one kind of bad
-peer after the other, each for so many seconds: 3000 half-open connections; heads a byte at a time; 1500 bodies a byte
-at a time; 64 clients that upload 12 MB each to the partner that hangs, as fast as they are read; one 200 MB body
-beside thousands of small messages; clients that pipeline requests and read no answer; a new connection for each
-message. The process is sampled ten times a second. Bounded: it stops by itself.
+One relay serves two partners (one answers in 20 ms, one hangs) and a good client that sends 60 messages a second. The
+attacks follow one another and take `--seconds` each: 3000 half-open connections; request heads sent a byte at a time;
+1500 bodies sent a byte at a time; 64 clients that each upload 12 MB to the partner that hangs, as fast as the relay
+reads; one 200 MB body beside thousands of small messages; clients that pipeline requests and read no answer; a new
+connection for each message. The relay process is sampled ten times a second. The run ends by itself.
 """
 
 from __future__ import annotations
@@ -63,24 +63,24 @@
     "self_check_ms": 250,
 }
 ATTACKS = ("half_open", "heads", "bodies", "uploads", "huge", "unread", "connects")
-"""Methods of `Attacker`, in the order in which they run."""
-BETWEEN_S = 1.5
+"""Names of methods of `Attacker`, in the order in which they run."""
+PAUSE_BETWEEN_ATTACKS_S = 1.5
 SAMPLE_INTERVAL_S = 0.1
-SAMPLES_A_ROW = 5
-"""Of so many samples, one goes into the result."""
+SAMPLES_PER_ROW = 5
+"""The result keeps one sample of this many."""
 GOOD_RATE = 60
 """Messages a second of the good client."""
 ANSWER_TIMEOUT_S = 10
 PARTNERS = {1: QUICK_PARTNER, 2: HANGING_PARTNER}
-"""By identifier of their one endpoint."""
+"""Partner name by the identifier of its only endpoint."""
 LISTED_RATE = 2000.0
 BETWEEN_PHASE = "between"
-"""Phase of the good client while no attack is on."""
+"""Phase of the good client in the pause after an attack."""
 AFTER_PHASE = "after"
 
 
 def partners_spec() -> PartnersSpec:
-    """The partner emulator's settings: one partner is quick, one hangs."""
+    """Settings of the partner emulator: one partner is quick, one hangs."""
     partners = [
         {"name": name, "endpoints": [{"id": endpoint}], "work_ms": 20, "spread": 0.1, "servers": 256, "queue": 1000}
         for endpoint, name in PARTNERS.items()
@@ -91,7 +91,7 @@
 
 @dataclass(slots=True)
 class PhaseResult:
-    """What the good client saw in one phase, and what became of the bad peers."""
+    """Messages of the good client in one phase, and counts of how the bad peers' requests and connections ended."""
 
     sent: int = 0
     delivered: int = 0
@@ -109,10 +109,10 @@
 
 
 class GoodClient:
-    """Submits messages at a constant rate, in one phase after the other."""
+    """Submits messages at a constant rate, and counts them by phase."""
 
     def __init__(self, port: int) -> None:
-        """Prepare a client of a loopback port."""
+        """Prepare a client of a relay on a loopback port."""
         self.phase = "before"
         self.phases: dict[str, PhaseResult] = {}
         self._loop = asyncio.get_running_loop()
@@ -126,7 +126,7 @@
             self.submit(number)
 
     def submit(self, number: int) -> None:
-        """Submit one message, which counts in the current phase."""
+        """Submit one message, and count it and its answer in the current phase."""
         message = messages.build_message("good", QUICK_PARTNER, f"<{number}@good>", MESSAGE_CLASS, BODY, receipt=False)
         submitted_at = self._loop.time()
         result = self.phases.setdefault(self.phase, PhaseResult())
@@ -141,7 +141,7 @@
 
 
 class Sample(NamedTuple):
-    """Memory and open files at one time; the result has it as a list."""
+    """Memory and open files at one time; a list in the JSON result."""
 
     elapsed_s: float
     resident_mb: float
@@ -149,7 +149,7 @@
 
 
 class PhaseStart(NamedTuple):
-    """When a phase began; the result has it as a list."""
+    """Start of a phase; a list in the JSON result."""
 
     name: str
     elapsed_s: float
@@ -157,12 +157,12 @@
 
 @dataclass(slots=True)
 class Sampler:
-    """Memory and open files of a process, ten times a second.
+    """Samples memory and open files of a process ten times a second.
 
     Attributes:
-        pid: The process.
-        samples: What was read so far.
-        began: Beginning on the loop's clock.
+        pid: Identifier of the process.
+        samples: The samples so far.
+        began: Start time on the event loop's clock.
     """
 
     pid: int
@@ -170,7 +170,7 @@
     began: float = field(default_factory=lambda: asyncio.get_running_loop().time())
 
     def seconds(self) -> float:
-        """Seconds since the beginning."""
+        """Seconds since the start."""
         return asyncio.get_running_loop().time() - self.began
 
     async def run(self) -> None:
@@ -183,7 +183,7 @@
 
 @contextlib.asynccontextmanager
 async def running(*coroutines: Coroutine[Any, Any, None]) -> AsyncIterator[None]:
-    """Run coroutines beside the block, and cancel them after it."""
+    """Run coroutines concurrently with the block, and cancel them at its end."""
     tasks = [asyncio.create_task(coroutine) for coroutine in coroutines]
     try:
         yield
@@ -194,7 +194,7 @@
 
 
 async def run_attacks(port: int, seconds: float, good: GoodClient, sampler: Sampler) -> list[PhaseStart]:
-    """Run all attacks, one after the other; returns when each phase began."""
+    """Run all attacks, one after the other; returns the start of each phase."""
     phases = []
     await asyncio.sleep(seconds)
     for name in ATTACKS:
@@ -206,7 +206,7 @@
         attacker.stop()
         good.phases[name].bad_peers = dict(attacker.counts)
         good.phase = BETWEEN_PHASE
-        await asyncio.sleep(BETWEEN_S)
+        await asyncio.sleep(PAUSE_BETWEEN_ATTACKS_S)
     good.phase = AFTER_PHASE
     phases.append(PhaseStart(AFTER_PHASE, round(sampler.seconds(), 1)))
     await asyncio.sleep(seconds / 2)
@@ -214,7 +214,7 @@
 
 
 async def measure(seconds: float) -> dict[str, Any]:
-    """The whole benchmark; each attack takes so many seconds."""
+    """Run the whole benchmark, with attacks of `seconds` each; returns its result."""
     with tempfile.TemporaryFile() as log:
         return await _measure(seconds, log)
 
@@ -234,14 +234,14 @@
                 cpu_s = relay.stop()
     good_client = {name: result.to_json() for name, result in good.phases.items()}
     return (
-        _log_figures(log)
-        | _figures_beside_bounds(RelaySettings.model_validate(settings), sampler.samples)
+        _limits_and_logged_faults(log)
+        | _peaks_and_bounds(RelaySettings.model_validate(settings), sampler.samples)
         | {"cpu_s": round(cpu_s, 1), "good_client": good_client, "phases": phases, "samples": sampler.samples}
     )
 
 
-def _log_figures(log: IO[bytes]) -> dict[str, Any]:
-    """The limits, and what the relay logged of its own faults."""
+def _limits_and_logged_faults(log: IO[bytes]) -> dict[str, Any]:
+    """The relay's limits, and the number of faults in its log."""
     log.seek(0)
     lines = log.read().decode()
     return {
@@ -251,8 +251,8 @@
     }
 
 
-def _figures_beside_bounds(settings: RelaySettings, samples: list[Sample]) -> dict[str, Any]:
-    """Memory and open files, with the bounds that the settings state."""
+def _peaks_and_bounds(settings: RelaySettings, samples: list[Sample]) -> dict[str, Any]:
+    """Peak memory and open files, with the bounds that follow from the settings."""
     return {
         "memory_bound_mb": round(settings.max_memory_bytes() / BYTES_PER_MB),
         "peak_mb": max(sample.resident_mb for sample in samples),
@@ -297,7 +297,7 @@
 
 
 def main() -> None:
-    """Run the benchmark, or be its partners."""
+    """Run the benchmark, or the partner emulator as its child process."""
     if sys.argv[1:2] == ["--serve-partners"]:
         serve_forever(lambda: start_partners(partners_spec()))
         return
@@ -308,7 +308,7 @@
     result = asyncio.run(measure(args.seconds))
     if args.plot:
         plot(result, args.plot)
-    result["samples"] = result["samples"][::SAMPLES_A_ROW]
+    result["samples"] = result["samples"][::SAMPLES_PER_ROW]
     if args.json:
         Path(args.json).write_text(json.dumps(result) + "\n", encoding="utf-8")
     else:
--- a/benchmarks/attackers.py
+++ b/benchmarks/attackers.py
@@ -13,39 +13,39 @@
 from linnetstile.emulators import messages
 
 MIB = 1 << 20
-PIECE_BYTES = 65536
-"""Bytes that are written at a time."""
+CHUNK_BYTES = 65536
+"""Largest number of bytes in one write."""
 QUICK_PARTNER = "quick"
 HANGING_PARTNER = "hangs"
-FOREVER_S = 600
-RETRY_S = 0.2
-"""Before peers that were all ended by the relay come back."""
+HOLD_OPEN_S = 600  # longer than an attack lasts
+RESTART_DELAY_S = 0.2
+"""Pause before the peers start again, after the relay has ended all of them."""
 HEAD_END = b"\r\n\r\n"
-STATUS_IN_LINE = slice(9, 12)
+STATUS_CODE_SLICE = slice(9, 12)  # position of the status code in a status line
 
 HALF_OPEN_CONNECTIONS = 3000
 
 SLOW_HEADS = 800
 SLOW_BODIES = 1500
 SLOW_HEAD_BYTES = 1000
-"""More than they send while the relay bears them."""
+"""More bytes than a peer can send before the relay ends its connection."""
 SLOW_BODY_BYTES = 1000
-"""More than they send while the relay bears them."""
+"""More bytes than a peer can send before the relay ends its connection."""
 BYTE_INTERVAL_S = 1.0
 
 UPLOADERS = 64
 UPLOAD_BYTES = 12 * MIB
 UPLOAD_SENDERS = 8
-"""AS2 names that the uploaders share."""
+"""Number of AS2 names that the uploaders share."""
 
 HUGE_BODY_BYTES = 200 * MIB
 SMALL_BODY_BYTES = 2000
 HUGE_BODY_PEERS = 9
-"""One with a huge body, the others with small ones."""
+"""One peer sends a huge body, the others send small ones."""
 
 PIPELINERS = 50
-PIPELINED = 500
-"""Requests that one of them writes at a time."""
+PIPELINED_REQUESTS = 500
+"""Number of requests that a peer writes at a time."""
 
 CONNECTORS = 8
 CONNECTOR_BODY = b"body"
@@ -54,7 +54,7 @@
 
 
 def post_head(partner: str, length: int, sender: str = "bad") -> bytes:
-    """The head of a message for a partner, with so many bytes of body."""
+    """The request head of a message for a partner, with a body of `length` bytes."""
     message_id = f"<{next(_message_numbers)}@bad>"
     message = messages.build_message(sender, partner, message_id, MESSAGE_CLASS, b"", receipt=False)
     fields = [("Host", "x"), *message.headers, ("Content-Length", str(length))]
@@ -63,27 +63,27 @@
 
 
 def status_of(answer: bytes) -> str:
-    """The status code of an answer's first line; empty if there is no answer."""
-    return answer[STATUS_IN_LINE].decode()
+    """The status code in the first line of an answer; empty if there is no answer."""
+    return answer[STATUS_CODE_SLICE].decode()
 
 
-async def write_pieces(writer: asyncio.StreamWriter, size: int) -> None:
-    """Write so many bytes, as fast as they are read."""
-    piece = b"x" * PIECE_BYTES
-    for start in range(0, size, PIECE_BYTES):
-        writer.write(piece[: size - start])
+async def write_chunks(writer: asyncio.StreamWriter, size: int) -> None:
+    """Write `size` bytes, as fast as the peer reads them."""
+    chunk = b"x" * CHUNK_BYTES
+    for start in range(0, size, CHUNK_BYTES):
+        writer.write(chunk[: size - start])
         await writer.drain()
 
 
 class Attacker:
-    """Bad peers of one kind at one address.
+    """Bad peers that attack a relay, all in the same way.
 
     Attributes:
-        counts: What became of their requests and connections.
+        counts: How many of their requests got each answer, and how many connections the relay ended.
     """
 
     def __init__(self, port: int) -> None:
-        """Prepare peers of a loopback port."""
+        """Prepare peers of a relay on a loopback port."""
         self.port = port
         self.counts: collections.Counter[str] = collections.Counter()
         self._writers: list[asyncio.StreamWriter] = []
@@ -99,7 +99,7 @@
         return reader, writer
 
     async def _run_peers(self, count: int, peer: Callable[[int], Awaitable[None]]) -> None:
-        """Run so many peers until all have ended, by themselves or by the relay."""
+        """Run `count` peers until each has ended, by itself or by the relay."""
 
         async def run(number: int) -> None:
             with contextlib.suppress(OSError, asyncio.IncompleteReadError):
@@ -112,20 +112,20 @@
     async def _keep_running(self, count: int, peer: Callable[[int], Awaitable[None]]) -> NoReturn:
         while True:
             await self._run_peers(count, peer)
-            await asyncio.sleep(RETRY_S)
+            await asyncio.sleep(RESTART_DELAY_S)
 
     async def half_open(self) -> None:
-        """Connections on which nothing is sent."""
+        """Open connections and send nothing."""
 
         async def peer(_: int) -> None:
             await self._connect()
             await asyncio.sleep(0)
 
         await self._run_peers(HALF_OPEN_CONNECTIONS, peer)
-        await asyncio.sleep(FOREVER_S)
+        await asyncio.sleep(HOLD_OPEN_S)
 
     async def _send_slowly(self, count: int, request: Callable[[int], bytes]) -> None:
-        """Send requests a byte at a time; a head that is complete goes at once, its body slowly."""
+        """Send requests a byte at a time; only a complete head is sent at once."""
 
         async def peer(number: int) -> None:
             _, writer = await self._connect()
@@ -140,30 +140,30 @@
         await self._keep_running(count, peer)
 
     async def heads(self) -> None:
-        """Heads that come a byte at a time."""
+        """Send request heads a byte at a time."""
         await self._send_slowly(SLOW_HEADS, lambda _: b"POST /as2 HTTP/1.1" + b"x" * SLOW_HEAD_BYTES)
 
     async def bodies(self) -> None:
-        """Bodies that come a byte at a time."""
+        """Send request bodies a byte at a time."""
         await self._send_slowly(
             SLOW_BODIES, lambda number: post_head(QUICK_PARTNER, MIB, f"bad{number}") + b"x" * SLOW_BODY_BYTES
         )
 
     async def uploads(self) -> None:
-        """Large messages for the partner that hangs, as fast as they are read."""
+        """Send large messages for the partner that hangs, as fast as the relay reads them."""
 
         async def peer(number: int) -> None:
             while True:
                 reader, writer = await self._connect()
                 writer.write(post_head(HANGING_PARTNER, UPLOAD_BYTES, f"bad{number % UPLOAD_SENDERS}"))
-                await write_pieces(writer, UPLOAD_BYTES)
+                await write_chunks(writer, UPLOAD_BYTES)
                 self.counts[status_of(await reader.readline())] += 1
                 writer.close()
 
         await self._keep_running(UPLOADERS, peer)
 
     async def huge(self) -> None:
-        """One huge body beside many small messages."""
+        """Send one huge body beside many small messages."""
 
         async def peer(number: int) -> None:
             reader, writer = await self._connect()
@@ -171,26 +171,26 @@
             name = "200 MB" if number == 0 else "small"
             while True:
                 writer.write(post_head(QUICK_PARTNER, size, f"bad{number}"))
-                await write_pieces(writer, size)
+                await write_chunks(writer, size)
                 self.counts[f"{name} {status_of(await reader.readuntil(HEAD_END))}"] += 1
 
         await self._run_peers(HUGE_BODY_PEERS, peer)
-        await asyncio.sleep(FOREVER_S)
+        await asyncio.sleep(HOLD_OPEN_S)
 
     async def unread(self) -> None:
-        """Peers that pipeline requests and read no answer."""
+        """Pipeline requests and read no answer."""
 
         async def peer(number: int) -> None:
             _reader, writer = await self._connect()
             while True:
-                writer.write(b"GET /health HTTP/1.1\r\nHost: x\r\n\r\n" * PIPELINED)
+                writer.write(b"GET /health HTTP/1.1\r\nHost: x\r\n\r\n" * PIPELINED_REQUESTS)
                 await writer.drain()
 
         await self._run_peers(PIPELINERS, peer)
-        await asyncio.sleep(FOREVER_S)
+        await asyncio.sleep(HOLD_OPEN_S)
 
     async def connects(self) -> None:
-        """A new connection for each message."""
+        """Open a new connection for each message."""
 
         async def peer(number: int) -> None:
             while True:
--- a/benchmarks/common.py
+++ b/benchmarks/common.py
@@ -1,4 +1,4 @@
-"""What the benchmarks share: child processes that announce their ports, and the tail of each command line."""
+"""Shared by the benchmarks: child processes that announce their ports, process figures, options and the result."""
 
 from __future__ import annotations
 
@@ -14,27 +14,27 @@
 from typing import IO, Any
 
 USER_TIME_FIELD = 11
-"""User time in /proc/PID/stat, counted behind the name of the program."""
-SYSTEM_TIME_FIELD = 12
+"""Index of the user time in /proc/PID/stat, counted from the field after the program name."""
+SYSTEM_TIME_FIELD = 12  # index of the system time in /proc/PID/stat, counted from the field after the program name
 RESIDENT_PAGES_FIELD = 1
-"""Resident pages in /proc/PID/statm."""
+"""Index of the number of resident pages in /proc/PID/statm."""
 BYTES_PER_MB = 2**20
 END_TIMEOUT_S = 20
 CHILD_LIFETIME_S = 600
-"""A child ends by itself after so long."""
+"""Time after which a child process ends by itself."""
 
 
 class ChildProcess:
-    """A process of this run that has announced how it is reached; as a context manager, it is ended with the block.
+    """A child process that has announced its ports. As a context manager, it stops the process at the end of the block.
 
     Attributes:
         pid: Its process identifier.
-        port: Its loopback port; 0 = it has several.
-        ports: Its loopback ports by the identifier of the endpoint; empty = it has one.
+        port: Its loopback port; 0 if it has several.
+        ports: Its loopback ports by the identifier of the endpoint; empty if it has only one.
     """
 
     def __init__(self, process: subprocess.Popen[str], announced: Mapping[str, Any]) -> None:
-        """Take over a process that has printed this announcement (see `announce`)."""
+        """Wrap a process that has printed this announcement (see `announce`)."""
         self._process = process
         self._cpu_s: float | None = None
         self.pid = process.pid
@@ -42,7 +42,7 @@
         self.ports = {int(endpoint): int(port) for endpoint, port in announced["ports"].items()}
 
     def stop(self) -> float:
-        """End the process; returns the processor time that it used, in seconds."""
+        """Stop the process unless that was done; returns the processor time that it used, in seconds."""
         if self._cpu_s is None:
             self._cpu_s = processor_time_s(self.pid)
             self._process.terminate()
@@ -62,7 +62,7 @@
     """Start `python -m benchmarks.MODULE ARGS` and read its announcement.
 
     Raises:
-        RuntimeError: It has ended without one.
+        RuntimeError: The process ended without an announcement.
     """
     process = subprocess.Popen(
         [sys.executable, "-m", f"benchmarks.{module}", *args], stdout=subprocess.PIPE, stderr=log, text=True
@@ -70,17 +70,19 @@
     assert process.stdout is not None
     line = process.stdout.readline()
     if not line:
-        raise RuntimeError(f"benchmarks.{module} has ended with {process.wait(END_TIMEOUT_S)} before it was reached")
+        raise RuntimeError(
+            f"benchmarks.{module} ended with exit code {process.wait(END_TIMEOUT_S)} before its announcement"
+        )
     return ChildProcess(process, json.loads(line))
 
 
 def announce(port: int = 0, ports: Mapping[int, int] | None = None) -> None:
-    """Print the port of a child, or its ports by endpoint, for the process that has started it."""
+    """Announce the port of this child process, or its ports by endpoint, to the parent process on stdout."""
     print(json.dumps({"port": port, "ports": dict(ports or {})}), flush=True)
 
 
 def serve_forever(start: Callable[[], Awaitable[Any]]) -> None:
-    """Run a child's coroutine until it is ended, for `CHILD_LIFETIME_S` at the most; what it returns is kept alive."""
+    """Start the server of a child process, and keep it alive until SIGTERM, at most for `CHILD_LIFETIME_S`."""
 
     async def serve() -> None:
         emulator = await start()
@@ -105,15 +107,15 @@
     return pages * os.sysconf("SC_PAGE_SIZE") / BYTES_PER_MB
 
 
-def argument_parser(text: str | None) -> argparse.ArgumentParser:
-    """A parser with the options that all benchmarks have."""
-    parser = argparse.ArgumentParser(description=text, formatter_class=argparse.RawTextHelpFormatter)
+def argument_parser(description: str | None) -> argparse.ArgumentParser:
+    """A command-line parser with the options that all benchmarks share."""
+    parser = argparse.ArgumentParser(description=description, formatter_class=argparse.RawTextHelpFormatter)
     parser.add_argument("--json")
     return parser
 
 
 def print_result(result: Any, file: str | None) -> None:
-    """Print a result as JSON, and write it to a file if there is one."""
+    """Print a result as JSON, and write it to a file if one is given."""
     text = json.dumps(result, indent=1)
     print(text)
     if file:
--- a/tests/test_benchmarks.py
+++ b/tests/test_benchmarks.py
@@ -33,7 +33,7 @@
 
 
 def test_a_child_that_ends_without_an_announcement_is_an_error() -> None:
-    with pytest.raises(RuntimeError, match=r"benchmarks\.pass_through has ended with 1"):
+    with pytest.raises(RuntimeError, match=r"benchmarks\.pass_through ended with exit code 1 before its announcement"):
         start_child("pass_through", "no port")
 
 
