--- a/benchmarks/crawl.py
+++ b/benchmarks/crawl.py
@@ -1,13 +1,14 @@
-"""What the quick partners of a relay lose while others of them crawl.
+"""Loss of a relay's quick partners while other partners are slow.
 
     python -m benchmarks.crawl [--seconds 20] [--seeds 3] [--slow 0 1 5 20] [--json FILE]
 
-24 partners, one relay, load at 80% of what its slots carry when all are quick, evenly over the partners, in Poisson
-gaps. For five seconds all are quick; then some begin to crawl, and from that moment on it is measured. Of those a
-third works forty times as long, a third answers at 20 bytes a second, a third reads 200 bytes a second. Compared is
-what the partners that are quick in all runs of a seed got: value (1 up to the objective, then falling in a line to 0 at
-the deadline; `worth` in the result), against the run in which none crawls; and the latency of what was delivered.
-Each run has processes of its own for partners and relay; two runs at a time. Bounded: it stops by itself.
+One relay and 24 partners. The load is 80% of what the relay's slots carry when all partners are quick; messages arrive
+at random (Poisson), spread evenly over the partners. For five seconds all partners are quick, then some become slow and
+the measured part begins. Of the slow partners, a third works forty times as long, a third answers at 20 bytes a second,
+and a third reads 200 bytes a second. The result is about the partners that are quick in all runs of a seed. It has the
+value of their messages (1 up to the objective, then falling linearly to 0 at the deadline; `worth` in the result), also
+as a ratio to the run without slow partners, and the latency of delivered messages. Each run has its own processes for
+partners and relay; two runs go at a time. The benchmark ends by itself.
 """
 
 from __future__ import annotations
@@ -49,25 +50,25 @@
 DEADLINE_MS = 8000.0
 ANSWER_TIMEOUT_S = DEADLINE_MS / 1000 + 2
 LISTED_RATE = 100.0
-LOAD = 0.8
-"""Of what the slots carry when all partners are quick."""
+LOAD_SHARE = 0.8
+"""Load as a share of what the slots carry when all partners are quick."""
 START_S = 2
-"""For the processes to start."""
+"""Time for the processes to start."""
 WARM_UP_S = 5.0
-"""All are quick for so long, then some begin to crawl."""
+"""Time in which all partners are quick, before some become slow."""
 SLOW_FAULTS = ({"kind": "slow", "factor": 40.0}, {"kind": "trickle"}, {"kind": "crawl", "bytes": 200})
 RUNS_AT_ONCE = 2
 
 
 @dataclass(frozen=True, slots=True)
 class Case:
-    """One run.
+    """Parameters of one run.
 
     Attributes:
-        slow: Partners that crawl.
+        slow: Number of slow partners.
         seed: Seed of the run.
         seconds: Length of the measured part.
-        quick: Partners that are quick in all runs; what they get is measured.
+        quick: Number of partners that are quick in all runs; their messages are measured.
     """
 
     slow: int
@@ -77,7 +78,7 @@
 
 
 def partners_spec(slow: int, seed: int, from_ms: float) -> dict[str, Any]:
-    """The partner emulator's settings. The last `slow` partners crawl, so that the first ones are quick in all runs."""
+    """Settings of the partner emulator; the last `slow` partners are slow, so that the first are quick in all runs."""
     return {
         "seed": seed,
         "t0_ms": from_ms,
@@ -105,14 +106,14 @@
 
 
 def delivered_value(elapsed_ms: float) -> float:
-    """Value of a delivered message: 1 up to the objective, then falling in a line to 0 at the deadline."""
+    """Value of a delivered message: 1 up to the objective, then falling linearly to 0 at the deadline."""
     if elapsed_ms <= OBJECTIVE_MS:
         return 1
     return max(0.0, 1 - (elapsed_ms - OBJECTIVE_MS) / (DEADLINE_MS - OBJECTIVE_MS))
 
 
-class QuickPartners:
-    """What the partners that are quick in all runs got."""
+class QuickPartnerResults:
+    """Answers, latencies and value for the partners that are quick in all runs."""
 
     def __init__(self) -> None:
         self.latency = LatencyHistogram()
@@ -122,12 +123,12 @@
         self.answers: collections.Counter[str | None] = collections.Counter()
 
     def record_before(self, answer: str | None, elapsed_s: float) -> None:
-        """Record the answer to a message of the time before others crawl."""
+        """Record the answer to a message submitted before other partners became slow."""
         if answer == "delivered":
             self.latency_before.record(elapsed_s)
 
     def record(self, answer: str | None, elapsed_s: float) -> None:
-        """Record the answer to a message of the measured time."""
+        """Record the answer to a message submitted in the measured part."""
         self.answers[answer] += 1
         self.sent += 1
         if answer == "delivered":
@@ -135,7 +136,7 @@
             self.latency.record(elapsed_s)
 
     def result(self, case: Case) -> dict[str, Any]:
-        """The row of a run."""
+        """The row of a run in the result."""
         return {
             "slow": case.slow,
             "seed": case.seed,
@@ -149,7 +150,7 @@
 
 
 class Load:
-    """Submits messages to the relay, in Poisson gaps and evenly over the partners."""
+    """Submits messages to the relay, with Poisson arrivals and evenly over the partners."""
 
     def __init__(self, port: int, case: Case, slow_from_ms: float) -> None:
         """Prepare the load of a run.
@@ -157,11 +158,11 @@
         Args:
             port: Loopback port of the relay.
             case: The run.
-            slow_from_ms: From when on some crawl, in ms of the loop's clock.
+            slow_from_ms: Time at which some partners become slow, in ms of the event loop's clock.
         """
         self.case = case
         self.slow_from_ms = slow_from_ms
-        self.quick = QuickPartners()
+        self.quick_results = QuickPartnerResults()
         self._loop = asyncio.get_running_loop()
         self._client = RelayClient(port, ANSWER_TIMEOUT_S)
         self._rng = random.Random(case.seed)
@@ -169,9 +170,9 @@
         self._answers: list[asyncio.Future[client.CallResult]] = []
 
     async def run(self) -> None:
-        """Submit until the run is over, and wait for all answers."""
+        """Submit until the end of the run, and wait for all answers."""
         await asyncio.sleep(self.slow_from_ms / 1000 - WARM_UP_S - self._loop.time())
-        rate = LOAD * MAX_IN_FLIGHT * 1000 / WORK_MS
+        rate = LOAD_SHARE * MAX_IN_FLIGHT * 1000 / WORK_MS
         send_at = self._loop.time()
         end = send_at + WARM_UP_S + self.case.seconds
         while send_at < end:
@@ -194,13 +195,13 @@
     def _record(self, answer: client.CallResult, submitted_at: float) -> None:
         elapsed_s = self._loop.time() - submitted_at
         if submitted_at * 1000 >= self.slow_from_ms:
-            self.quick.record(answer_kind(answer), elapsed_s)
+            self.quick_results.record(answer_kind(answer), elapsed_s)
         else:
-            self.quick.record_before(answer_kind(answer), elapsed_s)
+            self.quick_results.record_before(answer_kind(answer), elapsed_s)
 
 
 async def measure(case: Case) -> dict[str, Any]:
-    """One run, with processes of its own for partners and relay."""
+    """Measure one run in its own processes for partners and relay; returns its row."""
     slow_from_ms = now_ms() + 1000 * (WARM_UP_S + START_S)
     spec = partners_spec(case.slow, case.seed, slow_from_ms)
     with start_child("crawl", "--serve-partners", json.dumps(spec)) as partners:
@@ -215,36 +216,38 @@
             with await start_relay(settings) as relay:
                 load = Load(relay.port, case, slow_from_ms)
                 await load.run()
-    return load.quick.result(case)
+    return load.quick_results.result(case)
 
 
 def measure_case(case: Case) -> dict[str, Any]:
-    """One run, in a process of a pool."""
+    """Measure one run in a process of the pool; returns its row."""
     return asyncio.run(measure(case))
 
 
 def summarize(runs: list[dict[str, Any]], slow_counts: list[int]) -> list[dict[str, Any]]:
-    """By number of slow partners: value against the run of the same seed in which none crawls, and latencies."""
-    value_without = {run["seed"]: run["worth"] for run in runs if run["slow"] == 0}
+    """Per number of slow partners: value as a ratio to the run of the same seed without any, and latencies."""
+    value_without_slow = {run["seed"]: run["worth"] for run in runs if run["slow"] == 0}
     summary = []
     for slow in slow_counts:
-        own = [run for run in runs if run["slow"] == slow]
-        shares = [run["worth"] / value_without[run["seed"]] for run in own if value_without.get(run["seed"])]
+        same_count = [run for run in runs if run["slow"] == slow]
+        shares = [
+            run["worth"] / value_without_slow[run["seed"]] for run in same_count if value_without_slow.get(run["seed"])
+        ]
         summary.append(
             {
                 "slow": slow,
                 "worth_against_none": round(statistics.mean(shares), 4) if shares else None,
                 "least": round(min(shares), 4) if shares else None,
                 "most": round(max(shares), 4) if shares else None,
-                "p99_before_ms": [run["p99_before_ms"] for run in own],
-                "p99_ms": [run["p99_ms"] for run in own],
+                "p99_before_ms": [run["p99_before_ms"] for run in same_count],
+                "p99_ms": [run["p99_ms"] for run in same_count],
             }
         )
     return summary
 
 
 def main() -> None:
-    """Run the benchmark, or be its partners."""
+    """Run the benchmark, or the partner emulator as its child process."""
     if sys.argv[1:2] == ["--serve-partners"]:
         spec = PartnersSpec.model_validate_json(sys.argv[2])
         serve_forever(lambda: start_partners(spec))
--- a/benchmarks/held.py
+++ b/benchmarks/held.py
@@ -2,8 +2,8 @@
 
     python -m benchmarks.held [--messages 10000] [--bytes 700] [--json FILE]
 
-The only endpoint of the partner drains, so that what is submitted stays pending; the clients asked for their receipts
-at an address of their own, so that no connection stays open for each. Bounded: it stops once all are accepted.
+The partner's only endpoint is draining, so that submitted messages stay pending. The clients ask for asynchronous
+receipts, so that no connection stays open for a pending message. The benchmark ends once all messages are accepted.
 """
 
 from __future__ import annotations
@@ -25,17 +25,17 @@
 from linnetstile.emulators import messages
 
 PARTS = 4
-"""Memory is read after each part of the messages."""
+"""Number of parts in which the messages are submitted; memory is read after each part."""
 CLIENTS = 16
 ANSWER_TIMEOUT_S = 30
 ACCEPTED = 202
 DISCARD_PORT = 9
-"""Nothing listens there: neither the endpoint nor the address for receipts is called."""
+"""Port without a listener, for the endpoint and the receipt address: the relay calls neither."""
 RECEIPT_URL = f"http://127.0.0.1:{DISCARD_PORT}/r"
 OBJECTIVE_MS = 500_000
 DEADLINE_MS = 600_000
 CAPACITY_FACTOR = 4
-"""The relay has capacity for so many times the messages, so that it sheds none."""
+"""The relay's limit as a multiple of the number of messages, so that it sheds none."""
 
 
 class Submitter:
@@ -69,7 +69,7 @@
 
 
 async def measure(count: int, body_bytes: int) -> dict[str, Any]:
-    """Submit so many messages of a size to a relay, and read its memory."""
+    """Submit `count` messages of one size to a relay, and measure its memory."""
     entry = registry_entry(1, "p", DISCARD_PORT, rate=10.0, status="draining")
     limits = {"slots": 64, "hold": CAPACITY_FACTOR * count}
     async with running_registry([entry]) as registry_url:
@@ -82,7 +82,7 @@
 
 
 async def _submit_in_parts(submitter: Submitter, relay_pid: int, count: int) -> dict[str, Any]:
-    """Submit so many messages; returns the relay's memory after each part, and its growth."""
+    """Submit `count` messages; returns the relay's memory after each part, and its growth per message."""
     loop = asyncio.get_running_loop()
     before_mb = resident_mb(relay_pid)
     marks = []
--- a/benchmarks/lists.py
+++ b/benchmarks/lists.py
@@ -1,10 +1,10 @@
-"""What a list of endpoints and its changes cost a relay, and a message beside it, at 20, 300 and 1,024 endpoints.
+"""Processing cost of an endpoint list, of its changes and of a message, at 20, 300 and 1,024 endpoints.
 
     python -m benchmarks.lists [--rounds 5] [--json FILE]
 
-In microseconds of one run (the best of `--rounds`), and as ratios to the first size: reading the list's JSON, taking it
-into the directory, the engine's turn for the full list, for one change, and for a list that has lost half of it; then
-a message with its answer. One process, no I/O.
+The result has the time of each step in microseconds (the best of `--rounds`), and its ratio to the time at the smallest
+size. The steps are parsing the list's JSON, applying it to the directory, and the engine's turns for the full list, for
+one change, for a list without half of the endpoints, and for a message with its answer. One process, no I/O.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
 
 
 def settings(relays: int) -> Settings:
-    """Settings of one relay of so many."""
+    """Engine settings of one relay in a fleet of `relays`."""
     message_class = MessageClass("order", Effect.DEDUPLICATED, 4000.0, 12000.0, deduplication_window_ms=3000.0)
     return Settings(
         classes=(message_class,),
@@ -41,8 +41,8 @@
     )
 
 
-def list_document(first: int, size: int) -> str:
-    """The full list with the endpoints from `first` up to `size`, as discovery sends it."""
+def list_document(first: int, end: int) -> str:
+    """The full list of the endpoints with numbers from `first` to below `end`, as discovery sends it."""
     return json.dumps(
         {
             "version": 1,
@@ -58,20 +58,20 @@
                     "weight": 20.0,
                     "started_ms": 0,
                 }
-                for number in range(first, size)
+                for number in range(first, end)
             ],
         }
     )
 
 
 class StepTimer:
-    """Wall time of each step in microseconds, by its name."""
+    """Measures the wall time of named steps, in microseconds."""
 
     def __init__(self) -> None:
         self.elapsed_us: dict[str, float] = {}
 
     def time(self, name: str, step: Callable[[], Result], times: int = 1) -> Result:
-        """Time a step that does something so many times; returns what it returns."""
+        """Run a step and record its time divided by `times`, the repetitions within it; returns its result."""
         began = time.perf_counter()
         result = step()
         self.elapsed_us[name] = (time.perf_counter() - began) * US_PER_S / times
@@ -79,7 +79,7 @@
 
 
 def measure_once(size: int) -> dict[str, float]:
-    """Microseconds of each step with a list of so many endpoints."""
+    """Microseconds of each step with a list of `size` endpoints."""
     timer = StepTimer()
     engine = DeliveryEngine(settings(size), 1)
     directory = Directory(("k",), ("a",))
--- a/benchmarks/pass_through.py
+++ b/benchmarks/pass_through.py
@@ -1,7 +1,7 @@
-"""A bare pass-through as a child process: it copies bytes both ways and parses nothing.
+"""A bare pass-through proxy as a child process: it copies bytes in both directions and parses nothing.
 
-It is the least that any relay in Python must do. `start_pass_through` starts it as
-`python -m benchmarks.pass_through PORT`.
+It is the baseline of the benchmarks, the least work that any relay in Python must do. `start_pass_through` starts it
+as `python -m benchmarks.pass_through PORT`.
 """
 
 from __future__ import annotations
@@ -17,27 +17,31 @@
 
 
 class PassThroughProtocol(asyncio.BufferedProtocol):
-    """One side of the pass-through."""
+    """One of the two connections that the pass-through joins."""
 
     def __init__(self, target_port: int | None) -> None:
-        """The side of the client connects to a loopback port; the other side has none."""
+        """Prepare one side.
+
+        Args:
+            target_port: Loopback port that the client's side connects to; None for the side of the target.
+        """
         self.target_port = target_port
         self.other: PassThroughProtocol | None = None
-        self.early: list[bytes] = []  # what came before the other side was connected
+        self.early_data: list[bytes] = []  # data received before the other side was connected
         self.buffer = memoryview(bytearray(READ_BYTES))
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Connect the other side."""
+        """Connect the other side if this is the client's."""
         self.transport = cast(asyncio.Transport, transport)
         if self.target_port:
             asyncio.get_running_loop().create_task(self.connect(self.target_port))
 
     async def connect(self, port: int) -> None:
-        """Connect the other side, and send it what came before."""
+        """Connect the other side, and send it the early data."""
         loop = asyncio.get_running_loop()
         _, self.other = await loop.create_connection(lambda: PassThroughProtocol(None), "127.0.0.1", port)
         self.other.other = self
-        for data in self.early:
+        for data in self.early_data:
             self.other.transport.write(data)
 
     def get_buffer(self, sizehint: int) -> memoryview:
@@ -45,11 +49,11 @@
         return self.buffer
 
     def buffer_updated(self, nbytes: int) -> None:
-        """Copy what came to the other side."""
+        """Copy received data to the other side; keep it while that is not connected."""
         if self.other:
             self.other.transport.write(bytes(self.buffer[:nbytes]))
         else:
-            self.early.append(bytes(self.buffer[:nbytes]))
+            self.early_data.append(bytes(self.buffer[:nbytes]))
 
     def connection_lost(self, exc: Exception | None) -> None:
         """Close the other side."""
@@ -63,7 +67,7 @@
 
 
 async def serve_pass_through(target_port: int) -> None:
-    """Be the pass-through to a loopback port."""
+    """Serve the pass-through to a loopback port."""
     listener = await asyncio.get_running_loop().create_server(
         lambda: PassThroughProtocol(target_port), "127.0.0.1", 0, backlog=BACKLOG
     )
--- a/benchmarks/relay_process.py
+++ b/benchmarks/relay_process.py
@@ -1,4 +1,4 @@
-"""An AS2 relay as a child process of a benchmark, with a profile of it if asked for.
+"""An AS2 relay as a child process of a benchmark, with an optional profile.
 
 `start_relay` starts it as `python -m benchmarks.relay_process SETTINGS PROFILE_FILE`.
 """
@@ -20,18 +20,18 @@
 
 
 async def start_relay(settings: dict[str, Any], profile: str = "", log: IO[bytes] | None = None) -> ChildProcess:
-    """Start a relay while the event loop goes on: it serves the registry that the relay reads.
+    """Start a relay in a thread, as the event loop has to serve the registry that the relay reads.
 
     Args:
         settings: Settings of the relay.
-        profile: File for a profile of the relay; empty = none.
-        log: File for what it logs.
+        profile: File for a profile of the relay; empty for none.
+        log: File for the relay's log.
     """
     return await asyncio.to_thread(start_child, "relay_process", json.dumps(settings), profile, log=log)
 
 
 async def serve_relay(settings: str, profile: str) -> None:
-    """Be a relay until SIGTERM; with a file for it, write a profile."""
+    """Run a relay until SIGTERM, and write a profile of it if a file is given."""
     from linnetstile.as2_relay.relay import As2Relay
     from linnetstile.config.relay import RelaySettings
     from linnetstile.telemetry.log import logger
@@ -52,7 +52,7 @@
 
 
 async def profile_until(stopped: asyncio.Event, file_name: str) -> None:
-    """Profile this process until an event, and write the costliest functions to a file."""
+    """Profile this process until `stopped` is set, and write the costliest functions to a file."""
     import cProfile
     import pstats
 
@@ -60,7 +60,7 @@
     profiler.enable()
     await stopped.wait()
     profiler.disable()
-    with open(file_name, "w", encoding="utf-8") as file:  # noqa: ASYNC230 (nothing is served any more)
+    with open(file_name, "w", encoding="utf-8") as file:  # noqa: ASYNC230 (nothing is served at this point)
         pstats.Stats(profiler, stream=file).sort_stats("tottime").print_stats(PROFILE_ROWS)
 
 
--- a/benchmarks/throughput.py
+++ b/benchmarks/throughput.py
@@ -1,11 +1,11 @@
-"""Messages a second and added latency of one relay process, against a bare pass-through in the same run.
+"""Throughput and added latency of one relay process, compared with a bare pass-through in the same run.
 
     python -m benchmarks.throughput [--seconds 6] [--connections 32] [--json FILE] [--profile FILE]
 
-Three processes of their own: a sink that answers each request at once with a fixed AS2 receipt, the program under
-test, and this one as the load. Closed loop: each connection has one message out. The pass-through is a BufferedProtocol
-that copies bytes both ways and parses nothing, the least that any relay in Python must do. A ratio to it, and not an
-absolute speed, is what is compared. Bounded: it stops by itself.
+Three processes run: a sink that answers each request at once (with an AS2 receipt if asked for), the program under
+test, and this one, which generates the load. The loop is closed: each connection has one message in flight. The
+pass-through is a BufferedProtocol that copies bytes in both directions and parses nothing, the least work that any
+relay in Python must do. The figure to compare is the ratio to it, not an absolute speed. The benchmark ends by itself.
 """
 
 from __future__ import annotations
@@ -36,19 +36,22 @@
 from linnetstile.emulators import messages
 from linnetstile.net import server
 
-WARM_UP_PART = 6
-"""Latencies of the first sixth of a run don't count."""
+WARM_UP_DIVISOR = 6
+"""Latencies are not recorded in the first sixth of a run."""
 ANSWER_TIMEOUT_S = 30
 LISTED_RATE = 1e6
-"""So high that the relay never waits for it."""
+"""Rate in the registry entry, high enough that the relay never waits for it."""
 CAPACITY = 10_000
-MESSAGE_ID_MARK = b"MARK"
-"""In the template of a request, where the number of the message goes."""
+MESSAGE_NUMBER_PLACEHOLDER = b"MARK"
+"""Placeholder for the message number in the request template."""
 LATENCY_DIGITS = 2
 
 
 async def serve_sink(signed: bool, identity: cms.Identity) -> None:
-    """Be the sink: it answers at once; a signed receipt is made once for each message, as each names its own."""
+    """Serve the sink, which answers each message at once.
+
+    A signed receipt is made for each message, as it names the message.
+    """
     mic = cms.digest(BODY, "sha-256")
 
     def answer(request: server.RequestContext) -> None:
@@ -69,30 +72,30 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadResult:
-    """What came back of a load.
+    """Answers to a load and their latencies.
 
     Attributes:
-        delivered: Messages answered with 200.
-        other: Other answers, and none.
-        elapsed_s: Time that it took.
-        latency: Of all but the first messages.
+        delivered: Number of messages answered with status 200.
+        not_delivered: Number of messages with another answer or none.
+        elapsed_s: Duration of the load.
+        latency: Latencies after the warm-up.
     """
 
     delivered: int
-    other: int
+    not_delivered: int
     elapsed_s: float
     latency: LatencyHistogram
 
     @property
     def per_s(self) -> float:
-        """Messages delivered in a second."""
+        """Messages delivered per second."""
         return round(self.delivered / self.elapsed_s, 1)
 
     def to_json(self) -> dict[str, Any]:
         """The row of the result."""
         return {
             "per_s": self.per_s,
-            "not_delivered": self.other,
+            "not_delivered": self.not_delivered,
             "p50_ms": self.latency.percentile_ms(50, LATENCY_DIGITS),
             "p99_ms": self.latency.percentile_ms(99, LATENCY_DIGITS),
             "messages": self.delivered,
@@ -100,10 +103,10 @@
 
 
 class ClosedLoop:
-    """Connections that each have one message out at a time."""
+    """Connections that each have one message in flight at a time."""
 
     def __init__(self, port: int, receipt: bool) -> None:
-        """Prepare messages for a loopback port, which ask for a receipt or not."""
+        """Prepare messages to a loopback port; `receipt` says whether they ask for a receipt."""
         message = messages.build_message("s", "p", "<MARK@s>", MESSAGE_CLASS, BODY, receipt=receipt)
         self._template = encode_submission(message, f"127.0.0.1:{port}")
         self._client = RelayClient(port, ANSWER_TIMEOUT_S)
@@ -111,43 +114,43 @@
         self._loop = asyncio.get_running_loop()
         self._latency = LatencyHistogram()
         self._delivered = 0
-        self._other = 0
+        self._not_delivered = 0
 
     async def run(self, seconds: float, connections: int) -> LoadResult:
-        """Submit messages for so long, from so many connections."""
+        """Submit messages for `seconds`, over `connections` connections."""
         began = self._loop.time()
         end = began + seconds
-        warm_at = began + seconds / WARM_UP_PART
-        await asyncio.gather(*(self._submit_until(end, warm_at) for _ in range(connections)))
+        warm_up_end = began + seconds / WARM_UP_DIVISOR
+        await asyncio.gather(*(self._submit_until(end, warm_up_end) for _ in range(connections)))
         self._client.close()
-        return LoadResult(self._delivered, self._other, self._loop.time() - began, self._latency)
+        return LoadResult(self._delivered, self._not_delivered, self._loop.time() - began, self._latency)
 
-    async def _submit_until(self, end: float, warm_at: float) -> None:
+    async def _submit_until(self, end: float, warm_up_end: float) -> None:
         while self._loop.time() < end:
             sent_at = self._loop.time()
             number = b"%d" % next(self._message_numbers)
-            answer = await self._client.call(self._template.replace(MESSAGE_ID_MARK, number, 1))
+            answer = await self._client.call(self._template.replace(MESSAGE_NUMBER_PLACEHOLDER, number, 1))
             if answer.head and answer.head.status == 200:
                 self._delivered += 1
             else:
-                self._other += 1
-            if sent_at > warm_at:
+                self._not_delivered += 1
+            if sent_at > warm_up_end:
                 self._latency.record(self._loop.time() - sent_at)
 
 
 async def run_load(port: int, seconds: float, connections: int, receipt: bool) -> LoadResult:
-    """Submit messages in a closed loop for so long."""
+    """Submit messages in a closed loop for `seconds`."""
     return await ClosedLoop(port, receipt).run(seconds, connections)
 
 
 @dataclass(frozen=True, slots=True)
 class Case:
-    """What the messages of a run ask for.
+    """The receipts that the messages of a run ask for.
 
     Attributes:
-        name: Name in the result.
-        receipt: A receipt is asked for.
-        signed: The receipt is signed.
+        name: Name of the case in the result.
+        receipt: Whether a receipt is asked for.
+        signed: Whether the receipt is signed.
     """
 
     name: str
@@ -160,12 +163,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Options:
-    """What is measured, for how long.
+    """Parameters of the benchmark.
 
     Attributes:
         seconds: Length of each load.
-        connections: Of the load with all together.
-        profile: File for a profile of the relay without receipts; empty = none.
+        connections: Number of connections of the concurrent load.
+        profile: File for a profile of the relay in the case without receipts; empty for none.
         identity: File with the partner's key and certificate.
     """
 
@@ -176,7 +179,7 @@
 
 
 async def measure_case(case: Case, options: Options) -> dict[str, Any]:
-    """Load on the sink, the pass-through and the relay, one after the other."""
+    """Put load on the sink, the pass-through and the relay, one after the other; returns the rows of a case."""
     with (
         start_child("throughput", "--serve-sink", str(int(case.signed)), options.identity) as sink,
         start_pass_through(sink.port) as pass_through,
@@ -194,23 +197,23 @@
 async def _measure_all(
     case: Case, options: Options, sink: ChildProcess, pass_through: ChildProcess, relay: ChildProcess
 ) -> dict[str, Any]:
-    """Load on each of the three with all connections, then one message at a time."""
+    """Put load on each of the three over all connections, then on pass-through and relay one message at a time."""
     seconds = options.seconds
-    together = {
+    concurrent = {
         name: await run_load(child.port, seconds, options.connections, case.receipt)
         for name, child in (("direct", sink), ("pass-through", pass_through), ("relay", relay))
     }
-    alone_through = await run_load(pass_through.port, seconds / 2, 1, case.receipt)
-    alone_relay = await run_load(relay.port, seconds / 2, 1, case.receipt)
+    single_pass_through = await run_load(pass_through.port, seconds / 2, 1, case.receipt)
+    single_relay = await run_load(relay.port, seconds / 2, 1, case.receipt)
     cpu_s = relay.stop()
-    found: dict[str, Any] = {name: load.to_json() for name, load in together.items()}
-    delivered = together["relay"].delivered + alone_relay.delivered
-    found["relay"]["cpu_us_a_message"] = round(1e6 * cpu_s / delivered)
-    found["share of pass-through"] = round(together["relay"].per_s / together["pass-through"].per_s, 3)
-    found["added, one message at a time"] = {
-        f"p{percentile}_ms": _added_ms(alone_relay, alone_through, percentile) for percentile in (50, 99)
+    figures: dict[str, Any] = {name: load.to_json() for name, load in concurrent.items()}
+    delivered = concurrent["relay"].delivered + single_relay.delivered
+    figures["relay"]["cpu_us_a_message"] = round(1e6 * cpu_s / delivered)
+    figures["share of pass-through"] = round(concurrent["relay"].per_s / concurrent["pass-through"].per_s, 3)
+    figures["added, one message at a time"] = {
+        f"p{percentile}_ms": _added_ms(single_relay, single_pass_through, percentile) for percentile in (50, 99)
     }
-    return found
+    return figures
 
 
 def _added_ms(relay: LoadResult, pass_through: LoadResult, percentile: float) -> float:
@@ -220,19 +223,19 @@
 
 
 async def measure(options: Options) -> dict[str, Any]:
-    """All cases."""
+    """Measure all cases; returns the result by case."""
     return {case.name: await measure_case(case, options) for case in CASES}
 
 
 def make_identity() -> str:
-    """Write a key and certificate of the partner to a new file; returns its name."""
+    """Write a key and a certificate of the partner to a new file; returns the file's name."""
     file = Path(tempfile.mkdtemp(prefix="linnetstile-bench-")) / "p.pem"
     file.write_bytes(cms.encode_identity(cms.make_identity("p")))
     return str(file)
 
 
 def main() -> None:
-    """Run the benchmark, or be its sink."""
+    """Run the benchmark, or the sink as its child process."""
     if sys.argv[1:2] == ["--serve-sink"]:
         asyncio.run(serve_sink(sys.argv[2] == "1", cms.load_identity(Path(sys.argv[3]).read_bytes())))
         return
--- a/benchmarks/timers.py
+++ b/benchmarks/timers.py
@@ -1,12 +1,13 @@
-"""Deadlines of many connections, and rates of many: structures made for it against the plain ones.
+"""Data structures for the deadlines and the transfer rates of many connections, compared with the plain ones.
 
     python -m benchmarks.timers [--connections 50000] [--seconds 60] [--json FILE]
 
-Each connection has a deadline ten seconds after it was last touched; each second as many touches as six tenths of them
-fall on connections at random, a hundredth of which is never touched (those expire, and some that chance passed by).
-Compared: processor time for the same simulated minute, looked at four times a second, with the same connections
-expired at the same looks. Then the rate of each connection over a window, by a meter of two numbers, by a ring of ten
-counters, and by a list of all reads. One process, no I/O.
+Each connection has a deadline ten seconds after its last touch. Touches fall on random connections, in each second 0.6
+times as many as there are connections. One connection in a hundred is never touched and expires, as do some others that
+were not drawn in time. The structures are compared by processor time for the same simulated minute, with a check for
+expired deadlines four times a second. They expire the same connections at the same checks; the exception is
+`LoopTimers`. A second comparison measures the rate of each connection over a window, with a meter of two numbers, a ring
+of ten counters, and a list of all reads. One process, no I/O.
 """
 
 from __future__ import annotations
@@ -26,34 +27,34 @@
 
 TIMEOUT_S = 10.0
 STEP_S = 0.25
-"""Simulated time between two steps: touches, then a look for expired deadlines."""
+"""Simulated time between two steps; each has touches, then a check for expired deadlines."""
 TOUCHED_SHARE = 0.6
-"""Touches a second, as a share of the connections."""
-NEVER_TOUCHED = 100
-"""One connection of so many is never touched."""
+"""Number of touches a second, as a share of the connections."""
+UNTOUCHED_INTERVAL = 100
+"""One connection in this many is never touched."""
 
 WINDOW_MS = 5000
 MINIMUM_BYTES_PER_S = 1024.0
 RING_SLOTS = 10
 SLOT_MS = 500
 MINIMUM_BYTES = 1024 * 5
-"""Bytes of a window below which a connection is too slow."""
+"""Number of bytes in a window below which a connection is too slow."""
 RATE_STEPS = 40
 RATE_STEP_MS = 250.0
 STEP_BYTES = 300
 READS_IN_WINDOW = 20
-"""At the steps of this benchmark."""
-INT_BYTES = 24
-"""Of the number in each read; the other is shared."""
+"""Number of reads in a window, with one read in each step of `RATE_STEP_MS`."""
+FLOAT_BYTES = 24
+"""Size of the time in each read; the byte count is one object that all reads share."""
 
 
 class LinearScan:
-    """Looks at every connection each time: what net/server.py does."""
+    """Checks the deadline of every connection in each step, as net/server.py does."""
 
     result_name: ClassVar[str] = "plain"
 
     def __init__(self, count: int) -> None:
-        """So many connections, all touched at time 0."""
+        """Start with `count` connections, all touched at time 0."""
         self.deadlines = dict.fromkeys(range(count), TIMEOUT_S)
 
     def touch(self, connection: int, now: float) -> None:
@@ -62,7 +63,7 @@
             self.deadlines[connection] = now + TIMEOUT_S
 
     def expire(self, now: float) -> list[int]:
-        """Remove and return the connections whose deadline is over."""
+        """Remove and return the connections whose deadline has passed."""
         expired = [connection for connection, due in self.deadlines.items() if due <= now]
         for connection in expired:
             del self.deadlines[connection]
@@ -70,7 +71,7 @@
 
 
 class DeadlineHeap(LinearScan):
-    """One heap entry a connection; moved deadlines are found out when the entry comes up."""
+    """A heap with one entry per connection; a moved deadline is noticed when its entry reaches the top."""
 
     result_name = "heap"
 
@@ -79,7 +80,7 @@
         self.heap = [(TIMEOUT_S, connection) for connection in range(count)]
 
     def expire(self, now: float) -> list[int]:
-        """Remove and return the connections whose deadline is over."""
+        """Remove and return the connections whose deadline has passed."""
         expired = []
         while self.heap and self.heap[0][0] <= now:
             connection = self.heap[0][1]
@@ -94,9 +95,9 @@
 
 
 class TimingWheel(LinearScan):
-    """A hierarchical timing wheel (Varghese and Lauck, 1987): slots of a step, rounds of 64, three levels.
+    """A hierarchical timing wheel (Varghese and Lauck, 1987): slots of one step, 64 slots a level, three levels.
 
-    A moved deadline is found out when its slot comes up.
+    A moved deadline is noticed when its slot is due.
     """
 
     result_name = "wheel"
@@ -111,16 +112,16 @@
             self._put(connection, TIMEOUT_S)
 
     def _put(self, connection: int, due: float) -> None:
-        ahead = max(1, int(-(-due // STEP_S)) - self.tick)
+        ticks_ahead = max(1, int(-(-due // STEP_S)) - self.tick)
         for level in range(self.LEVELS):
             span = self.SIZE ** (level + 1)
-            if ahead < span or level == self.LEVELS - 1:
-                slot = (self.tick + min(ahead, span - 1)) // self.SIZE**level % self.SIZE
+            if ticks_ahead < span or level == self.LEVELS - 1:
+                slot = (self.tick + min(ticks_ahead, span - 1)) // self.SIZE**level % self.SIZE
                 self.slots[level][slot].append(connection)
                 return
 
     def expire(self, now: float) -> list[int]:
-        """Remove and return the connections whose deadline is over."""
+        """Remove and return the connections whose deadline has passed."""
         expired = []
         last_tick = int(now / STEP_S)
         while self.tick < last_tick:
@@ -139,7 +140,7 @@
         return expired
 
     def _cascade(self) -> None:
-        """Move the slots of the upper levels that have come up to lower ones."""
+        """Move the connections in due slots of the upper levels to lower levels."""
         for level in range(1, self.LEVELS):
             if self.tick % self.SIZE**level == 0:
                 slot = self.tick // self.SIZE**level % self.SIZE
@@ -150,16 +151,17 @@
 
 
 class LoopTimers(LinearScan):
-    """A timer of the event loop for each, cancelled and made anew at each touch.
+    """A timer of the event loop for each connection, cancelled and created again at each touch.
 
-    Expired connections are collected once a second, so some that the others expire at once are touched in time.
+    Expired connections are collected only once a second, so some that the other structures have expired at once are
+    touched before that and stay.
     """
 
     result_name = "handles"
 
     def __init__(self, count: int) -> None:
         super().__init__(count)
-        # The loop does not run: its own upkeep is done by `expire`, on its private queue, to be timed.
+        # The loop does not run: `expire` does the upkeep of its private timer queue, so that it is timed.
         self.loop: Any = asyncio.new_event_loop()
         self.handles = {connection: self.loop.call_at(TIMEOUT_S, int) for connection in range(count)}
 
@@ -171,8 +173,8 @@
             self.handles[connection] = self.loop.call_at(now + TIMEOUT_S, int)
 
     def expire(self, now: float) -> list[int]:
-        """Remove and return the connections whose deadline is over."""
-        # Cancelled timers leave once they are more than half of at least 100.
+        """Remove and return the connections whose deadline has passed."""
+        # The loop removes cancelled timers once they are more than half of all timers, and these are at least 100.
         heap: list[Any] = self.loop._scheduled  # noqa: SLF001 (see __init__)
         if self.loop._timer_cancelled_count * 2 > len(heap):  # noqa: SLF001 (see __init__)
             scheduled = [handle for handle in heap if not handle._cancelled]  # noqa: SLF001 (as the loop does it)
@@ -188,31 +190,31 @@
 
 
 class Touches(NamedTuple):
-    """The connections that are touched at one step, and its time in seconds."""
+    """The connections that are touched in one step, and the time of the step in seconds."""
 
     now: float
     connections: list[int]
 
 
 def touch_plan(count: int, seconds: float) -> Iterator[Touches]:
-    """The touches of all steps."""
+    """Generate the touches of all steps."""
     rng = random.Random(1)
     now = 0.0
     touches = int(count * TOUCHED_SHARE * STEP_S)
     while now < seconds:
         now += STEP_S
         drawn = (rng.randrange(count) for _ in range(touches))
-        yield Touches(now, [connection for connection in drawn if connection % NEVER_TOUCHED])
+        yield Touches(now, [connection for connection in drawn if connection % UNTOUCHED_INTERVAL])
 
 
 @dataclass(frozen=True, slots=True)
 class DeadlineCost:
-    """What a structure took for a plan.
+    """Cost of a plan of touches with one structure.
 
     Attributes:
-        cpu_s: Processor time in all.
+        cpu_s: Total processor time.
         expired: Connections whose deadline passed.
-        longest_expire_s: Processor time of the longest look for expired deadlines.
+        longest_expire_s: Processor time of the longest check for expired deadlines.
     """
 
     cpu_s: float
@@ -220,8 +222,8 @@
     longest_expire_s: float
 
 
-def play_touches(structure: LinearScan, plan: list[Touches]) -> DeadlineCost:
-    """Touch connections as planned, and expire the others."""
+def apply_touches(structure: LinearScan, plan: list[Touches]) -> DeadlineCost:
+    """Touch connections as planned, and expire those whose deadline passes."""
     expired = 0
     longest_expire_s = 0.0
     began = time.process_time()
@@ -238,7 +240,7 @@
     """Processor time of each structure for the same touches."""
     plan = list(touch_plan(count, seconds))
     kinds = (LinearScan, DeadlineHeap, TimingWheel, LoopTimers)
-    costs = {kind.result_name: play_touches(kind(count), plan) for kind in kinds}
+    costs = {kind.result_name: apply_touches(kind(count), plan) for kind in kinds}
     plain_cpu_s = costs[LinearScan.result_name].cpu_s
     return [
         {
@@ -253,51 +255,51 @@
 
 
 class RateEstimator(Protocol):
-    """Says whether a connection is slower than the minimum rate."""
+    """Decides whether a connection is slower than the minimum rate."""
 
-    def tick(self, now: float, moved: int) -> bool:
-        """Count the bytes since the last tick, at a time in ms."""
+    def tick(self, now_ms: float, moved_bytes: int) -> bool:
+        """Count the bytes since the last tick; returns whether the rate is too low."""
         ...
 
 
 class CounterRing:
-    """Bytes of a window in a ring of counters."""
+    """The bytes of a window in a ring of counters."""
 
     def __init__(self) -> None:
         self.slots = [0] * RING_SLOTS
         self.current_slot = 0
 
-    def tick(self, now: float, moved: int) -> bool:
-        """Count the bytes since the last tick; whether the rate is too low."""
-        slot = int(now / SLOT_MS)
+    def tick(self, now_ms: float, moved_bytes: int) -> bool:
+        """Count the bytes since the last tick; returns whether the rate is too low."""
+        slot = int(now_ms / SLOT_MS)
         for passed in range(self.current_slot + 1, min(slot, self.current_slot + RING_SLOTS) + 1):
             self.slots[passed % RING_SLOTS] = 0
         self.current_slot = slot
-        self.slots[slot % RING_SLOTS] += moved
+        self.slots[slot % RING_SLOTS] += moved_bytes
         return sum(self.slots) < MINIMUM_BYTES
 
 
 class ReadList:
-    """All reads of a window."""
+    """A list of all reads in a window."""
 
     def __init__(self) -> None:
         self.reads: deque[tuple[float, int]] = deque()
 
-    def tick(self, now: float, moved: int) -> bool:
-        """Count the bytes since the last tick; whether the rate is too low."""
-        self.reads.append((now, moved))
-        while self.reads[0][0] < now - WINDOW_MS:
+    def tick(self, now_ms: float, moved_bytes: int) -> bool:
+        """Count the bytes since the last tick; returns whether the rate is too low."""
+        self.reads.append((now_ms, moved_bytes))
+        while self.reads[0][0] < now_ms - WINDOW_MS:
             self.reads.popleft()
         return sum(size for _, size in self.reads) < MINIMUM_BYTES
 
 
 def estimator_bytes(estimator: Any) -> int:
-    """Memory of an estimator with all that belongs to it."""
+    """Memory of an estimator, including the objects that it refers to."""
     size = sys.getsizeof(estimator)
     if isinstance(estimator, CounterRing):
         size += sys.getsizeof(estimator.slots)
     if isinstance(estimator, ReadList):
-        read_bytes = sys.getsizeof((0.0, 0)) + INT_BYTES
+        read_bytes = sys.getsizeof((0.0, 0)) + FLOAT_BYTES
         size += sys.getsizeof(estimator.reads) + READS_IN_WINDOW * read_bytes
     return size
 
