--- a/benchmarks/timers.py
+++ b/benchmarks/timers.py
@@ -6,8 +6,8 @@
 times as many as there are connections. One connection in a hundred is never touched and expires, as do some others that
 were not drawn in time. The structures are compared by processor time for the same simulated minute, with a check for
 expired deadlines four times a second. They expire the same connections at the same checks; the exception is
-`LoopTimers`. A second comparison measures the rate of each connection over a window, with a meter of two numbers, a ring
-of ten counters, and a list of all reads. One process, no I/O.
+`LoopTimers`. A second comparison measures the rate of each connection over a window, with a meter of two numbers, with
+a ring of ten counters, and with a list of all reads. One process, no I/O.
 """
 
 from __future__ import annotations
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Settings and a harness for tests that drive a `DeliveryEngine` by hand; no servers are played."""
+"""Settings and a harness for tests that call a `DeliveryEngine` directly, without relays and servers."""
 
 from __future__ import annotations
 
@@ -55,12 +55,12 @@
 
 
 def make_list_changes(*endpoints: Endpoint) -> EndpointList:
-    """Make the event that reports changes of some entries of the endpoint list."""
+    """Make the event that reports changes to entries of the endpoint list."""
     return EndpointList(ListKind.CHANGES, endpoints)
 
 
 def make_settings(**overrides: Any) -> Settings:
-    """Make engine settings for one of two relays with 8 slots and room for 40 pending messages."""
+    """Make engine settings for one of two relays, with 8 attempts in flight and 40 pending messages at most."""
     values: dict[str, Any] = {
         "classes": CLASSES,
         "kinds": (DestinationKind("k"),),
@@ -87,18 +87,18 @@
 
 @dataclass
 class EngineHarness:
-    """Drive one engine by hand and record its actions, with a clock of its own; no servers are played.
+    """Drives one engine with a simulated clock, and records its actions; no calls are made.
 
     Attributes:
         settings: The settings of the engine.
-        now: The clock, in ms.
+        now: Present time of the simulated clock (ms).
         seed: Seed of the engine.
-        sends: Each send with its time.
-        final_answers: The rejection or failure of each message that has ended with one, by id.
-        other_actions: All other actions with their time.
-        attempts: Number of attempts of each message, by id.
+        sends: All sends, each with its time.
+        final_answers: Rejections and failures, by message id.
+        other_actions: All other actions, each with its time.
+        attempts: Number of attempts, by message id.
         last_id: Id of the message submitted last.
-        in_flight: Sends without an outcome, by message id.
+        in_flight: Sends whose outcome was not reported yet, by message id.
     """
 
     settings: Settings = field(default_factory=make_settings)
@@ -115,7 +115,7 @@
         self.engine = DeliveryEngine(self.settings, self.seed)
 
     def handle(self, *events: Event) -> list[Action]:
-        """Feed events at the present time; record the actions and return them."""
+        """Pass events to the engine at the present time; record the actions and return them."""
         actions = self.engine.handle(self.now, list(events))
         for action in actions:
             if isinstance(action, Send):
@@ -132,7 +132,7 @@
     def list_endpoints(
         self, *endpoints: tuple[int, int], advertised_rate: float = ADVERTISED_RATE, kind: int = 0
     ) -> None:
-        """List endpoints, each given as its id and its destination, as all that there are."""
+        """Report a cached list with these endpoints, each given as its id and its destination."""
         entries = tuple(
             make_endpoint(endpoint_id, destination, kind=kind, advertised_rate=advertised_rate)
             for endpoint_id, destination in endpoints
@@ -140,11 +140,11 @@
         self.handle(EndpointList(ListKind.CACHED, entries))
 
     def change_endpoints(self, *endpoints: Endpoint) -> list[Action]:
-        """Report changes of some entries of the endpoint list."""
+        """Report changes to entries of the endpoint list."""
         return self.handle(make_list_changes(*endpoints))
 
     def route(self, destination: int = 1) -> RouteState:
-        """Return the resident route of a destination whose endpoints share one."""
+        """Return the resident route of a destination whose endpoints share one route."""
         return self.engine.routes[destination][-1]
 
     def submit(
@@ -161,7 +161,7 @@
         return self.last_id
 
     def advance(self, duration_ms: float, step_ms: float = 5.0) -> None:
-        """Let time pass, with a timer event each step."""
+        """Advance the clock, with a timer event in each step."""
         end = self.now + duration_ms
         while self.now < end:
             self.now += step_ms
@@ -188,7 +188,7 @@
         load_report: tuple[float, ...] = (),
         connection_reused: bool = False,
     ) -> list[Action]:
-        """Report the outcome of the attempt of a message that is in flight; success is its end."""
+        """Report the outcome of a message's attempt in flight; a success ends the message."""
         send = self.in_flight.pop(message_id)
         return self.handle(
             AttemptEnded(
@@ -205,12 +205,12 @@
         )
 
     def end_attempts_in_flight(self, outcome: Outcome = Outcome.OK, load_report: tuple[float, ...] = ()) -> None:
-        """Report the same outcome for each attempt that is in flight now."""
+        """Report the same outcome for all attempts in flight."""
         for message_id in list(self.in_flight):
             self.end_attempt(message_id, outcome, load_report=load_report)
 
     def warm_up(self, destination: int = 1, calls: int = 6) -> None:
-        """Let a destination answer some calls within 100 ms, so that it is known and healthy."""
+        """Let a destination answer some calls after 100 ms each, so that it is known and healthy."""
         for _ in range(calls):
             message_id = self.submit(IDEMPOTENT, destination)
             while not self.attempts.get(message_id):
--- a/tests/test_benchmarks.py
+++ b/tests/test_benchmarks.py
@@ -1,4 +1,4 @@
-"""What the benchmarks share: child processes, commands to the platform emulator, latencies."""
+"""Shared parts of the benchmarks (child processes, platform emulator, latencies), and the structures for deadlines."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
     with start_pass_through(9) as child:
         assert child.port > 0
         assert child.ports == {}
-    assert child.stop() >= 0.0  # a second time is harmless
+    assert child.stop() >= 0.0  # stopping it again has no effect
 
 
 def test_a_child_that_ends_without_an_announcement_is_an_error() -> None:
@@ -49,7 +49,7 @@
     ],
     ids=lambda command: type(command).__name__,
 )
-def test_a_command_to_the_platform_emulator_survives_its_line(command: Command) -> None:
+def test_a_command_to_the_platform_emulator_is_unchanged_by_encoding(command: Command) -> None:
     assert decode_command(encode_command(command)) == command
 
 
@@ -74,8 +74,8 @@
     assert latency.percentile_ms(50, digits=2) == pytest.approx(12.34, abs=0.02)
 
 
-def test_structures_for_few_deadlines_are_compared_with_the_plain_one() -> None:
-    rows = compare_deadlines(100, 1.0)  # the plain one takes less than the millisecond that the result shows
+def test_structures_for_few_deadlines_have_a_ratio_to_the_plain_one() -> None:
+    rows = compare_deadlines(100, 1.0)  # the plain one takes less than 1 ms, the resolution of the result
     assert [row["structure"] for row in rows] == ["plain", "heap", "wheel", "handles"]
     assert rows[0]["against_plain"] == 1.0
 
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -1,4 +1,4 @@
-"""docs/CAPACITY.md: its files and commands exist; each figure has its source, each mechanism its file or its gap."""
+"""docs/CAPACITY.md: named files and commands exist, figures have a source, mechanisms name their file or a gap."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
 MISSING = "What is missing, in order"
 BEFORE_AND_AFTER = "Before and after"
 SCENARIOS_BEFORE_AND_AFTER = "Scenes before and after"
-# Columns whose figures are the users' own or names, and need no source.
+# Columns whose figures are set by the users or are part of a name, so that they need no source.
 COLUMNS_WITHOUT_SOURCE = ("what", "users' bound", "bound", "what fails, how often", "at 120,000 destinations", "scene")
 FAILURE_KINDS = (
     "a machine",
@@ -66,7 +66,7 @@
 
 @dataclass(frozen=True)
 class Table:
-    """A table of the page, with the section that it stands in."""
+    """A table of the page, with its section."""
 
     section: str
     header: list[str]
@@ -103,7 +103,7 @@
 
 
 def rows_of(section: str) -> list[dict[str, str]]:
-    """Return the rows of the table of a section, each as cells by column."""
+    """Return the rows of a section's table, each as a mapping from column to cell."""
     table = table_of(section)
     return [dict(zip(table.header, row, strict=True)) for row in table.rows]
 
@@ -113,12 +113,12 @@
 
 
 def gap_numbers(text: str) -> list[str]:
-    """Return the number behind each word `missing`; an empty text if it has none."""
+    """Return the number after each marker `missing`, or an empty string for a marker without a number."""
     return GAP.findall(text)
 
 
 def current_ratio(cell: str) -> float | None:
-    """Return the first number of a cell, unless it is one from before a change."""
+    """Return the number at the start of a cell, unless it is marked as from before a change."""
     match = RATIO.match(cell)
     return float(match[2].replace(",", "")) if match and not match[1] else None
 
@@ -145,19 +145,19 @@
     assert [kind for kind in FAILURE_KINDS if not any(failure.startswith(kind) for failure in failures)] == []
 
 
-def test_files_that_are_named_exist() -> None:
+def test_named_files_exist() -> None:
     named = {code for code in CODE.findall(PAGE) if "/" in code and " " not in code}
     assert named
     assert [code for code in named if not FILE_PATH.match(code)] == []
     assert [name for name in sorted(named) if not (ROOT / name).is_file()] == []
 
 
-def test_pages_that_are_linked_exist() -> None:
+def test_linked_pages_exist() -> None:
     linked = re.findall(r"\]\(([^)#]+)", PAGE)
     assert [name for name in linked if not (ROOT / "docs" / name).is_file()] == []
 
 
-def test_sections_that_are_linked_exist() -> None:
+def test_linked_sections_exist() -> None:
     anchors = {
         re.sub(r"[^\w -]", "", line[3:].lower()).replace(" ", "-")
         for line in PAGE.splitlines()
@@ -169,7 +169,7 @@
 @pytest.mark.parametrize(("section", "subject", "mechanism"), MECHANISMS)
 def test_mechanism_names_its_file_or_its_gap(section: str, subject: str, mechanism: str) -> None:
     assert any(name.startswith("linnetstile/") for name in file_paths(mechanism)) or gap_numbers(mechanism)
-    assert all(gap_numbers(mechanism)), "missing without its number in the list"
+    assert all(gap_numbers(mechanism)), "expected the number of a gap after each `missing`, found one without"
 
 
 def test_mechanism_above_its_bound_names_a_gap() -> None:
@@ -179,7 +179,7 @@
             assert ratio is None or ratio <= 1 or gap_numbers(row["mechanism"]), (section, row["what"])
 
 
-def test_gaps_are_numbered_in_order_and_all_are_named_by_a_mechanism() -> None:
+def test_gaps_are_numbered_in_order_and_each_is_named_by_a_mechanism() -> None:
     gaps = rows_of(MISSING)
     assert [gap["no."] for gap in gaps] == [str(number) for number in range(1, len(gaps) + 1)]
     assert {number for _, _, mechanism in MECHANISMS for number in gap_numbers(mechanism)} == {
@@ -187,7 +187,7 @@
     }
 
 
-def test_gaps_that_fail_outright_come_first_and_the_largest_ratio_before_others() -> None:
+def test_gaps_are_sorted_by_outright_failure_and_then_by_falling_ratio() -> None:
     gaps = rows_of(MISSING)
     assert {gap["fails outright"] for gap in gaps} <= {"yes", "no"}
     fails_outright = [gap["fails outright"] == "yes" for gap in gaps]
@@ -198,7 +198,7 @@
 
 
 def ratios_of_gap(number: str) -> set[float | None]:
-    """Return the ratios of the mechanisms that name a gap."""
+    """Return the ratios of all rows whose mechanism names a gap."""
     return {
         current_ratio(row["need / bound"])
         for section in ROLES
@@ -208,7 +208,7 @@
 
 
 @pytest.mark.parametrize("gap", rows_of(MISSING), ids=lambda gap: gap["no."])
-def test_gap_has_a_ratio_of_its_mechanisms_and_a_sketch(gap: dict[str, str]) -> None:
+def test_gap_has_the_ratio_of_one_of_its_mechanisms_and_a_sketch(gap: dict[str, str]) -> None:
     ratio = current_ratio(gap["need / bound"])
     if ratio is not None:
         assert ratio in ratios_of_gap(gap["no."])
@@ -221,7 +221,7 @@
 
 
 def test_each_figure_has_a_source() -> None:
-    """A cell with a figure has the key of a run or a sum, or names the file that the figure is written in."""
+    """A cell with a figure has the key of a run or a sum, or names the file with the figure."""
     for section in (*ROLES, FAILURES, BEFORE_AND_AFTER, SCENARIOS_BEFORE_AND_AFTER):
         for row in rows_of(section):
             for column, cell in row.items():
@@ -242,7 +242,7 @@
 
 
 def assert_slopes_arguments_exist(words: list[str]) -> None:
-    """Check that a command of `python -m benchmarks.slopes` names an axis, and a series of it."""
+    """Check that the arguments of `python -m benchmarks.slopes` name an axis, and a series of it if any."""
     slopes = importlib.import_module("benchmarks.slopes.__main__")
     assert words[0] in slopes.AXES
     if "--series" in words:
@@ -250,20 +250,20 @@
 
 
 def assert_module_exists(words: list[str]) -> None:
-    """Check a command that starts with `python -m`."""
+    """Check that the module of a `python -m` command exists, and its arguments if they are for the slopes."""
     assert importlib.util.find_spec(words[2]), words
     if words[2] == "benchmarks.slopes":
         assert_slopes_arguments_exist(words[3:])
 
 
 def assert_import_exists(words: list[str]) -> None:
-    """Check the import of a command that starts with `python -c`."""
+    """Check that the name imported by a `python -c` command exists."""
     module, name = re.findall(r"from ([\w.]+) import (\w+)", words[2])[0]
     assert hasattr(importlib.import_module(module), name), words
 
 
 def assert_sub_command_exists(words: list[str]) -> None:
-    """Check the sub-command and the options of a command of the service itself."""
+    """Check that the sub-command and the options of a `linnetstile` command exist."""
     assert words[0] == "linnetstile", words
     sub_command = main.get_command(click.Context(main), words[1])
     assert sub_command, words
@@ -290,14 +290,14 @@
 
 
 def options_of(words: list[str]) -> dict[str, str]:
-    """Return the options of a command and their values, each by its name in a result file."""
+    """Return the values of a command's options, by the option's name in a result file."""
     return {
         word[2:].replace("-", "_"): value for word, value in itertools.pairwise([*words, ""]) if word.startswith("--")
     }
 
 
 @pytest.mark.parametrize("run", rows_of("Runs"), ids=lambda run: run["key"])
-def test_result_file_exists_and_is_of_its_command(run: dict[str, str]) -> None:
+def test_result_file_exists_and_matches_its_command(run: dict[str, str]) -> None:
     assert run["file"] == "-" or file_paths(run["file"]) == [run["file"].strip("`")]
     words = CODE.findall(run["command"])[0].split() if file_paths(run["file"]) else []
     for path in file_paths(run["file"]):
@@ -310,6 +310,6 @@
                 assert (",".join(size) if isinstance(size, list) else str(size)) == value, (path, option)
 
 
-def test_results_that_are_named_are_those_of_the_runs() -> None:
+def test_named_results_are_those_of_the_runs() -> None:
     named = {path for path in file_paths(PAGE) if path.endswith(".json")}
     assert named == {path for run in rows_of("Runs") for path in file_paths(run["file"])}
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -1,4 +1,4 @@
-"""The README's example runs as it is printed."""
+"""The README's example runs and prints what is expected."""
 
 from __future__ import annotations
 
