--- a/benchmarks/attack.py
+++ b/benchmarks/attack.py
@@ -6,7 +6,7 @@
 attacks follow one another and take `--seconds` each: 3000 half-open connections; request heads sent a byte at a time;
 1500 bodies sent a byte at a time; 64 clients that each upload 12 MB to the partner that hangs, as fast as the relay
 reads; one 200 MB body beside thousands of small messages; clients that pipeline requests and read no answer; a new
-connection for each message. The relay process is sampled ten times a second. The run ends by itself.
+connection for each message. The relay process is sampled ten times a second. The benchmark ends by itself.
 """
 
 from __future__ import annotations
--- a/benchmarks/common.py
+++ b/benchmarks/common.py
@@ -1,4 +1,4 @@
-"""Shared by the benchmarks: child processes that announce their ports, process figures, options and the result."""
+"""Shared helpers of the benchmarks: child processes that announce their ports, process figures, options, results."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
         self.ports = {int(endpoint): int(port) for endpoint, port in announced["ports"].items()}
 
     def stop(self) -> float:
-        """Stop the process unless that was done; returns the processor time that it used, in seconds."""
+        """Stop the process if it still runs; returns the processor time that it used, in seconds."""
         if self._cpu_s is None:
             self._cpu_s = processor_time_s(self.pid)
             self._process.terminate()
--- a/benchmarks/crawl.py
+++ b/benchmarks/crawl.py
@@ -8,7 +8,7 @@
 and a third reads 200 bytes a second. The result is about the partners that are quick in all runs of a seed. It has the
 value of their messages (1 up to the objective, then falling linearly to 0 at the deadline; `worth` in the result), also
 as a ratio to the run without slow partners, and the latency of delivered messages. Each run has its own processes for
-partners and relay; two runs go at a time. The benchmark ends by itself.
+partners and relay; two runs are made at a time. The benchmark ends by itself.
 """
 
 from __future__ import annotations
--- a/benchmarks/lists.py
+++ b/benchmarks/lists.py
@@ -4,7 +4,7 @@
 
 The result has the time of each step in microseconds (the best of `--rounds`), and its ratio to the time at the smallest
 size. The steps are parsing the list's JSON, applying it to the directory, and the engine's turns for the full list, for
-one change, for a list without half of the endpoints, and for a message with its answer. One process, no I/O.
+one change, for a list that lacks half of the endpoints, and for a message with its answer. One process, no I/O.
 """
 
 from __future__ import annotations
@@ -42,7 +42,7 @@
 
 
 def list_document(first: int, end: int) -> str:
-    """The full list of the endpoints with numbers from `first` to below `end`, as discovery sends it."""
+    """The full list of the endpoints from `first` up to, but not including, `end`, as discovery sends it."""
     return json.dumps(
         {
             "version": 1,
