--- a/benchmarks/slopes/__init__.py
+++ b/benchmarks/slopes/__init__.py
@@ -1,1 +1,1 @@
-"""Slopes: what one more destination, queue, pending message, event, relay or change costs. See `__main__.py`."""
+"""Slopes: the cost of one more destination, queue, pending message, event, relay or change. See `__main__.py`."""
--- a/benchmarks/slopes/__main__.py
+++ b/benchmarks/slopes/__main__.py
@@ -1,14 +1,16 @@
-"""Slopes: what one more of each costs, each axis alone, with a fit and a check point that the fit has not seen.
+"""Slopes: the marginal cost along one axis at a time, as a fit with check points that are left out of the fit.
 
     python -m benchmarks.slopes destinations|queues|held|events|relays|changes [--json FILE] [--plot FILE]
         [--series NAME] [--rounds N]
 
-Each point is measured in a fresh process, the least of some rounds counts (other load only adds), and a fit (constant,
-linear or power: the simplest that does, see fit.py) over the points is printed with its largest relative residual; each
-check point stands beside its forecast. Units are at the end of a name: `_us`
-microseconds of processor time, `_wall_ms` milliseconds of the clock, `_bytes`, `_mb`. Times mean little by themselves:
-`in_loops` is the same fit in calibration loops, of which each point's process runs some before and after; the least of
-the run counts. Loopback only; each command ends by itself.
+Each point is measured in a fresh process. The minimum of several rounds is used, because other load on the machine only
+adds to a value. For each quantity, the simplest adequate fit over the points (constant, linear or power, see fit.py) is
+printed with its largest relative residual, and each check point is compared with its forecast.
+
+A quantity's name ends with its unit: `_us` (microseconds of processor time), `_wall_ms` (milliseconds of wall-clock
+time), `_bytes` or `_mb`. Processor times of different machines are not comparable, so `in_loops` gives the same fit in
+reference loops (see timing.py): each point's process runs the reference loop before and after the measurement, and the
+minimum of the run is used. All traffic is on loopback, and each command ends by itself.
 """
 
 from __future__ import annotations
@@ -26,7 +28,7 @@
 from benchmarks.slopes.timing import with_reference_loop
 
 AXES = ("destinations", "queues", "held", "events", "relays", "changes")
-"""Each is a module of this package with its series in `SERIES`."""
+"""Names of the axes: each is a module of this package that defines its series in `SERIES`."""
 SIGTERM_EXIT_CODE = 128 + signal.SIGTERM
 
 
@@ -41,8 +43,10 @@
     parser = argument_parser(__doc__)
     parser.add_argument("axis", choices=AXES)
     parser.add_argument("--plot")
-    parser.add_argument("--series", default="", help="only this one")
-    parser.add_argument("--rounds", type=int, default=0, help="of each point; 0 = as the series says")
+    parser.add_argument("--series", default="", help="measure only the series of this name")
+    parser.add_argument(
+        "--rounds", type=int, default=0, help="measurements of each point; 0 = the number that the series defines"
+    )
     parser.add_argument("--point", default="", help="NAME:SIZE: one point, in this process")
     args = parser.parse_args()
     all_series = series_of(args.axis)
@@ -52,7 +56,9 @@
         return 0
     if args.series and args.series not in all_series:
         parser.error(f"--series: expected one of {', '.join(all_series)}, found {args.series!r}")
-    signal.signal(signal.SIGTERM, lambda *_: sys.exit(SIGTERM_EXIT_CODE))  # what a point has started ends with it
+    signal.signal(
+        signal.SIGTERM, lambda *_: sys.exit(SIGTERM_EXIT_CODE)
+    )  # exits through `finally` blocks, which end the point
     result = run_axis(args.axis, all_series, args.series, args.rounds)
     print_result(result, args.json)
     if args.plot:
--- a/benchmarks/slopes/changes.py
+++ b/benchmarks/slopes/changes.py
@@ -1,9 +1,12 @@
-"""Changes of the list: bytes and processor time of each, and the time until the last of some relays acts on it.
+"""Changes of the list: bytes and processor time of each, and the time until the slowest relay acts on it.
 
-Real relay processes that watch one platform emulator. `at_once_small`: so many destinations come, drain and go in one
-object each, at relays that know 1,024; `at_once_large`: at relays that know 30,000. Processor time is of one relay (the
-median of all, of each its least round), less what it uses in the same time without a change. `day`: changes one after
-the other, a third of each kind, at relays that know 1,024.
+Several real relay processes watch one platform emulator.
+
+`at_once_small`: a number of destinations are added, drained and deleted, each step in one object, at relays that know
+1,024 destinations. `at_once_large`: the same at relays that know 30,000. The processor time is that of one relay: the
+median over the relays of the minimum over the rounds, less what the relay uses in the same time without a change.
+
+`day`: single changes one after the other, a third of each kind, at relays that know 1,024 destinations.
 """
 
 from __future__ import annotations
@@ -23,29 +26,29 @@
 ROUNDS = 5
 SETTLE_S = 0.35
 IN_FORCE_TIMEOUT_S = 6.0
-"""A change that is not in force by then is given up."""
+"""A change that is not in force within this time is reported as such."""
 LIST_TIMEOUT_S = 8.0
 KNOWN_DESTINATIONS = 20
-"""Destinations of the list that a relay is configured with."""
-FIRST_NEW = 10**6
-"""Number of the first destination that comes."""
+"""Number of destinations in the list that a relay is configured with."""
+FIRST_ADDED_DESTINATION = 10**6
+"""Number of the first destination that is added to the list."""
 SUBMIT_INTERVAL_S = 0.001
-"""Between two rounds of messages that look whether a change is in force."""
+"""Interval between two rounds of messages that test whether a change is in force."""
 DAY_INTERVAL_S = 0.01
 DAY_SETTLE_S = 0.2
 IDLE_S = 2.0
 CHANGE_STATES = {"comes": "SERVING", "drains": "DRAINING", "goes": "DELETED"}
-"""Kinds of change, in the order in which a destination meets them, and the state that discovery sends."""
+"""Kinds of change, in the order in which a destination goes through them, and the state that discovery sends."""
 
 
 def differences(after: Sequence[float], before: Sequence[float]) -> list[float]:
-    """What was added to each value."""
+    """Return the increase of each value."""
     return [now - was for now, was in zip(after, before, strict=True)]
 
 
 @dataclass(frozen=True, slots=True)
 class RunningFleet:
-    """Relays that have read the list, each with a client."""
+    """Relays that have read the full list, each with a client."""
 
     platform: PlatformProcess
     relays: list[RelayProcess]
@@ -56,20 +59,24 @@
         return [relay.cpu_us() for relay in self.relays]
 
     def cpu_us_during(self, seconds: float) -> list[float]:
-        """Processor time of each relay in so many seconds from now, in microseconds."""
+        """Processor time of each relay during the next `seconds`, in microseconds."""
         before = self.cpu_us()
         time.sleep(seconds)
         return differences(self.cpu_us(), before)
 
     def change(self, first: int, count: int, state: str) -> ChangeSent:
-        """Change so many destinations in one object."""
+        """Change the state of `count` destinations in one object."""
         address = self.platform.endpoint_address
         return self.platform.change(
             [inside.discovery_entry(number, number, address, state) for number in range(first, first + count)]
         )
 
     def ms_until_in_force(self, destination: int, since: float) -> float | None:
-        """Ms of the monotonic clock from `since` until the last relay accepts a message for a destination."""
+        """Milliseconds from `since` (monotonic clock) until all relays have accepted a message for a destination.
+
+        Returns:
+            None if that takes longer than `IN_FORCE_TIMEOUT_S`.
+        """
         waiting = list(self.clients)
         while waiting and time.monotonic() - since < IN_FORCE_TIMEOUT_S:
             waiting = [client for client in waiting if client.submit(destination) != ACCEPTED]
@@ -79,7 +86,7 @@
 
 @contextlib.contextmanager
 def running_fleet(count: int) -> Iterator[RunningFleet]:
-    """Relays that have read the list of so many destinations."""
+    """Run relays that have read a list of `count` destinations."""
     with contextlib.ExitStack() as stack:
         platform = stack.enter_context(PlatformProcess())
         platform.set_list(count)
@@ -93,33 +100,34 @@
         yield RunningFleet(platform, relays, clients)
 
 
-def least_of_each(rounds: list[list[float]]) -> list[float]:
-    """By relay, the least of all rounds."""
+def minimum_per_relay(rounds: list[list[float]]) -> list[float]:
+    """Return the minimum over all rounds for each relay."""
     return [min(values) for values in zip(*rounds, strict=True)]
 
 
 def measure_burst(count: int, destinations: int) -> Measurements:
-    """So many destinations come, drain and go, each time in one object."""
+    """Measure adding, draining and deleting `count` destinations, each step in one object."""
     with running_fleet(destinations) as fleet:
-        idle_us = least_of_each([fleet.cpu_us_during(SETTLE_S) for _ in range(ROUNDS)])
-        found: Measurements = {}
+        idle_us = minimum_per_relay([fleet.cpu_us_during(SETTLE_S) for _ in range(ROUNDS)])
+        measurements: Measurements = {}
         samples: dict[str, list[list[float]]] = {name: [] for name in CHANGE_STATES}
         for round_number in range(ROUNDS):
-            first = FIRST_NEW + round_number * count
+            first = FIRST_ADDED_DESTINATION + round_number * count
             for name, state in CHANGE_STATES.items():
                 before_us = fleet.cpu_us()
                 sent = fleet.change(first, count, state)
-                found[f"{name}_bytes"] = float(sent.size_bytes)
-                # Its polls cost more than the change: only the time of this one counts.
+                measurements[f"{name}_bytes"] = float(sent.size_bytes)
+                # Testing whether a change is in force costs more processor time than the change itself, so that this
+                # round gives the time until it is in force and no sample of processor time.
                 if name == "comes" and round_number == ROUNDS - 1:
-                    found["in_force_wall_ms"] = _in_force_ms(fleet, first + count - 1, sent)
+                    measurements["in_force_wall_ms"] = _in_force_ms(fleet, first + count - 1, sent)
                     continue
                 time.sleep(SETTLE_S)
                 samples[name].append(differences(differences(fleet.cpu_us(), before_us), idle_us))
         for name, rounds in samples.items():
-            found[f"{name}_us"] = max(0.0, median(least_of_each(rounds)))
-        found["idle_us_a_s"] = median(idle_us) / SETTLE_S
-        return found
+            measurements[f"{name}_us"] = max(0.0, median(minimum_per_relay(rounds)))
+        measurements["idle_us_a_s"] = median(idle_us) / SETTLE_S
+        return measurements
 
 
 def _in_force_ms(fleet: RunningFleet, destination: int, sent: ChangeSent) -> float | str:
@@ -128,21 +136,21 @@
 
 
 def measure_day(count: int, destinations: int) -> Measurements:
-    """So many changes, 10 ms apart: a third come, a third drain, a third go."""
+    """Measure `count` changes, 10 ms apart: a third add, a third drain and a third delete a destination."""
     states = tuple(CHANGE_STATES.values())
     with running_fleet(destinations) as fleet:
         idle_us_a_s = median(fleet.cpu_us_during(IDLE_S)) / IDLE_S
         before_us = fleet.cpu_us()
-        began = time.monotonic()
+        started_at = time.monotonic()
         size_bytes = 0
         for number in range(count):
             round_number, step = divmod(number, len(states))
-            size_bytes += fleet.change(FIRST_NEW + round_number, 1, states[step]).size_bytes
+            size_bytes += fleet.change(FIRST_ADDED_DESTINATION + round_number, 1, states[step]).size_bytes
             time.sleep(DAY_INTERVAL_S)
-        last = 2 * FIRST_NEW
+        last = 2 * FIRST_ADDED_DESTINATION
         in_force_ms = fleet.ms_until_in_force(last, fleet.change(last, 1, "SERVING").sent_at_s)
         time.sleep(DAY_SETTLE_S)
-        elapsed_s = time.monotonic() - began
+        elapsed_s = time.monotonic() - started_at
         used_us = median(differences(fleet.cpu_us(), before_us)) - idle_us_a_s * elapsed_s
         return {
             "us": used_us,
--- a/benchmarks/slopes/events.py
+++ b/benchmarks/slopes/events.py
@@ -1,10 +1,13 @@
-"""Events a second of one relay process on the platform: whole path on loopback, beside a bare pass-through.
+"""Events a second of one platform relay process: the whole path on loopback, compared with a bare pass-through.
 
-`rate_kept`: so many events a second are submitted, over 20 destinations whose connections are kept: processor time of
-the relay and of the pass-through (benchmarks/pass_through.py) for the same requests in the same run. `rate_fresh`: over
-20,000 destinations in turn, so that each call makes a connection, as at the target, where one relay sees a destination
-every 50 s. `closed`, `closed_fresh`: the same with so many clients, each with one message out at a time: what is
-carried at most.
+`rate_kept`: events are submitted at a fixed rate over 20 destinations, whose connections are reused. Measured is the
+processor time of the relay and of the pass-through (benchmarks/pass_through.py) for the same requests in the same run.
+
+`rate_fresh`: the same over 20,000 destinations in turn, so that each call opens a connection. At the target it is so
+too, as one relay calls a destination every 50 s.
+
+`closed`, `closed_fresh`: the same in a closed loop of clients, each with one outstanding message: the largest
+throughput.
 """
 
 from __future__ import annotations
@@ -28,36 +31,36 @@
 )
 from benchmarks.slopes.series import Measurements, Series
 
-SECONDS = 3.0
+MEASURED_S = 3.0
 WARM_UP_S = 1.0
 BODY = b"x" * 212
 MESSAGE_NUMBERS = count()
 CLIENTS = 32
 REUSED_DESTINATIONS = 20
-"""So few that calls reuse connections."""
+"""Number of destinations that is small enough for calls to reuse connections."""
 RECONNECTED_DESTINATIONS = 20_000
-"""So many that each call makes a connection."""
+"""Number of destinations that is large enough for each call to open a connection."""
 KNOWN_DESTINATIONS = 20
-"""Destinations of the list that a relay is configured with."""
+"""Number of destinations in the list that a relay is configured with."""
 LIST_TIMEOUT_S = 8.0
-LAST_ANSWER_S = 5.0
+LAST_ANSWER_TIMEOUT_S = 5.0
 ANSWER_POLL_S = 0.002
-FREE_POLL_S = 0.001
+IDLE_CONNECTION_POLL_S = 0.001
 REQUESTS_BETWEEN_YIELDS = 8
 SETTLE_S = 0.5
 
 
 def requests(destinations: int) -> Iterator[bytes]:
-    """Requests that submit messages, for so many destinations in turn."""
+    """Generate requests that submit messages for a number of destinations in turn."""
     for number in MESSAGE_NUMBERS:
         yield submit_request(number % destinations, f"{number:016x}", BODY)
 
 
 class LoadConnection(asyncio.Protocol):
-    """A client's connection with one request out at a time."""
+    """A client's connection with one outstanding request at a time."""
 
     def __init__(self, load: LoadGenerator) -> None:
-        """The connection takes its requests from the generator and reports answers to it."""
+        """Create a connection that takes its requests from a generator and reports the answers to it."""
         self.load = load
         self.sent_at = 0.0
 
@@ -72,7 +75,7 @@
         self.transport.write(next(self.load.requests))
 
     def data_received(self, data: bytes) -> None:
-        """Report the answer; it comes in one piece."""
+        """Report an answer, which arrives in one piece."""
         self.load.on_answer(self, data, time.perf_counter() - self.sent_at)
 
 
@@ -80,13 +83,13 @@
     """Clients that submit at a rate, or each as soon as it has its answer (rate 0).
 
     Attributes:
-        latencies_s: Time of each answer with 2xx.
-        rejected: Other answers.
-        waits_for_connection: Times that no connection was free.
+        latencies_s: Time until each successful answer (status 20x).
+        rejected: Number of other answers.
+        waits_for_connection: Number of waits because no connection was idle.
     """
 
     def __init__(self, port: int, destinations: int, rate: float, clients: int) -> None:
-        """Prepare clients of a loopback port; they connect at the first run."""
+        """Prepare clients of a loopback port, which connect at the first run."""
         self.port = port
         self.rate = rate
         self.clients = clients
@@ -96,13 +99,13 @@
         self.reset()
 
     def reset(self) -> None:
-        """Forget what was counted so far."""
+        """Reset the counts."""
         self.latencies_s: list[float] = []
         self.rejected = 0
         self.waits_for_connection = 0
 
     def on_answer(self, connection: LoadConnection, data: bytes, elapsed_s: float) -> None:
-        """Count an answer; in a closed loop, the connection sends its next request."""
+        """Count an answer; in a closed loop, send the next request on its connection."""
         if data.startswith(b"HTTP/1.1 20"):
             self.latencies_s.append(elapsed_s)
         else:
@@ -113,17 +116,17 @@
             connection.send_next()
 
     async def run(self, seconds: float) -> float:
-        """Generate load for so long; returns the seconds that it took."""
+        """Generate load for a number of seconds; returns the seconds that it took."""
         await self._connect()
         self.is_stopped = False
-        began = time.perf_counter()
+        started_at = time.perf_counter()
         if self.rate:
-            await self._send_at_rate(began, seconds)
+            await self._send_at_rate(started_at, seconds)
         else:
             await self._send_in_closed_loop(seconds)
-        elapsed_s = time.perf_counter() - began
+        elapsed_s = time.perf_counter() - started_at
         self.is_stopped = True
-        deadline = time.perf_counter() + LAST_ANSWER_S
+        deadline = time.perf_counter() + LAST_ANSWER_TIMEOUT_S
         while len(self.idle) < self.clients and time.perf_counter() < deadline:  # noqa: ASYNC110 (see _send_at_rate)
             await asyncio.sleep(ANSWER_POLL_S)
         return elapsed_s
@@ -134,14 +137,14 @@
             _, connection = await loop.create_connection(lambda: LoadConnection(self), "127.0.0.1", self.port)
             self.idle.append(connection)
 
-    async def _send_at_rate(self, began: float, seconds: float) -> None:
+    async def _send_at_rate(self, started_at: float, seconds: float) -> None:
         for number in range(int(self.rate * seconds)):
-            wait_s = began + number / self.rate - time.perf_counter()
+            wait_s = started_at + number / self.rate - time.perf_counter()
             if wait_s > 0 or number % REQUESTS_BETWEEN_YIELDS == 0:
                 await asyncio.sleep(max(0.0, wait_s))
-            while not self.idle:  # noqa: ASYNC110 (an event would cost each answer processor time that is measured)
+            while not self.idle:  # noqa: ASYNC110 (an event would add measured processor time to each answer)
                 self.waits_for_connection += 1
-                await asyncio.sleep(FREE_POLL_S)
+                await asyncio.sleep(IDLE_CONNECTION_POLL_S)
             self.idle.pop(0).send_next()
 
     async def _send_in_closed_loop(self, seconds: float) -> None:
@@ -159,34 +162,34 @@
 
 
 def run_load(port: int, pid: int, destinations: int, rate: float, clients: int) -> Measurements:
-    """Load on a port, and the processor time of the process behind it."""
+    """Generate load on a port, and measure the processor time of the process that listens there."""
 
     async def generate() -> tuple[float, float, LoadGenerator]:
         load = LoadGenerator(port, destinations, rate, clients)
         await load.run(WARM_UP_S)
         load.reset()
         before_us = cpu_us(pid)
-        elapsed_s = await load.run(SECONDS)
+        elapsed_s = await load.run(MEASURED_S)
         used_us = cpu_us(pid) - before_us
         load.close()
         return elapsed_s, used_us, load
 
     elapsed_s, used_us, load = asyncio.run(generate())
-    done = len(load.latencies_s)
-    ordered = sorted(load.latencies_s) or [0.0]
+    accepted_count = len(load.latencies_s)
+    sorted_latencies_s = sorted(load.latencies_s) or [0.0]
     return {
         "us_a_s": used_us / elapsed_s,
-        "us": used_us / max(1, done),
-        "per_s": done / elapsed_s,
-        "p50_wall_ms": median(ordered) * 1000,
-        "p99_wall_ms": ordered[int(len(ordered) * 0.99)] * 1000,
+        "us": used_us / max(1, accepted_count),
+        "per_s": accepted_count / elapsed_s,
+        "p50_wall_ms": median(sorted_latencies_s) * 1000,
+        "p99_wall_ms": sorted_latencies_s[int(len(sorted_latencies_s) * 0.99)] * 1000,
         "refused": float(load.rejected),
         "waited_for_client": float(load.waits_for_connection),
     }
 
 
 def measure(destinations: int, rate: float, clients: int) -> Measurements:
-    """The same load on a relay and on a pass-through, one after the other."""
+    """Measure the same load on a relay and on a pass-through, one after the other."""
     with PlatformProcess() as platform:
         platform.set_list(destinations, rate=1e6)
         known = list(inside.discovery_entries(KNOWN_DESTINATIONS, 1, platform.endpoint_address))
@@ -204,26 +207,26 @@
             time.sleep(SETTLE_S)
             delivered = platform.counts().calls - calls_before
             passed = run_load(pass_through.port, pass_through.pid, destinations, rate, clients)
-    found: Measurements = {f"relay_{name}": value for name, value in relay.items()}
-    found |= {f"pass_{name}": value for name, value in passed.items()}
-    found["relay_over_pass"] = float(relay["us"]) / float(passed["us"])
+    measurements: Measurements = {f"relay_{name}": value for name, value in relay.items()}
+    measurements |= {f"pass_{name}": value for name, value in passed.items()}
+    measurements["relay_over_pass"] = float(relay["us"]) / float(passed["us"])
     if not rate:
         relay_per_s = float(relay["per_s"])
         passed_per_s = float(passed["per_s"])
-        found["relay_wall_us"] = 1e6 / relay_per_s
-        found["pass_wall_us"] = 1e6 / passed_per_s
-        found["share_of_pass"] = relay_per_s / passed_per_s
-    found["delivered"] = float(delivered)
-    return found
+        measurements["relay_wall_us"] = 1e6 / relay_per_s
+        measurements["pass_wall_us"] = 1e6 / passed_per_s
+        measurements["share_of_pass"] = relay_per_s / passed_per_s
+    measurements["delivered"] = float(delivered)
+    return measurements
 
 
-def at_rate(destinations: int, rate: int) -> Measurements:
-    """So many events a second."""
+def measure_at_rate(destinations: int, rate: int) -> Measurements:
+    """Measure a number of events a second."""
     return measure(destinations, rate, CLIENTS)
 
 
-def in_closed_loop(destinations: int, clients: int) -> Measurements:
-    """So many clients, each with one message out at a time."""
+def measure_closed_loop(destinations: int, clients: int) -> Measurements:
+    """Measure a number of clients, each with one outstanding message."""
     return measure(destinations, 0.0, clients)
 
 
@@ -232,14 +235,20 @@
 CLIENT_COUNTS = (1, 2, 4, 8)
 CLIENT_CHECKS = (16,)
 SERIES = {
-    "rate_kept": Series("events a second", RATES, RATE_CHECKS, lambda rate: at_rate(REUSED_DESTINATIONS, rate), 1),
+    "rate_kept": Series(
+        "events a second", RATES, RATE_CHECKS, lambda rate: measure_at_rate(REUSED_DESTINATIONS, rate), 1
+    ),
     "rate_fresh": Series(
-        "events a second", RATES, RATE_CHECKS, lambda rate: at_rate(RECONNECTED_DESTINATIONS, rate), 1
+        "events a second", RATES, RATE_CHECKS, lambda rate: measure_at_rate(RECONNECTED_DESTINATIONS, rate), 1
     ),
     "closed": Series(
-        "clients", CLIENT_COUNTS, CLIENT_CHECKS, lambda clients: in_closed_loop(REUSED_DESTINATIONS, clients), 1
+        "clients", CLIENT_COUNTS, CLIENT_CHECKS, lambda clients: measure_closed_loop(REUSED_DESTINATIONS, clients), 1
     ),
     "closed_fresh": Series(
-        "clients", CLIENT_COUNTS, CLIENT_CHECKS, lambda clients: in_closed_loop(RECONNECTED_DESTINATIONS, clients), 1
+        "clients",
+        CLIENT_COUNTS,
+        CLIENT_CHECKS,
+        lambda clients: measure_closed_loop(RECONNECTED_DESTINATIONS, clients),
+        1,
     ),
 }
--- a/benchmarks/slopes/fit.py
+++ b/benchmarks/slopes/fit.py
@@ -1,4 +1,4 @@
-"""Fits of a measured quantity over a size, and forecasts from them. Pure functions; any unit."""
+"""Fits of a measured quantity over a size, and forecasts from them. Pure functions, for values of any unit."""
 
 from __future__ import annotations
 
@@ -7,21 +7,21 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
-GOOD_RESIDUAL = 0.10
-"""Largest relative residual up to which a simpler form is kept."""
+MAX_GOOD_RESIDUAL = 0.10
+"""Relative residual up to which a form is kept without trying the next one."""
 FORMS = ("constant", "linear", "power")
-"""From the simplest to the least simple."""
+"""Forms of a fit, from the simplest to the most complex."""
 
 
 @dataclass(frozen=True, slots=True)
 class Fit:
-    """A fitted form: constant: y = a; linear: y = a + b * n; power: y = a * n ** b.
+    """A fitted form: constant (y = a), linear (y = a + b * n) or power (y = a * n ** b).
 
     Attributes:
         form: One of `FORMS`.
         a: Coefficient, in the unit of what was fitted.
         b: Slope or exponent; 0 for a constant.
-        residual: Largest |measured - fitted| / |measured| over the points of the fit, as a share.
+        residual: Largest |measured - fitted| / |measured| over the points of the fit.
     """
 
     form: str
@@ -30,7 +30,7 @@
     residual: float
 
     def forecast(self, size: float) -> float:
-        """The forecast for a size, in the unit of what was fitted."""
+        """Return the forecast for a size, in the unit of what was fitted."""
         if self.form == "power":
             return float(self.a * size**self.b)
         return self.a + self.b * size
@@ -44,10 +44,10 @@
 
 
 def fit_line(sizes: Sequence[float], values: Sequence[float], weights: Sequence[float] = ()) -> Line:
-    """Least squares of values over sizes, weighted if weights are given.
+    """Fit a line by least squares, weighted if weights are given.
 
     Raises:
-        ValueError: No line is determined.
+        ValueError: There are fewer than two different sizes, or not as many values as sizes.
     """
     if len(sizes) != len(values) or len(set(sizes)) < 2:
         raise ValueError("a line needs two different sizes or more, each with its value")
@@ -63,7 +63,7 @@
 
 
 def largest_residual(fit: Fit, sizes: Sequence[float], values: Sequence[float]) -> float:
-    """The largest relative deviation, as a share of the measured value; of a value of 0, as a share of the largest."""
+    """Return the largest deviation relative to the measured value; for a value of 0, relative to the largest value."""
     largest = max(abs(value) for value in values) or 1.0
     return max(
         abs(value - fit.forecast(size)) / (abs(value) or largest) for size, value in zip(sizes, values, strict=True)
@@ -71,17 +71,17 @@
 
 
 def fit_form(form: str, sizes: Sequence[float], values: Sequence[float]) -> Fit:
-    """The fit of one form.
+    """Fit one form.
 
     Raises:
-        ValueError: The form is unknown, or the values don't allow it (a power needs all above 0).
+        ValueError: The form is unknown, or can't be fitted (a power needs sizes and values above 0).
     """
     match form:
         case "constant":
             a = math.fsum(values) / len(values)
             b = 0.0
         case "linear":
-            # Deviations count relative to the value, as the residual does.
+            # Deviations are weighted relative to the value, as in the residual.
             weights = [1 / value**2 for value in values] if all(values) else ()
             a, b = fit_line(sizes, values, weights)
         case "power":
@@ -95,23 +95,23 @@
 
 
 def best_fit(sizes: Sequence[float], values: Sequence[float]) -> Fit:
-    """The simplest form that fits.
+    """Return the fit of the simplest form that is adequate.
 
-    A less simple one is taken only where the one before has no good residual and the new one has less than half of it.
-    That guards forecasts from slopes that are noise.
+    A more complex form is chosen only if the residual of the current one is above `MAX_GOOD_RESIDUAL` and its own is
+    less than half of that. This keeps slopes that are only noise out of forecasts.
     """
-    found = fit_form(FORMS[0], sizes, values)
+    best = fit_form(FORMS[0], sizes, values)
     for form in FORMS[1:]:
-        if found.residual <= GOOD_RESIDUAL:
+        if best.residual <= MAX_GOOD_RESIDUAL:
             break
         try:
-            other = fit_form(form, sizes, values)
+            candidate = fit_form(form, sizes, values)
         except (ValueError, OverflowError):
             continue
-        found = other if other.residual < found.residual / 2 else found
-    return found
+        best = candidate if candidate.residual < best.residual / 2 else best
+    return best
 
 
 def ratio(measured: float, forecast: float) -> float | None:
-    """Measured over forecast; None where the forecast is 0."""
+    """Return measured / forecast, or None if the forecast is 0."""
     return None if forecast == 0 else measured / forecast
--- a/benchmarks/slopes/internals.py
+++ b/benchmarks/slopes/internals.py
@@ -1,7 +1,7 @@
-"""The places where the slopes touch the program inside its stable surfaces, each in one small function.
+"""All uses of the program's internal interfaces in the slopes, one small function each.
 
-Where one of them changes its form, it is adapted here and nowhere else. All else goes through `DeliveryEngine.handle`
-with the events of `engine/events.py`, or through a real relay process.
+If one of these interfaces changes, only this module is adapted. Everything else uses `DeliveryEngine.handle` with the
+events of `engine/events.py`, or a real relay process.
 """
 
 from __future__ import annotations
@@ -28,13 +28,13 @@
 
 UNBOUNDED = 1 << 40
 READ_BYTES = 16384
-"""Bytes that a socket brings at a time."""
+"""Number of bytes that are read from a socket at a time."""
 
-_current_update: list[ListUpdate] = []  # the list whose parts are coming
+_current_update: list[ListUpdate] = []  # the list whose parts are being read; empty before the first
 
 
 class RewrittenJournal(NamedTuple):
-    """A journal that was written anew: its size in bytes, writes that failed, and the error."""
+    """A rewritten journal: its size in bytes, the number of failed writes, and the last error."""
 
     size_bytes: int
     failed: int
@@ -42,33 +42,33 @@
 
 
 def new_directory() -> Directory:
-    """The relay's directory, with the one kind and zone of `inside`. Touches platform_relay.directory."""
+    """Return a relay's empty directory with the kind and zone of `inside`. Uses platform_relay.directory."""
     return Directory(("k",), ("z",))
 
 
 class ParsedStream(NamedTuple):
-    """The values of a watch's stream, and the processor time of the longest step in microseconds."""
+    """The values of a watch's stream, and the processor time of the longest parsing step in microseconds."""
 
     values: list[Any]
     longest_step_us: float
 
 
 def parse_stream(data: bytes) -> ParsedStream:
-    """Read the JSON values of a watch's stream, long ones in parts as the relay does. Touches codec.json_stream."""
+    """Parse the JSON values of a watch's stream, long ones in parts as the relay does. Uses codec.json_stream."""
     objects = JsonStreamReader(UNBOUNDED, "servers", ("version", "full"))
     values: list[Any] = []
     longest_s = 0.0
     for start in range(0, len(data), READ_BYTES):
-        began = time.process_time()
+        started_at = time.process_time()
         values += objects.feed(data[start : start + READ_BYTES])
-        longest_s = max(longest_s, time.process_time() - began)
+        longest_s = max(longest_s, time.process_time() - started_at)
     return ParsedStream(values, longest_s * 1e6)
 
 
 def read_value(directory: Directory, value: Any) -> list[Event]:
-    """One value of discovery, or a part of one, as events for the engine.
+    """Convert one value of discovery, or a part of one, to events for the engine.
 
-    Touches platform_relay.directory and discovery.
+    Uses platform_relay.directory and platform_relay.discovery.
     """
     if not isinstance(value, ObjectPart):
         return [directory.apply_list(value)]
@@ -78,12 +78,12 @@
 
 
 def remove_missing(value: Any) -> list[Event] | None:
-    """One step of the end of a list behind its last part, which the relay takes in a turn of its own.
+    """Take one step of removing endpoints that a full list lacks, after its last part.
 
-    Touches platform_relay.directory.
+    The relay takes each of these steps in a separate turn. Uses platform_relay.discovery and list_update.
 
     Returns:
-        Events for the engine; None = there is no other step.
+        Events for the engine; None = no step is left.
     """
     if not isinstance(value, ObjectPart) or not value.is_last or _current_update[0].is_complete:
         return None
@@ -91,12 +91,12 @@
 
 
 def list_bound_bytes() -> int:
-    """The longest value of discovery that is read. Touches platform_relay.discovery."""
+    """Return the bytes of the longest value of discovery that a relay reads. Uses platform_relay.discovery."""
     return discovery.MAX_LIST_BYTES
 
 
 def message_fields(stored: dict[str, Any]) -> MessageFields:
-    """What a client said of a message, from the names that the journal stores. Touches platform_relay.records."""
+    """Return a message's fields from the names that the journal stores. Uses platform_relay.records."""
     return MessageFields(
         submission_id=stored["ident"],
         class_name=stored["class"],
@@ -110,9 +110,9 @@
 
 
 def journal_records(messages: Iterable[tuple[int, dict[str, Any], bytes]]) -> bytes:
-    """The journal of messages (number, fields, body) with one attempt each, which proved to have had no effect.
+    """Encode the journal of messages (number, fields, body) with one attempt each that is known to have had no effect.
 
-    Touches platform_relay.journal_codec.
+    Uses platform_relay.journal_codec.
     """
     return b"".join(
         encode_accepted(JournaledMessage(number, message_fields(fields), body))
@@ -123,26 +123,26 @@
 
 
 def replay_journal(data: bytes) -> dict[int, JournalRecord]:
-    """The messages without a final notice in a journal's bytes, by number. Touches platform_relay.journal_replay."""
+    """Return the messages without a final notice in a journal, by number. Uses platform_relay.journal_replay."""
     return replay(data).records
 
 
 def rewrite_journal(folder: Path, messages: Iterable[JournalRecord], max_bytes: int) -> RewrittenJournal:
-    """Write the journal anew. Touches platform_relay.journal."""
-    opened = Journal(folder, max_bytes)
-    opened.open()
-    opened.rewrite(messages)
-    result = RewrittenJournal(opened.size, opened.failed_writes, opened.last_error)
-    opened.close()
+    """Rewrite the journal of a folder with these messages. Uses platform_relay.journal."""
+    journal = Journal(folder, max_bytes)
+    journal.open()
+    journal.rewrite(messages)
+    result = RewrittenJournal(journal.size, journal.failed_writes, journal.last_error)
+    journal.close()
     return result
 
 
 def journaled_messages(count: int, body: bytes) -> list[JournaledMessage]:
-    """Messages as the journal knows them, which share one body. Touches platform_relay.journal."""
+    """Return messages as the journal stores them, all with the same body. Uses platform_relay.records."""
     fields = message_fields({"ident": "a", "class": "state", "dest": 1, "taken": 0.0, "due": 0.0})
     return [JournaledMessage(number, fields, body) for number in range(count)]
 
 
 def discovery_line(servers: Iterable[dict[str, Any]], version: int, full: bool) -> bytes:
-    """One value of discovery as the protocol has it: a line of JSON."""
+    """Encode one value of discovery as a line of JSON."""
     return json.dumps({"version": version, "full": full, "servers": list(servers)}).encode() + b"\n"
--- a/benchmarks/slopes/judgement.py
+++ b/benchmarks/slopes/judgement.py
@@ -1,4 +1,4 @@
-"""Fits of the measured quantities of a series, and its check points beside their forecasts. Pure functions."""
+"""Fits the measured quantities of a series, and compares its check points with their forecasts. Pure functions."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 from benchmarks.slopes.series import Measurements, Series
 from benchmarks.slopes.timing import REFERENCE_LOOP
 
-FEWEST_POINTS = 3
-"""Two points make no fit."""
+MIN_FIT_POINTS = 3
+"""Minimum number of points for a fit: two points are met exactly by any line, so they say nothing about its form."""
 
 
 def least_of_rounds(rounds: list[Measurements]) -> Measurements:
-    """By quantity the least number of all rounds; a text where there is none."""
+    """Return the minimum of all rounds for each quantity, or a text if no round has a number for it."""
     least: Measurements = {}
     for measurements in rounds:
         for name, value in measurements.items():
@@ -27,7 +27,7 @@
 
 
 def numeric_values(points: Mapping[int, Measurements], sizes: tuple[int, ...], name: str) -> dict[int, float]:
-    """By size, the values of a quantity that are numbers."""
+    """Return the values of a quantity by size, without those that are texts."""
     values = {}
     for size in sizes:
         value = points.get(size, {}).get(name)
@@ -37,11 +37,11 @@
 
 
 def fit_quantities(series: Series, points: Mapping[int, Measurements]) -> dict[str, Any]:
-    """By quantity: the fit over the points that were measured, and each check beside its forecast."""
+    """Fit each quantity over the points that have a number for it, and compare each check point with its forecast."""
     quantities: dict[str, Any] = {}
     for name in dict.fromkeys(name for measurements in points.values() for name in measurements):
         measured = numeric_values(points, series.points, name)
-        if name == REFERENCE_LOOP or len(measured) < FEWEST_POINTS:
+        if name == REFERENCE_LOOP or len(measured) < MIN_FIT_POINTS:
             continue
         best = fit.best_fit([float(size) for size in measured], list(measured.values()))
         checks = [
@@ -53,7 +53,7 @@
 
 
 def describe_fit(fitted: fit.Fit) -> dict[str, Any]:
-    """A fit as the result has it."""
+    """Return a fit in the form of the result document."""
     return {
         "form": fitted.form,
         "a": round_significant(fitted.a),
@@ -63,7 +63,7 @@
 
 
 def describe_check(size: int, value: float | str, forecast: float) -> dict[str, Any]:
-    """A check point beside its forecast, as the result has it."""
+    """Return a check point and its forecast in the form of the result document."""
     row: dict[str, Any] = {"n": size, "measured": value, "forecast": round_significant(forecast)}
     if not isinstance(value, str):
         ratio = fit.ratio(value, forecast)
@@ -72,10 +72,10 @@
 
 
 def add_reference_loops(quantities: dict[str, Any], loop_us: float) -> None:
-    """Add to each fit of processor time the same in calibration loops.
+    """Add to each fit of processor time the same fit in reference loops.
 
-    `loop_us` is the least of the run: a loop that shares its core with other load takes up to twice as long, and a
-    point's own loops tell the one or the other.
+    `loop_us` is the minimum of the run: a loop that shares its core with other load takes up to twice as long, so the
+    loops of a single point may or may not include that.
     """
     for name, quantity in quantities.items():
         words = name.split("_")
--- a/benchmarks/slopes/platform_commands.py
+++ b/benchmarks/slopes/platform_commands.py
@@ -1,4 +1,4 @@
-"""Commands to the platform emulator and its answers: one JSON object a line, each way."""
+"""Commands to the platform emulator and its answers, each a JSON object on one line."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 
 @dataclass(frozen=True)
 class SetList:
-    """Set the full list, for whoever watches from now on; answered by `ListSet`.
+    """Set the full list for watches that are opened from now on; answered by `ListSet`.
 
     Attributes:
         destinations: Number of destinations.
-        endpoints_per_destination: Endpoints of each.
-        rate: Calls a second that each advertises.
+        endpoints_per_destination: Number of endpoints of each destination.
+        rate: Calls a second that each endpoint advertises.
         address: Address of all endpoints.
-        changed: Entries that take the place of those with the same identifier.
+        changed: Entries that replace those with the same identifier.
     """
 
     destinations: int
@@ -31,14 +31,14 @@
 
 @dataclass(frozen=True)
 class ListSet:
-    """The full list was set; it has so many bytes."""
+    """The full list was set; `size_bytes` is its size."""
 
     size_bytes: int
 
 
 @dataclass(frozen=True)
 class ChangeEntries:
-    """Send all changes in one object to all that watch; answered by `ChangeSent`."""
+    """Send all changes in one object to every watch; answered by `ChangeSent`."""
 
     entries: list[Entry]
 
@@ -48,8 +48,8 @@
     """A change was sent.
 
     Attributes:
-        size_bytes: Its bytes for one watch.
-        sent_at_s: When, by the monotonic clock.
+        size_bytes: Bytes that each watch was sent.
+        sent_at_s: Time of sending, by the monotonic clock.
     """
 
     size_bytes: int
@@ -65,19 +65,19 @@
 
 @dataclass(frozen=True)
 class TrackCalls:
-    """Begin or end to note when the first call of each message comes; answered by `PlatformCounts`."""
+    """Start or stop recording the time of each message's first call; answered by `PlatformCounts`."""
 
     is_on: bool
 
 
 @dataclass(frozen=True)
 class GetFirstCalls:
-    """Ask when first calls came since tracking began; answered by `FirstCalls`."""
+    """Ask for the first calls that were recorded; answered by `FirstCalls`."""
 
 
 @dataclass(frozen=True)
 class FirstCalls:
-    """By message identifier, when its first call came, in seconds of the monotonic clock."""
+    """Time of each message's first call by message identifier, in seconds of the monotonic clock."""
 
     at_s: dict[str, float]
 
@@ -89,12 +89,12 @@
 
 @dataclass(frozen=True)
 class PlatformCounts:
-    """What the platform has counted since its start.
+    """Counts of the platform since its start.
 
     Attributes:
-        full_lists: Full lists that were sent.
-        full_list_bytes: Bytes of those.
-        calls: Calls of endpoints.
+        full_lists: Number of full lists sent.
+        full_list_bytes: Bytes of the full lists sent.
+        calls: Number of calls that the endpoints have received.
     """
 
     full_lists: int = 0
--- a/benchmarks/slopes/plot.py
+++ b/benchmarks/slopes/plot.py
@@ -54,22 +54,22 @@
 
 def _panels(result: dict[str, Any]) -> list[Panel]:
     return [
-        Panel(name, series, quantity, found)
+        Panel(name, series, quantity, quantity_fit)
         for name, series in result["series"].items()
-        for quantity, found in series["fits"].items()
+        for quantity, quantity_fit in series["fits"].items()
         if not {*UNPLOTTED_WORDS} & {*quantity.split("_")}
     ]
 
 
 def _draw_panel(axes: Any, panel: Panel) -> None:
-    found = panel.fit
-    curve = fit.Fit(found["form"], found["a"], found["b"], found["residual"])
+    quantity_fit = panel.fit
+    curve = fit.Fit(quantity_fit["form"], quantity_fit["a"], quantity_fit["b"], quantity_fit["residual"])
     values = {
         int(size): measurements[panel.quantity]
         for size, measurements in panel.series["points"].items()
         if isinstance(measurements.get(panel.quantity), (int, float))
     }
-    checks = {row["n"] for row in found["checks"]}
+    checks = {row["n"] for row in quantity_fit["checks"]}
     sizes = sorted(int(size) for size in panel.series["points"])
     steps = [sizes[0] + (sizes[-1] - sizes[0]) * step / CURVE_STEPS for step in range(CURVE_STEPS + 1)]
     axes.plot(steps, [curve.forecast(size) for size in steps], "-", color="tab:gray", linewidth=1)
@@ -78,7 +78,7 @@
     checked = [(size, value) for size, value in values.items() if size in checks]
     if checked:
         axes.plot(*zip(*checked, strict=True), "x", color="tab:red", markersize=7)
-    axes.set_title(f"{panel.series_name}\n{panel.quantity} ({found['form']})", fontsize=7)
+    axes.set_title(f"{panel.series_name}\n{panel.quantity} ({quantity_fit['form']})", fontsize=7)
     axes.set_xlabel(panel.series["unit"], fontsize=7)
     axes.tick_params(labelsize=6)
     axes.set_ylim(bottom=0)
--- a/benchmarks/slopes/processes.py
+++ b/benchmarks/slopes/processes.py
@@ -32,17 +32,17 @@
 READY_TIMEOUT_S = 0.4
 """Of one question whether a relay is ready."""
 READY_POLL_S = 0.01
-END_TIMEOUT_S = 20
-LOG_TAIL = 300
+EXIT_TIMEOUT_S = 20
+LOG_TAIL_CHARS = 300
 """Characters of the log in the error of a relay that has ended."""
-ANSWER_BYTES = 4096
+MAX_ANSWER_BYTES = 4096
 """More than an answer of the relay has."""
 OK = 200
 ACCEPTED = 202
 SUBMIT_INTERVAL_S = 0.005
 TEMPORARY_PREFIX = "linnetstile-slopes-"
 """Of folders and files in the temporary directory."""
-AFTER_LIST_S = 0.5
+SUBMIT_AFTER_LISTED_S = 0.5
 """`wait_until_listed` goes on for so long after a list is in force."""
 
 
@@ -116,7 +116,7 @@
         self, kind: type[BaseException] | None, error: BaseException | None, trace: TracebackType | None
     ) -> None:
         self.process.terminate()
-        self.process.wait(END_TIMEOUT_S)
+        self.process.wait(EXIT_TIMEOUT_S)
 
 
 def free_port() -> int:
@@ -150,7 +150,7 @@
         config = self._write_config(platform, known, settings)
         self.log = self.folder / "log"
         environment = os.environ | {"GW_CONFIG": str(config), "GW_STATE": str(state or self.folder / "state")}
-        self.began = time.monotonic()
+        self.started_at = time.monotonic()
         with self.log.open("wb") as log:
             self.process = subprocess.Popen(
                 [sys.executable, "-m", "linnetstile.platform_relay"], env=environment, stderr=log
@@ -178,15 +178,15 @@
         Raises:
             RuntimeError: It has ended, or took too long.
         """
-        while time.monotonic() - self.began < START_TIMEOUT_S:
+        while time.monotonic() - self.started_at < START_TIMEOUT_S:
             try:
                 with HttpClient(self.port, READY_TIMEOUT_S) as client:
                     if client.request(b"GET /-/ready HTTP/1.1\r\nHost: r\r\n\r\n") == OK:
-                        return time.monotonic() - self.began
+                        return time.monotonic() - self.started_at
             except OSError:
                 pass
             if self.process.poll() is not None:
-                raise RuntimeError(f"the node has ended: {self.log.read_text()[-LOG_TAIL:]}")
+                raise RuntimeError(f"the node has ended: {self.log.read_text()[-LOG_TAIL_CHARS:]}")
             time.sleep(READY_POLL_S)
         raise RuntimeError(f"not ready within {START_TIMEOUT_S:g} s")
 
@@ -205,7 +205,7 @@
         self, kind: type[BaseException] | None, error: BaseException | None, trace: TracebackType | None
     ) -> None:
         self.process.kill()
-        self.process.wait(END_TIMEOUT_S)
+        self.process.wait(EXIT_TIMEOUT_S)
         shutil.rmtree(self.folder, ignore_errors=True)
 
 
@@ -246,7 +246,7 @@
         for _ in range(2):
             try:
                 self.socket.sendall(data)
-                answer = self.socket.recv(ANSWER_BYTES)
+                answer = self.socket.recv(MAX_ANSWER_BYTES)
                 if answer:
                     if b"connection: close" in answer.lower():
                         self._reconnect()
@@ -284,8 +284,8 @@
 
 def wait_until_listed(client: HttpClient, destination: int, seconds: float) -> ListWait:
     """Submit messages for a destination until one is accepted, and for `AFTER_LIST_S` more; at most `seconds`."""
-    began = time.monotonic()
-    end = began + seconds
+    started_at = time.monotonic()
+    end = started_at + seconds
     longest_s = 0.0
     listed_s = None
     while (sent_at := time.monotonic()) < end:
@@ -293,7 +293,7 @@
         answered_at = time.monotonic()
         longest_s = max(longest_s, answered_at - sent_at)
         if listed_s is None and status == ACCEPTED:
-            listed_s = answered_at - began
-            end = min(end, answered_at + AFTER_LIST_S)
+            listed_s = answered_at - started_at
+            end = min(end, answered_at + SUBMIT_AFTER_LISTED_S)
         time.sleep(SUBMIT_INTERVAL_S)
     return ListWait(listed_s, longest_s * 1000)
--- a/benchmarks/slopes/queues.py
+++ b/benchmarks/slopes/queues.py
@@ -32,11 +32,11 @@
     """The first `queues` destinations are down."""
     rng = random.Random(queues)
     fleet = _warmed_up_fleet(queues, destinations, rng)
-    inside.freeze_garbage()
+    inside.freeze_live_objects()
     fleet.reset()
     count = _submit_load(fleet, queues, destinations, rng)
     fleet.run(WARM_UP_MS + RUN_MS)
-    found: Measurements = {
+    measurements: Measurements = {
         "message_us": fleet.cpu_us("Message") / count,
         "answer_us": fleet.cpu_us("AttemptEnded") / fleet.costs["AttemptEnded"].turns,
         "timers_us_a_s": fleet.cpu_us("TimerFired") * 1000 / RUN_MS,
@@ -46,8 +46,8 @@
     }
     engine = fleet.relays[0]
     now_ms = fleet.now_ms
-    found["idle_turn_us"] = min(processor_time_us(lambda: engine.handle(now_ms, [])) for _ in range(IDLE_TURNS))
-    return found
+    measurements["idle_turn_us"] = min(processor_time_us(lambda: engine.handle(now_ms, [])) for _ in range(IDLE_TURNS))
+    return measurements
 
 
 def _warmed_up_fleet(queues: int, destinations: int, rng: random.Random) -> SimulatedFleet:
--- a/benchmarks/slopes/relays.py
+++ b/benchmarks/slopes/relays.py
@@ -30,7 +30,7 @@
     from linnetstile.as2_relay.gossip_service import GossipService
 
 DESTINATIONS = 24
-DOWN = 6
+OUTAGE_DESTINATIONS = 6
 """Destinations that are out for a while, the first ones."""
 EVENTS_PER_DESTINATION_S = 9.2
 """Messages a second for one destination, from all relays."""
@@ -38,7 +38,7 @@
 OUTAGE_END_MS = 160_000.0
 RUN_MS = 175_000.0
 SLOW_START_MS = 5000.0
-LATE_MS = 50_000.0
+LATE_OUTAGE_MS = 50_000.0
 """Calls of the last part of the outage count as late."""
 DEADLINE_MS = 30_000.0
 REFUSED_MS = 5.0
@@ -73,13 +73,13 @@
     with_chance: float
 
 
-def worst_budget_use(calls_ms: list[float]) -> BudgetUse:
+def worst_budget_use(call_times_ms: list[float]) -> BudgetUse:
     """The largest part of the budget that the calls of a second took; times since the return, in order."""
     worst = 0.0
     with_chance = 0.0
     first = 0
-    for last, at_ms in enumerate(calls_ms):
-        while calls_ms[first] <= at_ms - 1000.0:
+    for last, at_ms in enumerate(call_times_ms):
+        while call_times_ms[first] <= at_ms - 1000.0:
             first += 1
         budget = slow_start_budget(at_ms)
         calls = last - first + 1
@@ -105,7 +105,7 @@
 
     def answer(self, relay: int, endpoint: int, now_ms: float) -> tuple[Outcome, float]:
         """Answer a call, and record it if it is to one of those."""
-        if endpoint <= DOWN and now_ms >= OUTAGE_BEGIN_MS:
+        if endpoint <= OUTAGE_DESTINATIONS and now_ms >= OUTAGE_BEGIN_MS:
             self.calls.append(OutageCall(now_ms, relay, endpoint - 1))
             if now_ms < OUTAGE_END_MS:
                 return Outcome.CONNECT_FAILED, REFUSED_MS
@@ -139,19 +139,19 @@
 
 def _during_outage(calls: list[OutageCall], relays: int) -> Measurements:
     """When relays learned of the outage, and their calls in it."""
-    during = [call for call in calls if call.at_ms < OUTAGE_END_MS]
-    learned: dict[tuple[int, int], float] = {}
-    for call in during:
-        learned.setdefault((call.relay, call.destination), call.at_ms - OUTAGE_BEGIN_MS)
-    late = sum(call.at_ms >= OUTAGE_END_MS - LATE_MS for call in during)
-    never = relays * DOWN - len(learned)
-    times = sorted([*learned.values(), *[math.inf] * never])
-    middle = times[len(times) // 2]
+    outage_calls = [call for call in calls if call.at_ms < OUTAGE_END_MS]
+    learned_after_ms: dict[tuple[int, int], float] = {}
+    for call in outage_calls:
+        learned_after_ms.setdefault((call.relay, call.destination), call.at_ms - OUTAGE_BEGIN_MS)
+    late_calls = sum(call.at_ms >= OUTAGE_END_MS - LATE_OUTAGE_MS for call in outage_calls)
+    never_learned = relays * OUTAGE_DESTINATIONS - len(learned_after_ms)
+    times = sorted([*learned_after_ms.values(), *[math.inf] * never_learned])
+    median_ms = times[len(times) // 2]
     return {
-        "learned_median_s": middle / 1000 if middle < math.inf else "not within 100 s",
-        "never_learned_share": never / (relays * DOWN),
-        "calls_while_out": len(during) / DOWN,
-        "calls_while_out_a_s_late": late / DOWN / (LATE_MS / 1000),
+        "learned_median_s": median_ms / 1000 if median_ms < math.inf else "not within 100 s",
+        "never_learned_share": never_learned / (relays * OUTAGE_DESTINATIONS),
+        "calls_while_out": len(outage_calls) / OUTAGE_DESTINATIONS,
+        "calls_while_out_a_s_late": late_calls / OUTAGE_DESTINATIONS / (LATE_OUTAGE_MS / 1000),
     }
 
 
@@ -163,11 +163,11 @@
             for call in calls
             if call.destination == destination and OUTAGE_END_MS <= call.at_ms < OUTAGE_END_MS + SLOW_START_MS
         )
-        for destination in range(DOWN)
+        for destination in range(OUTAGE_DESTINATIONS)
     ]
-    uses = [worst_budget_use(calls_ms) for calls_ms in by_destination if calls_ms]
+    uses = [worst_budget_use(call_times_ms) for call_times_ms in by_destination if call_times_ms]
     return {
-        "cold_calls": sum(map(len, by_destination)) / DOWN,
+        "cold_calls": sum(map(len, by_destination)) / OUTAGE_DESTINATIONS,
         "cold_budget_worst": max(use.worst for use in uses),
         "cold_budget_mean": sum(use.worst for use in uses) / len(uses),
         "cold_with_chance_worst": max(use.with_chance for use in uses),
@@ -224,13 +224,13 @@
     uninformed = [name for name in simulation.names if name not in simulation.informed]
     times = sorted(simulation.heard_s.get(name, math.inf) for name in uninformed)
     length_ms = POLLS_END_MS - POLLS_BEGIN_MS
-    found: Measurements = {
+    measurements: Measurements = {
         "asks_a_s": simulation.polls / relays / length_ms * 1000,
         "first_minute_asks": simulation.first_polls / relays,
     }
     for quantity, at_s in (("heard_median_s", times[len(times) // 2]), ("heard_last_s", times[-1])):
-        found[quantity] = at_s if at_s < math.inf else f"not within {length_ms / 1000:g} s"
-    return found
+        measurements[quantity] = at_s if at_s < math.inf else f"not within {length_ms / 1000:g} s"
+    return measurements
 
 
 def gossip_document(routes: int) -> Measurements:
@@ -239,20 +239,20 @@
 
     async def measure() -> Measurements:
         gossip = _gossip_of_engine(routes)
-        found: Measurements = {"document_us": processor_time_us(gossip.document, 2)}
+        measurements: Measurements = {"document_us": processor_time_us(gossip.document, 2)}
         document = json.dumps(gossip.document()).encode()
-        found |= {"document_bytes": float(len(document)), "bytes_a_destination": len(document) / routes}
-        found["nothing_new_bytes"] = float(len(json.dumps(gossip.document(gossip.version))))
+        measurements |= {"document_bytes": float(len(document)), "bytes_a_destination": len(document) / routes}
+        measurements["nothing_new_bytes"] = float(len(json.dumps(gossip.document(gossip.version))))
         try:
-            found["parse_us"] = processor_time_us(lambda: parse(document))
+            measurements["parse_us"] = processor_time_us(lambda: parse(document))
         except ValueError as error:
-            found["parse_us"] = f"refused: {error}"
-        return found
+            measurements["parse_us"] = f"refused: {error}"
+        return measurements
 
     return asyncio.run(measure())
 
 
-class _QuietLog:
+class _NullLogger:
     """A logger that drops all events."""
 
     def info(self, event: str, **fields: object) -> None:
@@ -278,7 +278,7 @@
     def ignore(*_: object) -> None:
         pass
 
-    log: Any = _QuietLog()
+    log: Any = _NullLogger()
     gossip = GossipService(KnowledgeSettings(), engine, "r", "run", numbers, ignore, log)
     type(gossip).now_ms = property(lambda self: now_ms)  # type: ignore[method-assign,assignment]
     return gossip
--- a/benchmarks/slopes/simulated_fleet.py
+++ b/benchmarks/slopes/simulated_fleet.py
@@ -82,16 +82,16 @@
     def handle(self, relay: int, event: Event) -> None:
         """Let a relay handle one event, and play its actions."""
         cost = self.costs.setdefault(type(event).__name__, TurnCost())
-        began = time.process_time()
+        started_at = time.process_time()
         actions = self.relays[relay].handle(self.now_ms, [event])
-        cost.seconds += time.process_time() - began
+        cost.seconds += time.process_time() - started_at
         cost.turns += 1
         if isinstance(event, AttemptEnded) and event.is_final:
             self.finish(event.id, "delivered")
         for action in actions:
-            self._play(relay, action)
+            self._execute(relay, action)
 
-    def _play(self, relay: int, action: Action) -> None:
+    def _execute(self, relay: int, action: Action) -> None:
         match action:
             case Send():
                 self.send(relay, action)
--- a/benchmarks/slopes/timing.py
+++ b/benchmarks/slopes/timing.py
@@ -31,26 +31,26 @@
     """
     best = float("inf")
     for _ in range(REFERENCE_ROUNDS):
-        began = time.process_time()
+        started_at = time.process_time()
         items = {number: _Item() for number in range(REFERENCE_ITEMS)}
         for number in range(REFERENCE_STEPS):
             items[number % REFERENCE_ITEMS].add(number * 0.5)
-        best = min(best, time.process_time() - began)
+        best = min(best, time.process_time() - started_at)
     return best * US_PER_S
 
 
 def with_reference_loop(measure: Callable[[], Measurements]) -> Measurements:
     """A point with the calibration loop right before and after it."""
     before = reference_loop_us()
-    found = measure()
-    return found | {REFERENCE_LOOP: min(before, reference_loop_us())}
+    measurements = measure()
+    return measurements | {REFERENCE_LOOP: min(before, reference_loop_us())}
 
 
 def processor_time_us(step: Callable[[], Any], rounds: int = 1) -> float:
     """Processor time of a step in microseconds, the best of some rounds."""
     best = float("inf")
     for _ in range(rounds):
-        began = time.process_time()
+        started_at = time.process_time()
         step()
-        best = min(best, time.process_time() - began)
+        best = min(best, time.process_time() - started_at)
     return best * US_PER_S
--- a/tests/test_slopes.py
+++ b/tests/test_slopes.py
@@ -33,7 +33,7 @@
     noise = [40.0, 52.0, 36.0, 47.0]
     constant = fit.best_fit(SIZES, noise)
     assert constant.form == "constant"
-    assert constant.residual > fit.GOOD_RESIDUAL
+    assert constant.residual > fit.MAX_GOOD_RESIDUAL
     assert fit.fit_form("linear", SIZES, noise).residual > constant.residual / 2
 
 
