--- a/benchmarks/slopes/platform_emulator.py
+++ b/benchmarks/slopes/platform_emulator.py
@@ -1,6 +1,7 @@
-"""The platform for a real relay, as a process of its own: discovery with its watch, and one address for all endpoints.
+"""Emulator of the platform for a real relay, as a separate process: discovery with its watch, and all endpoints.
 
-It takes one command a line on standard input and answers each with a line (platform_commands.py).
+All endpoints share one address. The process reads one command per line from standard input, and writes one line with
+the answer to each (see platform_commands.py).
 
     python -m benchmarks.slopes.platform_emulator
 """
@@ -27,10 +28,10 @@
 
 
 class EndpointProtocol(asyncio.Protocol):
-    """All endpoints: answers each call as soon as its last byte is there."""
+    """A connection to the endpoints: answers each call as soon as its last byte has arrived."""
 
     def __init__(self, record_call: Callable[[str], None]) -> None:
-        """`record_call` gets the correlation identifier of each call."""
+        """Create a connection; `record_call` is called with the correlation identifier of each call."""
         self.record_call = record_call
         self.buffer = b""
 
@@ -40,7 +41,7 @@
         self.transport = transport
 
     def data_received(self, data: bytes) -> None:
-        """Answer the calls that are complete."""
+        """Answer all calls that have arrived completely."""
         self.buffer += data
         while (head_end := self.buffer.find(HEAD_END)) >= 0:
             lines = self.buffer[:head_end].decode("latin-1").split("\r\n")
@@ -55,30 +56,30 @@
 
 @dataclass(frozen=True, slots=True)
 class LoggedChange:
-    """The entries that a version of the list changed."""
+    """A version of the list, and the entries that it changed."""
 
     version: int
     entries: list[commands.Entry]
 
 
 class PlatformEmulator(Source):
-    """What discovery sends, and when calls came."""
+    """The list that discovery sends, its changes, and the calls that the endpoints have received."""
 
     def __init__(self) -> None:
         self.entries: dict[str, commands.Entry] = {}
         self.version = 1
-        self.change_log: list[LoggedChange] = []  # changes after the version that a list was set with
-        self.oldest_version = 1  # from which changes are known
-        self.cached_list = b""  # the full list; empty = to be made
+        self.change_log: list[LoggedChange] = []  # changes since the list was last set
+        self.oldest_version = 1  # version of the list when it was last set
+        self.cached_list = b""  # the encoded full list; empty = not yet encoded
         self.discovery = DiscoveryEmulator(self)
         self.full_lists_sent = 0
         self.full_list_bytes_sent = 0
         self.calls = 0
-        self.first_calls: dict[str, float] = {}  # by identifier, when its first call came, s of the monotonic clock
+        self.first_calls: dict[str, float] = {}  # by identifier, time of its first call, s of the monotonic clock
         self.is_tracking = False
 
     async def start(self) -> dict[str, int]:
-        """Listen on two free ports of loopback; returns them."""
+        """Listen on two free loopback ports; returns the port of discovery and that of the endpoints."""
         self.endpoint_server = await asyncio.get_running_loop().create_server(
             lambda: EndpointProtocol(self.record_call), "127.0.0.1", 0, backlog=BACKLOG
         )
@@ -86,27 +87,27 @@
         return {"port": await self.discovery.start(), "sink": endpoint_port}
 
     def record_call(self, identifier: str) -> None:
-        """Count a call; while tracking, note when the first of its identifier came."""
+        """Count a call; while tracking, record the time of the first call with its identifier."""
         self.calls += 1
         if self.is_tracking:
             self.first_calls.setdefault(identifier, time.monotonic())
 
     def full_list(self) -> bytes:
-        """The full list, as the discovery emulator asks for it."""
+        """Return the encoded full list for the discovery emulator."""
         self.cached_list = self.cached_list or discovery_line(self.entries.values(), self.version, True)
         self.full_lists_sent += 1
         self.full_list_bytes_sent += len(self.cached_list)
         return self.cached_list
 
     def changes_since(self, version: int) -> bytes | None:
-        """The changes after a version, as the discovery emulator asks for them."""
+        """Return the encoded changes after a version for the discovery emulator; None if that version is not known."""
         if not self.oldest_version <= version <= self.version:
             return None
         entries = [entry for change in self.change_log if change.version > version for entry in change.entries]
         return discovery_line(entries, self.version, False)
 
     def change(self, entries: list[commands.Entry]) -> int:
-        """Send a change to all that watch; returns its bytes for one of them."""
+        """Send a change to every watch; returns the bytes that each was sent."""
         self.version += 1
         line = discovery_line(entries, self.version, False)
         self.change_log.append(LoggedChange(self.version, entries))
@@ -120,7 +121,7 @@
         return len(line)
 
     def handle(self, command: commands.Command) -> commands.Answer:
-        """Carry out one command; returns its answer."""
+        """Execute one command; returns its answer."""
         match command:
             case commands.SetList():
                 return self._set_list(command)
@@ -139,7 +140,7 @@
         return commands.PlatformCounts(self.full_lists_sent, self.full_list_bytes_sent, self.calls)
 
     def _set_list(self, command: commands.SetList) -> commands.ListSet:
-        """Set the full list, for whoever watches from now on."""
+        """Set the full list for watches that are opened from now on."""
         entries = discovery_entries(
             command.destinations, command.endpoints_per_destination, command.address, command.rate
         )
@@ -159,7 +160,7 @@
 
 
 async def main() -> None:
-    """Serve commands until standard input ends, for `LIFETIME_S` at the most."""
+    """Serve commands until standard input ends, but not longer than `LIFETIME_S`."""
     emulator = PlatformEmulator()
     print(json.dumps(await emulator.start()), flush=True)
     reader = asyncio.StreamReader(limit=MAX_COMMAND_BYTES)
--- a/benchmarks/slopes/plot.py
+++ b/benchmarks/slopes/plot.py
@@ -1,4 +1,4 @@
-"""The picture of an axis: points, fit and checks of each quantity."""
+"""Plots an axis: points, fit and check points of each quantity."""
 
 from __future__ import annotations
 
@@ -9,17 +9,17 @@
 from benchmarks.slopes import fit
 
 UNPLOTTED_WORDS = ("a", "an", "share", "refused", "waited", "p99", "delivered")
-"""Words in the names of quantities that are quotients or of little interest."""
+"""Quantities with one of these words in their name are not plotted: they are quotients or of little interest."""
 MAX_COLUMNS = 4
 CURVE_STEPS = 50
 DOTS_PER_INCH = 55
 COLOURS = 12
-"""Few colours: the picture is kept with the code."""
+"""Number of colours in the image; it is small because the file is committed with the code."""
 
 
 @dataclass(frozen=True, slots=True)
 class Panel:
-    """One small picture: a quantity of a series, both as the result has them."""
+    """One small plot: a quantity of a series, with the series and the fit in the form of the result document."""
 
     series_name: str
     series: dict[str, Any]
@@ -28,7 +28,7 @@
 
 
 def plot_axis(result: dict[str, Any], file: str) -> None:
-    """Draw one small picture for each quantity of each series into a PNG file; nothing if there is none."""
+    """Draw one small plot for each quantity of each series into a PNG file; without quantities, no file is written."""
     import matplotlib
     from PIL import Image
 
--- a/benchmarks/slopes/processes.py
+++ b/benchmarks/slopes/processes.py
@@ -1,4 +1,4 @@
-"""A real relay process beside the platform emulator: started, asked, measured from outside, ended."""
+"""Runs a real relay process and the platform emulator, submits messages, and measures the relay from outside."""
 
 from __future__ import annotations
 
@@ -30,24 +30,24 @@
 LIMITS = {"sockets": 4096, "memory_mb": 4096, "disk_mb": 4096}
 START_TIMEOUT_S = 60.0
 READY_TIMEOUT_S = 0.4
-"""Of one question whether a relay is ready."""
+"""Timeout of one request that asks whether a relay is ready."""
 READY_POLL_S = 0.01
 EXIT_TIMEOUT_S = 20
 LOG_TAIL_CHARS = 300
-"""Characters of the log in the error of a relay that has ended."""
+"""Number of characters from the end of the log that the error of an exited relay shows."""
 MAX_ANSWER_BYTES = 4096
-"""More than an answer of the relay has."""
+"""Upper bound of the size of a relay's answer."""
 OK = 200
 ACCEPTED = 202
 SUBMIT_INTERVAL_S = 0.005
 TEMPORARY_PREFIX = "linnetstile-slopes-"
-"""Of folders and files in the temporary directory."""
+"""Prefix of the names of temporary folders."""
 SUBMIT_AFTER_LISTED_S = 0.5
-"""`wait_until_listed` goes on for so long after a list is in force."""
+"""Time for which `wait_until_listed` continues to submit messages after the list is in force."""
 
 
 class PlatformProcess:
-    """The platform emulator, as a process of its own.
+    """The platform emulator in a separate process, which ends with the `with` block.
 
     Attributes:
         port: Loopback port of discovery.
@@ -55,7 +55,7 @@
     """
 
     def __init__(self) -> None:
-        """Start it."""
+        """Start the process, and wait for its ports."""
         self.process = subprocess.Popen(
             [sys.executable, "-m", "benchmarks.slopes.platform_emulator"],
             text=True,
@@ -85,12 +85,12 @@
         rate: float = LISTED_RATE,
         changed: list[commands.Entry] | None = None,
     ) -> int:
-        """Set the full list, which counts for whoever watches from now on; returns its bytes."""
+        """Set the full list for watches that are opened from now on; returns its size in bytes."""
         command = commands.SetList(count, endpoints_per_destination, rate, self.endpoint_address, changed or [])
         return commands.ListSet(**self._send(command)).size_bytes
 
     def change(self, entries: list[commands.Entry]) -> commands.ChangeSent:
-        """Send changes in one object to all that watch."""
+        """Send all changes in one object to every watch."""
         return commands.ChangeSent(**self._send(commands.ChangeEntries(entries)))
 
     def cut_watches(self, entries: list[commands.Entry]) -> None:
@@ -98,15 +98,15 @@
         self._send(commands.CutWatches(entries))
 
     def track_calls(self, is_on: bool) -> None:
-        """Begin or end to note when first calls come."""
+        """Start or stop recording the time of each message's first call."""
         self._send(commands.TrackCalls(is_on))
 
     def first_calls(self) -> dict[str, float]:
-        """By message identifier, when its first call came, in seconds of the monotonic clock."""
+        """Time of each message's first call by message identifier, in seconds of the monotonic clock."""
         return commands.FirstCalls(**self._send(commands.GetFirstCalls())).at_s
 
     def counts(self) -> commands.PlatformCounts:
-        """What the platform has counted so far."""
+        """Counts of the platform since its start."""
         return commands.PlatformCounts(**self._send(commands.GetCounts()))
 
     def __enter__(self) -> PlatformProcess:
@@ -120,7 +120,7 @@
 
 
 def free_port() -> int:
-    """A loopback port that nobody listens on."""
+    """Return a loopback port that no process listens on."""
     with socket.socket() as sock:
         sock.bind(("127.0.0.1", 0))
         return int(sock.getsockname()[1])
@@ -132,7 +132,7 @@
 
 
 class RelayProcess:
-    """`python -m linnetstile.platform_relay` with a folder of its own."""
+    """A process of `python -m linnetstile.platform_relay` with a separate folder; both end with the `with` block."""
 
     def __init__(
         self, platform: PlatformProcess, known: list[commands.Entry], state: Path | None = None, **settings: Any
@@ -140,10 +140,10 @@
         """Start a relay.
 
         Args:
-            platform: Where its discovery is.
-            known: The list of its configuration.
-            state: Folder that lasts; None = a new one.
-            settings: Settings other than the usual ones.
+            platform: The platform whose discovery the relay watches.
+            known: The list that the relay is configured with.
+            state: State folder, which is kept; None = a new one that is deleted at the end.
+            settings: Settings that replace those of `SETTINGS`.
         """
         self.folder = Path(tempfile.mkdtemp(prefix=TEMPORARY_PREFIX))
         self.port = free_port()
@@ -158,7 +158,7 @@
         self.pid = self.process.pid
 
     def _write_config(self, platform: PlatformProcess, known: list[commands.Entry], settings: dict[str, Any]) -> Path:
-        """Write the configuration to the folder; returns its file."""
+        """Write the configuration file to the folder; returns its path."""
         config = {
             "name": "n0",
             "listen": f"127.0.0.1:{self.port}",
@@ -173,10 +173,10 @@
         return file
 
     def wait_ready(self) -> float:
-        """Seconds from its start until it says that it is ready.
+        """Wait until the relay answers that it is ready; returns the seconds from its start.
 
         Raises:
-            RuntimeError: It has ended, or took too long.
+            RuntimeError: The process has exited, or was not ready within `START_TIMEOUT_S`.
         """
         while time.monotonic() - self.started_at < START_TIMEOUT_S:
             try:
@@ -186,12 +186,14 @@
             except OSError:
                 pass
             if self.process.poll() is not None:
-                raise RuntimeError(f"the node has ended: {self.log.read_text()[-LOG_TAIL_CHARS:]}")
+                raise RuntimeError(
+                    f"relay process exited before it was ready; log ends with: {self.log.read_text()[-LOG_TAIL_CHARS:]}"
+                )
             time.sleep(READY_POLL_S)
-        raise RuntimeError(f"not ready within {START_TIMEOUT_S:g} s")
+        raise RuntimeError(f"the relay process was not ready within {START_TIMEOUT_S:g} s")
 
     def resident_mb(self) -> float:
-        """Resident memory now, in MB."""
+        """Current resident memory, in MB."""
         return resident_mb(self.pid)
 
     def cpu_us(self) -> float:
@@ -210,7 +212,7 @@
 
 
 def submit_request(destination: int, identifier: str, body: bytes) -> bytes:
-    """The request that submits a message to a relay."""
+    """Return the request that submits a message to a relay."""
     return (
         f"POST /api HTTP/1.1\r\nHost: api.internal\r\nX-Correlation-Id: {identifier}\r\n"
         f"X-Service-Class: state\r\nX-Time-Left: 5000m\r\nEnvelope: dest={destination}\r\n"
@@ -219,10 +221,10 @@
 
 
 class HttpClient:
-    """One connection, one request at a time; asks again on a new one where the relay has closed it between two."""
+    """Sends one request at a time on a connection, and retries once on a new connection if the relay has closed it."""
 
     def __init__(self, port: int, timeout_s: float = 10.0) -> None:
-        """Connect to a loopback port; an answer that takes longer than the timeout is an OSError."""
+        """Connect to a loopback port; an answer that takes longer than the timeout raises OSError."""
         self.port = port
         self.timeout_s = timeout_s
         self.sent = 0
@@ -241,7 +243,7 @@
         """Send a request; returns the status of the answer.
 
         Raises:
-            OSError: There is no answer.
+            OSError: There was no answer within the timeout, or the relay closed two connections without one.
         """
         for _ in range(2):
             try:
@@ -254,7 +256,7 @@
             except ConnectionError:
                 pass
             self._reconnect()
-        raise ConnectionResetError("closed twice without an answer")
+        raise ConnectionResetError("the relay closed two connections in a row without an answer")
 
     def submit(self, destination: int, body: bytes = b"hello", identifier: str = "") -> int:
         """Submit a message; returns the status of the answer."""
@@ -271,11 +273,11 @@
 
 
 class ListWait(NamedTuple):
-    """How long it took until a destination was listed, and how long clients waited meanwhile.
+    """How long it took until a destination was listed, and the longest wait for an answer meanwhile.
 
     Attributes:
-        listed_s: Seconds until a message for it was accepted; None = never.
-        longest_wait_ms: The longest time that an answer was waited for until `AFTER_LIST_S` later.
+        listed_s: Seconds until a message for the destination was accepted; None = never.
+        longest_wait_ms: Longest wait for an answer, up to `SUBMIT_AFTER_LISTED_S` after that.
     """
 
     listed_s: float | None
@@ -283,7 +285,7 @@
 
 
 def wait_until_listed(client: HttpClient, destination: int, seconds: float) -> ListWait:
-    """Submit messages for a destination until one is accepted, and for `AFTER_LIST_S` more; at most `seconds`."""
+    """Submit messages for a destination until `SUBMIT_AFTER_LISTED_S` after one is accepted, at most for `seconds`."""
     started_at = time.monotonic()
     end = started_at + seconds
     longest_s = 0.0
--- a/benchmarks/slopes/queues.py
+++ b/benchmarks/slopes/queues.py
@@ -1,8 +1,11 @@
-"""Destinations that are down and have a queue, beside many that are up: what a message and an idle turn cost.
+"""Destinations that are down and have a queue, beside many that are up: processor time of a message and an idle turn.
 
-One simulated relay with its part of the target's load (2,391 events a second over all destinations, by chance, so that
-at 2,280 queues 1.9% of them are for those that are down); a call to one that is down is refused after 5 ms.
-`beside_target`: with so many up that all are 120,000; `beside_few`: with 1,024 up, which take that much more each.
+One simulated relay gets its share of the target's load: 2,391 events a second over all destinations at random, so that
+with 2,280 queues 1.9% of the events are for destinations that are down. A call to one of these is refused after 5 ms.
+
+`beside_target`: the destinations that are up and those that are down are 120,000 together.
+
+`beside_few`: 1,024 destinations are up. They take the same load, so that each takes more of it.
 """
 
 from __future__ import annotations
@@ -19,7 +22,7 @@
 EVENTS_PER_S = inside.FLEET_EVENTS_PER_S / inside.TARGET_RELAYS
 """Messages a second of one relay."""
 MESSAGES_A_QUEUE = 3
-"""Messages in each queue at the least."""
+"""Number of messages that are submitted for each queue before the measurement."""
 WARM_UP_MS = 12_000.0
 RUN_MS = 1_000.0
 DEADLINE_MS = 600_000.0
@@ -29,7 +32,7 @@
 
 
 def measure(queues: int, destinations: int) -> Measurements:
-    """The first `queues` destinations are down."""
+    """Measure the engine with `destinations` destinations, the first `queues` of which are down."""
     rng = random.Random(queues)
     fleet = _warmed_up_fleet(queues, destinations, rng)
     inside.freeze_live_objects()
@@ -51,7 +54,7 @@
 
 
 def _warmed_up_fleet(queues: int, destinations: int, rng: random.Random) -> SimulatedFleet:
-    """One relay that has filled the queues of the destinations that are down."""
+    """Return a fleet of one relay whose destinations that are down have their queues filled."""
     rate = inside.LISTED_RATE * TARGET_DESTINATIONS / destinations
     engine = inside.create_engine(destinations, rate=rate, deadline_ms=DEADLINE_MS)
 
@@ -59,17 +62,17 @@
         return (Outcome.CONNECT_FAILED, REFUSED_MS) if endpoint <= queues else (Outcome.OK, ANSWERED_MS)
 
     fleet = SimulatedFleet([engine], answer)
-    for number in range(queues * MESSAGES_A_QUEUE):  # as they come: not all in one moment
+    for number in range(queues * MESSAGES_A_QUEUE):  # spread over time, as messages arrive
         fleet.submit(rng.uniform(0.0, WARM_UP_MS / 3), 0, number % queues, DEADLINE_MS)
     fleet.run(WARM_UP_MS)
     return fleet
 
 
 def _submit_load(fleet: SimulatedFleet, queues: int, destinations: int, rng: random.Random) -> int:
-    """Submit the messages of the measured time, by chance for one that is down or up; returns how many."""
+    """Submit the messages of the measured time, each for a random destination; returns their number."""
     count = int(EVENTS_PER_S * RUN_MS / 1000)
     for at_ms in sorted(rng.uniform(WARM_UP_MS, WARM_UP_MS + RUN_MS) for _ in range(count)):
-        is_down = rng.random() < queues / TARGET_DESTINATIONS  # also where there are fewer that are up
+        is_down = rng.random() < queues / TARGET_DESTINATIONS  # the target's share, whatever `destinations` is
         destination = rng.randrange(queues) if is_down else rng.randrange(queues, destinations)
         fleet.submit(at_ms, 0, destination, DEADLINE_MS)
     return count
--- a/benchmarks/slopes/relays.py
+++ b/benchmarks/slopes/relays.py
@@ -1,12 +1,15 @@
-"""Simulated relays: what each learns of an outage, what all send to destinations that warm up, and their gossip.
-
-`outage`: so many engines on one simulated clock share the same load (9.2 events a second for each destination, over
-all relays); 6 of 24 destinations are out for 100 s and return warming up. Counted are calls, against the budget of the
-time (N calls in any second while it warms up; beyond it 2 * sqrt(N) + 2 are put down to chance). Gossip: platform
-relays (linnetstile.platform_relay) have none; AS2 relays poll each other (as2_relay/gossip_polling.py). `asks`:
-membership alone on a simulated clock: polls a second, and how long until a relay has polled one of the hundredth of all
-that know of an outage. `document`: a relay's gossip document in bytes and processor time, by the number of destinations
-that it has called.
+"""Simulated relays: how they learn of an outage, how much they call destinations in slow start, and their gossip.
+
+`outage`: a number of engines on one simulated clock share the same load (9.2 events a second for each destination, over
+all relays). 6 of 24 destinations are out for 100 s and return in slow start. The calls of each second in slow start are
+compared with the budget of N calls for that time; up to 2 * sqrt(N) + 2 calls beyond it are attributed to chance.
+These are platform relays (linnetstile.platform_relay), which have no gossip.
+
+`asks`: membership alone on a simulated clock, as AS2 relays poll each other (as2_relay/gossip_polling.py). Measured are
+the polls a second, and the time until a relay has polled one of the 1% of relays that know of an outage.
+
+`document`: bytes and processor time of an AS2 relay's gossip document, by the number of destinations that the relay has
+called.
 """
 
 from __future__ import annotations
@@ -31,30 +34,30 @@
 
 DESTINATIONS = 24
 OUTAGE_DESTINATIONS = 6
-"""Destinations that are out for a while, the first ones."""
+"""Number of destinations that have an outage; they are the first ones."""
 EVENTS_PER_DESTINATION_S = 9.2
-"""Messages a second for one destination, from all relays."""
+"""Messages a second for one destination, from all relays together."""
 OUTAGE_BEGIN_MS = 60_000.0
 OUTAGE_END_MS = 160_000.0
 RUN_MS = 175_000.0
 SLOW_START_MS = 5000.0
 LATE_OUTAGE_MS = 50_000.0
-"""Calls of the last part of the outage count as late."""
+"""Length of the last part of the outage, whose calls count as late."""
 DEADLINE_MS = 30_000.0
 REFUSED_MS = 5.0
 ANSWERED_MS = 20.0
 
 POLL_MS = 5.0
 FIRST_POLL_MS = 500.0
-"""Relays begin to poll within this time."""
+"""Each relay begins to poll at a random time up to this one."""
 POLLS_BEGIN_MS = 60_000.0
-"""Polls count from then on; before, members get to know each other."""
+"""Polls are counted separately until this time, because members first poll all that they don't know yet."""
 POLLS_END_MS = 7_260_000.0
 PEERS_SENT = 4
 
 
 def slow_start_budget(since_ms: float) -> float:
-    """Calls that a destination takes in one second, so long after its return."""
+    """Return the calls that a destination accepts in one second in slow start, `since_ms` after its return."""
     safety = inside.SAFETY
     progress = min(1.0, since_ms / safety.slow_start_ms)
     share = safety.slow_start_fraction + (1 - safety.slow_start_fraction) * progress
@@ -62,11 +65,11 @@
 
 
 class BudgetUse(NamedTuple):
-    """The largest part of the budget that the calls of a second took.
+    """The largest ratio of the calls in a second to the budget of that second.
 
     Attributes:
-        worst: Of the budget.
-        with_chance: Of the budget with what is put down to chance.
+        worst: Ratio to the budget alone.
+        with_chance: Ratio to the budget plus the calls that are attributed to chance.
     """
 
     worst: float
@@ -74,7 +77,7 @@
 
 
 def worst_budget_use(call_times_ms: list[float]) -> BudgetUse:
-    """The largest part of the budget that the calls of a second took; times since the return, in order."""
+    """Return the largest budget use of any second; `call_times_ms` are sorted times since the destination's return."""
     worst = 0.0
     with_chance = 0.0
     first = 0
@@ -90,7 +93,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OutageCall:
-    """A call to a destination that is out, or has been."""
+    """A call to a destination during its outage or after it."""
 
     at_ms: float
     relay: int
@@ -99,12 +102,12 @@
 
 @dataclass(slots=True)
 class OutageEndpoints:
-    """The endpoints of the axis `outage`: the first `DOWN` are out for a while."""
+    """The endpoints of the series `outage`: the first `OUTAGE_DESTINATIONS` have an outage."""
 
     calls: list[OutageCall] = field(default_factory=list)
 
     def answer(self, relay: int, endpoint: int, now_ms: float) -> tuple[Outcome, float]:
-        """Answer a call, and record it if it is to one of those."""
+        """Answer a call, and record it if it is to one of these since the outage began."""
         if endpoint <= OUTAGE_DESTINATIONS and now_ms >= OUTAGE_BEGIN_MS:
             self.calls.append(OutageCall(now_ms, relay, endpoint - 1))
             if now_ms < OUTAGE_END_MS:
@@ -112,8 +115,8 @@
         return Outcome.OK, ANSWERED_MS
 
 
-def outage(relays: int) -> Measurements:
-    """So many relays that each learn of the outage by their own calls."""
+def measure_outage(relays: int) -> Measurements:
+    """Measure a number of relays that each learn of an outage only by their own calls."""
     rng = random.Random(relays)
     endpoints = OutageEndpoints()
     engines = [
@@ -138,7 +141,7 @@
 
 
 def _during_outage(calls: list[OutageCall], relays: int) -> Measurements:
-    """When relays learned of the outage, and their calls in it."""
+    """Measure when relays learned of the outage, and their calls during it."""
     outage_calls = [call for call in calls if call.at_ms < OUTAGE_END_MS]
     learned_after_ms: dict[tuple[int, int], float] = {}
     for call in outage_calls:
@@ -156,7 +159,7 @@
 
 
 def _after_return(calls: list[OutageCall]) -> Measurements:
-    """Calls to the destinations while they warmed up, against their budget."""
+    """Measure the calls to the destinations in slow start, and compare them with the budget."""
     by_destination = [
         sorted(
             call.at_ms - OUTAGE_END_MS
@@ -175,18 +178,18 @@
 
 
 class PollSimulation:
-    """Members that each know all others, on a simulated clock; a poll takes 5 ms.
+    """Members that all know each other's address, on a simulated clock; a poll takes 5 ms.
 
     Attributes:
         names: Addresses of the members.
-        informed: Those that know of an outage.
-        first_polls: Polls in the first minute.
-        polls: Polls after it.
-        heard_s: By member, seconds after the first minute until it has polled one that is informed.
+        informed: Addresses of the members that know of an outage.
+        first_polls: Number of polls in the first minute.
+        polls: Number of polls after the first minute.
+        heard_s: By member, seconds from the end of the first minute until it has polled an informed member.
     """
 
     def __init__(self, relays: int) -> None:
-        """Prepare so many members, a hundredth of which are informed."""
+        """Create `relays` members, 1% of which (at least one) are informed."""
         rng = random.Random(relays)
         self.names = [f"10.0.{number >> 8}.{number & 255}:80" for number in range(relays)]
         self.informed = set(rng.sample(self.names, max(1, relays // 100)))
@@ -198,7 +201,7 @@
         heapq.heapify(self._queue)
 
     def run(self) -> None:
-        """Poll until `POLLS_END_MS`."""
+        """Simulate polls until `POLLS_END_MS`."""
         while self._queue[0][0] < POLLS_END_MS:
             now_ms, name = heapq.heappop(self._queue)
             member = self._members[name]
@@ -217,8 +220,8 @@
             self.heard_s.setdefault(name, (now_ms - POLLS_BEGIN_MS) / 1000)
 
 
-def polls(relays: int) -> Measurements:
-    """So many members: the first ones are polled within a minute, then it counts for two hours."""
+def measure_polls(relays: int) -> Measurements:
+    """Measure the polls of a number of members in the first minute, and in the two hours after it."""
     simulation = PollSimulation(relays)
     simulation.run()
     uninformed = [name for name in simulation.names if name not in simulation.informed]
@@ -233,8 +236,8 @@
     return measurements
 
 
-def gossip_document(routes: int) -> Measurements:
-    """A gossip document and the reading of one."""
+def measure_gossip_document(routes: int) -> Measurements:
+    """Measure encoding and parsing a gossip document."""
     from linnetstile.as2_relay.gossip_document import parse
 
     async def measure() -> Measurements:
@@ -264,7 +267,7 @@
 
 
 def _gossip_of_engine(routes: int) -> GossipService:
-    """Gossip of a relay that has called so many destinations. Touches as2_relay/gossip_service.py."""
+    """Return the gossip service of a relay that has called `routes` destinations. Uses as2_relay/gossip_service.py."""
     from linnetstile.as2_relay.gossip_service import GossipService
     from linnetstile.config.relay import KnowledgeSettings
 
@@ -285,7 +288,7 @@
 
 
 SERIES = {
-    "outage": Series("relays", (20, 60, 120, 240), (460,), outage, 1),
-    "asks": Series("relays", (20, 60, 120, 240), (460,), polls, 1),
-    "document": Series("destinations called", (1000, 2500, 5000, 10_000), (20_000, 40_000), gossip_document, 1),
+    "outage": Series("relays", (20, 60, 120, 240), (460,), measure_outage, 1),
+    "asks": Series("relays", (20, 60, 120, 240), (460,), measure_polls, 1),
+    "document": Series("destinations called", (1000, 2500, 5000, 10_000), (20_000, 40_000), measure_gossip_document, 1),
 }
--- a/benchmarks/slopes/series.py
+++ b/benchmarks/slopes/series.py
@@ -1,4 +1,4 @@
-"""What one axis consists of: series of points, and the quantities that a point measures."""
+"""Types of an axis: series of points, and the quantities that are measured at a point."""
 
 from __future__ import annotations
 
@@ -6,20 +6,20 @@
 from dataclasses import dataclass
 
 Measurements = dict[str, float | str]
-"""By quantity, with its unit at the end of the name; a text says why there is no number."""
+"""Value by name of the quantity, which ends with the unit; a text instead of a number gives the reason for its lack."""
 
 
 @dataclass(frozen=True, slots=True)
 class Series:
-    """One thing that grows, and what is measured as it does.
+    """Measurements at several sizes of one variable.
 
     Attributes:
         unit: What a size counts.
         points: Sizes that are fitted.
-        checks: Sizes that are not fitted: their values stand beside the forecast.
-        measure: Measures one size.
-        rounds: Measurements of each size; the least counts, as other load only adds.
-        note: Remark for the result.
+        checks: Sizes that are left out of the fit and compared with its forecast.
+        measure: Function that measures one size.
+        rounds: Measurements of each size; the minimum is used, as other load on the machine only adds to a value.
+        note: Remark for the result document.
     """
 
     unit: str
--- a/benchmarks/slopes/simulated_fleet.py
+++ b/benchmarks/slopes/simulated_fleet.py
@@ -1,4 +1,4 @@
-"""Simulated relays: the engine alone, many to a process, on a simulated clock and without sockets."""
+"""Simulated relays: many engines in one process, on a simulated clock and without sockets."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 from linnetstile.engine.events import AttemptEnded, Event, Message, Outcome, TimerFired
 
 EndpointAnswer = Callable[[int, int, float], tuple[Outcome, float]]
-"""What an endpoint does with a call: relay, endpoint, when its last byte comes -> outcome and time it takes in ms."""
+"""Function that answers a call: (relay, endpoint, time of the call) -> (outcome, duration of the call); times in ms."""
 
 
 @dataclass(slots=True)
 class TurnCost:
-    """Turns of one kind, and their processor time in seconds."""
+    """Number of engine turns for one kind of event, and their processor time in seconds."""
 
     turns: int = 0
     seconds: float = 0.0
@@ -34,26 +34,26 @@
 
 
 class SimulatedFleet:
-    """Events in the order of their time, and what each relay does with them. Times in simulated ms.
+    """Runs the engines of several relays on events in the order of their time, in simulated ms.
 
     Attributes:
         relays: The engines.
-        answer: What endpoints answer.
-        now_ms: Time of the last event.
-        costs: Processor time by name of the event.
-        outcomes: Messages that have ended, by how.
+        answer: Function that answers the calls.
+        now_ms: Time of the last event, or the end of the last run.
+        costs: Turns and their processor time, by type name of the event.
+        outcomes: Number of messages that have ended, by outcome.
     """
 
     def __init__(self, relays: list[DeliveryEngine], answer: EndpointAnswer) -> None:
-        """Make a fleet of these engines, at time 0."""
+        """Create a fleet of these engines, at time 0."""
         self.relays = relays
         self.answer = answer
         self.now_ms = 0.0
         self.queue: list[ScheduledEvent] = []
         self.serial = 0
         self.last_message = 0
-        self.timer_serials = [0] * len(relays)  # of the timer that counts
-        self.attempts: dict[int, int] = {}  # message -> attempts
+        self.timer_serials = [0] * len(relays)  # by relay, serial number of its current timer
+        self.attempts: dict[int, int] = {}  # message -> number of attempts so far
         self.destinations: dict[int, int] = {}  # message -> destination
         self.costs: dict[str, TurnCost] = {}
         self.outcomes: dict[str, int] = {}
@@ -72,7 +72,7 @@
         self.schedule(at_ms, relay, Message(self.last_message, destination, 0, remaining_ms))
 
     def run(self, until_ms: float) -> None:
-        """Play all events up to a time."""
+        """Handle all events up to a time."""
         while self.queue and self.queue[0].at_ms <= until_ms:
             self.now_ms, serial, relay, event = heapq.heappop(self.queue)
             if not isinstance(event, TimerFired) or self.timer_serials[relay] == serial:
@@ -80,7 +80,7 @@
         self.now_ms = until_ms
 
     def handle(self, relay: int, event: Event) -> None:
-        """Let a relay handle one event, and play its actions."""
+        """Let a relay handle one event, and execute the resulting actions."""
         cost = self.costs.setdefault(type(event).__name__, TurnCost())
         started_at = time.process_time()
         actions = self.relays[relay].handle(self.now_ms, [event])
@@ -101,13 +101,13 @@
                 self.finish(message_id, type(action).__name__.lower())
 
     def finish(self, message_id: int, outcome: str) -> None:
-        """Count the end of a message."""
+        """Record the outcome of a message."""
         self.outcomes[outcome] = self.outcomes.get(outcome, 0) + 1
         del self.attempts[message_id]
         del self.destinations[message_id]
 
     def send(self, relay: int, send: Send) -> None:
-        """Play a call: schedule its end."""
+        """Simulate a call: schedule its end."""
         outcome, elapsed_ms = self.answer(relay, send.endpoint, self.now_ms)
         if self.now_ms + elapsed_ms > send.timeout_at_ms:
             outcome, elapsed_ms = Outcome.TIMEOUT, max(0.0, send.timeout_at_ms - self.now_ms)
@@ -118,10 +118,10 @@
         self.schedule(self.now_ms + elapsed_ms, relay, ended)
 
     def cpu_us(self, *kinds: str) -> float:
-        """Processor time in microseconds of events of these names, of all if none is named."""
+        """Processor time in microseconds of the events with these type names, or of all events if none is given."""
         return 1e6 * sum(cost.seconds for kind, cost in self.costs.items() if not kinds or kind in kinds)
 
     def reset(self) -> None:
-        """Forget costs and outcomes so far."""
+        """Reset costs and outcomes."""
         self.costs = {}
         self.outcomes = {}
--- a/benchmarks/slopes/timing.py
+++ b/benchmarks/slopes/timing.py
@@ -1,4 +1,4 @@
-"""Processor time of a step, and the calibration loop that makes times of different machines comparable."""
+"""Processor time of a step, and the reference loop that makes processor times of different machines comparable."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from benchmarks.slopes.series import Measurements
 
 REFERENCE_LOOP = "reference_loop_us"
-"""Name of the quantity that every point has beside its own."""
+"""Name of the quantity that is added to the measurements of every point."""
 REFERENCE_ROUNDS = 25
 REFERENCE_ITEMS = 2000
 REFERENCE_STEPS = 20_000
@@ -25,9 +25,9 @@
 
 
 def reference_loop_us() -> float:
-    """Processor time of one calibration loop in microseconds, the best of some rounds.
+    """Measure the processor time of one reference loop in microseconds, as the minimum over `REFERENCE_ROUNDS`.
 
-    Its work is attribute and dict access in Python, as the program's is. It measures the machine, not the program.
+    The loop measures the machine, not the program. Like the program, it mostly accesses attributes and dicts.
     """
     best = float("inf")
     for _ in range(REFERENCE_ROUNDS):
@@ -40,14 +40,14 @@
 
 
 def with_reference_loop(measure: Callable[[], Measurements]) -> Measurements:
-    """A point with the calibration loop right before and after it."""
+    """Measure a point, and add the faster of two reference loops that run right before and after it."""
     before = reference_loop_us()
     measurements = measure()
     return measurements | {REFERENCE_LOOP: min(before, reference_loop_us())}
 
 
 def processor_time_us(step: Callable[[], Any], rounds: int = 1) -> float:
-    """Processor time of a step in microseconds, the best of some rounds."""
+    """Measure the processor time of a step in microseconds, as the minimum over `rounds`."""
     best = float("inf")
     for _ in range(rounds):
         started_at = time.process_time()
--- a/tests/test_slopes.py
+++ b/tests/test_slopes.py
@@ -1,4 +1,4 @@
-"""benchmarks/slopes: fits of a curve, forecasts by them, and the judgement of a series."""
+"""benchmarks/slopes: fits of curves, forecasts from them, and the evaluation of a series."""
 
 from __future__ import annotations
 
@@ -39,10 +39,10 @@
 
 def test_deviations_are_weighted_relative_to_the_value() -> None:
     line = fit.fit_form("linear", SIZES, [1.1 * 20, 256.0, 1024.0, 1.1 * 4096])
-    assert line.residual < 0.1  # unweighted, the largest value would pull the line off the least by half
+    assert line.residual < 0.1  # without weights, the line would miss the smallest value by half
 
 
-def test_zeros_are_fitted_by_a_constant_and_not_by_a_power() -> None:
+def test_zeros_are_fitted_by_a_constant_and_rejected_for_a_power() -> None:
     assert fit.best_fit(SIZES, [0.0] * 4) == fit.Fit("constant", 0.0, 0.0, 0.0)
     with pytest.raises(ValueError, match="above 0"):
         fit.fit_form("power", SIZES, [0.0, 1.0, 2.0, 3.0])
@@ -67,7 +67,7 @@
     assert abs(fitted_intercept + fitted_slope * xs[0] - (intercept + slope * xs[0])) <= 1e-6 * magnitude
 
 
-def test_least_number_of_the_rounds_counts_and_a_text_only_without_one() -> None:
+def test_minimum_of_the_rounds_is_used_and_a_text_only_without_any_number() -> None:
     assert least_of_rounds([{"a_us": 3.0, "b": "refused"}, {"a_us": 2.0, "b": 4.0}, {"a_us": 5.0, "c": "refused"}]) == {
         "a_us": 2.0,
         "b": 4.0,
@@ -76,7 +76,7 @@
 
 
 def make_series(check_sizes: tuple[int, ...] = ()) -> Series:
-    """Return a series whose measurements are made by the test."""
+    """Return a series that is fitted over `FITTED_SIZES`; tests supply the measurements themselves."""
     return Series("things", FITTED_SIZES, check_sizes, lambda size: {})
 
 
@@ -101,12 +101,12 @@
     fitted = fit_quantities(make_series(), points)
     add_reference_loops(fitted, 50.0)
     assert fitted["x_us"]["in_loops"] == {"a": 2.0, "b": 0.04}
-    assert fitted["y_us_a_z"]["in_loops"] == {"a": 0.02, "b": 1.5}  # the power is no time
+    assert fitted["y_us_a_z"]["in_loops"] == {"a": 0.02, "b": 1.5}  # the exponent b has no unit of time
     assert "in_loops" not in fitted["z_bytes"]
     assert REFERENCE_LOOP not in fitted
 
 
-def test_rejected_points_are_left_out_and_two_points_make_no_fit() -> None:
+def test_points_without_a_number_are_left_out_and_two_points_are_not_fitted() -> None:
     series = make_series()
     points: dict[int, Measurements] = {10: {"x": 1.0}, 20: {"x": 2.0}, 40: {"x": "refused"}, 80: {"x": "refused"}}
     assert fit_quantities(series, points) == {}
@@ -120,4 +120,6 @@
     worst_ratio, ratio_with_chance = worst_budget_use([0.0] * 16)
     assert worst_ratio == pytest.approx(2.0)
     assert ratio_with_chance == pytest.approx(16 / (8 + 2 * 8**0.5 + 2))
-    assert worst_budget_use([0.0, 1000.0])[0] == pytest.approx(1 / 8)  # a second later is another window
+    assert worst_budget_use([0.0, 1000.0])[0] == pytest.approx(
+        1 / 8
+    )  # calls one second apart fall into different windows
