--- a/benchmarks/slopes/destination_lists.py
+++ b/benchmarks/slopes/destination_lists.py
@@ -80,9 +80,8 @@
     )
     if isinstance(text_us, float) and isinstance(directory_us, float) and isinstance(longest_us, float):
         measurements["all_us_an_endpoint"] = (text_us + directory_us + engine_us) / count / endpoints_per_destination
-        measurements["longest_step_us"] = max(
-            longest_us, *turns_us
-        )  # the engine's turn is separate from the directory's step
+        # The engine's turn is separate from the directory's step, so that the two are not added up.
+        measurements["longest_step_us"] = max(longest_us, *turns_us)
     events.clear()
     return measurements | SteadyState(engine, count, endpoints_per_destination).measure()
 
--- a/benchmarks/slopes/destinations.py
+++ b/benchmarks/slopes/destinations.py
@@ -179,12 +179,12 @@
     return measurements
 
 
-TWO_ENDPOINTS = "destinations of two endpoints"
+TWO_ENDPOINTS_UNIT = "destinations of two endpoints"
 SERIES = {
     "memory": Series("destinations", SMALL_SIZES, TARGET_SIZES, measure_memory, 1),
-    "memory_two": Series(TWO_ENDPOINTS, SMALL_SIZES, HALF_OF_TARGET, lambda count: measure_memory(count, 2), 1),
+    "memory_two": Series(TWO_ENDPOINTS_UNIT, SMALL_SIZES, HALF_OF_TARGET, lambda count: measure_memory(count, 2), 1),
     "list": Series("destinations", SIZES, TARGET_SIZES, measure_reading, 2),
-    "list_two": Series(TWO_ENDPOINTS, SIZES[:-1], TARGET_SIZES, lambda count: measure_reading(count, 2), 1),
+    "list_two": Series(TWO_ENDPOINTS_UNIT, SIZES[:-1], TARGET_SIZES, lambda count: measure_reading(count, 2), 1),
     "connections": Series("connections kept", (40, 80, 120, 160), (220,), measure_connections, 1),
     "node": Series("destinations", SIZES[:-1], (50_000, 60_000, 120_000), measure_relay, 1),
 }
--- a/benchmarks/slopes/events.py
+++ b/benchmarks/slopes/events.py
@@ -3,8 +3,8 @@
 `rate_kept`: events are submitted at a fixed rate over 20 destinations, whose connections are reused. Measured is the
 processor time of the relay and of the pass-through (benchmarks/pass_through.py) for the same requests in the same run.
 
-`rate_fresh`: the same over 20,000 destinations in turn, so that each call opens a connection. At the target it is so
-too, as one relay calls a destination every 50 s.
+`rate_fresh`: the same over 20,000 destinations in turn, so that each call opens a connection. This is the case at the
+target, where one relay calls a destination only every 50 s.
 
 `closed`, `closed_fresh`: the same in a closed loop of clients, each with one outstanding message: the largest
 throughput.
@@ -94,7 +94,7 @@
         self.rate = rate
         self.clients = clients
         self.requests = requests(destinations)
-        self.idle: list[LoadConnection] = []
+        self.idle_connections: list[LoadConnection] = []
         self.is_stopped = False
         self.reset()
 
@@ -111,7 +111,7 @@
         else:
             self.rejected += 1
         if self.rate or self.is_stopped:
-            self.idle.append(connection)
+            self.idle_connections.append(connection)
         else:
             connection.send_next()
 
@@ -127,38 +127,39 @@
         elapsed_s = time.perf_counter() - started_at
         self.is_stopped = True
         deadline = time.perf_counter() + LAST_ANSWER_TIMEOUT_S
-        while len(self.idle) < self.clients and time.perf_counter() < deadline:  # noqa: ASYNC110 (see _send_at_rate)
+        # Polls instead of waiting for an event, for the reason given in `_send_at_rate`.
+        while len(self.idle_connections) < self.clients and time.perf_counter() < deadline:  # noqa: ASYNC110
             await asyncio.sleep(ANSWER_POLL_S)
         return elapsed_s
 
     async def _connect(self) -> None:
         loop = asyncio.get_running_loop()
-        for _ in range(self.clients - len(self.idle)):
+        for _ in range(self.clients - len(self.idle_connections)):
             _, connection = await loop.create_connection(lambda: LoadConnection(self), "127.0.0.1", self.port)
-            self.idle.append(connection)
+            self.idle_connections.append(connection)
 
     async def _send_at_rate(self, started_at: float, seconds: float) -> None:
         for number in range(int(self.rate * seconds)):
             wait_s = started_at + number / self.rate - time.perf_counter()
             if wait_s > 0 or number % REQUESTS_BETWEEN_YIELDS == 0:
                 await asyncio.sleep(max(0.0, wait_s))
-            while not self.idle:  # noqa: ASYNC110 (an event would add measured processor time to each answer)
+            while not self.idle_connections:  # noqa: ASYNC110 (an event would add measured CPU time to each answer)
                 self.waits_for_connection += 1
                 await asyncio.sleep(IDLE_CONNECTION_POLL_S)
-            self.idle.pop(0).send_next()
+            self.idle_connections.pop(0).send_next()
 
     async def _send_in_closed_loop(self, seconds: float) -> None:
-        connections = self.idle
-        self.idle = []
+        connections = self.idle_connections
+        self.idle_connections = []
         for connection in connections:
             connection.send_next()
         await asyncio.sleep(seconds)
 
     def close(self) -> None:
         """Close all connections."""
-        for connection in self.idle:
+        for connection in self.idle_connections:
             connection.transport.close()
-        self.idle = []
+        self.idle_connections = []
 
 
 def run_load(port: int, pid: int, destinations: int, rate: float, clients: int) -> Measurements:
--- a/benchmarks/slopes/processes.py
+++ b/benchmarks/slopes/processes.py
@@ -227,7 +227,7 @@
         """Connect to a loopback port; an answer that takes longer than the timeout raises OSError."""
         self.port = port
         self.timeout_s = timeout_s
-        self.sent = 0
+        self.sent_count = 0
         self.socket = self._connect()
 
     def _connect(self) -> socket.socket:
@@ -260,8 +260,8 @@
 
     def submit(self, destination: int, body: bytes = b"hello", identifier: str = "") -> int:
         """Submit a message; returns the status of the answer."""
-        self.sent += 1
-        return self.request(submit_request(destination, identifier or f"c{id(self):x}-{self.sent}", body))
+        self.sent_count += 1
+        return self.request(submit_request(destination, identifier or f"c{id(self):x}-{self.sent_count}", body))
 
     def __enter__(self) -> HttpClient:
         return self
--- a/benchmarks/slopes/queues.py
+++ b/benchmarks/slopes/queues.py
@@ -5,7 +5,7 @@
 
 `beside_target`: the destinations that are up and those that are down are 120,000 together.
 
-`beside_few`: 1,024 destinations are up. They take the same load, so that each takes more of it.
+`beside_few`: 1,024 destinations are up. The load is the same, so that each of them gets and accepts more of it.
 """
 
 from __future__ import annotations
--- a/benchmarks/slopes/relays.py
+++ b/benchmarks/slopes/relays.py
@@ -2,8 +2,8 @@
 
 `outage`: a number of engines on one simulated clock share the same load (9.2 events a second for each destination, over
 all relays). 6 of 24 destinations are out for 100 s and return in slow start. The calls of each second in slow start are
-compared with the budget of N calls for that time; up to 2 * sqrt(N) + 2 calls beyond it are attributed to chance.
-These are platform relays (linnetstile.platform_relay), which have no gossip.
+compared with the budget of N calls for that time; up to 2 * sqrt(N) + 2 calls beyond it are attributed to chance. The
+engines exchange no gossip, as platform relays (linnetstile.platform_relay) have none.
 
 `asks`: membership alone on a simulated clock, as AS2 relays poll each other (as2_relay/gossip_polling.py). Measured are
 the polls a second, and the time until a relay has polled one of the 1% of relays that know of an outage.
