--- a/benchmarks/slopes/judgement.py
+++ b/benchmarks/slopes/judgement.py
@@ -10,7 +10,7 @@
 from benchmarks.slopes.timing import REFERENCE_LOOP
 
 MIN_FIT_POINTS = 3
-"""Minimum number of points for a fit: two points are met exactly by any line, so they say nothing about its form."""
+"""Minimum number of points for a fit: a line passes exactly through any two points, so they can't show how it fits."""
 
 
 def least_of_rounds(rounds: list[Measurements]) -> Measurements:
--- a/benchmarks/slopes/series.py
+++ b/benchmarks/slopes/series.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 
 Measurements = dict[str, float | str]
-"""Value by name of the quantity, which ends with the unit; a text instead of a number gives the reason for its lack."""
+"""Value by name of the quantity, which ends with the unit; a text says why there is no number."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/tests/test_slopes.py
+++ b/tests/test_slopes.py
@@ -120,6 +120,4 @@
     worst_ratio, ratio_with_chance = worst_budget_use([0.0] * 16)
     assert worst_ratio == pytest.approx(2.0)
     assert ratio_with_chance == pytest.approx(16 / (8 + 2 * 8**0.5 + 2))
-    assert worst_budget_use([0.0, 1000.0])[0] == pytest.approx(
-        1 / 8
-    )  # calls one second apart fall into different windows
+    assert worst_budget_use([0.0, 1000.0])[0] == pytest.approx(1 / 8)  # one second apart: different windows
