--- a/linnetstile/engine/attempt_outcome.py
+++ b/linnetstile/engine/attempt_outcome.py
@@ -86,33 +86,29 @@
 
 
 VERDICT_BY_WIRE_RESULT = {
-    WireResult.NOT_SENT: AttemptVerdict(Outcome.NOT_SENT, "this relay did not send the last byte of the request"),
-    WireResult.NO_CONNECTION: AttemptVerdict(Outcome.CONNECT_FAILED, "no connection was established"),
+    WireResult.NOT_SENT: AttemptVerdict(Outcome.NOT_SENT, "its last byte never left, by our own will or want"),
+    WireResult.NO_CONNECTION: AttemptVerdict(Outcome.CONNECT_FAILED, "no connection was made"),
     # RFC 9112, 8: an incomplete request can't be acted on, so it counts as an attempt without a connection.
     WireResult.REQUEST_INCOMPLETE: AttemptVerdict(
-        Outcome.CONNECT_FAILED, "ended before the request was complete: no effect is possible"
+        Outcome.CONNECT_FAILED, "ended before the request was whole: nothing can have run"
     ),
-    WireResult.CONNECTION_LOST: AttemptVerdict(
-        Outcome.RESET, "connection lost after bytes were sent: may have taken effect"
-    ),
-    WireResult.TIMED_OUT: AttemptVerdict(Outcome.TIMEOUT, "no answer before the timeout: may have taken effect"),
-    WireResult.MALFORMED: AttemptVerdict(Outcome.RESET, "the answer is not HTTP: may have taken effect"),
-    WireResult.CANCELLED: AttemptVerdict(Outcome.CANCELLED, "cancelled: may have taken effect"),
+    WireResult.CONNECTION_LOST: AttemptVerdict(Outcome.RESET, "connection lost after a byte had left: may have run"),
+    WireResult.TIMED_OUT: AttemptVerdict(Outcome.TIMEOUT, "no answer in time: may have run"),
+    WireResult.MALFORMED: AttemptVerdict(Outcome.RESET, "the answer is not HTTP: may have run"),
+    WireResult.CANCELLED: AttemptVerdict(Outcome.CANCELLED, "cancelled: may have run"),
 }
 VERDICT_BY_RECEIPT = {
-    ReceiptStatus.NOT_REQUESTED: AttemptVerdict(Outcome.OK, "accepted; no receipt was requested", is_final=True),
-    ReceiptStatus.POSITIVE: AttemptVerdict(Outcome.OK, "the receipt is valid and positive", is_final=True),
+    ReceiptStatus.NOT_REQUESTED: AttemptVerdict(Outcome.OK, "taken; no receipt was asked for", is_final=True),
+    ReceiptStatus.POSITIVE: AttemptVerdict(Outcome.OK, "receipt holds", is_final=True),
     # An earlier attempt took effect, of this relay or of one before it: delivered (RFC 4130, 7.5.4).
     ReceiptStatus.DUPLICATE: AttemptVerdict(Outcome.OK, "processed before: duplicate-document", is_final=True),
     # The destination is healthy and has given its final answer on this message, which is passed on as it is.
-    ReceiptStatus.NEGATIVE: AttemptVerdict(
-        Outcome.OK, "the receipt says that the message was not processed", is_final=True
-    ),
+    ReceiptStatus.NEGATIVE: AttemptVerdict(Outcome.OK, "receipt says not processed", is_final=True),
     # Without a valid receipt for this message and content, it is unknown which bytes were processed, and how.
-    ReceiptStatus.MISSING: AttemptVerdict(Outcome.ERROR, "2xx without the requested receipt: may have taken effect"),
-    ReceiptStatus.UNVERIFIED: AttemptVerdict(Outcome.ERROR, "receipt not signed by the partner: may have taken effect"),
-    ReceiptStatus.OTHER_MESSAGE: AttemptVerdict(Outcome.ERROR, "receipt of another message: may have taken effect"),
-    ReceiptStatus.WRONG_MIC: AttemptVerdict(Outcome.ERROR, "receipt for other content: may have taken effect"),
+    ReceiptStatus.MISSING: AttemptVerdict(Outcome.ERROR, "2xx without the receipt asked for: may have run"),
+    ReceiptStatus.UNVERIFIED: AttemptVerdict(Outcome.ERROR, "receipt not signed by the partner: may have run"),
+    ReceiptStatus.OTHER_MESSAGE: AttemptVerdict(Outcome.ERROR, "receipt of another message: may have run"),
+    ReceiptStatus.WRONG_MIC: AttemptVerdict(Outcome.ERROR, "receipt for other content: may have run"),
 }
 
 
@@ -130,17 +126,15 @@
     if 200 <= status < 300:
         return VERDICT_BY_RECEIPT[observation.receipt]
     if not observation.request_complete:
-        return AttemptVerdict(
-            Outcome.CONNECT_FAILED, f"{status} before the request was complete: no effect is possible"
-        )
-    return AttemptVerdict(Outcome.ERROR, f"{status}: may have taken effect")
+        return AttemptVerdict(Outcome.CONNECT_FAILED, f"{status} before the request was whole: nothing can have run")
+    return AttemptVerdict(Outcome.ERROR, f"{status}: may have run")
 
 
 def _rejected(status: int, retry_after_ms: float | None) -> AttemptVerdict:
     wait_ms = min(max(retry_after_ms or 0.0, 0.0), MAX_RETRY_AFTER_MS)
-    reason = f"{status}: rejected"
+    reason = f"{status}: refused"
     if wait_ms:
-        reason += f", retry after {wait_ms:.0f} ms"
+        reason += f", wait {wait_ms:.0f} ms"
     return AttemptVerdict(Outcome.REJECTED, reason, retry_after_ms=wait_ms)
 
 
