--- a/benchmarks/cold_start.py
+++ b/benchmarks/cold_start.py
@@ -76,7 +76,12 @@
     partner = {"rate": PARTNER_RATE, "cold_ms": SAFETY["cold_ms"]}
     relays = OLD_RELAYS + new_relays
     async with RelayTestbed(
-        folder, relays=OLD_RELAYS, fleet=relays, faults=[outage], partner=partner, knowledge=gossip
+        folder,
+        relays=OLD_RELAYS,
+        configured_relay_count=relays,
+        faults=[outage],
+        partner=partner,
+        gossip_settings=gossip,
     ) as testbed:
         load_in_outage = asyncio.create_task(
             testbed.submit_evenly("safe", OUTAGE_MESSAGES_PER_S, OUTAGE_LOAD_S, OLD_RELAYS)
@@ -84,7 +89,7 @@
         await testbed.sleep_until(OUTAGE_S - START_BEFORE_RETURN_S)
         for _ in range(new_relays):
             peers = [relay.address for relay in testbed.relays[:OLD_RELAYS]]
-            await testbed.start_relay(knowledge=gossip | ({"peers": peers} if learning else {}))
+            await testbed.start_relay(gossip_settings=gossip | ({"peers": peers} if learning else {}))
         await testbed.sleep_until(OUTAGE_S)
         answers = await submit_messages(testbed, seconds, relays)
         await load_in_outage
--- a/benchmarks/relay_process.py
+++ b/benchmarks/relay_process.py
@@ -34,9 +34,9 @@
     """Run a relay until SIGTERM, and write a profile of it if a file is given."""
     from linnetstile.as2_relay.relay import As2Relay
     from linnetstile.config.relay import RelaySettings
-    from linnetstile.telemetry.log import logger
+    from linnetstile.telemetry.log import create_logger
 
-    log = logger(os.environ.get(LOG_LEVEL_VARIABLE, "warning"))
+    log = create_logger(os.environ.get(LOG_LEVEL_VARIABLE, "warning"))
     relay = As2Relay(RelaySettings.model_validate_json(settings), log)
     address = await relay.start()
     while relay.registry.version < 0:  # noqa: ASYNC110 (the relay has no event for its first list)
--- a/benchmarks/slopes/held.py
+++ b/benchmarks/slopes/held.py
@@ -26,8 +26,8 @@
 """Destinations that are down, as at the target."""
 BODY = bytes(range(33, 127)) * 2 + b"x" * 24  # 212 bytes
 HOUR_MS = 3_600_000.0
-MORE_MESSAGES = 1000
-FIRST_MORE = 10**7
+ADDITIONAL_MESSAGES = 1000
+FIRST_ADDITIONAL_MESSAGE = 10**7
 IDLE_TURNS = 9
 SETTLE_S = 1.0
 IDLE_S = 3.0
@@ -62,7 +62,9 @@
     found: Measurements = {"module_bytes": float(pending_bytes), "module_bytes_a_message": pending_bytes / count}
     tracemalloc.stop()
     inside.freeze_garbage()
-    more = [Message(FIRST_MORE + number, number % QUEUES, 0, HOUR_MS) for number in range(MORE_MESSAGES)]
+    more = [
+        Message(FIRST_ADDITIONAL_MESSAGE + number, number % QUEUES, 0, HOUR_MS) for number in range(ADDITIONAL_MESSAGES)
+    ]
     found["take_on_us"] = processor_time_us(lambda: [engine.handle(2.0, [event]) for event in more]) / len(more)
     return found
 
--- a/benchmarks/throughput.py
+++ b/benchmarks/throughput.py
@@ -230,7 +230,7 @@
 def make_identity() -> str:
     """Write a key and a certificate of the partner to a new file; returns the file's name."""
     file = Path(tempfile.mkdtemp(prefix="linnetstile-bench-")) / "p.pem"
-    file.write_bytes(cms.encode_identity(cms.make_identity("p")))
+    file.write_bytes(cms.encode_identity(cms.generate_identity("p")))
     return str(file)
 
 
--- a/linnetstile/as2_relay/admission.py
+++ b/linnetstile/as2_relay/admission.py
@@ -159,7 +159,7 @@
             retry_after_ms,
         )
 
-    def transfer(self, request: RequestContext) -> Reservation | None:
+    def take_reservation(self, request: RequestContext) -> Reservation | None:
         """Detach the reservation from a complete request and return it, for the message to hold from now on."""
         reservation = request.reservation
         request.reservation = None
@@ -176,7 +176,7 @@
     def request_ended(self, request: RequestContext) -> None:
         """Release the memory of a request that was answered, or that ended before it was complete."""
         self.waiting.pop(request, None)
-        self.release(self.transfer(request))
+        self.release(self.take_reservation(request))
 
     def _schedule_grants(self) -> None:
         if self.waiting and not self.is_grant_scheduled:
--- a/linnetstile/as2_relay/assembly.py
+++ b/linnetstile/as2_relay/assembly.py
@@ -46,7 +46,7 @@
         idle_timeout_s=limits.idle_ms / 1000,
         limits=http1.Limits(max_body_bytes=limits.receipt_bytes),
         rates=rates,
-        on_slow=reporter.on_partner_evicted,
+        on_connection_evicted=reporter.on_partner_evicted,
     )
 
 
@@ -98,6 +98,6 @@
         on_error=reporter.on_protocol_error,
         admit=admission.admit,
         release=admission.request_ended,
-        on_slow=reporter.on_client_evicted,
+        on_connection_evicted=reporter.on_client_evicted,
         tls=tls_keys.listener,
     )
--- a/linnetstile/as2_relay/delivery.py
+++ b/linnetstile/as2_relay/delivery.py
@@ -115,7 +115,7 @@
             until_ms=round(action.timeout_at_ms - self.context.now_ms),
         )
         partner = message.head.receiver
-        tls = self.tls_keys.for_partner(partner, address) if address.uses_tls else None
+        tls = self.tls_keys.tls_parameters_for(partner, address) if address.uses_tls else None
         if address.uses_tls and tls is None:
             self.context.log.error(
                 log_events.FAULT, why=f"partners.{partner}.tls is not set, but the registry lists an https URL"
--- a/linnetstile/as2_relay/gossip_merger.py
+++ b/linnetstile/as2_relay/gossip_merger.py
@@ -79,7 +79,7 @@
         """Merge all sources again and post the result; called after each answer and each endpoint list."""
         sources = self._sources()
         partner_names = {number: name for name, number in self.partner_numbers.items()}
-        inventory = gossip_export.known_routes(self.engine, partner_names)
+        inventory = gossip_export.route_inventory(self.engine, partner_names)
         if not inventory.endpoints or not sources:
             return
         result = merge_claims(sources, inventory.endpoints, inventory.observed, self._relay_count())
--- a/linnetstile/as2_relay/process.py
+++ b/linnetstile/as2_relay/process.py
@@ -47,7 +47,7 @@
     return settings.model_copy(update={"limits": limits})
 
 
-def check_files(settings: RelaySettings) -> None:
+def load_key_files(settings: RelaySettings) -> None:
     """Load every key and certificate that the settings name, as at a start; raises OSError or ValueError."""
     ReceiptVerifier(settings)
     ReceiptIssuer(settings)
--- a/linnetstile/as2_relay/queues_view.py
+++ b/linnetstile/as2_relay/queues_view.py
@@ -147,7 +147,7 @@
 
 
 def _partner_queue_rows(relay: RelayView) -> list[PartnerQueueRow]:
-    names = {number: name for name, number in relay.registry.partners.items()}
+    names = {number: name for name, number in relay.registry.partner_numbers.items()}
     in_flight = Counter(message.head.receiver for message in relay.accepted.values() if message.attempt is not None)
     rows = []
     for destination, queue in relay.engine.queues.queues.items():
--- a/linnetstile/as2_relay/receipt_delivery.py
+++ b/linnetstile/as2_relay/receipt_delivery.py
@@ -41,7 +41,7 @@
     """Posts final answers, retries failed posts, and limits how many are in flight.
 
     Attributes:
-        timers: One timer for each post in flight or to be retried; a shutdown waits until there are none.
+        post_timers: One timer for each post in flight or to be retried; a shutdown waits until there are none.
         queued: Posts that wait until fewer than `max_in_flight` are in flight.
     """
 
@@ -68,14 +68,14 @@
         self.issuer = issuer
         self.max_in_flight = max_in_flight
         self.on_progress = on_progress
-        self.timers: set[asyncio.TimerHandle] = set()
+        self.post_timers: set[asyncio.TimerHandle] = set()
         self.in_flight = 0
         self.queued: deque[ReceiptPost] = deque()
 
     @property
     def is_idle(self) -> bool:
         """Whether no post is in flight, queued or to be retried."""
-        return not self.timers and not self.queued
+        return not self.post_timers and not self.queued
 
     def deliver(self, head: as2.As2Headers, answer: ClientAnswer) -> None:
         """Post a final answer to the receipt URL of its message.
@@ -99,7 +99,7 @@
         self.in_flight += 1
         timeout_at = self.context.loop.time() + receipt_retry.ATTEMPT_TIMEOUT_MS / 1000
         placeholder = self.context.loop.call_at(timeout_at + TIMEOUT_MARGIN_S, _do_nothing)
-        self.timers.add(placeholder)
+        self.post_timers.add(placeholder)
 
         def on_answer(answer: client.CallResult) -> None:
             self._attempt_ended(post, answer, placeholder)
@@ -112,8 +112,8 @@
             self._post(self.queued.popleft())
         attempts = post.failed_attempts + 1
         was_delivered = answer.head is not None and 200 <= answer.head.status < 300
-        backoff_ms = receipt_retry.next_attempt_ms(attempts, was_delivered)
-        self.timers.discard(placeholder)
+        backoff_ms = receipt_retry.next_backoff_ms(attempts, was_delivered)
+        self.post_timers.discard(placeholder)
         placeholder.cancel()
         if backoff_ms is not None:
             self._retry_later(post, attempts, backoff_ms)
@@ -129,15 +129,15 @@
 
     def _retry_later(self, post: ReceiptPost, attempts: int, backoff_ms: float) -> None:
         def retry() -> None:
-            self.timers.discard(timer)
+            self.post_timers.discard(timer)
             self._post(replace(post, failed_attempts=attempts))
 
         timer = self.context.loop.call_later(backoff_ms / 1000, retry)
-        self.timers.add(timer)
+        self.post_timers.add(timer)
 
     def close(self) -> None:
         """Cancel all timers, and with them all retries."""
-        for timer in self.timers:
+        for timer in self.post_timers:
             timer.cancel()
 
 
--- a/linnetstile/as2_relay/receipts.py
+++ b/linnetstile/as2_relay/receipts.py
@@ -99,7 +99,7 @@
         """Compare the digest in a receipt with that of the message."""
         headers = message.headers
         try:
-            opened, _ = cms.open_layers(
+            opened, _ = cms.extract_digest_input(
                 content_type=headers.get("content-type", "application/octet-stream"),
                 encoding=headers.get("content-transfer-encoding"),
                 body=message.body,
--- a/linnetstile/as2_relay/registry.py
+++ b/linnetstile/as2_relay/registry.py
@@ -97,7 +97,8 @@
 
     Attributes:
         endpoints: Address of each endpoint, by its identifier; one that is gone stays until a full list omits it.
-        partners: Number of each partner in the engine; numbers are never reused, as messages may still name them.
+        partner_numbers: Number of each partner in the engine; numbers are never reused, as messages may still name
+            them.
         version: Version of the latest list; -1 before the first one.
         list_counts: Counters of lists and failures.
     """
@@ -132,7 +133,7 @@
         self.log = log
         self.pool = client.ConnectionPool(limits=http1.Limits(max_body_bytes=MAX_LIST_BYTES))
         self.endpoints: dict[int, EndpointAddress] = {}
-        self.partners: dict[str, int] = {}
+        self.partner_numbers: dict[str, int] = {}
         self.version = -1
         self.is_watching = False
         self.is_closed = False
@@ -221,7 +222,7 @@
 
     def _store_entry(self, entry: RegistryEntry) -> Endpoint:
         """Store the address of an endpoint, and return the endpoint as the engine's record."""
-        partner_number = self.partners.setdefault(entry.partner, len(self.partners))
+        partner_number = self.partner_numbers.setdefault(entry.partner, len(self.partner_numbers))
         if entry.status != "gone":
             self.endpoints[entry.id] = EndpointAddress.from_entry(entry)
         return Endpoint(
--- a/linnetstile/as2_relay/relay.py
+++ b/linnetstile/as2_relay/relay.py
@@ -146,7 +146,7 @@
             engine=self.engine,
             name=self.settings.name,
             incarnation=secrets.token_hex(INCARNATION_BYTES),
-            partner_numbers=self.registry.partners,
+            partner_numbers=self.registry.partner_numbers,
             post_event=self.engine_loop.post,
             log=self.context.log,
         )
--- a/linnetstile/as2_relay/self_check.py
+++ b/linnetstile/as2_relay/self_check.py
@@ -80,6 +80,6 @@
             if connection.call is not None and connection.call.on_done is not None
         }
         of_attempts = {id(attempt.call) for attempt in attempts if attempt.call is not None}
-        assert len(calls - of_attempts) <= len(self.receipt_delivery.timers), (
+        assert len(calls - of_attempts) <= len(self.receipt_delivery.post_timers), (
             "a call belongs to neither an attempt nor the delivery of a receipt"
         )
--- a/linnetstile/as2_relay/submissions.py
+++ b/linnetstile/as2_relay/submissions.py
@@ -82,7 +82,7 @@
     def submit(self, request: server.RequestContext, submission: Submission) -> None:
         """Accept a complete submission, answer it as a repeat, or refuse it."""
         head = submission.head
-        partner = self.registry.partners.get(head.receiver)
+        partner = self.registry.partner_numbers.get(head.receiver)
         digest = submission.digest.digest()
         lookup = self.known.lookup(self.context.now_ms, head.sender, head.message_id, digest)
         status = lookup.status
@@ -135,7 +135,7 @@
             headers=request.head.headers,
             body=request.body,
             deadline_ms=request.started_at * 1000 + message_class.deadline_ms,
-            reservation=self.admission.transfer(request),
+            reservation=self.admission.take_reservation(request),
         )
         self.context.accepted[message.id] = message
         self.known.start(head.sender, head.message_id, digest, message)
--- a/linnetstile/as2_relay/tls_keys.py
+++ b/linnetstile/as2_relay/tls_keys.py
@@ -40,7 +40,7 @@
         """Whether neither the listener nor any partner uses TLS."""
         return self.listener is None and not self.partners
 
-    def for_partner(self, partner: str, address: EndpointAddress) -> client.TlsParameters | None:
+    def tls_parameters_for(self, partner: str, address: EndpointAddress) -> client.TlsParameters | None:
         """Return the keys for a partner and the name that its certificate must have; None without TLS settings."""
         keys = self.partners.get(partner)
         settings = self.partner_settings.get(partner)
--- a/linnetstile/cli/check.py
+++ b/linnetstile/cli/check.py
@@ -26,8 +26,11 @@
 def _verdict_lines(verdicts: list[Verdict]) -> list[str]:
     lines = [f"{'rule':<9} {'verdict':<8} {'looked at':>9}  {'broken':>6}  what it asks"]
     for verdict in verdicts:
-        outcome = "BROKEN" if verdict.broken else "kept"
-        lines.append(f"{verdict.rule:<9} {outcome:<8} {verdict.looked_at:>9}  {verdict.broken:>6}  {verdict.text}")
+        outcome = "BROKEN" if verdict.breach_count else "kept"
+        lines.append(
+            f"{verdict.rule:<9} {outcome:<8} {verdict.checked_count:>9}  {verdict.breach_count:>6}  "
+            f"{verdict.requirement}"
+        )
         lines += [f"{'':<9} - {text}" for text in verdict.findings[:MAX_FINDINGS_SHOWN]]
     return lines
 
@@ -45,7 +48,7 @@
 
 def format_text(checked: CheckedRun) -> str:
     """Return the verdicts and figures as text for people."""
-    broken = sum(bool(verdict.broken) for verdict in checked.verdicts)
+    broken = sum(bool(verdict.breach_count) for verdict in checked.verdicts)
     conclusion = "Every rule was kept." if not broken else f"{broken} rule(s) broken."
     lines = [*_verdict_lines(checked.verdicts), "", *_figure_lines(checked.figures), "", conclusion]
     return "\n".join(lines)
@@ -56,9 +59,9 @@
     rules = [
         {
             "rule": verdict.rule,
-            "kept": not verdict.broken,
-            "looked_at": verdict.looked_at,
-            "broken": verdict.broken,
+            "kept": not verdict.breach_count,
+            "looked_at": verdict.checked_count,
+            "broken": verdict.breach_count,
             "findings": verdict.findings,
         }
         for verdict in checked.verdicts
@@ -73,7 +76,7 @@
     except RecordError as error:
         die(ExitCode.BAD_INPUT, str(error))
     click.echo(format_json(checked) if as_json else format_text(checked))
-    return ExitCode.NEGATIVE if any(verdict.broken for verdict in checked.verdicts) else ExitCode.OK
+    return ExitCode.NEGATIVE if any(verdict.breach_count for verdict in checked.verdicts) else ExitCode.OK
 
 
 @click.command(help=HELP)
--- a/linnetstile/cli/relay.py
+++ b/linnetstile/cli/relay.py
@@ -31,16 +31,16 @@
 )
 def command(file: Path, log_level: str, check: bool, ready_file: Path | None) -> None:
     """Run one relay until SIGTERM, or validate its settings."""
-    from ..as2_relay.process import check_files, run
+    from ..as2_relay.process import load_key_files, run
     from ..config.relay import RelaySettings
-    from ..telemetry.log import logger
+    from ..telemetry.log import create_logger
 
     relay = load_settings(file, RelaySettings)
     if check:
         try:
-            check_files(relay)
+            load_key_files(relay)
         except (OSError, ValueError) as error:
             die(ExitCode.BAD_INPUT, f"{file}: {error}")
         click.echo(f"{file}: valid")
         return
-    sys.exit(asyncio.run(run(relay, logger(log_level, relay=relay.name), ready_file)))
+    sys.exit(asyncio.run(run(relay, create_logger(log_level, relay=relay.name), ready_file)))
--- a/linnetstile/codec/cms/__init__.py
+++ b/linnetstile/codec/cms/__init__.py
@@ -13,8 +13,8 @@
 from .digests import HASH_NAMES, digest
 from .envelope import compress, decompress, decrypt, encrypt
 from .errors import CmsError
-from .identity import Identity, encode_identity, load_certificate, load_identity, make_identity
-from .layers import DigestInput, open_layers
+from .identity import Identity, encode_identity, generate_identity, load_certificate, load_identity
+from .layers import DigestInput, extract_digest_input
 from .signing import SignedParts, sign, split_signed, verify
 
 __all__ = [
@@ -31,8 +31,8 @@
     "encrypt",
     "load_certificate",
     "load_identity",
-    "make_identity",
-    "open_layers",
+    "generate_identity",
+    "extract_digest_input",
     "sign",
     "split_signed",
     "verify",
--- a/linnetstile/codec/cms/identity.py
+++ b/linnetstile/codec/cms/identity.py
@@ -23,7 +23,7 @@
     key: RSAPrivateKey | EllipticCurvePrivateKey
 
 
-def make_identity(common_name: str, days: int = 3650, rsa: bool = False) -> Identity:
+def generate_identity(common_name: str, days: int = 3650, rsa: bool = False) -> Identity:
     """Generate a key and a self-signed certificate for it.
 
     Args:
--- a/linnetstile/codec/cms/layers.py
+++ b/linnetstile/codec/cms/layers.py
@@ -29,7 +29,7 @@
 UNREADABLE = DigestInput(None, is_plain=False)
 
 
-def open_layers(content_type: str, encoding: str, body: bytes, key: Identity | None) -> DigestInput:
+def extract_digest_input(content_type: str, encoding: str, body: bytes, key: Identity | None) -> DigestInput:
     """Open the layers of a message; return the bytes that the digest in its receipt covers.
 
     Args:
--- a/linnetstile/codec/http1/parser.py
+++ b/linnetstile/codec/http1/parser.py
@@ -85,7 +85,7 @@
         return bool(self._input.data) or self._state == self._read_chunk_data
 
     @property
-    def early_status(self) -> int:
+    def first_line_status(self) -> int:
         """The final status in the first line of a response that is incomplete or malformed; 0 = none received yet.
 
         It is meant for peers whose status is valid regardless of what follows the first line.
--- a/linnetstile/config/platform.py
+++ b/linnetstile/config/platform.py
@@ -35,7 +35,7 @@
 LOAD_REPORT_FIELDS = ("x0", "x1")  # the two fields of a load report that the engine reads
 
 
-def settings_from(raw: dict[str, Any]) -> Settings:
+def parse_platform_settings(raw: dict[str, Any]) -> Settings:
     """Translate the object; unknown keys are ignored.
 
     Raises:
--- a/linnetstile/emulators/client.py
+++ b/linnetstile/emulators/client.py
@@ -147,9 +147,9 @@
         lost = self._record_lost(submission, wire_result)
         if submission.is_repeat:
             return
-        may_retry = lost.reached_nobody or self._class(submission.message).may_repeat
+        may_retry = lost.reached_no_relay or self._class(submission.message).may_repeat
         backoff_s = self._rng.uniform(*RETRY_AFTER_LOSS_S)
-        self._retry_later(submission, backoff_s, may_retry=may_retry, reached_nobody=lost.reached_nobody)
+        self._retry_later(submission, backoff_s, may_retry=may_retry, reached_no_relay=lost.reached_no_relay)
 
     def _receipt_overdue(self, submission: Submission) -> None:
         """Treat an accepted message as lost if its receipt has not arrived in time."""
@@ -182,14 +182,14 @@
         self._retry_later(submission, backoff_ms / 1000, may_retry=status == 503)
 
     def _retry_later(
-        self, submission: Submission, backoff_s: float, *, may_retry: bool, reached_nobody: bool = False
+        self, submission: Submission, backoff_s: float, *, may_retry: bool, reached_no_relay: bool = False
     ) -> None:
         """Submit to the next relay after a backoff, if a retry is allowed and within the deadline.
 
         A submission that reached no relay does not count towards `max_submissions`.
         """
         message = submission.message
-        message.submissions -= reached_nobody
+        message.submissions -= reached_no_relay
         age_ms = ((now_ms() - message.created_ms) / 1000 + backoff_s) * 1000
         is_exhausted = message.submissions >= self.spec.max_submissions or age_ms > self._class(message).deadline_ms
         if not may_retry or is_exhausted:
--- a/linnetstile/emulators/client_events.py
+++ b/linnetstile/emulators/client_events.py
@@ -47,7 +47,7 @@
     wire_result: str
 
     @property
-    def reached_nobody(self) -> bool:
+    def reached_no_relay(self) -> bool:
         """Whether no relay can have received any part of the submission."""
         return self.wire_result in (WireResult.NO_CONNECTION.value, WireResult.NOT_SENT.value)
 
--- a/linnetstile/emulators/partner_behavior.py
+++ b/linnetstile/emulators/partner_behavior.py
@@ -109,7 +109,7 @@
         headers = call.exchange.head.headers
         try:
             head = as2.As2Headers.parse(headers)
-            content, _ = cms.open_layers(
+            content, _ = cms.extract_digest_input(
                 headers.get("content-type"),
                 headers.get("content-transfer-encoding"),
                 call.exchange.body,
--- a/linnetstile/emulators/partner_environment.py
+++ b/linnetstile/emulators/partner_environment.py
@@ -32,7 +32,7 @@
         self.script_start_ms = spec.t0_ms if spec.t0_ms is not None else now_ms()
         self.pool = client.ConnectionPool()
         has_forgery = any(fault.kind is FaultKind.FORGED_RECEIPT for fault in spec.faults)
-        self.forger = cms.make_identity("nobody") if has_forgery else None
+        self.forger = cms.generate_identity("nobody") if has_forgery else None
 
     def elapsed_s(self) -> float:
         """Return the time since the start of the script in s; negative before it."""
--- a/linnetstile/emulators/partner_limits.py
+++ b/linnetstile/emulators/partner_limits.py
@@ -10,7 +10,7 @@
 
 MIN_BURST_CALLS = 2.0  # smallest capacity of a token bucket
 BURST_S = 0.5  # a token bucket holds the calls that its rate allows in this time
-QUEUED_BEYOND_BUDGET = 2  # calls beyond its budget that a partner's queue takes before it is overloaded
+MAX_CALLS_BEYOND_BUDGET = 2  # calls beyond its budget that a partner's queue takes before it is overloaded
 
 
 class RateLimit(Protocol):
@@ -110,7 +110,7 @@
             return False
         budget = spec.overload_multiple * self.capacity_fraction(now_ms) * spec.rate * spec.overload_window_ms / 1000
         calls = sum(at_ms > self._since_ms for at_ms in self._arrivals)
-        self.is_overloaded = calls > budget + QUEUED_BEYOND_BUDGET
+        self.is_overloaded = calls > budget + MAX_CALLS_BEYOND_BUDGET
         return self.is_overloaded
 
 
--- a/linnetstile/engine/admission.py
+++ b/linnetstile/engine/admission.py
@@ -94,7 +94,7 @@
             bucket.tokens -= 1
         return 1.0
 
-    def give_up(self, now: float, pending: PendingMessage, actions: list[Action]) -> None:
+    def end_undelivered(self, now: float, pending: PendingMessage, actions: list[Action]) -> None:
         """End a message without a delivery: rejected if submitting it again is harmless, else failed."""
         message = pending.message
         if self.retry_policy.may_reject(pending):
@@ -105,9 +105,9 @@
         self.queues.remove(pending)
 
     def expire(self, now: float, actions: list[Action]) -> None:
-        """Give up the messages that can no longer be delivered in time."""
+        """End the messages that can no longer be delivered in time."""
         for pending in self.queues.pop_expired(now):
-            self.give_up(now, pending, actions)
+            self.end_undelivered(now, pending, actions)
 
     def shed_load(self, now: float, actions: list[Action]) -> None:
         """When the relay is nearly full, reject the messages with the least value at their expected time of sending.
@@ -124,7 +124,7 @@
             if least is None:
                 return
             destination = least.pending.message.destination
-            self.give_up(now, least.pending, actions)
+            self.end_undelivered(now, least.pending, actions)
             by_destination[destination] = self._sheddable(now, destination)
 
     def _least_loss(self, now: float, candidates: Iterable[SheddableMessage]) -> SheddableMessage | None:
@@ -153,7 +153,7 @@
         return [
             SheddableMessage(self._loss(pending, now, send_times[pending.message.id]), pending)
             for pending in queue.values()
-            if may_reject(pending) and (pending.attempts or not pending.recovered_untried)
+            if may_reject(pending) and (pending.attempts or not pending.recovered_without_attempt)
         ]
 
     def _loss(self, pending: PendingMessage, now: float, delivered_at: float) -> float:
--- a/linnetstile/engine/attempt_outcome.py
+++ b/linnetstile/engine/attempt_outcome.py
@@ -139,18 +139,18 @@
 
 
 def judge_endpoint_attempt(
-    observation: AttemptObservation, claimed_status: int = 0, slots_exhausted: bool = False
+    observation: AttemptObservation, first_line_status: int = 0, slots_exhausted: bool = False
 ) -> AttemptVerdict:
     """Judge an attempt at an endpoint of the platform, by the platform's contract.
 
     Args:
         observation: What was observed of the attempt.
-        claimed_status: Status in the first line of an answer whose rest is malformed or did not arrive; only 200
+        first_line_status: Status in the first line of an answer whose rest is malformed or did not arrive; only 200
             counts.
         slots_exhausted: Whether a 503 said that all slots of this relay were taken.
     """
     is_answered = observation.wire_result is WireResult.ANSWERED
-    if claimed_status == STATUS_OK or is_answered and observation.status == STATUS_OK:
+    if first_line_status == STATUS_OK or is_answered and observation.status == STATUS_OK:
         return _platform_success(observation)
     if not is_answered:
         return VERDICT_BY_WIRE_RESULT[observation.wire_result]
--- a/linnetstile/engine/connection_eviction.py
+++ b/linnetstile/engine/connection_eviction.py
@@ -16,23 +16,23 @@
 
     Attributes:
         host: Host of the client.
-        had_request: Whether it ever had a complete request.
+        had_complete_request: Whether it ever had a complete request.
         just_opened: Whether it was accepted a moment ago, so that its bytes may not have been read yet.
         rate: Bytes received a second since it was opened.
-        since: Time since which it has been in its present state.
-        token: The caller's handle of the connection.
+        state_started_at: Time since which it has been in its present state.
+        connection: The connection, as an object of the caller.
     """
 
     host: str
-    had_request: bool
+    had_complete_request: bool
     just_opened: bool
     rate: float
-    since: float
-    token: T
+    state_started_at: float
+    connection: T
 
 
 def connections_to_evict(
-    hosts: dict[str, int], connections: Iterable[IdleConnection[T]], max_evicted: int
+    connections_by_host: dict[str, int], connections: Iterable[IdleConnection[T]], max_evicted: int
 ) -> list[IdleConnection[T]]:
     """Choose the connections that make room for new ones.
 
@@ -43,7 +43,7 @@
     has not read from yet.
 
     Args:
-        hosts: Number of open connections of each host.
+        connections_by_host: Number of open connections of each host.
         connections: The candidates.
         max_evicted: Maximum number of connections to choose.
 
@@ -52,13 +52,13 @@
     """
 
     def eviction_order(connection: IdleConnection[T]) -> tuple[bool, bool, int, float, float]:
-        open_connections = hosts.get(connection.host, 0)
+        open_connections = connections_by_host.get(connection.host, 0)
         return (
-            connection.had_request,
+            connection.had_complete_request,
             connection.just_opened,
             -open_connections,
             connection.rate,
-            connection.since,
+            connection.state_started_at,
         )
 
     return heapq.nsmallest(max_evicted, connections, key=eviction_order)[::-1]
--- a/linnetstile/engine/connection_policy.py
+++ b/linnetstile/engine/connection_policy.py
@@ -7,13 +7,14 @@
 from .actions import Action, CloseIdle
 from .connection_scarcity import ConnectionScarcity
 from .events import AttemptEnded, ConnectionLimit, Outcome
-from .rate_limiter import MAX_LIMIT_SPAN_MS
+from .rate_limiter import MAX_RATE_LIMIT_WINDOW_MS
 from .route_state import EVIDENCE_TTL_MS, EndpointState, RouteState
 from .settings import Effect, MessageClass
 from .time_points import NEVER
 
 CALL_WEIGHT = 0.05  # weight of one call in the moving means, which cover about the latest 20 calls
-# Ratio in `limited` above which idle connections are closed; one success soon after a failed connect exceeds it.
+# Ratio in `connection_limit_ratios` above which idle connections are closed; one success soon after a failed connect
+# exceeds it.
 LIMITED_THRESHOLD = 0.04
 # Fraction of the idle time-out within which an idle connection is reused; below 1, as the peer's clock may be ahead.
 IDLE_REUSE_FRACTION = 0.9
@@ -28,14 +29,14 @@
 
     Attributes:
         scarcity: By kind, whether its endpoints accept too few connections for all relays.
-        limited: By kind, the fraction of its answers that followed a failed connect.
+        connection_limit_ratios: By kind, the fraction of its answers that followed a failed connect.
         surplus: Endpoints whose idle connections are to be closed after the present batch of events.
         stale_ratio: Fraction of the calls on reused connections for which the connection was already closed.
     """
 
     def __init__(self) -> None:
         self.scarcity: defaultdict[int, ConnectionScarcity] = defaultdict(ConnectionScarcity)
-        self.limited: dict[int, float] = {}
+        self.connection_limit_ratios: dict[int, float] = {}
         self.surplus: list[EndpointState] = []
         self.stale_ratio = 0.0
 
@@ -51,13 +52,13 @@
             self.stale_ratio += CALL_WEIGHT * (is_stale - self.stale_ratio)
         return is_stale
 
-    def explains_rejection(self, now: float, route: RouteState, event: AttemptEnded) -> bool:
+    def is_scarcity_rejection(self, now: float, route: RouteState, event: AttemptEnded) -> bool:
         """Return whether an outcome is a rejection that is due to scarce connections rather than to a rate limit."""
         scarcity = self.scarcity[route.kind]
-        was_answered_recently = now - route.health.last_success_at < MAX_LIMIT_SPAN_MS
+        was_answered_recently = now - route.health.last_success_at < MAX_RATE_LIMIT_WINDOW_MS
         if event.outcome is not Outcome.REJECTED or not was_answered_recently:
             return False
-        return scarcity.explains_rejection(event.connection_reused, event.retry_after_ms > 0)
+        return scarcity.is_scarcity_rejection(event.connection_reused, event.retry_after_ms > 0)
 
     def record_answer(self, now: float, endpoint: EndpointState, event: AttemptEnded) -> None:
         """Count an answered call, which may be a rejection, for new or for reused connections."""
@@ -71,25 +72,25 @@
         health = route.health
         is_soon_after_failure = now - (health.outage_since or NEVER) < EVIDENCE_TTL_MS
         shows_limit = health.last_failure_was_connect and is_soon_after_failure
-        ratio = self.limited.get(route.kind, 0.0)
-        self.limited[route.kind] = ratio + CALL_WEIGHT * (shows_limit - ratio)
+        ratio = self.connection_limit_ratios.get(route.kind, 0.0)
+        self.connection_limit_ratios[route.kind] = ratio + CALL_WEIGHT * (shows_limit - ratio)
 
-    def adopt_limited(self, limit: ConnectionLimit) -> None:
+    def adopt_connection_limit(self, limit: ConnectionLimit) -> None:
         """Adopt the ratio that other relays found for a kind, unless this relay already has one."""
-        self.limited.setdefault(limit.kind, limit.ratio)
+        self.connection_limit_ratios.setdefault(limit.kind, limit.ratio)
 
-    def note_surplus(self, endpoint: EndpointState) -> None:
+    def mark_idle_for_closing(self, endpoint: EndpointState) -> None:
         """Mark the idle connections of an endpoint for closing if connections of its kind are scarce or limited."""
         kind = endpoint.route.kind
-        if self.scarcity[kind].is_scarce or self.limited.get(kind, 0.0) > LIMITED_THRESHOLD:
+        if self.scarcity[kind].is_scarce or self.connection_limit_ratios.get(kind, 0.0) > LIMITED_THRESHOLD:
             self.surplus.append(endpoint)
 
-    def close_surplus(self, actions: list[Action]) -> None:
+    def close_marked_idle(self, actions: list[Action]) -> None:
         """Close the marked connections that are still idle, so that other relays can connect."""
         for endpoint in self.surplus:
             if endpoint.idle_connections:
                 endpoint.idle_connections = []
-                actions.append(CloseIdle(endpoint.info.id))
+                actions.append(CloseIdle(endpoint.listed.id))
         self.surplus = []
 
     def last_byte_delay_ms(self, route: RouteState, message_class: MessageClass) -> float:
--- a/linnetstile/engine/connection_scarcity.py
+++ b/linnetstile/engine/connection_scarcity.py
@@ -61,6 +61,6 @@
         else:
             self.is_scarce = ratio > SCARCITY_ENTRY and self.reused.ratio < REUSED_MAX
 
-    def explains_rejection(self, is_reused: bool, has_retry_after: bool) -> bool:
+    def is_scarcity_rejection(self, is_reused: bool, has_retry_after: bool) -> bool:
         """Return whether a rejection is due to scarce connections rather than to a rate limit."""
         return self.is_scarce and not is_reused and not has_retry_after and self.reused.ratio < REUSED_MAX
--- a/linnetstile/engine/endpoint_selection.py
+++ b/linnetstile/engine/endpoint_selection.py
@@ -61,7 +61,7 @@
         endpoint.idle_connections = [used_at for used_at in endpoint.idle_connections if now - used_at < reusable_ms]
         failing_classes = [index for index, at in endpoint.class_failures.items() if now - at < EVIDENCE_TTL_MS]
         was_rejected_recently = now - endpoint.rejected_at < RECENT_REJECTION_MS
-        fee = self._fee(endpoint.info.zone)
+        fee = self._fee(endpoint.listed.zone)
         cost = endpoint.in_flight + SAME_CLASS_FAILURE_COST * (class_index in failing_classes)
         cost += CLASS_FAILURE_COST * len(failing_classes)
         cost += CONNECTION_REJECTED_COST * (is_scarce and was_rejected_recently)
--- a/linnetstile/engine/engine.py
+++ b/linnetstile/engine/engine.py
@@ -147,7 +147,7 @@
             actions.append(WatchEndpoints())
         self.admission.expire(now_ms, actions)
         self.scheduler.dispatch(now_ms, actions)
-        self.connections.close_surplus(actions)
+        self.connections.close_marked_idle(actions)
         self.admission.shed_load(now_ms, actions)
         self.routing_table.evict_idle(now_ms, len(events))
         self._set_timer(now_ms, actions)
@@ -169,7 +169,7 @@
                 case MessageRecovered():
                     self._recover(now, event)
                 case ShutdownStarted():
-                    self.retry_policy.shutdown_at = now + event.within_ms
+                    self.retry_policy.shutdown_at = now + event.remaining_ms
                 case GossipReceived():
                     self.gossip_importer.apply(now, event, actions)
                 case GossipSent():
@@ -197,7 +197,7 @@
             return
         if event.kind is not ListKind.CACHED:
             self.list_poller.list_received()
-        self.route_factory.list_received(now)
+        self.route_factory.record_first_list(now)
         dropped = self.routing_table.apply_list(now, event)
         self.retry_policy.cancel_unsent(actions, dropped)
 
@@ -235,7 +235,7 @@
             accepted_at=now - event.age_ms,
             attempts=event.attempts,
             unclear_endpoint=event.unclear_endpoint,
-            recovered_untried=not event.attempts,
+            recovered_without_attempt=not event.attempts,
         )
         if event.unclear_age_ms is not None:
             pending.first_unclear_at = now - event.unclear_age_ms
@@ -287,7 +287,7 @@
             until = pending.not_before + event.retry_after_ms
             self.retry_policy.apply_retry_after(now, route, pending.message.destination, until, actions)
         self._record_evidence(now, endpoint, pending, event, is_evidence)
-        self.connections.note_surplus(endpoint)
+        self.connections.mark_idle_for_closing(endpoint)
         self._record_load_report(route, event)
         if event.is_final or pending.cancelled:
             self.queues.remove(pending)
@@ -299,13 +299,13 @@
     ) -> None:
         """Update the health of a route and its connection statistics with an outcome."""
         route = endpoint.route
-        met_stale_connection = self.connections.record_reuse(route, event)
-        lacked_connection = self.connections.explains_rejection(now, route, event)
+        used_stale_connection = self.connections.record_reuse(route, event)
+        rejected_for_scarcity = self.connections.is_scarcity_rejection(now, route, event)
         if not is_evidence:
             return
         if event.outcome is Outcome.OK:
             self._record_success(now, endpoint, pending, event.latency_ms)
-        elif event.outcome not in UNINFORMATIVE_OUTCOMES and not (met_stale_connection or lacked_connection):
+        elif event.outcome not in UNINFORMATIVE_OUTCOMES and not (used_stale_connection or rejected_for_scarcity):
             self.outliers.record_failure(now, endpoint, pending, event)
         was_answered = bool(endpoint.idle_connections)
         if was_answered:
--- a/linnetstile/engine/events.py
+++ b/linnetstile/engine/events.py
@@ -126,10 +126,10 @@
     Calls that are still in flight when it ends have an unclear outcome; the next process recovers pending messages.
 
     Attributes:
-        within_ms: Time until the process ends.
+        remaining_ms: Time until the process ends.
     """
 
-    within_ms: float
+    remaining_ms: float
 
 
 @dataclass(frozen=True, slots=True)
@@ -239,11 +239,11 @@
 
     Attributes:
         facts: Knowledge about each route.
-        connection_limited: Evidence of a connection limit, by kind.
+        connection_limits: Evidence of a connection limit, by kind.
     """
 
     facts: tuple[RouteFacts, ...]
-    connection_limited: tuple[ConnectionLimit, ...] = ()
+    connection_limits: tuple[ConnectionLimit, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
--- a/linnetstile/engine/gossip.py
+++ b/linnetstile/engine/gossip.py
@@ -65,7 +65,7 @@
 UNKNOWN_ROUTE = "no such partner or route now"
 IMPLAUSIBLE = "implausible ages or figures"
 OTHER_ENDPOINTS = "learned from endpoints that are not its own now"
-STALE_OUTAGE = "says out, too long ago"
+STALE_OUTAGE = "claims an outage, but too long ago"
 DISTRUSTED_SOURCE = "claims outages of most of its routes, which other peers contradict"
 CONTRADICTED_OUTAGE = "claims an outage, but others have had answers since"
 
@@ -155,7 +155,7 @@
 
 def _is_distrusted(source: ClaimSource, sources: list[ClaimSource]) -> bool:
     recent_claims = [claim for claim in source.claims if claim.is_recent]
-    outages = [claim for claim in recent_claims if claim.claims_outage]
+    outages = [claim for claim in recent_claims if claim.reports_outage]
     if len(outages) < MIN_OUTAGES_TO_DISTRUST or len(outages) <= DISTRUST_THRESHOLD * len(recent_claims):
         return False
     claims_of_others = [claim for other in sources if other.name != source.name for claim in other.claims]
@@ -258,7 +258,7 @@
 def _merge_health(claims: list[AttributedClaim], distrusted: set[str], rejected: list[RejectedClaim]) -> _RouteHealth:
     health = _RouteHealth(outage_ages=[], slow_start_ages=[])
     for source, claim in claims:
-        if not claim.claims_outage:
+        if not claim.reports_outage:
             if claim.slow_start_age_ms is not None:
                 health.slow_start_ages.append(claim.slow_start_age_ms)
             continue
--- a/linnetstile/engine/gossip_export.py
+++ b/linnetstile/engine/gossip_export.py
@@ -79,8 +79,8 @@
 def export_connection_limits(engine: DeliveryEngine) -> dict[str, float]:
     """Return, by name of the kind, the fraction of its recent answers that followed a failed connect."""
     kinds = engine.settings.kinds
-    limited = engine.connections.limited
-    return {kinds[kind].name: ratio for kind, ratio in sorted(limited.items()) if kind < len(kinds)}
+    limit_ratios = engine.connections.connection_limit_ratios
+    return {kinds[kind].name: ratio for kind, ratio in sorted(limit_ratios.items()) if kind < len(kinds)}
 
 
 def export_claims(engine: DeliveryEngine, now: float, names: Mapping[int, str]) -> list[RouteClaim]:
@@ -103,7 +103,7 @@
     return claims
 
 
-def known_routes(engine: DeliveryEngine, names: Mapping[int, str]) -> RouteInventory:
+def route_inventory(engine: DeliveryEngine, names: Mapping[int, str]) -> RouteInventory:
     """Return all routes, and those that this relay has evidence of itself.
 
     Args:
--- a/linnetstile/engine/gossip_import.py
+++ b/linnetstile/engine/gossip_import.py
@@ -46,8 +46,8 @@
 
     def apply(self, now: float, event: GossipReceived, actions: list[Action]) -> None:
         """Adopt the received facts of each route that exists; facts of other routes are ignored."""
-        for limit in event.connection_limited:
-            self.connections.adopt_limited(limit)
+        for limit in event.connection_limits:
+            self.connections.adopt_connection_limit(limit)
         for facts in event.facts:
             route = self.routing_table.open(now, facts.destination).get(facts.route)
             if route is not None:
--- a/linnetstile/engine/graceful_shutdown.py
+++ b/linnetstile/engine/graceful_shutdown.py
@@ -37,16 +37,16 @@
     exits: bool
 
 
-def shutdown_phase(since_ms: float, unread: bool = False) -> ShutdownPhase:
+def shutdown_phase(elapsed_ms: float, has_unread_input: bool = False) -> ShutdownPhase:
     """Return the phase of the shutdown.
 
     Args:
-        since_ms: Time (ms) since SIGTERM.
-        unread: Whether bytes of clients have arrived that were not read yet.
+        elapsed_ms: Time (ms) since SIGTERM.
+        has_unread_input: Whether bytes of clients have arrived that were not read yet.
     """
-    exit_ms = EXIT_MS + UNREAD_GRACE_MS if unread else EXIT_MS
+    exit_ms = EXIT_MS + UNREAD_GRACE_MS if has_unread_input else EXIT_MS
     return ShutdownPhase(
-        admits=since_ms < EXIT_MS - STOP_ADMITTING_MS,
-        accepts=since_ms < EXIT_MS - STOP_ACCEPTING_MS,
-        exits=since_ms >= exit_ms,
+        admits=elapsed_ms < EXIT_MS - STOP_ADMITTING_MS,
+        accepts=elapsed_ms < EXIT_MS - STOP_ACCEPTING_MS,
+        exits=elapsed_ms >= exit_ms,
     )
--- a/linnetstile/engine/minimum_rate.py
+++ b/linnetstile/engine/minimum_rate.py
@@ -21,14 +21,14 @@
     Attributes:
         rate: Minimum rate in bytes a second; 0 disables the meter.
         grace_ms: Lag (ms) above which a connection is too slow.
-        patience_used_ms: Present lag (ms), never below 0.
+        grace_used_ms: Present lag (ms), never below 0.
         last_tick_at: Time (ms) of the last tick. None while the clock is paused: this side has to act next, or no data
             is due.
     """
 
     rate: float
     grace_ms: float
-    patience_used_ms: float = 0.0
+    grace_used_ms: float = 0.0
     last_tick_at: float | None = None
 
     def tick(self, now_ms: float, moved_bytes: int) -> bool:
@@ -44,12 +44,12 @@
         if self.rate <= 0:
             return False
         if self.last_tick_at is not None:
-            self.patience_used_ms += now_ms - self.last_tick_at
+            self.grace_used_ms += now_ms - self.last_tick_at
         self.last_tick_at = now_ms
-        self.patience_used_ms = max(0.0, self.patience_used_ms - MS_PER_SECOND * moved_bytes / self.rate)
-        return self.patience_used_ms > self.grace_ms
+        self.grace_used_ms = max(0.0, self.grace_used_ms - MS_PER_SECOND * moved_bytes / self.rate)
+        return self.grace_used_ms > self.grace_ms
 
     def pause(self) -> None:
         """Stop the clock until the next tick and reset the lag, as another message begins."""
-        self.patience_used_ms = 0.0
+        self.grace_used_ms = 0.0
         self.last_tick_at = None
--- a/linnetstile/engine/outlier_detection.py
+++ b/linnetstile/engine/outlier_detection.py
@@ -12,7 +12,7 @@
 from . import latency, slow_start
 from .events import AttemptEnded, Outcome
 from .pending_message import PendingMessage
-from .rate_limiter import MAX_LIMIT_SPAN_MS, RateLimiter
+from .rate_limiter import MAX_RATE_LIMIT_WINDOW_MS, RateLimiter
 from .route_state import EVIDENCE_TTL_MS, EndpointState, HealthState, RouteState
 from .settings import Settings
 from .time_points import NEVER
@@ -36,7 +36,7 @@
         return health.ejected
     overdue_before = now - latency.overdue_after_ms(route.latency) * route.latency.timeout_multiplier
     overdue = [call for call in route.calls if health.last_success_at <= call.started_at < overdue_before]
-    return bool(overdue) and {call.endpoint.info.id for call in overdue}.issuperset(route.endpoints)
+    return bool(overdue) and {call.endpoint.listed.id for call in overdue}.issuperset(route.endpoints)
 
 
 def is_trusted(route: RouteState) -> bool:
@@ -76,7 +76,7 @@
         explains.
         """
         route = endpoint.route
-        exceeds_limit_span = event.retry_after_ms > MAX_LIMIT_SPAN_MS
+        exceeds_limit_span = event.retry_after_ms > MAX_RATE_LIMIT_WINDOW_MS
         self._record_outage(route.health, pending, event.outcome)
         if event.outcome is Outcome.REJECTED:
             self.rate_limiter.record_rejection(now, route.rate)
--- a/linnetstile/engine/pending_message.py
+++ b/linnetstile/engine/pending_message.py
@@ -32,7 +32,8 @@
         first_unclear_at: Start of the first attempt that may have run; None = no attempt may have run.
         unclear_endpoint: Endpoint of the first attempt that may have run.
         cancelled: Whether its client has cancelled it.
-        recovered_untried: Whether a restart recovered it without an attempt; it is not shed before its first attempt.
+        recovered_without_attempt: Whether a restart recovered it without an attempt; it is not shed before its first
+            attempt.
         ordering_key: Messages with the same key are delivered in order; 0 = none.
         expires_early: Whether its deadline comes before its latency objective, because its client waits less long.
     """
@@ -51,7 +52,7 @@
     first_unclear_at: float | None = None
     unclear_endpoint: Endpoint | None = None
     cancelled: bool = False
-    recovered_untried: bool = False
+    recovered_without_attempt: bool = False
     ordering_key: int = field(init=False)
     expires_early: bool = field(init=False)
 
--- a/linnetstile/engine/rate_limiter.py
+++ b/linnetstile/engine/rate_limiter.py
@@ -31,7 +31,7 @@
 THROTTLED_RATE_GAIN = 0.1  # fraction by which a success raises the rate of a throttled route
 REJECTION_FACTOR = 0.7  # fraction of the rate that is kept after a rejection
 MIN_SHARE_DIVISOR = 3  # rejections and load reports leave a relay at least its equal share divided by this
-MAX_LIMIT_SPAN_MS = 2500.0  # longer than any time window over which a destination counts calls for its limit
+MAX_RATE_LIMIT_WINDOW_MS = 2500.0  # longer than any time window over which a destination counts calls for its limit
 TRIAL_EXPIRY_MS = 1000.0  # a trial call that is overdue by more is rescheduled, so that trial calls do not accumulate
 
 
@@ -136,7 +136,7 @@
         advertised, a single rejection does not count.
         """
         health = route.health
-        if health.outage_since is None or now - health.outage_since <= MAX_LIMIT_SPAN_MS:
+        if health.outage_since is None or now - health.outage_since <= MAX_RATE_LIMIT_WINDOW_MS:
             return False
         has_failed = health.failed_at > health.last_success_at
         explained_throttle_ms = MIN_THROTTLE_MS if route.rate.is_advertised else 0.0
--- a/linnetstile/engine/receipt_retry.py
+++ b/linnetstile/engine/receipt_retry.py
@@ -7,7 +7,7 @@
 ATTEMPT_TIMEOUT_MS = 5000.0  # longest time that one post may take
 
 
-def next_attempt_ms(attempts: int, delivered: bool) -> float | None:
+def next_backoff_ms(attempts: int, delivered: bool) -> float | None:
     """Return the backoff before the next post of a receipt.
 
     A receipt may be posted more than once: the client recognizes a repeat by its Original-Message-ID, and the bytes
--- a/linnetstile/engine/recovery_throttle.py
+++ b/linnetstile/engine/recovery_throttle.py
@@ -22,5 +22,5 @@
     Returns:
         At most `initial_tokens` if the message was held back for lack of tokens, else `tokens`.
     """
-    was_held_back = attempts == 0 and age_ms > MIN_PENDING_MS
-    return min(tokens, initial_tokens) if was_held_back else tokens
+    was_rate_limited = attempts == 0 and age_ms > MIN_PENDING_MS
+    return min(tokens, initial_tokens) if was_rate_limited else tokens
--- a/linnetstile/engine/retry_policy.py
+++ b/linnetstile/engine/retry_policy.py
@@ -58,14 +58,14 @@
     def may_send(self, now: float, pending: PendingMessage, endpoint: EndpointState) -> bool:
         """Return whether a message may be sent to an endpoint now."""
         route = endpoint.route
-        if pending.call is not None or endpoint.info.id not in self.endpoints:
+        if pending.call is not None or endpoint.listed.id not in self.endpoints:
             return False
         if now >= min(pending.latest_send_at, self.retry_allowed_until(pending)):
             return False
         if pending.message_class.effect is Effect.NON_IDEMPOTENT and self._may_outlast_process(now, route):
             return False  # left to the next process
         allowed_at = max(route.retry_after_until, pending.not_before, self.ordering_allowed_at(pending))
-        return now >= allowed_at and self.is_deduplicated_at(pending, endpoint.info)
+        return now >= allowed_at and self.is_deduplicated_at(pending, endpoint.listed)
 
     def _may_outlast_process(self, now: float, route: RouteState) -> bool:
         """Return whether a call that starts now may still be in flight when the process ends."""
@@ -148,7 +148,7 @@
         return [
             route
             for route in routes
-            if any(self.is_deduplicated_at(pending, endpoint.info) for endpoint in route.endpoints.values())
+            if any(self.is_deduplicated_at(pending, endpoint.listed) for endpoint in route.endpoints.values())
         ]
 
     @staticmethod
@@ -165,7 +165,7 @@
         """Record where a message may have run, and pause its ordering key if the destination may still run it."""
         if not outcome.proves_no_effect and pending.first_unclear_at is None:
             pending.first_unclear_at = pending.sent_at
-            pending.unclear_endpoint = endpoint.info
+            pending.unclear_endpoint = endpoint.listed
         if outcome in LINGERING_OUTCOMES and pending.ordering_key:
             self.ordering_pauses = {key: until for key, until in self.ordering_pauses.items() if until > now}
             pause_ms = self.settings.safety.ordering_pause_ms
--- a/linnetstile/engine/route_claims.py
+++ b/linnetstile/engine/route_claims.py
@@ -66,7 +66,7 @@
         return evidence_weight(self.answer_age_ms, LATENCY_HALF_LIFE_MS)
 
     @property
-    def claims_outage(self) -> bool:
+    def reports_outage(self) -> bool:
         """Whether the claim reports an ongoing outage: no answer came since the outage began."""
         if self.outage_age_ms is None:
             return False
--- a/linnetstile/engine/route_factory.py
+++ b/linnetstile/engine/route_factory.py
@@ -32,7 +32,7 @@
         self.fleet_latency = fleet_latency
         self.first_list_at: float | None = None  # a destination that comes into use counts as idle since then
 
-    def list_received(self, now: float) -> None:
+    def record_first_list(self, now: float) -> None:
         """Record the time of the first endpoint list."""
         if self.first_list_at is None:
             self.first_list_at = now
@@ -64,7 +64,7 @@
             self.rate_limiter.apply_advertised_rate(route.rate, advertised_rate)
         endpoint = endpoints.get(info.id)
         if endpoint is not None:
-            endpoint.info = info
+            endpoint.listed = info
             return
         if is_listed and not route.endpoints and route.health.outage_since is not None:
             # The endpoints of the route were replaced after an outage: the new one does not have full capacity yet.
--- a/linnetstile/engine/route_state.py
+++ b/linnetstile/engine/route_state.py
@@ -128,7 +128,7 @@
     """One endpoint in use, as this relay sees it.
 
     Attributes:
-        info: Its latest entry in the endpoint list.
+        listed: Its latest entry in the endpoint list.
         route: The route that it belongs to.
         in_flight: Number of calls in flight to it.
         class_failures: Time of the latest failure by message class, for classes without an answered call since.
@@ -137,7 +137,7 @@
         rejected_at: Time of the latest rejection on a new connection, if no call was accepted since.
     """
 
-    info: Endpoint
+    listed: Endpoint
     route: RouteState
     in_flight: int = 0
     class_failures: dict[int, float] = field(default_factory=dict)
--- a/linnetstile/engine/scheduler.py
+++ b/linnetstile/engine/scheduler.py
@@ -108,7 +108,7 @@
         for destination in destinations:
             if destination not in self.queues.queues:
                 continue
-            candidate = self.pick(now, destination)
+            candidate = self.pick_candidate(now, destination)
             if candidate is not None:
                 candidates[destination] = candidate
 
@@ -120,7 +120,7 @@
         route.calls.remove(call)
         latency.record_call_time(route.latency, now - call.started_at)
 
-    def pick(self, now: float, destination: int) -> Candidate | None:
+    def pick_candidate(self, now: float, destination: int) -> Candidate | None:
         """Return the sendable message of a queue with the most value per slot time, or None if none may be sent now.
 
         With None, the queue is checked again when one of its messages may be sent, or after `MAX_QUEUE_WAIT_MS`.
@@ -149,7 +149,7 @@
     def _schedule(self, now: float, route: RouteState) -> RouteSchedule | None:
         """Return when a route may get messages, or None if it may not occupy another slot now."""
         is_down = is_suspected(route, now)
-        if self._has_used_its_slots(route, is_down) or self._must_yield(now, route):
+        if self._has_reached_slot_limit(route, is_down) or self._must_wait_for_quick_routes(now, route):
             return None
         next_call = self.rate_limiter.next_call(now, route, is_down)
         health = route.health
@@ -183,7 +183,7 @@
         failure_score = route.health.failure_score
         return route.latency.mean_ms + failure_score * latency.timeout_ms(route.latency) / (1 - failure_score)
 
-    def _has_used_its_slots(self, route: RouteState, is_down: bool) -> bool:
+    def _has_reached_slot_limit(self, route: RouteState, is_down: bool) -> bool:
         """Return whether a route has reached its slot limit, which a healthy one has only while other queues wait."""
         divisor = SUSPECTED_SLOT_DIVISOR if is_down else ROUTE_SLOT_DIVISOR
         if len(route.calls) < max(1, self.settings.max_in_flight // divisor):
@@ -196,7 +196,7 @@
         call_ms = max(route.latency.mean_call_ms, oldest_call_ms)
         return call_ms * self.fleet_latency.mean_inverse > SLOW_FACTOR
 
-    def _must_yield(self, now: float, route: RouteState) -> bool:
+    def _must_wait_for_quick_routes(self, now: float, route: RouteState) -> bool:
         """Return whether a slow route has to leave the last free slots to quick ones.
 
         One limit holds for all slow routes together, so that quick destinations get slots even if many are slow.
@@ -232,7 +232,7 @@
             member.start_attempt(now, call)
             send = Send(
                 id=member.message.id,
-                endpoint=endpoint.info.id,
+                endpoint=endpoint.listed.id,
                 timeout_at_ms=min(timeout_at, member.deadline - DEADLINE_MARGIN_MS),
                 last_byte_delay_ms=last_byte_delay_ms,
                 send_before_ms=self.retry_policy.last_byte_allowed_until(member),
--- a/linnetstile/engine/watch_policy.py
+++ b/linnetstile/engine/watch_policy.py
@@ -29,17 +29,17 @@
 # Batch sizes: at some 10 us an endpoint and 0.1 us a row, one batch of either takes less than the few ms that a client
 # notices, and a list of the usual size is a single batch.
 ENTRIES_PER_EVENT = 256  # endpoints that are passed to the engine in one event
-ROWS_PER_SWEEP = 4096  # rows of the directory that one step of a sweep checks
+ROWS_PER_REMOVAL_STEP = 4096  # rows of the directory that one removal step checks
 
 
 def watch_deadline(
-    last_byte_at: float, useful: bool, element_started_at: float | None, opened_at: float | None = None
+    last_byte_at: float, has_delivered: bool, element_started_at: float | None, opened_at: float | None = None
 ) -> float:
     """Return the time (s) at which a watch times out. It bounds silence, and also data that trickles.
 
     Args:
         last_byte_at: Time (s) of the last byte.
-        useful: Whether the watch has delivered what it requested when it was opened.
+        has_delivered: Whether the watch has delivered what it requested when it was opened.
         element_started_at: Time (s) at which the incomplete element began; None between elements. Each element of a
             long list is progress, and the time starts again with it.
         opened_at: Time (s) at which the watch was opened, if it resumes from a version and only its head has come: it
@@ -47,9 +47,9 @@
     """
     if element_started_at is not None:
         return min(last_byte_at + ELEMENT_STALL_S, element_started_at + WATCH_SILENCE_S)
-    if not useful and opened_at is not None:
+    if not has_delivered and opened_at is not None:
         return opened_at + WATCH_SILENCE_S
-    return last_byte_at + (WATCH_SILENCE_S if useful else FIRST_ELEMENT_S)
+    return last_byte_at + (WATCH_SILENCE_S if has_delivered else FIRST_ELEMENT_S)
 
 
 class ResumePolicy:
@@ -63,39 +63,39 @@
     Attributes:
         is_current: Whether the known endpoints are what discovery had at the known version. Set by
             `full_list_read` alone.
-        is_small: Whether the last full list came in one piece.
+        is_single_part: Whether the last full list came in one piece.
     """
 
     def __init__(self) -> None:
         self.is_current = False
-        self.is_small = True
+        self.is_single_part = True
 
-    def full_list_read(self, small: bool) -> None:
+    def full_list_read(self, is_single_part: bool) -> None:
         """Record that a full list has been read to its end.
 
         Args:
-            small: Whether it came in one piece.
+            is_single_part: Whether it came in one piece.
         """
         self.is_current = True
-        self.is_small = small
+        self.is_single_part = is_single_part
 
-    def discovery_moved(self) -> None:
+    def discovery_address_changed(self) -> None:
         """Record that discovery has another address, whose versions may not continue the known ones."""
         self.is_current = False
 
-    def watch_ended(self, useful: bool, sound: bool, in_element: bool) -> None:
+    def watch_ended(self, has_delivered: bool, is_valid: bool, in_element: bool) -> None:
         """Record that a watch has ended, or could not be opened.
 
         Args:
-            useful: Whether it delivered something, or was seen to be connected to discovery.
-            sound: Whether nothing of it was rejected.
+            has_delivered: Whether it delivered something, or was seen to be connected to discovery.
+            is_valid: Whether nothing of it was rejected.
             in_element: Whether it ended in the middle of an element.
         """
-        self.is_current = self.is_current and useful and sound and not in_element
+        self.is_current = self.is_current and has_delivered and is_valid and not in_element
 
     def resume_version(self, newest: int | None) -> int | None:
         """Return the version from which the next watch resumes; None for the full list."""
-        return newest if self.is_current and not self.is_small else None
+        return newest if self.is_current and not self.is_single_part else None
 
 
 class ListVersionGuard:
--- a/linnetstile/net/client_call.py
+++ b/linnetstile/net/client_call.py
@@ -55,7 +55,7 @@
     # Whether the last byte of the request was sent, so that the peer may have received the complete request.
     request_complete: bool = True
     # Status from the first line of a response whose rest was not received or can't be parsed; 0 = no status is known.
-    claimed_status: int = 0
+    first_line_status: int = 0
     reused_connection: bool = False  # whether it was sent on an idle connection of an earlier call
 
 
@@ -80,14 +80,14 @@
         body: bytes = b"",
         *,
         request_complete: bool = True,
-        claimed_status: int = 0,
+        first_line_status: int = 0,
     ) -> None:
         """Pass the result to the callback, unless it was called or detached; `CallResult` documents the arguments."""
         callback, self.on_done = self.on_done, None
         if self.timer:
             self.timer.cancel()
         if callback:
-            callback(CallResult(wire_result, head, body, request_complete, claimed_status, self.reused_connection))
+            callback(CallResult(wire_result, head, body, request_complete, first_line_status, self.reused_connection))
 
     def detach(self) -> None:
         """Drop the callback; the connection may still complete its exchange and be reused."""
@@ -122,9 +122,9 @@
         if self.connecting:
             self.connecting.cancel()
         connection, self.connection = self.connection, None
-        claimed_status = 0
+        first_line_status = 0
         if connection:
             connection.call = None
-            claimed_status = connection.parser.early_status
+            first_line_status = connection.parser.first_line_status
             connection.transport.abort()
-        self.finish(result, claimed_status=claimed_status)
+        self.finish(result, first_line_status=first_line_status)
--- a/linnetstile/net/client_connection.py
+++ b/linnetstile/net/client_connection.py
@@ -128,11 +128,11 @@
         call = self.call
         if call is None:
             return
-        if self.pool.finish_at_status_line and call.on_done is not None and self.parser.early_status == 200:
+        if self.pool.finish_at_status_line and call.on_done is not None and self.parser.first_line_status == 200:
             # The status is final whatever follows, and the peer's call slot is free. The rest of the response is read
             # only to find out whether the connection can be reused.
             call.finish(
-                WireResult.ANSWERED, self.head, request_complete=not self.request_incomplete, claimed_status=200
+                WireResult.ANSWERED, self.head, request_complete=not self.request_incomplete, first_line_status=200
             )
             call.timer = self.pool.loop.call_later(RESPONSE_TAIL_TIMEOUT_S, call.abort, WireResult.TIMED_OUT)
         if self.parser.error:
@@ -181,4 +181,4 @@
         if call is not None:
             call.connection = None
             result = WireResult.REQUEST_INCOMPLETE if request_incomplete else WireResult.CONNECTION_LOST
-            call.finish(result, claimed_status=self.parser.early_status)
+            call.finish(result, first_line_status=self.parser.first_line_status)
--- a/linnetstile/net/client_pool.py
+++ b/linnetstile/net/client_pool.py
@@ -49,7 +49,7 @@
         idle_timeout_s: float = DEFAULT_IDLE_TIMEOUT_S,
         limits: http1.Limits | None = None,
         rates: MinimumRates | None = None,
-        on_slow: Callable[[ClientConnection, str], None] | None = None,
+        on_connection_evicted: Callable[[ClientConnection, str], None] | None = None,
         finish_at_status_line: bool = False,
         max_idle: int = UNLIMITED_IDLE,
     ) -> None:
@@ -60,7 +60,8 @@
             idle_timeout_s: Time in seconds after which an idle connection is closed.
             limits: Limits on the size of responses.
             rates: Minimum rates at which peers must read requests and send responses.
-            on_slow: Called with a connection and the limit for which it is closed, or the reason of a failed handshake.
+            on_connection_evicted: Called with a connection and the limit for which it is closed, or the reason of a
+                failed handshake.
             finish_at_status_line: Whether a call ends as soon as the status line of a 200 was received; for peers
                 whose status is final whatever follows.
             max_idle: Maximum number of idle connections; the oldest is closed first.
@@ -72,7 +73,7 @@
         self.idle_timeout_s = idle_timeout_s
         self.limits = limits or http1.Limits()
         self.rates = rates or MinimumRates()
-        self.on_slow = on_slow or (lambda connection, limit: None)
+        self.on_connection_evicted = on_connection_evicted or (lambda connection, limit: None)
         self.idle_connections = IdleConnections()
         self.connections: set[ClientConnection] = set()
         self.counts = {"connects": 0, "reused": 0, "failed": 0, "no_descriptors": 0}
@@ -188,7 +189,7 @@
         try:
             await open_connection(connection, tls)
         except HandshakeError as error:
-            self.on_slow(connection, f"handshake: {error}")
+            self.on_connection_evicted(connection, f"handshake: {error}")
             raise
         return connection
 
@@ -229,7 +230,7 @@
         for connection in list(self.connections):
             rate = connection.violated_rate(now_ms)
             if rate and connection.call is not None:
-                self.on_slow(connection, rate)
+                self.on_connection_evicted(connection, rate)
                 connection.call.abort(WireResult.TIMED_OUT)
 
     def close(self) -> None:
--- a/linnetstile/net/connection.py
+++ b/linnetstile/net/connection.py
@@ -97,7 +97,7 @@
     @property
     def remaining_grace(self) -> float:
         """The fraction of the allowed stall that is left: 1 = all of it, 0 = the connection is about to be closed."""
-        return 1 - max(self.read_meter.patience_used_ms, self.write_meter.patience_used_ms) / self.read_meter.grace_ms
+        return 1 - max(self.read_meter.grace_used_ms, self.write_meter.grace_used_ms) / self.read_meter.grace_ms
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Start with an empty write queue. Called by asyncio."""
--- a/linnetstile/net/connection_registry.py
+++ b/linnetstile/net/connection_registry.py
@@ -95,14 +95,14 @@
         idle = [
             IdleConnection(
                 host=connection.host,
-                had_request=connection.had_complete_request,
+                had_complete_request=connection.had_complete_request,
                 just_opened=now - connection.opened_at < NEW_CONNECTION_GRACE_S,
                 rate=connection.bytes_read / (now - connection.opened_at + 1),
-                since=connection.phase_started_at,
-                token=connection,
+                state_started_at=connection.phase_started_at,
+                connection=connection,
             )
             for connection in self.connections
             if not connection.has_outstanding_response and not connection.is_closing
         ]
         ranked = connections_to_evict(self._count_by_host, idle, self._candidates_per_ranking)
-        self._candidates = [(candidate.host, candidate.token) for candidate in ranked]
+        self._candidates = [(candidate.host, candidate.connection) for candidate in ranked]
--- a/linnetstile/net/server.py
+++ b/linnetstile/net/server.py
@@ -53,7 +53,7 @@
         on_error: Called for an error in a client's bytes.
         admit: Called to request capacity for a body; see `AdmitCallback`.
         release: Called to release the capacity of a request that was answered or ended incomplete.
-        on_slow: Called for a connection that is closed for a limit.
+        on_connection_evicted: Called for a connection that is closed for a limit.
         tls: Keys and certificates; None = without TLS.
         counts: Events by name, among them `server_limits.counter_name` of each limit that connections were closed for.
     """
@@ -67,7 +67,7 @@
         on_error: ErrorCallback | None = None,
         admit: AdmitCallback | None = None,
         release: Handler | None = None,
-        on_slow: LimitCallback | None = None,
+        on_connection_evicted: LimitCallback | None = None,
         tls: TlsContextFiles | None = None,
     ) -> None:
         """Create a server on the running event loop; `start` or `start_local` makes it listen."""
@@ -78,7 +78,7 @@
         self.http_limits = http_limits or http1.Limits()
         self.limits = limits or ServerLimits()
         self.on_error = on_error or _ignore_error
-        self.on_slow = on_slow or _ignore_limit
+        self.on_connection_evicted = on_connection_evicted or _ignore_limit
         self.tls = tls
         self.counts: dict[str, int] = {}
         self.loop = asyncio.get_running_loop()
@@ -132,7 +132,7 @@
     def _report_eviction(self, connection: ServerConnection) -> None:
         self.count(server_limits.counter_name(server_limits.LISTENER_FULL))
         if not connection.had_complete_request:
-            self.on_slow(connection, server_limits.LISTENER_FULL)
+            self.on_connection_evicted(connection, server_limits.LISTENER_FULL)
 
     # -- limits ------------------------------------------------------------------------------------------
 
@@ -144,7 +144,7 @@
             if limit:
                 self.count(server_limits.counter_name(limit))
                 if limit not in server_limits.ORDERLY_LIMITS:
-                    self.on_slow(connection, limit)
+                    self.on_connection_evicted(connection, limit)
                 close_for_limit(connection, limit)
         interval_s = min(self.limits.sweep_interval_s, self.limits.head_timeout_s / 4)
         self._sweep_timer = self.loop.call_later(interval_s, self._sweep)
--- a/linnetstile/platform_relay/__init__.py
+++ b/linnetstile/platform_relay/__init__.py
@@ -1,4 +1,4 @@
-"""Floor 3: a relay on the users' platform, built on the delivery engine. Uses the standard library only.
+"""Layer 3: a relay on the users' platform, built on the delivery engine. Uses the standard library only.
 
 | module | job |
 |---|---|
--- a/linnetstile/platform_relay/config.py
+++ b/linnetstile/platform_relay/config.py
@@ -186,7 +186,7 @@
 
 def _engine_settings(settings: dict[str, Any]) -> Settings:
     try:
-        return without_batches(platform.settings_from(settings))
+        return without_batches(platform.parse_platform_settings(settings))
     except ConfigError as error:
         raise ConfigError(f"settings: {error}", field="settings") from error
 
--- a/linnetstile/platform_relay/directory.py
+++ b/linnetstile/platform_relay/directory.py
@@ -20,7 +20,7 @@
         zones: Index of each zone in the settings, by its name.
         table: The endpoints.
         version_guard: Rejects outdated lists.
-        skipped_entries: Number of list entries since the start that could not be read.
+        skipped_entry_count: Number of list entries since the start that could not be read.
     """
 
     def __init__(self, kinds: tuple[str, ...], zones: tuple[str, ...]) -> None:
@@ -28,7 +28,7 @@
         self.zones = {name: index for index, name in enumerate(zones)}
         self.table = EndpointTable()
         self.version_guard = ListVersionGuard()
-        self.skipped_entries = 0
+        self.skipped_entry_count = 0
 
     def __len__(self) -> int:
         return len(self.table)
@@ -94,7 +94,7 @@
         )
 
     def _count_skipped_entry(self) -> None:
-        self.skipped_entries += 1
+        self.skipped_entry_count += 1
 
     def apply_list(self, raw_list: object, cached: bool = False) -> EndpointList:
         """Apply a complete list at once and return one event with all changed endpoints.
--- a/linnetstile/platform_relay/discovery.py
+++ b/linnetstile/platform_relay/discovery.py
@@ -66,7 +66,7 @@
         address: Address,
         on_event: Callable[[EndpointList], None],
         rng: random.Random,
-        log: EventLog = log_events.discard,
+        log: EventLog = log_events.discard_event,
         *,
         max_list_bytes: int = MAX_LIST_BYTES,
     ) -> None:
@@ -99,7 +99,7 @@
         self.close()
         self.address = address
         self.failures = 0
-        self.resume_policy.discovery_moved()
+        self.resume_policy.discovery_address_changed()
         self.start()
 
     def close(self) -> None:
@@ -117,7 +117,7 @@
         for event in change_events(entries):
             self.on_event(event)
 
-    def list_read(self, update: ListUpdate, *, is_small: bool) -> None:
+    def list_read(self, update: ListUpdate, *, is_single_part: bool) -> None:
         """Record that a list has been read to its end and applied."""
         if update.entries_skipped:
             self.log(
@@ -127,7 +127,7 @@
                 first=update.first_fault,
             )
         if update.is_full:
-            self.resume_policy.full_list_read(is_small)
+            self.resume_policy.full_list_read(is_single_part)
         if not self.first_list_read.is_set():
             # Without changes, too: the event tells the engine that discovery has answered.
             self.on_event(EndpointList(ListKind.CHANGES))
@@ -178,10 +178,10 @@
 
     def _connection_ended(self, connection: WatchConnection | None, is_useful: bool) -> None:
         if connection is None:  # discovery could not be reached
-            self.resume_policy.watch_ended(useful=False, sound=True, in_element=False)
+            self.resume_policy.watch_ended(has_delivered=False, is_valid=True, in_element=False)
             return
         self.resume_policy.watch_ended(
-            useful=is_useful, sound=connection.is_valid, in_element=connection.is_mid_element
+            has_delivered=is_useful, is_valid=connection.is_valid, in_element=connection.is_mid_element
         )
         if connection.is_valid and connection.is_mid_list:
             entries = connection.update.entries_read if connection.update else 0
@@ -215,7 +215,7 @@
         resumes = connection.resume_version is not None and connection.head_received
         return watch_deadline(
             connection.last_byte_at,
-            useful=connection.is_useful,
+            has_delivered=connection.is_useful,
             element_started_at=connection.incomplete_since,
             opened_at=requested_at if resumes else None,
         )
--- a/linnetstile/platform_relay/endpoint_client.py
+++ b/linnetstile/platform_relay/endpoint_client.py
@@ -146,7 +146,7 @@
         )
         slots_exhausted = head is not None and head.headers.get("slots-taken") == "1"
         return AttemptResult(
-            verdict=judge_endpoint_attempt(observation, call_result.claimed_status, slots_exhausted),
+            verdict=judge_endpoint_attempt(observation, call_result.first_line_status, slots_exhausted),
             load_report=parse_load_report(head.headers, self.load_report_fields) if head else (),
             connection_reused=call_result.reused_connection,
         )
--- a/linnetstile/platform_relay/list_update.py
+++ b/linnetstile/platform_relay/list_update.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from ..engine.events import Endpoint, EndpointStatus
-from ..engine.watch_policy import ENTRIES_PER_EVENT, ROWS_PER_SWEEP, ListVersionGuard
+from ..engine.watch_policy import ENTRIES_PER_EVENT, ROWS_PER_REMOVAL_STEP, ListVersionGuard
 from ..errors import ProtocolError
 from .endpoint_record import endpoint_from_record, pack_record, record_destination, with_draining
 from .endpoint_table import EndpointTable
@@ -174,11 +174,11 @@
         The last call completes the list and records its version.
 
         Returns:
-            The removed endpoints: at most `ENTRIES_PER_EVENT`, from at most `ROWS_PER_SWEEP` rows.
+            The removed endpoints: at most `ENTRIES_PER_EVENT`, from at most `ROWS_PER_REMOVAL_STEP` rows.
         """
         table = self._table
         gone: list[Endpoint] = []
-        end_row = min(self._next_row + ROWS_PER_SWEEP, len(self._named_rows))
+        end_row = min(self._next_row + ROWS_PER_REMOVAL_STEP, len(self._named_rows))
         while self._next_row < end_row and len(gone) < ENTRIES_PER_EVENT:
             if not self._named_rows[self._next_row] and table.records[self._next_row] is not None:
                 gone.append(table.drop_row(self._next_row))
--- a/linnetstile/platform_relay/log_events.py
+++ b/linnetstile/platform_relay/log_events.py
@@ -31,5 +31,5 @@
         """Write an event and its fields; the field names are part of the log format."""
 
 
-def discard(event: str, **fields: object) -> None:
+def discard_event(event: str, **fields: object) -> None:
     """Discard the event: an `EventLog` for components that run without a log."""
--- a/linnetstile/platform_relay/process.py
+++ b/linnetstile/platform_relay/process.py
@@ -94,7 +94,7 @@
             "watch": {
                 "opened": relay.watch.watches_opened,
                 "garbled": relay.watch.lists_rejected,
-                "skipped": relay.directory.skipped_entries,
+                "skipped": relay.directory.skipped_entry_count,
                 "endpoints": len(relay.directory),
             },
             "front": relay.frontend.server.counts,
--- a/linnetstile/platform_relay/watch_connection.py
+++ b/linnetstile/platform_relay/watch_connection.py
@@ -27,8 +27,8 @@
     def publish(self, entries: Iterable[Endpoint]) -> None:
         """Pass changed endpoints to the engine."""
 
-    def list_read(self, update: ListUpdate, *, is_small: bool) -> None:
-        """Record that a list has been read to its end; `is_small` tells whether it came in one piece."""
+    def list_read(self, update: ListUpdate, *, is_single_part: bool) -> None:
+        """Record that a list has been read to its end; `is_single_part` tells whether it came in one piece."""
 
     def list_rejected(self, update: ListUpdate | None, error: Exception) -> None:
         """Record that the received data is not a valid list; `update` is the list that was being read, if any."""
@@ -83,7 +83,7 @@
         self.pending_input: deque[WatchInput] = deque()
         self.update: ListUpdate | None = None
         self._list_complete = False  # all entries of `update` have arrived
-        self._is_small = True  # `update` came in one piece
+        self._is_single_part = True  # `update` came in one piece
         self.step_scheduled = False
         self._reading_paused = False
         self.closed: asyncio.Future[None] = self._loop.create_future()
@@ -191,7 +191,7 @@
         """Apply one part of a list that is too long to be read in one piece."""
         if part.is_first:
             self.update = self._directory.begin_update(part.members)
-            self._is_small = False
+            self._is_single_part = False
         assert self.update is not None
         self._listener.publish(self.update.add_entries(part.elements))
         self._list_complete = part.is_last
@@ -203,7 +203,7 @@
         if not isinstance(servers, list):
             raise InvalidListError("expected an object with a list of servers", field=ENTRIES_KEY)
         self.update = self._directory.begin_update(value)
-        self._is_small = True
+        self._is_single_part = True
         changed = self.update.add_entries(servers)
         if len(changed) <= ENTRIES_PER_EVENT:
             changed += self.update.remove_missing()  # publishes an endpoint and its replacement together
@@ -219,7 +219,7 @@
             self.update = None
             self.list_received = True
             self.is_useful = True
-            self._listener.list_read(update, is_small=self._is_small)
+            self._listener.list_read(update, is_single_part=self._is_single_part)
 
     # -- end -------------------------------------------------------------------------------------------------
 
--- a/linnetstile/simulator_adapter.py
+++ b/linnetstile/simulator_adapter.py
@@ -56,7 +56,7 @@
         WireFormatError: The text is not valid JSON, a field is missing, or a value is invalid.
     """
     try:
-        return platform.settings_from(json.loads(text))
+        return platform.parse_platform_settings(json.loads(text))
     except ValueError as error:
         raise WireFormatError(f"settings: {error}") from error
 
--- a/linnetstile/telemetry/log.py
+++ b/linnetstile/telemetry/log.py
@@ -50,7 +50,7 @@
         """Do nothing: each write has been flushed."""
 
 
-def logger(level: str = "info", **bound: Any) -> Logger:
+def create_logger(level: str = "info", **bound: Any) -> Logger:
     """Return a logger that writes to standard error.
 
     Args:
--- a/linnetstile/testbed/message_rules.py
+++ b/linnetstile/testbed/message_rules.py
@@ -37,7 +37,7 @@
     def check(self) -> Verdict:
         """Check each submission."""
         for submission in self._traffic.submissions.values():
-            self._verdict.looked_at += 1
+            self._verdict.checked_count += 1
             ends = self._traffic.ends.get(submission.submission, [])
             first_end = ends[0] if ends else None
             if first_end is None or isinstance(first_end, SubmissionLost):
@@ -52,7 +52,7 @@
         return self._traffic.facts.classes[submission.message_class].deadline_ms + CLIENT_SLACK_MS
 
     def _check_missing_answer(self, submission: MessageSubmitted, lost: SubmissionLost | None) -> None:
-        if lost is not None and lost.reached_nobody:
+        if lost is not None and lost.reached_no_relay:
             return
         end_ms = lost.at_ms if lost else submission.at_ms + self._answer_limit_ms(submission)
         processes = self._traffic.facts.processes
@@ -113,7 +113,7 @@
     def check(self) -> Verdict:
         """Check each message at each relay process."""
         for message, attempts in self._traffic.attempts.items():
-            self._verdict.looked_at += 1
+            self._verdict.checked_count += 1
             message_class = self._traffic.class_of(message.message_id)
             if message_class is not None and message_class.effect is not Effect.IDEMPOTENT:
                 self._check_message(message, attempts, message_class)
@@ -160,7 +160,7 @@
     """Check that a relay process has at most one attempt of a message in flight, and keeps the limit on attempts."""
     verdict = Verdict("one-out", "at most one attempt of a message in flight, and no more attempts than allowed")
     for message, attempts in traffic.attempts.items():
-        verdict.looked_at += 1
+        verdict.checked_count += 1
         for earlier, later in pairwise(attempts):
             if _overlaps(earlier, later):
                 verdict.add_breach(
@@ -190,7 +190,7 @@
     verdict = Verdict("order", "messages of an ordered class are sent one after the other")
     for process, submissions in _ordered_submissions(traffic):
         for earlier, later in pairwise(submissions):
-            verdict.looked_at += 1
+            verdict.checked_count += 1
             if _is_sent_before_end(traffic, process, earlier, later):
                 verdict.add_breach(
                     f"{later.message_id}: {process} sent it before the final answer to {earlier.message_id}"
--- a/linnetstile/testbed/partner_rules.py
+++ b/linnetstile/testbed/partner_rules.py
@@ -8,7 +8,7 @@
 from typing import NamedTuple
 
 from ..emulators.faults import FaultKind
-from ..emulators.partner_limits import QUEUED_BEYOND_BUDGET
+from ..emulators.partner_limits import MAX_CALLS_BEYOND_BUDGET
 from .attempts import TRANSIT_MS, AttemptRecord
 from .recorded_traffic import RecordedTraffic
 from .slow_start_budget import slow_start_call_budget
@@ -66,7 +66,7 @@
         """Check each attempt."""
         for message, attempts in self._traffic.attempts.items():
             for attempt in attempts:
-                self._verdict.looked_at += 1
+                self._verdict.checked_count += 1
                 violated = self._violated_update(message.process, attempt)
                 if violated is not None:
                     late_ms = attempt.start_ms - violated.at_ms
@@ -112,7 +112,7 @@
             for attempt in attempts:
                 calls[attempt.partner].append(attempt)
         for outage in self._outages():
-            self._verdict.looked_at += 1
+            self._verdict.checked_count += 1
             self._check_return(outage, sorted(calls[outage.partner], key=lambda call: call.start_ms))
         return self._verdict
 
@@ -139,7 +139,7 @@
         for position, last in enumerate(slow_start):
             window_start_ms = last.start_ms - safety.overload_window_ms
             window = [call for call in slow_start[: position + 1] if call.start_ms > window_start_ms]
-            allowed = QUEUED_BEYOND_BUDGET + self._budget(rate_per_s, last.start_ms - outage.end_ms)
+            allowed = MAX_CALLS_BEYOND_BUDGET + self._budget(rate_per_s, last.start_ms - outage.end_ms)
             aware_calls = sum(call.process in aware for call in window)
             if len(window) > allowed and aware_calls >= len(window) * AWARE_NUMERATOR / AWARE_DENOMINATOR:
                 self._verdict.add_breach(
@@ -209,7 +209,7 @@
         """Check each attempt."""
         for message, attempts in self._traffic.attempts.items():
             for attempt in attempts:
-                self._verdict.looked_at += 1
+                self._verdict.checked_count += 1
                 self._check_attempt(message.message_id, message.process, attempt)
         return self._verdict
 
--- a/linnetstile/testbed/run_keys.py
+++ b/linnetstile/testbed/run_keys.py
@@ -21,7 +21,7 @@
         """Return the path of the file with the private key and the certificate for a name."""
         path = self._folder / f"{name}.pem"
         if not path.exists():
-            path.write_bytes(cms.encode_identity(cms.make_identity(name)))
+            path.write_bytes(cms.encode_identity(cms.generate_identity(name)))
         return str(path)
 
     def write_gossip_token(self, token: str) -> str:
--- a/linnetstile/testbed/scale/comparison_run.py
+++ b/linnetstile/testbed/scale/comparison_run.py
@@ -11,8 +11,7 @@
 from ...emulators.discovery import DiscoveryEmulator
 from .comparison_bench import CHANGE_TIMEOUT_S, ComparisonBench, PlatformSource
 from .comparison_result import BurstResult, ChangeResult, Comparison
-from .discovery_model import NO_ENDPOINT as NO_GENERATION
-from .discovery_model import ChangeKind, EndpointChange
+from .discovery_model import NO_GENERATION, ChangeKind, EndpointChange
 from .reference_model import NO_ENDPOINT, ReferenceModel
 from .relay_process import RelayProcess
 
--- a/linnetstile/testbed/scale/discovery_model.py
+++ b/linnetstile/testbed/scale/discovery_model.py
@@ -11,7 +11,7 @@
 from .workload import DESTINATION_KINDS, LISTED_RATE, zone_of
 
 FIRST_VERSION = 1
-NO_ENDPOINT = -1
+NO_GENERATION = -1
 """Generation of a destination that has no endpoint."""
 LISTED_RATE_SPREAD = 0.8, 1.25
 """Range of the random factor by which a new advertised rate differs from `LISTED_RATE`."""
@@ -108,8 +108,8 @@
         return rates[-1] if rates else round(LISTED_RATE, 3)
 
     def generation(self, destination: int, at_ms: float) -> int:
-        """Return the generation that is in force at a destination at a given time; `NO_ENDPOINT` if there is none."""
-        initial = 0 if destination < self.initial_count else NO_ENDPOINT
+        """Return the generation that is in force at a destination at a given time; `NO_GENERATION` if there is none."""
+        initial = 0 if destination < self.initial_count else NO_GENERATION
         generations = self._generations.get(destination)
         if generations is None:
             return initial
@@ -181,7 +181,7 @@
 
     def _remove(self, destination: int, at_ms: float, since_ms: float) -> bytes:
         entry = self._entry(destination, self.generation(destination, at_ms), EntryState.DELETED)
-        self._generations.setdefault(destination, []).append(GenerationChange(since_ms, NO_ENDPOINT))
+        self._generations.setdefault(destination, []).append(GenerationChange(since_ms, NO_GENERATION))
         return entry
 
     def _replace(self, destination: int, at_ms: float, since_ms: float, drained: bool) -> list[bytes]:
--- a/linnetstile/testbed/scale/fleet.py
+++ b/linnetstile/testbed/scale/fleet.py
@@ -56,7 +56,9 @@
         fingerprint = platform.fingerprint()
         for trace in self.traces:
             if trace.platform_fingerprint != fingerprint:
-                raise RunFailedError(f"relay {trace.relay} played another world: the program was changed while it ran")
+                raise RunFailedError(
+                    f"relay {trace.relay} simulated a different platform: the program was changed during the run"
+                )
 
 
 @dataclass(frozen=True, slots=True)
--- a/linnetstile/testbed/scale/platform_model.py
+++ b/linnetstile/testbed/scale/platform_model.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from ...config.platform import settings_from
+from ...config.platform import parse_platform_settings
 from ...engine.settings import Settings
 from ...platform_relay.config import without_batches
 from .discovery_model import DiscoveryModel
@@ -152,7 +152,7 @@
 
     def settings(self, relay: int) -> Settings:
         """Return the engine settings of a relay."""
-        return without_batches(settings_from({**self.settings_document, "az": zone_of(relay)}))
+        return without_batches(parse_platform_settings({**self.settings_document, "az": zone_of(relay)}))
 
     def scenario_at(self, at_ms: float) -> int:
         """Return the number of the latest scenario that has begun by a given time; -1 before the first."""
--- a/linnetstile/testbed/scale/report_costs.py
+++ b/linnetstile/testbed/scale/report_costs.py
@@ -62,7 +62,7 @@
 
 
 def _longest_ns(traces: list[RelayTrace], kind: TurnKind) -> int:
-    return max((trace.longest_list_ns[kind] for trace in traces), default=0)
+    return max((trace.longest_list_turn_ns[kind] for trace in traces), default=0)
 
 
 def forecast_gossip(traces: list[RelayTrace]) -> GossipForecastJson:
--- a/linnetstile/testbed/scale/report_scenarios.py
+++ b/linnetstile/testbed/scale/report_scenarios.py
@@ -17,7 +17,7 @@
     StartsJson,
 )
 from .report_statistics import spread
-from .slow_start_returns import judge_slow_starts
+from .slow_start_returns import evaluate_slow_starts
 from .trace import Count, DestinationSecond, RelayTrace
 from .workload import DISCOVERY_MACHINES, KEEPALIVE_BYTES_PER_S, LISTED_RATE, region_of
 
@@ -56,7 +56,7 @@
     @classmethod
     def of(cls, platform: PlatformModel, fleet_result: FleetResult) -> FleetView:
         """Return the view of a simulated fleet."""
-        traces = [trace for trace in fleet_result.traces if not trace.cut]
+        traces = [trace for trace in fleet_result.traces if not trace.is_cut_short]
         return cls(platform, traces, platform.options.relays / max(1, len(traces)))
 
     @property
@@ -100,7 +100,7 @@
         "changes": _changes(view, scenario, samples),
         "outages": outages,
         "calls_down_a_second": round(view.scale * calls_down / seconds_down, 3) if seconds_down else 0.0,
-        "cold": judge_slow_starts(
+        "cold": evaluate_slow_starts(
             view.platform, _outages_in_use(view.platform, scenario), view.traces, view.is_whole_fleet
         ),
         "starts": _starts(view, scenario),
--- a/linnetstile/testbed/scale/simulated_relay.py
+++ b/linnetstile/testbed/scale/simulated_relay.py
@@ -58,7 +58,7 @@
         platform = runtime.platform
         for lifetime in platform.lifetimes[runtime.relay]:
             self._play_lifetime(lifetime)
-            if runtime.trace.cut:
+            if runtime.trace.is_cut_short:
                 break
         runtime.trace.endpoint_count = runtime.reader.endpoint_count
         runtime.trace.gossip = gossip_size(runtime.engine, platform.end_ms, platform.destinations_in_use)
@@ -72,7 +72,7 @@
             runtime.scenario = runtime.platform.scenario_at(due.at_ms)
             played += 1
             if played % EVENTS_BETWEEN_CHECKS == 0 and self.is_overdue():
-                runtime.trace.cut = True
+                runtime.trace.is_cut_short = True
                 return
             self._play_event(due.at_ms, due.event)
 
--- a/linnetstile/testbed/scale/slow_start_returns.py
+++ b/linnetstile/testbed/scale/slow_start_returns.py
@@ -42,7 +42,7 @@
         return self.informed_calls > self.calls * 2 / 3
 
 
-def judge_slow_starts(
+def evaluate_slow_starts(
     platform: PlatformModel, outages: list[Outage], traces: list[RelayTrace], is_whole_fleet: bool
 ) -> SlowStartsJson:
     """Return the report on the slow starts after these outages; the rule is judged only for the whole fleet."""
--- a/linnetstile/testbed/scale/trace.py
+++ b/linnetstile/testbed/scale/trace.py
@@ -124,8 +124,8 @@
         gossip: Claims that it could advertise to peers at the end.
         cpu_ns: Measured processor time by kind of turn.
         turns: Number of turns by kind.
-        longest_list_ns: Measured processor time of the longest turn with a list, by kind.
-        cut: Whether the time limit of the run was reached before the end of the simulation.
+        longest_list_turn_ns: Measured processor time of the longest turn with a list, by kind.
+        is_cut_short: Whether the time limit of the run was reached before the end of the simulation.
     """
 
     relay: int
@@ -146,5 +146,5 @@
     gossip: GossipSize = field(default_factory=GossipSize)
     cpu_ns: Counter[TurnKind] = field(default_factory=Counter)
     turns: Counter[TurnKind] = field(default_factory=Counter)
-    longest_list_ns: Counter[TurnKind] = field(default_factory=Counter)
-    cut: bool = False
+    longest_list_turn_ns: Counter[TurnKind] = field(default_factory=Counter)
+    is_cut_short: bool = False
--- a/linnetstile/testbed/scale/watch_simulation.py
+++ b/linnetstile/testbed/scale/watch_simulation.py
@@ -146,7 +146,7 @@
         if not events:
             return False
         spent_ns += self.engine_turn(now_ms, events, kind)
-        trace.longest_list_ns[kind] = max(trace.longest_list_ns[kind], spent_ns)
+        trace.longest_list_turn_ns[kind] = max(trace.longest_list_turn_ns[kind], spent_ns)
         for version in range(max(FIRST_VERSION, self.version) + 1, watch_line.version + 1):
             trace.in_force_ms.setdefault(version, now_ms)
         self.version = watch_line.version
--- a/linnetstile/testbed/verdict.py
+++ b/linnetstile/testbed/verdict.py
@@ -13,20 +13,20 @@
 
     Attributes:
         rule: Its short name.
-        text: What it requires, in a few words.
-        looked_at: Number of cases that were checked.
-        broken: Number of cases that broke it.
+        requirement: What it requires, in a few words.
+        checked_count: Number of cases that were checked.
+        breach_count: Number of cases that broke it.
         findings: Descriptions of the first `MAX_FINDINGS` of the broken cases.
     """
 
     rule: str
-    text: str
-    looked_at: int = 0
-    broken: int = 0
+    requirement: str
+    checked_count: int = 0
+    breach_count: int = 0
     findings: list[str] = field(default_factory=list)
 
     def add_breach(self, finding: str) -> None:
         """Count a case that broke the rule, and keep its description up to the limit."""
-        self.broken += 1
+        self.breach_count += 1
         if len(self.findings) < MAX_FINDINGS:
             self.findings.append(finding)
--- a/tests/codec/test_as2.py
+++ b/tests/codec/test_as2.py
@@ -16,9 +16,9 @@
 from linnetstile.emulators import messages
 from linnetstile.engine.attempt_outcome import ReceiptStatus
 
-SIGNER = cms.make_identity("alice")
-OTHER_SIGNER = cms.make_identity("mallory")
-RECIPIENT = cms.make_identity("opener", rsa=True)
+SIGNER = cms.generate_identity("alice")
+OTHER_SIGNER = cms.generate_identity("mallory")
+RECIPIENT = cms.generate_identity("opener", rsa=True)
 
 
 @pytest.mark.parametrize(
@@ -142,9 +142,9 @@
         encrypt_to=RECIPIENT.certificate if encrypt else None,
     )
     content_type = Headers(message.headers).get("content-type")
-    opened, _ = cms.open_layers(content_type, "", message.body, RECIPIENT)
+    opened, _ = cms.extract_digest_input(content_type, "", message.body, RECIPIENT)
     assert opened == message.digested_content
-    opened_without_key, _ = cms.open_layers(content_type, "", message.body, None)
+    opened_without_key, _ = cms.extract_digest_input(content_type, "", message.body, None)
     assert opened_without_key == (None if encrypt else message.digested_content)
 
 
@@ -236,4 +236,4 @@
 )
 def test_any_bytes_are_opened_or_rejected(body: bytes, content_type: str, transfer_encoding: str) -> None:
     with contextlib.suppress(cms.CmsError, mime.MimeError):
-        cms.open_layers(content_type, transfer_encoding, body.replace(b"|", b"\r\n--B\r\n"), RECIPIENT)
+        cms.extract_digest_input(content_type, transfer_encoding, body.replace(b"|", b"\r\n--B\r\n"), RECIPIENT)
--- a/tests/engine/test_attempt_outcome.py
+++ b/tests/engine/test_attempt_outcome.py
@@ -100,9 +100,9 @@
 ]
 
 
-@pytest.mark.parametrize(("observation", "claimed_status", "slots_exhausted", "outcome", "is_final"), ENDPOINT_CASES)
+@pytest.mark.parametrize(("observation", "first_line_status", "slots_exhausted", "outcome", "is_final"), ENDPOINT_CASES)
 def test_attempt_at_a_platform_endpoint_has_the_expected_outcome(
-    observation: AttemptObservation, claimed_status: int, slots_exhausted: bool, outcome: Outcome, is_final: bool
+    observation: AttemptObservation, first_line_status: int, slots_exhausted: bool, outcome: Outcome, is_final: bool
 ) -> None:
-    verdict = judge_endpoint_attempt(observation, claimed_status, slots_exhausted)
+    verdict = judge_endpoint_attempt(observation, first_line_status, slots_exhausted)
     assert (verdict.outcome, verdict.is_final, verdict.slots_exhausted) == (outcome, is_final, slots_exhausted)
--- a/tests/engine/test_connection_eviction.py
+++ b/tests/engine/test_connection_eviction.py
@@ -6,21 +6,21 @@
 
 
 def idle(
-    token: str,
+    connection: str,
     host: str,
     rate: float,
-    since: float,
-    had_request: bool = False,
+    state_started_at: float,
+    had_complete_request: bool = False,
     just_opened: bool = False,
 ) -> IdleConnection[str]:
-    return IdleConnection(host, had_request, just_opened, rate, since, token)
+    return IdleConnection(host, had_complete_request, just_opened, rate, state_started_at, connection)
 
 
 def test_connections_without_a_request_are_evicted_first_by_host_rate_and_age() -> None:
     hosts = {"many": 90, "few": 2}
     connections = [
-        idle("keep-alive of few", "few", 9.0, 0.0, had_request=True),
-        idle("keep-alive of many", "many", 9.0, 0.0, had_request=True),
+        idle("keep-alive of few", "few", 9.0, 0.0, had_complete_request=True),
+        idle("keep-alive of many", "many", 9.0, 0.0, had_complete_request=True),
         idle("upload", "many", 10**6, 1.0),
         idle("trickles", "many", 1.0, 5.0),
         idle("silent", "many", 0.0, 7.0),
@@ -28,7 +28,7 @@
         idle("silent of few", "few", 0.0, 1.0),
         idle("new", "many", 0.0, 8.0, just_opened=True),
     ]
-    order = [connection.token for connection in connections_to_evict(hosts, connections, 10)[::-1]]
+    order = [connection.connection for connection in connections_to_evict(hosts, connections, 10)[::-1]]
     assert order == [
         "silent for longer",
         "silent",
@@ -40,4 +40,4 @@
         "keep-alive of few",
     ]
     evicted = connections_to_evict(hosts, connections, 1)
-    assert [connection.token for connection in evicted] == ["silent for longer"]
+    assert [connection.connection for connection in evicted] == ["silent for longer"]
--- a/tests/engine/test_gossip.py
+++ b/tests/engine/test_gossip.py
@@ -236,7 +236,7 @@
 
 def test_merged_connection_limit_closes_the_idle_connection_of_a_fresh_relay() -> None:
     harness = fresh_relay()
-    harness.handle(GossipReceived((), connection_limited=(ConnectionLimit(0, 0.5),)))
+    harness.handle(GossipReceived((), connection_limits=(ConnectionLimit(0, 0.5),)))
     message_id = harness.submit(IDEMPOTENT)
     harness.advance(50)
     assert any(isinstance(action, CloseIdle) for action in harness.end_attempt(message_id))
@@ -315,7 +315,7 @@
     assert claim.endpoints == (11,)
     other = fresh_relay(outage_age_ms=4000.0)
     assert gossip_export.export_claims(other.engine, other.now, {1: "p"}) == []
-    assert gossip_export.known_routes(other.engine, {1: "p"})[1] == set()
+    assert gossip_export.route_inventory(other.engine, {1: "p"})[1] == set()
 
 
 def test_notified_relays_count_as_aware() -> None:
--- a/tests/engine/test_graceful_shutdown.py
+++ b/tests/engine/test_graceful_shutdown.py
@@ -28,8 +28,8 @@
 def test_exit_is_postponed_while_received_bytes_are_unread() -> None:
     assert not shutdown_phase(EXIT_MS - 1).exits
     assert shutdown_phase(EXIT_MS).exits
-    assert not shutdown_phase(EXIT_MS + UNREAD_GRACE_MS - 1, unread=True).exits
-    assert shutdown_phase(EXIT_MS + UNREAD_GRACE_MS, unread=True).exits
+    assert not shutdown_phase(EXIT_MS + UNREAD_GRACE_MS - 1, has_unread_input=True).exits
+    assert shutdown_phase(EXIT_MS + UNREAD_GRACE_MS, has_unread_input=True).exits
 
 
 def test_non_idempotent_message_that_would_be_in_flight_at_the_exit_waits_for_the_next_process() -> None:
--- a/tests/engine/test_work_per_event.py
+++ b/tests/engine/test_work_per_event.py
@@ -48,7 +48,7 @@
         (engine.routing_table.index, "_id_hash"),
         (engine.routing_table.index, "_destination_hash"),
         (engine.routing_table, "_attach"),
-        (engine.scheduler, "pick"),
+        (engine.scheduler, "pick_candidate"),
     ):
         monkeypatch.setattr(owner, name, counting(getattr(owner, name)))
     engine.handle(now, list(events))
@@ -88,7 +88,7 @@
             rejection = AttemptEnded(
                 message_id,
                 message.attempts - 1,
-                message.call.endpoint.info.id,
+                message.call.endpoint.listed.id,
                 Outcome.REJECTED,
                 latency_ms=1.0,
                 retry_after_ms=retry_after_ms,
--- a/tests/faults/relay_testbed.py
+++ b/tests/faults/relay_testbed.py
@@ -17,7 +17,7 @@
 from linnetstile.emulators.record import Recorder, now_ms, read_record
 from linnetstile.emulators.registry import Change, RegistryEmulator, RegistrySpec
 from linnetstile.net import client
-from linnetstile.telemetry.log import logger
+from linnetstile.telemetry.log import create_logger
 from linnetstile.testbed.rule_checker import RuleChecker, RunRecord, Verdict
 
 from .testbed_settings import CLASSES, CLIENT_NAME, LIMITS, PARTNER, PARTNER_NAME, RELAY_NAME, SAFETY
@@ -44,9 +44,10 @@
         classes: Message classes instead of `CLASSES`.
         limits: Limits of the relays that replace those of `LIMITS`.
         registry_fields: Fields of the registry's specification.
-        warm: Whether each relay first delivers `WARM_UP_MESSAGES` messages, if there is a class "safe".
-        knowledge: Gossip settings of the relays.
-        fleet: Number of relays in the settings of each relay; 0 uses the number of relays that are started.
+        warm_up: Whether each relay first delivers `WARM_UP_MESSAGES` messages, if there is a class "safe".
+        gossip_settings: Gossip settings of the relays.
+        configured_relay_count: Number of relays in the settings of each relay; 0 uses the number of relays that are
+            started.
         tls: TLS settings of the relays for the partner.
 
     Attributes:
@@ -68,21 +69,21 @@
         classes: dict[str, Any] | None = None,
         limits: dict[str, Any] | None = None,
         registry_fields: dict[str, Any] | None = None,
-        warm: bool = True,
-        knowledge: dict[str, Any] | None = None,
-        fleet: int = 0,
+        warm_up: bool = True,
+        gossip_settings: dict[str, Any] | None = None,
+        configured_relay_count: int = 0,
         tls: dict[str, Any] | None = None,
     ) -> None:
         self.folder = folder
         self.keys = write_identities(folder)
         self.relay_count = relays
-        self.fleet = fleet or relays
+        self.configured_relay_count = configured_relay_count or relays
         self.faults = faults or []
         self.classes = classes or CLASSES
         self.limits = LIMITS | (limits or {})
         self.registry_spec = registry_fields or {}
-        self.warm = warm and "safe" in self.classes
-        self.knowledge = knowledge
+        self.warm_up = warm_up and "safe" in self.classes
+        self.gossip_settings = gossip_settings
         self.tls = tls
         endpoint_specs = [{"id": number + 1} for number in range(endpoints)]
         self.partner = {**PARTNER, "endpoints": endpoint_specs, "pem": folder / "firma.pem", **(partner or {})}
@@ -100,8 +101,8 @@
         await self.registry.start()
         self.pool = client.ConnectionPool()
         for _ in range(self.relay_count):
-            await self.start_relay(knowledge=self.knowledge)
-        if self.warm:
+            await self.start_relay(gossip_settings=self.gossip_settings)
+        if self.warm_up:
             await self._warm_up()
         # Fault times are relative to this moment: all components run, and warm relays know the partner's latency.
         script_start_ms = now_ms()
@@ -170,7 +171,7 @@
         document = {
             "name": name,
             "register": f"http://127.0.0.1:{self.registry.port}",
-            "relays": self.fleet,
+            "relays": self.configured_relay_count,
             "identity": {"pem": self.folder / "relay.pem"},
             "classes": self.classes,
             "safety": SAFETY,
@@ -181,11 +182,11 @@
         }
         return RelaySettings.model_validate(document)
 
-    async def start_relay(self, wait: bool = True, knowledge: dict[str, Any] | None = None) -> As2Relay:
+    async def start_relay(self, wait: bool = True, gossip_settings: dict[str, Any] | None = None) -> As2Relay:
         """Start an additional relay; with `wait`, return when it has received the endpoint list."""
         name = f"r{len(self.relays) + 1}"
-        more = {"knowledge": knowledge} if knowledge else {}
-        relay = As2Relay(self.relay_settings(name, **more), logger("error"), seed=len(self.relays))
+        more = {"knowledge": gossip_settings} if gossip_settings else {}
+        relay = As2Relay(self.relay_settings(name, **more), create_logger("error"), seed=len(self.relays))
         await relay.start()
         self.relays.append(relay)
         self.relay_lifetimes[name] = [[now_ms(), None, ""]]
@@ -327,7 +328,7 @@
 
 def write_identities(folder: Path) -> dict[str, cms.Identity]:
     """Make the identities of the partner, the relays and the client, and write each to `NAME.pem`."""
-    identities = {name: cms.make_identity(name) for name in (PARTNER_NAME, RELAY_NAME, CLIENT_NAME)}
+    identities = {name: cms.generate_identity(name) for name in (PARTNER_NAME, RELAY_NAME, CLIENT_NAME)}
     for name, identity in identities.items():
         (folder / f"{name}.pem").write_bytes(cms.encode_identity(identity))
     return identities
--- a/tests/faults/test_fleet.py
+++ b/tests/faults/test_fleet.py
@@ -10,7 +10,7 @@
 import pytest
 
 from linnetstile.as2_relay.relay import As2Relay
-from linnetstile.telemetry.log import logger
+from linnetstile.telemetry.log import create_logger
 
 from .relay_process import RelayProcess, write_settings
 from .relay_testbed import RelayTestbed, answer_kind, async_test, wait_until
@@ -88,4 +88,4 @@
     async with RelayTestbed(tmp_path) as testbed:
         settings = testbed.relay_settings("r9", listen=testbed.relays[0].address)
         with pytest.raises(OSError, match="address already in use"):
-            await As2Relay(settings, logger("error")).start()
+            await As2Relay(settings, create_logger("error")).start()
--- a/tests/faults/test_fuzz.py
+++ b/tests/faults/test_fuzz.py
@@ -94,7 +94,7 @@
     assert not relay.admission.waiting
     assert relay.admission.fair_share.used == [0.0, 0.0]
     assert not relay.delivery.receipt_endpoint.pending
-    assert not relay.receipt_delivery.timers
+    assert not relay.receipt_delivery.post_timers
     assert relay.engine.in_flight == 0
     assert not relay.engine.queues.messages
     assert not relay.engine.queues.queues
--- a/tests/faults/test_gossip.py
+++ b/tests/faults/test_gossip.py
@@ -124,13 +124,18 @@
 async def test_a_new_relay_limits_attempts_to_a_partner_whose_outage_peers_report(tmp_path: Path) -> None:
     faults = [partner_fault("fast_errors", for_s=4)]
     async with RelayTestbed(
-        tmp_path, relays=2, fleet=3, faults=faults, partner={"rate": 15.0}, knowledge=token_settings(tmp_path)
+        tmp_path,
+        relays=2,
+        configured_relay_count=3,
+        faults=faults,
+        partner={"rate": 15.0},
+        gossip_settings=token_settings(tmp_path),
     ) as testbed:
         earlier_load = asyncio.create_task(testbed.submit_evenly("safe", 8, 2.0))
         await testbed.sleep_until(2.0)
         old_relay = testbed.relays[0]
         assert is_ejected(old_relay)
-        new_relay = await testbed.start_relay(knowledge=token_settings(tmp_path) | {"peers": [old_relay.address]})
+        new_relay = await testbed.start_relay(gossip_settings=token_settings(tmp_path) | {"peers": [old_relay.address]})
         await wait_for_polls(new_relay)
         await asyncio.sleep(0.05)
         route = new_relay.engine.routes[0][-1]
@@ -156,12 +161,12 @@
 async def test_a_restarted_relay_keeps_a_retry_after_from_its_snapshot(tmp_path: Path) -> None:
     snapshot_settings = {"snapshot": tmp_path / "know", "snapshot_every_ms": 200}
     faults = [partner_fault("shut", for_s=6)]
-    async with RelayTestbed(tmp_path, faults=faults, knowledge=snapshot_settings) as testbed:
+    async with RelayTestbed(tmp_path, faults=faults, gossip_settings=snapshot_settings) as testbed:
         submission = asyncio.create_task(testbed.submit(testbed.make_message("safe")))
         await asyncio.sleep(0.8)
         testbed.kill_relay(0)
         await submission
-        restarted = await testbed.start_relay(knowledge=snapshot_settings)
+        restarted = await testbed.start_relay(gossip_settings=snapshot_settings)
         await asyncio.sleep(0.05)
         remaining_ms = restarted.engine.routes[0][-1].retry_after_until - restarted.context.now_ms
         assert 3000 < remaining_ms < 6000  # the partner sent it to this relay before the kill, so it stays in force
@@ -184,7 +189,7 @@
     path.write_bytes(path.read_bytes()[:-3] if data is None else data)
     with pytest.raises(snapshot.SnapshotError, match=text):
         snapshot.read(path)
-    async with RelayTestbed(tmp_path, knowledge={"snapshot": path}) as testbed:
+    async with RelayTestbed(tmp_path, gossip_settings={"snapshot": path}) as testbed:
         assert (tmp_path / "know.bad").exists()
         assert testbed.relays[0].gossip.merger.snapshot is None
         assert answer_kind(await testbed.submit(testbed.make_message("safe"))) == "delivered"
@@ -193,7 +198,7 @@
 @async_test
 async def test_a_failed_snapshot_write_is_counted_and_loses_no_message(tmp_path: Path) -> None:
     snapshot_settings = {"snapshot": tmp_path / "none" / "know", "snapshot_every_ms": 200}
-    async with RelayTestbed(tmp_path, knowledge=snapshot_settings) as testbed:
+    async with RelayTestbed(tmp_path, gossip_settings=snapshot_settings) as testbed:
         await asyncio.sleep(0.5)
         assert testbed.relays[0].gossip.counts["snapshots_failed"] >= 1
         assert answer_kind(await testbed.submit(testbed.make_message("safe"))) == "delivered"
@@ -234,8 +239,8 @@
     tmp_path: Path, reply: Reply, counted: str
 ) -> None:
     peer = await StubPeer.start(reply)
-    async with RelayTestbed(tmp_path, warm=False) as testbed:
-        new_relay = await testbed.start_relay(knowledge={"peers": [peer.address]})
+    async with RelayTestbed(tmp_path, warm_up=False) as testbed:
+        new_relay = await testbed.start_relay(gossip_settings={"peers": [peer.address]})
         for _ in range(3):  # messages are delivered at the same time
             assert answer_kind(await testbed.submit(testbed.make_message("safe"), 1)) == "delivered"
         await wait_for_polls(new_relay)
@@ -249,8 +254,8 @@
 async def test_a_false_outage_report_delays_but_loses_no_message(tmp_path: Path) -> None:
     """A peer reports an outage of a partner that is up; the first answer to this relay ends the ejection."""
     peer = await StubPeer.start(reply_with(document_json(claim_json(out_age=8_000, wait_ms=700))))
-    async with RelayTestbed(tmp_path, warm=False, partner={"rate": 200.0}) as testbed:
-        new_relay = await testbed.start_relay(knowledge={"peers": [peer.address]})
+    async with RelayTestbed(tmp_path, warm_up=False, partner={"rate": 200.0}) as testbed:
+        new_relay = await testbed.start_relay(gossip_settings={"peers": [peer.address]})
         await wait_for_polls(new_relay)
         await asyncio.sleep(0.05)
         assert is_ejected(new_relay)
@@ -264,12 +269,12 @@
 
 @async_test
 async def test_relays_that_start_together_learn_peers_from_peers(tmp_path: Path) -> None:
-    async with RelayTestbed(tmp_path, knowledge=token_settings(tmp_path)) as testbed:
+    async with RelayTestbed(tmp_path, gossip_settings=token_settings(tmp_path)) as testbed:
         first = testbed.relays[0]
         gossip_settings = token_settings(tmp_path)
-        second = await testbed.start_relay(knowledge=gossip_settings | {"peers": [first.address]})
+        second = await testbed.start_relay(gossip_settings=gossip_settings | {"peers": [first.address]})
         await wait_for_polls(second)
-        third = await testbed.start_relay(knowledge=gossip_settings | {"peers": [second.address]})
+        third = await testbed.start_relay(gossip_settings=gossip_settings | {"peers": [second.address]})
         await wait_for_polls(third, 2)  # the second relay advertises the first
         assert first.address in third.gossip.poller.membership.peers  # type: ignore[union-attr]
         for relay_index in range(3):
@@ -279,7 +284,7 @@
 
 @async_test
 async def test_a_delta_document_holds_only_changed_claims(tmp_path: Path) -> None:
-    async with RelayTestbed(tmp_path, knowledge=token_settings(tmp_path)) as testbed:
+    async with RelayTestbed(tmp_path, gossip_settings=token_settings(tmp_path)) as testbed:
         gossip = testbed.relays[0].gossip
         complete = parse(gossip.document())
         assert len(complete.claims) == 1
@@ -294,7 +299,7 @@
 
 @async_test
 async def test_a_wrong_token_is_denied_and_operators_do_not_count_as_relays(tmp_path: Path) -> None:
-    async with RelayTestbed(tmp_path, knowledge=token_settings(tmp_path)) as testbed:
+    async with RelayTestbed(tmp_path, gossip_settings=token_settings(tmp_path)) as testbed:
         relay = testbed.relays[0]
         wrong_token_file = tmp_path / "wrong"
         wrong_token_file.write_text("guess")
@@ -328,8 +333,8 @@
     peer = await StubPeer.start(
         reply_with(document_json(claim_json(out_age=8_000), claim_json(partner="other"), relays=9))
     )
-    async with RelayTestbed(tmp_path, warm=False) as testbed:
-        new_relay = await testbed.start_relay(knowledge=token_settings(tmp_path) | {"peers": [peer.address]})
+    async with RelayTestbed(tmp_path, warm_up=False) as testbed:
+        new_relay = await testbed.start_relay(gossip_settings=token_settings(tmp_path) | {"peers": [peer.address]})
         await wait_for_polls(new_relay)
         completed = await run_knowledge_command("learned", new_relay.address, "--token-file", str(tmp_path / "token"))
         state = json.loads(completed.stdout)
@@ -349,13 +354,13 @@
     stale_peer = await StubPeer.start(
         reply_with(document_json(claim_json(failed_age=3_600_000, out_age=3_600_500, answered_age=3_700_000)))
     )
-    async with RelayTestbed(tmp_path, warm=False) as testbed:
-        new_relay = await testbed.start_relay(knowledge={"peers": [peer.address, stale_peer.address]})
+    async with RelayTestbed(tmp_path, warm_up=False) as testbed:
+        new_relay = await testbed.start_relay(gossip_settings={"peers": [peer.address, stale_peer.address]})
         await wait_for_polls(new_relay, 2)
         await asyncio.sleep(0.05)
         assert not any(route.health.ejected for route, _ in new_relay.engine.routing_table.known_routes(0).values())
         reasons = {claim.reason for claim in new_relay.gossip.merger.rejected}
-        assert reasons == {"learned from endpoints that are not its own now", "says out, too long ago"}
+        assert reasons == {"learned from endpoints that are not its own now", "claims an outage, but too long ago"}
         assert answer_kind(await testbed.submit(testbed.make_message("unsafe"), 1)) == "delivered"
     peer.close()
     stale_peer.close()
--- a/tests/faults/test_receipts.py
+++ b/tests/faults/test_receipts.py
@@ -71,7 +71,7 @@
 async def test_an_encrypted_message_is_forwarded_unopened_with_its_receipt(
     tmp_path: Path, sign: bool, compress: bool
 ) -> None:
-    decryption_identity = cms.make_identity("firma-open", rsa=True)
+    decryption_identity = cms.generate_identity("firma-open", rsa=True)
     (tmp_path / "open.pem").write_bytes(cms.encode_identity(decryption_identity))
     async with RelayTestbed(tmp_path, partner={"decrypt_pem": tmp_path / "open.pem"}) as testbed:
         message = testbed.make_message(
--- a/tests/faults/test_slow_clients.py
+++ b/tests/faults/test_slow_clients.py
@@ -90,7 +90,7 @@
     listener = server.Server(
         reply_with_body(size),
         limits=server.ServerLimits(min_response_rate=2000, rate_grace_s=0.5, sweep_interval_s=0.1),
-        on_slow=record_eviction,
+        on_connection_evicted=record_eviction,
     )
     port = await listener.start()
     reader, writer = await asyncio.open_connection("127.0.0.1", port, limit=1024)
--- a/tests/faults/test_slow_partners.py
+++ b/tests/faults/test_slow_partners.py
@@ -29,7 +29,7 @@
     evicted: list[str] = []
     pool = ConnectionPool(
         rates=MinimumRates(request_rate=10_000, response_rate=10_000, grace_s=0.5),
-        on_slow=lambda _, limit: evicted.append(limit),
+        on_connection_evicted=lambda _, limit: evicted.append(limit),
     )
     for size in (100, 64 * 2**20):
         pool.call(
--- a/tests/net/test_tls.py
+++ b/tests/net/test_tls.py
@@ -195,10 +195,10 @@
         files = CertificateFiles(tmp_path)
         async with RelayTestbed(tmp_path, partner={"work_ms": 150}, limits={"slots": 32}) as testbed:
             from linnetstile.as2_relay.relay import As2Relay
-            from linnetstile.telemetry.log import logger
+            from linnetstile.telemetry.log import create_logger
 
             settings = testbed.relay_settings("t", tls={"certificate": str(files.server)})
-            service = As2Relay(settings, logger("critical"), seed=9)
+            service = As2Relay(settings, create_logger("critical"), seed=9)
             port = int((await service.start()).rpartition(":")[2])
             while service.registry.version < 0:  # noqa: ASYNC110  (the registry client has no event for its first list)
                 await asyncio.sleep(0.01)
@@ -254,7 +254,7 @@
         certificate = files.client if trusted else None
         tls = {"authorities": files.authority, "name": "relay", "certificate": certificate}
         async with RelayTestbed(
-            tmp_path, warm=trusted, tls=tls, partner={"tls_pem": files.server, "tls_clients": files.authority}
+            tmp_path, warm_up=trusted, tls=tls, partner={"tls_pem": files.server, "tls_clients": files.authority}
         ) as testbed:
             if trusted:
                 assert answer_kind(await testbed.submit(testbed.make_message("unsafe", b"x" * 500_000))) == "delivered"
--- a/tests/platform_relay/test_directory.py
+++ b/tests/platform_relay/test_directory.py
@@ -155,7 +155,7 @@
     update, steps = apply_in_batches(directory, entries, DEFAULT_BATCH, version=2)
     assert update.entries_skipped == 3
     assert update.entries_read == LONG_LIST_SIZE
-    assert directory.skipped_entries == 3
+    assert directory.skipped_entry_count == 3
     assert update.first_fault.startswith("servers[1234]: cell: expected a whole number from 0")
     assert len(update.first_fault) < 200
     assert [endpoint.destination for endpoint in flatten(steps)] == [235]  # s-1235 is removed: its entry has no name
--- a/tests/platform_relay/test_list_entries.py
+++ b/tests/platform_relay/test_list_entries.py
@@ -54,7 +54,7 @@
         {"version": 1, "full": is_full, "servers": [list_entry("a"), malformed_entry, list_entry("b")]}
     )
     assert [address.name for address in listed_addresses(directory)] == ["a", "b"]
-    assert directory.skipped_entries == 1
+    assert directory.skipped_entry_count == 1
     assert [endpoint.id for endpoint in event.endpoints] == list(directory)
 
 
@@ -71,7 +71,7 @@
     )
     assert [(endpoint.id, endpoint.status) for endpoint in event.endpoints] == [(1, EndpointStatus.DRAINING)]
     assert [address.name for address in listed_addresses(directory)] == ["a", "b", "c"]
-    assert directory.skipped_entries == 1
+    assert directory.skipped_entry_count == 1
 
 
 def test_deleted_entry_needs_only_a_name_and_an_unknown_one_is_ignored(directory: Directory) -> None:
--- a/tests/platform_relay/test_watch_policy.py
+++ b/tests/platform_relay/test_watch_policy.py
@@ -70,11 +70,11 @@
     assert watch_deadline(10.0, False, 9.9, opened_at=9.2) == 10 + ELEMENT_STALL_S
 
 
-def resume_policy_after_list(small: bool) -> ResumePolicy:
+def resume_policy_after_list(is_single_part: bool) -> ResumePolicy:
     """Return a policy after a full list and a sound watch."""
     policy = ResumePolicy()
-    policy.full_list_read(small)
-    policy.watch_ended(useful=True, sound=True, in_element=False)
+    policy.full_list_read(is_single_part)
+    policy.watch_ended(has_delivered=True, is_valid=True, in_element=False)
     return policy
 
 
@@ -86,30 +86,30 @@
 
 def test_watch_does_not_resume_while_the_full_list_is_small() -> None:
     # A small list costs less than finding out whether a watch without changes is connected to discovery.
-    assert resume_policy_after_list(small=True).resume_version(5) is None
+    assert resume_policy_after_list(is_single_part=True).resume_version(5) is None
 
 
 @pytest.mark.parametrize(
-    ("useful", "sound", "in_element"),
+    ("has_delivered", "is_valid", "in_element"),
     [(False, True, False), (True, False, False), (True, True, True)],
 )
 def test_watch_does_not_resume_after_a_faulty_one_until_a_full_list_was_read(
-    useful: bool, sound: bool, in_element: bool
+    has_delivered: bool, is_valid: bool, in_element: bool
 ) -> None:
-    policy = resume_policy_after_list(small=False)
+    policy = resume_policy_after_list(is_single_part=False)
     for _ in range(2):
         assert policy.resume_version(5) == 5
         assert policy.resume_version(None) is None
-        policy.watch_ended(useful, sound, in_element)
+        policy.watch_ended(has_delivered, is_valid, in_element)
         assert policy.resume_version(5) is None
-        policy.watch_ended(useful=True, sound=True, in_element=False)
+        policy.watch_ended(has_delivered=True, is_valid=True, in_element=False)
         assert policy.resume_version(5) is None
-        policy.full_list_read(small=False)
-        policy.watch_ended(useful=True, sound=True, in_element=False)
+        policy.full_list_read(is_single_part=False)
+        policy.watch_ended(has_delivered=True, is_valid=True, in_element=False)
 
 
 def test_watch_does_not_resume_after_discovery_moved() -> None:
-    policy = resume_policy_after_list(small=False)
+    policy = resume_policy_after_list(is_single_part=False)
     assert policy.resume_version(5) == 5
-    policy.discovery_moved()
+    policy.discovery_address_changed()
     assert policy.resume_version(5) is None
--- a/tests/testbed/run_record_builder.py
+++ b/tests/testbed/run_record_builder.py
@@ -133,7 +133,7 @@
     def findings(self) -> dict[str, list[str]]:
         """Check the record; return the findings of each rule that is broken."""
         verdicts = RuleChecker(self.build()).check_rules()
-        return {verdict.rule: verdict.findings for verdict in verdicts if verdict.broken}
+        return {verdict.rule: verdict.findings for verdict in verdicts if verdict.breach_count}
 
 
 def _by_time(rows: list[Row]) -> list[Row]:
--- a/tests/testbed/test_rule_checker.py
+++ b/tests/testbed/test_rule_checker.py
@@ -243,7 +243,7 @@
     with (tmp_path / "clients.jsonl").open("a") as file:
         file.write('{"ev": "final", "t": 99')
     verdicts, figures = check(tmp_path)
-    assert not any(verdict.broken for verdict in verdicts)
+    assert not any(verdict.breach_count for verdict in verdicts)
     assert figures.messages == 13
     assert figures.by_answer == {"delivered": 12, "failed": 1}
 
--- a/tests/testbed/test_scale.py
+++ b/tests/testbed/test_scale.py
@@ -27,7 +27,7 @@
 from linnetstile.testbed.scale.relay_process import ProcessMemory
 from linnetstile.testbed.scale.report_text import format_report
 from linnetstile.testbed.scale.simulated_relay import SimulatedRelay
-from linnetstile.testbed.scale.slow_start_returns import judge_slow_starts
+from linnetstile.testbed.scale.slow_start_returns import evaluate_slow_starts
 from linnetstile.testbed.scale.trace import RelayTrace, SlowStartCall
 from linnetstile.testbed.scale.watch_reader import WatchReader
 from linnetstile.testbed.scale.workload import region_of
@@ -48,7 +48,7 @@
     held=5,
     cost_most=400,
 )
-MEASURED_FIELDS = {"cpu_ns", "longest_list_ns"}  # fields of a trace that differ from run to run
+MEASURED_FIELDS = {"cpu_ns", "longest_list_turn_ns"}  # fields of a trace that differ from run to run
 
 
 def arguments(options: ScaleOptions) -> list[str]:
@@ -195,7 +195,7 @@
 def test_relays_beyond_the_time_limit_are_left_out_and_reported() -> None:
     platform = scenarios.build(TINY)
     trace = SimulatedRelay(platform, 0, False, lambda: True).play()
-    assert trace.cut
+    assert trace.is_cut_short
     built_report, _ = report.build(platform, FleetResult([trace, play_relay(TINY, 1, platform=platform)]), None)
     assert built_report["left_out"] == {"relays": 9}
     assert "LEFT OUT: 9 relays" in format_report(built_report)
@@ -221,7 +221,7 @@
     safety = platform.settings(0).safety
     calls = [SlowStartCall(outage.number, outage.end_ms + n * 1e-3, n < met) for n in range(40)]
     trace = RelayTrace(0, 0, slow_start_calls=calls, outages_met={outage.number})
-    slow_starts = judge_slow_starts(platform, in_use, [trace], is_whole_fleet=True)
+    slow_starts = evaluate_slow_starts(platform, in_use, [trace], is_whole_fleet=True)
     worst = slow_starts["worst"]
     assert worst is not None
     assert worst["calls"] == 40
@@ -231,7 +231,7 @@
     assert worst["met_by"] == 1
     spread_calls = [SlowStartCall(outage.number, outage.end_ms + n * safety.overload_window_ms, True) for n in range(6)]
     spread_trace = RelayTrace(0, 0, slow_start_calls=spread_calls)
-    assert judge_slow_starts(platform, in_use, [spread_trace], is_whole_fleet=True)["falls"] == 0
+    assert evaluate_slow_starts(platform, in_use, [spread_trace], is_whole_fleet=True)["falls"] == 0
     # One simulated relay of two is too small a part for a judgement on the whole fleet.
     partial_report, _ = report.build(platform, FleetResult([trace]), None)
     (scenario,) = partial_report["simulated"]["scenes"]
@@ -300,7 +300,7 @@
     platform = scenarios.build(TINY)
     other = scenarios.build(replace(TINY, seed=2))
     fleet_result = FleetResult([RelayTrace(0, platform.fingerprint()), RelayTrace(3, other.fingerprint())])
-    with pytest.raises(RunFailedError, match="relay 3 played another world"):
+    with pytest.raises(RunFailedError, match="relay 3 simulated a different platform"):
         fleet_result.check(platform)
     fleet_result.traces.pop()
     fleet_result.check(scenarios.build(TINY))
