--- a/linnetstile/engine/attempt_outcome.py
+++ b/linnetstile/engine/attempt_outcome.py
@@ -73,7 +73,7 @@
     Attributes:
         outcome: The outcome that the engine acts on.
         reason: Reason of the outcome, for operators and clients.
-        is_final: Whether the partner's answer is the final one, whatever it says.
+        is_final: Whether the message has ended with this attempt, delivered or not.
         retry_after_ms: Retry-After (ms) that came with a rejection, 0 without one.
         slots_exhausted: Whether all slots of this relay at the endpoint were taken.
     """
--- a/linnetstile/engine/connection_eviction.py
+++ b/linnetstile/engine/connection_eviction.py
@@ -36,11 +36,16 @@
 ) -> list[IdleConnection[T]]:
     """Choose the connections that make room for new ones.
 
-    Connections that never had a complete request are evicted before those that had one. Within each of these groups,
-    connections opened a moment ago come last. Otherwise the order is: those of the host with the most connections,
-    those with the lowest receive rate, and the oldest ones first. So half-open and trickling connections make room for
-    each other, rather than a client's idle keep-alive connections, its upload, or a new connection that a busy relay
-    has not read from yet.
+    Connections are compared by these criteria in turn, and are evicted first if they:
+
+    1. never had a complete request,
+    2. were not opened just now,
+    3. belong to the host with the most connections,
+    4. have the lowest receive rate,
+    5. have been in their present state for longest.
+
+    So half-open and trickling connections make room for each other, rather than a client's idle keep-alive connections,
+    its upload, or a new connection that a busy relay has not read from yet.
 
     Args:
         connections_by_host: Number of open connections of each host.
@@ -48,7 +53,7 @@
         max_evicted: Maximum number of connections to choose.
 
     Returns:
-        The chosen connections, the first one to evict last.
+        The chosen connections in reverse order of eviction: the last one is to be evicted first.
     """
 
     def eviction_order(connection: IdleConnection[T]) -> tuple[bool, bool, int, float, float]:
--- a/linnetstile/engine/connection_policy.py
+++ b/linnetstile/engine/connection_policy.py
@@ -18,18 +18,18 @@
 LIMITED_THRESHOLD = 0.04
 # Fraction of the idle time-out within which an idle connection is reused; below 1, as the peer's clock may be ahead.
 IDLE_REUSE_FRACTION = 0.9
-# Fraction of the mean latency: a reused connection that is reset earlier was already closed before the call.
+# A reused connection that is reset within this fraction of the mean latency was already closed before the call.
 STALE_RESET_FRACTION = 0.3
 # Stale ratio above which the last byte of non-idempotent messages is delayed.
 STALE_THRESHOLD = 0.02
 
 
 class ConnectionPolicy:
-    """Learns from the outcomes of calls which kinds of destination limit their connections, and how many are stale.
+    """Learns from outcomes which kinds of destination limit their connections, and how often a reused one is stale.
 
     Attributes:
         scarcity: By kind, whether its endpoints accept too few connections for all relays.
-        connection_limit_ratios: By kind, the fraction of its answers that followed a failed connect.
+        connection_limit_ratios: By kind, the fraction of its successes that came soon after a failed connect.
         surplus: Endpoints whose idle connections are to be closed after the present batch of events.
         stale_ratio: Fraction of the calls on reused connections for which the connection was already closed.
     """
--- a/linnetstile/engine/fair_share.py
+++ b/linnetstile/engine/fair_share.py
@@ -109,7 +109,7 @@
 
     Attributes:
         capacity: Bytes and messages that may be reserved in total.
-        trees: Root of each tree by name; requests queue by the first one.
+        trees: Root of each tree by name; a request waits in the queue of its leaf in the first tree.
         used: Bytes and messages that are reserved.
         rotation: The waiting requests.
         underserved: How many of the first waiting requests are from claimants below their fair share; while there are
@@ -123,7 +123,7 @@
 
         Args:
             capacity: Bytes and messages.
-            trees: Names of the trees that each reservation counts in; requests queue by the first one.
+            trees: Names of the trees that each reservation counts in; a request waits at its leaf in the first tree.
         """
         self.capacity = ResourceAmount(*capacity)
         self.trees = {name: ShareNode("", None) for name in trees}
@@ -235,7 +235,7 @@
         self._count_underserved()
         return AdmissionDecision.QUEUED
 
-    # -- the rules ---------------------------------------------------------------------------------------
+    # -- admission rules ---------------------------------------------------------------------------------
 
     def _fits(self, reservation: Reservation, amount: ResourceAmount) -> bool:
         """Whether an amount may be granted now."""
--- a/linnetstile/engine/gossip.py
+++ b/linnetstile/engine/gossip.py
@@ -239,7 +239,7 @@
     # A source that saw the route recover after all claimed outages began outweighs them: the route is in slow start.
     if slow_start_age_ms is not None and all(slow_start_age_ms < age for age in health.outage_ages):
         outage_age_ms = None
-    has_caution = bool(health.outage_ages or health.slow_start_ages)
+    has_outage_evidence = bool(health.outage_ages or health.slow_start_ages)
     latency = merge_latency(claims)
     return MergedRoute(
         key.partner,
@@ -250,7 +250,7 @@
         latency_mean_ms=latency.mean_ms,
         latency_deviation_ms=latency.deviation_ms,
         answers=latency.answers,
-        aware_relays=float(relay_count) if has_caution else 1.0,
+        aware_relays=float(relay_count) if has_outage_evidence else 1.0,
         rate=_merge_rate(claims),
     )
 
--- a/linnetstile/engine/graceful_shutdown.py
+++ b/linnetstile/engine/graceful_shutdown.py
@@ -13,11 +13,12 @@
 
 from dataclasses import dataclass
 
-EXIT_MS = 3550.0  # from SIGTERM to the exit, with the journal closed, before the platform kills the process
-# Time before the exit from which no message is admitted: clients use other relays, and requests that were read are
+# Time from SIGTERM to the exit; the journal is closed by then, and the platform has not killed the process yet.
+EXIT_MS = 3550.0
+# During this time before the exit, no message is admitted: clients use other relays, and requests that were read are
 # answered.
 STOP_ADMITTING_MS = 300.0
-# Time before the exit from which no connection is accepted, and requests that are incomplete are rejected.
+# During this time before the exit, no connection is accepted, and requests that are incomplete are rejected.
 STOP_ACCEPTING_MS = 100.0
 UNREAD_GRACE_MS = 50.0  # delay of the exit if bytes have arrived that were not read yet
 
--- a/linnetstile/engine/idle_routes.py
+++ b/linnetstile/engine/idle_routes.py
@@ -24,7 +24,7 @@
 from .time_points import NEVER
 
 # Idle routes above this number are evicted; this many take about 4 MB. A relay with 1,024 destinations never evicts a
-# route, and steps that visit all resident routes take at most twice as long as at such a relay.
+# route. Steps that visit all resident routes take at most twice as long as with the routes of 1,024 destinations.
 MAX_RESIDENT_ROUTES = 2048
 VISITS_PER_EVENT = 2  # routes and records checked per event; an event creates at most one, so eviction keeps up
 
--- a/linnetstile/engine/membership.py
+++ b/linnetstile/engine/membership.py
@@ -120,8 +120,8 @@
     def next_peer(self, now_ms: float) -> str | None:
         """Return the address of the peer to poll now.
 
-        There is never more than one poll at a time. Responsive peers come first, then the peer whose last answer is
-        the oldest, and a random one among equals.
+        There is never more than one poll at a time. Responsive peers are polled before unresponsive ones; within each
+        group, the peer whose last answer is the oldest is polled first, and a random one among equals.
         """
         if self.polling is not None or now_ms < self.next_poll_at:
             return None
--- a/linnetstile/engine/rate_limiter.py
+++ b/linnetstile/engine/rate_limiter.py
@@ -1,9 +1,9 @@
 """Rate limits of destinations: tokens, learned and advertised rates, throttling after rejections, load reports.
 
 The limit of a destination holds for all relays together, and is usually not advertised. A relay begins with an equal
-share of the advertised rate or, without one, with infrequent calls that are not paced. A rejection throttles the route;
-each success of a route that has no whole token left raises its rate again. An ejected route, and one in slow start, get
-this relay's share of the slow-start budget.
+share of the advertised rate. Without an advertised rate, it begins with a low rate, below which calls are not delayed
+(`UNPACED_RATE`). A rejection throttles the route; each success of a route that has no whole token left raises its rate
+again. An ejected route, and one in slow start, get this relay's share of the slow-start budget.
 """
 
 from __future__ import annotations
--- a/linnetstile/engine/resource_limits.py
+++ b/linnetstile/engine/resource_limits.py
@@ -101,9 +101,10 @@
 def resource_limits(sockets: int, disk_bytes: float, slots: int) -> ResourceLimits:
     """Divide the descriptors and the disk.
 
-    A quarter of the descriptors is for clients and a quarter for idle connections to endpoints. The platform gives
-    clients a third for requests, including idle keep-alive connections: if a relay kept more of these open, clients
-    could not open connections to submit messages. The journal and its compacted version fit on the disk together.
+    Apart from the minimums, clients' connections get at most a quarter of the descriptors, and so do idle connections
+    to endpoints. The platform lets clients use a third of the descriptors for requests, idle keep-alive connections
+    included: if a relay kept more of these open, clients could not open connections to submit messages. The journal and
+    its compacted version fit on the disk together.
 
     Args:
         sockets: Descriptors that the relay may open.
--- a/linnetstile/engine/retry_policy.py
+++ b/linnetstile/engine/retry_policy.py
@@ -192,7 +192,7 @@
 
     @staticmethod
     def cancel_unsent(actions: list[Action], endpoints: list[EndpointState]) -> None:
-        """Cancel the calls to these endpoints that still wait for a connection, as they may no longer be sent."""
+        """Cancel the calls to these endpoints that still wait for a connection, as they must not be sent any more."""
         for endpoint in endpoints:
             for call in endpoint.route.calls:
                 if call.endpoint is endpoint:
--- a/linnetstile/engine/route_factory.py
+++ b/linnetstile/engine/route_factory.py
@@ -75,7 +75,7 @@
         self.queues.schedule(info.destination)
 
     def _new_route(self, now: float, info: Endpoint, advertised_rate: float, is_listed: bool) -> RouteState:
-        # Nothing is known of a destination that comes into use: it may be slow although others answer quickly.
+        # A destination that comes into use gets no fleet estimate: it is unknown, and may be slower than the others.
         if is_listed:
             estimate = LatencyEstimate(self.fleet_latency.mean_ms, self.fleet_latency.deviation_ms)
         else:
--- a/linnetstile/engine/route_state.py
+++ b/linnetstile/engine/route_state.py
@@ -1,7 +1,7 @@
 """State of a route that is in use: its endpoints, calls, latency, rate and health.
 
-A destination has one route, or one for each of its endpoints where the settings say so. Each record below is written
-by the module that its docstring names; others only read it.
+A destination has one route, or one for each of its endpoints where the settings say so. Where the docstring of a record
+below names modules, these decide its values. `idle_routes` restores the records of evicted routes.
 """
 
 from __future__ import annotations
@@ -56,6 +56,8 @@
 class RateState:
     """Rate of one route; written by `rate_limiter`, and by `slow_start` when a destination has recovered.
 
+    `scheduler` and `engine` also change `tokens`, and `engine` calls `relax_throttle`.
+
     Attributes:
         fleet_rate: Calls a second that all relays together may send.
         own_rate: Calls a second that this relay may send, as learned from outcomes.
@@ -85,7 +87,7 @@
 
 @dataclass(slots=True)
 class HealthState:
-    """Health of one route; written by `outlier_detection`, `slow_start` and `gossip_import`.
+    """Health of one route; written by `outlier_detection`, `slow_start`, `gossip_import` and `destinations`.
 
     Attributes:
         last_success_at: Time of the latest answer.
--- a/linnetstile/engine/scheduler.py
+++ b/linnetstile/engine/scheduler.py
@@ -23,10 +23,11 @@
 MAX_QUEUE_WAIT_MS = 500.0  # longest time until a queue without a sendable message is checked again
 LAST_ATTEMPT_FACTOR = 3.0  # factor on the time-out of a message's last attempt: a late answer still counts
 SLOW_FACTOR = 8.0  # a destination is slow if its calls take more than this multiple of the harmonic mean latency
-SUSPECTED_SLOT_DIVISOR = 4  # a suspected route may occupy all slots divided by this
-ROUTE_SLOT_DIVISOR = 2  # a healthy route may occupy all slots divided by this while several destinations have messages
-SCARCE_SLOT_DIVISOR = 4  # slots are scarce if no more than all slots divided by this are free
-SLOW_SLOT_DIVISOR = 8  # slow routes together may occupy all slots divided by this while slots are scarce
+# Limits on slots, as divisors of `max_in_flight`: 4 stands for a quarter of all slots.
+SUSPECTED_SLOT_DIVISOR = 4  # part of the slots that a suspected route may occupy
+ROUTE_SLOT_DIVISOR = 2  # part that a healthy route may occupy while several destinations have messages
+SCARCE_SLOT_DIVISOR = 4  # slots are scarce if no more than this part is free
+SLOW_SLOT_DIVISOR = 8  # part that all slow routes together may occupy while slots are scarce
 
 
 class Candidate(NamedTuple):
--- a/linnetstile/engine/settings.py
+++ b/linnetstile/engine/settings.py
@@ -199,7 +199,7 @@
         max_retry_after_ms: Longest Retry-After that clients honour; 0 = clients ignore Retry-After.
         cross_zone_price: Fee of a call into another zone.
         route_fees: Fee of a call, by zone index.
-        load_report_fields: Indexes of the used figures in a load report; None = load reports are not used.
+        load_report_fields: Indexes of the figures that are read from a load report; None = load reports are not used.
         safety: Limits of the delivery rules.
         score_weights: Weights of the components of the score.
     """
--- a/linnetstile/engine/share_tree.py
+++ b/linnetstile/engine/share_tree.py
@@ -140,7 +140,7 @@
     """What one message uses.
 
     Attributes:
-        leaves: The leaf of each tree that it counts at.
+        leaves: Its leaf in each tree, where its amount is counted.
         amount: Bytes and messages that were granted.
         released: Whether it was released.
     """
--- a/linnetstile/engine/time_points.py
+++ b/linnetstile/engine/time_points.py
@@ -3,4 +3,5 @@
 from __future__ import annotations
 
 MS_PER_SECOND = 1000.0
-NEVER = float("-inf")  # earlier than any time: an event that has not happened, or an action that is not allowed
+# Earlier than any time: the time of an event that has not happened, or the latest time of a forbidden action.
+NEVER = float("-inf")
--- a/linnetstile/engine/watch_policy.py
+++ b/linnetstile/engine/watch_policy.py
@@ -10,7 +10,7 @@
 |------|--------------|-------|
 | 0    | last byte of the first watch | |
 | 2.60 | the first watch is closed, as an empty line is overdue | `WATCH_SILENCE_S` |
-| 2.65 | a second watch resumes from the version, as the first one was sound | `WATCH_BACKOFF_MS`, 50 ms |
+| 2.65 | a second watch resumes from the version, as the first one was valid | `WATCH_BACKOFF_MS`, 50 ms |
 | 3.65 | a) no head comes: a third requests the full list at 3.75, a fourth at 4.95 | `FIRST_ELEMENT_S`; 100, 200 ms |
 | 5.25 | b) only a head comes: closed when an empty line is overdue since the request | `WATCH_SILENCE_S` |
 | 5.35 | b) a third watch requests the full list, with 0.65 s left | 100 ms |
@@ -56,7 +56,7 @@
     """Decides whether the next watch requests the full list, or resumes from the known version.
 
     It requests the full list at first, after discovery has moved, and after a watch that delivered nothing useful, was
-    unsound, had an older list or ended in the middle of an element: only a full list makes up for what such a watch may
+    invalid, had an older list or ended in the middle of an element: only a full list makes up for what such a watch may
     have left out. It also does while the full list is small: that costs less than to find out whether a watch without
     changes is connected to discovery at all.
 
--- a/linnetstile/platform_relay/list_update.py
+++ b/linnetstile/platform_relay/list_update.py
@@ -141,7 +141,7 @@
         *,
         is_new: bool = False,
     ) -> None:
-        """Store a record and its status in a row; None as the record keeps the stored one."""
+        """Store a record with a status in a row; if `record` is None, only the status of the stored record changes."""
         self._mark_named(row)
         records = self._table.records
         old_record = records[row]
@@ -166,7 +166,7 @@
                 self._named_rows.extend(bytes(row + 1 - len(self._named_rows)))
             self._named_rows[row] = 1
 
-    # -- end -------------------------------------------------------------------------------------------------
+    # -- end of the list -------------------------------------------------------------------------------------
 
     def remove_missing(self) -> list[Endpoint]:
         """Check the next rows and remove the endpoints that a full list did not name.
--- a/linnetstile/platform_relay/listed_destinations.py
+++ b/linnetstile/platform_relay/listed_destinations.py
@@ -1,4 +1,4 @@
-"""The destinations that have endpoints, in 16 bytes each."""
+"""A compact table of the destinations that have endpoints, which takes 16 bytes of memory for each of them."""
 
 from __future__ import annotations
 
--- a/tests/engine/test_connection_scarcity.py
+++ b/tests/engine/test_connection_scarcity.py
@@ -94,7 +94,7 @@
     for _ in range(3):
         submit_and_end(harness, 2, Outcome.REJECTED)
     assert CloseIdle(11) in submit_and_end(harness, 1, connection_reused=True)
-    assert not any(isinstance(action, CloseIdle) for action in submit_and_end(harness, 3))  # of another kind
+    assert not any(isinstance(action, CloseIdle) for action in submit_and_end(harness, 3))  # kind "many"
 
 
 def test_connection_that_the_next_call_reuses_at_once_is_not_closed() -> None:
--- a/tests/engine/test_rate_limiter.py
+++ b/tests/engine/test_rate_limiter.py
@@ -85,7 +85,7 @@
     assert first_calls_with_load_reports(0.0) < 0.4 * first_calls_with_load_reports(0.9)
 
 
-def test_first_calls_after_a_long_retry_after_are_spread_over_the_relays() -> None:
+def test_first_calls_after_a_long_retry_after_are_spread_over_time() -> None:
     delays: list[float] = []
     for seed in range(40):
         harness = EngineHarness(make_settings(relay_count=40), seed=seed)
@@ -126,7 +126,10 @@
 
 
 def retry_delay_of_an_ordered_message(successors: int) -> float:
-    """Return the time from a rejection to the retry, which successors of its ordering key wait for; 0 = none."""
+    """Return the time from the rejection of a message to its latest call; not above 0 if not sent again within 4 s.
+
+    `successors` messages of its ordering key wait until it has ended.
+    """
     ordered = make_message_class(Effect.NON_IDEMPOTENT, deduplication_window_ms=0.0, in_order=True)
     harness = EngineHarness(make_settings(classes=(ordered,), relay_count=200))
     harness.list_endpoints((11, 1), advertised_rate=10.0)
@@ -141,4 +144,4 @@
 
 def test_message_that_others_of_its_ordering_key_wait_for_overdraws_the_tokens() -> None:
     assert retry_delay_of_an_ordered_message(successors=2) < 500
-    assert retry_delay_of_an_ordered_message(successors=0) <= 0  # it has not been sent again yet
+    assert retry_delay_of_an_ordered_message(successors=0) <= 0  # not sent again within 4 s
--- a/tests/engine/test_work_per_event.py
+++ b/tests/engine/test_work_per_event.py
@@ -118,7 +118,7 @@
 
 
 def seconds_to_apply_a_full_list(engine: DeliveryEngine, now: float, first_id: int) -> float:
-    """Return how long a full list takes that has endpoints `first_id` to 1023, two for each destination."""
+    """Return how long it takes to apply a full list of the endpoints `first_id` to 1023, two for each destination."""
     entries: tuple[Endpoint, ...] = tuple(
         make_endpoint(endpoint_id, endpoint_id // 2) for endpoint_id in range(first_id, 1024)
     )
--- a/tests/invariant_checker.py
+++ b/tests/invariant_checker.py
@@ -191,7 +191,9 @@
     def _check_endpoint(self, now: float, endpoint_id: int) -> None:
         not_ready_since = self.not_ready_since.get(endpoint_id)
         if not_ready_since is not None and now > not_ready_since + self.settings.safety.drain_grace_ms:
-            raise RuleViolationError("drain: sent to a draining endpoint")
+            raise RuleViolationError(
+                "drain: sent to an endpoint that was draining or gone for longer than the grace time"
+            )
         if now < self.retry_after_until.get(self.route_of(endpoint_id), 0.0):
             raise RuleViolationError("wait: sent before the end of a Retry-After")
 
@@ -206,7 +208,7 @@
             if is_same_key and (not earlier.has_ended or earlier.is_in_flight):
                 raise RuleViolationError("order: an earlier message of its key has not ended or is in flight")
         if not observed.attempts and now < self.ordering_pauses.get(ordering_key, 0.0):
-            raise RuleViolationError("order: its key is in a pause")
+            raise RuleViolationError("order: its key is paused after an unclear attempt")
 
     def _check_slow_start_budget(self, now: float, endpoint_id: int) -> None:
         """Check this relay's share of the slow-start budget of a destination, plus `SLOW_START_SLACK_CALLS`."""
--- a/tests/platform_relay/discovery_emulator.py
+++ b/tests/platform_relay/discovery_emulator.py
@@ -19,7 +19,7 @@
 
 
 class DiscoveryEmulator:
-    """Discovery with its own server.
+    """Emulates discovery: serves watches from a server of its own.
 
     Attributes:
         entries: The list entries of all endpoints, by name.
--- a/tests/platform_relay/test_watch_policy.py
+++ b/tests/platform_relay/test_watch_policy.py
@@ -71,7 +71,7 @@
 
 
 def resume_policy_after_list(is_single_part: bool) -> ResumePolicy:
-    """Return a policy after a full list and a sound watch."""
+    """Return a policy after a full list and a valid watch."""
     policy = ResumePolicy()
     policy.full_list_read(is_single_part)
     policy.watch_ended(has_delivered=True, is_valid=True, in_element=False)
--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -108,7 +108,7 @@
 
 
 def list_changed() -> bytes:
-    """Return the record that reports the list `LIST_NUMBER` to the instance as a cached list."""
+    """Return the record that tells the instance that `LIST_NUMBER` is the number of its cached list."""
     return record(LIST_CHANGED_CODE, struct.pack("<IBQB", INSTANCE, 2, 41, LIST_NUMBER))
 
 
