--- a/benchmarks/cold_start.py
+++ b/benchmarks/cold_start.py
@@ -58,7 +58,7 @@
 
 
 async def submit_messages(testbed: RelayTestbed, seconds: float, relays: int) -> collections.Counter[str]:
-    """Submit messages at the rate of the benchmark, to all relays in turn; returns the number of each answer."""
+    """Submit messages at the rate of the benchmark, to all relays in turn; returns the number of answers by kind."""
     began = testbed.elapsed_s()
     answers = []
     for number in range(int(MESSAGES_PER_S * seconds)):
@@ -71,7 +71,7 @@
     """One run with new relays, which get gossip from the old ones if `learning`."""
     folder = Path(tempfile.mkdtemp(prefix="linnetstile-cold-"))
     (folder / "token").write_text("secret")
-    gossip = {"token_file": folder / "token"}
+    gossip_settings = {"token_file": folder / "token"}
     outage = {"kind": "fast_errors", "at_s": 0, "for_s": OUTAGE_S, "partners": ["firma"]}
     partner = {"rate": PARTNER_RATE, "cold_ms": SAFETY["cold_ms"]}
     relays = OLD_RELAYS + new_relays
@@ -81,7 +81,7 @@
         configured_relay_count=relays,
         faults=[outage],
         partner=partner,
-        gossip_settings=gossip,
+        gossip_settings=gossip_settings,
     ) as testbed:
         load_in_outage = asyncio.create_task(
             testbed.submit_evenly("safe", OUTAGE_MESSAGES_PER_S, OUTAGE_LOAD_S, OLD_RELAYS)
@@ -89,7 +89,7 @@
         await testbed.sleep_until(OUTAGE_S - START_BEFORE_RETURN_S)
         for _ in range(new_relays):
             peers = [relay.address for relay in testbed.relays[:OLD_RELAYS]]
-            await testbed.start_relay(gossip_settings=gossip | ({"peers": peers} if learning else {}))
+            await testbed.start_relay(gossip_settings=gossip_settings | ({"peers": peers} if learning else {}))
         await testbed.sleep_until(OUTAGE_S)
         answers = await submit_messages(testbed, seconds, relays)
         await load_in_outage
--- a/benchmarks/slopes/__main__.py
+++ b/benchmarks/slopes/__main__.py
@@ -47,7 +47,7 @@
     parser.add_argument(
         "--rounds", type=int, default=0, help="measurements of each point; 0 = the number that the series defines"
     )
-    parser.add_argument("--point", default="", help="NAME:SIZE: one point, in this process")
+    parser.add_argument("--point", default="", help="NAME:SIZE: measure only this size of this series, in this process")
     args = parser.parse_args()
     all_series = series_of(args.axis)
     if args.point:
--- a/benchmarks/slopes/changes.py
+++ b/benchmarks/slopes/changes.py
@@ -34,7 +34,7 @@
 """Number of the first destination that is added to the list."""
 SUBMIT_INTERVAL_S = 0.001
 """Interval between two rounds of messages that test whether a change is in force."""
-DAY_INTERVAL_S = 0.01
+DAY_CHANGE_INTERVAL_S = 0.01
 DAY_SETTLE_S = 0.2
 IDLE_S = 2.0
 CHANGE_STATES = {"comes": "SERVING", "drains": "DRAINING", "goes": "DELETED"}
@@ -65,7 +65,7 @@
         return differences(self.cpu_us(), before)
 
     def change(self, first: int, count: int, state: str) -> ChangeSent:
-        """Change the state of `count` destinations in one object."""
+        """Change the state of `count` destinations with one JSON object on each watch."""
         address = self.platform.endpoint_address
         return self.platform.change(
             [inside.discovery_entry(number, number, address, state) for number in range(first, first + count)]
@@ -106,7 +106,7 @@
 
 
 def measure_burst(count: int, destinations: int) -> Measurements:
-    """Measure adding, draining and deleting `count` destinations, each step in one object."""
+    """Measure adding, draining and deleting `count` destinations, each step in one JSON object."""
     with running_fleet(destinations) as fleet:
         idle_us = minimum_per_relay([fleet.cpu_us_during(SETTLE_S) for _ in range(ROUNDS)])
         measurements: Measurements = {}
@@ -117,8 +117,8 @@
                 before_us = fleet.cpu_us()
                 sent = fleet.change(first, count, state)
                 measurements[f"{name}_bytes"] = float(sent.size_bytes)
-                # Testing whether a change is in force costs more processor time than the change itself, so that this
-                # round gives the time until it is in force and no sample of processor time.
+                # Testing whether a change is in force costs more processor time than the change itself. The last round
+                # of `comes` is therefore used for the time until the change is in force, not for processor time.
                 if name == "comes" and round_number == ROUNDS - 1:
                     measurements["in_force_wall_ms"] = _in_force_ms(fleet, first + count - 1, sent)
                     continue
@@ -146,7 +146,7 @@
         for number in range(count):
             round_number, step = divmod(number, len(states))
             size_bytes += fleet.change(FIRST_ADDED_DESTINATION + round_number, 1, states[step]).size_bytes
-            time.sleep(DAY_INTERVAL_S)
+            time.sleep(DAY_CHANGE_INTERVAL_S)
         last = 2 * FIRST_ADDED_DESTINATION
         in_force_ms = fleet.ms_until_in_force(last, fleet.change(last, 1, "SERVING").sent_at_s)
         time.sleep(DAY_SETTLE_S)
--- a/benchmarks/slopes/destination_lists.py
+++ b/benchmarks/slopes/destination_lists.py
@@ -47,8 +47,8 @@
         return directory, events
 
     read_bytes, (directory, events) = inside.measure_allocation(read)
-    # Objects that only the events refer to are freed once the engine has read the events, so that they are measured
-    # separately and not counted for the directory.
+    # The events are discarded once the engine has handled them: the memory that only they hold is measured here, and
+    # not counted for the directory.
     engine = inside.create_engine(1)
     engine_bytes = inside.measure_allocation(lambda: engine.handle(1.0, list(events))).size_bytes
     freed_bytes = -inside.measure_allocation(events.clear).size_bytes
--- a/benchmarks/slopes/events.py
+++ b/benchmarks/slopes/events.py
@@ -232,23 +232,27 @@
 
 
 RATES = (100, 200, 300, 400)
-RATE_CHECKS = (600,)
+CHECK_RATES = (600,)
 CLIENT_COUNTS = (1, 2, 4, 8)
-CLIENT_CHECKS = (16,)
+CHECK_CLIENT_COUNTS = (16,)
 SERIES = {
     "rate_kept": Series(
-        "events a second", RATES, RATE_CHECKS, lambda rate: measure_at_rate(REUSED_DESTINATIONS, rate), 1
+        "events a second", RATES, CHECK_RATES, lambda rate: measure_at_rate(REUSED_DESTINATIONS, rate), 1
     ),
     "rate_fresh": Series(
-        "events a second", RATES, RATE_CHECKS, lambda rate: measure_at_rate(RECONNECTED_DESTINATIONS, rate), 1
+        "events a second", RATES, CHECK_RATES, lambda rate: measure_at_rate(RECONNECTED_DESTINATIONS, rate), 1
     ),
     "closed": Series(
-        "clients", CLIENT_COUNTS, CLIENT_CHECKS, lambda clients: measure_closed_loop(REUSED_DESTINATIONS, clients), 1
+        "clients",
+        CLIENT_COUNTS,
+        CHECK_CLIENT_COUNTS,
+        lambda clients: measure_closed_loop(REUSED_DESTINATIONS, clients),
+        1,
     ),
     "closed_fresh": Series(
         "clients",
         CLIENT_COUNTS,
-        CLIENT_CHECKS,
+        CHECK_CLIENT_COUNTS,
         lambda clients: measure_closed_loop(RECONNECTED_DESTINATIONS, clients),
         1,
     ),
--- a/benchmarks/slopes/fit.py
+++ b/benchmarks/slopes/fit.py
@@ -74,7 +74,7 @@
     """Fit one form.
 
     Raises:
-        ValueError: The form is unknown, or can't be fitted (a power needs sizes and values above 0).
+        ValueError: The form is unknown, or can't be fitted (a power law needs sizes and values above 0).
     """
     match form:
         case "constant":
@@ -86,7 +86,7 @@
             a, b = fit_line(sizes, values, weights)
         case "power":
             if min(*sizes, *values) <= 0:
-                raise ValueError("a power needs sizes and values above 0")
+                raise ValueError("a power law needs sizes and values above 0")
             logarithm, b = fit_line([math.log(size) for size in sizes], [math.log(value) for value in values])
             a = math.exp(logarithm)
         case _:
--- a/benchmarks/slopes/internals.py
+++ b/benchmarks/slopes/internals.py
@@ -1,7 +1,8 @@
-"""All uses of the program's internal interfaces in the slopes, one small function each.
+"""Uses of the platform relay's internal interfaces in the slopes, one small function each.
 
-If one of these interfaces changes, only this module is adapted. Everything else uses `DeliveryEngine.handle` with the
-events of `engine/events.py`, or a real relay process.
+If one of these interfaces changes, only this module is adapted. The series use it, `DeliveryEngine.handle` with the
+events of `engine/events.py`, or a real relay process. Only `relays` also uses the membership and the gossip of AS2
+relays directly.
 """
 
 from __future__ import annotations
@@ -66,7 +67,7 @@
 
 
 def read_value(directory: Directory, value: Any) -> list[Event]:
-    """Convert one value of discovery, or a part of one, to events for the engine.
+    """Convert one JSON value of a watch's stream, or a part of one, to events for the engine.
 
     Uses platform_relay.directory and platform_relay.discovery.
     """
@@ -91,7 +92,7 @@
 
 
 def list_bound_bytes() -> int:
-    """Return the bytes of the longest value of discovery that a relay reads. Uses platform_relay.discovery."""
+    """Return the bytes of the longest value of a watch's stream that a relay reads. Uses platform_relay.discovery."""
     return discovery.MAX_LIST_BYTES
 
 
@@ -144,5 +145,5 @@
 
 
 def discovery_line(servers: Iterable[dict[str, Any]], version: int, full: bool) -> bytes:
-    """Encode one value of discovery as a line of JSON."""
+    """Encode a full list or changes as one line of a watch's stream."""
     return json.dumps({"version": version, "full": full, "servers": list(servers)}).encode() + b"\n"
--- a/benchmarks/slopes/judgement.py
+++ b/benchmarks/slopes/judgement.py
@@ -74,8 +74,8 @@
 def add_reference_loops(quantities: dict[str, Any], loop_us: float) -> None:
     """Add to each fit of processor time the same fit in reference loops.
 
-    `loop_us` is the minimum of the run: a loop that shares its core with other load takes up to twice as long, so the
-    loops of a single point may or may not include that.
+    `loop_us` is the time of the fastest reference loop of the run. A loop that shares its core with other load takes up
+    to twice as long, so the loops measured with a single point may be too slow to compare with.
     """
     for name, quantity in quantities.items():
         words = name.split("_")
--- a/benchmarks/slopes/processes.py
+++ b/benchmarks/slopes/processes.py
@@ -90,7 +90,7 @@
         return commands.ListSet(**self._send(command)).size_bytes
 
     def change(self, entries: list[commands.Entry]) -> commands.ChangeSent:
-        """Send all changes in one object to every watch."""
+        """Send all changes in one JSON object to every watch."""
         return commands.ChangeSent(**self._send(commands.ChangeEntries(entries)))
 
     def cut_watches(self, entries: list[commands.Entry]) -> None:
@@ -285,7 +285,10 @@
 
 
 def wait_until_listed(client: HttpClient, destination: int, seconds: float) -> ListWait:
-    """Submit messages for a destination until `SUBMIT_AFTER_LISTED_S` after one is accepted, at most for `seconds`."""
+    """Submit messages for a destination until one is accepted, and for `SUBMIT_AFTER_LISTED_S` after that.
+
+    It stops after `seconds` in any case.
+    """
     started_at = time.monotonic()
     end = started_at + seconds
     longest_s = 0.0
--- a/benchmarks/timers.py
+++ b/benchmarks/timers.py
@@ -174,7 +174,8 @@
 
     def expire(self, now: float) -> list[int]:
         """Remove and return the connections whose deadline has passed."""
-        # The loop removes cancelled timers once they are more than half of all timers, and these are at least 100.
+        # The event loop removes cancelled timers if there are more than 100 timers and over half of them are cancelled.
+        # Here only the second condition is checked.
         heap: list[Any] = self.loop._scheduled  # noqa: SLF001 (see __init__)
         if self.loop._timer_cancelled_count * 2 > len(heap):  # noqa: SLF001 (see __init__)
             scheduled = [handle for handle in heap if not handle._cancelled]  # noqa: SLF001 (as the loop does it)
--- a/linnetstile/testbed/scale/comparison.py
+++ b/linnetstile/testbed/scale/comparison.py
@@ -56,7 +56,8 @@
 ) -> ComparisonRun:
     """Start emulators, relay processes and reference models, and wait until all have read the list."""
     ports = await bench.start_endpoint(), await bench.start_endpoint()
-    # The settings count the relays of this comparison alone, so that rate limits do not delay its few messages.
+    # Each relay gets an equal share of a destination's rate. With the number of relays in the whole fleet, the share
+    # would be so small that it delays the few messages of the comparison.
     platform = PlatformModel(replace(options, relays=max(1, options.real), played=0), ports)
     source = PlatformSource(platform)
     discovery, discovery_port = await bench.start_discovery(source)
--- a/linnetstile/testbed/scale/comparison_bench.py
+++ b/linnetstile/testbed/scale/comparison_bench.py
@@ -26,7 +26,7 @@
 """Pause between two messages that find out which endpoint is in force."""
 HTTP_TIMEOUT_S = 2.0
 LOG_TAIL_CHARS = 300
-"""Characters from the end of the log that go into the error of a relay that did not start."""
+"""Characters from the end of the log that go into the error of a relay that did not become ready."""
 LOST = "lost"
 """Used in place of an endpoint for a message without a result in time."""
 ACCEPTED_STATUSES = (200, 202)
@@ -110,7 +110,7 @@
         while (event := relay.find_ready_event()) is None:
             if relay.process.poll() is not None or time.monotonic() > until:
                 tail = relay.log.read_text(errors="replace")[-LOG_TAIL_CHARS:].strip()
-                raise RelayStartError(f"{relay.name} did not start: {tail or 'it wrote nothing'}")
+                raise RelayStartError(f"{relay.name} did not become ready; end of its log: {tail or '(empty)'}")
             await asyncio.sleep(START_POLL_S)
         relay.ready = event
 
--- a/linnetstile/testbed/scale/comparison_result.py
+++ b/linnetstile/testbed/scale/comparison_result.py
@@ -67,7 +67,7 @@
 
     Attributes:
         changes: Number of changes.
-        until_next_shows_ms: Time in ms until a further change is in force.
+        until_next_shows_ms: Time in ms from sending a further change, right after them, until it is in force.
         cpu_s: Processor time that each relay process spent on the changes, in seconds.
     """
 
--- a/linnetstile/testbed/scale/comparison_run.py
+++ b/linnetstile/testbed/scale/comparison_run.py
@@ -72,7 +72,7 @@
         )
 
     async def break_watches(self) -> None:
-        """Break all watches so that the relays miss a change; compare them after they have opened new ones."""
+        """Break all watches so that the relays miss a change; compare the deliveries once they are open again."""
         is_list_accepted = self.result.is_list_accepted
         missed = self._change(ChangeKind.REPLACED, self.destinations[-2]) if is_list_accepted else None
         requests_before = len(self.discovery.requested_targets)
--- a/linnetstile/testbed/scale/report_bounds.py
+++ b/linnetstile/testbed/scale/report_bounds.py
@@ -44,7 +44,8 @@
         subject = f"{name}: change in force at the last relay, since it could be told"
         bounds.append(_bound(subject, in_force_ms, CHANGE_IN_FORCE_BOUND_MS, "ms", "simulated"))
     largest_bytes = scenario["control"]["bytes_a_second"].get("last")
-    # The day scenario has the changes of a whole day within minutes; the forecast has the rate of an ordinary day.
+    # The day scenario is not judged here, as it has the changes of a whole day within minutes: the rate of an ordinary
+    # day is judged in the forecast.
     if name != DAY_SCENARIO and largest_bytes is not None:
         subject = f"{name}: control bytes of the relay that got most"
         source = "simulated, over the scene, at the size played"
--- a/tests/test_benchmarks.py
+++ b/tests/test_benchmarks.py
@@ -75,7 +75,7 @@
 
 
 def test_structures_for_few_deadlines_have_a_ratio_to_the_plain_one() -> None:
-    rows = compare_deadlines(100, 1.0)  # the plain one takes less than 1 ms, the resolution of the result
+    rows = compare_deadlines(100, 1.0)  # so few that the linear scan's time is rounded to 0.000 s
     assert [row["structure"] for row in rows] == ["plain", "heap", "wheel", "handles"]
     assert rows[0]["against_plain"] == 1.0
 
--- a/tests/testbed/test_scale.py
+++ b/tests/testbed/test_scale.py
@@ -1,4 +1,4 @@
-"""Tests of a tiny scale run, its parts, invalid options and exit codes: of counts and rules, but not of times."""
+"""Tests of a tiny scale run, its parts, invalid options and exit codes; they check no measured times."""
 
 from __future__ import annotations
 
@@ -293,7 +293,7 @@
     result = CliRunner().invoke(main, ["scale", *arguments(TINY), "--out", str(tmp_path / "out")])
     assert result.exit_code == 3
     last_line = result.output.splitlines()[-1]
-    assert last_line == "linnetstile scale: small did not start: it wrote nothing"
+    assert last_line == "linnetstile scale: small did not become ready; end of its log: (empty)"
 
 
 def test_a_worker_that_simulated_a_different_platform_ends_the_run() -> None:
