--- a/linnetstile/as2_relay/admission.py
+++ b/linnetstile/as2_relay/admission.py
@@ -16,7 +16,7 @@
 # Memory of an accepted message besides its body: 6.7 kB (benchmarks/results/held.json), rounded up.
 MESSAGE_OVERHEAD_BYTES = 8 * 1024
 SLOW_PARTNER_CHECK_S = 0.25
-FULL_FRACTION = 0.99  # fraction of memory in use from which logs name `hold_bytes` as the binding limit
+FULL_FRACTION = 0.99  # in logs, `hold_bytes` is the binding limit if at least this fraction of it is in use
 MIN_TIMER_S = 0.001
 
 RejectHandler = Callable[[RequestContext, str, float], None]
--- a/linnetstile/as2_relay/gossip_polling.py
+++ b/linnetstile/as2_relay/gossip_polling.py
@@ -18,8 +18,8 @@
 # A peer that takes longer counts as unanswered: the ages in its answer could not be trusted, and traffic must not wait.
 POLL_TIMEOUT_S = 1.0
 CONNECT_TIMEOUT_S = 0.5
-BOOTSTRAP_TICK_S = 0.05  # interval of the checks for a peer to poll, while the first peers are polled
-TICK_S = 0.5  # interval of the checks for a peer to poll, after the first peers were polled
+BOOTSTRAP_TICK_S = 0.05  # how often to check whether a poll is due, until the first peers have answered
+TICK_S = 0.5  # how often to check whether a poll is due, after the first peers have answered
 
 
 @dataclass(slots=True)
--- a/linnetstile/as2_relay/gossip_snapshot.py
+++ b/linnetstile/as2_relay/gossip_snapshot.py
@@ -15,7 +15,7 @@
 from .gossip_document import GossipDocument, GossipDocumentError, parse
 
 SNAPSHOT_MAGIC = b'{"linnetstile"'
-LOGGED_FAILURE_COUNTS = (1, 10, 100, 1000)  # only the failed writes with these numbers are logged
+LOGGED_FAILURE_COUNTS = (1, 10, 100, 1000)  # a failed write is logged when the number of failures reaches one of these
 
 
 def load(path: Path) -> GossipDocument:
@@ -94,7 +94,7 @@
             self.log.warning(
                 log_events.GOSSIP_SNAPSHOT_AGE_UNKNOWN,
                 file=str(self.path),
-                why="the clock was set back after the snapshot was written; snapshot not used",
+                why="the time of writing is missing, invalid or in the future (clock set back); snapshot not used",
             )
             return None
         self.log.info(
--- a/linnetstile/as2_relay/relay_view.py
+++ b/linnetstile/as2_relay/relay_view.py
@@ -28,7 +28,7 @@
 
     @property
     def accepted(self) -> Mapping[int, AcceptedMessage]:
-        """The messages that have no final answer yet, by their number."""
+        """The messages that have no final answer yet, by message id."""
 
     @property
     def engine(self) -> DeliveryEngine:
--- a/linnetstile/as2_relay/self_check.py
+++ b/linnetstile/as2_relay/self_check.py
@@ -63,7 +63,7 @@
     def _check_attempts(self, attempts: list[Attempt]) -> None:
         in_flight = self.engine.in_flight
         assert len(attempts) <= in_flight + len(self.engine_loop.events), (
-            f"{len(attempts)} attempts, more than {in_flight} slots in use and the pending events"
+            f"{len(attempts)} attempts, expected at most {in_flight} slots in use plus the pending events"
         )
         by_partner = sum(len(partner.in_flight) for partner in self.admission.slow_partners.partners.values())
         assert by_partner == len(attempts), f"{by_partner} attempts counted by partner, {len(attempts)} in flight"
--- a/linnetstile/codec/as2.py
+++ b/linnetstile/codec/as2.py
@@ -39,21 +39,21 @@
         As2Error: The value is not a plain or quoted name of 1 to 128 characters.
     """
     if QUOTED_NAME.match(text):
-        plain = re.sub(r"\\(.)", r"\1", text[1:-1])
+        unquoted = re.sub(r"\\(.)", r"\1", text[1:-1])
     elif PLAIN_NAME.match(text):
-        plain = text
+        unquoted = text
     else:
         raise _field_error(field, "an AS2 name, plain or in quotes", text)
-    if not 1 <= len(plain) <= MAX_NAME_LENGTH:
+    if not 1 <= len(unquoted) <= MAX_NAME_LENGTH:
         raise _field_error(field, f"1 to {MAX_NAME_LENGTH} characters", text)
-    return plain
+    return unquoted
 
 
-def quote_name(plain: str) -> str:
+def quote_name(unquoted: str) -> str:
     """Return the form of a name for a header field: in quotes if it needs them."""
-    if PLAIN_NAME.match(plain):
-        return plain
-    return '"' + re.sub(r'(["\\])', r"\\\1", plain) + '"'
+    if PLAIN_NAME.match(unquoted):
+        return unquoted
+    return '"' + re.sub(r'(["\\])', r"\\\1", unquoted) + '"'
 
 
 def parse_message_id(text: str, field: str = "Message-ID") -> str:
--- a/linnetstile/codec/http1/encoder.py
+++ b/linnetstile/codec/http1/encoder.py
@@ -58,7 +58,9 @@
     """
     if not TOKEN.match(method) or not REQUEST_TARGET.match(target):
         raise UnsendableMessageError(
-            f"{method!r} {target!r} can't be sent", expected="a token and visible ASCII", found=f"{method} {target}"
+            f"{method!r} {target!r} can't be sent",
+            expected="a token, and a target in visible ASCII",
+            found=f"{method} {target}",
         )
     return EncodedMessage(_encode_head(f"{method} {target} HTTP/1.1", headers, len(body)), body)
 
--- a/linnetstile/codec/http1/input_buffer.py
+++ b/linnetstile/codec/http1/input_buffer.py
@@ -79,6 +79,5 @@
         stop = min(max_bytes, len(data))
         if not BARE_LINE_FEED.search(data, max(0, self._scanned_bytes - 1), stop):
             return False
-        # A search that starts inside the data can't see a carriage return just before its start, so it may report a
-        # bare line feed wrongly. The search from the start of the data decides.
+        # Bytes searched by an earlier call are skipped above; only a match is confirmed by a search of all the data.
         return BARE_LINE_FEED.search(data, 0, stop) is not None
--- a/linnetstile/codec/json_stream.py
+++ b/linnetstile/codec/json_stream.py
@@ -15,7 +15,7 @@
 
 __all__ = ["DEFAULT_STEP_BYTES", "MAX_DEPTH", "JsonStreamError", "JsonStreamReader", "ObjectPart"]
 
-DEFAULT_STEP_BYTES = 64 * 1024  # a longer object is returned in parts if it may; also the limit of one of its elements
+DEFAULT_STEP_BYTES = 64 * 1024  # size above which an object may be returned in parts; maximum size of an element
 SCAN_BYTES = 16 * 1024  # bytes that are buffered before each scan
 TOP_LEVEL_DEPTH = 0
 
--- a/linnetstile/net/client_pool.py
+++ b/linnetstile/net/client_pool.py
@@ -228,9 +228,9 @@
     def _abort_slow_calls(self) -> None:
         now_ms = self.loop.time() * 1000
         for connection in list(self.connections):
-            rate = connection.violated_rate(now_ms)
-            if rate and connection.call is not None:
-                self.on_connection_evicted(connection, rate)
+            violated_rate = connection.violated_rate(now_ms)
+            if violated_rate and connection.call is not None:
+                self.on_connection_evicted(connection, violated_rate)
                 connection.call.abort(WireResult.TIMED_OUT)
 
     def close(self) -> None:
--- a/linnetstile/net/server_limits.py
+++ b/linnetstile/net/server_limits.py
@@ -44,7 +44,7 @@
     """
 
     max_connections: int = 4096
-    head_timeout_s: float = 10.0  # for the TLS handshake, for the first byte of a new connection, for a head
+    head_timeout_s: float = 10.0  # for a TLS handshake, and for a head (on a new connection: since its start)
     idle_timeout_s: float = 60.0  # between two requests
     min_body_rate: float = 0.0  # minimum rate at which a body is sent
     min_response_rate: float = 0.0  # minimum rate at which a response is read
--- a/linnetstile/platform_relay/intake.py
+++ b/linnetstile/platform_relay/intake.py
@@ -68,7 +68,11 @@
         self.is_open = False
 
     def submit(self, request: server.RequestContext, submission: Submission) -> None:
-        """Accept a valid submission, or reject it for a reason that is unknown to the engine."""
+        """Accept a valid submission, or reject it for a reason that the engine does not check.
+
+        These are: the relay is not ready or is shutting down, the id is that of a pending message, the destination is
+        unknown, the journal is full, or the deadline has passed.
+        """
         remaining_ms = submission.remaining_ms - (self._loop.time() - request.started_at) * 1000
         if not self.is_open or self._is_closing():
             reply(request, 503, "refused: this relay is not taking messages on", close=True)
--- a/linnetstile/platform_relay/journal_codec.py
+++ b/linnetstile/platform_relay/journal_codec.py
@@ -27,7 +27,7 @@
     PendingNotice,
 )
 
-RECORD_HEAD = struct.Struct("<cII")  # kind, bytes of the content, CRC-32
+RECORD_HEAD = struct.Struct("<cII")  # kind, length of the content in bytes, CRC-32
 ACCEPTED = b"T"
 ATTEMPT_STARTED = b"A"
 ATTEMPT_ENDED = b"O"
@@ -36,7 +36,7 @@
 RECORD_KINDS = (ACCEPTED, ATTEMPT_STARTED, ATTEMPT_ENDED, NOTICE_PENDING, COMPLETED)
 MAX_CONTENT_BYTES = 256 * 1024  # ample for a body of 64 KiB and its metadata: a larger length shows damage
 
-METADATA_LENGTH = struct.Struct("<I")  # bytes of the JSON metadata, which precedes the body
+METADATA_LENGTH = struct.Struct("<I")  # length in bytes of the JSON metadata, which precedes the body
 ATTEMPT_LAYOUT = struct.Struct("<Qdi")  # message id, start time, zone of the endpoint; the name of the endpoint follows
 MESSAGE_FLAG = struct.Struct("<Q?")  # message id, whether the attempt may have taken effect
 
@@ -126,7 +126,7 @@
 
 
 def encode_completed(message_id: int) -> bytes:
-    """Encode the record of a complete message: a replay drops all earlier records of the message."""
+    """Encode the record that a message is completed: a replay then drops all earlier records of the message."""
     return _record(COMPLETED, MESSAGE_FLAG.pack(message_id, False))
 
 
--- a/linnetstile/platform_relay/process.py
+++ b/linnetstile/platform_relay/process.py
@@ -33,7 +33,7 @@
 
 
 class StatsReporter:
-    """Logs the state of the relay every `STATS_INTERVAL_S`, for comparison with the traffic around it.
+    """Logs the state of the relay every `STATS_INTERVAL_S`, so that operators can compare it with the traffic.
 
     The names of the fields are part of the log's format; docs/operate/node.md explains them.
     """
@@ -151,7 +151,7 @@
 async def _start(settings: RelaySettings) -> PlatformRelay | None:
     try:
         relay = PlatformRelay(settings, log)
-        del settings  # refers to the cached list, whose memory the relay frees during its start
+        del settings  # a reference here would keep the cached endpoint list in memory after `start` drops it
         await relay.start()
     except OSError as error:
         print(f"linnetstile node: can't start: {error}", file=sys.stderr)
@@ -171,7 +171,7 @@
     if settings is None:
         return EXIT_BAD_CONFIG
     starting = _start(settings)
-    del settings  # a reference here would keep the memory of the cached list in use
+    del settings  # a reference here would keep the cached endpoint list in memory, too
     relay = await starting
     if relay is None:
         return EXIT_CANNOT_START
--- a/linnetstile/telemetry/metrics.py
+++ b/linnetstile/telemetry/metrics.py
@@ -53,7 +53,7 @@
         """Provides the metric families of this page to the registry that renders them."""
 
         def collect(self) -> Iterator[Metric]:
-            """Return all families."""
+            """Return the metric families of this page."""
             return iter(families.values())
 
     registry = CollectorRegistry(auto_describe=False)
--- a/tests/codec/test_as2.py
+++ b/tests/codec/test_as2.py
@@ -22,12 +22,12 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "plain"),
+    ("text", "unquoted"),
     [("abc", "abc"), ('"a b"', "a b"), ('"a\\"b\\\\"', 'a"b\\'), ("x" * 128, "x" * 128), ("Firma#1", "Firma#1")],
 )
-def test_name_round_trips_through_quoting(text: str, plain: str) -> None:
-    assert as2.parse_name(text, "AS2-From") == plain
-    assert as2.parse_name(as2.quote_name(plain), "AS2-To") == plain
+def test_name_round_trips_through_quoting(text: str, unquoted: str) -> None:
+    assert as2.parse_name(text, "AS2-From") == unquoted
+    assert as2.parse_name(as2.quote_name(unquoted), "AS2-To") == unquoted
 
 
 @pytest.mark.parametrize("text", ["", "a b", '"', '""', "x" * 129, '"a"b"', "a\\b", "é", '"' + "x" * 129 + '"'])
--- a/tests/faults/test_slow_partners.py
+++ b/tests/faults/test_slow_partners.py
@@ -40,8 +40,8 @@
             asyncio.get_running_loop().time() + 3,
         )
     await wait_until(lambda: len(answers) >= 2, poll_s=0.02)
-    # The large request is evicted for its rate, long before its timeout. The kernel has accepted the small one
-    # completely, so it is unknown whether the partner received it.
+    # The connection of the large request is closed for its low rate, long before the request's timeout. The small
+    # request times out: the kernel has accepted all of it, so it is unknown whether the partner received it.
     assert [answer.wire_result for answer in answers] == [WireResult.REQUEST_INCOMPLETE, WireResult.TIMED_OUT]
     assert evicted == ["request_rate"]
     stop.set()
--- a/tests/net/test_tls.py
+++ b/tests/net/test_tls.py
@@ -63,15 +63,15 @@
     return answer
 
 
-def run_with_files(test: Callable[[CertificateFiles], Any], tmp_path: Path) -> None:
-    async def scenario() -> None:
-        await test(CertificateFiles(tmp_path))
+def run_with_files(scenario: Callable[[CertificateFiles], Any], tmp_path: Path) -> None:
+    async def run() -> None:
+        await scenario(CertificateFiles(tmp_path))
 
-    run_test(scenario)
+    run_test(run)
 
 
 def test_bodies_of_all_sizes_are_transferred_on_one_connection(tmp_path: Path) -> None:
-    async def test(files: CertificateFiles) -> None:
+    async def scenario(files: CertificateFiles) -> None:
         limits = http1.Limits(max_body_bytes=2**24)
         listener, pool = make_server(files, http_limits=limits), client.ConnectionPool(limits=limits)
         port, context_files = await listener.start(), TlsContextFiles(False, authorities=files.authority)
@@ -84,11 +84,11 @@
         pool.close()
         listener.close()
 
-    run_with_files(test, tmp_path)
+    run_with_files(scenario, tmp_path)
 
 
 def test_client_certificate_is_required_and_its_subject_known_to_the_handler(tmp_path: Path) -> None:
-    async def test(files: CertificateFiles) -> None:
+    async def scenario(files: CertificateFiles) -> None:
         listener = make_server(files, need_client=True)
         port = await listener.start()
         answer = await send_request(port, TlsContextFiles(False, files.client, None, files.authority))
@@ -100,14 +100,14 @@
         assert listener.counts["handshakes_failed"] == 1
         listener.close()
 
-    run_with_files(test, tmp_path)
+    run_with_files(scenario, tmp_path)
 
 
 @pytest.mark.parametrize("defect", ["name", "authority", "plain", "expired"])
 def test_unverified_peer_counts_as_no_connection(tmp_path: Path, defect: str) -> None:
     """No byte of the request was sent, so the peer can't have processed it."""
 
-    async def test(files: CertificateFiles) -> None:
+    async def scenario(files: CertificateFiles) -> None:
         listener = make_server(files)
         if defect == "expired":  # simulates a certificate that expired after it was loaded
             write_pem(make_certificate("relay", files.root, (-9, -1)), files.server)
@@ -124,11 +124,11 @@
         assert answer.wire_result is WireResult.NO_CONNECTION
         listener.close()
 
-    run_with_files(test, tmp_path)
+    run_with_files(scenario, tmp_path)
 
 
 def test_incomplete_handshakes_are_limited_and_time_out(tmp_path: Path) -> None:
-    async def test(files: CertificateFiles) -> None:
+    async def scenario(files: CertificateFiles) -> None:
         listener = make_server(
             files, connection_limits=server.ServerLimits(max_connections=20, head_timeout_s=0.6, sweep_interval_s=0.05)
         )
@@ -139,8 +139,8 @@
             handshake.do_handshake()
         client_hello = outgoing.read()
         incomplete = [await asyncio.open_connection("127.0.0.1", port) for _ in range(60)]
-        for n, (_, writer) in enumerate(incomplete):
-            writer.write(client_hello[:n])
+        for number, (_, writer) in enumerate(incomplete):
+            writer.write(client_hello[:number])
         await asyncio.sleep(0.1)
         assert len(listener.connections) <= 20
         assert {connection.phase for connection in listener.connections} == {"handshake"}
@@ -154,11 +154,11 @@
             writer.close()
         listener.close()
 
-    run_with_files(test, tmp_path)
+    run_with_files(scenario, tmp_path)
 
 
 def test_bytes_that_are_not_a_handshake_are_reported(tmp_path: Path) -> None:
-    async def test(files: CertificateFiles) -> None:
+    async def scenario(files: CertificateFiles) -> None:
         errors: list[str] = []
         listener = make_server(files, on_error=lambda peer, error: errors.append(error.text))
         port = await listener.start()
@@ -170,7 +170,7 @@
         writer.close()
         listener.close()
 
-    run_with_files(test, tmp_path)
+    run_with_files(scenario, tmp_path)
 
 
 def test_unusable_certificate_files_raise_an_error_that_names_file_and_reason(tmp_path: Path) -> None:
@@ -191,7 +191,7 @@
 
 
 def test_certificates_are_reloaded_in_service_and_unusable_ones_are_ignored(tmp_path: Path) -> None:
-    async def test() -> None:
+    async def scenario() -> None:
         files = CertificateFiles(tmp_path)
         async with RelayTestbed(tmp_path, partner={"work_ms": 150}, limits={"slots": 32}) as testbed:
             from linnetstile.as2_relay.relay import As2Relay
@@ -229,11 +229,11 @@
                 answers.append(await answered)
 
             tasks = []
-            for n in range(60):
+            for number in range(60):
                 tasks.append(asyncio.create_task(submit()))
-                if n == 20:
+                if number == 20:
                     files.server.write_text("torn")  # a rotation may leave a truncated file, for a moment or longer
-                elif n == 40:
+                elif number == 40:
                     write_pem(make_certificate("relay", new_root), files.server)
                 await asyncio.sleep(0.06)
             await asyncio.gather(*tasks)
@@ -244,12 +244,12 @@
             pool.close()
             service.close()
 
-    run_test(test)
+    run_test(scenario)
 
 
 @pytest.mark.parametrize("trusted", [True, False])
 def test_delivery_over_tls_needs_certificates_on_both_sides(tmp_path: Path, trusted: bool) -> None:
-    async def test() -> None:
+    async def scenario() -> None:
         files = CertificateFiles(tmp_path)
         certificate = files.client if trusted else None
         tls = {"authorities": files.authority, "name": "relay", "certificate": certificate}
@@ -266,4 +266,4 @@
             assert not testbed.partner_records("began")
         assert not testbed.broken_rules()
 
-    run_test(test)
+    run_test(scenario)
--- a/tests/platform_relay/fault_scenario.py
+++ b/tests/platform_relay/fault_scenario.py
@@ -82,7 +82,7 @@
         return [(notice["ref"], notice["result"]) for notice in self.testbed.notices]
 
     def record_write(self) -> None:
-        """Record the state after a write of the first relay."""
+        """Copy the state folder after a write of the first relay, as a kill at this time would leave it."""
         if self.is_recording:
             self._update_last_snapshot()
             self.snapshots.append(JournalSnapshot(self.folder / f"kill-{len(self.snapshots)}"))
--- a/tests/platform_relay/http_messages.py
+++ b/tests/platform_relay/http_messages.py
@@ -17,7 +17,11 @@
 
 
 async def read_http(reader: asyncio.StreamReader) -> tuple[str, dict[str, str], bytes]:
-    """Read one request or response with a length: first line, header fields by name in lower case, body."""
+    """Read one request or response; its body has the length in Content-Length, or is empty without that field.
+
+    Returns:
+        The first line, the header fields by name in lower case, and the body.
+    """
     first_line, *field_lines = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1").split("\r\n")
     split_lines = (line.partition(":") for line in field_lines if line)
     fields = {name.lower(): value.strip() for name, _, value in split_lines}
--- a/tests/platform_relay/test_delivery.py
+++ b/tests/platform_relay/test_delivery.py
@@ -60,7 +60,7 @@
         testbed.scripted_responses[1] = [response]
         assert await request_status(relay, submission("a", "pay")) == 202
         await wait_until(lambda: not relay.accepted, 1.0)
-        for submission_id in ("b", "c"):  # the rest of the first response is not taken for a response to these
+        for submission_id in ("b", "c"):  # the extra bytes above must not be read as their responses
             testbed.scripted_responses[1] = [too_many_requests(retry_after_s=0.05), OK_RESPONSE]
             assert await request_status(relay, submission(submission_id, "pay")) == 202
             await wait_until(lambda: not relay.accepted)
