--- a/linnetstile/as2_relay/async_receipts.py
+++ b/linnetstile/as2_relay/async_receipts.py
@@ -108,7 +108,7 @@
             self.context.counts["receipts_without_attempt"] += 1
             self.context.log.warning(
                 log_events.RECEIPT_IGNORED,
-                why="late, repeated or unknown receipt address",
+                why="expected a POST to the receipt URL of an attempt in flight; the receipt may be late or repeated",
                 sender=request.head.headers.get("as2-from")[:MAX_LOGGED_SENDER_CHARS],
             )
             # The status is 200 although the receipt is ignored, as a partner would resend it after an error.
--- a/linnetstile/as2_relay/intake.py
+++ b/linnetstile/as2_relay/intake.py
@@ -97,7 +97,8 @@
             text = f"refused: no rule takes a message from {head.sender} to {head.receiver} of this subject and type"
             self.submissions.refuse(request, 403, text, head.message_id)
             return
-        # The deadline counts from the first byte of the request, so a body that arrives after it cannot be delivered.
+        # The deadline counts from the first byte of the request: a body that is complete only after the deadline
+        # cannot be delivered in time.
         request.body_deadline = request.started_at + self.classes[rule.class_index].deadline_ms / 1000
         submission = self._make_submission(request, head, rule)
         request.submission = submission
--- a/linnetstile/as2_relay/process.py
+++ b/linnetstile/as2_relay/process.py
@@ -92,7 +92,10 @@
 
 
 def _log_unhandled_errors(log: Logger) -> None:
-    """Log unhandled errors: a listener without descriptors (asyncio pauses it for 1 s), or a failed callback."""
+    """Log errors that reach the event loop: a failed callback, or no file descriptor left to accept a connection.
+
+    In the latter case asyncio stops accepting connections for 1 s.
+    """
 
     def on_error(_: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
         log.error(log_events.FAULT, why=context.get("message", ""), error=repr(context.get("exception")))
--- a/linnetstile/as2_relay/receipt_delivery.py
+++ b/linnetstile/as2_relay/receipt_delivery.py
@@ -53,7 +53,7 @@
         max_in_flight: int,
         on_progress: Callable[[], None],
     ) -> None:
-        """Create a receipt delivery without posts.
+        """Create a receipt delivery that has nothing to post yet.
 
         Args:
             context: Shared state of the relay's components.
--- a/linnetstile/as2_relay/registry.py
+++ b/linnetstile/as2_relay/registry.py
@@ -221,7 +221,7 @@
         self._get_changes()
 
     def _store_entry(self, entry: RegistryEntry) -> Endpoint:
-        """Store the address of an endpoint, and return the endpoint as the engine's record."""
+        """Store the address of an endpoint unless it is gone, and return the engine's description of the endpoint."""
         partner_number = self.partner_numbers.setdefault(entry.partner, len(self.partner_numbers))
         if entry.status != "gone":
             self.endpoints[entry.id] = EndpointAddress.from_entry(entry)
--- a/linnetstile/cli/knowledge.py
+++ b/linnetstile/cli/knowledge.py
@@ -189,7 +189,9 @@
         payload, age_ms = snapshot.read(file)
         parse(payload)
         if age_ms is None:
-            raise ValueError("its age is unknown: the clock was set back after it was written")
+            raise ValueError(
+                "its age is unknown: its header has no valid time, or the clock was set back after it was written"
+            )
     except (snapshot.SnapshotError, ValueError) as error:
         die(ExitCode.BAD_INPUT, f"{file}: {error}")
     data = file.read_bytes()
--- a/linnetstile/cli/scale.py
+++ b/linnetstile/cli/scale.py
@@ -65,7 +65,7 @@
 
 
 def _size_options(function: Callable[..., None]) -> Callable[..., None]:
-    """Add an option for each size, in the order of their help texts."""
+    """Add one option with an integer value for each entry of `SIZE_HELP`, in the same order."""
     for name, help_text in reversed(SIZE_HELP.items()):
         add_option = click.option(
             f"--{name.replace('_', '-')}",
--- a/linnetstile/cli/send.py
+++ b/linnetstile/cli/send.py
@@ -194,7 +194,7 @@
 
 
 def _check_receipt(options: SendOptions, submission: Submission, answer: CallResult) -> messages.ReceiptCheck | None:
-    """Return what the receipt in an answer proves; None if the answer has no receipt."""
+    """Return what the receipt in an answer proves; None if none was requested or the status is not 200."""
     from ..emulators import messages
 
     if answer.head is None or answer.head.status != OK_STATUS or options.no_receipt:
--- a/linnetstile/emulators/client.py
+++ b/linnetstile/emulators/client.py
@@ -90,7 +90,7 @@
 
     def _repeat(self, message: OpenMessage, relay: int) -> None:
         """Submit the same message once more, whether it is still open or has ended."""
-        # Only to the same relay: with two relays, the client itself would cause a second effect.
+        # Relays do not recognize each other's messages: a repeat to another relay could take effect a second time.
         if message.submissions == 1 and message.relay == relay:
             self._submit(message, relay, is_repeat=True)
 
--- a/linnetstile/emulators/partner.py
+++ b/linnetstile/emulators/partner.py
@@ -66,7 +66,7 @@
         return [endpoint for partner in self.partners for endpoint in partner.endpoints]
 
     def schedule_outages(self) -> None:
-        """Replace the timers of all outages, counted from the start of the script."""
+        """Set the timers of all outages again, for times relative to the start of the script."""
         loop = asyncio.get_running_loop()
         self._cancel_timers()
         for outage in self._outages():
--- a/linnetstile/emulators/partner_environment.py
+++ b/linnetstile/emulators/partner_environment.py
@@ -14,7 +14,7 @@
 
 
 class PartnerEnvironment:
-    """Clock of the script, random numbers, traffic record, faults and outgoing connections.
+    """Shared state of the partners: script clock, random numbers, traffic record, faults, outgoing connections.
 
     Attributes:
         spec: The settings of the process.
--- a/linnetstile/testbed/attempts.py
+++ b/linnetstile/testbed/attempts.py
@@ -38,7 +38,7 @@
         partner: Name of the partner.
         endpoint: Id of the endpoint.
         connection: Identifies the connection within the partner; None in older records.
-        reads_slowly: Whether the partner read it slowly, and so observed its end only after all unread bytes.
+        reads_slowly: Whether the partner read it slowly; it then observes the end only after reading all earlier bytes.
         is_cut: Whether the connection ended before the request was complete.
         end_ms: When it was answered or closed; infinity if the partner observed no end.
         status: HTTP status of its answer; 0 if there was none.
--- a/linnetstile/testbed/message_rules.py
+++ b/linnetstile/testbed/message_rules.py
@@ -84,7 +84,7 @@
 
 
 def _label(submission: MessageSubmitted) -> str:
-    """Return the label of a submission in findings."""
+    """Return the text that identifies a submission in findings."""
     return f"{submission.message_id} submitted to {submission.relay}"
 
 
--- a/linnetstile/testbed/partner_rules.py
+++ b/linnetstile/testbed/partner_rules.py
@@ -48,7 +48,7 @@
         self._updates = self._collect_updates()
 
     def _collect_updates(self) -> dict[_EndpointAtProcess, list[_StatusUpdate]]:
-        """Return the status updates that each relay process got of each endpoint, in the order of the times."""
+        """Return the status updates about each endpoint that each relay process got, in chronological order."""
         updates: dict[_EndpointAtProcess, list[_StatusUpdate]] = defaultdict(list)
         known_endpoints: dict[str, set[int]] = defaultdict(set)
         for sent in self._traffic.lists:
@@ -171,7 +171,7 @@
 
 
 class _RouteAtProcess(NamedTuple):
-    """Key of the waits that a partner asked of a relay process for a route (the partner, or one of its endpoints)."""
+    """Key of the Retry-After answers that a relay process got on a route: a partner, or one of its endpoints."""
 
     process: str
     route: str
--- a/linnetstile/testbed/processes.py
+++ b/linnetstile/testbed/processes.py
@@ -53,7 +53,7 @@
     """All child processes of a run and their lifetimes.
 
     Attributes:
-        lifetimes: Lifetimes of the processes of each name, in the order of their starts.
+        lifetimes: Lifetimes by process name, in the order of the starts; a restarted process keeps its name.
     """
 
     def __init__(self, folder: Path) -> None:
--- a/linnetstile/testbed/relay_lifetime.py
+++ b/linnetstile/testbed/relay_lifetime.py
@@ -9,7 +9,7 @@
 from enum import Enum
 from typing import Any, Self
 
-KILL_DETECTION_MS = 2000  # a kill this soon after an answer was due can explain why it is missing
+KILL_DETECTION_MS = 2000  # a missing answer is excused if its relay is killed at most this long after it was due
 
 
 class ProcessEnd(Enum):
--- a/linnetstile/testbed/scale/fleet.py
+++ b/linnetstile/testbed/scale/fleet.py
@@ -132,7 +132,7 @@
             self._record(name, pipe.recv())
         except EOFError:
             if name not in self.result.peak_memory:
-                raise RunFailedError(f"{name}: the process ended by itself") from None
+                raise RunFailedError(f"{name}: the process exited before it had sent all results") from None
             del running[pipe]
 
     def _record(self, name: str, message: WorkerMessage) -> None:
--- a/linnetstile/testbed/scale/outage_observer.py
+++ b/linnetstile/testbed/scale/outage_observer.py
@@ -14,7 +14,7 @@
     def __init__(self, runtime: RelayRuntime) -> None:
         self.runtime = runtime
 
-    # -- begin of a call --
+    # -- start of a call --
 
     def count_call(self, result: CallResult) -> None:
         """Count a call, and whether it was made in an outage or to an endpoint that has left the list."""
@@ -39,7 +39,7 @@
     # -- end of a call --
 
     def record_failure(self, destination: int, began_ms: float, now_ms: float) -> None:
-        """Record a failed call that began in an outage, and whether the engine now believes the destination down."""
+        """Record that a call failed in an outage, and when the engine first believed the destination down."""
         runtime = self.runtime
         trace = runtime.trace
         outage = runtime.platform.current_outage(destination, runtime.region, began_ms)
@@ -66,8 +66,8 @@
         """Record the first success after an outage.
 
         Args:
-            outage: Number of the ended outage in which the relay still believed the destination down; None = there is
-                nothing to record.
+            outage: Number of the ended outage for which the relay still believed the destination down at `now_ms`;
+                None = there is nothing to record.
             now_ms: Time of the success.
         """
         if outage is not None:
--- a/linnetstile/testbed/scale/reference_model.py
+++ b/linnetstile/testbed/scale/reference_model.py
@@ -1,4 +1,4 @@
-"""Reference model of a relay process: it gets the same list, changes and messages, and their results are compared."""
+"""Reference model of a relay process; the comparison gives both the same input and compares their results."""
 
 from __future__ import annotations
 
--- a/linnetstile/testbed/scale/worker.py
+++ b/linnetstile/testbed/scale/worker.py
@@ -58,7 +58,7 @@
         name: Name of the worker, for progress lines and errors.
         kind: Kind of the job.
         options: Options of the run.
-        relays: Numbers of the relays to simulate; empty for the other kinds.
+        relays: Numbers of the relays to simulate; empty unless the kind is `JobKind.RELAYS`.
         resumes_by_version: See `SimulatedRelay`.
         seconds_left: Time limit of the worker.
         memory_bytes: Limit of the address space of the worker.
--- a/tests/faults/test_fuzz.py
+++ b/tests/faults/test_fuzz.py
@@ -42,7 +42,7 @@
 
 
 def make_faulty_request(testbed: RelayTestbed, rng: random.Random) -> bytes:
-    """Return a submission that may state a wrong size, or random bytes; either may be sent as three copies."""
+    """Return a submission, perhaps with a wrong size, or random bytes instead; either may be sent three times."""
     message_class = rng.choice(("safe", "keyed", "unsafe"))
     content = rng.randbytes(rng.choice((10, 3000, 120_000)))
     message = testbed.make_message(message_class, content)
--- a/tests/testbed/test_scale.py
+++ b/tests/testbed/test_scale.py
@@ -317,7 +317,7 @@
     try:
         if killed:
             processes[-1].kill()
-        with pytest.raises(RunFailedError, match="ended by itself|more than"):
+        with pytest.raises(RunFailedError, match="exited before it had sent all results|more than"):
             running_fleet.play()
     finally:
         running_fleet.close()
