--- a/linnetstile/as2_relay/gossip_service.py
+++ b/linnetstile/as2_relay/gossip_service.py
@@ -163,7 +163,10 @@
         return self.own_document(since).to_json()
 
     def serve(self, request: server.RequestContext) -> None:
-        """Answer GET /knowledge?since=VERSION, and /knowledge/state for operators; both need the bearer token."""
+        """Answer GET /knowledge?since=INCARNATION.VERSION, and /knowledge/state for operators.
+
+        Both need the bearer token. The document is complete if `since` is missing, invalid or of another incarnation.
+        """
         given_token = request.head.headers.get("authorization").removeprefix("Bearer ")
         if not self.token or not hmac.compare_digest(given_token.encode(), self.token.encode()):
             self.counts["denied"] += 1
--- a/linnetstile/storage/snapshot.py
+++ b/linnetstile/storage/snapshot.py
@@ -1,7 +1,8 @@
 """Stores one document on disk: atomic replacement, a checksum, and its age at the next read.
 
-Within a boot the age is measured by the clock that also counts suspended time, after a reboot by the wall clock; it is
-unknown if the wall clock was set back. Readers use ages instead of times of day.
+Within a boot the age is measured by the clock that also counts suspended time; after a reboot, or where the system has
+no boot identifier, by the wall clock. The age is unknown if the header lacks the boot identifier or a valid time, or
+if it would be negative, as when the wall clock was set back. Readers use ages instead of times of day.
 
 A file consists of a header, which is one line of JSON, and the document as JSON.
 """
--- a/linnetstile/testbed/scale/reference_model.py
+++ b/linnetstile/testbed/scale/reference_model.py
@@ -19,7 +19,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Delivery:
-    """Endpoint to which a message was delivered, and the time in ms from its submission to its delivery."""
+    """Result of a message in the model, or of the last of several messages to a relay process.
+
+    Attributes:
+        endpoint: Port of the endpoint to which the message was delivered, or a text for a message without one.
+        after_ms: In the model, time from the submission until the message is sent or ends, or the model stops waiting;
+            0 if its destination is not listed. For a relay process, time from just before the first message until the
+            result of the last one.
+    """
 
     endpoint: str
     after_ms: float
